--- a/auth/auth_test.go
+++ b/auth/auth_test.go
@@ -8,7 +8,7 @@
 	"github.com/spiffe/go-spiffe/v2/spiffeid"
 	"pgregory.net/rapid"
 
-	"barleysail/internal/kept"
+	"barleysail/internal/golden"
 )
 
 func policy(t *testing.T) *Policy {
@@ -59,7 +59,7 @@
 			fmt.Fprintln(&out, "  "+strings.Join(v.Why, "\n  "))
 		}
 	}
-	kept.Compare(t, "policy", out.String())
+	golden.Compare(t, "policy", out.String())
 }
 
 // Rules that cannot be meant are refused.
--- a/client/sums.go
+++ b/client/sums.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"barleysail/decide"
 	"barleysail/intake"
 	"barleysail/internal/orca"
+	"barleysail/routing"
 )
 
 // sums are what a proxy met since it last sent them.
@@ -13,17 +13,17 @@
 	since time.Time
 	hosts map[string]*hostSums
 	usage map[string]*classUsage
-	spare []*intake.Times // empty ones, to be used again
+	spare []*intake.LatencyHistogram // empty ones, to be used again
 }
 
 // histogram gives an empty one.
-func (s *sums) histogram() *intake.Times {
+func (s *sums) histogram() *intake.LatencyHistogram {
 	if n := len(s.spare); n > 0 {
 		t := s.spare[n-1]
 		s.spare = s.spare[:n-1]
 		return t
 	}
-	return intake.NewTimes()
+	return intake.NewLatencyHistogram()
 }
 
 type hostSums struct {
@@ -34,8 +34,8 @@
 	Load   *loadSums    `json:"load,omitempty"`
 	Times  [][2]float64 `json:"times,omitempty"` // ms and count
 	took   time.Duration
-	times  *intake.Times
-	load   decide.Load
+	times  *intake.LatencyHistogram
+	load   routing.HostLoad
 }
 
 type loadSums struct {
@@ -84,17 +84,17 @@
 func (s *sums) met(host string, r Try, took time.Duration) {
 	h := s.hosts[host]
 	if h == nil {
-		h = &hostSums{load: decide.NoLoad, times: s.histogram()}
+		h = &hostSums{load: routing.UnknownLoad, times: s.histogram()}
 		s.hosts[host] = h
 	}
 	h.Tries++
 	if r.Result == Fulfilled {
 		h.took += took
-		h.times.Note(took.Seconds() * 1000)
+		h.times.Observe(took.Seconds() * 1000)
 	} else {
 		h.Failed++
 	}
-	if load := orca.Parse(r.Metrics); load != decide.NoLoad {
+	if load := orca.Parse(r.Metrics); load != routing.UnknownLoad {
 		h.load = load
 	}
 }
@@ -105,7 +105,7 @@
 	hosts := map[string]*hostSums{}
 	for host, h := range s.hosts {
 		if !known(host) {
-			h.times.Bars()
+			h.times.Buckets()
 			s.spare = append(s.spare, h.times)
 			continue
 		}
@@ -113,11 +113,11 @@
 		if good := h.Tries - h.Failed; good > 0 {
 			h.Mean = h.took.Seconds() * 1000 / float64(good)
 		}
-		for _, b := range h.times.Bars() {
+		for _, b := range h.times.Buckets() {
 			h.Times = append(h.Times, [2]float64{b.Ms, float64(b.Count)})
 		}
-		if l := h.load; l != decide.NoLoad {
-			h.Load = &loadSums{reported(l.Util), reported(l.Rate), reported(l.Queue)}
+		if l := h.load; l != routing.UnknownLoad {
+			h.Load = &loadSums{reported(l.Utilization), reported(l.RequestRate), reported(l.QueueLength)}
 		}
 		hosts[host] = h
 		s.spare = append(s.spare, h.times)
--- a/cmd/barleysail/guard.go
+++ b/cmd/barleysail/guard.go
@@ -13,10 +13,10 @@
 	"github.com/spf13/cobra"
 	"google.golang.org/protobuf/encoding/prototext"
 
+	"barleysail/controller"
 	"barleysail/internal/config"
 	"barleysail/internal/record/recordpb"
 	"barleysail/replay"
-	"barleysail/steward"
 )
 
 func guardCommand() *cobra.Command {
@@ -50,7 +50,7 @@
 	if zone != "" {
 		doc["zone"] = zone
 	}
-	var a steward.GuardAnswer
+	var a controller.ValidationResult
 	if err := stewardURL(c).do(c.Context(), "POST", "/v1/guard/check", doc, &a); err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 }
 
 // guarded makes the steward of a recording with the guard looking on.
-func guarded(s *recordpb.Start) (*steward.Steward, error) {
+func guarded(s *recordpb.Start) (*controller.Controller, error) {
 	c, err := config.Parse("the recorded configuration", []byte(s.Config))
 	if err != nil {
 		return nil, err
@@ -104,8 +104,11 @@
 		if err != nil {
 			return err
 		}
-		var s *steward.Steward
-		r, err := replay.Again(d.Next, func(start *recordpb.Start) (_ *steward.Steward, err error) { s, err = guarded(start); return s, err })
+		var s *controller.Controller
+		r, err := replay.Again(d.Next, func(start *recordpb.Start) (_ *controller.Controller, err error) {
+			s, err = guarded(start)
+			return s, err
+		})
 		d.file.Close()
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
@@ -113,7 +116,7 @@
 		if r.First != nil {
 			return fmt.Errorf("%s parts from its record: %v", name, r.First)
 		}
-		g := s.GuardReport()
+		g := s.ValidationReport()
 		text := ""
 		for _, check := range slices.Sorted(maps.Keys(g.Found)) {
 			text += fmt.Sprintf("%d %s; ", g.Found[check], check)
--- a/cmd/barleysail/operate.go
+++ b/cmd/barleysail/operate.go
@@ -20,7 +20,7 @@
 
 	"github.com/spf13/cobra"
 
-	"barleysail/steward"
+	"barleysail/controller"
 )
 
 // Exit codes beside 1: refused is of an order that would break a rule, unreachable of a steward that cannot be asked.
@@ -119,20 +119,20 @@
 	return nil
 }
 
-func (r *remote) hosts(ctx context.Context) ([]steward.HostInfo, error) {
-	var x struct{ Hosts []steward.HostInfo }
+func (r *remote) hosts(ctx context.Context) ([]controller.HostInfo, error) {
+	var x struct{ Hosts []controller.HostInfo }
 	err := r.do(ctx, "GET", "/v1/hosts", nil, &x)
 	return x.Hosts, err
 }
 
-func (r *remote) proxies(ctx context.Context) ([]steward.ProxyInfo, error) {
-	var x struct{ Proxies []steward.ProxyInfo }
+func (r *remote) proxies(ctx context.Context) ([]controller.ProxyInfo, error) {
+	var x struct{ Proxies []controller.ProxyInfo }
 	err := r.do(ctx, "GET", "/v1/proxies", nil, &x)
 	return x.Proxies, err
 }
 
-func (r *remote) events(ctx context.Context, after int64, wait int) ([]steward.Event, error) {
-	var x struct{ Events []steward.Event }
+func (r *remote) events(ctx context.Context, after int64, wait int) ([]controller.Event, error) {
+	var x struct{ Events []controller.Event }
 	err := r.do(ctx, "GET", fmt.Sprintf("/v1/events?after=%d", after), nil, &x, "Prefer", fmt.Sprintf("wait=%d", wait))
 	return x.Events, err
 }
@@ -181,7 +181,7 @@
 func short(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
 
 // operatorsWord says what is set on a host.
-func operatorsWord(o *steward.OperatorSet) string {
+func operatorsWord(o *controller.OverrideInfo) string {
 	if o == nil {
 		return ""
 	}
@@ -204,11 +204,11 @@
 	return text
 }
 
-func hostState(h steward.HostInfo) string {
+func hostState(h controller.HostInfo) string {
 	if h.Withdrawn {
 		return "withdrawn"
 	}
-	if h.Phase == "ready" && h.Why.Warmth < 1 {
+	if h.Phase == "ready" && h.Why.SlowStartFactor < 1 {
 		return "cold"
 	}
 	return h.Phase
@@ -235,8 +235,8 @@
 		}
 		var rows [][]string
 		for _, h := range hosts {
-			rows = append(rows, []string{h.Host, h.Zone, hostState(h), short(h.Listed), short(h.Weight), short(h.Why.Rate), short(h.Why.R),
-				short(h.Why.Cap), short(h.Why.Load.Util), operatorsWord(h.Operator)})
+			rows = append(rows, []string{h.Host, h.Zone, hostState(h), short(h.Listed), short(h.Weight), short(h.Why.ArrivalRate), short(h.Why.MeanLatencyMs),
+				short(h.Why.Capacity), short(h.Why.Load.Utilization), operatorsWord(h.Operator)})
 		}
 		return table(out, form, []string{"host", "zone", "state", "listed", "weight", "rate", "r_ms", "cap", "util", "operator"}, rows, hosts)
 	case "proxies":
@@ -316,7 +316,7 @@
 			if args[0] != "host" {
 				return fmt.Errorf("describe %s: hosts can be described", args[0])
 			}
-			var h steward.HostInfo
+			var h controller.HostInfo
 			if err := stewardURL(c).do(c.Context(), "GET", "/v1/hosts/"+url.PathEscape(args[1]), nil, &h); err != nil {
 				return err
 			}
@@ -326,31 +326,31 @@
 	return c
 }
 
-func describe(out io.Writer, h steward.HostInfo) {
+func describe(out io.Writer, h controller.HostInfo) {
 	x := h.Why
 	fmt.Fprintf(out, "%s of zone %s is %s\n", h.Host, h.Zone, hostState(h))
 	if h.Operator != nil {
 		fmt.Fprintf(out, "operator      %s\n", operatorsWord(h.Operator))
 	}
-	fmt.Fprintf(out, "weight        %s told to proxies, %s wanted; moves have put it at %s, listed is %s\n", short(h.Weight), short(x.Want),
+	fmt.Fprintf(out, "weight        %s told to proxies, %s wanted; moves have put it at %s, listed is %s\n", short(h.Weight), short(x.TargetWeight),
 		short(x.Weight), short(h.Listed))
-	fmt.Fprintf(out, "load          rate %s a second, R %s ms (median of all %s ms)\n", short(x.Rate), short(x.R), short(x.Median))
-	room := x.Cap - x.Rate
+	fmt.Fprintf(out, "load          rate %s a second, R %s ms (median of all %s ms)\n", short(x.ArrivalRate), short(x.MeanLatencyMs), short(x.MedianLatencyMs))
+	room := x.Capacity - x.ArrivalRate
 	word := "room"
 	if room < 0 {
 		word, room = "excess", -room
 	}
-	fmt.Fprintf(out, "cap           mu %s - K %s = %s a second; %s %s\n", short(x.Mu), short(x.K), short(x.Cap), word, short(room))
-	fmt.Fprintf(out, "reported      busy %s, queue %s\n", short(x.Load.Util), short(x.Load.Queue))
-	fmt.Fprintf(out, "tries lately  %s fulfilled, %s failed\n", short(x.Won), short(x.Lost))
-	fmt.Fprintf(out, "probes        %d in a row answered, %d not; withdrawn: %v\n", x.Fine, x.Strikes, x.Out)
-	if x.Warmth < 1 {
-		fmt.Fprintf(out, "cold          %.0f%% of its capacity now\n", 100*x.Warmth)
+	fmt.Fprintf(out, "cap           mu %s - K %s = %s a second; %s %s\n", short(x.ServiceRate), short(x.LatencyMargin), short(x.Capacity), word, short(room))
+	fmt.Fprintf(out, "reported      busy %s, queue %s\n", short(x.Load.Utilization), short(x.Load.QueueLength))
+	fmt.Fprintf(out, "tries lately  %s fulfilled, %s failed\n", short(x.Successes), short(x.Failures))
+	fmt.Fprintf(out, "probes        %d in a row answered, %d not; withdrawn: %v\n", x.ConsecutiveSuccesses, x.ConsecutiveFailures, x.Ejected)
+	if x.SlowStartFactor < 1 {
+		fmt.Fprintf(out, "cold          %.0f%% of its capacity now\n", 100*x.SlowStartFactor)
 	}
-	if x.Trial < 1 {
-		fmt.Fprintf(out, "on trial      %.0f%% of its weight\n", 100*x.Trial)
+	if x.RecoveryFactor < 1 {
+		fmt.Fprintf(out, "on trial      %.0f%% of its weight\n", 100*x.RecoveryFactor)
 	}
-	if !x.Serving {
+	if !x.Balanced {
 		fmt.Fprintln(out, "it takes no part in moves now")
 	}
 	for _, m := range h.Moves {
@@ -467,7 +467,7 @@
 		return 0, err
 	}
 	weights := map[string][2]string{}
-	for i, hosts := range [][]steward.HostInfo{one, two} {
+	for i, hosts := range [][]controller.HostInfo{one, two} {
 		for _, h := range hosts {
 			w := weights[h.Host]
 			w[i] = short(h.Weight) + " " + hostState(h)
--- a/cmd/barleysail/prove_test.go
+++ b/cmd/barleysail/prove_test.go
@@ -11,7 +11,7 @@
 
 	"barleysail/internal/config"
 	"barleysail/internal/daemon"
-	"barleysail/internal/standin/issuer"
+	"barleysail/internal/fake/issuer"
 )
 
 // An operator's commands prove who he is and go to the steward that is named, and to no other; without an identity, or with
--- a/cmd/barleysail/replay.go
+++ b/cmd/barleysail/replay.go
@@ -12,15 +12,15 @@
 
 	"github.com/spf13/cobra"
 
+	"barleysail/controller"
 	"barleysail/internal/config"
 	"barleysail/internal/record"
 	"barleysail/internal/record/recordpb"
 	"barleysail/replay"
-	"barleysail/steward"
 )
 
 // build makes the steward that a recording's start describes.
-func build(s *recordpb.Start) (*steward.Steward, error) {
+func build(s *recordpb.Start) (*controller.Controller, error) {
 	if s.Format > record.Format {
 		return nil, fmt.Errorf("the recording has format %d, %d is the newest known here", s.Format, record.Format)
 	}
--- a/cmd/barleysail/run.go
+++ b/cmd/barleysail/run.go
@@ -79,7 +79,7 @@
 				if err != nil {
 					return err
 				}
-				if err := config.Steward(cfg, "check", 1).Listed(1, entries); err != nil {
+				if err := config.Steward(cfg, "check", 1).SetEndpoints(1, entries); err != nil {
 					return config.Refused(cfg.List.File, text, err)
 				}
 				hosts = fmt.Sprintf("%d hosts", len(entries))
--- a/cmd/barleysail/state.go
+++ b/cmd/barleysail/state.go
@@ -52,8 +52,8 @@
 }
 
 // loadState reads a folder that may be a running steward's.
-func loadState(path string) (*statefile.Found, error) {
-	folder, err := statefile.LookFolder(path)
+func loadState(path string) (*statefile.LoadResult, error) {
+	folder, err := statefile.OpenReadOnly(path)
 	if err != nil {
 		return nil, err
 	}
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	if f.State == nil {
-		return nil, fmt.Errorf("nothing that may be gone by is kept there: %s", strings.Join(f.Notes, "; "))
+		return nil, fmt.Errorf("nothing that may be gone by is kept there: %s", strings.Join(f.Warnings, "; "))
 	}
 	return f, nil
 }
@@ -76,36 +76,36 @@
 		return err
 	}
 	s, now := f.State, nowMs()
-	r := state.Age(s, now, state.DefaultLimits(cold))
+	r := state.ApplyDecay(s, now, state.DefaultLimits(cold))
 	fmt.Fprintf(out, "life %s of program %s, format %d.%d, generation %d and %d changes, %d bytes\n", s.Life, s.Program, s.Major, s.Minor, f.Generation, f.Changes, proto.Size(s))
 	fmt.Fprintf(out, "true at %s, %.1f s ago\n", clockTime(s.At), (now-s.At)/1000)
-	for _, n := range f.Notes {
+	for _, n := range f.Warnings {
 		fmt.Fprintln(out, "left out:", n)
 	}
-	if r.Why != "" {
-		fmt.Fprintln(out, "less than all is known:", r.Why)
+	if r.Reason != "" {
+		fmt.Fprintln(out, "less than all is known:", r.Reason)
 	}
 	if f := s.GetFleet(); f != nil {
-		fmt.Fprintf(out, "level %.2f, now %.2f; median of mean times %.1f ms\n", f.Level, r.Level, r.Median)
+		fmt.Fprintf(out, "level %.2f, now %.2f; median of mean times %.1f ms\n", f.Level, r.AdmissionRatio, r.MedianLatencyMs)
 	}
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "host\tzone\tweight\tnow\tr ms\tnow\tlost\tnow\twithdrawn\tnow\ttrust\tnow\tstarted\tdrains since")
 	for _, h := range s.Hosts {
 		k := r.Hosts[h.Name]
 		if k == nil {
-			k = &state.Host{Weight: 1, Trust: 1}
+			k = &state.Host{Weight: 1, ReportTrust: 1}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.3g\t%.3g\t%.4g\t%.4g\t%.3g\t%.3g\t%v\t%v\t%.2f\t%.2f\t%s\t%s\n", h.Name, h.Zone, h.Weight, k.Weight, h.R, k.R,
-			h.Lost, k.Lost, h.Out, k.Out, h.Trust, k.Trust, ago(h.Started, now), ago(h.Drains, now))
+		fmt.Fprintf(w, "%s\t%s\t%.3g\t%.3g\t%.4g\t%.4g\t%.3g\t%.3g\t%v\t%v\t%.2f\t%.2f\t%s\t%s\n", h.Name, h.Zone, h.Weight, k.Weight, h.R, k.MeanLatencyMs,
+			h.Lost, k.Failures, h.Out, k.Ejected, h.Trust, k.ReportTrust, ago(h.Started, now), ago(h.Drains, now))
 	}
-	for _, x := range r.Settings {
-		fmt.Fprintf(w, "operator set %s\t%s\tweight %g\tpart %g\tby %s\n", x.Host, operator.State(min(max(x.State, 0), int32(operator.Maint))), x.Weight, x.Part, x.By)
+	for _, x := range r.Overrides {
+		fmt.Fprintf(w, "operator set %s\t%s\tweight %g\tpart %g\tby %s\n", x.Host, operator.State(min(max(x.State, 0), int32(operator.Maintenance))), x.Weight, x.Part, x.By)
 	}
 	fmt.Fprintf(w, "%d proxies are known, %d of them with their tables (%d different)\n", len(s.Proxies), withTables(r), len(s.Tables))
 	return w.Flush()
 }
 
-func withTables(r *state.Recalled) (n int) {
+func withTables(r *state.Restored) (n int) {
 	for _, p := range r.Proxies {
 		if p.Tag != "" {
 			n++
@@ -127,8 +127,8 @@
 		return err
 	}
 	fmt.Fprintf(out, "generation %d with %d changes, %d hosts, %d proxies, %d settings\n", f.Generation, f.Changes, len(f.State.Hosts), len(f.State.Proxies), len(f.State.Settings))
-	if len(f.Notes) > 0 {
-		return errors.New(strings.Join(f.Notes, "; "))
+	if len(f.Warnings) > 0 {
+		return errors.New(strings.Join(f.Warnings, "; "))
 	}
 	fmt.Fprintln(out, "whole")
 	return nil
@@ -167,7 +167,7 @@
 	store := statefile.NewStore(folder, f, 1<<30)
 	defer store.Close()
 	for range 2 { // two generations are kept: neither may tell of it
-		if err := store.Fresh(s); err != nil {
+		if err := store.SaveSnapshot(s); err != nil {
 			return err
 		}
 	}
--- a/cmd/barleysail/top.go
+++ b/cmd/barleysail/top.go
@@ -11,15 +11,15 @@
 	tea "github.com/charmbracelet/bubbletea"
 	"github.com/spf13/cobra"
 
-	"barleysail/steward"
+	"barleysail/controller"
 )
 
 // topState is what the view shows, as it was asked last.
 type topState struct {
-	hosts   []steward.HostInfo
-	proxies []steward.ProxyInfo
-	events  []steward.Event
-	status  steward.Status
+	hosts   []controller.HostInfo
+	proxies []controller.ProxyInfo
+	events  []controller.Event
+	status  controller.Status
 	err     error
 }
 
@@ -33,7 +33,7 @@
 	if n := len(t.events); n > 0 {
 		after = t.events[n-1].Number
 	}
-	var fresh []steward.Event
+	var fresh []controller.Event
 	if next.hosts, next.err = r.hosts(ctx); next.err == nil {
 		if next.proxies, next.err = r.proxies(ctx); next.err == nil {
 			if next.err = r.do(ctx, "GET", "/v1/status", nil, &next.status); next.err == nil {
@@ -184,12 +184,12 @@
 		}
 		return rows
 	}
-	hosts := append([]steward.HostInfo(nil), m.state.hosts...)
-	load := func(h steward.HostInfo) float64 {
-		if h.Why.Cap <= 0 {
+	hosts := append([]controller.HostInfo(nil), m.state.hosts...)
+	load := func(h controller.HostInfo) float64 {
+		if h.Why.Capacity <= 0 {
 			return 0
 		}
-		return h.Why.Rate / h.Why.Cap
+		return h.Why.ArrivalRate / h.Why.Capacity
 	}
 	sort.SliceStable(hosts, func(i, j int) bool { return !m.byName && load(hosts[i]) > load(hosts[j]) })
 	rows := []string{fmt.Sprintf("%-21s %-7s %-9s %6s %7s %7s  %-12s", "host", "zone", "state", "weight", "rate/s", "cap", "load")}
@@ -200,7 +200,7 @@
 		if h.Operator != nil {
 			mark = " " + h.Operator.State
 		}
-		rows = append(rows, fmt.Sprintf("%-21s %-7s %-9s %6.2f %7.1f %7.1f  %-9s%3.0f%%%s", h.Host, h.Zone, hostState(h), h.Weight, h.Why.Rate, h.Why.Cap, bar, 100*l, mark))
+		rows = append(rows, fmt.Sprintf("%-21s %-7s %-9s %6.2f %7.1f %7.1f  %-9s%3.0f%%%s", h.Host, h.Zone, hostState(h), h.Weight, h.Why.ArrivalRate, h.Why.Capacity, bar, 100*l, mark))
 	}
 	return rows
 }
--- a/cmd/barleysail/top_test.go
+++ b/cmd/barleysail/top_test.go
@@ -9,30 +9,30 @@
 
 	tea "github.com/charmbracelet/bubbletea"
 
-	"barleysail/decide"
-	"barleysail/internal/kept"
-	"barleysail/steward"
+	"barleysail/controller"
+	"barleysail/internal/golden"
+	"barleysail/routing"
 )
 
 // The terminal view, driven by keys, in 80 columns: each frame is compared with the kept one.
 func TestTop(t *testing.T) {
-	state := topState{status: steward.Status{Life: "abc", Hosts: 12, Joined: 2, Polls: 2, Mode: "withdraw host 10.0.0.3:80: 3 probes failed, absent false, 0.92 of the weight left, and so on"}}
+	state := topState{status: controller.Status{Life: "abc", Hosts: 12, Joined: 2, Polls: 2, Mode: "withdraw host 10.0.0.3:80: 3 probes failed, absent false, 0.92 of the weight left, and so on"}}
 	for i := range 12 {
-		h := steward.HostInfo{Host: fmt.Sprintf("10.0.0.%d:80", i), Zone: "addis", Phase: "ready", Weight: 1,
-			Why: decide.Explanation{Rate: float64(i * 3), Cap: 30, Warmth: 1}}
+		h := controller.HostInfo{Host: fmt.Sprintf("10.0.0.%d:80", i), Zone: "addis", Phase: "ready", Weight: 1,
+			Why: routing.Explanation{ArrivalRate: float64(i * 3), Capacity: 30, SlowStartFactor: 1}}
 		switch i {
 		case 3:
 			h.Withdrawn, h.Weight = true, 0
 		case 5:
-			h.Phase, h.Operator = "draining", &steward.OperatorSet{State: "drain"}
+			h.Phase, h.Operator = "draining", &controller.OverrideInfo{State: "drain"}
 		case 7:
-			h.Why.Warmth = 0.3
+			h.Why.SlowStartFactor = 0.3
 		}
 		state.hosts = append(state.hosts, h)
 	}
-	state.proxies = []steward.ProxyInfo{{Proxy: "p", Zone: "addis", Acked: true, Rates: map[string]float64{"sheet": 3, "finish": 2}}, {Proxy: "q", Zone: "adama"}}
+	state.proxies = []controller.ProxyInfo{{Proxy: "p", Zone: "addis", Acked: true, Rates: map[string]float64{"sheet": 3, "finish": 2}}, {Proxy: "q", Zone: "adama"}}
 	for i := range 9 {
-		state.events = append(state.events, steward.Event{Number: int64(i + 1), At: float64(i) * 1000, Kind: "mode", Text: fmt.Sprint("event ", i+1, strings.Repeat(" long", 20))})
+		state.events = append(state.events, controller.Event{Number: int64(i + 1), At: float64(i) * 1000, Kind: "mode", Text: fmt.Sprint("event ", i+1, strings.Repeat(" long", 20))})
 	}
 	asked := 0
 	var m tea.Model = top{every: time.Second, width: 80, height: 12, fetch: func(topState) topState { asked++; return state }}
@@ -72,5 +72,5 @@
 	if _, quit := m.Update(tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune("q")}); quit == nil || asked != 2 {
 		t.Errorf("q does not end it, or it asked %d times", asked)
 	}
-	kept.Compare(t, "top", out.String())
+	golden.Compare(t, "top", out.String())
 }
--- a/cmd/barleysail/whatif.go
+++ b/cmd/barleysail/whatif.go
@@ -14,12 +14,12 @@
 	"google.golang.org/protobuf/encoding/prototext"
 	"google.golang.org/protobuf/proto"
 
-	"barleysail/decide"
+	"barleysail/controller"
 	"barleysail/internal/config"
 	"barleysail/internal/config/configpb"
 	"barleysail/internal/record/recordpb"
 	"barleysail/replay"
-	"barleysail/steward"
+	"barleysail/routing"
 )
 
 // whatIf is a replay against another setting.
@@ -136,7 +136,7 @@
 // setting makes a replay's setting of a configuration.
 func (w *whatIf) setting(c *configpb.Config, change func(*configpb.Config) (*configpb.Config, error)) replay.Setting {
 	set := replay.Setting{Figures: config.Rules(c, w.fall), Probes: *c.Probes.TimeoutMs,
-		Make: func(s *recordpb.Start) (*steward.Steward, error) {
+		Make: func(s *recordpb.Start) (*controller.Controller, error) {
 			c, err := config.Parse("the recorded configuration", []byte(s.Config))
 			if err == nil {
 				c, err = change(c)
@@ -147,8 +147,8 @@
 			return config.Steward(config.Of(c, s.Format), s.Life, s.Seed), nil
 		}}
 	for _, k := range c.Classes {
-		set.Classes = append(set.Classes, steward.Class{Name: k.Name, Class: decide.Class{Due: *k.DueMs, Patience: *k.PatienceMs,
-			Earnings: *k.Earnings}})
+		set.Classes = append(set.Classes, controller.RequestClass{Name: k.Name, RequestClass: routing.RequestClass{LatencyObjectiveMs: *k.DueMs, DeadlineMs: *k.PatienceMs,
+			PriorityWeight: *k.Earnings}})
 	}
 	return set
 }
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill runs decision modules on the simulator's wire: what it reads becomes calls on the module of
+// Command simadapter runs balancers on the simulator's wire: what it reads becomes calls on the module of
 // the instance concerned, and the module's answers become messages.
 package main
 
@@ -9,38 +9,38 @@
 	"math"
 	"os"
 
-	"barleysail/decide"
 	"barleysail/internal/instance"
-	"barleysail/internal/wire"
+	"barleysail/internal/simwire"
+	"barleysail/routing"
 )
 
 // steward is one instance that the bench has started.
 type steward struct {
 	*instance.Instance // nil once it was killed
 	number             int
-	out                *wire.Writer
+	out                *simwire.Writer
 	touched            bool
 }
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 func run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), wire.NewWriter(out)
+	r, w := simwire.NewReader(in), simwire.NewWriter(out)
 	met := map[int]*steward{}
 	var touched []*steward
-	var e wire.Event
+	var e simwire.Event
 	for {
 		if err := r.Next(&e); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		if e.Type != wire.Turn {
+		if e.Type != simwire.Turn {
 			return fmt.Errorf("%s: came outside a batch", e.Type)
 		}
 		now, batch := float64(*e.SimTimeUs)/1000, *e.Turn
@@ -51,15 +51,15 @@
 			} else if err != nil {
 				return err
 			}
-			if e.Type == wire.End {
+			if e.Type == simwire.End {
 				break
 			}
-			if e.Type == wire.Turn {
+			if e.Type == simwire.Turn {
 				return fmt.Errorf("Turn: came inside batch %d", batch)
 			}
 			number := int(*e.I)
 			inst := met[number]
-			if e.Type == wire.Start {
+			if e.Type == simwire.Start {
 				fresh, err := start(number, &e, w)
 				if err != nil {
 					return err
@@ -73,7 +73,7 @@
 				}
 			} else if inst == nil {
 				return fmt.Errorf("%s: instance %d never started", e.Type, number)
-			} else if e.Type == wire.CrashNow {
+			} else if e.Type == simwire.CrashNow {
 				inst.Instance = nil
 			} else if inst.Instance != nil {
 				if err := inst.note(&e); err != nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-func start(number int, e *wire.Event, w *wire.Writer) (*steward, error) {
-	s, err := wire.ReadSettings(e.Settings)
+func start(number int, e *simwire.Event, w *simwire.Writer) (*steward, error) {
+	s, err := simwire.ReadSettings(e.Settings)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 	return &steward{Instance: inst, number: number, out: w}, nil
 }
 
-func place(what string, e *wire.Event, index func(string) (int, bool), name *string) (int, error) {
+func place(what string, e *simwire.Event, index func(string) (int, bool), name *string) (int, error) {
 	i, ok := index(*name)
 	if !ok {
 		return 0, fmt.Errorf("%s: %s %q is not in the settings", e.Type, what, *name)
@@ -117,31 +117,31 @@
 	return i, nil
 }
 
-var outcomes = map[string]decide.Outcome{"success": decide.Fine, "failure": decide.Refused, "overloaded": decide.Refused,
-	"timed_out": decide.Silent, "unreachable": decide.Unreachable, "broken": decide.Unreachable,
-	"withdrawn": decide.Refused, "void": decide.Refused}
+var outcomes = map[string]routing.HealthCheckResult{"success": routing.Healthy, "failure": routing.Rejected, "overloaded": routing.Rejected,
+	"timed_out": routing.TimedOut, "unreachable": routing.Unreachable, "broken": routing.Unreachable,
+	"withdrawn": routing.Rejected, "void": routing.Rejected}
 
 // note turns one event into its call on the module.
-func (n *steward) note(e *wire.Event) error {
+func (n *steward) note(e *simwire.Event) error {
 	s := n.Instance
 	ms := func(us *int64) float64 { return float64(*us) / 1000 }
 	switch e.Type {
-	case wire.Endpoints:
+	case simwire.Endpoints:
 		switch *e.How {
-		case wire.ListFailed:
-			s.ListFailed()
+		case simwire.ListFailed:
+			s.ObserveWatchFailure()
 			return nil
-		case wire.ListFull, wire.ListCached:
-			s.WholeList(*e.How == wire.ListCached)
-		case wire.ListDelta:
-			s.ListChange()
+		case simwire.ListFull, simwire.ListCached:
+			s.ObserveSnapshot(*e.How == simwire.ListCached)
+		case simwire.ListDelta:
+			s.ObserveDelta()
 		default:
 			return fmt.Errorf("Endpoints: field How has the unknown value %d", *e.How)
 		}
 		for _, rec := range e.Records {
 			zone, weight, started, err := 0, 0.0, 0.0, error(nil)
 			if rec.Area != nil {
-				if zone, err = place("zone", e, n.Zone, rec.Area); err != nil {
+				if zone, err = place("zone", e, n.ZoneIndex, rec.Area); err != nil {
 					return err
 				}
 			}
@@ -154,52 +154,52 @@
 			if *rec.Phase < 0 || *rec.Phase > 2 || weight < 0 {
 				return fmt.Errorf("Endpoints: entry %s has an odd Phase or W", *rec.Host)
 			}
-			s.Entry(n.Host(*rec.Host), zone, decide.Phase(*rec.Phase), weight, started)
+			s.ObserveEndpoint(n.HostIndex(*rec.Host), zone, routing.HostState(*rec.Phase), weight, started)
 		}
-	case wire.CheckedIn:
-		zone, err := place("zone", e, n.Zone, e.Area)
+	case simwire.CheckedIn:
+		zone, err := place("zone", e, n.ZoneIndex, e.Area)
 		if err != nil {
 			return err
 		}
-		s.Joined(int(*e.Px), zone, *e.W)
-	case wire.Disconnected:
-		s.Left(int(*e.Px))
-	case wire.Installed:
-		s.Answered(int(*e.Px), int(*e.Number))
-	case wire.Stats:
-		if _, err := place("zone", e, n.Zone, e.Area); err != nil {
+		s.ConnectProxy(int(*e.Px), zone, *e.W)
+	case simwire.Disconnected:
+		s.DisconnectProxy(int(*e.Px))
+	case simwire.Installed:
+		s.Ack(int(*e.Px), int(*e.Number))
+	case simwire.Stats:
+		if _, err := place("zone", e, n.ZoneIndex, e.Area); err != nil {
 			return err
 		}
-		s.Heard(n.Host(*e.Host), int(*e.Count), int(*e.Errors), ms(e.CostTimeUs), ms(e.WindowUs), instance.Load(e.Value))
-	case wire.Arrivals:
-		class, err := place("class", e, n.Class, e.Kind)
+		s.ObserveHostStats(n.HostIndex(*e.Host), int(*e.Count), int(*e.Errors), ms(e.CostTimeUs), ms(e.WindowUs), instance.Load(e.Value))
+	case simwire.Arrivals:
+		class, err := place("class", e, n.ClassIndex, e.Kind)
 		if err != nil {
 			return err
 		}
-		s.Usage(int(*e.Px), class, int(*e.Count), ms(e.WindowUs))
-	case wire.Health:
+		s.ObserveDemand(int(*e.Px), class, int(*e.Count), ms(e.WindowUs))
+	case simwire.Health:
 		how, ok := outcomes[*e.Ending]
 		if !ok {
 			return fmt.Errorf("Health: field Ending has the unknown value %q", *e.Ending)
 		}
-		s.Probed(n.Host(*e.Host), how, instance.Load(e.Value))
+		s.ObserveHealthCheck(n.HostIndex(*e.Host), how, instance.Load(e.Value))
 	}
 	return nil
 }
 
 // The decide.Writer of an instance: indices become ids again.
 
-func (n *steward) Line(table, host int, weight float64) {
-	n.out.Weigh(n.number, table, n.ID(host), weight)
+func (n *steward) SetWeight(table, host int, weight float64) {
+	n.out.Weigh(n.number, table, n.HostID(host), weight)
 }
-func (n *steward) Bind(proxy, table, classes int) {
+func (n *steward) AssignTable(proxy, table, classes int) {
 	n.out.AttachTable(n.number, proxy, table, classes)
 }
-func (n *steward) Level(table, classes int, share float64, tries int) {
+func (n *steward) SetAdmission(table, classes int, share float64, tries int) {
 	n.out.Throttle(n.number, table, classes, share, tries)
 }
-func (n *steward) Mark(number int) { n.out.Seal(n.number, number) }
-func (n *steward) Probe(host int)  { n.out.Probe(n.number, n.ID(host)) }
-func (n *steward) Wake(at float64) { n.out.After(n.number, int64(math.Ceil(at*1000)), 1) }
-func (n *steward) Watch()          { n.out.Subscribe(n.number) }
-func (n *steward) Log(text string) { n.out.Remark(n.number, text) }
+func (n *steward) StampVersion(number int)  { n.out.Seal(n.number, number) }
+func (n *steward) CheckHealth(host int)     { n.out.Probe(n.number, n.HostID(host)) }
+func (n *steward) ScheduleRound(at float64) { n.out.After(n.number, int64(math.Ceil(at*1000)), 1) }
+func (n *steward) WatchEndpoints()          { n.out.Subscribe(n.number) }
+func (n *steward) Log(text string)          { n.out.Remark(n.number, text) }
--- a/steward/acks.go
+++ b/controller/acks.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"slices"
@@ -23,10 +23,12 @@
 }
 
 // tag names a version in a steward's life.
-func (s *Steward) tag(number int64) string { return s.fleet.Life + "-" + strconv.FormatInt(number, 10) }
+func (s *Controller) tag(number int64) string {
+	return s.fleet.Incarnation + "-" + strconv.FormatInt(number, 10)
+}
 
 // tagOf names a version as the proxy knows it.
-func (s *Steward) tagOf(v *version) string {
+func (s *Controller) tagOf(v *version) string {
 	if v.alias != "" {
 		return v.alias
 	}
@@ -46,10 +48,10 @@
 // acknowledge takes the newest version that the tags name as applied by the proxy, with all before it, and
 // gives its number, or 0 where no tag names a version of the history. A version is acknowledged once; a tag of
 // another life, or of a version never given to this proxy, acknowledges nothing.
-func (s *Steward) acknowledge(m *member, tags []string) int64 {
+func (s *Controller) acknowledge(m *member, tags []string) int64 {
 	newest := int64(0)
 	for _, tag := range tags {
-		rest, ours := strings.CutPrefix(tag, s.fleet.Life+"-")
+		rest, ours := strings.CutPrefix(tag, s.fleet.Incarnation+"-")
 		n, err := strconv.ParseInt(rest, 10, 64)
 		if ours && err == nil && n > newest && m.version(n) != nil {
 			newest = n
@@ -74,7 +76,7 @@
 }
 
 // tellAnswers gives the module the answers that prove what it takes them for.
-func (s *Steward) tellAnswers() {
+func (s *Controller) tellAnswers() {
 	a := &s.answered
 	if len(a.early) == 0 {
 		return
@@ -83,7 +85,7 @@
 	waiting := s.channel.oldest()
 	n := 0
 	for n < len(a.early) && a.early[n].round <= waiting {
-		s.module.Answered(a.early[n].proxy, a.early[n].number)
+		s.module.Ack(a.early[n].proxy, a.early[n].number)
 		n++
 	}
 	a.early = append(a.early[:0], a.early[n:]...)
--- a/steward/channel.go
+++ b/controller/channel.go
@@ -1,9 +1,9 @@
-package steward
+package controller
 
 import (
 	"math"
 
-	"barleysail/decide"
+	"barleysail/routing"
 )
 
 // channel is the way of a steward's orders to its proxies, as the module counts it: messages leave one after
@@ -33,8 +33,8 @@
 	dropped bool
 }
 
-func newChannel(c decide.Channel) channel {
-	return channel{pace: c.LinesPerS / 1000, head: c.Head, price: c.Price, mostWaiting: c.MostWaiting, most: c.MessagesMost, over: c.MessagesOver,
+func newChannel(c routing.ControlChannel) channel {
+	return channel{pace: c.EntriesPerSecond / 1000, head: c.MessageOverhead, price: c.Cost, mostWaiting: c.MaxBacklog, most: c.MaxMessages, over: c.MessageWindowMs,
 		until: math.Inf(-1)}
 }
 
@@ -165,7 +165,7 @@
 
 // depart lets leave what may have left by now. A message carries what its proxy's tables hold when it
 // leaves, so that one that waited names nothing outdated.
-func (s *Steward) depart() {
+func (s *Controller) depart() {
 	c := &s.channel
 	for {
 		if c.sending == nil {
--- a/steward/steward_test.go
+++ b/controller/controller_test.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"encoding/json"
@@ -12,8 +12,8 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 	"pgregory.net/rapid"
 
-	"barleysail/decide"
 	"barleysail/guard"
+	"barleysail/routing"
 )
 
 // A proxy joins, holds a poll, and gets what changed as a delta onto what it holds.
@@ -21,24 +21,24 @@
 	d := open(t, settings())
 	d.list(d.hosts(2))
 	d.say("a proxy joins")
-	d.poll(Query{Proxy: "p", Wait: 30000, Delta: true})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 30000, AcceptDelta: true})
 	d.run(100)
 	d.say("without the preference to wait: nothing new, at once")
-	d.poll(Query{Proxy: "p", Tags: []string{"L-1"}, Wait: -1})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: -1})
 	d.say("it waits; a host drains")
-	d.poll(Query{Proxy: "p", Tags: []string{"L-1"}, Wait: 30000, Delta: true})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
 	d.run(500)
 	list := d.hosts(2)
-	list[1].Phase = decide.Draining
+	list[1].State = routing.Draining
 	d.list(list)
 	d.run(500)
 	d.say("the same without deltas, onto a tag of the history: the whole")
-	d.poll(Query{Proxy: "p", Tags: []string{"L-1"}, Wait: 30000})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
 	d.say("onto a tag of another life, and onto one that was never given: the whole")
-	d.poll(Query{Proxy: "p", Tags: []string{"K-1"}, Wait: 30000, Delta: true})
-	d.poll(Query{Proxy: "p", Tags: []string{"L-9"}, Wait: 30000, Delta: true})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{"K-1"}, WaitMs: 30000, AcceptDelta: true})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-9"}, WaitMs: 30000, AcceptDelta: true})
 	d.say("whatever there is will do: held for 2 s")
-	d.poll(Query{Proxy: "p", Any: true, Wait: 2000})
+	d.poll(PollRequest{Proxy: "p", AnyTag: true, WaitMs: 2000})
 	d.run(2500)
 	d.check()
 }
@@ -48,17 +48,17 @@
 func TestTwoPolls(t *testing.T) {
 	d := open(t, settings())
 	d.list(d.hosts(2))
-	d.poll(Query{Proxy: "p", Wait: 30000})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	d.run(100)
-	d.poll(Query{Proxy: "p", Tags: []string{"L-1"}, Wait: 30000})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
 	d.run(50)
 	d.say("a second poll")
-	d.poll(Query{Proxy: "p", Tags: []string{"L-1"}, Wait: 30000})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
 	d.say("acked %d, marks left %d", d.members.byName["p"].acked, len(d.members.byName["p"].versions[0].marks))
 	d.say("the caller of the first is gone: nothing happens; of the second: the proxy has to poll again")
-	d.PollGone(d.at, "p", 2)
+	d.CancelPoll(d.at, "p", 2)
 	d.say("held %d", d.Status(d.at).Polls)
-	d.PollGone(d.at, "p", 3)
+	d.CancelPoll(d.at, "p", 3)
 	d.say("held %d joined %d", d.Status(d.at).Polls, d.Status(d.at).Joined)
 	d.run(5100)
 	d.say("joined %d", d.Status(d.at).Joined)
@@ -69,14 +69,14 @@
 func TestComesBack(t *testing.T) {
 	d := open(t, settings())
 	d.list(d.hosts(2))
-	d.poll(Query{Proxy: "p", Wait: 30000})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	d.run(100)
-	d.say("leaves: %v, again: %v", d.Leave(d.at, "p", d), d.Leave(d.at, "p", d))
+	d.say("leaves: %v, again: %v", d.Disconnect(d.at, "p", d), d.Disconnect(d.at, "p", d))
 	d.run(100)
-	d.poll(Query{Proxy: "p", Tags: []string{"L-1"}, Wait: 30000, Delta: true})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
 	d.run(100)
 	d.say("in another zone it is another stay")
-	d.poll(Query{Proxy: "p", Zone: "b", Tags: []string{"L-2"}, Wait: 30000, Delta: true})
+	d.poll(PollRequest{Proxy: "p", Zone: "b", Tags: []string{"L-2"}, WaitMs: 30000, AcceptDelta: true})
 	d.run(100)
 	d.check()
 }
@@ -85,16 +85,16 @@
 // it does.
 func TestNoList(t *testing.T) {
 	set := settings()
-	set.MustAsk = true
+	set.WatchesEndpoints = true
 	d := open(t, set)
 	d.run(100)
-	d.poll(Query{Proxy: "p", Wait: -1})
+	d.poll(PollRequest{Proxy: "p", WaitMs: -1})
 	d.run(1000)
 	d.say("the list cannot be had")
-	d.ListFailed(d.at)
+	d.ObserveWatchFailure(d.at)
 	d.run(1000)
 	d.list(d.hosts(1))
-	d.poll(Query{Proxy: "p", Tags: []string{"L-1"}, Wait: 5000, Delta: true})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 5000, AcceptDelta: true})
 	d.run(1000)
 	d.check()
 }
@@ -108,22 +108,22 @@
 		docs := map[string][]byte{}
 		tags := []string{}
 		for range rapid.IntRange(2, 12).Draw(r, "rounds") {
-			id := d.poll(Query{Proxy: "p", Wait: -1, Tags: tags})
+			id := d.poll(PollRequest{Proxy: "p", WaitMs: -1, Tags: tags})
 			d.run(400)
-			whole := d.poll(Query{Proxy: "p", Wait: -1})
+			whole := d.poll(PollRequest{Proxy: "p", WaitMs: -1})
 			a := d.answers[whole]
 			docs[a.Tag] = a.Body()
 			tags = append(tags, a.Tag)
 			base := rapid.SampledFrom(tags).Draw(r, "base")
-			id = d.poll(Query{Proxy: "p", Wait: -1, Tags: []string{base}, Delta: true})
+			id = d.poll(PollRequest{Proxy: "p", WaitMs: -1, Tags: []string{base}, AcceptDelta: true})
 			got := d.answers[id]
 			body := got.Body()
 			switch got.Kind {
-			case Same:
+			case NotModified:
 				body = docs[base]
 			case Delta:
-				if got.Base != base {
-					r.Fatalf("a delta onto %s for a proxy that holds %s", got.Base, base)
+				if got.BaseTag != base {
+					r.Fatalf("a delta onto %s for a proxy that holds %s", got.BaseTag, base)
 				}
 				var err error
 				if body, err = jsonpatch.MergePatch(docs[base], body); err != nil {
@@ -135,7 +135,7 @@
 				r.Fatalf("from %s: %s\nnot %s", base, body, docs[a.Tag])
 			}
 			for i := range list {
-				list[i].Phase = rapid.SampledFrom([]decide.Phase{decide.Ready, decide.Draining}).Draw(r, "phase")
+				list[i].State = rapid.SampledFrom([]routing.HostState{routing.Ready, routing.Draining}).Draw(r, "phase")
 				list[i].Weight = rapid.Float64Range(0.5, 2).Draw(r, "weight")
 			}
 			d.list(list[:rapid.IntRange(1, 6).Draw(r, "listed")])
@@ -148,37 +148,37 @@
 func TestRefused(t *testing.T) {
 	d := open(t, settings())
 	d.list(d.hosts(2))
-	for _, list := range [][]Entry{
-		{{Host: "nonsense", Zone: "a", Phase: decide.Ready}}, {{Host: "10.0.0.1:0", Zone: "a", Phase: decide.Ready}},
-		{{Host: "10.0.0.999:80", Zone: "a", Phase: decide.Ready}},
-		{{Host: "10.0.0.1:99999", Zone: "a", Phase: decide.Ready}}, {{Host: "a b:80", Zone: "a", Phase: decide.Ready}},
-		{{Host: "box-1.addis:80", Zone: "c", Phase: decide.Ready}}, {{Host: "[::1]:80", Zone: "a"}},
-		{{Host: "h:1", Zone: "a", Phase: decide.Ready}, {Host: "h:1", Zone: "b", Phase: decide.Ready}},
-		{{Host: "h:1", Zone: "a", Phase: decide.Ready, Weight: math.NaN()}}, {{Host: "h:1", Zone: "a", Phase: decide.Ready, Weight: -1}},
-		{{Host: "h:1", Zone: "a", Phase: decide.Ready, Started: math.Inf(1)}},
+	for _, list := range [][]Endpoint{
+		{{Host: "nonsense", Zone: "a", State: routing.Ready}}, {{Host: "10.0.0.1:0", Zone: "a", State: routing.Ready}},
+		{{Host: "10.0.0.999:80", Zone: "a", State: routing.Ready}},
+		{{Host: "10.0.0.1:99999", Zone: "a", State: routing.Ready}}, {{Host: "a b:80", Zone: "a", State: routing.Ready}},
+		{{Host: "box-1.addis:80", Zone: "c", State: routing.Ready}}, {{Host: "[::1]:80", Zone: "a"}},
+		{{Host: "h:1", Zone: "a", State: routing.Ready}, {Host: "h:1", Zone: "b", State: routing.Ready}},
+		{{Host: "h:1", Zone: "a", State: routing.Ready, Weight: math.NaN()}}, {{Host: "h:1", Zone: "a", State: routing.Ready, Weight: -1}},
+		{{Host: "h:1", Zone: "a", State: routing.Ready, StartedMs: math.Inf(1)}},
 	} {
-		d.say("list refused: %v", d.Listed(d.at, list))
+		d.say("list refused: %v", d.SetEndpoints(d.at, list))
 	}
 	d.say("%d hosts", d.Status(d.at).Hosts)
-	for _, q := range []Query{{Proxy: "", Zone: "a"}, {Proxy: "a/b", Zone: "a"}, {Proxy: "p", Zone: "c"}, {Proxy: "p", Rate: -1}, {Proxy: "p", Rate: math.NaN()}} {
+	for _, q := range []PollRequest{{Proxy: "", Zone: "a"}, {Proxy: "a/b", Zone: "a"}, {Proxy: "p", Zone: "c"}, {Proxy: "p", RequestRate: -1}, {Proxy: "p", RequestRate: math.NaN()}} {
 		d.poll(q)
 	}
-	_, err := d.Sums(d.at, "p", Sums{Number: 1})
-	d.say("sums of a proxy that has not joined: %v, %v", err, errors.Is(err, ErrNotJoined))
-	d.poll(Query{Proxy: "p", Wait: 30000})
-	load, good := decide.NoLoad, HostSums{Tries: 3, Failed: 1, Mean: 20, Span: 1000, Load: decide.NoLoad}
-	load.Util = math.NaN()
-	for _, u := range []Sums{
-		{Number: 0}, {Number: 1, Hosts: map[string]HostSums{"10.9.9.9:80": good}},
-		{Number: 1, Hosts: map[string]HostSums{"10.0.0.1:80": {Tries: 1, Failed: 2, Span: 1}}},
-		{Number: 1, Hosts: map[string]HostSums{"10.0.0.0:80": {Tries: -1, Failed: -1, Span: 1}}},
-		{Number: 1, Hosts: map[string]HostSums{"10.0.0.0:80": {Tries: 1, Mean: math.Inf(1), Span: 1}}},
-		{Number: 1, Hosts: map[string]HostSums{"10.0.0.0:80": {Tries: 1, Mean: 1}}},
-		{Number: 1, Hosts: map[string]HostSums{"10.0.0.0:80": {Tries: 1, Mean: 1, Span: 1, Load: load}}},
-		{Number: 1, Usage: map[string]ClassUsage{"nothing": {Came: 1, Span: 1}}},
-		{Number: 1, Usage: map[string]ClassUsage{"sheet": {Came: 1, Unanswered: 2, Span: 1}}},
+	_, err := d.ObserveProxyStats(d.at, "p", ProxyStats{Sequence: 1})
+	d.say("sums of a proxy that has not joined: %v, %v", err, errors.Is(err, ErrNotConnected))
+	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
+	load, good := routing.UnknownLoad, HostStats{Attempts: 3, Failed: 1, MeanLatencyMs: 20, WindowMs: 1000, Load: routing.UnknownLoad}
+	load.Utilization = math.NaN()
+	for _, u := range []ProxyStats{
+		{Sequence: 0}, {Sequence: 1, Hosts: map[string]HostStats{"10.9.9.9:80": good}},
+		{Sequence: 1, Hosts: map[string]HostStats{"10.0.0.1:80": {Attempts: 1, Failed: 2, WindowMs: 1}}},
+		{Sequence: 1, Hosts: map[string]HostStats{"10.0.0.0:80": {Attempts: -1, Failed: -1, WindowMs: 1}}},
+		{Sequence: 1, Hosts: map[string]HostStats{"10.0.0.0:80": {Attempts: 1, MeanLatencyMs: math.Inf(1), WindowMs: 1}}},
+		{Sequence: 1, Hosts: map[string]HostStats{"10.0.0.0:80": {Attempts: 1, MeanLatencyMs: 1}}},
+		{Sequence: 1, Hosts: map[string]HostStats{"10.0.0.0:80": {Attempts: 1, MeanLatencyMs: 1, WindowMs: 1, Load: load}}},
+		{Sequence: 1, Demand: map[string]ClassDemand{"nothing": {Arrivals: 1, WindowMs: 1}}},
+		{Sequence: 1, Demand: map[string]ClassDemand{"sheet": {Arrivals: 1, Unanswered: 2, WindowMs: 1}}},
 	} {
-		counted, err := d.Sums(d.at, "p", u)
+		counted, err := d.ObserveProxyStats(d.at, "p", u)
 		d.say("sums counted %v: %v", counted, err)
 	}
 	d.check()
@@ -188,12 +188,12 @@
 func TestSumsOnce(t *testing.T) {
 	d := open(t, settings())
 	d.list(d.hosts(1))
-	d.poll(Query{Proxy: "p", Wait: 30000})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	d.run(100)
-	for _, u := range []Sums{{Sender: "x", Number: 1}, {Sender: "x", Number: 1}, {Sender: "x", Number: 3}, {Sender: "x", Number: 2}, {Sender: "y", Number: 1}} {
-		u.Hosts = map[string]HostSums{"10.0.0.0:80": {Tries: 10, Mean: 20, Span: 1000, Load: decide.NoLoad}}
-		counted, err := d.Sums(d.at, "p", u)
-		d.say("sums %s %d: counted %v, %v", u.Sender, u.Number, counted, err)
+	for _, u := range []ProxyStats{{Sender: "x", Sequence: 1}, {Sender: "x", Sequence: 1}, {Sender: "x", Sequence: 3}, {Sender: "x", Sequence: 2}, {Sender: "y", Sequence: 1}} {
+		u.Hosts = map[string]HostStats{"10.0.0.0:80": {Attempts: 10, MeanLatencyMs: 20, WindowMs: 1000, Load: routing.UnknownLoad}}
+		counted, err := d.ObserveProxyStats(d.at, "p", u)
+		d.say("sums %s %d: counted %v, %v", u.Sender, u.Sequence, counted, err)
 	}
 	d.check()
 }
@@ -202,7 +202,7 @@
 // answer to a later mark is held back until what was ordered before has left.
 func TestChannel(t *testing.T) {
 	d := open(t, settings())
-	c := newChannel(decide.Channel{LinesPerS: 1000, Head: 5, MessagesMost: 2, MessagesOver: 1000})
+	c := newChannel(routing.ControlChannel{EntriesPerSecond: 1000, MessageOverhead: 5, MaxMessages: 2, MessageWindowMs: 1000})
 	one, two, three := &member{name: "one"}, &member{name: "two"}, &member{name: "three"}
 	c.order(one, 10, false, mark{1, 1})
 	c.order(two, 10, false, mark{1, 1})
@@ -236,8 +236,8 @@
 func TestAnswersInOrder(t *testing.T) {
 	d := open(t, settings())
 	d.list(d.hosts(2))
-	d.poll(Query{Proxy: "p", Wait: 30000})
-	d.poll(Query{Proxy: "q", Wait: 30000})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
+	d.poll(PollRequest{Proxy: "q", WaitMs: 30000})
 	d.run(100)
 	m := d.members.byName["q"]
 	d.channel.order(m, 5, false, mark{d.tables.round, 77})
@@ -254,18 +254,18 @@
 func TestForget(t *testing.T) {
 	d := open(t, settings())
 	d.list(d.hosts(3))
-	d.poll(Query{Proxy: "p", Wait: 60000})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.run(200)
-	d.poll(Query{Proxy: "p", Tags: []string{"L-1"}, Wait: 60000, Delta: true})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 60000, AcceptDelta: true})
 	d.list(d.hosts(2))
 	d.run(1000)
-	d.poll(Query{Proxy: "p", Tags: []string{"L-2"}, Wait: 60000, Delta: true})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-2"}, WaitMs: 60000, AcceptDelta: true})
 	d.say("indices %d", d.Status(d.at).IndicesInUse)
 	d.run(60000)
 	d.say("indices %d", d.Status(d.at).IndicesInUse)
-	list := append(d.hosts(2), Entry{Host: "new.addis:80", Zone: "b", Phase: decide.Ready, Weight: 1})
+	list := append(d.hosts(2), Endpoint{Host: "new.addis:80", Zone: "b", State: routing.Ready, Weight: 1})
 	d.list(list)
-	d.say("the new host has index %d", d.Steward.hosts.Of["new.addis:80"])
+	d.say("the new host has index %d", d.Controller.hosts.IndexOf["new.addis:80"])
 	d.run(100)
 	d.check()
 }
@@ -281,9 +281,9 @@
 // churn replaces hosts and lets proxies join and leave, n times each.
 func churn(t testing.TB, n int) (before, after uint64, st Status) {
 	set := settings()
-	set.ForgetAfter = 1000
-	d := &desk{at: 1000, answers: map[int64]Answer{}}
-	d.Steward = New(set.Fleet, set.classes, set.channel, set.guard, decide.Goal{Whole: 1}, set.Polls)
+	set.RemovedHostRetentionMs = 1000
+	d := &desk{at: 1000, answers: map[int64]Response{}}
+	d.Controller = New(set.Deployment, set.classes, set.channel, set.guard, routing.Objective{TotalWeight: 1}, set.Settings)
 	d.t = &testing.T{}
 	list := d.hosts(20)
 	d.list(list)
@@ -300,12 +300,12 @@
 		list[i%len(list)].Host = fmt.Sprintf("10.%d.%d.%d:80", i>>16+1, i>>8&255, i&255)
 		d.list(list)
 		p := fmt.Sprintf("p%d", i)
-		d.poll(Query{Proxy: p, Wait: 30000})
+		d.poll(PollRequest{Proxy: p, WaitMs: 30000})
 		d.run(50)
-		d.poll(Query{Proxy: p, Wait: 30000, Tags: []string{fmt.Sprintf("L-%d", d.members.number)}})
+		d.poll(PollRequest{Proxy: p, WaitMs: 30000, Tags: []string{fmt.Sprintf("L-%d", d.members.number)}})
 		d.run(50)
 		if i%2 == 0 {
-			d.Leave(d.at, p, d)
+			d.Disconnect(d.at, p, d)
 		}
 		clear(d.answers)
 		d.trace.Reset()
@@ -324,20 +324,20 @@
 }
 
 // largest is a steward at the size of the largest deployment, all proxies joined and bound.
-func largest(before func(*Steward)) (*desk, []Entry) {
+func largest(before func(*Controller)) (*desk, []Endpoint) {
 	set := settings()
-	set.Fleet.Proxies, set.channel.LinesPerS, set.channel.MostWaiting = 607, 1e6, 1e6
-	set.channel.MessagesMost = 0
-	d := &desk{at: 1000, answers: map[int64]Answer{}, t: &testing.T{}}
-	d.Steward = New(set.Fleet, set.classes, set.channel, set.guard, decide.Goal{Whole: 1}, set.Polls)
-	before(d.Steward)
-	var list []Entry
+	set.Deployment.Proxies, set.channel.EntriesPerSecond, set.channel.MaxBacklog = 607, 1e6, 1e6
+	set.channel.MaxMessages = 0
+	d := &desk{at: 1000, answers: map[int64]Response{}, t: &testing.T{}}
+	d.Controller = New(set.Deployment, set.classes, set.channel, set.guard, routing.Objective{TotalWeight: 1}, set.Settings)
+	before(d.Controller)
+	var list []Endpoint
 	for i := range 506 {
-		list = append(list, Entry{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: set.Zones[i%2], Phase: decide.Ready, Weight: 1, Cores: 4})
+		list = append(list, Endpoint{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: set.Zones[i%2], State: routing.Ready, Weight: 1, Cores: 4})
 	}
 	d.list(list)
 	for i := range 607 {
-		d.poll(Query{Proxy: fmt.Sprint("p", i), Wait: 60000})
+		d.poll(PollRequest{Proxy: fmt.Sprint("p", i), WaitMs: 60000})
 	}
 	d.run(2000)
 	return d, list
@@ -349,9 +349,9 @@
 	for _, changing := range []int{0, 5, 1} { // a host drains and another is back: never, each second, in each round
 		for i, name := range []string{"off", "tells", "refuses"} {
 			b.Run(fmt.Sprintf("changing=%d/guard=%s", changing, name), func(b *testing.B) {
-				d, list := largest(func(s *Steward) {
+				d, list := largest(func(s *Controller) {
 					if i > 0 {
-						s.Guard(guard.Limits{Over: 1, Jump: 0.5, Spare: true}, Refusing{On: i > 1}, guard.ListLimits{})
+						s.EnableValidation(guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.5, SurviveZoneLoss: true}, RepairSettings{Enabled: i > 1}, guard.EndpointLossLimits{})
 					}
 				})
 				b.ResetTimer()
@@ -359,17 +359,17 @@
 					b.StopTimer()
 					for i := range 607 / 5 {
 						p := fmt.Sprint("p", (n%5)*121+i)
-						d.poll(Query{Proxy: p, Wait: 60000, Tags: []string{d.tagOf(p)}, Delta: true})
-						hosts := map[string]HostSums{}
+						d.poll(PollRequest{Proxy: p, WaitMs: 60000, Tags: []string{d.tagOf(p)}, AcceptDelta: true})
+						hosts := map[string]HostStats{}
 						for k := range 20 {
-							hosts[list[(i*20+n*7+k)%len(list)].Host] = HostSums{Tries: 4, Mean: 100 + float64(k), Span: 1000, Load: decide.Load{Util: 0.5, Rate: -1, Queue: -1}}
+							hosts[list[(i*20+n*7+k)%len(list)].Host] = HostStats{Attempts: 4, MeanLatencyMs: 100 + float64(k), WindowMs: 1000, Load: routing.HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}}
 						}
-						if _, err := d.Sums(d.at, p, Sums{Number: int64(n + 1), Hosts: hosts, Usage: map[string]ClassUsage{"sheet": {Came: 3, Span: 1000}}}); err != nil {
+						if _, err := d.ObserveProxyStats(d.at, p, ProxyStats{Sequence: int64(n + 1), Hosts: hosts, Demand: map[string]ClassDemand{"sheet": {Arrivals: 3, WindowMs: 1000}}}); err != nil {
 							b.Fatal(err)
 						}
 					}
 					if changing > 0 && n%changing == 0 {
-						list[n%506].Phase, list[(n+505)%506].Phase = decide.Draining, decide.Ready
+						list[n%506].State, list[(n+505)%506].State = routing.Draining, routing.Ready
 						d.list(list)
 					}
 					b.StartTimer()
@@ -384,15 +384,15 @@
 
 // BenchmarkSums measures the intake of one proxy's sums of 20 hosts.
 func BenchmarkSums(b *testing.B) {
-	d, list := largest(func(*Steward) {})
-	hosts := map[string]HostSums{}
+	d, list := largest(func(*Controller) {})
+	hosts := map[string]HostStats{}
 	for k := range 20 {
-		hosts[list[k].Host] = HostSums{Tries: 4, Mean: 100, Span: 1000, Load: decide.Load{Util: 0.5, Rate: -1, Queue: -1}}
+		hosts[list[k].Host] = HostStats{Attempts: 4, MeanLatencyMs: 100, WindowMs: 1000, Load: routing.HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}}
 	}
 	b.ResetTimer()
 	b.ReportAllocs()
 	for n := range b.N {
-		if _, err := d.Sums(d.at, "p1", Sums{Number: int64(n + 1), Hosts: hosts}); err != nil {
+		if _, err := d.ObserveProxyStats(d.at, "p1", ProxyStats{Sequence: int64(n + 1), Hosts: hosts}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/steward/guarding.go
+++ b/controller/guarding.go
@@ -1,25 +1,25 @@
-package steward
+package controller
 
 import (
 	"fmt"
 	"maps"
 	"math"
 
-	"barleysail/decide"
 	"barleysail/guard"
 	"barleysail/operator"
+	"barleysail/routing"
 )
 
 // guarding has the guard look at the tables, and at lists that lose many hosts at once.
 type guarding struct {
 	on      bool
 	limits  guard.Limits
-	refuse  Refusing
-	list    *guard.Listing
-	held    []Entry      // a list that is held back
-	hosts   []guard.Host // by index
-	changed bool         // since it looked
-	rows    []guard.Row  // with what is asked of each, and the shared tables among them
+	refuse  RepairSettings
+	list    *guard.EndpointLossGuard
+	held    []Endpoint    // a list that is held back
+	hosts   []guard.Host  // by index
+	changed bool          // since it looked
+	rows    []guard.Route // with what is asked of each, and the shared tables among them
 	shared  []int
 	askedAt float64 // when that was summed up
 	hands   bool    // some have tables of their own
@@ -27,17 +27,17 @@
 	since   float64 // since when it refuses
 	unsound float64 // since when what it serves is not sound
 	said    bool    // that this is so for long
-	report  GuardReport
+	report  ValidationReport
 }
 
-// Refusing says what the guard does about what it finds, besides telling.
-type Refusing struct {
-	On    bool // tables are mended before they are published
-	Spare bool // also for what would come with the loss of a zone
+// RepairSettings says what the guard does about what it finds, besides telling.
+type RepairSettings struct {
+	Enabled         bool // tables are mended before they are published
+	SurviveZoneLoss bool // also for what would come with the loss of a zone
 }
 
-// GuardReport is what the guard found since the steward began.
-type GuardReport struct {
+// ValidationReport is what the guard found since the steward began.
+type ValidationReport struct {
 	On        bool            `json:"on"`
 	Refuses   bool            `json:"refuses"`  // by its settings
 	Refusing  bool            `json:"refusing"` // what is published differs from what was decided
@@ -51,16 +51,16 @@
 	ListHolds int             `json:"list_holds"`
 }
 
-// Guard switches the guard on. Findings in tables are told in events and by GuardReport; a list that loses too much
+// EnableValidation switches the guard on. Findings in tables are told in events and by GuardReport; a list that loses too much
 // is held back for a time.
-func (s *Steward) Guard(l guard.Limits, refuse Refusing, list guard.ListLimits) {
-	list.Hold = math.Min(list.Hold, s.grace/2) // a removal is never held past its grace
-	s.guarding = guarding{on: true, limits: l, refuse: refuse, list: guard.NewListing(list), hosts: s.guarding.hosts,
-		report: GuardReport{On: true, Refuses: refuse.On, Found: map[string]int{}}}
+func (s *Controller) EnableValidation(l guard.Limits, refuse RepairSettings, list guard.EndpointLossLimits) {
+	list.HoldMs = math.Min(list.HoldMs, s.grace/2) // a removal is never held past its grace
+	s.guarding = guarding{on: true, limits: l, refuse: refuse, list: guard.NewEndpointLossGuard(list), hosts: s.guarding.hosts,
+		report: ValidationReport{On: true, Refuses: refuse.Enabled, Found: map[string]int{}}}
 }
 
-// GuardReport tells what the guard found.
-func (s *Steward) GuardReport() GuardReport {
+// ValidationReport tells what the guard found.
+func (s *Controller) ValidationReport() ValidationReport {
 	r := s.guarding.report
 	r.Found, r.ListHeld = maps.Clone(r.Found), s.guarding.held != nil
 	r.Standing, r.Left = tellable(r.Standing), tellable(r.Left)
@@ -74,40 +74,40 @@
 func tellable(found []guard.Finding) []guard.Finding {
 	all := append([]guard.Finding{}, found...)
 	for i, f := range all {
-		if math.IsNaN(f.Is) || math.IsInf(f.Is, 0) {
-			all[i].Is = 0
+		if math.IsNaN(f.Value) || math.IsInf(f.Value, 0) {
+			all[i].Value = 0
 		}
 	}
 	return all
 }
 
 // holdsList tells whether a list is held back for now.
-func (s *Steward) holdsList(entries []Entry) bool {
+func (s *Controller) holdsList(entries []Endpoint) bool {
 	g := &s.guarding
 	if !g.on || !s.list.known {
 		return false
 	}
 	stays := map[string]bool{}
 	for _, e := range entries {
-		stays[e.Host] = e.Phase == decide.Ready
+		stays[e.Host] = e.State == routing.Ready
 	}
 	ready, lost, confirmed := 0, 0, 0
 	for _, e := range s.list.raw {
-		if e.Phase != decide.Ready {
+		if e.State != routing.Ready {
 			continue
 		}
 		if ready++; stays[e.Host] {
 			continue
 		}
 		lost++
-		if set, ok := s.book.Set(e.Host); ok && set.State != operator.Listed {
+		if set, ok := s.book.Override(e.Host); ok && set.State != operator.Listed {
 			confirmed++
-		} else if x, ok := s.module.Explain(s.hosts.Of[e.Host]); ok && x.Strikes > 0 {
+		} else if x, ok := s.module.Explain(s.hosts.IndexOf[e.Host]); ok && x.ConsecutiveFailures > 0 {
 			confirmed++
 		}
 	}
 	was := g.held != nil
-	if !g.list.Take(s.now, ready, lost, confirmed) {
+	if !g.list.Observe(s.now, ready, lost, confirmed) {
 		if was {
 			s.event("guard", fmt.Sprintf("the list is believed: %d of %d ready hosts are lost, %d of them confirmed", lost, ready, confirmed))
 		}
@@ -118,12 +118,12 @@
 		g.report.ListHolds++
 		s.event("guard", fmt.Sprintf("the list is held back: %d of %d ready hosts are lost at once, %d of them confirmed", lost, ready, confirmed))
 	}
-	g.held = append([]Entry{}, entries...)
+	g.held = append([]Endpoint{}, entries...)
 	return true
 }
 
 // recheck looks again at a list that is held back: its hold may be over, or those lost confirmed.
-func (s *Steward) recheck() {
+func (s *Controller) recheck() {
 	g := &s.guarding
 	if g.held == nil {
 		return
@@ -137,6 +137,6 @@
 	if g.held == nil {
 		return math.Inf(1)
 	}
-	at, _ := g.list.Until()
+	at, _ := g.list.HeldUntil()
 	return at
 }
--- a/steward/guarding_test.go
+++ b/controller/guarding_test.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"strings"
@@ -12,9 +12,9 @@
 // off; whole again it changes nothing.
 func TestListIsHeld(t *testing.T) {
 	d := open(t, settings())
-	d.Guard(guard.Limits{Jump: 0.5}, Refusing{}, guard.ListLimits{Lose: 0.5, Hold: 60000})
+	d.EnableValidation(guard.Limits{MaxTrafficShift: 0.5}, RepairSettings{}, guard.EndpointLossLimits{MaxLossRatio: 0.5, HoldMs: 60000})
 	d.list(d.hosts(4))
-	q := Query{Proxy: "p", Wait: 60000, Delta: true}
+	q := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
 	d.poll(q)
 	d.run(2000)
 	d.hold(q)
@@ -26,19 +26,19 @@
 	d.say("a list with one host that stays so")
 	d.list(d.hosts(1))
 	d.run(1490)
-	d.say("held %v", d.GuardReport().ListHeld)
+	d.say("held %v", d.ValidationReport().ListHeld)
 	d.run(100)
-	d.say("held %v", d.GuardReport().ListHeld)
+	d.say("held %v", d.ValidationReport().ListHeld)
 	d.hold(q)
 	d.list(d.hosts(4))
 	d.run(12000)
 	d.hold(q)
 	d.say("confirmed by an operator")
 	for _, h := range []string{"10.0.0.1:80", "10.0.0.2:80"} {
-		d.operate(operator.Order{Host: h, State: operator.Maint, Weight: -1})
+		d.operate(operator.Command{Host: h, State: operator.Maintenance, Weight: -1})
 	}
 	d.list(d.hosts(1))
-	d.say("held %v", d.GuardReport().ListHeld)
+	d.say("held %v", d.ValidationReport().ListHeld)
 	d.check()
 }
 
@@ -48,7 +48,7 @@
 	for i := range traces {
 		d, _ := uneven(t, false)
 		if i == 1 {
-			d.Guard(guard.Limits{Over: 1, Jump: 0.3}, Refusing{}, guard.ListLimits{})
+			d.EnableValidation(guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.3}, RepairSettings{}, guard.EndpointLossLimits{})
 		}
 		n := int64(0)
 		d.work(20, 22, &n)
@@ -56,13 +56,13 @@
 		if i == 0 {
 			continue
 		}
-		r := d.GuardReport()
-		if r.Looked == 0 || r.Found[guard.Over] == 0 || len(r.Standing) == 0 {
+		r := d.ValidationReport()
+		if r.Looked == 0 || r.Found[guard.OverCapacity] == 0 || len(r.Standing) == 0 {
 			t.Errorf("the small hosts are over their capacity, and the guard says %+v", r)
 		}
 		told := 0
 		for _, e := range d.Events(0) {
-			if e.Kind == "guard" && strings.HasPrefix(e.Text, guard.Over+": 10.0.0.0:80") {
+			if e.Kind == "guard" && strings.HasPrefix(e.Text, guard.OverCapacity+": 10.0.0.0:80") {
 				told++
 			}
 		}
--- a/steward/list.go
+++ b/controller/list.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"fmt"
@@ -9,22 +9,22 @@
 	"strconv"
 	"strings"
 
-	"barleysail/decide"
+	"barleysail/routing"
 )
 
-// Entry of the host list.
-type Entry struct {
-	Host    string // address:port, the address an IP address or a DNS name
-	Zone    string
-	Phase   decide.Phase
-	Weight  float64 // compared with those of other hosts; 0 says nothing
-	Started float64 // time of the last start; 0: not told
-	Cores   float64 // for solved weights; 0: not told
-	Speed   float64 // of a core, against others; 0: not told, taken as 1
+// Endpoint of the host list.
+type Endpoint struct {
+	Host      string // address:port, the address an IP address or a DNS name
+	Zone      string
+	State     routing.HostState
+	Weight    float64 // compared with those of other hosts; 0 says nothing
+	StartedMs float64 // time of the last start; 0: not told
+	Cores     float64 // for solved weights; 0: not told
+	Speed     float64 // of a core, against others; 0: not told, taken as 1
 }
 
 // speed of a core, 1 where it is not told.
-func (e Entry) speed() float64 {
+func (e Endpoint) speed() float64 {
 	if e.Speed == 0 {
 		return 1
 	}
@@ -33,9 +33,9 @@
 
 // list is the host list as last told, and the hosts that left it.
 type list struct {
-	raw     []Entry          // as it came
-	entries map[string]Entry // with what operators set laid over it
-	gone    []departed       // by time
+	raw     []Endpoint          // as it came
+	entries map[string]Endpoint // with what operators set laid over it
+	gone    []departed          // by time
 	known   bool
 	failed  bool
 	at      float64
@@ -47,7 +47,7 @@
 	at   float64
 }
 
-func newList() list { return list{entries: map[string]Entry{}} }
+func newList() list { return list{entries: map[string]Endpoint{}} }
 
 // mostHosts bounds a list; indices and tables grow with it.
 const mostHosts = 50000
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func (s *Steward) checkList(entries []Entry) error {
+func (s *Controller) checkList(entries []Endpoint) error {
 	if len(entries) > mostHosts {
 		return refuse("hosts", "%d entries, %d at most", len(entries), mostHosts)
 	}
@@ -88,8 +88,8 @@
 		if _, ok := s.zone[e.Zone]; !ok {
 			return refuse(field+".zone", "%q is not among the zones %s", e.Zone, strings.Join(s.fleet.Zones, ", "))
 		}
-		if e.Phase != decide.Ready && e.Phase != decide.Draining {
-			return refuse(field+".phase", "%d is neither ready nor draining", e.Phase)
+		if e.State != routing.Ready && e.State != routing.Draining {
+			return refuse(field+".phase", "%d is neither ready nor draining", e.State)
 		}
 		if !(e.Weight >= 0 && e.Weight <= 1e6) {
 			return refuse(field+".weight", "%g is not from 0 to 1000000", e.Weight)
@@ -97,8 +97,8 @@
 		if !(e.Cores >= 0 && e.Cores <= 1e9) || !(e.Speed >= 0 && e.Speed <= 1e9) {
 			return refuse(field+".cores", "%g cores of speed %g", e.Cores, e.Speed)
 		}
-		if !(e.Started >= 0 && e.Started <= 1e15) {
-			return refuse(field+".started", "%g is no time", e.Started)
+		if !(e.StartedMs >= 0 && e.StartedMs <= 1e15) {
+			return refuse(field+".started", "%g is no time", e.StartedMs)
 		}
 	}
 	return nil
@@ -107,19 +107,19 @@
 // take feeds the module what differs from the list before; a host that is no longer listed is gone. The first
 // list goes in twice, as a list of unknown age and as the present one, since only then does the module take a
 // later entry without a start for one that has just started.
-func (s *Steward) take(entries []Entry) {
-	sorted := append([]Entry(nil), entries...)
+func (s *Controller) take(entries []Endpoint) {
+	sorted := append([]Endpoint(nil), entries...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Host < sorted[j].Host })
 	l := &s.list
 	first := !l.known
 	l.known = true
 	if first {
 		for i := range sorted {
-			sorted[i].Started = s.started(sorted[i])
+			sorted[i].StartedMs = s.started(sorted[i])
 		}
-		s.module.WholeList(true)
+		s.module.ObserveSnapshot(true)
 		s.enter(sorted)
-		s.module.WholeList(false)
+		s.module.ObserveSnapshot(false)
 		s.enter(sorted)
 		s.recallHosts(sorted)
 		for _, m := range s.members.byIndex { // until now an empty table was not told, see view
@@ -129,16 +129,16 @@
 		}
 		return
 	}
-	s.module.ListChange()
+	s.module.ObserveDelta()
 	listed := make(map[string]bool, len(sorted))
-	var changed []Entry
+	var changed []Endpoint
 	for _, e := range sorted {
 		listed[e.Host] = true
 		if old, ok := l.entries[e.Host]; !ok || old != e {
 			changed = append(changed, e)
 		}
 	}
-	var left []Entry
+	var left []Endpoint
 	for host, e := range l.entries {
 		if !listed[host] {
 			left = append(left, e)
@@ -146,32 +146,32 @@
 	}
 	sort.Slice(left, func(i, j int) bool { return left[i].Host < left[j].Host })
 	for _, e := range left {
-		s.module.Entry(s.hosts.Index(e.Host), s.zone[e.Zone], decide.Gone, s.weight(e), 0)
+		s.module.ObserveEndpoint(s.hosts.Index(e.Host), s.zone[e.Zone], routing.Removed, s.weight(e), 0)
 		s.guarding.changed = true
 		delete(l.entries, e.Host)
 		delete(s.drained, e.Host)
 		delete(s.memory.drains, e.Host)
-		l.gone = append(l.gone, departed{e.Host, s.now + s.polls.ForgetAfter})
+		l.gone = append(l.gone, departed{e.Host, s.now + s.polls.RemovedHostRetentionMs})
 	}
 	s.enter(changed)
 }
 
 // enter gives entries to the module. A host that had left and is back without a start has started now.
-func (s *Steward) enter(entries []Entry) {
+func (s *Controller) enter(entries []Endpoint) {
 	for _, e := range entries {
-		started := e.Started
-		_, known := s.hosts.Of[e.Host]
+		started := e.StartedMs
+		_, known := s.hosts.IndexOf[e.Host]
 		if _, listed := s.list.entries[e.Host]; known && !listed && started == 0 {
 			started = s.now
 		}
 		h := s.hosts.Index(e.Host)
-		if old := s.list.entries[e.Host]; started > 0 && started != old.Started {
+		if old := s.list.entries[e.Host]; started > 0 && started != old.StartedMs {
 			s.intake.trust.Forget(e.Host)
 		}
-		s.module.Entry(h, s.zone[e.Zone], e.Phase, s.weight(e), started)
+		s.module.ObserveEndpoint(h, s.zone[e.Zone], e.State, s.weight(e), started)
 		s.list.entries[e.Host] = e
 		s.guardHost(h, e)
-		if e.Phase != decide.Draining {
+		if e.State != routing.Draining {
 			delete(s.drained, e.Host)
 		} else if s.drained[e.Host] == 0 {
 			s.drained[e.Host] = s.now
@@ -188,16 +188,16 @@
 
 // forget gives up hosts that left the list long ago, so that their indices can be given to others. One that a
 // table or a probe still names, or that is back, waits for another turn.
-func (s *Steward) forget() {
+func (s *Controller) forget() {
 	l := &s.list
 	for len(l.gone) > 0 && l.gone[0].at <= s.now {
 		host := l.gone[0].host
 		l.gone = l.gone[1:]
-		h, ok := s.hosts.Of[host]
+		h, ok := s.hosts.IndexOf[host]
 		if _, back := l.entries[host]; back || !ok {
 			continue
 		}
-		if s.module.Forget(h) {
+		if s.module.ForgetHost(h) {
 			s.hosts.Release(host)
 			s.intake.trust.Forget(host)
 			s.intake.queue.Forget(direct(host))
@@ -205,7 +205,7 @@
 				s.moves[h] = nil
 			}
 		} else {
-			l.gone = append(l.gone, departed{host, s.now + s.polls.ForgetAfter})
+			l.gone = append(l.gone, departed{host, s.now + s.polls.RemovedHostRetentionMs})
 		}
 	}
 }
--- a/steward/members.go
+++ b/controller/members.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"unicode"
 
 	"barleysail/intake"
-	"barleysail/internal/core"
-	"barleysail/internal/indices"
+	"barleysail/internal/deadlinequeue"
+	"barleysail/internal/interner"
 )
 
 // member is a proxy that has joined.
@@ -24,18 +24,18 @@
 	noted    float64  // when expire looks at it next
 	message  *message // waiting in the channel
 	sent     []float64
-	senders  intake.Senders // of its sums
-	clock    intake.Clock   // theirs
-	twice    bool           // two of them are at work
-	pushed   []float64      // when polls of it took the place of one that was held
-	rates    []float64      // transactions a second that came lately, by class
+	senders  intake.Reporters // of its sums
+	clock    intake.Clock     // theirs
+	twice    bool             // two of them are at work
+	pushed   []float64        // when polls of it took the place of one that was held
+	rates    []float64        // transactions a second that came lately, by class
 }
 
 // version is a numbered state of a proxy's tables. Numbers are never given twice in a steward's life, so a
 // tag of a proxy that left and came back names no version of its new stay.
 type version struct {
 	number int64
-	view   *View
+	view   *TableSet
 	marks  []mark
 	alias  string // the tag it has from an earlier life; empty: that of its number
 }
@@ -51,33 +51,33 @@
 // members are the joined proxies, by name and in the order in which their polls and stays end.
 type members struct {
 	byName  map[string]*member
-	index   indices.Indices
+	index   interner.Interner
 	byIndex []*member
 	number  int64 // of the newest version given out
 	held    int
-	dues    core.Dues[string]
+	dues    deadlinequeue.Queue[string]
 }
 
 // mostProxies bounds the joined proxies: tables of their own are numbered below decide.AllTables.
 const mostProxies = 60000
 
 func newMembers() members {
-	return members{byName: map[string]*member{}, index: indices.New()}
+	return members{byName: map[string]*member{}, index: interner.New()}
 }
 
-// Query is what a poll asks.
-type Query struct {
+// PollRequest is what a poll asks.
+type PollRequest struct {
 	Proxy, Zone string
-	Rate        float64  // transactions a second that the proxy usually gets; 0: not told
-	Tags        []string // entity tags that the proxy holds, without quotes
-	Any         bool     // whatever there is will do: If-None-Match: *
-	Delta       bool     // a merge patch onto the tagged version will do
-	Wait        float64  // the poll may be held so long; below 0: not at all
-	Offer       *Offer   // what the proxy holds, where it tells; used where the steward does not know it
+	RequestRate float64       // transactions a second that the proxy usually gets; 0: not told
+	Tags        []string      // entity tags that the proxy holds, without quotes
+	AnyTag      bool          // whatever there is will do: If-None-Match: *
+	AcceptDelta bool          // a merge patch onto the tagged version will do
+	WaitMs      float64       // the poll may be held so long; below 0: not at all
+	Cached      *CachedTables // what the proxy holds, where it tells; used where the steward does not know it
 }
 
-// Offer is what a proxy holds, under the tag that another steward gave it.
-type Offer struct {
+// CachedTables is what a proxy holds, under the tag that another steward gave it.
+type CachedTables struct {
 	Tag    string
 	Tables []Table
 }
@@ -96,7 +96,7 @@
 
 // Poll joins the proxy if it has not joined, notes what the tag acknowledges, and answers by out: at once, or
 // later under the poll's id. Of two polls for a proxy the later one stays; the earlier is answered at once.
-func (s *Steward) Poll(now float64, id int64, q Query, out Out) error {
+func (s *Controller) Poll(now float64, id int64, q PollRequest, out Effects) error {
 	s.now, s.out = now, out
 	if err := checkName("proxy", q.Proxy); err != nil {
 		return err
@@ -105,10 +105,10 @@
 	if !ok {
 		return refuse("zone", "%q is not among the zones %s", q.Zone, strings.Join(s.fleet.Zones, ", "))
 	}
-	if !(q.Rate >= 0 && q.Rate <= 1e9) {
-		return refuse("rate", "%g is not from 0 to 1e9", q.Rate)
+	if !(q.RequestRate >= 0 && q.RequestRate <= 1e9) {
+		return refuse("rate", "%g is not from 0 to 1e9", q.RequestRate)
 	}
-	if err := s.checkOffer(q.Offer); err != nil {
+	if err := s.checkOffer(q.Cached); err != nil {
 		return err
 	}
 	m := s.members.byName[q.Proxy]
@@ -120,26 +120,26 @@
 		if len(s.members.byName) >= mostProxies {
 			return refuse("proxy", "%d proxies have joined, no more can", mostProxies)
 		}
-		m = s.join(q.Proxy, z, s.recalledRate(q.Proxy, q.Rate))
+		m = s.join(q.Proxy, z, s.recalledRate(q.Proxy, q.RequestRate))
 		s.recallProxy(m, q.Tags)
 	}
-	if o := q.Offer; o != nil && len(m.versions) == 0 {
+	if o := q.Cached; o != nil && len(m.versions) == 0 {
 		s.inherit(m, o.Tag, s.offeredView(o.Tables))
 	}
 	if m.poll != nil {
 		if !m.mayPush(now) {
-			return ErrTwice
+			return ErrDuplicateProxy
 		}
 		s.answer(m, m.poll)
 	}
 	base := s.acknowledge(m, q.Tags)
-	if n := len(m.versions); q.Any && n > 0 {
+	if n := len(m.versions); q.AnyTag && n > 0 {
 		base = m.versions[n-1].number
 	}
-	p := &poll{id: id, base: base, delta: q.Delta, until: now + math.Min(q.Wait, s.polls.WaitMost)}
+	p := &poll{id: id, base: base, delta: q.AcceptDelta, until: now + math.Min(q.WaitMs, s.polls.MaxPollWaitMs)}
 	if len(m.versions) == 0 {
-		p.until = now + math.Min(math.Max(q.Wait, s.polls.FirstWait), s.polls.WaitMost)
-	} else if q.Wait < 0 || base != m.versions[len(m.versions)-1].number {
+		p.until = now + math.Min(math.Max(q.WaitMs, s.polls.MinFirstPollWaitMs), s.polls.MaxPollWaitMs)
+	} else if q.WaitMs < 0 || base != m.versions[len(m.versions)-1].number {
 		p.until = now
 	}
 	m.poll, m.leaves = p, math.Inf(1)
@@ -152,9 +152,9 @@
 	return nil
 }
 
-// ErrTwice answers a poll that would take the place of one that is held, where that has come too often: two proxies poll
+// ErrDuplicateProxy answers a poll that would take the place of one that is held, where that has come too often: two proxies poll
 // under one name. The one that holds a poll stays.
-var ErrTwice = fmt.Errorf("another proxy polls under this name")
+var ErrDuplicateProxy = fmt.Errorf("another proxy polls under this name")
 
 // Polls that take the place of a held one are answered so often, in so many ms: a proxy that lost its connection needs
 // one, two proxies under one name would else answer each other for ever.
@@ -174,16 +174,16 @@
 	return true
 }
 
-// PollGone notes that nobody waits for a poll's answer any more.
-func (s *Steward) PollGone(now float64, proxy string, id int64) {
+// CancelPoll notes that nobody waits for a poll's answer any more.
+func (s *Controller) CancelPoll(now float64, proxy string, id int64) {
 	s.now = now
 	if m := s.members.byName[proxy]; m != nil && m.poll != nil && m.poll.id == id {
 		s.unhold(m)
 	}
 }
 
-// Leave lets a proxy leave. It tells whether it had joined.
-func (s *Steward) Leave(now float64, proxy string, out Out) bool {
+// Disconnect lets a proxy leave. It tells whether it had joined.
+func (s *Controller) Disconnect(now float64, proxy string, out Effects) bool {
 	s.now, s.out = now, out
 	m := s.members.byName[proxy]
 	if m != nil {
@@ -192,7 +192,7 @@
 	return m != nil
 }
 
-func (s *Steward) join(name string, zone int, rate float64) *member {
+func (s *Controller) join(name string, zone int, rate float64) *member {
 	ms := &s.members
 	m := &member{name: name, index: ms.index.Index(name), zone: zone, rates: make([]float64, len(s.classes)), leaves: math.Inf(1), noted: math.Inf(1)}
 	for range s.classes {
@@ -202,30 +202,30 @@
 		ms.byIndex = append(ms.byIndex, nil)
 	}
 	ms.byName[name], ms.byIndex[m.index] = m, m
-	s.module.Joined(m.index, zone, rate)
+	s.module.ConnectProxy(m.index, zone, rate)
 	s.event("joined", name+" of "+s.fleet.Zones[zone])
-	s.round.soon(s.now, s.polls.Step)
+	s.round.soon(s.now, s.polls.MinRoundIntervalMs)
 	return m
 }
 
-func (s *Steward) leave(m *member) {
+func (s *Controller) leave(m *member) {
 	if m.poll != nil {
 		s.answer(m, m.poll)
 	}
 	s.channel.drop(m)
 	s.intake.queue.Forget(m.name)
 	s.event("left", m.name)
-	s.module.Left(m.index)
+	s.module.DisconnectProxy(m.index)
 	s.module.ForgetProxy(m.index)
-	s.tables.forget(s.module.OwnTable(m.index))
+	s.tables.forget(s.module.SubsetTable(m.index))
 	delete(s.members.byName, m.name)
 	s.members.byIndex[m.index] = nil
 	s.members.index.Release(m.name)
-	s.round.soon(s.now, s.polls.Step)
+	s.round.soon(s.now, s.polls.MinRoundIntervalMs)
 }
 
 // expire answers polls whose time is over, and lets proxies leave that were not heard.
-func (s *Steward) expire() {
+func (s *Controller) expire() {
 	for {
 		name, ok := s.members.dues.Pop(s.now)
 		if !ok {
@@ -253,35 +253,35 @@
 func (ms *members) watch(m *member, at float64) {
 	if at < m.noted {
 		m.noted = at
-		ms.dues.Add(at, m.name)
+		ms.dues.Schedule(at, m.name)
 	}
 }
 
 func (ms *members) next() float64 { return ms.dues.Next() }
 
 // unhold ends the holding of a poll; from then on the proxy has to poll again.
-func (s *Steward) unhold(m *member) {
+func (s *Controller) unhold(m *member) {
 	m.poll = nil
 	s.members.held--
-	m.leaves = s.now + s.polls.LeaveAfter
+	m.leaves = s.now + s.polls.SessionTimeoutMs
 	s.members.watch(m, m.leaves)
 }
 
 // answer gives a poll the newest version: nothing if it has that already, a delta if its base is in the
 // history and it takes one, else the whole.
-func (s *Steward) answer(m *member, p *poll) {
+func (s *Controller) answer(m *member, p *poll) {
 	s.unhold(m)
 	if len(m.versions) == 0 { // bound to no table yet
 		s.publish(m, nil)
 	}
 	newest := m.versions[len(m.versions)-1]
-	a := Answer{Proxy: m.name, Tag: s.tagOf(&newest), view: newest.view, Kind: Whole}
+	a := Response{Proxy: m.name, Tag: s.tagOf(&newest), view: newest.view, Kind: Snapshot}
 	if p.base == newest.number {
-		a.Kind = Same
+		a.Kind = NotModified
 	} else if base := m.version(p.base); base != nil && p.delta {
-		a.Kind, a.Base, a.from = Delta, s.tagOf(base), base.view
+		a.Kind, a.BaseTag, a.from = Delta, s.tagOf(base), base.view
 	}
-	s.out.Answer(p.id, a)
+	s.out.Respond(p.id, a)
 }
 
 // version finds a version in the history.
@@ -295,10 +295,10 @@
 }
 
 // publish makes what the tables now hold for a proxy its newest version.
-func (s *Steward) publish(m *member, marks []mark) {
+func (s *Controller) publish(m *member, marks []mark) {
 	s.members.number++
 	m.versions = append(m.versions, version{number: s.members.number, view: s.view(m), marks: marks})
-	for len(m.versions) > s.polls.History {
+	for len(m.versions) > s.polls.VersionHistory {
 		m.versions[1].marks = append(m.versions[0].marks, m.versions[1].marks...)
 		m.versions = append(m.versions[:0], m.versions[1:]...)
 	}
@@ -307,8 +307,8 @@
 	}
 }
 
-// Release answers all polls that are held with what there is, as before the end of a steward.
-func (s *Steward) Release(now float64, out Out) {
+// ReleasePolls answers all polls that are held with what there is, as before the end of a steward.
+func (s *Controller) ReleasePolls(now float64, out Effects) {
 	s.now, s.out = now, out
 	for _, m := range s.members.byIndex {
 		if m != nil && m.poll != nil {
--- a/steward/operate_test.go
+++ b/controller/operate_test.go
@@ -1,19 +1,19 @@
-package steward
+package controller
 
 import (
 	"testing"
 
-	"barleysail/decide"
 	"barleysail/operator"
+	"barleysail/routing"
 )
 
-func (d *desk) operate(orders ...operator.Order) {
-	waits, err := d.Operate(d.at, orders, d)
+func (d *desk) operate(orders ...operator.Command) {
+	waits, err := d.ApplyOverrides(d.at, orders, d)
 	d.say("%s: waits %v, %v", describeOrder(orders[0]), waits, err)
 }
 
 // hold polls until the proxy has what is newest.
-func (d *desk) hold(q Query) {
+func (d *desk) hold(q PollRequest) {
 	q.Tags = []string{d.tagOf(q.Proxy)}
 	d.poll(q)
 }
@@ -22,13 +22,13 @@
 // ends at its time; a zone's drain goes host by host.
 func TestOperate(t *testing.T) {
 	d := open(t, settings())
-	d.operate(operator.Order{Host: "10.0.0.0:80", State: operator.Drain, Weight: -1})
+	d.operate(operator.Command{Host: "10.0.0.0:80", State: operator.Draining, Weight: -1})
 	d.list(d.hosts(4))
-	q := Query{Proxy: "p", Wait: 60000, Delta: true}
+	q := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
 	d.poll(q)
 	d.run(3000)
 	d.hold(q)
-	d.operate(operator.Order{Host: "10.0.0.0:80", State: operator.Drain, Weight: -1, For: 20000, By: "x"})
+	d.operate(operator.Command{Host: "10.0.0.0:80", State: operator.Draining, Weight: -1, DurationMs: 20000, Operator: "x"})
 	d.run(3000)
 	d.say("the list changes: the drain stays")
 	list := d.hosts(4)
@@ -38,9 +38,9 @@
 	d.run(3000)
 	d.say("maint is a removal, a host that is added joins")
 	d.hold(q)
-	d.operate(operator.Order{Host: "10.0.0.2:80", State: operator.Maint, Weight: -1})
-	d.operate(operator.Order{Host: "10.0.0.9:80", Weight: -1, Add: &operator.Added{Zone: "a", Weight: 1, Started: 1}})
-	d.operate(operator.Order{Host: "10.0.0.9:81", Weight: -1, Add: &operator.Added{Zone: "c", Weight: 1}})
+	d.operate(operator.Command{Host: "10.0.0.2:80", State: operator.Maintenance, Weight: -1})
+	d.operate(operator.Command{Host: "10.0.0.9:80", Weight: -1, Add: &operator.AddedHost{Zone: "a", Weight: 1, StartedMs: 1}})
+	d.operate(operator.Command{Host: "10.0.0.9:81", Weight: -1, Add: &operator.AddedHost{Zone: "c", Weight: 1}})
 	d.run(6000)
 	d.hold(q)
 	d.run(12000)
@@ -54,7 +54,7 @@
 		d.say("%s %s listed %g told %g %s", h.Host, h.Phase, h.Listed, h.Weight, word)
 	}
 	d.say("a zone")
-	d.operate(operator.Order{Host: "10.0.0.1:80", State: operator.Drain, Weight: -1, Wait: true}, operator.Order{Host: "10.0.0.3:80", State: operator.Drain, Weight: -1, Wait: true})
+	d.operate(operator.Command{Host: "10.0.0.1:80", State: operator.Draining, Weight: -1, Queue: true}, operator.Command{Host: "10.0.0.3:80", State: operator.Draining, Weight: -1, Queue: true})
 	for range 5 {
 		d.hold(q)
 		d.run(2000)
@@ -68,24 +68,24 @@
 // A withdrawal in the same round as an operator's weight is carried out: the weight is an input, not a way round.
 func TestWeightAndWithdrawal(t *testing.T) {
 	set := settings()
-	set.MayProbe = true
+	set.HealthChecks = true
 	d := open(t, set)
 	d.quiet = true
 	d.list(d.hosts(4))
-	q := Query{Proxy: "p", Wait: 60000, Delta: true}
+	q := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
 	d.poll(q)
 	d.run(3000)
 	for range 6 {
 		d.hold(q)
 		for _, host := range d.probes {
-			how := decide.Fine
+			how := routing.Healthy
 			if host == "10.0.0.0:80" {
-				how = decide.Unreachable
+				how = routing.Unreachable
 			}
-			d.Probed(d.at, host, how, decide.NoLoad)
+			d.ObserveHealthCheck(d.at, host, how, routing.UnknownLoad)
 		}
 		d.probes = nil
-		d.Operate(d.at, []operator.Order{{Host: "10.0.0.0:80", Weight: 1.5, Keep: true}}, d)
+		d.ApplyOverrides(d.at, []operator.Command{{Host: "10.0.0.0:80", Weight: 1.5, KeepState: true}}, d)
 		d.run(1500)
 	}
 	for _, h := range d.HostInfos() {
@@ -93,7 +93,7 @@
 			t.Errorf("%+v", h)
 		}
 	}
-	if len(d.HostInfos()[1].Moves) == 0 || d.HostInfos()[0].Why.Strikes == 0 {
+	if len(d.HostInfos()[1].Moves) == 0 || d.HostInfos()[0].Why.ConsecutiveFailures == 0 {
 		t.Errorf("%+v", d.HostInfos()[:2])
 	}
 }
@@ -104,7 +104,7 @@
 	d.quiet = true
 	d.list(d.hosts(4))
 	d.run(3000)
-	d.operate(operator.Order{Host: "10.0.0.0:80", State: operator.Drain, Weight: -1, For: 7500})
+	d.operate(operator.Command{Host: "10.0.0.0:80", State: operator.Draining, Weight: -1, DurationMs: 7500})
 	if d.Next() > d.at+7500 {
 		t.Errorf("next at %.0f of %.0f", d.Next(), d.at)
 	}
--- a/steward/refusing.go
+++ b/controller/refusing.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"fmt"
@@ -19,7 +19,7 @@
 
 // look has the guard look at the tables of the present round, and where it refuses puts the nearest sound ones in
 // their place.
-func (s *Steward) look() {
+func (s *Controller) look() {
 	g := &s.guarding
 	every := lookEvery
 	if g.report.Refusing {
@@ -30,30 +30,30 @@
 	}
 	g.at = s.now
 	v, shared := s.guardView()
-	if len(v.Rows) == 0 {
+	if len(v.Routes) == 0 {
 		return
 	}
 	g.report.Looked++
 	found := guard.Check(v, g.limits)
 	before := map[string]bool{}
 	for _, f := range g.report.Standing {
-		before[f.Check+f.On] = true
+		before[f.Check+f.Subject] = true
 	}
 	for _, f := range found {
-		if !before[f.Check+f.On] {
+		if !before[f.Check+f.Subject] {
 			g.report.Found[f.Check]++
 			s.event("guard", f.String())
 		}
 	}
 	g.report.Standing = found
-	if !g.refuse.On {
+	if !g.refuse.Enabled {
 		return
 	}
 	limits := g.limits
-	limits.Spare = limits.Spare && g.refuse.Spare
+	limits.SurviveZoneLoss = limits.SurviveZoneLoss && g.refuse.SurviveZoneLoss
 	rows, left, why := [][]float64(nil), []guard.Finding(nil), guard.Finding{}
 	for _, f := range found {
-		if f.Check != guard.Spare || limits.Spare {
+		if f.Check != guard.OverCapacityWithoutZone || limits.SurviveZoneLoss {
 			why = f
 			if rows = s.stand(v, shared, limits); rows == nil {
 				rows, left = guard.Repair(v, limits)
@@ -63,17 +63,17 @@
 	}
 	refused := 0
 	for i, number := range shared {
-		row := v.Rows[i].Next
+		row := v.Routes[i].Decided
 		if rows != nil {
 			row = rows[i]
 		}
-		refused += s.give(v, s.tables.table(number), number, v.Rows[i].Next, row)
+		refused += s.give(v, s.tables.table(number), number, v.Routes[i].Decided, row)
 	}
 	s.refusing(refused, left, why)
 }
 
 // refusing notes and tells when the guard begins to put other tables in the place of those decided, and when it ends.
-func (s *Steward) refusing(lines int, left []guard.Finding, why guard.Finding) {
+func (s *Controller) refusing(lines int, left []guard.Finding, why guard.Finding) {
 	g := &s.guarding
 	if was := g.report.Refusing; lines > 0 && !was {
 		g.since = s.now
@@ -93,22 +93,22 @@
 
 // stand gives the rows as they were last given where they are still sound and what was decided is the same, so that
 // nothing is told anew for a little more or less demand; nil where not.
-func (s *Steward) stand(v *guard.View, shared []int, l guard.Limits) (rows [][]float64) {
-	w := &guard.View{Hosts: v.Hosts, Rows: slices.Clone(v.Rows)}
-	for i := range w.Rows {
-		r := &w.Rows[i]
+func (s *Controller) stand(v *guard.View, shared []int, l guard.Limits) (rows [][]float64) {
+	w := &guard.View{Hosts: v.Hosts, Routes: slices.Clone(v.Routes)}
+	for i := range w.Routes {
+		r := &w.Routes[i]
 		if i < len(shared) {
 			if b := s.tables.table(shared[i]); b.given != nil {
-				if lines, _ := guard.Changed(b.forRow, r.Next); lines > 0 {
+				if lines, _ := guard.Changed(b.forRow, r.Decided); lines > 0 {
 					return nil
 				}
-				r.Next = b.given
-				for len(r.Next) < len(v.Hosts) {
-					r.Next = append(r.Next, 0)
+				r.Decided = b.given
+				for len(r.Decided) < len(v.Hosts) {
+					r.Decided = append(r.Decided, 0)
 				}
 			}
 		}
-		rows = append(rows, r.Next)
+		rows = append(rows, r.Decided)
 	}
 	if len(guard.Check(w, l)) > 0 {
 		return nil
@@ -119,7 +119,7 @@
 // give publishes a row for a shared table, and tells how many of its lines are other than decided. What the guard adds
 // to the channel by itself has to leave room for removals; where it does not, the row that was published stays, without
 // what may not stay in it.
-func (s *Steward) give(v *guard.View, b *table, number int, decided, row []float64) (other int) {
+func (s *Controller) give(v *guard.View, b *table, number int, decided, row []float64) (other int) {
 	row = slices.Clone(row)
 	if other, _ = guard.Changed(decided, row); other > 0 {
 		for h := range row {
@@ -133,7 +133,7 @@
 			own = math.Max(0, own-b.lines)
 		}
 		if !s.pace(number, own, !fresh) {
-			if held, left := guard.Hold(v.Hosts, b.out, decided); left {
+			if held, left := guard.MinimalUpdate(v.Hosts, b.out, decided); left {
 				row = held
 				lines, removal = guard.Changed(b.out, row)
 				other, _ = guard.Changed(decided, row)
@@ -158,9 +158,9 @@
 }
 
 // pace tells whether the channel has room for lines of the guard's own to all proxies that use a table.
-func (s *Steward) pace(number int, lines float64, message bool) bool {
+func (s *Controller) pace(number int, lines float64, message bool) bool {
 	c := &s.channel
-	p := guard.Pace{Waiting: c.waiting(), MostWaiting: c.mostWaiting, MessagesMost: c.most}
+	p := guard.ChannelBudget{Backlog: c.waiting(), MaxBacklog: c.mostWaiting, MaxMessages: c.most}
 	all := 0.0
 	for _, m := range s.members.byIndex {
 		if m == nil || !slices.Contains(m.tables, number) {
@@ -170,28 +170,28 @@
 			all += c.head + 1
 		}
 		c.may(m, s.now)
-		p.Sent = max(p.Sent, len(m.sent))
+		p.MessagesSent = max(p.MessagesSent, len(m.sent))
 	}
 	return p.Fits(all, message)
 }
 
 // guardHost notes what the list now says of a host.
-func (s *Steward) guardHost(h int, e Entry) {
+func (s *Controller) guardHost(h int, e Endpoint) {
 	g := &s.guarding
 	for len(g.hosts) <= h {
 		g.hosts = append(g.hosts, guard.Host{})
 	}
-	g.hosts[h] = guard.Host{Name: e.Host, Zone: e.Zone, Cap: e.Cores * e.speed()}
+	g.hosts[h] = guard.Host{Name: e.Host, Zone: e.Zone, Capacity: e.Cores * e.speed()}
 	g.changed = true
 }
 
 // guardHosts brings the hosts as the guard sees them up to date.
-func (s *Steward) guardHosts() []guard.Host {
+func (s *Controller) guardHosts() []guard.Host {
 	g := &s.guarding
 	for h := range g.hosts {
 		x := &g.hosts[h]
-		if x.Ready, x.Warmth = s.module.Stands(h); x.Ready {
-			x.Most = s.multiple * x.Warmth * x.Cap
+		if x.Ready, x.SlowStartFactor = s.module.HostStatus(h); x.Ready {
+			x.SlowStartLimit = s.multiple * x.SlowStartFactor * x.Capacity
 		}
 	}
 	g.changed = false
@@ -204,7 +204,7 @@
 // guardView is what the guard looks at: a row for each table that proxies share, those first and by their numbers; one
 // for each zone whose proxies have tables of their own, all of them together; and one for each of these that names
 // nobody who may stay.
-func (s *Steward) guardView() (v *guard.View, shared []int) {
+func (s *Controller) guardView() (v *guard.View, shared []int) {
 	g := &s.guarding
 	v = &guard.View{Hosts: s.guardHosts()}
 	if len(v.Hosts) == 0 {
@@ -214,27 +214,27 @@
 		g.askedAt = s.now
 		s.guardRows(v)
 	}
-	v.Rows = slices.Clone(g.rows)
+	v.Routes = slices.Clone(g.rows)
 	for i, number := range g.shared {
 		b := s.tables.table(number)
 		b.set(len(v.Hosts)-1, b.weights[len(v.Hosts)-1])
 		for b.out != nil && len(b.out) < len(v.Hosts) {
 			b.out = append(b.out, 0)
 		}
-		v.Rows[i].Now, v.Rows[i].Next = b.out, b.row
+		v.Routes[i].Published, v.Routes[i].Decided = b.out, b.row
 	}
 	return v, g.shared
 }
 
 // guardRows sums up what the proxies ask of each table.
-func (s *Steward) guardRows(v *guard.View) {
+func (s *Controller) guardRows(v *guard.View) {
 	g := &s.guarding
 	g.rows, g.shared, g.hands = nil, nil, false
 	zones, classes := len(s.fleet.Zones), len(s.classes)
 	share := s.joinedShare()
 	asked := make([][]float64, 2*zones+1) // by table or zone of hands, then zone and class; nil: nobody uses it
 	hands := make([][]float64, zones)
-	var bare []guard.Row
+	var bare []guard.Route
 	for _, m := range s.members.byIndex {
 		if m == nil || m.tables[0] < 0 {
 			continue
@@ -254,14 +254,14 @@
 				}
 			}
 			a := &asked[number][m.zone*classes+k]
-			*a = math.Max(*a, 0) + m.rates[k]/share*s.classes[k].Work/1000
+			*a = math.Max(*a, 0) + m.rates[k]/share*s.classes[k].MeanWorkMs/1000
 		}
 		if number := m.tables[0]; number > zones {
 			if g.hands = true; hands[m.zone] == nil {
 				hands[m.zone] = make([]float64, len(v.Hosts))
 			}
 			if !s.addHand(v, hands[m.zone], s.tables.table(number), rate+1e-9) {
-				r := guard.Row{Uses: s.uses(nil, m.zone, 0), Next: make([]float64, len(v.Hosts)), Fixed: true}
+				r := guard.Route{Demands: s.uses(nil, m.zone, 0), Decided: make([]float64, len(v.Hosts)), ReadOnly: true}
 				bare = append(bare, r)
 			}
 		}
@@ -270,12 +270,12 @@
 		if by == nil {
 			continue
 		}
-		r := guard.Row{Fixed: number > zones}
+		r := guard.Route{ReadOnly: number > zones}
 		for z := range zones {
-			r.Uses = append(r.Uses, s.uses(by, z, z*classes)...)
+			r.Demands = append(r.Demands, s.uses(by, z, z*classes)...)
 		}
-		if r.Fixed {
-			r.Next = hands[number-zones-1]
+		if r.ReadOnly {
+			r.Decided = hands[number-zones-1]
 		} else {
 			g.shared = append(g.shared, number)
 		}
@@ -285,16 +285,16 @@
 }
 
 // joinedShare is the part of all proxies that have joined here.
-func (s *Steward) joinedShare() float64 {
+func (s *Controller) joinedShare() float64 {
 	return math.Max(float64(len(s.members.byName))/float64(s.fleet.Proxies), 1e-9)
 }
 
 // uses are the classes of a zone whose proxies use a row; all of them where it is not told what they ask.
-func (s *Steward) uses(asked []float64, zone, from int) (all []guard.Use) {
+func (s *Controller) uses(asked []float64, zone, from int) (all []guard.Demand) {
 	for k, c := range s.classes {
-		u := guard.Use{Class: c.Name, Zone: s.fleet.Zones[zone], Local: c.Local}
+		u := guard.Demand{Class: c.Name, Zone: s.fleet.Zones[zone], ZoneLocal: c.ZoneLocal}
 		if asked != nil {
-			if u.Asked = asked[from+k]; u.Asked < 0 {
+			if u.Work = asked[from+k]; u.Work < 0 {
 				continue
 			}
 		}
@@ -305,7 +305,7 @@
 
 // addHand adds a table of a proxy's own to those of its zone, by the proxy's rate. It tells whether somebody is in it
 // who may stay.
-func (s *Steward) addHand(v *guard.View, to []float64, b *table, rate float64) (able bool) {
+func (s *Controller) addHand(v *guard.View, to []float64, b *table, rate float64) (able bool) {
 	sum := 0.0
 	for _, w := range b.weights {
 		sum += w
@@ -317,19 +317,19 @@
 	return able
 }
 
-// GuardAnswer is what the guard says of tables that somebody would publish.
-type GuardAnswer struct {
+// ValidationResult is what the guard says of tables that somebody would publish.
+type ValidationResult struct {
 	Findings []guard.Finding               `json:"findings"`
 	Instead  map[string]map[string]float64 `json:"instead"` // by class, where it would refuse
 	Left     []guard.Finding               `json:"left"`    // in that
 }
 
-// GuardCheck looks at tables by class and host that an operator would have published to a zone, or with "" to all, as
+// ValidateTables looks at tables by class and host that an operator would have published to a zone, or with "" to all, as
 // things stand. The limits are those of the settings, or the usual ones where the guard is off.
-func (s *Steward) GuardCheck(zone string, tables map[string]map[string]float64) (*GuardAnswer, error) {
+func (s *Controller) ValidateTables(zone string, tables map[string]map[string]float64) (*ValidationResult, error) {
 	limits := s.guarding.limits
 	if !s.guarding.on {
-		limits = guard.Limits{Over: 1, Jump: 0.5, Spare: true}
+		limits = guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.5, SurviveZoneLoss: true}
 	}
 	if _, ok := s.zone[zone]; !ok && zone != "" {
 		return nil, refuse("zone", "%q is not among the zones", zone)
@@ -344,36 +344,36 @@
 		}
 		row := make([]float64, len(v.Hosts))
 		for host, w := range tables[class] {
-			h, ok := s.hosts.Of[host]
+			h, ok := s.hosts.IndexOf[host]
 			if !ok || h >= len(row) {
 				return nil, refuse(fmt.Sprintf("tables[%q].hosts[%q]", class, host), "the host is not on the list")
 			}
 			row[h] = w
 		}
-		r := guard.Row{Next: row}
+		r := guard.Route{Decided: row}
 		for z, name := range s.fleet.Zones {
 			if zone == "" || zone == name {
-				r.Uses = append(r.Uses, guard.Use{Class: class, Zone: name, Local: s.classes[k].Local, Asked: demand[class][name] * s.classes[k].Work / 1000})
-				r.Now = s.publishedRow(z, k, len(v.Hosts))
+				r.Demands = append(r.Demands, guard.Demand{Class: class, Zone: name, ZoneLocal: s.classes[k].ZoneLocal, Work: demand[class][name] * s.classes[k].MeanWorkMs / 1000})
+				r.Published = s.publishedRow(z, k, len(v.Hosts))
 			}
 		}
-		v.Rows, names = append(v.Rows, r), append(names, class)
+		v.Routes, names = append(v.Routes, r), append(names, class)
 	}
 	if s.guarding.on { // what else the hosts carry
 		now, _ := s.guardView()
-		for _, r := range now.Rows {
-			r.Fixed = true
-			r.Uses = slices.DeleteFunc(slices.Clone(r.Uses), func(u guard.Use) bool {
+		for _, r := range now.Routes {
+			r.ReadOnly = true
+			r.Demands = slices.DeleteFunc(slices.Clone(r.Demands), func(u guard.Demand) bool {
 				_, asked := tables[u.Class]
 				return asked && (zone == "" || u.Zone == zone)
 			})
-			if len(r.Uses) > 0 {
-				r.Now = nil
-				v.Rows = append(v.Rows, r)
+			if len(r.Demands) > 0 {
+				r.Published = nil
+				v.Routes = append(v.Routes, r)
 			}
 		}
 	}
-	a := &GuardAnswer{Findings: tellable(guard.Check(v, limits)), Left: []guard.Finding{}}
+	a := &ValidationResult{Findings: tellable(guard.Check(v, limits)), Left: []guard.Finding{}}
 	if len(a.Findings) > 0 {
 		rows, left := guard.Repair(v, limits)
 		a.Left, a.Instead = tellable(left), map[string]map[string]float64{}
@@ -390,14 +390,14 @@
 }
 
 // publishedRow is what the first proxy of a zone with a table of a class was ordered, nil where there is none.
-func (s *Steward) publishedRow(zone, class, hosts int) []float64 {
+func (s *Controller) publishedRow(zone, class, hosts int) []float64 {
 	for _, m := range s.members.byIndex {
 		if m == nil || m.zone != zone || m.tables[class] < 0 {
 			continue
 		}
 		row := make([]float64, hosts)
 		for _, l := range s.lines(s.tables.table(m.tables[class])) {
-			row[s.hosts.Of[l.host]] = l.weight
+			row[s.hosts.IndexOf[l.host]] = l.weight
 		}
 		return row
 	}
--- a/steward/remember.go
+++ b/controller/remember.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"encoding/binary"
@@ -10,85 +10,85 @@
 	"strconv"
 	"strings"
 
-	"barleysail/decide"
 	"barleysail/operator"
+	"barleysail/routing"
 	"barleysail/state"
 	"barleysail/state/statepb"
 )
 
 // memory is what an earlier life knew, until it is used.
 type memory struct {
-	*state.Recalled
+	*state.Restored
 	hosts, proxies, versions int // used so far
 	drains                   map[string]float64
 }
 
-// Recall tells a steward that has just been made what an earlier life knew and is still to be trusted. Hosts are recalled
+// Restore tells a steward that has just been made what an earlier life knew and is still to be trusted. Hosts are recalled
 // with the first list, proxies as they come. The list tells of starts and drains more surely, and goes first.
-func (s *Steward) Recall(now float64, r *state.Recalled) {
+func (s *Controller) Restore(now float64, r *state.Restored) {
 	s.now = now
-	s.memory = memory{Recalled: r, drains: map[string]float64{}}
-	for _, x := range r.Settings {
-		set := operator.Set{State: operator.State(x.State), Weight: x.Weight, Part: x.Part, By: x.By, At: x.At, Until: x.Until}
+	s.memory = memory{Restored: r, drains: map[string]float64{}}
+	for _, x := range r.Overrides {
+		set := operator.Override{State: operator.State(x.State), Weight: x.Weight, WeightRatio: x.Part, Operator: x.By, SetAtMs: x.At, ExpiresMs: x.Until}
 		if a := x.Added; a != nil {
-			set.Added = &operator.Added{Zone: a.Zone, Weight: a.Weight, Cores: a.Cores, Speed: a.Speed, Started: a.Started}
+			set.Added = &operator.AddedHost{Zone: a.Zone, Weight: a.Weight, Cores: a.Cores, Speed: a.Speed, StartedMs: a.Started}
 		}
-		if x.State >= int32(operator.Listed) && x.State <= int32(operator.Maint) {
-			s.book.Recall(x.Host, set)
+		if x.State >= int32(operator.Listed) && x.State <= int32(operator.Maintenance) {
+			s.book.Restore(x.Host, set)
 		}
 	}
 	s.stepAt = math.Min(s.stepAt, now)
-	if r.Level < 1 || r.Median > 0 {
+	if r.AdmissionRatio < 1 || r.MedianLatencyMs > 0 {
 		shares := make([]float64, len(s.classes))
 		for i, c := range s.classes {
-			if shares[i] = 1; r.Shares[c.Name] > 0 {
-				shares[i] = r.Shares[c.Name]
+			if shares[i] = 1; r.AdmissionQuotas[c.Name] > 0 {
+				shares[i] = r.AdmissionQuotas[c.Name]
 			}
 		}
-		s.module.RecallFleet(r.Level, shares, r.Median)
+		s.module.RestoreAdmission(r.AdmissionRatio, shares, r.MedianLatencyMs)
 	}
 }
 
 // started is when a host started by the list, or else by what was recalled of it.
-func (s *Steward) started(e Entry) float64 {
-	if h := s.recalledHost(e.Host); e.Started == 0 && h != nil {
-		return h.Started
+func (s *Controller) started(e Endpoint) float64 {
+	if h := s.recalledHost(e.Host); e.StartedMs == 0 && h != nil {
+		return h.StartedMs
 	}
-	return e.Started
+	return e.StartedMs
 }
 
-func (s *Steward) recalledHost(host string) *state.Host {
-	if s.memory.Recalled == nil {
+func (s *Controller) recalledHost(host string) *state.Host {
+	if s.memory.Restored == nil {
 		return nil
 	}
 	return s.memory.Hosts[host]
 }
 
 // recallHosts tells the module what was known of the hosts of the first list. One that started since is another.
-func (s *Steward) recallHosts(entries []Entry) {
-	if s.memory.Recalled == nil {
+func (s *Controller) recallHosts(entries []Endpoint) {
+	if s.memory.Restored == nil {
 		return
 	}
 	for _, e := range entries {
 		h := s.memory.Hosts[e.Host]
-		if h == nil || h.Zone != e.Zone || e.Started > 0 && h.Started > 0 && e.Started != h.Started || e.Started > s.now-s.memory.Passed {
+		if h == nil || h.Zone != e.Zone || e.StartedMs > 0 && h.StartedMs > 0 && e.StartedMs != h.StartedMs || e.StartedMs > s.now-s.memory.ElapsedMs {
 			continue
 		}
 		s.memory.hosts++
 		i := s.hosts.Index(e.Host)
-		s.module.Recall(i, h.Weight, h.R, h.Won, h.Lost)
-		if h.Out && e.Phase == decide.Ready { // one strike: a probe is due soon, and two more prove it
-			how := decide.Silent
-			if h.Absent {
-				how = decide.Unreachable
+		s.module.RestoreHost(i, h.Weight, h.MeanLatencyMs, h.Successes, h.Failures)
+		if h.Ejected && e.State == routing.Ready { // one strike: a probe is due soon, and two more prove it
+			how := routing.TimedOut
+			if h.Unreachable {
+				how = routing.Unreachable
 			}
-			s.module.Probed(i, how, decide.NoLoad)
+			s.module.ObserveHealthCheck(i, how, routing.UnknownLoad)
 		}
-		if h.Trust < 1 {
-			s.intake.trust.Recall(e.Host, h.Trust)
+		if h.ReportTrust < 1 {
+			s.intake.trust.Restore(e.Host, h.ReportTrust)
 		}
-		if h.Drains > 0 && e.Phase == decide.Draining {
-			s.memory.drains[e.Host] = h.Drains
+		if h.DrainingSinceMs > 0 && e.State == routing.Draining {
+			s.memory.drains[e.Host] = h.DrainingSinceMs
 		}
 	}
 	s.memory.Hosts = map[string]*state.Host{}
@@ -96,8 +96,8 @@
 
 // recallProxy takes up what was known of a proxy that joins: what lately came to it, and, where it still holds what the
 // earlier life gave it, that as a version, so that a delta goes on from there.
-func (s *Steward) recallProxy(m *member, tags []string) {
-	if s.memory.Recalled == nil {
+func (s *Controller) recallProxy(m *member, tags []string) {
+	if s.memory.Restored == nil {
 		return
 	}
 	p := s.memory.Proxies[m.name]
@@ -105,8 +105,8 @@
 		return
 	}
 	s.memory.proxies++
-	if len(p.Rates) == len(m.rates) {
-		copy(m.rates, p.Rates)
+	if len(p.RequestRates) == len(m.rates) {
+		copy(m.rates, p.RequestRates)
 	}
 	if p.Tag == "" || !slices.Contains(tags, p.Tag) {
 		return
@@ -118,14 +118,14 @@
 }
 
 // inherit makes what a proxy holds from elsewhere its version, so that a delta goes on from there.
-func (s *Steward) inherit(m *member, tag string, v *View) {
+func (s *Controller) inherit(m *member, tag string, v *TableSet) {
 	s.members.number++
 	m.versions = append(m.versions, version{number: s.members.number, view: v, alias: tag})
 	m.acked = s.members.number
 }
 
 // checkOffer refuses what no proxy can hold.
-func (s *Steward) checkOffer(o *Offer) error {
+func (s *Controller) checkOffer(o *CachedTables) error {
 	if o == nil {
 		return nil
 	}
@@ -138,8 +138,8 @@
 		if _, ok := s.class[t.Class]; !ok || seen[t.Class] {
 			return refuse(field, "the class is not in the settings, or stands there twice")
 		}
-		if seen[t.Class] = true; !(t.Share >= 0) || math.IsInf(t.Share, 0) || t.Tries < 0 || t.Tries > 3 || len(t.Hosts) > mostHosts || len(t.Hosts) != len(t.Weights) {
-			return refuse(field, "share %g, tries %d, %d hosts with %d weights", t.Share, t.Tries, len(t.Hosts), len(t.Weights))
+		if seen[t.Class] = true; !(t.AdmissionRatio >= 0) || math.IsInf(t.AdmissionRatio, 0) || t.RetryPolicy < 0 || t.RetryPolicy > 3 || len(t.Hosts) > mostHosts || len(t.Hosts) != len(t.Weights) {
+			return refuse(field, "share %g, tries %d, %d hosts with %d weights", t.AdmissionRatio, t.RetryPolicy, len(t.Hosts), len(t.Weights))
 		}
 		for i, host := range t.Hosts {
 			if w := t.Weights[i]; !(w > 0) || math.IsInf(w, 0) || i > 0 && host <= t.Hosts[i-1] || len(host) > 300 {
@@ -151,16 +151,16 @@
 }
 
 // offeredView makes a view of tables that a proxy offers. A class it does not name was not ordered.
-func (s *Steward) offeredView(tables []Table) *View {
+func (s *Controller) offeredView(tables []Table) *TableSet {
 	s.tables.views++
-	v := &View{id: s.tables.views}
+	v := &TableSet{id: s.tables.views}
 	for _, c := range s.classes {
 		k := classView{name: c.Name, level: level{1, s.tables.usual, true}}
 		for _, t := range tables {
 			if t.Class != c.Name {
 				continue
 			}
-			k.bound, k.level = t.Ordered, level{t.Share, t.Tries, true}
+			k.bound, k.level = t.Ordered, level{t.AdmissionRatio, t.RetryPolicy, true}
 			for i, host := range t.Hosts {
 				k.lines = append(k.lines, line{host, t.Weights[i]})
 			}
@@ -171,16 +171,16 @@
 }
 
 // recalledView makes a view of kept tables; nil where they are of other classes, or cannot be.
-func (s *Steward) recalledView(tag string, kept []*statepb.Class) *View {
+func (s *Controller) recalledView(tag string, kept []*statepb.Class) *TableSet {
 	if len(kept) != len(s.classes) {
 		return nil
 	}
-	o := &Offer{Tag: tag}
+	o := &CachedTables{Tag: tag}
 	for i, t := range kept {
 		if t.Name != s.classes[i].Name {
 			return nil
 		}
-		o.Tables = append(o.Tables, Table{Class: t.Name, Ordered: t.Ordered, Hosts: t.Hosts, Weights: t.Weights, Share: t.Share, Tries: int(t.Tries)})
+		o.Tables = append(o.Tables, Table{Class: t.Name, Ordered: t.Ordered, Hosts: t.Hosts, Weights: t.Weights, AdmissionRatio: t.Share, RetryPolicy: int(t.Tries)})
 	}
 	if s.checkOffer(o) != nil {
 		return nil
@@ -189,53 +189,53 @@
 }
 
 // recalledRate is what a proxy usually gets, by what it says or else by what was recalled of it.
-func (s *Steward) recalledRate(name string, rate float64) float64 {
-	if s.memory.Recalled == nil || rate > 0 {
+func (s *Controller) recalledRate(name string, rate float64) float64 {
+	if s.memory.Restored == nil || rate > 0 {
 		return rate
 	}
 	if p := s.memory.Proxies[name]; p != nil {
-		for _, x := range p.Rates {
+		for _, x := range p.RequestRates {
 			rate += x
 		}
 	}
 	return rate
 }
 
-// ListKnown tells whether a list has come yet: before, nothing was learned.
-func (s *Steward) ListKnown() bool { return s.list.known }
+// EndpointsKnown tells whether a list has come yet: before, nothing was learned.
+func (s *Controller) EndpointsKnown() bool { return s.list.known }
 
-// Remember gives what the next life may go by. Times in it are by the clock of the calls; the caller makes them those of
+// Snapshot gives what the next life may go by. Times in it are by the clock of the calls; the caller makes them those of
 // the wall.
-func (s *Steward) Remember(now float64) *statepb.State {
-	r := &statepb.State{Life: s.fleet.Life, At: now}
-	level, shares, median := s.module.Fleet()
+func (s *Controller) Snapshot(now float64) *statepb.State {
+	r := &statepb.State{Life: s.fleet.Incarnation, At: now}
+	level, shares, median := s.module.Admission()
 	r.Fleet = &statepb.Fleet{Level: level, Shares: shares, Median: median, At: now}
 	for _, c := range s.classes {
 		r.Fleet.Classes = append(r.Fleet.Classes, c.Name)
 	}
 	for _, host := range slices.Sorted(maps.Keys(s.list.entries)) {
 		e := s.list.entries[host]
-		x, ok := s.module.Explain(s.hosts.Of[host])
+		x, ok := s.module.Explain(s.hosts.IndexOf[host])
 		if !ok {
 			continue
 		}
-		h := &statepb.Host{Name: host, Zone: e.Zone, Started: math.Max(x.Started, 0), Weight: 1, Rate: x.Rate, R: x.R, Won: x.Won, Lost: x.Lost,
-			Out: x.Out, Absent: x.Absent, Trust: s.intake.trust.Trusted(host), At: now}
-		if x.Listed > 0 {
-			h.Weight = x.Weight / x.Listed
+		h := &statepb.Host{Name: host, Zone: e.Zone, Started: math.Max(x.StartedMs, 0), Weight: 1, Rate: x.ArrivalRate, R: x.MeanLatencyMs, Won: x.Successes, Lost: x.Failures,
+			Out: x.Ejected, Absent: x.Unreachable, Trust: s.intake.trust.Confidence(host), At: now}
+		if x.BaseWeight > 0 {
+			h.Weight = x.Weight / x.BaseWeight
 		}
-		if e.Phase == decide.Draining {
+		if e.State == routing.Draining {
 			h.Drains = s.drainsSince(host)
 		}
 		r.Hosts = append(r.Hosts, h)
 	}
 	s.rememberProxies(now, r)
-	sets := s.book.Sets()
+	sets := s.book.Overrides()
 	for _, host := range slices.Sorted(maps.Keys(sets)) {
 		set := sets[host]
-		x := &statepb.Setting{Host: host, State: int32(set.State), Weight: set.Weight, Part: set.Part, By: set.By, At: set.At, Until: set.Until}
+		x := &statepb.Setting{Host: host, State: int32(set.State), Weight: set.Weight, Part: set.WeightRatio, By: set.Operator, At: set.SetAtMs, Until: set.ExpiresMs}
 		if a := set.Added; a != nil {
-			x.Added = &statepb.Added{Zone: a.Zone, Weight: a.Weight, Cores: a.Cores, Speed: a.Speed, Started: a.Started}
+			x.Added = &statepb.Added{Zone: a.Zone, Weight: a.Weight, Cores: a.Cores, Speed: a.Speed, Started: a.StartedMs}
 		}
 		r.Settings = append(r.Settings, x)
 	}
@@ -243,8 +243,8 @@
 }
 
 // rememberProxies notes the newest version that each proxy has acknowledged, one table for all that hold the same.
-func (s *Steward) rememberProxies(now float64, r *statepb.State) {
-	kept := map[*View]string{}
+func (s *Controller) rememberProxies(now float64, r *statepb.State) {
+	kept := map[*TableSet]string{}
 	ids := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(s.members.byName)) {
 		m := s.members.byName[name]
@@ -267,7 +267,7 @@
 }
 
 // keep gives a view as it is kept; views that hold the same have the same id.
-func (v *View) keep() *statepb.Table {
+func (v *TableSet) keep() *statepb.Table {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.kept != nil {
@@ -295,15 +295,15 @@
 }
 
 // drainsSince is when a host's drain was first told, in this life or before.
-func (s *Steward) drainsSince(host string) float64 {
+func (s *Controller) drainsSince(host string) float64 {
 	if at, ok := s.memory.drains[host]; ok {
 		return at
 	}
 	return s.drained[host]
 }
 
-// MemoryReport is what of an earlier life was used.
-type MemoryReport struct {
+// RestoreReport is what of an earlier life was used.
+type RestoreReport struct {
 	From     string  `json:"from"`      // the life; empty: nothing was known
 	PassedMs float64 `json:"passed_ms"` // between
 	Why      string  `json:"why"`       // less than all is known
@@ -312,10 +312,10 @@
 	Versions int     `json:"versions"` // of proxies that went on from their old tables
 }
 
-func (s *Steward) memoryReport() *MemoryReport {
+func (s *Controller) memoryReport() *RestoreReport {
 	m := s.memory
-	if m.Recalled == nil {
+	if m.Restored == nil {
 		return nil
 	}
-	return &MemoryReport{m.Life, m.Passed, m.Why, m.hosts, m.proxies, m.versions}
+	return &RestoreReport{m.Incarnation, m.ElapsedMs, m.Reason, m.hosts, m.proxies, m.versions}
 }
--- a/steward/remember_test.go
+++ b/controller/remember_test.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"fmt"
@@ -8,15 +8,15 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"barleysail/decide"
 	"barleysail/operator"
+	"barleysail/routing"
 	"barleysail/state"
 	"barleysail/state/statepb"
 )
 
 // next is another life of a steward, which starts so much later with what the one before kept, as it comes from a file.
 func (d *desk) next(t *testing.T, set plain, life string, later float64) *desk {
-	kept := d.Remember(d.at)
+	kept := d.Snapshot(d.at)
 	text, err := proto.Marshal(kept)
 	if err != nil {
 		t.Fatal(err)
@@ -29,24 +29,24 @@
 	if err := proto.Unmarshal(text, kept); err != nil {
 		t.Fatal(err)
 	}
-	set.Life = life
+	set.Incarnation = life
 	n := open(t, set)
 	n.at = at
-	n.Recall(at, state.Age(kept, at, state.DefaultLimits(set.guard.Cold)))
+	n.Restore(at, state.ApplyDecay(kept, at, state.DefaultLimits(set.guard.SlowStartMs)))
 	return n
 }
 
 // failing lets a host fail all its tries for some seconds while the others serve.
-func (d *desk) failing(list []Entry, bad string, seconds int, number *int64) {
+func (d *desk) failing(list []Endpoint, bad string, seconds int, number *int64) {
 	for range seconds {
 		*number++
-		hosts := map[string]HostSums{}
+		hosts := map[string]HostStats{}
 		for _, e := range list {
-			hosts[e.Host] = HostSums{Tries: 20, Mean: 50, Span: 1000, Load: decide.NoLoad}
+			hosts[e.Host] = HostStats{Attempts: 20, MeanLatencyMs: 50, WindowMs: 1000, Load: routing.UnknownLoad}
 		}
-		hosts[bad] = HostSums{Tries: 20, Failed: 20, Span: 1000, Load: decide.NoLoad}
-		d.poll(Query{Proxy: "p", Wait: 900, Tags: []string{d.tagOf("p")}, Delta: true})
-		d.Sums(d.at, "p", Sums{Number: *number, Hosts: hosts, Usage: map[string]ClassUsage{"sheet": {Came: 80, Span: 1000}, "finish": {Came: 10, Span: 1000}}})
+		hosts[bad] = HostStats{Attempts: 20, Failed: 20, WindowMs: 1000, Load: routing.UnknownLoad}
+		d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.tagOf("p")}, AcceptDelta: true})
+		d.ObserveProxyStats(d.at, "p", ProxyStats{Sequence: *number, Hosts: hosts, Demand: map[string]ClassDemand{"sheet": {Arrivals: 80, WindowMs: 1000}, "finish": {Arrivals: 10, WindowMs: 1000}}})
 		d.run(1000)
 	}
 }
@@ -59,7 +59,7 @@
 	d.quiet = true
 	list := d.hosts(4)
 	d.list(list)
-	d.poll(Query{Proxy: "p", Wait: 60000, Rate: 90})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, RequestRate: 90})
 	n := int64(0)
 	d.failing(list, list[1].Host, 6, &n)
 	d.say("the first life gave %s", d.out("p"))
@@ -68,7 +68,7 @@
 		x := d.next(t, set, "M", later)
 		x.say("after %.0f s", later/1000)
 		x.list(list)
-		x.poll(Query{Proxy: "p", Wait: 60000, Tags: []string{tag}, Delta: true})
+		x.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
 		x.run(500)
 		x.say("it gives %s, rate %.0f", x.out("p"), x.members.byName["p"].rates[0])
 		m := x.Status(x.at).Memory
@@ -89,31 +89,31 @@
 	d := open(t, set)
 	list := d.hosts(2)
 	d.list(list)
-	d.poll(Query{Proxy: "p", Wait: 60000})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.run(100)
-	d.poll(Query{Proxy: "p", Wait: 900, Tags: []string{d.tagOf("p")}})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.tagOf("p")}})
 	tag := d.tagOf("p")
 	for _, x := range []struct {
 		what string
-		q    Query
-		want Kind
+		q    PollRequest
+		want ResponseKind
 		set  func(s *plain)
 	}{
-		{"its own", Query{Proxy: "p", Tags: []string{tag}, Delta: true}, Delta, func(*plain) {}},
-		{"without deltas", Query{Proxy: "p", Tags: []string{tag}}, Whole, func(*plain) {}},
-		{"another's", Query{Proxy: "p", Tags: []string{"L-999"}, Delta: true}, Whole, func(*plain) {}},
-		{"another proxy's", Query{Proxy: "q", Tags: []string{tag}, Delta: true}, Whole, func(*plain) {}},
-		{"another zone", Query{Proxy: "p", Zone: "b", Tags: []string{tag}, Delta: true}, Whole, func(*plain) {}},
-		{"other classes", Query{Proxy: "p", Tags: []string{tag}, Delta: true}, Whole, func(s *plain) { s.classes = s.classes[:1] }},
+		{"its own", PollRequest{Proxy: "p", Tags: []string{tag}, AcceptDelta: true}, Delta, func(*plain) {}},
+		{"without deltas", PollRequest{Proxy: "p", Tags: []string{tag}}, Snapshot, func(*plain) {}},
+		{"another's", PollRequest{Proxy: "p", Tags: []string{"L-999"}, AcceptDelta: true}, Snapshot, func(*plain) {}},
+		{"another proxy's", PollRequest{Proxy: "q", Tags: []string{tag}, AcceptDelta: true}, Snapshot, func(*plain) {}},
+		{"another zone", PollRequest{Proxy: "p", Zone: "b", Tags: []string{tag}, AcceptDelta: true}, Snapshot, func(*plain) {}},
+		{"other classes", PollRequest{Proxy: "p", Tags: []string{tag}, AcceptDelta: true}, Snapshot, func(s *plain) { s.classes = s.classes[:1] }},
 	} {
 		other := settings()
 		x.set(&other)
 		n := d.next(t, other, "M", 1000)
 		n.list(list[:1]) // one host is gone, so there is something to tell
-		x.q.Wait = 60000
+		x.q.WaitMs = 60000
 		id := n.poll(x.q)
 		n.run(400)
-		if a, ok := n.answers[id]; !ok || a.Kind != x.want || a.Kind == Delta && a.Base != tag {
+		if a, ok := n.answers[id]; !ok || a.Kind != x.want || a.Kind == Delta && a.BaseTag != tag {
 			t.Errorf("%s: %+v", x.what, a)
 		}
 	}
@@ -126,12 +126,12 @@
 	d := open(t, set)
 	list := d.hosts(3)
 	d.list(list)
-	d.poll(Query{Proxy: "p", Wait: 60000})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.run(1000)
-	fresh := Entry{Host: "10.0.0.9:80", Zone: "a", Phase: decide.Ready, Weight: 1}
+	fresh := Endpoint{Host: "10.0.0.9:80", Zone: "a", State: routing.Ready, Weight: 1}
 	d.list(append(list, fresh))
 	d.run(2000)
-	warmth := func(x *desk, host string) float64 { i, _ := x.HostInfo(host); return i.Why.Warmth }
+	warmth := func(x *desk, host string) float64 { i, _ := x.HostInfo(host); return i.Why.SlowStartFactor }
 	was := warmth(d, fresh.Host)
 	x := d.next(t, set, "M", 1000)
 	x.list(append(list, fresh))
@@ -145,7 +145,7 @@
 	if got := warmth(cold, fresh.Host); got != 1 {
 		t.Errorf("without a state it counts as started long ago, but has %.2f", got)
 	}
-	list[0].Started = d.at + 500
+	list[0].StartedMs = d.at + 500
 	y := d.next(t, set, "M", 1000)
 	y.list(append(list, fresh))
 	y.run(10)
@@ -161,22 +161,22 @@
 	d := open(t, set)
 	list := d.hosts(3)
 	d.list(list)
-	d.poll(Query{Proxy: "p", Wait: 60000})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.run(1000)
-	d.poll(Query{Proxy: "p", Wait: 60000, Tags: []string{d.tagOf("p")}})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{d.tagOf("p")}})
 	tag := d.tagOf("p")
-	list[1].Phase = decide.Draining
+	list[1].State = routing.Draining
 	first := d.at
 	d.list(list) // and nothing of it gets out: the steward is killed
 	x := d.next(t, set, "M", 800)
 	x.list(list)
 	x.run(200)
-	id := x.poll(Query{Proxy: "p", Wait: 60000, Tags: []string{tag}, Delta: true})
-	x.run(set.guard.Grace - 1000)
+	id := x.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
+	x.run(set.guard.DrainGraceMs - 1000)
 	if a, ok := x.answers[id]; !ok || !strings.Contains(string(a.Body()), `"10.0.0.1:80":null`) {
 		t.Errorf("not told within the grace: %v", x.trace.String())
 	}
-	if kept := x.Remember(x.at); kept.Hosts[1].Drains != first {
+	if kept := x.Snapshot(x.at); kept.Hosts[1].Drains != first {
 		t.Errorf("it drains since %g, not %g", kept.Hosts[1].Drains, first)
 	}
 }
@@ -189,12 +189,12 @@
 	for _, x := range []struct{ later, level, sheet float64 }{{1000, 0.32, 0.23}, {20000, 0.65, 0.6}, {300e3, 1, 1}} {
 		d := wake(t, set, "M", text, 50000+x.later)
 		d.list(d.hosts(2))
-		d.poll(Query{Proxy: "p", Wait: 60000})
+		d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 		d.run(1500)
-		a, _ := d.Holds("p")
-		level, _, _ := d.module.Fleet()
-		if math.Abs(level-x.level) > 0.02 || math.Abs(a.Tables()[0].Share-x.sheet) > 0.02 {
-			t.Errorf("after %g ms: level %.2f, share %.2f", x.later, level, a.Tables()[0].Share)
+		a, _ := d.PublishedTables("p")
+		level, _, _ := d.module.Admission()
+		if math.Abs(level-x.level) > 0.02 || math.Abs(a.Tables()[0].AdmissionRatio-x.sheet) > 0.02 {
+			t.Errorf("after %g ms: level %.2f, share %.2f", x.later, level, a.Tables()[0].AdmissionRatio)
 		}
 	}
 }
@@ -205,15 +205,15 @@
 	d := open(t, set)
 	list := d.hosts(4)
 	d.list(list)
-	d.poll(Query{Proxy: "p", Wait: 60000})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.run(1000)
-	for _, o := range []operator.Order{{Host: list[0].Host, State: operator.Drain, Weight: -1, For: 20000, By: "ann"}, {Host: list[1].Host, Weight: 3},
-		{Host: "10.0.0.8:80", Weight: -1, Add: &operator.Added{Zone: "b", Weight: 1, Cores: 4}}} {
+	for _, o := range []operator.Command{{Host: list[0].Host, State: operator.Draining, Weight: -1, DurationMs: 20000, Operator: "ann"}, {Host: list[1].Host, Weight: 3},
+		{Host: "10.0.0.8:80", Weight: -1, Add: &operator.AddedHost{Zone: "b", Weight: 1, Cores: 4}}} {
 		d.operate(o)
 	}
 	x := d.next(t, set, "M", 5000)
 	x.list(list)
-	x.poll(Query{Proxy: "p", Wait: 60000})
+	x.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	x.run(1000)
 	describe := func() (all []string) {
 		for _, i := range x.HostInfos() {
@@ -231,7 +231,7 @@
 // tables in time, and those with a tag are told less.
 func TestManyReturn(t *testing.T) {
 	set := settings()
-	set.Fleet.Proxies, set.channel.LinesPerS, set.channel.MostWaiting = 600, 8000, 16000
+	set.Deployment.Proxies, set.channel.EntriesPerSecond, set.channel.MaxBacklog = 600, 8000, 16000
 	d := open(t, set)
 	d.quiet = true
 	list := d.hosts(40)
@@ -239,7 +239,7 @@
 	name := func(i int) string { return fmt.Sprintf("p%03d", i) }
 	join := func(x *desk, tagged bool) {
 		for i := range 600 {
-			q := Query{Proxy: name(i), Zone: set.Zones[i%2], Wait: 60000, Delta: true, Rate: 1 + float64(i%50)}
+			q := PollRequest{Proxy: name(i), Zone: set.Zones[i%2], WaitMs: 60000, AcceptDelta: true, RequestRate: 1 + float64(i%50)}
 			if tagged && i%2 == 0 {
 				q.Tags = []string{d.tagOf(q.Proxy)}
 			}
@@ -247,7 +247,7 @@
 			if i%6 == 5 {
 				x.run(10)
 			}
-			if w := x.channel.waiting(); w > set.channel.MostWaiting {
+			if w := x.channel.waiting(); w > set.channel.MaxBacklog {
 				t.Fatalf("%g lines wait", w)
 			}
 		}
@@ -256,7 +256,7 @@
 	for range 15 { // until all hold the whole table, and have acknowledged it
 		d.run(3000)
 		for i := range 600 {
-			d.poll(Query{Proxy: name(i), Zone: set.Zones[i%2], Wait: 60000, Tags: []string{d.tagOf(name(i))}, Delta: true})
+			d.poll(PollRequest{Proxy: name(i), Zone: set.Zones[i%2], WaitMs: 60000, Tags: []string{d.tagOf(name(i))}, AcceptDelta: true})
 		}
 	}
 	x := d.next(t, set, "M", 3000)
@@ -266,13 +266,13 @@
 	join(x, true)
 	for x.at < began+10000 {
 		x.run(100)
-		if w := x.channel.waiting(); w > set.channel.MostWaiting {
+		if w := x.channel.waiting(); w > set.channel.MaxBacklog {
 			t.Fatalf("%g lines wait", w)
 		}
 	}
 	deltas, bytes := x.Status(x.at).Memory.Versions, [2]int{}
 	for _, m := range x.members.byName {
-		a, ok := x.Holds(m.name)
+		a, ok := x.PublishedTables(m.name)
 		if !ok || len(a.Tables()[0].Hosts) == 0 {
 			t.Fatalf("%s holds nothing", m.name)
 		}
@@ -280,7 +280,7 @@
 	for _, a := range x.answers {
 		if a.Kind == Delta {
 			bytes[0] += len(a.Body())
-		} else if a.Kind == Whole {
+		} else if a.Kind == Snapshot {
 			bytes[1] += len(a.Body())
 		}
 	}
@@ -292,10 +292,10 @@
 
 // What is remembered at full size, and how long it takes.
 func BenchmarkRemember(b *testing.B) {
-	d, _ := largest(func(*Steward) {})
+	d, _ := largest(func(*Controller) {})
 	size := 0
 	for range b.N {
-		size = proto.Size(d.Remember(d.at))
+		size = proto.Size(d.Snapshot(d.at))
 	}
 	b.ReportMetric(float64(size), "B")
 }
--- a/steward/rounds.go
+++ b/controller/rounds.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import "math"
 
--- a/steward/solved.go
+++ b/controller/solved.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"barleysail/decide"
+	"barleysail/routing"
 	"barleysail/solver"
 )
 
@@ -22,8 +22,8 @@
 	lacks   string             // the host that tells no cores, as logged
 }
 
-// Solve switches solved weights on: looked at so often (ms), renewed for so much of the result.
-func (s *Steward) Solve(every, least float64) {
+// EnableSolver switches solved weights on: looked at so often (ms), renewed for so much of the result.
+func (s *Controller) EnableSolver(every, least float64) {
 	s.solved = solved{on: true, every: every, least: least, at: math.Inf(-1), weights: map[string]float64{}}
 }
 
@@ -35,8 +35,8 @@
 }
 
 // weight is what the module is told as a host's listed weight.
-func (s *Steward) weight(e Entry) float64 {
-	if w, ok := s.solved.weights[e.Host]; ok && !s.book.Weighed(e.Host) {
+func (s *Controller) weight(e Endpoint) float64 {
+	if w, ok := s.solved.weights[e.Host]; ok && !s.book.HasWeight(e.Host) {
 		return w
 	}
 	return e.Weight
@@ -49,7 +49,7 @@
 const renewedPart = 0.01
 
 // renew looks whether the solved weights are worth telling.
-func (s *Steward) renew() {
+func (s *Controller) renew() {
 	v := &s.solved
 	if !v.on || s.now < v.at {
 		return
@@ -68,28 +68,28 @@
 		return
 	}
 	s.out.Log(fmt.Sprintf("solved weights renewed: result %.4f to %.4f", now, then))
-	s.module.ListChange()
+	s.module.ObserveDelta()
 	changed := s.changed(fresh)
 	for _, host := range changed {
 		e := s.list.entries[host]
 		v.weights[host] = fresh[host]
-		s.module.Entry(s.hosts.Index(host), s.zone[e.Zone], e.Phase, fresh[host], e.Started)
+		s.module.ObserveEndpoint(s.hosts.Index(host), s.zone[e.Zone], e.State, fresh[host], e.StartedMs)
 	}
 	maps.DeleteFunc(v.weights, func(host string, _ float64) bool { _, ok := s.list.entries[host]; return !ok })
 	if len(changed) > 0 {
-		s.round.soon(s.now, s.polls.Step)
+		s.round.soon(s.now, s.polls.MinRoundIntervalMs)
 	}
 }
 
 // orders is what telling other weights costs of the result until they may be told anew: lines for all joined proxies,
 // at the channel's price for its usual pace.
-func (s *Steward) orders(fresh map[string]float64) float64 {
+func (s *Controller) orders(fresh map[string]float64) float64 {
 	lines := float64(len(s.members.byName)) * (float64(len(s.changed(fresh))) + s.channel.head)
 	return s.channel.price * lines / math.Max(s.channel.pace*s.solved.every, 1e-9)
 }
 
 // changed are the hosts whose weights are other enough to be told anew, by name.
-func (s *Steward) changed(fresh map[string]float64) (hosts []string) {
+func (s *Controller) changed(fresh map[string]float64) (hosts []string) {
 	for _, host := range slices.Sorted(maps.Keys(fresh)) {
 		if old := s.weight(s.list.entries[host]); math.Abs(fresh[host]-old) > renewedPart*old {
 			hosts = append(hosts, host)
@@ -99,7 +99,7 @@
 }
 
 // demand is what the proxies lately told, by class and zone, for the whole fleet: the joined ones are a part of it.
-func (s *Steward) demand() map[string]map[string]float64 {
+func (s *Controller) demand() map[string]map[string]float64 {
 	share, all := s.joinedShare(), map[string]map[string]float64{}
 	for k, c := range s.classes {
 		by := map[string]float64{}
@@ -115,7 +115,7 @@
 
 // problem is the fleet as listed, with the demand that the proxies lately told. Without any there is none, nor with
 // a host that tells no cores, which it names.
-func (s *Steward) problem() (p *solver.Problem, lacks string) {
+func (s *Controller) problem() (p *solver.Problem, lacks string) {
 	p = &solver.Problem{Zones: s.fleet.Zones, Demand: s.demand(), Goal: solver.Goal{Whole: 1},
 		Deadline: deadlineMeans, Proxies: map[string]int{}}
 	for _, m := range s.members.byIndex {
@@ -125,7 +125,7 @@
 	}
 	for _, host := range slices.Sorted(maps.Keys(s.list.entries)) {
 		e := s.list.entries[host]
-		if e.Phase != decide.Ready {
+		if e.State != routing.Ready {
 			continue
 		}
 		if e.Cores == 0 {
@@ -138,7 +138,7 @@
 		for _, z := range s.fleet.Zones {
 			total += p.Demand[c.Name][z]
 		}
-		p.Classes = append(p.Classes, solver.Class{Name: c.Name, Earnings: c.Earnings, Work: math.Max(c.Work, 1e-3), Local: c.Local})
+		p.Classes = append(p.Classes, solver.Class{Name: c.Name, Earnings: c.PriorityWeight, Work: math.Max(c.MeanWorkMs, 1e-3), Local: c.ZoneLocal})
 	}
 	if total == 0 || len(p.Hosts) == 0 {
 		return nil, ""
@@ -146,9 +146,9 @@
 	return p, ""
 }
 
-// Fleet gives the solver's problem for the fleet as listed and the demand lately heard, nil where there is none: a
+// ListedProblem gives the solver's problem for the fleet as listed and the demand lately heard, nil where there is none: a
 // host tells no cores, or no demand was heard.
-func (s *Steward) Fleet() *solver.Problem {
+func (s *Controller) ListedProblem() *solver.Problem {
 	p, lacks := s.problem()
 	if lacks != "" {
 		return nil
@@ -157,7 +157,7 @@
 }
 
 // byCaps gives each ready host a weight by its cap, 1 on average.
-func (s *Steward) byCaps(p *solver.Problem) map[string]float64 {
+func (s *Controller) byCaps(p *solver.Problem) map[string]float64 {
 	all := 0.0
 	for _, h := range p.Hosts {
 		all += p.HostCap(h)
@@ -170,7 +170,7 @@
 }
 
 // weights are those of the ready hosts as the module has them from the list.
-func (s *Steward) weights() map[string]float64 {
+func (s *Controller) weights() map[string]float64 {
 	all := map[string]float64{}
 	for host, e := range s.list.entries {
 		if all[host] = s.weight(e); all[host] == 0 {
@@ -181,7 +181,7 @@
 }
 
 // shared are tables that hold the same weights for all classes and zones, as the design's one table does.
-func (s *Steward) shared(p *solver.Problem, weights map[string]float64) solver.Tables {
+func (s *Controller) shared(p *solver.Problem, weights map[string]float64) solver.Tables {
 	t := solver.Tables{Weights: map[string]map[string]map[string]float64{}}
 	for _, c := range p.Classes {
 		t.Weights[c.Name] = map[string]map[string]float64{}
@@ -192,11 +192,11 @@
 	return t
 }
 
-// Standing gives the fleet as listed with the demand lately heard, and the tables that the proxies now have, put
+// CurrentProblem gives the fleet as listed with the demand lately heard, and the tables that the proxies now have, put
 // together by zone; p is nil where hosts tell no cores or no demand was heard. The caller can measure the gap between
 // them by p.Measure, which may take long and needs no lock.
-func (s *Steward) Standing() (p *solver.Problem, t solver.Tables) {
-	if p = s.Fleet(); p == nil {
+func (s *Controller) CurrentProblem() (p *solver.Problem, t solver.Tables) {
+	if p = s.ListedProblem(); p == nil {
 		return nil, t
 	}
 	pool := solver.NewPool()
--- a/steward/solved_test.go
+++ b/controller/solved_test.go
@@ -1,32 +1,32 @@
-package steward
+package controller
 
 import (
 	"strings"
 	"testing"
 
-	"barleysail/decide"
+	"barleysail/routing"
 	"barleysail/solver"
 )
 
 // uneven is a steward whose hosts differ, though the list weighs them alike, under a demand that fills the small ones.
-func uneven(t *testing.T, on bool) (*desk, []Entry) {
+func uneven(t *testing.T, on bool) (*desk, []Endpoint) {
 	d := open(t, settings())
 	if on {
-		d.Solve(5000, 0.01)
+		d.EnableSolver(5000, 0.01)
 	}
 	list := d.hosts(4)
 	for i := range list {
 		list[i].Cores, list[i].Speed = float64(2+4*(i%2)), 1
 	}
 	d.list(list)
-	d.poll(Query{Proxy: "p", Wait: 60000, Delta: true})
-	d.poll(Query{Proxy: "q", Zone: "b", Wait: 60000, Delta: true})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true})
+	d.poll(PollRequest{Proxy: "q", Zone: "b", WaitMs: 60000, AcceptDelta: true})
 	return d, list
 }
 
 // gap of the tables that the proxies have.
 func (d *desk) gap() *solver.Gap {
-	p, t := d.Standing()
+	p, t := d.CurrentProblem()
 	if p == nil {
 		return nil
 	}
@@ -50,8 +50,8 @@
 	for range seconds {
 		*numbers++
 		for i, p := range []string{"p", "q"} {
-			d.poll(Query{Proxy: p, Zone: d.fleet.Zones[i], Wait: 900, Tags: []string{d.tagOf(p)}, Delta: true})
-			d.Sums(d.at, p, Sums{Number: *numbers, Usage: map[string]ClassUsage{"sheet": {Came: came, Span: 1000}, "finish": {Came: came, Span: 1000}}})
+			d.poll(PollRequest{Proxy: p, Zone: d.fleet.Zones[i], WaitMs: 900, Tags: []string{d.tagOf(p)}, AcceptDelta: true})
+			d.ObserveProxyStats(d.at, p, ProxyStats{Sequence: *numbers, Demand: map[string]ClassDemand{"sheet": {Arrivals: came, WindowMs: 1000}, "finish": {Arrivals: came, WindowMs: 1000}}})
 		}
 		d.run(1000)
 	}
@@ -72,7 +72,7 @@
 		t.Errorf("gap %+v", g)
 	}
 	d.say("a host that tells no cores")
-	list = append(list, Entry{Host: "10.0.0.9:80", Zone: "a", Phase: decide.Ready, Weight: 1})
+	list = append(list, Endpoint{Host: "10.0.0.9:80", Zone: "a", State: routing.Ready, Weight: 1})
 	d.list(list)
 	d.work(12, 22, &n)
 	d.check()
--- a/steward/tables.go
+++ b/controller/tables.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"math"
@@ -6,7 +6,7 @@
 	"sort"
 	"strconv"
 
-	"barleysail/decide"
+	"barleysail/routing"
 )
 
 // line of a table: a host by name and its weight.
@@ -30,8 +30,8 @@
 	given    []float64 // what the guard gives in their place; nil: nothing
 	forRow   []float64 // the row that this was given for
 	levels   []level
-	snapshot []line // nil: to be made anew
-	view     *View  // of the proxies that use it for all classes; nil: to be made anew
+	snapshot []line    // nil: to be made anew
+	view     *TableSet // of the proxies that use it for all classes; nil: to be made anew
 	lines    float64
 	removal  bool
 	stamp    int64 // the round of these two
@@ -99,9 +99,9 @@
 func (t *tables) forget(number int) { delete(t.byNumber, number) }
 
 // writer takes the decisions of a round for a Steward.
-type writer struct{ *Steward }
+type writer struct{ *Controller }
 
-var _ decide.Writer = writer{}
+var _ routing.UpdateWriter = writer{}
 
 // round6 keeps six digits, as many as matter to a proxy.
 func round6(x float64) float64 {
@@ -109,7 +109,7 @@
 	return y
 }
 
-func (w writer) Line(number, host int, weight float64) {
+func (w writer) SetWeight(number, host int, weight float64) {
 	b := w.tables.touch(number)
 	if number <= len(w.fleet.Zones) {
 		w.moved(host, b.weights[host], weight)
@@ -123,7 +123,7 @@
 	}
 }
 
-func (w writer) Bind(proxy, number, classes int) {
+func (w writer) AssignTable(proxy, number, classes int) {
 	m := w.members.byIndex[proxy]
 	if m == nil {
 		return
@@ -137,9 +137,9 @@
 	}
 }
 
-func (w writer) Level(number, classes int, share float64, tries int) {
+func (w writer) SetAdmission(number, classes int, share float64, tries int) {
 	levels := w.tables.levels
-	if number == decide.AllTables {
+	if number == routing.AllTables {
 		w.tables.levelled++
 		for _, b := range w.tables.byNumber {
 			b.view = nil
@@ -154,14 +154,16 @@
 	}
 }
 
-func (w writer) Mark(number int) { w.tables.marked = number }
-func (w writer) Probe(host int)  { w.out.Probe(w.hosts.Names[host]) }
-func (w writer) Wake(at float64) { w.Steward.round.wake = w.now + (at-w.now)*w.intake.pace.Stretch() }
-func (w writer) Watch()          { w.out.Watch() }
+func (w writer) StampVersion(number int) { w.tables.marked = number }
+func (w writer) CheckHealth(host int)    { w.out.CheckHealth(w.hosts.Names[host]) }
+func (w writer) ScheduleRound(at float64) {
+	w.Controller.round.wake = w.now + (at-w.now)*w.intake.pace.IntervalFactor()
+}
+func (w writer) WatchEndpoints() { w.out.WatchEndpoints() }
 func (w writer) Log(text string) { w.log(text) }
 
 // order puts what the round has ordered into the channel, a message for each proxy concerned.
-func (s *Steward) order() {
+func (s *Controller) order() {
 	t := &s.tables
 	if len(t.touched) == 0 && len(t.bound) == 0 && t.levelled == 0 {
 		t.marked = 0
@@ -207,7 +209,7 @@
 }
 
 // lines gives the present lines of a table by name of host.
-func (s *Steward) lines(b *table) []line {
+func (s *Controller) lines(b *table) []line {
 	if b.snapshot == nil {
 		b.snapshot = make([]line, 0, len(b.weights))
 		if b.given != nil {
--- a/steward/view.go
+++ b/controller/view.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"encoding/json"
@@ -12,9 +12,9 @@
 	"barleysail/state/statepb"
 )
 
-// View is what a proxy's tables hold in a version. It never changes; proxies with the same tables share one,
+// TableSet is what a proxy's tables hold in a version. It never changes; proxies with the same tables share one,
 // and with it the bytes of its document and of the deltas from it.
-type View struct {
+type TableSet struct {
 	id      int64
 	classes []classView
 	once    sync.Once
@@ -34,7 +34,7 @@
 }
 
 // view makes the view of a proxy's present tables, or finds the one of the other proxies with the same table.
-func (s *Steward) view(m *member) *View {
+func (s *Controller) view(m *member) *TableSet {
 	numbers := distinct(m.tables)
 	whole := len(numbers) == 1 && !slices.Contains(m.tables, -1) && s.list.known
 	if whole {
@@ -43,7 +43,7 @@
 		}
 	}
 	s.tables.views++
-	v := &View{id: s.tables.views, classes: make([]classView, len(s.classes))}
+	v := &TableSet{id: s.tables.views, classes: make([]classView, len(s.classes))}
 	for k, n := range m.tables {
 		c := classView{name: s.classes[k].Name, level: s.tables.both(level{}, s.tables.levels[k])}
 		if n >= 0 {
@@ -60,30 +60,30 @@
 	return v
 }
 
-// Kind of an answer.
-type Kind int
+// ResponseKind of an answer.
+type ResponseKind int
 
 // The tables as they stand, a merge patch onto the version named as base, or nothing new.
 const (
-	Whole Kind = iota
+	Snapshot ResponseKind = iota
 	Delta
-	Same
+	NotModified
 )
 
-// Answer to a poll. Body may be called from any goroutine.
-type Answer struct {
-	Kind      Kind
-	Proxy     string
-	Tag, Base string // without quotes
-	view      *View
-	from      *View
+// Response to a poll. Body may be called from any goroutine.
+type Response struct {
+	Kind         ResponseKind
+	Proxy        string
+	Tag, BaseTag string // without quotes
+	view         *TableSet
+	from         *TableSet
 }
 
 // Body gives the JSON document: {"proxy":…,"tables":…}, or the RFC 7396 merge patch of it. A class that was
 // not ordered yet has no "hosts", and the proxy keeps what it has for it.
-func (a Answer) Body() []byte {
+func (a Response) Body() []byte {
 	switch a.Kind {
-	case Same:
+	case NotModified:
 		return nil
 	case Delta:
 		return a.view.delta(a.from)
@@ -97,7 +97,7 @@
 
 // Canonical gives the tables that the proxy holds once it has taken the answer in, in the canonical form of RFC 8785, for
 // signatures. It may be called from any goroutine, and is made once for all proxies with the same tables.
-func (a Answer) Canonical() ([]byte, error) {
+func (a Response) Canonical() ([]byte, error) {
 	v := a.view
 	whole := v.document()
 	v.mu.Lock()
@@ -112,13 +112,13 @@
 	return v.canonical, nil
 }
 
-func (v *View) document() []byte {
+func (v *TableSet) document() []byte {
 	v.once.Do(func() { v.whole = v.encode(nil) })
 	return v.whole
 }
 
 // delta gives the merge patch from another view, and keeps it while the bases that ask for it are few.
-func (v *View) delta(from *View) []byte {
+func (v *TableSet) delta(from *TableSet) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if body, ok := v.deltas[from.id]; ok {
@@ -140,7 +140,7 @@
 const mostDeltas = 8
 
 // encode writes the tables, or with a base what differs from it.
-func (v *View) encode(from *View) []byte {
+func (v *TableSet) encode(from *TableSet) []byte {
 	out, first := []byte{'{'}, true
 	for i, c := range v.classes {
 		var old *classView
@@ -223,19 +223,19 @@
 
 // Table is what an answer holds for a class, as a value: hosts in order, and whether any were ordered at all.
 type Table struct {
-	Class   string
-	Ordered bool
-	Hosts   []string
-	Weights []float64
-	Share   float64
-	Tries   int
+	Class          string
+	Ordered        bool
+	Hosts          []string
+	Weights        []float64
+	AdmissionRatio float64
+	RetryPolicy    int
 }
 
 // Tables gives what the proxy holds once it has taken the answer in, for callers that need no document.
-func (a Answer) Tables() []Table {
+func (a Response) Tables() []Table {
 	var all []Table
 	for _, c := range a.view.classes {
-		t := Table{Class: c.name, Ordered: c.bound, Share: c.level.share, Tries: c.level.tries}
+		t := Table{Class: c.name, Ordered: c.bound, AdmissionRatio: c.level.share, RetryPolicy: c.level.tries}
 		if c.bound {
 			for _, l := range c.lines {
 				t.Hosts, t.Weights = append(t.Hosts, l.host), append(t.Weights, l.weight)
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -11,65 +11,65 @@
 
 // Host as it stands.
 type Host struct {
-	Name   string
-	Zone   string
-	Ready  bool    // listed, not draining and not withdrawn
-	Warmth float64 // the part of its capacity that it has, 0 to 1
-	Cap    float64 // work it may be given, ms a ms, warm; 0: not told
-	Most   float64 // ms a ms that a cold host falls over at, by its warmth; 0: not told
+	Name            string
+	Zone            string
+	Ready           bool    // listed, not draining and not withdrawn
+	SlowStartFactor float64 // the part of its capacity that it has, 0 to 1
+	Capacity        float64 // work it may be given, ms a ms, warm; 0: not told
+	SlowStartLimit  float64 // ms a ms that a cold host falls over at, by its warmth; 0: not told
 }
 
-// Use of a row: a class of the proxies of a zone.
-type Use struct {
+// Demand of a row: a class of the proxies of a zone.
+type Demand struct {
 	Class, Zone string
-	Local       bool    // only hosts of the zone may take it
-	Asked       float64 // ms of work a ms, fleet-wide
+	ZoneLocal   bool    // only hosts of the zone may take it
+	Work        float64 // ms of work a ms, fleet-wide
 }
 
 // String names the use in findings.
-func (u Use) String() string { return u.Class + " in " + u.Zone }
+func (u Demand) String() string { return u.Class + " in " + u.Zone }
 
-// Row is weights that some proxies pick by, for each of the view's hosts, 0 where it is not named.
-type Row struct {
-	Uses  []Use
-	Now   []float64 // as published; nil: nothing yet
-	Next  []float64 // as decided
-	Fixed bool      // looked at and counted, but not to be mended
+// Route is weights that some proxies pick by, for each of the view's hosts, 0 where it is not named.
+type Route struct {
+	Demands   []Demand
+	Published []float64 // as published; nil: nothing yet
+	Decided   []float64 // as decided
+	ReadOnly  bool      // looked at and counted, but not to be mended
 }
 
 // View is what is looked at.
 type View struct {
-	Hosts []Host
-	Rows  []Row
+	Hosts  []Host
+	Routes []Route
 }
 
 // Limits of the checks.
 type Limits struct {
-	Over  float64 // a host may be given so many times its cap, where all together can take what is asked; 0: not looked at
-	Jump  float64 // part of a row's traffic that one step may move, drains and removals aside; 0: any
-	Spare bool    // also without the zone that carries most
+	CapacityMultiple float64 // a host may be given so many times its cap, where all together can take what is asked; 0: not looked at
+	MaxTrafficShift  float64 // part of a row's traffic that one step may move, drains and removals aside; 0: any
+	SurviveZoneLoss  bool    // also without the zone that carries most
 }
 
 // Finding is what a check found.
 type Finding struct {
-	Check string  `json:"check"`
-	On    string  `json:"on"` // class and zone, or host
-	Is    float64 `json:"is"`
-	Limit float64 `json:"limit"`
+	Check   string  `json:"check"`
+	Subject string  `json:"on"` // class and zone, or host
+	Value   float64 `json:"is"`
+	Limit   float64 `json:"limit"`
 }
 
 func (f Finding) String() string {
-	return fmt.Sprintf("%s: %s, %.4g where %.4g is the limit", f.Check, f.On, f.Is, f.Limit)
+	return fmt.Sprintf("%s: %s, %.4g where %.4g is the limit", f.Check, f.Subject, f.Value, f.Limit)
 }
 
 // Names of the checks.
 const (
-	Number = "a weight is no number"
-	Empty  = "no host may take it"
-	Over   = "over its cap"
-	Cold   = "a cold host over its budget"
-	Spare  = "over its cap without a zone"
-	Jump   = "too much moves at once"
+	NotANumber              = "a weight is no number"
+	NoHost                  = "no host may take it"
+	OverCapacity            = "over its cap"
+	OverSlowStartBudget     = "a cold host over its budget"
+	OverCapacityWithoutZone = "over its cap without a zone"
+	TrafficJump             = "too much moves at once"
 )
 
 func good(w float64) bool { return w >= 0 && w <= math.MaxFloat64 }
@@ -77,28 +77,28 @@
 // Check gives what is wrong with the next rows, by check and then by what it is on.
 func Check(v *View, l Limits) []Finding {
 	c := newChecker(v, l)
-	for i := range v.Rows {
-		c.numbers(&v.Rows[i])
-		c.empty(&v.Rows[i])
+	for i := range v.Routes {
+		c.numbers(&v.Routes[i])
+		c.empty(&v.Routes[i])
 	}
-	if l.Over > 0 {
+	if l.CapacityMultiple > 0 {
 		load := c.loads(none)
-		c.load(Over, load, none)
+		c.load(OverCapacity, load, none)
 		c.cold(load)
-		if l.Spare {
+		if l.SurviveZoneLoss {
 			c.spare(load)
 		}
 	}
-	for i := range v.Rows {
-		if r := &v.Rows[i]; l.Jump > 0 && r.Now != nil {
-			if moved := c.moved(r); moved > l.Jump+1e-9 {
-				c.find(Jump, r.Uses[0].String(), moved, l.Jump)
+	for i := range v.Routes {
+		if r := &v.Routes[i]; l.MaxTrafficShift > 0 && r.Published != nil {
+			if moved := c.moved(r); moved > l.MaxTrafficShift+1e-9 {
+				c.find(TrafficJump, r.Demands[0].String(), moved, l.MaxTrafficShift)
 			}
 		}
 	}
 	sort.SliceStable(c.found, func(i, j int) bool {
 		a, b := c.found[i], c.found[j]
-		return a.Check < b.Check || a.Check == b.Check && a.On < b.On
+		return a.Check < b.Check || a.Check == b.Check && a.Subject < b.Subject
 	})
 	return c.found
 }
@@ -142,38 +142,38 @@
 	c.found = append(c.found, Finding{check, on, is, limit})
 }
 
-func (c *checker) numbers(r *Row) {
-	for h, w := range r.Next {
+func (c *checker) numbers(r *Route) {
+	for h, w := range r.Decided {
 		if !good(w) {
-			c.find(Number, r.Uses[0].String()+" at "+c.v.Hosts[h].Name, w, 0)
+			c.find(NotANumber, r.Demands[0].String()+" at "+c.v.Hosts[h].Name, w, 0)
 		}
 	}
 }
 
 // may tells whether a host may take a use.
-func (u Use) may(h *Host) bool { return h.Ready && (!u.Local || h.Zone == u.Zone) }
+func (u Demand) may(h *Host) bool { return h.Ready && (!u.ZoneLocal || h.Zone == u.Zone) }
 
 // empty: a use without a host that may take it, where there is one that is warm.
-func (c *checker) empty(r *Row) {
-	for _, u := range r.Uses {
+func (c *checker) empty(r *Route) {
+	for _, u := range r.Demands {
 		if c.able(r, u) {
 			continue
 		}
 		could := 0.0
 		for i := range c.v.Hosts {
-			if h := &c.v.Hosts[i]; u.may(h) && h.Warmth >= 1 {
+			if h := &c.v.Hosts[i]; u.may(h) && h.SlowStartFactor >= 1 {
 				could++
 			}
 		}
 		if could > 0 {
-			c.find(Empty, u.String(), 0, could)
+			c.find(NoHost, u.String(), 0, could)
 		}
 	}
 }
 
 // able tells whether a row names a host that may take a use.
-func (c *checker) able(r *Row, u Use) bool {
-	for i, w := range r.Next {
+func (c *checker) able(r *Route, u Demand) bool {
+	for i, w := range r.Decided {
 		if w > 0 && good(w) && u.may(&c.v.Hosts[i]) {
 			return true
 		}
@@ -182,9 +182,9 @@
 }
 
 // asked is all the work of a row.
-func (r *Row) asked() (sum float64) {
-	for _, u := range r.Uses {
-		sum += u.Asked
+func (r *Route) asked() (sum float64) {
+	for _, u := range r.Demands {
+		sum += u.Work
 	}
 	return sum
 }
@@ -193,10 +193,10 @@
 // without the hosts of a zone.
 func (c *checker) loads(without int32) []float64 {
 	load := make([]float64, len(c.in))
-	for i := range c.v.Rows {
-		r := &c.v.Rows[i]
+	for i := range c.v.Routes {
+		r := &c.v.Routes[i]
 		sum := 0.0
-		for h, w := range r.Next {
+		for h, w := range r.Decided {
 			if z := c.in[h]; z >= 0 && z != without && w > 0 && w <= math.MaxFloat64 {
 				sum += w
 			}
@@ -205,7 +205,7 @@
 			continue
 		}
 		part := r.asked() / sum
-		for h, w := range r.Next {
+		for h, w := range r.Decided {
 			if z := c.in[h]; z >= 0 && z != without && w > 0 && w <= math.MaxFloat64 {
 				load[h] += w * part
 			}
@@ -222,25 +222,25 @@
 // whatever the rows are, and levels are what helps, but none has to be far over the others.
 func (c *checker) over(without int32) float64 {
 	asked, all := 0.0, 0.0
-	for i := range c.v.Rows {
-		asked += c.v.Rows[i].asked()
+	for i := range c.v.Routes {
+		asked += c.v.Routes[i].asked()
 	}
 	for i, z := range c.in {
 		if z >= 0 && z != without {
-			all += c.v.Hosts[i].Cap * c.v.Hosts[i].Warmth
+			all += c.v.Hosts[i].Capacity * c.v.Hosts[i].SlowStartFactor
 		}
 	}
 	if all <= 0 {
 		return math.Inf(1)
 	}
-	return math.Max(c.l.Over, slack*asked/all)
+	return math.Max(c.l.CapacityMultiple, slack*asked/all)
 }
 
 // load: hosts that are given more than their caps allow, without those of a zone.
 func (c *checker) load(check string, load []float64, without int32) {
 	over := c.over(without)
 	for i, x := range load {
-		if limit := c.v.Hosts[i].Cap * over; limit > 0 && x > limit && c.in[i] != without {
+		if limit := c.v.Hosts[i].Capacity * over; limit > 0 && x > limit && c.in[i] != without {
 			c.find(check, c.v.Hosts[i].Name, x, limit)
 		}
 	}
@@ -248,8 +248,8 @@
 
 func (c *checker) cold(load []float64) {
 	for i := range c.v.Hosts {
-		if h := &c.v.Hosts[i]; h.Warmth < 1 && h.Most > 0 && load[i] > h.Most {
-			c.find(Cold, h.Name, load[i], h.Most)
+		if h := &c.v.Hosts[i]; h.SlowStartFactor < 1 && h.SlowStartLimit > 0 && load[i] > h.SlowStartLimit {
+			c.find(OverSlowStartBudget, h.Name, load[i], h.SlowStartLimit)
 		}
 	}
 }
@@ -274,7 +274,7 @@
 // spare: what the others get when the zone that carries most is lost.
 func (c *checker) spare(load []float64) {
 	if worst := c.heaviest(load); worst != none {
-		c.load(Spare, c.loads(worst), worst)
+		c.load(OverCapacityWithoutZone, c.loads(worst), worst)
 	}
 }
 
@@ -289,8 +289,8 @@
 }
 
 // moved is half the distance between the shares before and after, over the hosts that may stay.
-func (c *checker) moved(r *Row) float64 {
-	was, is, up := c.v.sum(r.Now), c.v.sum(r.Next), 0.0
+func (c *checker) moved(r *Route) float64 {
+	was, is, up := c.v.sum(r.Published), c.v.sum(r.Decided), 0.0
 	if was <= 0 || is <= 0 {
 		return 0
 	}
@@ -298,7 +298,7 @@
 		if z == out {
 			continue
 		}
-		a, b := r.Now[h], r.Next[h]
+		a, b := r.Published[h], r.Decided[h]
 		if !good(a) {
 			a = 0
 		}
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"barleysail/internal/kept"
+	"barleysail/internal/golden"
 )
 
 // reckon says anew what is wrong with a view's next rows, host by host and use by use; it shares nothing with the guard
@@ -20,22 +20,22 @@
 	// what each host is given once all that go are gone, and the hosts of a zone
 	given := func(gone string) map[int]float64 {
 		out := map[int]float64{}
-		for _, r := range v.Rows {
+		for _, r := range v.Routes {
 			work, total := 0.0, 0.0
-			for _, u := range r.Uses {
-				work += u.Asked
+			for _, u := range r.Demands {
+				work += u.Work
 			}
 			stays := func(i int) bool {
-				return v.Hosts[i].Ready && number(r.Next[i]) && (gone == "" || v.Hosts[i].Zone != gone)
+				return v.Hosts[i].Ready && number(r.Decided[i]) && (gone == "" || v.Hosts[i].Zone != gone)
 			}
 			for i := range v.Hosts {
 				if stays(i) {
-					total += r.Next[i]
+					total += r.Decided[i]
 				}
 			}
 			for i := range v.Hosts {
 				if total > 0 && stays(i) {
-					out[i] += r.Next[i] * (work / total)
+					out[i] += r.Decided[i] * (work / total)
 				}
 			}
 		}
@@ -43,51 +43,51 @@
 	}
 	times := func(gone string) float64 {
 		need, have := 0.0, 0.0
-		for _, r := range v.Rows {
+		for _, r := range v.Routes {
 			one := 0.0
-			for _, u := range r.Uses {
-				one += u.Asked
+			for _, u := range r.Demands {
+				one += u.Work
 			}
 			need += one
 		}
 		for _, h := range v.Hosts {
 			if h.Ready && (gone == "" || h.Zone != gone) {
-				have += h.Cap * h.Warmth
+				have += h.Capacity * h.SlowStartFactor
 			}
 		}
 		if have == 0 {
 			return math.Inf(1)
 		}
-		if short := 1.1 * need / have; short > l.Over {
+		if short := 1.1 * need / have; short > l.CapacityMultiple {
 			return short
 		}
-		return l.Over
+		return l.CapacityMultiple
 	}
-	for _, r := range v.Rows {
-		name := r.Uses[0].Class + " in " + r.Uses[0].Zone
+	for _, r := range v.Routes {
+		name := r.Demands[0].Class + " in " + r.Demands[0].Zone
 		for i, h := range v.Hosts {
-			if !number(r.Next[i]) {
-				say(Number, name+" at "+h.Name)
+			if !number(r.Decided[i]) {
+				say(NotANumber, name+" at "+h.Name)
 			}
 		}
-		for _, u := range r.Uses {
+		for _, u := range r.Demands {
 			able, warm := 0, 0
 			for i, h := range v.Hosts {
-				if !h.Ready || u.Local && h.Zone != u.Zone {
+				if !h.Ready || u.ZoneLocal && h.Zone != u.Zone {
 					continue
 				}
-				if number(r.Next[i]) && r.Next[i] != 0 {
+				if number(r.Decided[i]) && r.Decided[i] != 0 {
 					able++
 				}
-				if h.Warmth >= 1 {
+				if h.SlowStartFactor >= 1 {
 					warm++
 				}
 			}
 			if able == 0 && warm > 0 {
-				say(Empty, u.Class+" in "+u.Zone)
+				say(NoHost, u.Class+" in "+u.Zone)
 			}
 		}
-		if l.Jump > 0 && r.Now != nil {
+		if l.MaxTrafficShift > 0 && r.Published != nil {
 			part := func(row []float64) (out []float64, any bool) {
 				total := 0.0
 				out = make([]float64, len(row))
@@ -103,18 +103,18 @@
 				}
 				return out, total > 0
 			}
-			a, had := part(r.Now)
-			b, has := part(r.Next)
+			a, had := part(r.Published)
+			b, has := part(r.Decided)
 			gain := 0.0
 			for i := range a {
 				gain += math.Abs(b[i] - a[i])
 			}
-			if had && has && gain/2 > l.Jump+1e-9 {
-				say(Jump, name)
+			if had && has && gain/2 > l.MaxTrafficShift+1e-9 {
+				say(TrafficJump, name)
 			}
 		}
 	}
-	if l.Over > 0 {
+	if l.CapacityMultiple > 0 {
 		now := given("")
 		by := map[string]float64{}
 		for i, h := range v.Hosts {
@@ -130,18 +130,18 @@
 			return by[zones[i]] > by[zones[j]] || by[zones[i]] == by[zones[j]] && zones[i] < zones[j]
 		})
 		for i, h := range v.Hosts {
-			if h.Cap > 0 && now[i] > h.Cap*times("") {
-				say(Over, h.Name)
+			if h.Capacity > 0 && now[i] > h.Capacity*times("") {
+				say(OverCapacity, h.Name)
 			}
-			if h.Warmth < 1 && h.Most > 0 && now[i] > h.Most {
-				say(Cold, h.Name)
+			if h.SlowStartFactor < 1 && h.SlowStartLimit > 0 && now[i] > h.SlowStartLimit {
+				say(OverSlowStartBudget, h.Name)
 			}
 		}
-		if l.Spare && len(zones) > 0 {
+		if l.SurviveZoneLoss && len(zones) > 0 {
 			then := given(zones[0])
 			for i, h := range v.Hosts {
-				if h.Zone != zones[0] && h.Cap > 0 && then[i] > h.Cap*times(zones[0]) {
-					say(Spare, h.Name)
+				if h.Zone != zones[0] && h.Capacity > 0 && then[i] > h.Capacity*times(zones[0]) {
+					say(OverCapacityWithoutZone, h.Name)
 				}
 			}
 		}
@@ -155,11 +155,11 @@
 func drawn(t *rapid.T) (*View, Limits) {
 	v := &View{}
 	zones := []string{"a", "b"}
-	l := Limits{Over: rapid.SampledFrom([]float64{0, 1, 1.2}).Draw(t, "over"), Jump: rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(t, "jump"), Spare: rapid.Bool().Draw(t, "spare")}
+	l := Limits{CapacityMultiple: rapid.SampledFrom([]float64{0, 1, 1.2}).Draw(t, "over"), MaxTrafficShift: rapid.SampledFrom([]float64{0, 0.2, 0.5}).Draw(t, "jump"), SurviveZoneLoss: rapid.Bool().Draw(t, "spare")}
 	for i := range rapid.IntRange(1, 7).Draw(t, "hosts") {
 		h := Host{Name: fmt.Sprint("h", i), Zone: rapid.SampledFrom(zones).Draw(t, "zone"), Ready: rapid.IntRange(0, 4).Draw(t, "ready") > 0,
-			Warmth: rapid.SampledFrom([]float64{1, 1, 1, 0.3}).Draw(t, "warmth"), Cap: rapid.SampledFrom([]float64{0, 2, 4}).Draw(t, "cap"),
-			Most: rapid.SampledFrom([]float64{0, 0.5, 2}).Draw(t, "most")}
+			SlowStartFactor: rapid.SampledFrom([]float64{1, 1, 1, 0.3}).Draw(t, "warmth"), Capacity: rapid.SampledFrom([]float64{0, 2, 4}).Draw(t, "cap"),
+			SlowStartLimit: rapid.SampledFrom([]float64{0, 0.5, 2}).Draw(t, "most")}
 		if rapid.IntRange(0, 9).Draw(t, "listed") == 0 { // in a table, but not on the list any more
 			h = Host{Name: h.Name}
 		}
@@ -171,31 +171,31 @@
 		}
 		return row
 	}
-	row := func(uses ...Use) {
+	row := func(uses ...Demand) {
 		for i := range uses {
-			uses[i].Asked = rapid.SampledFrom([]float64{0, 0.5, 2, 4}).Draw(t, "asked")
+			uses[i].Work = rapid.SampledFrom([]float64{0, 0.5, 2, 4}).Draw(t, "asked")
 		}
-		r := Row{Uses: uses, Next: weights(), Fixed: rapid.IntRange(0, 5).Draw(t, "fixed") == 0}
+		r := Route{Demands: uses, Decided: weights(), ReadOnly: rapid.IntRange(0, 5).Draw(t, "fixed") == 0}
 		if rapid.Bool().Draw(t, "published") {
-			r.Now = weights()
+			r.Published = weights()
 		}
-		v.Rows = append(v.Rows, r)
+		v.Routes = append(v.Routes, r)
 	}
 	if rapid.Bool().Draw(t, "local") {
-		row(Use{Class: "sheet", Zone: "a", Local: true}, Use{Class: "finish", Zone: "a"})
-		row(Use{Class: "sheet", Zone: "b", Local: true}, Use{Class: "finish", Zone: "b"})
+		row(Demand{Class: "sheet", Zone: "a", ZoneLocal: true}, Demand{Class: "finish", Zone: "a"})
+		row(Demand{Class: "sheet", Zone: "b", ZoneLocal: true}, Demand{Class: "finish", Zone: "b"})
 	} else {
-		row(Use{Class: "sheet", Zone: "a"}, Use{Class: "finish", Zone: "a"}, Use{Class: "sheet", Zone: "b"}, Use{Class: "finish", Zone: "b"})
+		row(Demand{Class: "sheet", Zone: "a"}, Demand{Class: "finish", Zone: "a"}, Demand{Class: "sheet", Zone: "b"}, Demand{Class: "finish", Zone: "b"})
 	}
 	if rapid.Bool().Draw(t, "hands") {
-		row(Use{Class: "sheet", Zone: "b"}, Use{Class: "finish", Zone: "b"})
+		row(Demand{Class: "sheet", Zone: "b"}, Demand{Class: "finish", Zone: "b"})
 	}
 	return v, l
 }
 
 func listed(found []Finding) (all []string) {
 	for _, f := range found {
-		all = append(all, f.Check+": "+f.On)
+		all = append(all, f.Check+": "+f.Subject)
 	}
 	sort.Strings(all)
 	return all
@@ -203,7 +203,7 @@
 
 // broken tells what a mended row does that it must not, whatever else is wrong.
 func broken(v *View, i int, row []float64) string {
-	r := &v.Rows[i]
+	r := &v.Routes[i]
 	part := func(row []float64) func(h int) float64 {
 		sum := 0.0
 		for h, w := range row {
@@ -214,20 +214,20 @@
 		return func(h int) float64 { return row[h] / sum }
 	}
 	could := 0
-	for h, w := range r.Next {
+	for h, w := range r.Decided {
 		if w > 0 && w < math.Inf(1) && v.Hosts[h].Ready {
 			could++
 		}
 	}
 	needs := false // a use that nobody decided on can take
-	for _, u := range r.Uses {
+	for _, u := range r.Demands {
 		able := false
-		for h, w := range r.Next {
-			able = able || w > 0 && w < math.Inf(1) && v.Hosts[h].Ready && (!u.Local || v.Hosts[h].Zone == u.Zone)
+		for h, w := range r.Decided {
+			able = able || w > 0 && w < math.Inf(1) && v.Hosts[h].Ready && (!u.ZoneLocal || v.Hosts[h].Zone == u.Zone)
 		}
 		needs = needs || !able
 	}
-	was, is := part(r.Next), part(row)
+	was, is := part(r.Decided), part(row)
 	for h, w := range row {
 		x := &v.Hosts[h]
 		switch {
@@ -235,9 +235,9 @@
 			return x.Name + " has a weight that is none"
 		case w > 0 && !x.Ready:
 			return x.Name + " may not stay"
-		case w > 0 && !(r.Next[h] > 0) && !needs:
+		case w > 0 && !(r.Decided[h] > 0) && !needs:
 			return x.Name + " was left out"
-		case w > 0 && x.Warmth < 1 && could > 0 && is(h) > was(h)*(1+1e-9):
+		case w > 0 && x.SlowStartFactor < 1 && could > 0 && is(h) > was(h)*(1+1e-9):
 			return fmt.Sprintf("%s is cold and has %.3f of the row for %.3f", x.Name, is(h), was(h))
 		}
 	}
@@ -273,8 +273,8 @@
 			mended++
 		}
 		for i, row := range next {
-			if v.Rows[i].Fixed {
-				if !same(row, v.Rows[i].Next) {
+			if v.Routes[i].ReadOnly {
+				if !same(row, v.Routes[i].Decided) {
 					t.Fatal("a fixed row was changed")
 				}
 			} else if why := broken(v, i, row); why != "" {
@@ -298,29 +298,29 @@
 // limit at once.
 func TestSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := &View{Rows: []Row{{Uses: []Use{{Class: "sheet", Zone: "a", Asked: 4}}}}}
-		l := Limits{Over: 1, Jump: rapid.SampledFrom([]float64{0.1, 0.3}).Draw(t, "jump")}
-		r := &v.Rows[0]
+		v := &View{Routes: []Route{{Demands: []Demand{{Class: "sheet", Zone: "a", Work: 4}}}}}
+		l := Limits{CapacityMultiple: 1, MaxTrafficShift: rapid.SampledFrom([]float64{0.1, 0.3}).Draw(t, "jump")}
+		r := &v.Routes[0]
 		for i := range 6 {
-			v.Hosts = append(v.Hosts, Host{Name: fmt.Sprint("h", i), Zone: []string{"a", "b"}[i%2], Ready: true, Warmth: 1, Cap: 2})
-			r.Now = append(r.Now, 1)
+			v.Hosts = append(v.Hosts, Host{Name: fmt.Sprint("h", i), Zone: []string{"a", "b"}[i%2], Ready: true, SlowStartFactor: 1, Capacity: 2})
+			r.Published = append(r.Published, 1)
 		}
 		for range 3 {
-			r.Next = nil
+			r.Decided = nil
 			for range v.Hosts {
-				r.Next = append(r.Next, rapid.Float64Range(0.05, 3).Draw(t, "weight"))
+				r.Decided = append(r.Decided, rapid.Float64Range(0.05, 3).Draw(t, "weight"))
 			}
-			sound := r.Now
+			sound := r.Published
 			for i := 0; ; i++ {
 				if i == 40 {
-					t.Fatalf("after 40 steps it is at %v for %v", r.Now, r.Next)
+					t.Fatalf("after 40 steps it is at %v for %v", r.Published, r.Decided)
 				}
 				rows, left := Repair(v, l)
-				if moved := newChecker(v.with(rows), l).moved(&v.with(rows).Rows[0]); moved > l.Jump+1e-6 {
+				if moved := newChecker(v.with(rows), l).moved(&v.with(rows).Routes[0]); moved > l.MaxTrafficShift+1e-6 {
 					t.Fatalf("moved %g", moved)
 				}
-				sound, r.Now = r.Now, rows[0]
-				if len(left) == 0 && newChecker(v.with([][]float64{sound}), l).moved(&v.with([][]float64{sound}).Rows[0]) < 1e-6 {
+				sound, r.Published = r.Published, rows[0]
+				if len(left) == 0 && newChecker(v.with([][]float64{sound}), l).moved(&v.with([][]float64{sound}).Routes[0]) < 1e-6 {
 					break
 				}
 			}
@@ -331,11 +331,11 @@
 // Each check found by a view that breaks it and nothing else, with its figures and what is given instead.
 func TestEachCheck(t *testing.T) {
 	plain := func() (*View, Limits) {
-		row := func(zone string) Row {
-			return Row{Uses: []Use{{"sheet", zone, false, 1}, {"finish", zone, false, 0.5}}, Now: []float64{1, 1, 1}, Next: []float64{1, 1, 1}}
+		row := func(zone string) Route {
+			return Route{Demands: []Demand{{"sheet", zone, false, 1}, {"finish", zone, false, 0.5}}, Published: []float64{1, 1, 1}, Decided: []float64{1, 1, 1}}
 		}
 		return &View{Hosts: []Host{{"x", "a", true, 1, 4, 0}, {"y", "a", true, 1, 4, 0}, {"z", "b", true, 1, 4, 0}},
-			Rows: []Row{row("a"), row("b")}}, Limits{Over: 1, Jump: 0.4}
+			Routes: []Route{row("a"), row("b")}}, Limits{CapacityMultiple: 1, MaxTrafficShift: 0.4}
 	}
 	var out strings.Builder
 	for _, x := range []struct {
@@ -343,29 +343,29 @@
 		do   func(v *View, l *Limits)
 	}{
 		{"a good table", func(*View, *Limits) {}},
-		{"a weight that is no number", func(v *View, _ *Limits) { v.Rows[0].Next[0] = math.NaN() }},
+		{"a weight that is no number", func(v *View, _ *Limits) { v.Routes[0].Decided[0] = math.NaN() }},
 		{"sound for one class and empty for the other, which stays in its zone", func(v *View, _ *Limits) {
-			v.Rows[1].Uses[1].Local, v.Rows[1].Next, v.Rows[1].Now = true, []float64{1, 1, 0}, nil
+			v.Routes[1].Demands[1].ZoneLocal, v.Routes[1].Decided, v.Routes[1].Published = true, []float64{1, 1, 0}, nil
 		}},
 		{"only a host that drains", func(v *View, l *Limits) {
-			v.Hosts[0].Ready, l.Jump = false, 0
-			v.Rows[0].Next = []float64{1, 0, 0}
+			v.Hosts[0].Ready, l.MaxTrafficShift = false, 0
+			v.Routes[0].Decided = []float64{1, 0, 0}
 		}},
-		{"a host over its cap", func(v *View, l *Limits) { v.Hosts[2].Cap, l.Jump = 0.5, 0 }},
+		{"a host over its cap", func(v *View, l *Limits) { v.Hosts[2].Capacity, l.MaxTrafficShift = 0.5, 0 }},
 		{"over its cap once the host that drains is gone", func(v *View, l *Limits) {
-			v.Hosts[0].Ready, v.Hosts[2].Cap, l.Jump = false, 1.2, 0
+			v.Hosts[0].Ready, v.Hosts[2].Capacity, l.MaxTrafficShift = false, 1.2, 0
 		}},
-		{"a cold host over its budget", func(v *View, _ *Limits) { v.Hosts[1].Warmth, v.Hosts[1].Most = 0.2, 0.7 }},
-		{"without the zone that carries most", func(v *View, l *Limits) { l.Spare, v.Hosts[1].Cap, v.Hosts[2].Cap = true, 2.9, 3.1 }},
+		{"a cold host over its budget", func(v *View, _ *Limits) { v.Hosts[1].SlowStartFactor, v.Hosts[1].SlowStartLimit = 0.2, 0.7 }},
+		{"without the zone that carries most", func(v *View, l *Limits) { l.SurviveZoneLoss, v.Hosts[1].Capacity, v.Hosts[2].Capacity = true, 2.9, 3.1 }},
 		{"a zone whose loss leaves one small host with too much", func(v *View, l *Limits) {
 			v.Hosts = append(v.Hosts, Host{"v", "b", true, 1, 1, 0})
-			for i := range v.Rows {
-				v.Rows[i].Next, v.Rows[i].Now = []float64{1, 1, 1, 1}, nil
+			for i := range v.Routes {
+				v.Routes[i].Decided, v.Routes[i].Published = []float64{1, 1, 1, 1}, nil
 			}
-			l.Spare = true
+			l.SurviveZoneLoss = true
 		}},
-		{"a jump", func(v *View, _ *Limits) { v.Rows[0].Next = []float64{9, 0.5, 0.5} }},
-		{"more than there is room for: levels help, no table does", func(v *View, _ *Limits) { v.Rows[0].Uses[0].Asked = 100 }},
+		{"a jump", func(v *View, _ *Limits) { v.Routes[0].Decided = []float64{9, 0.5, 0.5} }},
+		{"more than there is room for: levels help, no table does", func(v *View, _ *Limits) { v.Routes[0].Demands[0].Work = 100 }},
 	} {
 		v, l := plain()
 		x.do(v, &l)
@@ -381,23 +381,23 @@
 			fmt.Fprintln(&out, "  left: "+f.String())
 		}
 	}
-	kept.Compare(t, "checks", out.String())
+	golden.Compare(t, "checks", out.String())
 }
 
 // A list that loses too much at once is held back until it is whole, confirmed, or its hold is over.
 func TestListing(t *testing.T) {
-	l := NewListing(ListLimits{Lose: 0.5, Hold: 1500})
+	l := NewEndpointLossGuard(EndpointLossLimits{MaxLossRatio: 0.5, HoldMs: 1500})
 	for _, x := range []struct {
 		now                    float64
 		ready, lost, confirmed int
 		held                   bool
 	}{{0, 10, 5, 0, false}, {100, 10, 6, 0, true}, {1000, 10, 6, 0, true}, {1100, 10, 0, 0, false}, {2000, 10, 10, 0, true}, {2100, 10, 10, 5, false},
 		{3000, 10, 8, 2, true}, {4499, 10, 8, 2, true}, {4500, 10, 8, 2, false}, {5000, 0, 0, 0, false}} {
-		if held := l.Take(x.now, x.ready, x.lost, x.confirmed); held != x.held {
+		if held := l.Observe(x.now, x.ready, x.lost, x.confirmed); held != x.held {
 			t.Errorf("%+v: held %v", x, held)
 		}
 	}
-	if NewListing(ListLimits{}).Take(0, 10, 10, 0) {
+	if NewEndpointLossGuard(EndpointLossLimits{}).Observe(0, 10, 10, 0) {
 		t.Error("held without a limit")
 	}
 }
--- a/guard/pace.go
+++ b/guard/pace.go
@@ -6,26 +6,26 @@
 	messagesTo = 0.5
 )
 
-// Pace is what the channel has in hand when the guard has lines of its own for proxies.
-type Pace struct {
-	Waiting, MostWaiting float64 // lines
-	Sent, MessagesMost   int     // messages that the proxy which got most has had within the cap's time; 0: no cap
+// ChannelBudget is what the channel has in hand when the guard has lines of its own for proxies.
+type ChannelBudget struct {
+	Backlog, MaxBacklog       float64 // lines
+	MessagesSent, MaxMessages int     // messages that the proxy which got most has had within the cap's time; 0: no cap
 }
 
 // Fits tells whether so many more lines, and a message more where it makes one, leave what removals need.
-func (p Pace) Fits(lines float64, message bool) bool {
-	return p.Waiting+lines <= linesTo*p.MostWaiting &&
-		(!message || p.MessagesMost == 0 || float64(p.Sent+1) <= messagesTo*float64(p.MessagesMost))
+func (p ChannelBudget) Fits(lines float64, message bool) bool {
+	return p.Backlog+lines <= linesTo*p.MaxBacklog &&
+		(!message || p.MaxMessages == 0 || float64(p.MessagesSent+1) <= messagesTo*float64(p.MaxMessages))
 }
 
-// Hold gives the published row without what may not stay or was taken out of the decided one, cold hosts with no more
+// MinimalUpdate gives the published row without what may not stay or was taken out of the decided one, cold hosts with no more
 // than either gives them: the least change that keeps removals, for when the channel has no room for a better one.
 // False where nobody would be left.
-func Hold(hosts []Host, now, next []float64) (row []float64, left bool) {
+func MinimalUpdate(hosts []Host, now, next []float64) (row []float64, left bool) {
 	row = make([]float64, len(next))
 	for h, w := range now {
 		if w > 0 && next[h] > 0 && good(next[h]) && hosts[h].Ready {
-			if row[h] = w; hosts[h].Warmth < 1 {
+			if row[h] = w; hosts[h].SlowStartFactor < 1 {
 				row[h] = min(w, next[h])
 			} else {
 				left = true
--- a/guard/repair.go
+++ b/guard/repair.go
@@ -7,7 +7,7 @@
 )
 
 // grave weighs findings against each other, so that mending one never pays with a worse one.
-var grave = map[string]float64{Number: 1e9, Empty: 1e9, Cold: 1e6, Jump: 1e3, Over: 1, Spare: 1e-3}
+var grave = map[string]float64{NotANumber: 1e9, NoHost: 1e9, OverSlowStartBudget: 1e6, TrafficJump: 1e3, OverCapacity: 1, OverCapacityWithoutZone: 1e-3}
 
 func gravity(found []Finding) (sum float64) {
 	for _, f := range found {
@@ -32,32 +32,32 @@
 	m.fewer = math.Inf(1) // what may not stay is out of all that follow, be it no fewer findings
 	m.try(first)
 	within := v.with(first)
-	m.relieve(within.Rows)
+	m.relieve(within.Routes)
 	m.try(within.next())
-	if l.Spare && m.has(Spare) {
+	if l.SurviveZoneLoss && m.has(OverCapacityWithoutZone) {
 		m.even(within)
 	}
-	if l.Jump > 0 && m.has(Jump) {
+	if l.MaxTrafficShift > 0 && m.has(TrafficJump) {
 		for _, part := range []float64{1, 0.75, 0.5, 0.25, 0.1} {
-			m.try(m.step(m.best, part*l.Jump))
+			m.try(m.step(m.best, part*l.MaxTrafficShift))
 		}
 	}
 	return m.best, m.left
 }
 
 func (v *View) next() (rows [][]float64) {
-	for i := range v.Rows {
-		rows = append(rows, v.Rows[i].Next)
+	for i := range v.Routes {
+		rows = append(rows, v.Routes[i].Decided)
 	}
 	return rows
 }
 
 // with is the view with other rows in place of those decided, which the caller may change.
 func (v *View) with(rows [][]float64) *View {
-	w := &View{Hosts: v.Hosts, Rows: slices.Clone(v.Rows)}
-	for i := range w.Rows {
-		if w.Rows[i].Next = rows[i]; !w.Rows[i].Fixed {
-			w.Rows[i].Next = slices.Clone(rows[i])
+	w := &View{Hosts: v.Hosts, Routes: slices.Clone(v.Routes)}
+	for i := range w.Routes {
+		if w.Routes[i].Decided = rows[i]; !w.Routes[i].ReadOnly {
+			w.Routes[i].Decided = slices.Clone(rows[i])
 		}
 	}
 	return w
@@ -89,30 +89,30 @@
 func (m *mender) cleaned() [][]float64 {
 	w := m.v.with(m.v.next())
 	c := newChecker(w, m.l)
-	for i := range w.Rows {
-		r := &w.Rows[i]
-		if r.Fixed {
+	for i := range w.Routes {
+		r := &w.Routes[i]
+		if r.ReadOnly {
 			continue
 		}
-		for h, x := range r.Next {
+		for h, x := range r.Decided {
 			if !good(x) || !w.Hosts[h].Ready {
-				r.Next[h] = 0
+				r.Decided[h] = 0
 			}
 		}
-		for _, u := range r.Uses {
+		for _, u := range r.Demands {
 			if c.able(r, u) {
 				continue
 			}
 			all, n := 0.0, 0.0
 			for h := range w.Hosts {
-				if u.may(&w.Hosts[h]) && w.Hosts[h].Warmth >= 1 {
-					all, n = all+w.Hosts[h].Cap, n+1
+				if u.may(&w.Hosts[h]) && w.Hosts[h].SlowStartFactor >= 1 {
+					all, n = all+w.Hosts[h].Capacity, n+1
 				}
 			}
 			for h := range w.Hosts {
-				if x := &w.Hosts[h]; u.may(x) && x.Warmth >= 1 {
-					if r.Next[h] = 1; all > 0 && x.Cap > 0 {
-						r.Next[h] = x.Cap * n / all
+				if x := &w.Hosts[h]; u.may(x) && x.SlowStartFactor >= 1 {
+					if r.Decided[h] = 1; all > 0 && x.Capacity > 0 {
+						r.Decided[h] = x.Capacity * n / all
 					}
 				}
 			}
@@ -124,11 +124,11 @@
 // limit is what a host may be given: its cap, or if it is cold its budget.
 func (m *mender) limit(h *Host) float64 {
 	limit := math.Inf(1)
-	if h.Cap > 0 && m.l.Over > 0 {
-		limit = h.Cap * m.over
+	if h.Capacity > 0 && m.l.CapacityMultiple > 0 {
+		limit = h.Capacity * m.over
 	}
-	if h.Warmth < 1 && h.Most > 0 {
-		limit = math.Min(limit, h.Most)
+	if h.SlowStartFactor < 1 && h.SlowStartLimit > 0 {
+		limit = math.Min(limit, h.SlowStartLimit)
 	}
 	return limit
 }
@@ -141,8 +141,8 @@
 
 // relieve takes off each host what is over its limit and gives it to the roomiest warm hosts of the same row, those of
 // its zone first: few lines change. Where the rows have no room the rest stays.
-func (m *mender) relieve(rows []Row) {
-	c := newChecker(&View{Hosts: m.v.Hosts, Rows: rows}, m.l)
+func (m *mender) relieve(rows []Route) {
+	c := newChecker(&View{Hosts: m.v.Hosts, Routes: rows}, m.l)
 	for range passes {
 		load, moved := c.loads(none), false
 		for h := range m.v.Hosts {
@@ -152,7 +152,7 @@
 			}
 			part := 1 - limit*under/load[h]
 			for i := range rows {
-				if r := &rows[i]; !r.Fixed && r.Next[h] > 0 {
+				if r := &rows[i]; !r.ReadOnly && r.Decided[h] > 0 {
 					moved = m.unload(r, h, part, load) || moved
 				}
 			}
@@ -164,14 +164,14 @@
 }
 
 // unload takes a part of a host's weight in a row and deals it to others with room, whose loads it brings up to date.
-func (m *mender) unload(r *Row, from int, part float64, load []float64) bool {
-	sum, asked := m.v.sum(r.Next), r.asked()
+func (m *mender) unload(r *Route, from int, part float64, load []float64) bool {
+	sum, asked := m.v.sum(r.Decided), r.asked()
 	if asked <= 0 || sum <= 0 {
 		return false
 	}
 	var to []int
-	for h, w := range r.Next {
-		if x := &m.v.Hosts[h]; h != from && w > 0 && x.Ready && x.Warmth >= 1 && load[h] < m.limit(x)*under {
+	for h, w := range r.Decided {
+		if x := &m.v.Hosts[h]; h != from && w > 0 && x.Ready && x.SlowStartFactor >= 1 && load[h] < m.limit(x)*under {
 			to = append(to, h)
 		}
 	}
@@ -183,13 +183,13 @@
 		}
 		return room(to[i]) > room(to[j])
 	})
-	rest, moved := r.Next[from]*part*asked/sum, false // as work
+	rest, moved := r.Decided[from]*part*asked/sum, false // as work
 	for _, h := range to {
 		x := math.Min(rest, room(h))
 		if rest -= x; x > 0 {
 			moved = true
 			load[h], load[from] = load[h]+x, load[from]-x
-			r.Next[h], r.Next[from] = r.Next[h]+x*sum/asked, r.Next[from]-x*sum/asked
+			r.Decided[h], r.Decided[from] = r.Decided[h]+x*sum/asked, r.Decided[from]-x*sum/asked
 		}
 	}
 	return moved
@@ -202,20 +202,20 @@
 func (m *mender) even(v *View) {
 	for _, part := range evens {
 		w := v.with(v.next())
-		for i := range w.Rows {
-			r := &w.Rows[i]
-			if r.Fixed {
+		for i := range w.Routes {
+			r := &w.Routes[i]
+			if r.ReadOnly {
 				continue
 			}
 			sum, caps := 0.0, 0.0
-			for h, x := range r.Next {
-				if k := &w.Hosts[h]; x > 0 && k.Warmth >= 1 && k.Cap > 0 {
-					sum, caps = sum+x, caps+k.Cap
+			for h, x := range r.Decided {
+				if k := &w.Hosts[h]; x > 0 && k.SlowStartFactor >= 1 && k.Capacity > 0 {
+					sum, caps = sum+x, caps+k.Capacity
 				}
 			}
-			for h, x := range r.Next {
-				if k := &w.Hosts[h]; x > 0 && k.Warmth >= 1 && k.Cap > 0 {
-					r.Next[h] = x + part*(sum*k.Cap/caps-x)
+			for h, x := range r.Decided {
+				if k := &w.Hosts[h]; x > 0 && k.SlowStartFactor >= 1 && k.Capacity > 0 {
+					r.Decided[h] = x + part*(sum*k.Capacity/caps-x)
 				}
 			}
 		}
@@ -228,27 +228,27 @@
 func (m *mender) step(to [][]float64, most float64) [][]float64 {
 	w := m.v.with(to)
 	c := newChecker(w, m.l)
-	for i := range w.Rows {
-		r := &w.Rows[i]
-		if r.Fixed || r.Now == nil {
+	for i := range w.Routes {
+		r := &w.Routes[i]
+		if r.ReadOnly || r.Published == nil {
 			continue
 		}
 		moved := c.moved(r)
-		was, is := w.sum(r.Now), w.sum(r.Next)
+		was, is := w.sum(r.Published), w.sum(r.Decided)
 		if moved <= most || was <= 0 || is <= 0 {
 			continue
 		}
-		part, row := most/moved, make([]float64, len(r.Next))
+		part, row := most/moved, make([]float64, len(r.Decided))
 		warm, cold := 0.0, 0.0
-		for h, x := range r.Next {
+		for h, x := range r.Decided {
 			if x <= 0 || !w.Hosts[h].Ready {
 				continue
 			}
 			a, b := 0.0, x/is
-			if good(r.Now[h]) {
-				a = r.Now[h] / was
+			if good(r.Published[h]) {
+				a = r.Published[h] / was
 			}
-			if row[h] = a + part*(b-a); w.Hosts[h].Warmth < 1 {
+			if row[h] = a + part*(b-a); w.Hosts[h].SlowStartFactor < 1 {
 				row[h] = math.Min(row[h], b)
 				cold += row[h]
 			} else {
@@ -256,13 +256,13 @@
 			}
 		}
 		for h := range row { // the weights' usual size, and the cold hosts' shares as they are
-			if w.Hosts[h].Warmth >= 1 && warm > 0 {
+			if w.Hosts[h].SlowStartFactor >= 1 && warm > 0 {
 				row[h] *= (1 - cold) / warm
 			}
 			row[h] *= is
 		}
 		if warm > 0 {
-			r.Next = row
+			r.Decided = row
 		}
 	}
 	return w.next()
--- a/intake/door.go
+++ b/intake/door.go
@@ -9,14 +9,14 @@
 	"golang.org/x/time/rate"
 )
 
-// DoorLimits say how much may come in, in lines (about what is told of one host).
-type DoorLimits struct {
-	Source float64 // lines a second of one source; it may send a second's worth at once
-	All    float64 // of all sources together
+// RateLimits say how much may come in, in lines (about what is told of one host).
+type RateLimits struct {
+	PerSource float64 // lines a second of one source; it may send a second's worth at once
+	Total     float64 // of all sources together
 }
 
-// DefaultDoorLimits are the limits where none are set.
-func DefaultDoorLimits() DoorLimits { return DoorLimits{Source: 5000, All: 50000} }
+// DefaultRateLimits are the limits where none are set.
+func DefaultRateLimits() RateLimits { return RateLimits{PerSource: 5000, Total: 50000} }
 
 const (
 	promised    = 0.5              // of all that may come is dealt out to the sources evenly; the rest goes to who comes first
@@ -26,12 +26,12 @@
 	others      = "\x00others"
 )
 
-// Door lets reports in before anything else is done for them, reading them among it: each source has a bucket of its own,
+// RateLimiter lets reports in before anything else is done for them, reading them among it: each source has a bucket of its own,
 // and of what may come in all, half is promised to the sources evenly. So a source that floods takes what it is due and
 // what nobody else wants, never what is due to another. It is safe for use by several goroutines.
-type Door struct {
+type RateLimiter struct {
 	mu      sync.Mutex
-	limits  DoorLimits
+	limits  RateLimits
 	part    float64 // of the limits that are in force
 	sources map[string]*list.Element
 	recent  *list.List // of *source, the one that came last first
@@ -48,17 +48,17 @@
 	seen     time.Time
 }
 
-// NewDoor makes an open one.
-func NewDoor(l DoorLimits) *Door {
-	return &Door{limits: l, part: 1, sources: map[string]*list.Element{}, recent: list.New(),
-		common: rate.NewLimiter(rate.Limit(l.All*(1-promised)), burst(l.All))}
+// NewRateLimiter makes an open one.
+func NewRateLimiter(l RateLimits) *RateLimiter {
+	return &RateLimiter{limits: l, part: 1, sources: map[string]*list.Element{}, recent: list.New(),
+		common: rate.NewLimiter(rate.Limit(l.Total*(1-promised)), burst(l.Total))}
 }
 
 func burst(lines float64) int { return int(math.Max(lines, leastLines)) }
 
-// Let tells whether a report of so many lines of a source may come in now, and if not, after how long it may be tried
+// Allow tells whether a report of so many lines of a source may come in now, and if not, after how long it may be tried
 // again.
-func (d *Door) Let(now time.Time, name string, lines int) (ok bool, again time.Duration) {
+func (d *RateLimiter) Allow(now time.Time, name string, lines int) (ok bool, again time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.forget(now)
@@ -76,19 +76,19 @@
 }
 
 // wait is how long it takes until a bucket holds so many lines again.
-func (d *Door) wait(l *rate.Limiter, now time.Time, lines int) time.Duration {
+func (d *RateLimiter) wait(l *rate.Limiter, now time.Time, lines int) time.Duration {
 	lack := float64(lines) - l.TokensAt(now)
 	return time.Duration(math.Min(math.Max(lack/float64(l.Limit()), 0.1), 60) * float64(time.Second))
 }
 
-func (d *Door) source(now time.Time, name string) *source {
+func (d *RateLimiter) source(now time.Time, name string) *source {
 	e := d.sources[name]
 	if e == nil && len(d.sources) >= mostSources {
 		name = others
 		e = d.sources[name]
 	}
 	if e == nil {
-		s := &source{name: name, own: rate.NewLimiter(rate.Limit(d.limits.Source*d.part), burst(d.limits.Source)),
+		s := &source{name: name, own: rate.NewLimiter(rate.Limit(d.limits.PerSource*d.part), burst(d.limits.PerSource)),
 			promised: rate.NewLimiter(d.each(len(d.sources)+1), leastLines)}
 		e = d.recent.PushFront(s)
 		d.sources[name] = e
@@ -103,7 +103,7 @@
 }
 
 // forget gives up sources that have not come for long.
-func (d *Door) forget(now time.Time) {
+func (d *RateLimiter) forget(now time.Time) {
 	for e := d.recent.Back(); e != nil && now.Sub(e.Value.(*source).seen) > idle; e = d.recent.Back() {
 		delete(d.sources, e.Value.(*source).name)
 		d.recent.Remove(e)
@@ -111,24 +111,24 @@
 }
 
 // each is what is promised to each of so many sources.
-func (d *Door) each(sources int) rate.Limit {
-	return rate.Limit(math.Max(d.limits.All*d.part*promised/float64(sources), 1e-3))
+func (d *RateLimiter) each(sources int) rate.Limit {
+	return rate.Limit(math.Max(d.limits.Total*d.part*promised/float64(sources), 1e-3))
 }
 
 // deal sets the buckets by the number of sources and the part that is in force.
-func (d *Door) deal(now time.Time) {
+func (d *RateLimiter) deal(now time.Time) {
 	d.dealt = len(d.sources)
 	each := d.each(d.dealt)
 	for e := d.recent.Front(); e != nil; e = e.Next() {
 		s := e.Value.(*source)
 		s.promised.SetLimitAt(now, each)
-		s.own.SetLimitAt(now, rate.Limit(d.limits.Source*d.part))
+		s.own.SetLimitAt(now, rate.Limit(d.limits.PerSource*d.part))
 	}
-	d.common.SetLimitAt(now, rate.Limit(d.limits.All*d.part*(1-promised)))
+	d.common.SetLimitAt(now, rate.Limit(d.limits.Total*d.part*(1-promised)))
 }
 
-// Narrow lets only a part of the limits in, 1 for all of them.
-func (d *Door) Narrow(now time.Time, part float64) {
+// SetRatio lets only a part of the limits in, 1 for all of them.
+func (d *RateLimiter) SetRatio(now time.Time, part float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if part != d.part {
@@ -139,17 +139,17 @@
 	}
 }
 
-// DoorReport is how the door stands.
-type DoorReport struct {
-	Sources int     `json:"sources"` // that came lately
-	Part    float64 `json:"part"`    // of the limits that is in force
-	Refused int64   `json:"refused"` // reports of sources that sent more than one may
-	Shed    int64   `json:"shed"`    // reports beyond what all may send and their source is promised
+// RateLimiterReport is how the door stands.
+type RateLimiterReport struct {
+	Sources  int     `json:"sources"` // that came lately
+	Ratio    float64 `json:"part"`    // of the limits that is in force
+	Rejected int64   `json:"refused"` // reports of sources that sent more than one may
+	Shed     int64   `json:"shed"`    // reports beyond what all may send and their source is promised
 }
 
 // Report tells how the door stands.
-func (d *Door) Report() DoorReport {
+func (d *RateLimiter) Report() RateLimiterReport {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return DoorReport{len(d.sources), d.part, d.refused, d.sheds}
+	return RateLimiterReport{len(d.sources), d.part, d.refused, d.sheds}
 }
--- a/intake/pace.go
+++ b/intake/pace.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Pace decides how far a steward that falls behind sheds reports, and then lengthens its rounds. Polls and drains are not
+// IngestPacer decides how far a steward that falls behind sheds reports, and then lengthens its rounds. Polls and drains are not
 // its business: they go on as they come.
-type Pace struct {
+type IngestPacer struct {
 	level  int
 	late   float64 // of the last rounds, faded
 	behind int     // rounds in a row that were late
@@ -19,8 +19,8 @@
 	mostLevel   = 3
 )
 
-// Round notes that a round came so many ms later than it was due, and tells whether the level changed.
-func (p *Pace) Round(late float64) (changed bool) {
+// ObserveRound notes that a round came so many ms later than it was due, and tells whether the level changed.
+func (p *IngestPacer) ObserveRound(late float64) (changed bool) {
 	p.late += 0.3 * (late - p.late)
 	switch {
 	case late > lateOver:
@@ -41,17 +41,17 @@
 	return false
 }
 
-// Level is 0 while the steward keeps up, 3 at the most.
-func (p *Pace) Level() int { return p.level }
+// SheddingLevel is 0 while the steward keeps up, 3 at the most.
+func (p *IngestPacer) SheddingLevel() int { return p.level }
 
-// Late is how late the last rounds came, ms.
-func (p *Pace) Late() float64 { return p.late }
+// LatenessMs is how late the last rounds came, ms.
+func (p *IngestPacer) LatenessMs() float64 { return p.late }
 
-// Part is what of the intake is let in: half as much with each level.
-func (p *Pace) Part() float64 { return math.Exp2(-float64(p.level)) }
+// Ratio is what of the intake is let in: half as much with each level.
+func (p *IngestPacer) Ratio() float64 { return math.Exp2(-float64(p.level)) }
 
-// Lines is how many lines a round takes in.
-func (p *Pace) Lines(usual int) int { return max(usual>>(2*p.level), 100) }
+// MaxReports is how many lines a round takes in.
+func (p *IngestPacer) MaxReports(usual int) int { return max(usual>>(2*p.level), 100) }
 
-// Stretch is how many times as long the module's own rounds take: reports are shed first.
-func (p *Pace) Stretch() float64 { return math.Max(1, math.Exp2(float64(p.level-1))) }
+// IntervalFactor is how many times as long the module's own rounds take: reports are shed first.
+func (p *IngestPacer) IntervalFactor() float64 { return math.Max(1, math.Exp2(float64(p.level-1))) }
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -33,7 +33,7 @@
 }
 
 type queued struct {
-	Line
+	Report
 	worth float64
 	order int64
 	at    int // in the source's heap
@@ -49,33 +49,33 @@
 
 // worth orders lines by how much they still say: the tries, halved for each half-life of age. Since all age alike it does
 // not change while they wait.
-func (q *Queue) worth(l *Line) float64 {
-	return math.Log2(float64(l.Tries)+1) + l.At/math.Max(q.limits.HalfLife, 1)
+func (q *Queue) worth(l *Report) float64 {
+	return math.Log2(float64(l.Attempts)+1) + l.ObservedMs/math.Max(q.limits.HalfLifeMs, 1)
 }
 
-// Offer puts a line into the queue.
-func (q *Queue) Offer(l Line) {
+// Add puts a line into the queue.
+func (q *Queue) Add(l Report) {
 	w := q.by[l.Source]
 	if w == nil {
 		w = &waiting{source: l.Source, of: map[key][]*queued{}}
 		q.by[l.Source] = w
 		heap.Push(&q.most, w)
 	}
-	k := key{l.Of, l.Usage}
+	k := key{l.Subject, l.IsDemand}
 	if all := w.of[k]; len(all) >= alike {
 		x := all[len(all)-1]
 		x.merge(l)
-		x.worth = q.worth(&x.Line)
+		x.worth = q.worth(&x.Report)
 		heap.Fix((*least)(&w.lines), x.at)
 		return
 	}
 	q.next++
-	x := &queued{Line: l, worth: q.worth(&l), order: q.next}
+	x := &queued{Report: l, worth: q.worth(&l), order: q.next}
 	w.of[k] = append(w.of[k], x)
 	heap.Push((*least)(&w.lines), x)
 	heap.Fix(&q.most, w.at)
-	if q.lines++; q.lines > q.limits.Waiting {
-		q.Drop(Full, 1)
+	if q.lines++; q.lines > q.limits.MaxQueued {
+		q.Drop(QueueFull, 1)
 		q.remove(q.most[0], 0)
 	}
 }
@@ -89,7 +89,7 @@
 // remove takes a line of a source out.
 func (q *Queue) remove(w *waiting, i int) *queued {
 	x := heap.Remove((*least)(&w.lines), i).(*queued)
-	k := key{x.Of, x.Usage}
+	k := key{x.Subject, x.IsDemand}
 	if w.of[k] = slices.DeleteFunc(w.of[k], func(y *queued) bool { return y == x }); len(w.of[k]) == 0 {
 		delete(w.of, k)
 	}
@@ -105,7 +105,7 @@
 // Forget drops what waits of a source.
 func (q *Queue) Forget(source string) {
 	if w := q.by[source]; w != nil {
-		q.Drop(Unknown, len(w.lines))
+		q.Drop(SubjectGone, len(w.lines))
 		q.lines -= len(w.lines)
 		heap.Remove(&q.most, w.at)
 		delete(q.by, source)
@@ -115,7 +115,7 @@
 // Take gives the lines that a round takes in, at most so many: all of them in the order in which they came, or, where
 // they are more, one of each source in turn, those that say most first. Lines that are too old are dropped. Tries are
 // told by what they still weigh.
-func (q *Queue) Take(now float64, most int) (lines []Line) {
+func (q *Queue) Take(now float64, most int) (lines []Report) {
 	var taken []*queued
 	if q.lines <= most {
 		for _, w := range q.by {
@@ -141,25 +141,25 @@
 	}
 	slices.SortFunc(taken, func(a, b *queued) int { return compare(a.order, b.order) })
 	for _, x := range taken {
-		weight := q.limits.weight(now - x.At)
+		weight := q.limits.weight(now - x.ObservedMs)
 		if weight == 0 {
-			q.Drop(Aged, 1)
+			q.Drop(TooOld, 1)
 			continue
 		}
-		if weight < 1 && !x.Usage { // usage is a rate by its span
-			x.Tries, x.Failed = int(math.Round(float64(x.Tries)*weight)), int(math.Round(float64(x.Failed)*weight))
+		if weight < 1 && !x.IsDemand { // usage is a rate by its span
+			x.Attempts, x.Failed = int(math.Round(float64(x.Attempts)*weight)), int(math.Round(float64(x.Failed)*weight))
 		}
-		lines = append(lines, x.Line)
+		lines = append(lines, x.Report)
 	}
 	return lines
 }
 
 // weight is what is left of a report of an age.
 func (l Limits) weight(age float64) float64 {
-	if age >= l.Oldest {
+	if age >= l.MaxAgeMs {
 		return 0
 	}
-	return math.Exp2(-math.Max(age-l.Fresh, 0) / math.Max(l.HalfLife, 1))
+	return math.Exp2(-math.Max(age-l.FullWeightMs, 0) / math.Max(l.HalfLifeMs, 1))
 }
 
 func compare(a, b int64) int {
--- a/intake/times.go
+++ b/intake/times.go
@@ -6,15 +6,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bar of a spread: so many tries took about so many ms.
-type Bar struct {
+// LatencyBucket of a spread: so many tries took about so many ms.
+type LatencyBucket struct {
 	Ms    float64
 	Count int64
 }
 
-// Spread is how the times at a host lately spread, merged from what all proxies told: the present span and the one
+// LatencyDistribution is how the times at a host lately spread, merged from what all proxies told: the present span and the one
 // before, in histograms of one digit, which take about 3 KB each.
-type Spread struct {
+type LatencyDistribution struct {
 	now, before *hdrhistogram.Histogram
 	since       float64
 }
@@ -29,20 +29,20 @@
 	return hdrhistogram.New(1, int64(mostMs*unit), 1)
 }
 
-// NewTimes makes an empty spread for a sender's own counting.
-func NewTimes() *Times { return &Times{newHistogram()} }
+// NewLatencyHistogram makes an empty spread for a sender's own counting.
+func NewLatencyHistogram() *LatencyHistogram { return &LatencyHistogram{newHistogram()} }
 
-// Times are counted by a sender, to be told as bars.
-type Times struct{ h *hdrhistogram.Histogram }
+// LatencyHistogram are counted by a sender, to be told as bars.
+type LatencyHistogram struct{ h *hdrhistogram.Histogram }
 
-// Note counts a time.
-func (t *Times) Note(ms float64) { t.h.RecordValue(clampMs(ms)) }
+// Observe counts a time.
+func (t *LatencyHistogram) Observe(ms float64) { t.h.RecordValue(clampMs(ms)) }
 
-// Bars give what was counted, and begin anew.
-func (t *Times) Bars() (bars []Bar) {
+// Buckets give what was counted, and begin anew.
+func (t *LatencyHistogram) Buckets() (bars []LatencyBucket) {
 	for _, b := range t.h.Distribution() {
 		if b.Count > 0 {
-			bars = append(bars, Bar{float64(b.From+b.To) / 2 / unit, b.Count})
+			bars = append(bars, LatencyBucket{float64(b.From+b.To) / 2 / unit, b.Count})
 		}
 	}
 	t.h.Reset()
@@ -52,7 +52,7 @@
 func clampMs(ms float64) int64 { return int64(math.Min(math.Max(ms, 0), mostMs)*unit + 0.5) }
 
 // Add merges what a line tells; one without bars counts as all at its mean.
-func (s *Spread) Add(now float64, bars []Bar, mean float64, count int64) {
+func (s *LatencyDistribution) Add(now float64, bars []LatencyBucket, mean float64, count int64) {
 	if s.now == nil {
 		s.now, s.since = newHistogram(), now
 	}
@@ -64,15 +64,15 @@
 		s.now.Reset()
 	}
 	if len(bars) == 0 && count > 0 {
-		bars = []Bar{{mean, count}}
+		bars = []LatencyBucket{{mean, count}}
 	}
 	for _, b := range bars {
 		s.now.RecordValues(clampMs(b.Ms), b.Count)
 	}
 }
 
-// SpreadReport is what is told of a spread.
-type SpreadReport struct {
+// LatencyReport is what is told of a spread.
+type LatencyReport struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"` // ms
 	P95   float64 `json:"p95"`
@@ -81,7 +81,7 @@
 }
 
 // Report reads a spread.
-func (s *Spread) Report() (r SpreadReport) {
+func (s *LatencyDistribution) Report() (r LatencyReport) {
 	if s.now == nil {
 		return r
 	}
@@ -94,5 +94,5 @@
 		return r
 	}
 	at := func(q float64) float64 { return float64(all.ValueAtQuantile(q)) / unit }
-	return SpreadReport{r.Count, at(50), at(95), at(99), all.StdDev() / unit}
+	return LatencyReport{r.Count, at(50), at(95), at(99), all.StdDev() / unit}
 }
