--- a/intake/trust.go
+++ b/intake/trust.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"barleysail/decide"
+	"barleysail/routing"
 )
 
 // Trust holds the load reports of hosts against what the proxies met there. A report that does not fit loses trust, one
@@ -24,9 +24,9 @@
 
 // Capacity is what is known of a host besides its reports.
 type Capacity struct {
-	Able  float64 // cores by their speed; 0: not told
-	Work  float64 // ms of a mean transaction on a core of speed 1; 0: not told
-	Share float64 // part of the proxies whose sums come here
+	Cores      float64 // cores by their speed; 0: not told
+	MeanWorkMs float64 // ms of a mean transaction on a core of speed 1; 0: not told
+	ProxyShare float64 // part of the proxies whose sums come here
 }
 
 // counts of what proxies met lately, faded.
@@ -60,13 +60,13 @@
 	c.good, c.bad, c.time, c.at = c.good*part, c.bad*part, c.time*part, now
 }
 
-func (c *counts) add(now float64, l *Line) {
+func (c *counts) add(now float64, l *Report) {
 	if c.from == 0 {
-		c.from = now - l.Span
+		c.from = now - l.WindowMs
 	}
 	c.fade(now)
-	good := float64(l.Tries - l.Failed)
-	c.good, c.bad, c.time = c.good+good, c.bad+float64(l.Failed), c.time+good*l.Mean
+	good := float64(l.Attempts - l.Failed)
+	c.good, c.bad, c.time = c.good+good, c.bad+float64(l.Failed), c.time+good*l.MeanLatencyMs
 }
 
 // rate of a faded count, a second.
@@ -80,10 +80,10 @@
 type host struct {
 	met       counts
 	quick     counts
-	spread    Spread
-	senders   Senders
+	spread    LatencyDistribution
+	senders   Reporters
 	clock     Clock
-	last      decide.Load // as reported, newest
+	last      routing.HostLoad // as reported, newest
 	lastAt    float64
 	looked    float64
 	every     float64 // between two reports that differ in time
@@ -91,7 +91,7 @@
 	trust     float64
 	doubted   bool
 	why       string
-	believed  decide.Load // when it was last believed, and what the proxies met then
+	believed  routing.HostLoad // when it was last believed, and what the proxies met then
 	believeAt float64
 	rateThen  float64
 	meanThen  float64
@@ -105,14 +105,14 @@
 func (t *Trust) host(name string) *host {
 	h := t.hosts[name]
 	if h == nil {
-		h = &host{met: counts{over: metFor}, quick: counts{over: quickFor}, last: decide.NoLoad, believed: decide.NoLoad, trust: 1}
+		h = &host{met: counts{over: metFor}, quick: counts{over: quickFor}, last: routing.UnknownLoad, believed: routing.UnknownLoad, trust: 1}
 		t.hosts[name] = h
 	}
 	return h
 }
 
-// Recall notes how far a host's reports were trusted in an earlier life.
-func (t *Trust) Recall(name string, trust float64) {
+// Restore notes how far a host's reports were trusted in an earlier life.
+func (t *Trust) Restore(name string, trust float64) {
 	h := t.host(name)
 	if h.trust = trust; trust < doubtUnder {
 		h.doubted, h.why = true, "they were before the steward's start"
@@ -122,21 +122,21 @@
 // Forget drops what is known of a host that is gone, or whose process is another one: what it reported is no more.
 func (t *Trust) Forget(name string) { delete(t.hosts, name) }
 
-// Met notes what proxies met at a host.
-func (t *Trust) Met(now float64, l *Line) {
-	if l.Tries == 0 {
+// ObserveAttempts notes what proxies met at a host.
+func (t *Trust) ObserveAttempts(now float64, l *Report) {
+	if l.Attempts == 0 {
 		return
 	}
-	h := t.host(l.Of)
+	h := t.host(l.Subject)
 	h.met.add(now, l)
 	h.quick.add(now, l)
 	t.fleet.add(now, l)
-	h.spread.Add(now, l.Times, l.Mean, int64(l.Tries-l.Failed))
+	h.spread.Add(now, l.Latencies, l.MeanLatencyMs, int64(l.Attempts-l.Failed))
 }
 
-// Report notes a load report of a host; of several within half a second the first is looked at, the newest kept.
-func (t *Trust) Report(now float64, name string, load decide.Load, c Capacity) {
-	if load == decide.NoLoad {
+// ObserveLoad notes a load report of a host; of several within half a second the first is looked at, the newest kept.
+func (t *Trust) ObserveLoad(now float64, name string, load routing.HostLoad, c Capacity) {
+	if load == routing.UnknownLoad {
 		return
 	}
 	h := t.host(name)
@@ -146,7 +146,7 @@
 		return
 	}
 	if pause := now - h.looked; !first {
-		h.every += 0.2 * (math.Min(pause, 10*t.limits.Silent) - h.every)
+		h.every += 0.2 * (math.Min(pause, 10*t.limits.SilentAfterMs) - h.every)
 	}
 	same := !first && load == h.last
 	if t.again, t.all = t.again*0.999, t.all*0.999+1; same {
@@ -176,7 +176,7 @@
 }
 
 // odd says why a report does not fit what the proxies met, if it does not.
-func (t *Trust) odd(now float64, h *host, load decide.Load, c Capacity) string {
+func (t *Trust) odd(now float64, h *host, load routing.HostLoad, c Capacity) string {
 	h.met.fade(now)
 	h.quick.fade(now)
 	t.fleet.fade(now)
@@ -186,73 +186,73 @@
 	// Where traffic falls a host tells so before our figures show it: the lower one counts.
 	ours := math.Min(h.met.rate(h.met.good), h.quick.rate(h.quick.good))
 	mean, usual := h.met.mean(), t.fleet.mean()
-	if odds := math.Pow(t.again/t.all, float64(h.run)); h.run >= runLeast && odds < t.limits.StuckOdds {
+	if odds := math.Pow(t.again/t.all, float64(h.run)); h.run >= runLeast && odds < t.limits.StuckProbability {
 		return fmt.Sprintf("the same %d times, by chance once in %.0f", h.run+1, 1/odds)
 	}
 	// Where traffic falls everywhere all hosts tell so before our figures show it: then the fleet's part counts.
 	part := 1.0
-	if load.Rate >= 0 {
+	if load.RequestRate >= 0 {
 		fade := math.Exp((t.toldAt - now) / quickFor)
-		t.told, t.ours, t.toldAt = t.told*fade+load.Rate, t.ours*fade+ours, now
+		t.told, t.ours, t.toldAt = t.told*fade+load.RequestRate, t.ours*fade+ours, now
 		part = math.Min(1, t.told/math.Max(t.ours, 1e-9))
 	}
-	if load.Rate >= 0 && load.Rate+1 < lessThan*part*ours {
-		return fmt.Sprintf("it tells %.3g a second, our proxies alone had %.3g fulfilled", load.Rate, ours)
+	if load.RequestRate >= 0 && load.RequestRate+1 < lessThan*part*ours {
+		return fmt.Sprintf("it tells %.3g a second, our proxies alone had %.3g fulfilled", load.RequestRate, ours)
 	}
-	if c.Able > 0 && c.Work > 0 && load.Util >= 0 {
-		if busy := part * ours * c.Work / 1000 / c.Able; load.Util+0.1 < halfBusy*busy {
-			return fmt.Sprintf("it tells a busy part of %.2f, our proxies' work alone makes %.2f", load.Util, busy)
+	if c.Cores > 0 && c.MeanWorkMs > 0 && load.Utilization >= 0 {
+		if busy := part * ours * c.MeanWorkMs / 1000 / c.Cores; load.Utilization+0.1 < halfBusy*busy {
+			return fmt.Sprintf("it tells a busy part of %.2f, our proxies' work alone makes %.2f", load.Utilization, busy)
 		}
 	}
-	if load.Util >= 0 && load.Util < idleUnder && load.Queue <= 0 && mean > slowIdle*usual {
-		return fmt.Sprintf("it tells a busy part of %.2f, its answers take %.0f ms where %.0f are usual", load.Util, mean, usual)
+	if load.Utilization >= 0 && load.Utilization < idleUnder && load.QueueLength <= 0 && mean > slowIdle*usual {
+		return fmt.Sprintf("it tells a busy part of %.2f, its answers take %.0f ms where %.0f are usual", load.Utilization, mean, usual)
 	}
 	return ""
 }
 
 // silent tells whether a host's reports have stopped.
 func (t *Trust) silent(now float64, h *host) bool {
-	return now-h.lastAt > math.Max(t.limits.Silent, intervals*h.every)
+	return now-h.lastAt > math.Max(t.limits.SilentAfterMs, intervals*h.every)
 }
 
 // Load is what the module is told of a host's load beside a line that came with a report or none.
-func (t *Trust) Load(now float64, name string, with decide.Load, c Capacity) decide.Load {
+func (t *Trust) Load(now float64, name string, with routing.HostLoad, c Capacity) routing.HostLoad {
 	h := t.hosts[name]
-	if t.limits.Believe || h == nil || h.lastAt == 0 {
+	if t.limits.TrustAll || h == nil || h.lastAt == 0 {
 		return with
 	}
 	silent := t.silent(now, h)
 	if !h.doubted && !silent {
-		if with == decide.NoLoad {
+		if with == routing.UnknownLoad {
 			return h.last
 		}
 		return with
 	}
 	// An estimate takes room away, but is no proof of overload: levels go by what is reported and by failed tries.
-	util := math.Min(t.estimate(now, h, c), t.limits.Blind)
+	util := math.Min(t.estimate(now, h, c), t.limits.UnknownUtilization)
 	if h.doubted {
-		util = math.Max(util, h.last.Util)
+		util = math.Max(util, h.last.Utilization)
 	}
-	return decide.Load{Util: util, Rate: -1, Queue: -1}
+	return routing.HostLoad{Utilization: util, RequestRate: -1, QueueLength: -1}
 }
 
 // estimate of a host's busy part: by the rate that all proxies together bring it, over what it can do; or by what it told
 // when it was last believed and how traffic and times have changed. The older that is, the nearer it comes to Blind.
 func (t *Trust) estimate(now float64, h *host, c Capacity) float64 {
 	h.met.fade(now)
-	rate, mean, busy := h.met.rate(h.met.good+h.met.bad), h.met.mean(), t.limits.Blind
-	unsure := math.Min((now-h.believeAt)/math.Max(t.limits.Unsure, 1), 1)
+	rate, mean, busy := h.met.rate(h.met.good+h.met.bad), h.met.mean(), t.limits.UnknownUtilization
+	unsure := math.Min((now-h.believeAt)/math.Max(t.limits.UncertainAfterMs, 1), 1)
 	switch {
-	case c.Able > 0 && c.Work > 0 && c.Share > 0:
-		busy = rate / c.Share * c.Work / 1000 / c.Able
-	case h.believed.Util >= 0 && h.rateThen > 0 && h.meanThen > 0 && h.met.good >= 1:
-		busy = h.believed.Util * rate * mean / (h.rateThen * h.meanThen)
+	case c.Cores > 0 && c.MeanWorkMs > 0 && c.ProxyShare > 0:
+		busy = rate / c.ProxyShare * c.MeanWorkMs / 1000 / c.Cores
+	case h.believed.Utilization >= 0 && h.rateThen > 0 && h.meanThen > 0 && h.met.good >= 1:
+		busy = h.believed.Utilization * rate * mean / (h.rateThen * h.meanThen)
 	}
-	return math.Max(busy, busy+unsure*(t.limits.Blind-busy))
+	return math.Max(busy, busy+unsure*(t.limits.UnknownUtilization-busy))
 }
 
-// Told gives what changed of the trust in hosts since it was last asked, a line each.
-func (t *Trust) Told() []string {
+// DrainChanges gives what changed of the trust in hosts since it was last asked, a line each.
+func (t *Trust) DrainChanges() []string {
 	lines := t.lines
 	t.lines = nil
 	return lines
@@ -260,15 +260,15 @@
 
 // HostReport is how a host's reports stand.
 type HostReport struct {
-	Count    float64      `json:"count"`     // good tries that count now, faded
-	AgeMs    float64      `json:"age_ms"`    // of the newest load report; below 0: there was none
-	Trust    float64      `json:"trust"`     // in its load reports, 0 to 1
-	Doubted  string       `json:"doubted"`   // why they are not believed
-	Silent   bool         `json:"silent"`    // they have stopped
-	Estimate float64      `json:"estimate"`  // of its busy part, where they are not believed or have stopped
-	Unsure   float64      `json:"unsure"`    // how unsure that is, 0 to 1
-	Twice    bool         `json:"two_names"` // two senders are at work under its name
-	Times    SpreadReport `json:"times"`
+	Count             float64       `json:"count"`     // good tries that count now, faded
+	AgeMs             float64       `json:"age_ms"`    // of the newest load report; below 0: there was none
+	Trust             float64       `json:"trust"`     // in its load reports, 0 to 1
+	DistrustReason    string        `json:"doubted"`   // why they are not believed
+	Silent            bool          `json:"silent"`    // they have stopped
+	Estimate          float64       `json:"estimate"`  // of its busy part, where they are not believed or have stopped
+	Uncertainty       float64       `json:"unsure"`    // how unsure that is, 0 to 1
+	DuplicateReporter bool          `json:"two_names"` // two senders are at work under its name
+	Latencies         LatencyReport `json:"times"`
 }
 
 // Host tells how a host's reports stand; false where none came and no proxy met it.
@@ -278,30 +278,30 @@
 		return r, false
 	}
 	h.met.fade(now)
-	r = HostReport{Count: h.met.good, AgeMs: -1, Trust: h.trust, Doubted: h.why, Twice: h.senders.Twice(now), Times: h.spread.Report()}
+	r = HostReport{Count: h.met.good, AgeMs: -1, Trust: h.trust, DistrustReason: h.why, DuplicateReporter: h.senders.Duplicate(now), Latencies: h.spread.Report()}
 	if h.lastAt > 0 {
 		r.AgeMs, r.Silent = now-h.lastAt, t.silent(now, h)
 		if r.Silent || h.doubted {
 			r.Estimate = math.Min(t.estimate(now, h, c), 1)
-			r.Unsure = math.Min((now-h.believeAt)/math.Max(t.limits.Unsure, 1), 1)
+			r.Uncertainty = math.Min((now-h.believeAt)/math.Max(t.limits.UncertainAfterMs, 1), 1)
 		}
 	}
 	return r, true
 }
 
-// Trusted is how far a host's load reports are trusted, 1 where nothing is known.
-func (t *Trust) Trusted(name string) float64 {
+// Confidence is how far a host's load reports are trusted, 1 where nothing is known.
+func (t *Trust) Confidence(name string) float64 {
 	if h := t.hosts[name]; h != nil {
 		return h.trust
 	}
 	return 1
 }
 
-// Direct tells whether a report that a host sent itself is news, and how old it is by the host's stamp, 0 where it has
+// AcceptLoadReport tells whether a report that a host sent itself is news, and how old it is by the host's stamp, 0 where it has
 // none.
-func (t *Trust) Direct(now float64, name, sender string, number int64, stamp float64) (news bool, age float64) {
+func (t *Trust) AcceptLoadReport(now float64, name, sender string, number int64, stamp float64) (news bool, age float64) {
 	h := t.host(name)
-	news, twice := h.senders.Take(now, sender, number)
+	news, twice := h.senders.Accept(now, sender, number)
 	if twice && h.why == "" {
 		h.trust = math.Min(h.trust, doubtUnder*0.9)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,12 +19,12 @@
 	"google.golang.org/protobuf/proto"
 
 	"barleysail/auth"
-	"barleysail/decide"
+	"barleysail/controller"
 	"barleysail/guard"
 	"barleysail/intake"
 	"barleysail/internal/config/configpb"
 	"barleysail/internal/runtimeapi"
-	"barleysail/steward"
+	"barleysail/routing"
 )
 
 // Defaults are the figures of all fields that may be left out; config.proto states them.
@@ -347,18 +347,18 @@
 }
 
 // Hosts reads a list file's text. Zones are checked by the steward, which names the entry.
-func Hosts(file string, text []byte) ([]steward.Entry, error) {
+func Hosts(file string, text []byte) ([]controller.Endpoint, error) {
 	l := &configpb.HostList{}
 	if err := prototext.Unmarshal(text, l); err != nil {
 		return nil, wrong(file, err)
 	}
 	f := fields{file: file, at: locate(text)}
-	entries := make([]steward.Entry, 0, len(l.Hosts))
+	entries := make([]controller.Endpoint, 0, len(l.Hosts))
 	for i, h := range l.Hosts {
 		at := "hosts[" + strconv.Itoa(i) + "]"
 		if h.Address == "" {
 			f.fail(at+".address", "is missing")
-		} else if err := steward.CheckAddress(h.Address); err != nil {
+		} else if err := controller.CheckAddress(h.Address); err != nil {
 			f.fail(at+".address", "%v", err)
 		}
 		if h.Zone == "" {
@@ -372,12 +372,12 @@
 		f.within(at+".cores", h.Cores, 0, 1e9)
 		f.within(at+".speed", or(h.Speed, 1), 0, 1e9)
 		f.within(at+".started_unix_ms", h.StartedUnixMs, 0, 1e15)
-		phase := decide.Ready
+		phase := routing.Ready
 		if h.Phase == configpb.Phase_DRAINING {
-			phase = decide.Draining
+			phase = routing.Draining
 		}
-		entries = append(entries, steward.Entry{Host: h.Address, Zone: h.Zone, Phase: phase, Weight: weight,
-			Started: h.StartedUnixMs, Cores: h.Cores, Speed: or(h.Speed, 1)})
+		entries = append(entries, controller.Endpoint{Host: h.Address, Zone: h.Zone, State: phase, Weight: weight,
+			StartedMs: h.StartedUnixMs, Cores: h.Cores, Speed: or(h.Speed, 1)})
 	}
 	return entries, f.err
 }
@@ -385,9 +385,9 @@
 // Intake gives the limits of what comes in.
 func Intake(c *configpb.Config) intake.Limits {
 	l, n := intake.DefaultLimits(), c.Intake
-	l.Waiting, l.Round, l.Believe = int(*n.Waiting), int(*n.RoundLines), !*n.Doubt
-	l.Fresh, l.HalfLife, l.Oldest = *n.FreshMs, *n.HalfLifeMs, *n.OldestMs
-	l.Silent, l.Unsure, l.Blind = *n.SilentMs, *n.UnsureMs, *n.Blind
+	l.MaxQueued, l.MaxPerRound, l.TrustAll = int(*n.Waiting), int(*n.RoundLines), !*n.Doubt
+	l.FullWeightMs, l.HalfLifeMs, l.MaxAgeMs = *n.FreshMs, *n.HalfLifeMs, *n.OldestMs
+	l.SilentAfterMs, l.UncertainAfterMs, l.UnknownUtilization = *n.SilentMs, *n.UnsureMs, *n.Blind
 	return l
 }
 
@@ -400,32 +400,32 @@
 }
 
 // Steward makes the steward that a checked configuration describes.
-func Steward(c *configpb.Config, life string, seed uint64) *steward.Steward {
-	var classes []steward.Class
+func Steward(c *configpb.Config, life string, seed uint64) *controller.Controller {
+	var classes []controller.RequestClass
 	for _, k := range c.Classes {
-		classes = append(classes, steward.Class{Name: k.Name, Class: decide.Class{Due: *k.DueMs, Patience: *k.PatienceMs,
-			Earnings: *k.Earnings, Local: k.Local}, Work: k.GetWorkMs()})
+		classes = append(classes, controller.RequestClass{Name: k.Name, RequestClass: routing.RequestClass{LatencyObjectiveMs: *k.DueMs, DeadlineMs: *k.PatienceMs,
+			PriorityWeight: *k.Earnings, ZoneLocal: k.Local}, MeanWorkMs: k.GetWorkMs()})
 	}
-	s := steward.New(
-		steward.Fleet{Life: life, Seed: seed, Zones: c.Zones, Instances: int(*c.Fleet.Stewards),
-			Proxies: int(*c.Fleet.Proxies), Period: *c.Fleet.PeriodMs, Ejects: int(*c.Fleet.Ejects),
-			UsualTries: int(*c.Fleet.UsualTries), Admits: *c.Fleet.Admits, MayProbe: *c.Probes.On, MustAsk: c.List.Url != ""},
+	s := controller.New(
+		controller.Deployment{Incarnation: life, Seed: seed, Zones: c.Zones, Controllers: int(*c.Fleet.Stewards),
+			Proxies: int(*c.Fleet.Proxies), ReportIntervalMs: *c.Fleet.PeriodMs, ProxyEjectAfter: int(*c.Fleet.Ejects),
+			DefaultRetryPolicy: int(*c.Fleet.UsualTries), AdmissionControl: *c.Fleet.Admits, HealthChecks: *c.Probes.On, WatchesEndpoints: c.List.Url != ""},
 		classes,
-		decide.Channel{LinesPerS: *c.Channel.LinesPerS, Head: *c.Channel.HeadLines, MostWaiting: *c.Channel.MostWaiting,
-			Late: *c.Channel.LateMs, Price: *c.Channel.Price, MessagesMost: int(*c.Channel.MessagesMost),
-			MessagesOver: *c.Channel.MessagesOverMs},
-		decide.Guard{Bare: *c.Guard.BareMs, Grace: *c.Guard.GraceMs, ColdFrom: *c.Guard.ColdFrom, Cold: *c.Guard.ColdMs,
-			FallMultiple: *c.Guard.FallMultiple},
-		decide.Goal{Whole: *c.Goal.Whole, WorstClass: *c.Goal.WorstClass, ProbePrice: *c.Goal.ProbePrice},
-		steward.Polls{Step: *c.Polls.StepMs, WaitMost: *c.Polls.WaitMostMs, FirstWait: *c.Polls.FirstWaitMs,
-			LeaveAfter: *c.Polls.LeaveAfterMs, ForgetAfter: *c.Polls.ForgetAfterMs, History: int(*c.Polls.History)})
-	s.Intake(Intake(c))
+		routing.ControlChannel{EntriesPerSecond: *c.Channel.LinesPerS, MessageOverhead: *c.Channel.HeadLines, MaxBacklog: *c.Channel.MostWaiting,
+			PropagationDelayMs: *c.Channel.LateMs, Cost: *c.Channel.Price, MaxMessages: int(*c.Channel.MessagesMost),
+			MessageWindowMs: *c.Channel.MessagesOverMs},
+		routing.SafetyLimits{EmptyTableMs: *c.Guard.BareMs, DrainGraceMs: *c.Guard.GraceMs, SlowStartInitialFactor: *c.Guard.ColdFrom, SlowStartMs: *c.Guard.ColdMs,
+			CollapseMultiple: *c.Guard.FallMultiple},
+		routing.Objective{TotalWeight: *c.Goal.Whole, WorstClassWeight: *c.Goal.WorstClass, HealthCheckCost: *c.Goal.ProbePrice},
+		controller.Settings{MinRoundIntervalMs: *c.Polls.StepMs, MaxPollWaitMs: *c.Polls.WaitMostMs, MinFirstPollWaitMs: *c.Polls.FirstWaitMs,
+			SessionTimeoutMs: *c.Polls.LeaveAfterMs, RemovedHostRetentionMs: *c.Polls.ForgetAfterMs, VersionHistory: int(*c.Polls.History)})
+	s.SetIngestLimits(Intake(c))
 	if c.Solved.On {
-		s.Solve(*c.Solved.EveryMs, *c.Solved.LeastGain)
+		s.EnableSolver(*c.Solved.EveryMs, *c.Solved.LeastGain)
 	}
 	if g := c.TableGuard; g.GetOn() {
-		s.Guard(guard.Limits{Over: *g.Over, Jump: *g.Jump, Spare: g.Spare},
-			steward.Refusing{On: g.Refuse, Spare: g.RefuseSpare}, guard.ListLimits{Lose: g.ListLose, Hold: *g.ListHoldMs})
+		s.EnableValidation(guard.Limits{CapacityMultiple: *g.Over, MaxTrafficShift: *g.Jump, SurviveZoneLoss: g.Spare},
+			controller.RepairSettings{Enabled: g.Refuse, SurviveZoneLoss: g.RefuseSpare}, guard.EndpointLossLimits{MaxLossRatio: g.ListLose, HoldMs: *g.ListHoldMs})
 	}
 	return s
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"barleysail/internal/kept"
+	"barleysail/internal/golden"
 )
 
 const good = `zones: ["a", "b"]
@@ -31,5 +31,5 @@
 			t.Errorf("defaults: %v", c)
 		}
 	}
-	kept.Compare(t, "faults", now.String())
+	golden.Compare(t, "faults", now.String())
 }
--- a/internal/config/locate.go
+++ b/internal/config/locate.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"barleysail/steward"
+	"barleysail/controller"
 )
 
 // locate gives the line of each field in a text that parses, by its path, as in classes[1].due_ms.
@@ -88,7 +88,7 @@
 
 // Refused words a steward's refusal of a list file's entry with file and line.
 func Refused(file string, text []byte, err error) error {
-	var field *steward.FieldError
+	var field *controller.FieldError
 	if !errors.As(err, &field) {
 		return fmt.Errorf("%s: %w", file, err)
 	}
--- a/internal/daemon/api.go
+++ b/internal/daemon/api.go
@@ -15,12 +15,12 @@
 	"time"
 
 	"barleysail/auth"
-	"barleysail/decide"
+	"barleysail/controller"
 	"barleysail/intake"
 	"barleysail/internal/http1"
 	"barleysail/internal/identity"
+	"barleysail/routing"
 	"barleysail/solver"
-	"barleysail/steward"
 )
 
 var errStopping = errors.New("the steward is stopping")
@@ -57,15 +57,15 @@
 
 // fail words an error of the steward.
 func fail(err error) http1.Reply {
-	var field *steward.FieldError
+	var field *controller.FieldError
 	switch {
 	case errors.As(err, &field):
 		return http1.Problem{Status: 422, Detail: field.Reason, Field: field.Field}.Reply()
-	case errors.Is(err, steward.ErrNotJoined):
+	case errors.Is(err, controller.ErrNotConnected):
 		return http1.Problem{Status: 409, Detail: err.Error()}.Reply()
-	case errors.Is(err, steward.ErrNotListed):
+	case errors.Is(err, controller.ErrUnknownHost):
 		return http1.Problem{Status: 404, Detail: err.Error()}.Reply()
-	case errors.Is(err, steward.ErrTwice):
+	case errors.Is(err, controller.ErrDuplicateProxy):
 		return http1.Problem{Status: 429, Detail: err.Error()}.Reply("Retry-After", "1")
 	case errors.Is(err, errStopping):
 		return http1.Problem{Status: 503, Detail: err.Error()}.Reply("Retry-After", "1")
@@ -74,36 +74,36 @@
 }
 
 func (a *api) tables(q *http1.Request) http1.Reply {
-	ask := steward.Query{Proxy: q.Params["proxy"], Zone: q.Query.Get("zone"), Wait: -1,
-		Delta: accepts(q.Header, "merge-patch")}
-	ask.Tags, ask.Any = entityTags(q.Header)
+	ask := controller.PollRequest{Proxy: q.Params["proxy"], Zone: q.Query.Get("zone"), WaitMs: -1,
+		AcceptDelta: accepts(q.Header, "merge-patch")}
+	ask.Tags, ask.AnyTag = entityTags(q.Header)
 	seconds, preferred := wait(q.Header)
 	if preferred {
-		ask.Wait = seconds * 1000
+		ask.WaitMs = seconds * 1000
 	}
 	if text := q.Query.Get("rate"); text != "" {
 		rate, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return fail(&steward.FieldError{Field: "rate", Reason: fmt.Sprintf("%.40q is no number", text)})
+			return fail(&controller.FieldError{Field: "rate", Reason: fmt.Sprintf("%.40q is no number", text)})
 		}
-		ask.Rate = rate
+		ask.RequestRate = rate
 	}
 	if q.Method == "POST" {
 		offer, reply := readOffer(q)
 		if reply != nil {
 			return *reply
 		}
-		ask.Offer, ask.Tags = offer, []string{offer.Tag}
+		ask.Cached, ask.Tags = offer, []string{offer.Tag}
 	}
 	if a.standing != nil {
 		if ok, again := a.standing.may(ask.Proxy); !ok {
 			return http1.Problem{Status: 503, Detail: "another steward has this proxy; this one stands by"}.Reply("Retry-After", strconv.Itoa(int(math.Ceil(again.Seconds()))))
 		}
 	}
-	ask.Wait = holdFor(q, ask.Wait)
+	ask.WaitMs = holdFor(q, ask.WaitMs)
 	id := int64(0)
 	held := q.Hold(func() { a.core.pollGone(ask.Proxy, id) })
-	id, err := a.core.poll(ask, func(s steward.Answer) {
+	id, err := a.core.poll(ask, func(s controller.Response) {
 		held.Answer(http1.Reply{Make: func() http1.Reply { return a.signed(s, reply(s, seconds, preferred)) }})
 	})
 	if err != nil {
@@ -120,7 +120,7 @@
 }
 
 // readOffer reads what a proxy holds: the document that it was given, and its tag.
-func readOffer(q *http1.Request) (*steward.Offer, *http1.Reply) {
+func readOffer(q *http1.Request) (*controller.CachedTables, *http1.Reply) {
 	var b struct {
 		Tag    string               `json:"tag"`
 		Proxy  string               `json:"proxy"`
@@ -130,18 +130,18 @@
 		r := malformed(err)
 		return nil, &r
 	}
-	o := &steward.Offer{Tag: strings.Trim(b.Tag, `"`)}
+	o := &controller.CachedTables{Tag: strings.Trim(b.Tag, `"`)}
 	for _, class := range slices.Sorted(maps.Keys(b.Tables)) {
 		v := b.Tables[class]
-		t := steward.Table{Class: class, Ordered: v.Hosts != nil, Share: 1, Tries: 1}
+		t := controller.Table{Class: class, Ordered: v.Hosts != nil, AdmissionRatio: 1, RetryPolicy: 1}
 		for _, host := range slices.Sorted(maps.Keys(v.Hosts)) {
 			t.Hosts, t.Weights = append(t.Hosts, host), append(t.Weights, v.Hosts[host])
 		}
 		if v.Share != nil {
-			t.Share = *v.Share
+			t.AdmissionRatio = *v.Share
 		}
 		if v.Tries != nil {
-			t.Tries = *v.Tries
+			t.RetryPolicy = *v.Tries
 		}
 		o.Tables = append(o.Tables, t)
 	}
@@ -149,19 +149,19 @@
 }
 
 // reply makes an answer of the steward a reply, by RFC 9110 (304, ETag), 3229 (226, IM, Delta-Base) and 7240.
-func reply(s steward.Answer, seconds float64, preferred bool) http1.Reply {
+func reply(s controller.Response, seconds float64, preferred bool) http1.Reply {
 	h := http1.Header("Etag", `"`+s.Tag+`"`, "Cache-Control", "no-store", "Vary", "A-IM, Prefer")
 	if preferred {
 		h.Set("Preference-Applied", "wait="+strconv.FormatFloat(seconds, 'f', -1, 64))
 	}
 	r := http1.Reply{Status: 200, Header: h, Body: s.Body()}
 	switch s.Kind {
-	case steward.Same:
+	case controller.NotModified:
 		r.Status = 304
-	case steward.Delta:
+	case controller.Delta:
 		r.Status = 226
 		h["IM"] = []string{"merge-patch"}
-		h.Set("Delta-Base", `"`+s.Base+`"`)
+		h.Set("Delta-Base", `"`+s.BaseTag+`"`)
 		h.Set("Content-Type", "application/merge-patch+json")
 	default:
 		h.Set("Content-Type", "application/json")
@@ -202,15 +202,15 @@
 	Queue *float64 `json:"queue"`
 }
 
-func (l *loadBody) load() decide.Load {
-	load := decide.NoLoad
+func (l *loadBody) load() routing.HostLoad {
+	load := routing.UnknownLoad
 	if l == nil {
 		return load
 	}
 	for _, f := range []struct {
 		from *float64
 		to   *float64
-	}{{l.Util, &load.Util}, {l.Rate, &load.Rate}, {l.Queue, &load.Queue}} {
+	}{{l.Util, &load.Utilization}, {l.Rate, &load.RequestRate}, {l.Queue, &load.QueueLength}} {
 		if f.from != nil {
 			*f.to = *f.from
 			if *f.from < 0 {
@@ -226,7 +226,7 @@
 
 // let asks at the door, before the body is read; without a reply the report may come in.
 func (a *api) let(source string, q *http1.Request) *http1.Reply {
-	ok, again := a.core.door.Let(time.Now(), source, len(q.Body)/lineBytes)
+	ok, again := a.core.door.Allow(time.Now(), source, len(q.Body)/lineBytes)
 	if ok {
 		return nil
 	}
@@ -248,7 +248,7 @@
 	if err := readJSON(q, &b); err != nil {
 		return malformed(err)
 	}
-	counted, err := a.core.hostLoad(host, steward.HostLoad{Sender: b.Sender, Number: b.Number, Stamp: b.At, Load: b.Load.load()})
+	counted, err := a.core.hostLoad(host, controller.LoadReport{Sender: b.Sender, Sequence: b.Number, SentAtMs: b.At, Load: b.Load.load()})
 	if err != nil {
 		return fail(err)
 	}
@@ -263,23 +263,23 @@
 	if err := readJSON(q, &b); err != nil {
 		return malformed(err)
 	}
-	u := steward.Sums{Sender: b.Sender, Number: b.Number, Stamp: b.At, Hosts: map[string]steward.HostSums{},
-		Usage: map[string]steward.ClassUsage{}}
+	u := controller.ProxyStats{Sender: b.Sender, Sequence: b.Number, SentAtMs: b.At, Hosts: map[string]controller.HostStats{},
+		Demand: map[string]controller.ClassDemand{}}
 	for host, v := range b.Hosts {
-		h := steward.HostSums{Tries: v.Tries, Failed: v.Failed, Mean: v.Mean, Span: v.Span, Load: v.Load.load()}
+		h := controller.HostStats{Attempts: v.Tries, Failed: v.Failed, MeanLatencyMs: v.Mean, WindowMs: v.Span, Load: v.Load.load()}
 		for _, t := range v.Times {
-			h.Times = append(h.Times, intake.Bar{Ms: t[0], Count: int64(t[1])})
+			h.Latencies = append(h.Latencies, intake.LatencyBucket{Ms: t[0], Count: int64(t[1])})
 		}
 		u.Hosts[host] = h
 	}
 	for class, v := range b.Usage {
-		u.Usage[class] = steward.ClassUsage{Came: v.Came, Unanswered: v.Unanswered, Span: v.Span}
+		u.Demand[class] = controller.ClassDemand{Arrivals: v.Came, Unanswered: v.Unanswered, WindowMs: v.Span}
 	}
 	counted, err := a.core.sums(q.Params["proxy"], u)
 	if err != nil {
 		return fail(err)
 	}
-	return jsonReply(map[string]any{"number": u.Number, "counted": counted})
+	return jsonReply(map[string]any{"number": u.Sequence, "counted": counted})
 }
 
 // malformed words what is wrong with a JSON body, with the field where it is known.
@@ -297,29 +297,29 @@
 func (a *api) status(*http1.Request) http1.Reply {
 	return jsonReply(struct {
 		Version string `json:"version"`
-		steward.Status
-		Door     intake.DoorReport `json:"door"`
-		Kept     *KeeperReport     `json:"kept,omitempty"`
-		Standby  *StandbyReport    `json:"standby,omitempty"`
-		Identity *IdentityReport   `json:"identity,omitempty"`
-		Gap      *solver.Gap       `json:"gap,omitempty"` // to the best tables, where hosts tell their cores
+		controller.Status
+		Door     intake.RateLimiterReport `json:"door"`
+		Kept     *PersisterReport         `json:"kept,omitempty"`
+		Standby  *StandbyReport           `json:"standby,omitempty"`
+		Identity *IdentityReport          `json:"identity,omitempty"`
+		Gap      *solver.Gap              `json:"gap,omitempty"` // to the best tables, where hosts tell their cores
 	}{a.version, a.core.status(), a.core.door.Report(), a.keeper.status(), a.standing.report(), a.identity(), a.core.gap()})
 }
 
-// IntakeReport is how what comes in fares, and the memory in use.
-type IntakeReport struct {
-	steward.IntakeReport
-	Door         intake.DoorReport `json:"door"`
-	HeapBytes    uint64            `json:"heap_bytes"`
-	LinesMost    float64           `json:"lines_waiting_most"` // of the channel, since the start
-	GuardRefused int               `json:"guard_refused"`      // so often the table guard began to
+// IngestReport is how what comes in fares, and the memory in use.
+type IngestReport struct {
+	controller.IngestReport
+	Door         intake.RateLimiterReport `json:"door"`
+	HeapBytes    uint64                   `json:"heap_bytes"`
+	LinesMost    float64                  `json:"lines_waiting_most"` // of the channel, since the start
+	GuardRefused int                      `json:"guard_refused"`      // so often the table guard began to
 }
 
-func (a *api) intake() IntakeReport {
+func (a *api) intake() IngestReport {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	st := a.core.status()
-	return IntakeReport{st.Intake, a.core.door.Report(), m.HeapAlloc, st.LinesMost, st.GuardRefused}
+	return IngestReport{st.Intake, a.core.door.Report(), m.HeapAlloc, st.LinesMost, st.GuardRefused}
 }
 
 // fleet gives the solver's problem, for barleysail solve.
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -19,22 +19,24 @@
 	"github.com/rs/zerolog"
 	"github.com/spiffe/go-spiffe/v2/spiffeid"
 
-	"barleysail/decide"
+	"barleysail/controller"
 	"barleysail/internal/config"
+	"barleysail/internal/fake/issuer"
 	"barleysail/internal/identity"
-	"barleysail/internal/standin/issuer"
-	"barleysail/steward"
+	"barleysail/routing"
 )
 
 // running starts a daemon for a benchmark, its list given by hand.
-func running(b *testing.B, hosts int) (*Daemon, []steward.Entry) { return runningAs(b, hosts, "") }
+func running(b *testing.B, hosts int) (*Daemon, []controller.Endpoint) {
+	return runningAs(b, hosts, "")
+}
 
 // runningAs is the same with identities.
-func runningAs(b *testing.B, hosts int, identities string) (*Daemon, []steward.Entry) {
+func runningAs(b *testing.B, hosts int, identities string) (*Daemon, []controller.Endpoint) {
 	b.Helper()
-	var list []steward.Entry
+	var list []controller.Endpoint
 	for i := range hosts {
-		list = append(list, steward.Entry{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: "a", Phase: decide.Ready, Weight: 1})
+		list = append(list, controller.Endpoint{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: "a", State: routing.Ready, Weight: 1})
 	}
 	text, service := base, `list { url: "http://127.0.0.1:1/" }`
 	if identities != "" {
@@ -136,7 +138,7 @@
 				for d.core.status().Polls < n {
 					time.Sleep(time.Millisecond)
 				}
-				list[i%400].Phase = 3 - list[i%400].Phase // ready or draining
+				list[i%400].State = 3 - list[i%400].State // ready or draining
 				var mu sync.Mutex
 				var wait sync.WaitGroup
 				start := time.Now()
@@ -232,7 +234,7 @@
 						}
 					}()
 				}
-				list[7].Phase = decide.Draining
+				list[7].State = routing.Draining
 				d.core.listed(list)
 				first.take()
 				b.ReportMetric(time.Since(began).Seconds()*1000, "ms-drain")
@@ -275,7 +277,7 @@
 		for d.core.status().Polls < 1 {
 			time.Sleep(time.Millisecond)
 		}
-		list[7].Phase = 3 - list[7].Phase
+		list[7].State = 3 - list[7].State
 		d.core.listed(list)
 		_, delta, _ := p.take()
 		p.tag = ""
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -9,16 +9,16 @@
 	"github.com/rs/zerolog"
 	"google.golang.org/protobuf/proto"
 
-	"barleysail/decide"
+	"barleysail/controller"
 	"barleysail/intake"
 	"barleysail/internal/clock"
 	"barleysail/internal/record"
 	"barleysail/internal/record/recordpb"
 	"barleysail/operator"
+	"barleysail/routing"
 	"barleysail/solver"
 	"barleysail/state"
 	"barleysail/state/statepb"
-	"barleysail/steward"
 )
 
 // core calls the steward under a lock, at the clock's time, and carries out what it wants after the lock is
@@ -30,9 +30,9 @@
 	watch func()
 
 	mu      sync.Mutex
-	steward *steward.Steward
-	door    *intake.Door // before the lock: what it refuses costs the steward nothing
-	part    float64      // of the intake that is let in
+	steward *controller.Controller
+	door    *intake.RateLimiter // before the lock: what it refuses costs the steward nothing
+	part    float64             // of the intake that is let in
 	last    float64
 	timer   *time.Timer
 	stopped bool
@@ -40,7 +40,7 @@
 	recFail bool
 	flushAt float64
 	polls   int64
-	waiting map[int64]func(steward.Answer)
+	waiting map[int64]func(controller.Response)
 
 	followers map[int64]func() // told once when an event comes
 	followed  int64            // number of the newest event that was looked at
@@ -57,12 +57,12 @@
 }
 
 type answered struct {
-	to func(steward.Answer)
-	a  steward.Answer
+	to func(controller.Response)
+	a  controller.Response
 }
 
-func newCore(s *steward.Steward, door *intake.Door, log zerolog.Logger, rec *record.Writer) *core {
-	c := &core{clock: clock.New(), log: log, steward: s, door: door, part: 1, rec: rec, waiting: map[int64]func(steward.Answer){},
+func newCore(s *controller.Controller, door *intake.RateLimiter, log zerolog.Logger, rec *record.Writer) *core {
+	c := &core{clock: clock.New(), log: log, steward: s, door: door, part: 1, rec: rec, waiting: map[int64]func(controller.Response){},
 		followers: map[int64]func(){}}
 	c.timer = time.AfterFunc(time.Hour, func() { c.do(func(float64) {}) })
 	return c
@@ -73,7 +73,7 @@
 
 // The steward.Out of the present call.
 
-func (c *core) Answer(poll int64, a steward.Answer) {
+func (c *core) Respond(poll int64, a controller.Response) {
 	if c.rec != nil {
 		c.write(record.Published(c.last, poll, a))
 	}
@@ -82,9 +82,9 @@
 		c.answers = append(c.answers, answered{to, a})
 	}
 }
-func (c *core) Probe(host string) { c.probes = append(c.probes, host) }
-func (c *core) Watch()            { c.watches++ }
-func (c *core) Log(text string)   { c.lines = append(c.lines, text) }
+func (c *core) CheckHealth(host string) { c.probes = append(c.probes, host) }
+func (c *core) WatchEndpoints()         { c.watches++ }
+func (c *core) Log(text string)         { c.lines = append(c.lines, text) }
 
 // write records; a recording that fails costs the recording, never a decision.
 func (c *core) write(r *recordpb.Record) {
@@ -114,9 +114,9 @@
 		c.flushAt = now + recordEvery
 		c.rec.Flush()
 	}
-	if part := c.steward.IntakePart(); part != c.part {
+	if part := c.steward.IngestRatio(); part != c.part {
 		c.part = part
-		c.door.Narrow(time.Now(), part)
+		c.door.SetRatio(time.Now(), part)
 	}
 	if wait := c.steward.Next() - now; !math.IsInf(wait, 1) {
 		c.timer.Reset(time.Duration(math.Max(wait, 0.2) * float64(time.Millisecond)))
@@ -160,50 +160,50 @@
 }
 
 // recall tells the steward what of a kept state may still be gone by, before anything else; nothing is decided yet.
-func (c *core) recall(kept *statepb.State, cold float64) (*state.Recalled, error) {
+func (c *core) recall(kept *statepb.State, cold float64) (*state.Restored, error) {
 	text, err := proto.Marshal(kept)
 	if err != nil {
 		return nil, fmt.Errorf("recalling a state: %w", err)
 	}
 	now := wallNow()
-	r := state.Age(kept, now, state.DefaultLimits(cold))
+	r := state.ApplyDecay(kept, now, state.DefaultLimits(cold))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.last = math.Max(c.clock.Now(), c.last)
 	if c.rec != nil {
 		c.write(record.Recall(c.last, text, now, cold))
 	}
-	c.steward.Recall(c.last, r)
+	c.steward.Restore(c.last, r)
 	return r, nil
 }
 
 // remember takes what the steward knows, with the wall clock's times; nil once it is stopped. listed tells whether it has
 // had a list yet.
 func (c *core) remember() (s *statepb.State, listed bool) {
-	c.do(func(now float64) { s, listed = c.steward.Remember(now), c.steward.ListKnown() })
+	c.do(func(now float64) { s, listed = c.steward.Snapshot(now), c.steward.EndpointsKnown() })
 	if s != nil {
-		state.Shift(s, wallNow()-s.At)
+		state.ShiftTimes(s, wallNow()-s.At)
 	}
 	return s, listed
 }
 
-func (c *core) listed(entries []steward.Entry) (err error) {
+func (c *core) listed(entries []controller.Endpoint) (err error) {
 	c.input(func(now float64) *recordpb.Record { return record.Listed(now, entries) },
-		func(now float64) { err = c.steward.Listed(now, entries) })
+		func(now float64) { err = c.steward.SetEndpoints(now, entries) })
 	return err
 }
 
 func (c *core) listFailed() {
-	c.input(record.ListFailed, c.steward.ListFailed)
+	c.input(record.ListFailed, c.steward.ObserveWatchFailure)
 }
 
-func (c *core) probed(host string, how decide.Outcome, load decide.Load) {
+func (c *core) probed(host string, how routing.HealthCheckResult, load routing.HostLoad) {
 	c.input(func(now float64) *recordpb.Record { return record.Probed(now, host, how, load) },
-		func(now float64) { c.steward.Probed(now, host, how, load) })
+		func(now float64) { c.steward.ObserveHealthCheck(now, host, how, load) })
 }
 
 // poll has to be called once with the answer, unless it gives an error. It gives the poll's id.
-func (c *core) poll(q steward.Query, to func(steward.Answer)) (id int64, err error) {
+func (c *core) poll(q controller.PollRequest, to func(controller.Response)) (id int64, err error) {
 	err = errStopping
 	c.do(func(now float64) {
 		c.polls++
@@ -223,36 +223,36 @@
 	c.input(func(now float64) *recordpb.Record { return record.PollGone(now, proxy, id) },
 		func(now float64) {
 			delete(c.waiting, id)
-			c.steward.PollGone(now, proxy, id)
+			c.steward.CancelPoll(now, proxy, id)
 		})
 }
 
 func (c *core) leave(proxy string) (joined bool) {
 	c.input(func(now float64) *recordpb.Record { return record.Leave(now, proxy) },
-		func(now float64) { joined = c.steward.Leave(now, proxy, c) })
+		func(now float64) { joined = c.steward.Disconnect(now, proxy, c) })
 	return joined
 }
 
-func (c *core) sums(proxy string, u steward.Sums) (counted bool, err error) {
+func (c *core) sums(proxy string, u controller.ProxyStats) (counted bool, err error) {
 	err = errStopping
 	c.input(func(now float64) *recordpb.Record { return record.Sums(now, proxy, u) },
-		func(now float64) { counted, err = c.steward.Sums(now, proxy, u) })
+		func(now float64) { counted, err = c.steward.ObserveProxyStats(now, proxy, u) })
 	return counted, err
 }
 
 // hostLoad gives a host's own load report to the steward.
-func (c *core) hostLoad(host string, r steward.HostLoad) (counted bool, err error) {
+func (c *core) hostLoad(host string, r controller.LoadReport) (counted bool, err error) {
 	err = errStopping
 	c.input(func(now float64) *recordpb.Record { return record.HostLoad(now, host, r) },
-		func(now float64) { counted, err = c.steward.HostLoad(now, host, r) })
+		func(now float64) { counted, err = c.steward.ObserveLoadReport(now, host, r) })
 	return counted, err
 }
 
 // operate gives operators' orders to the steward.
-func (c *core) operate(orders []operator.Order) (waits bool, err error) {
+func (c *core) operate(orders []operator.Command) (waits bool, err error) {
 	err = errStopping
 	c.input(func(now float64) *recordpb.Record { return record.Operate(now, orders) },
-		func(now float64) { waits, err = c.steward.Operate(now, orders, c) })
+		func(now float64) { waits, err = c.steward.ApplyOverrides(now, orders, c) })
 	return waits, err
 }
 
@@ -275,12 +275,12 @@
 }
 
 // look reads something out of the steward; the zero value once it is stopped.
-func look[T any](c *core, f func(s *steward.Steward) T) (x T) {
+func look[T any](c *core, f func(s *controller.Controller) T) (x T) {
 	c.do(func(float64) { x = f(c.steward) })
 	return x
 }
 
-func (c *core) status() (st steward.Status) {
+func (c *core) status() (st controller.Status) {
 	c.do(func(now float64) { st = c.steward.Status(now) })
 	return st
 }
@@ -289,7 +289,7 @@
 func (c *core) gap() *solver.Gap {
 	var p *solver.Problem
 	var t solver.Tables
-	c.do(func(float64) { p, t = c.steward.Standing() })
+	c.do(func(float64) { p, t = c.steward.CurrentProblem() })
 	if p == nil {
 		return nil
 	}
@@ -301,12 +301,12 @@
 	return g
 }
 
-func (c *core) fleet() *solver.Problem { return look(c, (*steward.Steward).Fleet) }
+func (c *core) fleet() *solver.Problem { return look(c, (*controller.Controller).ListedProblem) }
 
 // stop ends all calls; with release the polls that are held are answered first.
 func (c *core) stop(release bool) {
 	if release {
-		c.input(record.Release, func(now float64) { c.steward.Release(now, c) })
+		c.input(record.Release, func(now float64) { c.steward.ReleasePolls(now, c) })
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -17,6 +17,7 @@
 	"google.golang.org/protobuf/encoding/prototext"
 
 	"barleysail/auth"
+	"barleysail/controller"
 	"barleysail/intake"
 	"barleysail/internal/config"
 	"barleysail/internal/config/configpb"
@@ -26,7 +27,6 @@
 	"barleysail/internal/record/recordpb"
 	"barleysail/internal/runtimeapi"
 	"barleysail/internal/socketproxy"
-	"barleysail/steward"
 )
 
 // Daemon is a running steward.
@@ -86,7 +86,7 @@
 	if d.listener, err = net.Listen("tcp", c.Listen); err != nil {
 		return nil, fmt.Errorf("listening for proxies: %w", err)
 	}
-	d.core = newCore(config.Steward(c, life, seed), intake.NewDoor(intake.DoorLimits{Source: *c.Intake.SourceLinesPerS, All: *c.Intake.LinesPerS}), log, rec)
+	d.core = newCore(config.Steward(c, life, seed), intake.NewRateLimiter(intake.RateLimits{PerSource: *c.Intake.SourceLinesPerS, Total: *c.Intake.LinesPerS}), log, rec)
 	if rec != nil {
 		text, _ := prototext.MarshalOptions{Multiline: true}.Marshal(c)
 		d.core.write(&recordpb.Record{At: d.core.clock.Now(), What: &recordpb.Record_Start{Start: &recordpb.Start{
@@ -163,7 +163,7 @@
 }
 
 // takes is who takes the list: the steward, or one that stands by.
-func (d *Daemon) takes() func([]steward.Entry) error {
+func (d *Daemon) takes() func([]controller.Endpoint) error {
 	if d.standing != nil {
 		return d.standing.took
 	}
@@ -205,14 +205,16 @@
 // polling is a steward as proxies of sockets poll it, from within.
 type polling struct{ core *core }
 
-func (p polling) Poll(q steward.Query, to func(steward.Answer)) (int64, error) {
+func (p polling) Poll(q controller.PollRequest, to func(controller.Response)) (int64, error) {
 	return p.core.poll(q, to)
 }
-func (p polling) PollGone(proxy string, id int64)                 { p.core.pollGone(proxy, id) }
-func (p polling) Sums(proxy string, u steward.Sums) (bool, error) { return p.core.sums(proxy, u) }
-func (p polling) Now() float64                                    { return p.core.clock.Now() }
+func (p polling) PollGone(proxy string, id int64) { p.core.pollGone(proxy, id) }
+func (p polling) Sums(proxy string, u controller.ProxyStats) (bool, error) {
+	return p.core.sums(proxy, u)
+}
+func (p polling) Now() float64 { return p.core.clock.Now() }
 func (p polling) Listed(host string) bool {
-	return look(p.core, func(s *steward.Steward) bool { return s.IsListed(host) })
+	return look(p.core, func(s *controller.Controller) bool { return s.HasEndpoint(host) })
 }
 
 // listenOn listens at unix:PATH or address:port. A socket's file that nobody listens at any more is replaced.
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,13 +19,13 @@
 	"github.com/rs/zerolog"
 
 	"barleysail/client"
+	"barleysail/controller"
 	"barleysail/internal/config"
 	"barleysail/internal/config/configpb"
-	"barleysail/internal/kept"
+	"barleysail/internal/golden"
 	"barleysail/internal/record"
 	"barleysail/internal/record/recordpb"
 	"barleysail/solver"
-	"barleysail/steward"
 )
 
 const base = `zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
@@ -189,14 +189,14 @@
 	}
 	say("another media type", d.do("POST", "/v1/proxies/p/sums", "a", "Content-Type", "text/plain"))
 	say("another method", d.do("PUT", "/v1/proxies/p/tables", ""))
-	var st steward.Status
+	var st controller.Status
 	if g := d.do("GET", "/v1/status", ""); json.Unmarshal([]byte(g.body), &st) != nil || st.Hosts != 2 || st.Joined != 1 {
 		t.Errorf("status %s", g.body)
 	}
 	if delta.status != 226 {
 		t.Errorf("no delta came: %+v", delta)
 	}
-	kept.Trace(t, out.String())
+	golden.Trace(t, out.String())
 }
 
 // A poll held across the steward's restart: the client comes back, its old tag gets the whole, and meanwhile it
@@ -390,16 +390,16 @@
 // library collects the answers of a steward that is fed a recording.
 type library struct{ answers []string }
 
-func (l *library) Answer(poll int64, a steward.Answer) {
-	l.answers = append(l.answers, fmt.Sprint(poll, a.Proxy, a.Kind, a.Tag, a.Base, record.Sum(a.Body())))
+func (l *library) Respond(poll int64, a controller.Response) {
+	l.answers = append(l.answers, fmt.Sprint(poll, a.Proxy, a.Kind, a.Tag, a.BaseTag, record.Sum(a.Body())))
 }
-func (l *library) Probe(string) {}
-func (l *library) Watch()       {}
-func (l *library) Log(string)   {}
+func (l *library) CheckHealth(string) {}
+func (l *library) WatchEndpoints()    {}
+func (l *library) Log(string)         {}
 
 func feed(t *testing.T, text []byte) (said, answers []string, last error) {
 	r, out := record.NewReader(bytes.NewReader(text)), &library{}
-	var s *steward.Steward
+	var s *controller.Controller
 	for {
 		rec, err := r.Next()
 		if err != nil {
@@ -414,7 +414,7 @@
 			s = config.Steward(cfg, x.Start.Life, x.Start.Seed)
 		case *recordpb.Record_Published:
 			p := x.Published
-			said = append(said, fmt.Sprint(p.Poll, p.Proxy, steward.Kind(p.Kind), p.Tag, p.Base, p.Sum))
+			said = append(said, fmt.Sprint(p.Poll, p.Proxy, controller.ResponseKind(p.Kind), p.Tag, p.Base, p.Sum))
 		default:
 			if err := record.Feed(s, rec, out); err != nil {
 				t.Fatal(err)
--- a/internal/daemon/following.go
+++ b/internal/daemon/following.go
@@ -139,8 +139,8 @@
 		if err := proto.Unmarshal(r.Body, s); err != nil {
 			return false, fmt.Errorf("reading a state: %w", err)
 		}
-		if s.Major > state.Major {
-			return false, fmt.Errorf("the state has format %d, %d is the newest known here", s.Major, state.Major)
+		if s.Major > state.FormatMajor {
+			return false, fmt.Errorf("the state has format %d, %d is the newest known here", s.Major, state.FormatMajor)
 		}
 		f.state = s
 	case 226:
--- a/internal/daemon/identify.go
+++ b/internal/daemon/identify.go
@@ -13,12 +13,12 @@
 	"github.com/spiffe/go-spiffe/v2/spiffeid"
 
 	"barleysail/auth"
+	"barleysail/controller"
 	"barleysail/internal/config"
 	"barleysail/internal/config/configpb"
 	"barleysail/internal/http1"
 	"barleysail/internal/identity"
 	"barleysail/internal/tablesig"
-	"barleysail/steward"
 )
 
 // firstIdentity is how long a start waits for the issuer.
@@ -95,7 +95,7 @@
 		}
 		r := auth.Request{Action: action, Proxy: q.Params["proxy"], Zone: q.Query.Get("zone"), Host: q.Params["host"]}
 		if r.Proxy != "" && action != auth.Poll { // what a request says of itself counts only where it joins
-			r.Zone = look(a.core, func(s *steward.Steward) string { return s.ZoneOf(r.Proxy) })
+			r.Zone = look(a.core, func(s *controller.Controller) string { return s.ProxyZone(r.Proxy) })
 		}
 		if v := a.policy.Decide(id, r); !v.Allowed {
 			return http1.Problem{Status: 403, Detail: id.String() + " may not " + string(action) + " here: " + strings.Join(v.Why, "; ")}.Reply()
@@ -151,8 +151,8 @@
 const signedFor = 5 * time.Minute
 
 // signed adds the signature of what an answer leaves the proxy with.
-func (a *api) signed(s steward.Answer, r http1.Reply) http1.Reply {
-	if a.source == nil || s.Kind == steward.Same {
+func (a *api) signed(s controller.Response, r http1.Reply) http1.Reply {
+	if a.source == nil || s.Kind == controller.NotModified {
 		return r
 	}
 	signer, err := a.source.Signer()
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -22,8 +22,8 @@
 
 	"barleysail/client"
 	"barleysail/internal/config"
+	"barleysail/internal/fake/issuer"
 	"barleysail/internal/identity"
-	"barleysail/internal/standin/issuer"
 	"barleysail/internal/tablesig"
 )
 
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -23,11 +23,11 @@
 
 	saving sync.Mutex
 	mu     sync.Mutex
-	report KeeperReport
+	report PersisterReport
 }
 
-// KeeperReport is how the keeping of the state stands.
-type KeeperReport struct {
+// PersisterReport is how the keeping of the state stands.
+type PersisterReport struct {
 	Failed   string  `json:"failed"`     // why the last state was not kept; empty: it was
 	SavedMs  float64 `json:"saved_ms"`   // ms since 1970 when one last was; 0: never
 	Saves    int64   `json:"saves"`      // so often
@@ -52,7 +52,7 @@
 		folder.Close()
 		return nil, err
 	}
-	for _, note := range found.Notes {
+	for _, note := range found.Warnings {
 		log.Warn().Str("note", note).Msg("a part of the state is left out")
 		k.report.Notes += note + "; "
 	}
@@ -65,7 +65,7 @@
 		folder.Close()
 		return nil, err
 	}
-	log.Info().Str("life", r.Life).Float64("passed_ms", r.Passed).Int("hosts", len(r.Hosts)).Int("proxies", len(r.Proxies)).Str("why", r.Why).Msg("an earlier life is recalled")
+	log.Info().Str("life", r.Incarnation).Float64("passed_ms", r.ElapsedMs).Int("hosts", len(r.Hosts)).Int("proxies", len(r.Proxies)).Str("why", r.Reason).Msg("an earlier life is recalled")
 	return k, nil
 }
 
@@ -111,11 +111,11 @@
 			k.log.Info().Msg("the state is kept again")
 		}
 	}
-	r.Failed, r.Dropped = failed, k.store.Dropped
+	r.Failed, r.Dropped = failed, k.store.DroppedEntries
 	r.TookMs, r.LockedMs = float64(time.Since(began).Microseconds())/1000, float64(locked.Microseconds())/1000
 }
 
-func (k *keeper) status() *KeeperReport {
+func (k *keeper) status() *PersisterReport {
 	if k == nil {
 		return nil
 	}
--- a/internal/daemon/keep_test.go
+++ b/internal/daemon/keep_test.go
@@ -12,13 +12,13 @@
 	"github.com/rs/zerolog"
 	"google.golang.org/protobuf/proto"
 
+	"barleysail/controller"
 	"barleysail/internal/config"
 	"barleysail/internal/config/configpb"
 	"barleysail/internal/record"
 	"barleysail/internal/record/recordpb"
 	"barleysail/internal/statefile"
 	"barleysail/replay"
-	"barleysail/steward"
 )
 
 // A daemon that is killed and started again on its folder goes on from there: a proxy's tag of before gets a delta, what an
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	r, err := replay.Again(record.NewReader(f).Next, func(s *recordpb.Start) (*steward.Steward, error) {
+	r, err := replay.Again(record.NewReader(f).Next, func(s *recordpb.Start) (*controller.Controller, error) {
 		c, err := config.Parse("record", []byte(s.Config))
 		if err != nil {
 			return nil, err
@@ -83,8 +83,8 @@
 	return c
 }
 
-func keptIn(folder string) (*statefile.Found, error) {
-	f, err := statefile.LookFolder(folder)
+func keptIn(folder string) (*statefile.LoadResult, error) {
+	f, err := statefile.OpenReadOnly(folder)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/listfile.go
+++ b/internal/daemon/listfile.go
@@ -11,8 +11,8 @@
 	"github.com/fsnotify/fsnotify"
 	"github.com/rs/zerolog"
 
+	"barleysail/controller"
 	"barleysail/internal/config"
-	"barleysail/steward"
 )
 
 // listFile follows a host list in a file. What cannot be read, does not parse or is empty leaves the last good
@@ -20,7 +20,7 @@
 type listFile struct {
 	file string
 	log  zerolog.Logger
-	take func([]steward.Entry) error
+	take func([]controller.Endpoint) error
 	last []byte
 }
 
--- a/internal/daemon/listservice.go
+++ b/internal/daemon/listservice.go
@@ -13,9 +13,9 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 	"github.com/rs/zerolog"
 
-	"barleysail/decide"
+	"barleysail/controller"
 	"barleysail/internal/http1"
-	"barleysail/steward"
+	"barleysail/routing"
 )
 
 // listService follows a host list by the protocol that proxies use: long polls with deltas onto entity tags.
@@ -26,7 +26,7 @@
 	client          *http1.Client
 	log             zerolog.Logger
 	ctx             context.Context
-	take            func([]steward.Entry) error
+	take            func([]controller.Endpoint) error
 	failed          func()
 
 	asking atomic.Bool
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func parseList(doc []byte) ([]steward.Entry, error) {
+func parseList(doc []byte) ([]controller.Endpoint, error) {
 	var b listBody
 	if err := json.Unmarshal(doc, &b); err != nil {
 		return nil, fmt.Errorf("reading the list: %w", err)
@@ -138,14 +138,14 @@
 	if b.Hosts == nil {
 		return nil, fmt.Errorf(`reading the list: "hosts" is missing`)
 	}
-	entries := make([]steward.Entry, 0, len(b.Hosts))
+	entries := make([]controller.Endpoint, 0, len(b.Hosts))
 	for host, v := range b.Hosts {
-		e := steward.Entry{Host: host, Zone: v.Zone, Weight: 1, Started: v.Started}
+		e := controller.Endpoint{Host: host, Zone: v.Zone, Weight: 1, StartedMs: v.Started}
 		switch v.Phase {
 		case "ready", "":
-			e.Phase = decide.Ready
+			e.State = routing.Ready
 		case "draining":
-			e.Phase = decide.Draining
+			e.State = routing.Draining
 		default:
 			return nil, fmt.Errorf("hosts[%q].phase: %q is neither ready nor draining", host, v.Phase)
 		}
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"barleysail/auth"
+	"barleysail/controller"
 	"barleysail/internal/http1"
 	"barleysail/operator"
-	"barleysail/steward"
 )
 
 // Operators is what operators may ask of a steward and tell it, whatever front they come by.
@@ -22,35 +22,39 @@
 }
 
 // Hosts tells how the hosts stand.
-func (o *Operators) Hosts() []steward.HostInfo { return look(o.core, (*steward.Steward).HostInfos) }
+func (o *Operators) Hosts() []controller.HostInfo {
+	return look(o.core, (*controller.Controller).HostInfos)
+}
 
 // Host tells how one host stands.
-func (o *Operators) Host(name string) (h steward.HostInfo, ok bool) {
-	h = look(o.core, func(s *steward.Steward) (h steward.HostInfo) { h, ok = s.HostInfo(name); return h })
+func (o *Operators) Host(name string) (h controller.HostInfo, ok bool) {
+	h = look(o.core, func(s *controller.Controller) (h controller.HostInfo) { h, ok = s.HostInfo(name); return h })
 	return h, ok
 }
 
 // Proxies tells how the proxies stand.
-func (o *Operators) Proxies() []steward.ProxyInfo { return look(o.core, (*steward.Steward).ProxyInfos) }
+func (o *Operators) Proxies() []controller.ProxyInfo {
+	return look(o.core, (*controller.Controller).ProxyInfos)
+}
 
-// Holds gives the tables that a proxy was last given.
-func (o *Operators) Holds(proxy string) (a steward.Answer, ok bool) {
-	a = look(o.core, func(s *steward.Steward) (a steward.Answer) { a, ok = s.Holds(proxy); return a })
+// PublishedTables gives the tables that a proxy was last given.
+func (o *Operators) PublishedTables(proxy string) (a controller.Response, ok bool) {
+	a = look(o.core, func(s *controller.Controller) (a controller.Response) { a, ok = s.PublishedTables(proxy); return a })
 	return a, ok
 }
 
 // Status tells how the steward stands.
-func (o *Operators) Status() steward.Status { return o.core.status() }
+func (o *Operators) Status() controller.Status { return o.core.status() }
 
 // Order gives orders to the steward; several are carried out stepwise.
-func (o *Operators) Order(orders ...operator.Order) (waits bool, err error) {
+func (o *Operators) Order(orders ...operator.Command) (waits bool, err error) {
 	return o.core.operate(orders)
 }
 
 // Events gives those after a number; where there are none it calls later once, when one comes or the wait is over.
-func (o *Operators) Events(after int64, wait time.Duration, to func([]steward.Event)) (cancel func()) {
-	events := func() []steward.Event {
-		return look(o.core, func(s *steward.Steward) []steward.Event { return s.Events(after) })
+func (o *Operators) Events(after int64, wait time.Duration, to func([]controller.Event)) (cancel func()) {
+	events := func() []controller.Event {
+		return look(o.core, func(s *controller.Controller) []controller.Event { return s.Events(after) })
 	}
 	if all := events(); len(all) > 0 || wait <= 0 {
 		to(all)
@@ -75,7 +79,7 @@
 	})})
 	m.Handle("GET", "/v1/proxies/{proxy}/holds", http1.Route{Serve: a.may(auth.See, a.holds)})
 	m.Handle("GET", "/v1/guard", http1.Route{Serve: a.may(auth.See, func(*http1.Request) http1.Reply {
-		return jsonReply(look(a.core, (*steward.Steward).GuardReport))
+		return jsonReply(look(a.core, (*controller.Controller).ValidationReport))
 	})})
 	m.Handle("POST", "/v1/guard/check", http1.Route{Serve: a.may(auth.See, a.guardCheck), Media: []string{"application/json"}})
 	m.Handle("GET", "/v1/events", http1.Route{Serve: a.may(auth.See, a.events)})
@@ -89,7 +93,7 @@
 }
 
 func (a *api) holds(q *http1.Request) http1.Reply {
-	x, ok := a.ops.Holds(q.Params["proxy"])
+	x, ok := a.ops.PublishedTables(q.Params["proxy"])
 	if !ok {
 		return http1.Problem{Status: 404, Detail: "the proxy has not joined, or holds nothing"}.Reply()
 	}
@@ -111,7 +115,10 @@
 		tables[class] = t.Hosts
 	}
 	err := errStopping
-	answer := look(a.core, func(s *steward.Steward) (x *steward.GuardAnswer) { x, err = s.GuardCheck(b.Zone, tables); return x })
+	answer := look(a.core, func(s *controller.Controller) (x *controller.ValidationResult) {
+		x, err = s.ValidateTables(b.Zone, tables)
+		return x
+	})
 	if err != nil {
 		return fail(err)
 	}
@@ -137,20 +144,20 @@
 }
 
 // order reads an order for a host.
-func (b *orderBody) order(host string) (operator.Order, error) {
+func (b *orderBody) order(host string) (operator.Command, error) {
 	state, ok := operator.ParseState(b.State)
 	if !ok && b.State != "" {
-		return operator.Order{}, &steward.FieldError{Field: "state", Reason: "ready, drain and maint are known"}
+		return operator.Command{}, &controller.FieldError{Field: "state", Reason: "ready, drain and maint are known"}
 	}
-	o := operator.Order{Host: host, State: state, Keep: b.State == "", Weight: -1, Clear: b.Clear, For: b.ForMs, Wait: b.Wait, By: b.By,
+	o := operator.Command{Host: host, State: state, KeepState: b.State == "", Weight: -1, ClearWeight: b.Clear, DurationMs: b.ForMs, Queue: b.Wait, Operator: b.By,
 		Remove: b.Remove}
 	if b.Weight != nil {
 		o.Weight = math.Max(*b.Weight, 0)
 	} else if b.Part != nil {
-		o.Weight, o.Part = math.Max(*b.Part, 0), true
+		o.Weight, o.Relative = math.Max(*b.Part, 0), true
 	}
 	if b.Add != nil {
-		o.Keep, o.Add = false, &operator.Added{Zone: b.Add.Zone, Weight: b.Add.Weight, Cores: b.Add.Cores, Speed: b.Add.Speed}
+		o.KeepState, o.Add = false, &operator.AddedHost{Zone: b.Add.Zone, Weight: b.Add.Weight, Cores: b.Add.Cores, Speed: b.Add.Speed}
 	}
 	return o, nil
 }
@@ -191,7 +198,7 @@
 	if err != nil {
 		return malformed(err)
 	}
-	var all []operator.Order
+	var all []operator.Command
 	for _, h := range a.ops.Hosts() {
 		if h.Zone != q.Params["zone"] || h.Phase == "gone" {
 			continue
@@ -200,7 +207,7 @@
 		if err != nil {
 			return fail(err)
 		}
-		o.Wait = true
+		o.Queue = true
 		all = append(all, o)
 	}
 	if len(all) == 0 {
@@ -209,10 +216,10 @@
 	return a.ordered(all...)
 }
 
-func (a *api) ordered(orders ...operator.Order) http1.Reply {
+func (a *api) ordered(orders ...operator.Command) http1.Reply {
 	waits, err := a.ops.Order(orders...)
-	var refused *operator.Refusal
-	if errors.As(err, &refused) && refused.Unknown {
+	var refused *operator.RejectedError
+	if errors.As(err, &refused) && refused.UnknownHost {
 		return http1.Problem{Status: 404, Detail: err.Error()}.Reply()
 	} else if refused != nil {
 		return http1.Problem{Status: 409, Detail: err.Error()}.Reply()
@@ -232,7 +239,7 @@
 func (a *api) events(q *http1.Request) http1.Reply {
 	after, err := strconv.ParseInt(q.Query.Get("after"), 10, 64)
 	if err != nil && q.Query.Get("after") != "" {
-		return fail(&steward.FieldError{Field: "after", Reason: "is no number"})
+		return fail(&controller.FieldError{Field: "after", Reason: "is no number"})
 	}
 	seconds, _ := wait(q.Header)
 	var cancel func()
@@ -241,9 +248,9 @@
 			cancel()
 		}
 	})
-	cancel = a.ops.Events(after, time.Duration(math.Min(seconds, eventsWait)*float64(time.Second)), func(all []steward.Event) {
+	cancel = a.ops.Events(after, time.Duration(math.Min(seconds, eventsWait)*float64(time.Second)), func(all []controller.Event) {
 		if all == nil {
-			all = []steward.Event{}
+			all = []controller.Event{}
 		}
 		held.Answer(jsonReply(map[string]any{"events": all}))
 	})
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"barleysail/internal/kept"
-	"barleysail/steward"
+	"barleysail/controller"
+	"barleysail/internal/golden"
 )
 
 // Operators see and set over HTTP; what would break a rule is refused with the reason, and followers hear of it.
@@ -27,18 +27,18 @@
 	d.show(&out, "of a zone without hosts", d.do("POST", "/v1/zones/c/operator", `{"state":"drain"}`, "Content-Type", "application/json"))
 	d.show(&out, "events after x", d.do("GET", "/v1/events?after=x", ""))
 	d.show(&out, "no such proxy", d.do("GET", "/v1/proxies/none/holds", ""))
-	kept.Compare(t, "operators", out.String())
-	var h steward.HostInfo
+	golden.Compare(t, "operators", out.String())
+	var h controller.HostInfo
 	until(t, "the drain to be told", func() bool {
-		h = steward.HostInfo{}
+		h = controller.HostInfo{}
 		json.Unmarshal([]byte(d.do("GET", host, "").body), &h)
 		return h.Weight == 0
 	})
 	if h.Phase != "draining" || h.Operator == nil || h.Operator.By != "x" {
 		t.Errorf("%+v", h)
 	}
-	events := func(after int64, wait string) []steward.Event {
-		var x struct{ Events []steward.Event }
+	events := func(after int64, wait string) []controller.Event {
+		var x struct{ Events []controller.Event }
 		if err := json.Unmarshal([]byte(d.do("GET", "/v1/events?after="+json.Number(jsonInt(after)).String(), "", "Prefer", "wait="+wait).body), &x); err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 	if none := events(last, "0"); len(none) != 0 {
 		t.Errorf("after the last: %+v", none)
 	}
-	got := make(chan []steward.Event)
+	got := make(chan []controller.Event)
 	go func() { got <- events(last, "30") }()
 	until(t, "the follower to be held", func() bool { d.core.mu.Lock(); defer d.core.mu.Unlock(); return len(d.core.followers) == 1 })
 	d.do("POST", host+"/operator", `{"state":"ready"}`, "Content-Type", "application/json")
--- a/internal/daemon/probes.go
+++ b/internal/daemon/probes.go
@@ -6,9 +6,9 @@
 	"net"
 	"time"
 
-	"barleysail/decide"
 	"barleysail/internal/http1"
 	"barleysail/internal/orca"
+	"barleysail/routing"
 )
 
 // prober examines hosts by GET, a bounded number at once.
@@ -18,7 +18,7 @@
 	timeout time.Duration
 	slots   chan struct{}
 	ctx     context.Context
-	done    func(host string, how decide.Outcome, load decide.Load)
+	done    func(host string, how routing.HealthCheckResult, load routing.HostLoad)
 }
 
 // probe starts a probe; its time runs from when it has a connection's slot.
@@ -37,7 +37,7 @@
 		if p.ctx.Err() != nil {
 			return
 		}
-		load := decide.NoLoad
+		load := routing.UnknownLoad
 		if err == nil {
 			load = orca.Parse(r.Header.Get(orca.Field))
 		}
@@ -46,15 +46,15 @@
 }
 
 // outcome tells what a probe shows: an answer, a refusal, no answer in time, or nothing at all there.
-func outcome(r *http1.Response, err error, timedOut bool) decide.Outcome {
+func outcome(r *http1.Response, err error, timedOut bool) routing.HealthCheckResult {
 	var timeout net.Error
 	switch {
 	case err == nil && r.Status >= 200 && r.Status < 300:
-		return decide.Fine
+		return routing.Healthy
 	case err == nil:
-		return decide.Refused
+		return routing.Rejected
 	case timedOut || errors.As(err, &timeout) && timeout.Timeout():
-		return decide.Silent
+		return routing.TimedOut
 	}
-	return decide.Unreachable
+	return routing.Unreachable
 }
--- a/internal/daemon/runtime_test.go
+++ b/internal/daemon/runtime_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"barleysail/internal/golden"
 	"barleysail/internal/haproxy"
-	"barleysail/internal/kept"
 	"barleysail/internal/runtimeapi"
 )
 
@@ -70,7 +70,7 @@
 		}
 		fmt.Fprintf(&out, "$ %s\n%s", line, got)
 	}
-	kept.Compare(t, "runtime", out.String())
+	golden.Compare(t, "runtime", out.String())
 	for _, line := range []string{"set weight sheet/10.0.0.1:80 1", "show table", "disable server sheet/10.0.0.1:80"} {
 		if got := d.ask(1, line+"\n"); got != "Permission denied\n\n" {
 			t.Errorf("by a user: %q", got)
--- a/internal/daemon/sockets_test.go
+++ b/internal/daemon/sockets_test.go
@@ -11,17 +11,17 @@
 	"time"
 
 	"barleysail/internal/config"
+	"barleysail/internal/fake"
 	"barleysail/internal/haproxy"
-	"barleysail/internal/standin"
 )
 
 // socketed makes proxies that are driven by sockets, with an old file of their own, and what a configuration says of them.
-func socketed(t testing.TB, n int) (all []*standin.Forwarder, text string) {
+func socketed(t testing.TB, n int) (all []*fake.Forwarder, text string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for i := range n {
-		f, err := standin.NewForwarder(standin.ForwarderSettings{Name: fmt.Sprint("s", i), Zone: "a", Socket: true, Standing: []string{"10.9.9.9:80"},
-			Traffic: []standin.Traffic{{Class: "sheet", Rate: 1e-6}, {Class: "finish", Rate: 1e-6}}})
+		f, err := fake.NewForwarder(fake.ForwarderSettings{Name: fmt.Sprint("s", i), Zone: "a", Socket: true, Standing: []string{"10.9.9.9:80"},
+			Traffic: []fake.Traffic{{Class: "sheet", Rate: 1e-6}, {Class: "finish", Rate: 1e-6}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,7 +35,7 @@
 }
 
 // holds tells whether a proxy's servers that take traffic are so many, with their weights as the list has them.
-func holds(f *standin.Forwarder, want map[string]int) bool {
+func holds(f *fake.Forwarder, want map[string]int) bool {
 	n := 0
 	for _, s := range f.SocketState() {
 		if s.Admin != 0 {
@@ -230,7 +230,7 @@
 		for d.core.status().Polls < 2 {
 			time.Sleep(time.Millisecond)
 		}
-		list[7].Phase = 3 - list[7].Phase // ready or draining
+		list[7].State = 3 - list[7].State // ready or draining
 		began := time.Now()
 		if err := d.core.listed(list); err != nil {
 			b.Fatal(err)
--- a/internal/daemon/standby.go
+++ b/internal/daemon/standby.go
@@ -10,11 +10,11 @@
 
 	"github.com/rs/zerolog"
 
+	"barleysail/controller"
 	"barleysail/internal/http1"
 	"barleysail/standby"
 	"barleysail/state"
 	"barleysail/state/statepb"
-	"barleysail/steward"
 )
 
 // standing is a steward that stands by another: it follows what the first knows, keeps the list in hand, and becomes a
@@ -29,7 +29,7 @@
 	mu     sync.Mutex
 	by     *standby.Standby
 	from   followed
-	list   []steward.Entry
+	list   []controller.Endpoint
 	listed bool
 	failed string
 	tookMs float64
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &standing{core: c, log: log, address: address, cold: cold, by: standby.New(standby.Limits{Fresh: fresh}),
+	return &standing{core: c, log: log, address: address, cold: cold, by: standby.New(standby.Limits{LeaseMs: fresh}),
 		client: &http1.Client{Limits: http1.Limits{Line: 8 << 10, Header: 32 << 10, Body: 256 << 20}, TLS: secure}}, nil
 }
 
@@ -106,9 +106,9 @@
 		for _, p := range s.from.state.Proxies {
 			has = append(has, p.Name)
 		}
-		s.by.Heard(now, has)
+		s.by.ObserveSessions(now, has)
 	} else if err == nil {
-		s.by.Still(now)
+		s.by.Heartbeat(now)
 	}
 	s.mu.Unlock()
 	if err == nil {
@@ -118,11 +118,11 @@
 }
 
 // took takes the list: into hand until somebody is served.
-func (s *standing) took(entries []steward.Entry) error {
+func (s *standing) took(entries []controller.Endpoint) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list, s.listed = entries, true
-	if live, _ := s.by.Live(); live {
+	if live, _ := s.by.Active(); live {
 		return s.core.listed(entries)
 	}
 	return nil
@@ -132,9 +132,9 @@
 func (s *standing) may(proxy string) (ok bool, again time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was, _ := s.by.Live()
-	ok, after := s.by.May(s.core.clock.Now(), proxy)
-	if live, _ := s.by.Live(); live && !was {
+	was, _ := s.by.Active()
+	ok, after := s.by.ShouldServe(s.core.clock.Now(), proxy)
+	if live, _ := s.by.Active(); live && !was {
 		s.takeOver()
 	}
 	return ok, ms(after)
@@ -149,7 +149,7 @@
 	r, err := s.core.recall(kept, s.cold)
 	if err != nil {
 		s.log.Error().Err(err).Msg("beginning without what the first knew")
-		r = &state.Recalled{}
+		r = &state.Restored{}
 	}
 	if s.listed {
 		if err := s.core.listed(s.list); err != nil {
@@ -157,7 +157,7 @@
 		}
 	}
 	s.tookMs = float64(time.Since(began).Microseconds()) / 1000
-	s.log.Warn().Str("life", r.Life).Float64("passed_ms", math.Round(r.Passed)).Int("hosts", len(r.Hosts)).Int("proxies", len(r.Proxies)).Msg("taking over")
+	s.log.Warn().Str("life", r.Incarnation).Float64("passed_ms", math.Round(r.ElapsedMs)).Int("hosts", len(r.Hosts)).Int("proxies", len(r.Proxies)).Msg("taking over")
 }
 
 func (s *standing) report() *StandbyReport {
@@ -166,8 +166,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	live, _ := s.by.Live()
-	r := &StandbyReport{Live: live, Fresh: s.by.Fresh(s.core.clock.Now()), Sent: s.by.Sent(), Failed: s.failed, TookMs: s.tookMs}
+	live, _ := s.by.Active()
+	r := &StandbyReport{Live: live, Fresh: s.by.LeaseValid(s.core.clock.Now()), Sent: s.by.RejectedPolls(), Failed: s.failed, TookMs: s.tookMs}
 	if s.from.state != nil {
 		r.Proxies = len(s.from.state.Proxies)
 	}
--- a/internal/daemon/standby_test.go
+++ b/internal/daemon/standby_test.go
@@ -10,10 +10,10 @@
 	"google.golang.org/protobuf/proto"
 
 	"barleysail/client"
+	"barleysail/controller"
 	"barleysail/internal/http1"
 	"barleysail/state"
 	"barleysail/state/statepb"
-	"barleysail/steward"
 )
 
 // A standby follows the first, sends back the proxies that the first has, and once that is killed goes on from what it knew:
@@ -141,7 +141,7 @@
 	until(t, "the first's tables", func() bool { return weight() == 0.5 })
 	first.Kill()
 	until(t, "the second's", func() bool { return weight() == 0.7 })
-	if infos := look(second.core, (*steward.Steward).ProxyInfos); len(infos) == 0 || infos[len(infos)-1].Proxy != "q" {
+	if infos := look(second.core, (*controller.Controller).ProxyInfos); len(infos) == 0 || infos[len(infos)-1].Proxy != "q" {
 		t.Errorf("joined the second: %+v", infos)
 	}
 	cancel()
--- a/internal/core/dues.go
+++ b/internal/deadlinequeue/queue.go
@@ -1,13 +1,13 @@
 // Package core holds what several decision modules keep their work in.
-package core
+package deadlinequeue
 
 import (
 	"container/heap"
 	"math"
 )
 
-// Dues keeps things by the time they are due; of those due at one time the first added comes first.
-type Dues[T any] struct {
+// Queue keeps things by the time they are due; of those due at one time the first added comes first.
+type Queue[T any] struct {
 	heap  dueHeap[T]
 	count int64
 }
@@ -18,14 +18,14 @@
 	what  T
 }
 
-// Add keeps a thing until its time.
-func (d *Dues[T]) Add(at float64, what T) {
+// Schedule keeps a thing until its time.
+func (d *Queue[T]) Schedule(at float64, what T) {
 	d.count++
 	heap.Push(&d.heap, due[T]{at, d.count, what})
 }
 
 // Pop takes the first thing that is due by now.
-func (d *Dues[T]) Pop(now float64) (what T, ok bool) {
+func (d *Queue[T]) Pop(now float64) (what T, ok bool) {
 	if len(d.heap) == 0 || d.heap[0].at > now {
 		return what, false
 	}
@@ -33,7 +33,7 @@
 }
 
 // Next is when the first thing is due, +Inf where there is none.
-func (d *Dues[T]) Next() float64 {
+func (d *Queue[T]) Next() float64 {
 	if len(d.heap) == 0 {
 		return math.Inf(1)
 	}
--- a/internal/standin/host.go
+++ b/internal/fake/host.go
@@ -1,7 +1,7 @@
 // Package standin holds small stand-ins on loopback: hosts with cores and queues that can be slow, hang, crash
 // and start cold, forwarders built on package client, and a list service. They serve rehearsals and tests, and
 // are written from the public specifications.
-package standin
+package fake
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"barleysail/decide"
 	"barleysail/internal/orca"
 	"barleysail/internal/rules"
+	"barleysail/routing"
 )
 
 // Now is the time in ms since 1970, as all stand-ins note it.
@@ -212,7 +212,7 @@
 	h.mu.Lock()
 	load := h.told()
 	h.mu.Unlock()
-	if load != decide.NoLoad {
+	if load != routing.UnknownLoad {
 		w.Header().Set(orca.Field, orca.Format(load))
 	}
 }
--- a/internal/standin/reports.go
+++ b/internal/fake/reports.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"barleysail/decide"
+	"barleysail/routing"
 )
 
 // telling is how a host reports its load: what it tells may be false, stand still, stop or flood.
@@ -42,22 +42,22 @@
 func (h *Host) Ahead(d time.Duration) { h.mu.Lock(); h.tells.ahead = d; h.mu.Unlock() }
 
 // told is the load as the host tells it. The lock is held.
-func (h *Host) told() decide.Load {
+func (h *Host) told() routing.HostLoad {
 	t := &h.tells
 	if t.mute {
-		return decide.NoLoad
+		return routing.UnknownLoad
 	}
-	load := decide.Load{Util: float64(h.busy) / float64(h.set.Cores), Rate: -1, Queue: float64(len(h.line))}
+	load := routing.HostLoad{Utilization: float64(h.busy) / float64(h.set.Cores), RequestRate: -1, QueueLength: float64(len(h.line))}
 	if now := Now(); h.set.Rate {
 		if now >= t.rate.at+1000 {
 			t.rate.last, t.rate.n, t.rate.at = float64(t.rate.n)/(now-t.rate.at)*1000, 0, now
 		}
-		load.Rate = t.rate.last
+		load.RequestRate = t.rate.last
 	}
 	if t.part > 0 {
-		load.Util, load.Queue = load.Util*t.part, load.Queue*t.part
-		if load.Rate > 0 {
-			load.Rate *= t.part
+		load.Utilization, load.QueueLength = load.Utilization*t.part, load.QueueLength*t.part
+		if load.RequestRate > 0 {
+			load.RequestRate *= t.part
 		}
 	}
 	return load
@@ -80,12 +80,12 @@
 		case <-ctx.Done():
 			return
 		}
-		if down || load == decide.NoLoad {
+		if down || load == routing.UnknownLoad {
 			continue
 		}
-		own := map[string]float64{"util": load.Util, "queue": load.Queue}
-		if load.Rate >= 0 {
-			own["rate"] = load.Rate
+		own := map[string]float64{"util": load.Utilization, "queue": load.QueueLength}
+		if load.RequestRate >= 0 {
+			own["rate"] = load.RequestRate
 		}
 		body, _ := json.Marshal(map[string]any{"sender": fmt.Sprint("life-", life), "number": n, "load": own,
 			"at": float64(time.Now().Add(t.ahead).UnixMicro()) / 1000})
--- a/internal/kept/kept.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
 // Package kept compares what a test prints with a text that is kept in the repository and read by people.
-package kept
+package golden
 
 import (
 	"os"
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"barleysail/internal/kept"
+	"barleysail/internal/golden"
 )
 
 // serve starts a server of a few routes: an echo, a plain page and one that is held until released.
@@ -98,7 +98,7 @@
 			}
 		}
 	}
-	kept.Compare(t, "messages", now.String())
+	golden.Compare(t, "messages", now.String())
 }
 
 // What comes too slowly is answered 408, an idle connection is closed, and one too many gets 503.
--- a/internal/indices/indices.go
+++ b/internal/interner/interner.go
@@ -1,22 +1,22 @@
 // Package indices maps names to small indices, for the module that goes by those.
-package indices
+package interner
 
 import "container/heap"
 
-// Indices maps names to indices, the lowest free one first, so that what is kept by index stays as small as the number of
+// Interner maps names to indices, the lowest free one first, so that what is kept by index stays as small as the number of
 // names alive at once. Of and Names are for reading.
-type Indices struct {
-	Of    map[string]int
-	Names []string // of a free index: empty
-	free  lowest
+type Interner struct {
+	IndexOf map[string]int
+	Names   []string // of a free index: empty
+	free    lowest
 }
 
 // New makes an empty one.
-func New() Indices { return Indices{Of: map[string]int{}} }
+func New() Interner { return Interner{IndexOf: map[string]int{}} }
 
 // Index gives the index of a name, a fresh one if it has none.
-func (x *Indices) Index(name string) int {
-	if i, ok := x.Of[name]; ok {
+func (x *Interner) Index(name string) int {
+	if i, ok := x.IndexOf[name]; ok {
 		return i
 	}
 	i := len(x.Names)
@@ -26,14 +26,14 @@
 	} else {
 		x.Names = append(x.Names, name)
 	}
-	x.Of[name] = i
+	x.IndexOf[name] = i
 	return i
 }
 
 // Release gives the index of a name free. The caller sees to it that nothing names it any more.
-func (x *Indices) Release(name string) {
-	if i, ok := x.Of[name]; ok {
-		delete(x.Of, name)
+func (x *Interner) Release(name string) {
+	if i, ok := x.IndexOf[name]; ok {
+		delete(x.IndexOf, name)
 		x.Names[i] = ""
 		heap.Push(&x.free, i)
 	}
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"strings"
 
-	"barleysail/decide"
+	"barleysail/routing"
 )
 
 // Field is the name of the header field.
@@ -26,8 +26,8 @@
 )
 
 // Parse reads a field's value. What is absent, unknown or no figure from 0 up is taken as not reported.
-func Parse(value string) decide.Load {
-	load := decide.NoLoad
+func Parse(value string) routing.HostLoad {
+	load := routing.UnknownLoad
 	if rest, ok := strings.CutPrefix(value, "TEXT "); ok {
 		value = rest
 	}
@@ -39,23 +39,23 @@
 		}
 		switch textproto.TrimString(name) {
 		case util:
-			load.Util = x
+			load.Utilization = x
 		case rate:
-			load.Rate = x
+			load.RequestRate = x
 		case queue:
-			load.Queue = x
+			load.QueueLength = x
 		}
 	}
 	return load
 }
 
 // Format writes a field's value, empty where nothing is reported.
-func Format(load decide.Load) string {
+func Format(load routing.HostLoad) string {
 	var parts []string
 	for _, f := range []struct {
 		name string
 		x    float64
-	}{{util, load.Util}, {rate, load.Rate}, {queue, load.Queue}} {
+	}{{util, load.Utilization}, {rate, load.RequestRate}, {queue, load.QueueLength}} {
 		if f.x >= 0 {
 			parts = append(parts, f.name+"="+strconv.FormatFloat(f.x, 'g', 6, 64))
 		}
--- a/internal/platform/alike_test.go
+++ b/internal/platform/alike_test.go
@@ -11,36 +11,38 @@
 	"github.com/google/go-cmp/cmp"
 
 	"barleysail/internal/instance"
-	"barleysail/internal/wire"
+	"barleysail/internal/simwire"
 )
 
 // wired writes a node's orders as the bench's adapter does.
 type wired struct {
-	*wire.Writer
+	*simwire.Writer
 	inst *instance.Instance
 }
 
-func (w wired) Line(table, host int, weight float64) { w.Weigh(0, table, w.inst.ID(host), weight) }
-func (w wired) Bind(proxy, table, classes int)       { w.AttachTable(0, proxy, table, classes) }
-func (w wired) Level(table, classes int, share float64, tries int) {
+func (w wired) SetWeight(table, host int, weight float64) {
+	w.Weigh(0, table, w.inst.HostID(host), weight)
+}
+func (w wired) AssignTable(proxy, table, classes int) { w.AttachTable(0, proxy, table, classes) }
+func (w wired) SetAdmission(table, classes int, share float64, tries int) {
 	w.Throttle(0, table, classes, share, tries)
 }
-func (w wired) Mark(number int) { w.Seal(0, number) }
-func (w wired) Probe(host int)  { w.Writer.Probe(0, w.inst.ID(host)) }
-func (w wired) Wake(at float64) { w.After(0, int64(at*1000), 1) }
-func (w wired) Watch()          { w.Subscribe(0) }
-func (w wired) Log(text string) { w.Remark(0, text) }
+func (w wired) StampVersion(number int)  { w.Seal(0, number) }
+func (w wired) CheckHealth(host int)     { w.Writer.Probe(0, w.inst.HostID(host)) }
+func (w wired) ScheduleRound(at float64) { w.After(0, int64(at*1000), 1) }
+func (w wired) WatchEndpoints()          { w.Subscribe(0) }
+func (w wired) Log(text string)          { w.Remark(0, text) }
 
 // The steward on streams and the bench's adapter drive the module alike: the same that comes in, each in its own form,
 // brings the same orders, round by round.
 func TestLikeTheAdapter(t *testing.T) {
-	drill := filepath.Join(t.TempDir(), "drill")
-	if out, err := exec.Command("go", "build", "-o", drill, "barleysail/cmd/drill").CombinedOutput(); err != nil {
+	simadapter := filepath.Join(t.TempDir(), "simadapter")
+	if out, err := exec.Command("go", "build", "-o", simadapter, "barleysail/cmd/simadapter").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	n := node(t)
 	var steward, lines bytes.Buffer
-	out := wired{wire.NewWriter(&steward), n.inst}
+	out := wired{simwire.NewWriter(&steward), n.inst}
 	batch := 0
 	round := func(ms float64, events ...string) {
 		batch++
@@ -89,7 +91,7 @@
 		}
 		round(2000+1000*float64(i), events...)
 	}
-	run := exec.Command(drill)
+	run := exec.Command(simadapter)
 	run.Stdin = &lines
 	adapter, err := run.Output()
 	if err != nil {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"time"
 
-	"barleysail/internal/wire"
+	"barleysail/internal/simwire"
 )
 
 // Limits are what the machine leaves the steward.
@@ -29,7 +29,7 @@
 	Seed                    uint64
 	Limits                  Limits
 	Known                   list
-	Settings                *wire.Settings
+	Settings                *simwire.Settings
 	settings                []byte        // as they were written
 	Step                    time.Duration // the least time between rounds
 	CheckTimeout            time.Duration // for a probe
@@ -76,7 +76,7 @@
 	if l := c.Limits; l.Cores < 0 || l.MemoryMB < 0 || l.Sockets < 0 {
 		return nil, fmt.Errorf("limits: a figure is below 0")
 	}
-	if c.Settings, err = wire.ReadSettings(raw.Settings); err != nil {
+	if c.Settings, err = simwire.ReadSettings(raw.Settings); err != nil {
 		return nil, err
 	}
 	var settings bytes.Buffer
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/rs/zerolog"
 
+	"barleysail/internal/golden"
 	"barleysail/internal/instance"
-	"barleysail/internal/kept"
 )
 
 // configText is a whole configuration with a change made to its text.
@@ -46,7 +46,7 @@
 		}
 		fmt.Fprintf(&now, "%s for %s: %s\n", change[1], change[0], out)
 	}
-	kept.Trace(t, now.String())
+	golden.Trace(t, now.String())
 }
 
 // No zones at all: the whole deployment is one, and entries and joinings name none.
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -29,25 +29,25 @@
 			within("mean", r.mean, b.meanMs)
 			within("span", r.span, spanMost)
 			within("failed", float64(r.failed), float64(r.tries))
-			for _, v := range []float64{r.load.Util, r.load.Rate, r.load.Queue} {
+			for _, v := range []float64{r.load.Utilization, r.load.RequestRate, r.load.QueueLength} {
 				if math.IsNaN(v) || math.IsInf(v, 0) {
 					t.Errorf("load is %v", r.load)
 				}
 			}
-			inst.Heard(r.host, r.tries, r.failed, r.mean, r.span, r.load)
+			inst.ObserveHostStats(r.host, r.tries, r.failed, r.mean, r.span, r.load)
 		}
 		if r, err := b.usage(fields, inst); err == nil {
 			within("proxy", float64(r.proxy), float64(b.proxy))
 			within("class", float64(r.class), 1)
-			inst.Usage(r.proxy, r.class, r.tries, r.span)
+			inst.ObserveDemand(r.proxy, r.class, r.tries, r.span)
 		}
 		if p, z, w, err := b.joining(fields, inst); err == nil {
 			within("proxy", float64(p), float64(b.proxy))
 			within("weight", w, weightMost)
-			inst.Joined(p, z, w)
+			inst.ConnectProxy(p, z, w)
 		}
 		if p, m, err := b.answer(fields); err == nil {
-			inst.Answered(p, m)
+			inst.Ack(p, m)
 		}
 	})
 }
@@ -61,7 +61,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		if l, err := readList(in); err == nil {
 			n := node(t)
-			if l.check(n.inst.Zone) == nil {
+			if l.check(n.inst.ZoneIndex) == nil {
 				n.applyList(l, false)
 				n.applyList(l, true)
 			}
--- a/internal/platform/health.go
+++ b/internal/platform/health.go
@@ -9,8 +9,8 @@
 	"syscall"
 	"time"
 
-	"barleysail/decide"
 	"barleysail/internal/http1"
+	"barleysail/routing"
 )
 
 const resetMost = 3 // calls of a health check: a network that resets connections says nothing of the host
@@ -25,16 +25,16 @@
 	}
 	n.post(func() {
 		if _, gone := n.retired[h]; gone || n.hosts[h] != asked {
-			how, load = decide.Refused, decide.NoLoad
+			how, load = routing.Rejected, routing.UnknownLoad
 		}
-		n.inst.Probed(h, how, load)
+		n.inst.ObserveHealthCheck(h, how, load)
 	})
 }
 
 // healthCheck asks a host how it is: only a refused connection proves that nothing is there. A reset one may be the network's doing,
 // so it is tried again: a process that has just ended refuses then. A host refuses at once; one that does so only after it
 // has held the call for long could not serve it, which is silence. The error says why a check was not fine.
-func healthCheck(ctx context.Context, c *http1.Client, address string, most time.Duration) (decide.Outcome, decide.Load, error) {
+func healthCheck(ctx context.Context, c *http1.Client, address string, most time.Duration) (routing.HealthCheckResult, routing.HostLoad, error) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
@@ -48,19 +48,19 @@
 	}
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return decide.Unreachable, decide.NoLoad, err
+		return routing.Unreachable, routing.UnknownLoad, err
 	case err != nil:
-		return decide.Silent, decide.NoLoad, err
+		return routing.TimedOut, routing.UnknownLoad, err
 	case r.Status != 200 && time.Since(began) > most/2:
-		return decide.Silent, decide.NoLoad, fmt.Errorf("held and then answered %d", r.Status)
+		return routing.TimedOut, routing.UnknownLoad, fmt.Errorf("held and then answered %d", r.Status)
 	case r.Status != 200:
-		return decide.Refused, decide.NoLoad, fmt.Errorf("answered %d", r.Status)
+		return routing.Rejected, routing.UnknownLoad, fmt.Errorf("answered %d", r.Status)
 	}
 	var values map[string]json.RawMessage
 	if json.Unmarshal(r.Body, &values) != nil {
-		return decide.Fine, decide.NoLoad, nil
+		return routing.Healthy, routing.UnknownLoad, nil
 	}
-	return decide.Fine, loadOf(func(name string) (float64, bool) {
+	return routing.Healthy, loadOf(func(name string) (float64, bool) {
 		v, err := strconv.ParseFloat(string(values[name]), 64)
 		return v, err == nil
 	}), nil
--- a/internal/platform/health_crossing_test.go
+++ b/internal/platform/health_crossing_test.go
@@ -52,7 +52,7 @@
 			old.(*net.TCPConn).SetLinger(0)
 			old.Close()
 			held(t, is)
-			if strikes := ask(n, func() int { e, _ := n.inst.Explain(0); return e.Strikes }); strikes != 0 {
+			if strikes := ask(n, func() int { e, _ := n.inst.Explain(0); return e.ConsecutiveFailures }); strikes != 0 {
 				t.Errorf("%d checks count as failed", strikes)
 			}
 		})
--- a/internal/platform/health_test.go
+++ b/internal/platform/health_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"barleysail/internal/golden"
 	"barleysail/internal/http1"
-	"barleysail/internal/kept"
 )
 
 const late = 150 * time.Millisecond
@@ -64,7 +64,7 @@
 			address = host(t, ways)
 		}
 		how, load, err := healthCheck(context.Background(), &http1.Client{Idle: -1}, address, 2*late-late/10)
-		fmt.Fprintf(&now, "%q: outcome %d, util %.2f, qps %.0f, fine %v\n", ways, how, load.Util, load.Rate, err == nil)
+		fmt.Fprintf(&now, "%q: outcome %d, util %.2f, qps %.0f, fine %v\n", ways, how, load.Utilization, load.RequestRate, err == nil)
 	}
-	kept.Trace(t, now.String())
+	golden.Trace(t, now.String())
 }
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -12,8 +12,8 @@
 
 	"github.com/rs/zerolog"
 
-	"barleysail/decide"
 	"barleysail/internal/http1"
+	"barleysail/routing"
 )
 
 // entry is a host as the list shows it.
@@ -37,7 +37,7 @@
 	Instances  []entry
 }
 
-var phases = map[string]decide.Phase{"Ready": decide.Ready, "Terminating": decide.Draining, "Gone": decide.Gone}
+var phases = map[string]routing.HostState{"Ready": routing.Ready, "Terminating": routing.Draining, "Gone": routing.Removed}
 
 const (
 	// watchHold is how long a watch may wait. A connection that has fallen silent shows only after it, so it is short:
@@ -214,7 +214,7 @@
 	switch {
 	case e.InstanceID == "" || !ok || e.Weight < 0 || e.StartedAtMs < 0:
 		return fmt.Errorf("host %.40q: lifecycle %.20q, weight %g, started %g", e.InstanceID, e.Lifecycle, e.Weight, e.StartedAtMs)
-	case phase != decide.Gone && (err != nil || !there):
+	case phase != routing.Removed && (err != nil || !there):
 		return fmt.Errorf("host %.40q: zone %.40q, address %.40q", e.InstanceID, e.Zone, e.HostPort)
 	}
 	return nil
@@ -223,55 +223,55 @@
 // applyList gives a list to the module; it has been checked. The first that brings hosts goes in as one of unknown age before
 // anything else: its hosts without a start are old, not new.
 func (n *Node) applyList(l list, cached bool) {
-	if first := n.inst.Hosts() == 0; first && !cached {
+	if first := n.inst.HostIndexCount() == 0; first && !cached {
 		n.applyList(l, true)
 	} else if first {
 		defer n.joinEarly()
 	}
 	if l.Reset {
-		for h := range n.inst.Hosts() {
+		for h := range n.inst.HostIndexCount() {
 			n.retire(h)
 		}
-		n.inst.WholeList(cached)
+		n.inst.ObserveSnapshot(cached)
 	} else {
-		n.inst.ListChange()
+		n.inst.ObserveDelta()
 	}
 	for _, e := range l.Instances {
 		phase := phases[e.Lifecycle]
-		h, met := n.inst.Known(e.InstanceID)
-		if !met && phase == decide.Gone {
+		h, met := n.inst.LookupHost(e.InstanceID)
+		if !met && phase == routing.Removed {
 			continue
 		} else if !met {
-			h = n.inst.Host(e.InstanceID)
+			h = n.inst.HostIndex(e.InstanceID)
 		}
-		zone, _ := n.inst.Zone(e.Zone)
+		zone, _ := n.inst.ZoneIndex(e.Zone)
 		returns := n.hosts[h].returns
-		if phase == decide.Gone {
+		if phase == routing.Removed {
 			n.retire(h)
 		} else if _, back := n.retired[h]; back {
 			delete(n.retired, h)
 			returns++
 		}
 		n.hosts[h] = process{e.HostPort, e.StartedAtMs, returns}
-		n.inst.Entry(h, zone, phase, e.Weight, e.StartedAtMs)
+		n.inst.ObserveEndpoint(h, zone, phase, e.Weight, e.StartedAtMs)
 	}
 	n.log.Debug().Int64("generation", l.Generation).Bool("whole", l.Reset).Int("entries", len(l.Instances)).Msg("list")
 }
 
 // joinEarly tells the module of the proxies that joined while no host was known.
 func (n *Node) joinEarly() {
-	if n.inst.Hosts() == 0 {
+	if n.inst.HostIndexCount() == 0 {
 		return
 	}
 	for _, p := range slices.Sorted(maps.Keys(n.streams)) {
 		s := n.streams[p]
-		n.inst.Joined(p, s.zone, s.weight)
+		n.inst.ConnectProxy(p, s.zone, s.weight)
 	}
 }
 
 // retire notes that a host is gone, if it was not before.
 func (n *Node) retire(h int) {
-	if _, before := n.retired[h]; !before && n.inst.ID(h) != "" {
+	if _, before := n.retired[h]; !before && n.inst.HostID(h) != "" {
 		n.retired[h] = n.clock.Now()
 	}
 }
@@ -279,7 +279,7 @@
 // forgetRetired forgets hosts that have been gone for long: a fleet that is replaced host by host would fill the memory.
 func (n *Node) forgetRetired(now float64) {
 	for h, since := range n.retired {
-		if now > since+retiredKept && n.inst.Drop(h) {
+		if now > since+retiredKept && n.inst.ReleaseHost(h) {
 			delete(n.retired, h)
 			delete(n.hosts, h)
 		}
--- a/internal/platform/list_crossing_test.go
+++ b/internal/platform/list_crossing_test.go
@@ -51,7 +51,7 @@
 	return ask(n, func() string {
 		var ready []string
 		for _, id := range []string{"s-1", "s-2"} {
-			if h, ok := n.inst.Known(id); ok {
+			if h, ok := n.inst.LookupHost(id); ok {
 				if _, gone := n.retired[h]; !gone {
 					ready = append(ready, id)
 				}
--- a/internal/platform/list_test.go
+++ b/internal/platform/list_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"barleysail/internal/kept"
+	"barleysail/internal/golden"
 )
 
 // Half a list would take hosts for gone: one that holds anything malformed is refused whole.
@@ -23,11 +23,11 @@
 		var l list
 		err := json.Unmarshal([]byte(`{"generation":2,"reset":true,"instances":[`+strings.Replace(oneHost, change[0], change[1], 1)+`]}`), &l)
 		if err == nil {
-			err = l.check(n.inst.Zone)
+			err = l.check(n.inst.ZoneIndex)
 		}
 		fmt.Fprintf(&now, "%s for %s: %v\n", change[1], change[0], err)
 	}
-	kept.Trace(t, now.String())
+	golden.Trace(t, now.String())
 }
 
 // A host that is gone for long is forgotten and its index used again, however many come and go.
@@ -38,12 +38,12 @@
 		n.applyList(list{Instances: []entry{{InstanceID: id, HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}, false)
 		n.applyList(list{Instances: []entry{{InstanceID: id, Lifecycle: "Gone"}}}, false)
 		n.forgetRetired(n.clock.Now())
-		if _, known := n.inst.Known(id); !known {
+		if _, known := n.inst.LookupHost(id); !known {
 			t.Fatalf("%s is forgotten at once", id)
 		}
 		n.forgetRetired(n.clock.Now() + retiredKept + 1)
-		if _, known := n.inst.Known(id); known || n.inst.Hosts() != 1 || len(n.retired)+len(n.hosts) > 0 {
-			t.Fatalf("%s is kept: %d hosts, %d gone, %d addresses", id, n.inst.Hosts(), len(n.retired), len(n.hosts))
+		if _, known := n.inst.LookupHost(id); known || n.inst.HostIndexCount() != 1 || len(n.retired)+len(n.hosts) > 0 {
+			t.Fatalf("%s is kept: %d hosts, %d gone, %d addresses", id, n.inst.HostIndexCount(), len(n.retired), len(n.hosts))
 		}
 	}
 }
@@ -58,5 +58,5 @@
 		faults.count(dropped("WHATEVER"), nil)
 		clock = clock.Add(10 * time.Millisecond)
 	}
-	kept.Trace(t, out.String())
+	golden.Trace(t, out.String())
 }
--- a/internal/platform/messages.go
+++ b/internal/platform/messages.go
@@ -6,9 +6,9 @@
 	"strconv"
 	"strings"
 
-	"barleysail/decide"
 	"barleysail/internal/instance"
-	"barleysail/internal/wire"
+	"barleysail/internal/simwire"
+	"barleysail/routing"
 )
 
 // fields of a message, by name.
@@ -59,7 +59,7 @@
 	weightMost = 1e6
 )
 
-func boundsOf(s *wire.Settings) bounds {
+func boundsOf(s *simwire.Settings) bounds {
 	b := bounds{proxy: *s.FamilyInfo.DataPlaneSize - 1}
 	for _, c := range s.Services { // what was fulfilled took no longer than patience, give or take noise
 		b.meanMs = math.Max(b.meanMs, 2**c.HardLimitUs/1000)
@@ -71,7 +71,7 @@
 type report struct {
 	host, tries, failed, proxy, class int
 	mean, span                        float64
-	load                              decide.Load
+	load                              routing.HostLoad
 }
 
 // counted reads what LOAD and RATE have in common.
@@ -92,11 +92,11 @@
 
 // hostReport reads a LOAD.
 func (b bounds) hostReport(f fields, inst *instance.Instance) (r report, err error) {
-	if _, ok := inst.Zone(f["zone"]); !ok {
+	if _, ok := inst.ZoneIndex(f["zone"]); !ok {
 		return r, fmt.Errorf("zone is %.20q", f["zone"])
 	}
 	var ok bool
-	if r.host, ok = inst.Known(f["server"]); !ok {
+	if r.host, ok = inst.LookupHost(f["server"]); !ok {
 		return r, fmt.Errorf("server is %.20q", f["server"])
 	}
 	if err = f.counted(&r); err != nil {
@@ -108,7 +108,7 @@
 	if r.mean, err = f.number("mean_ms", b.meanMs); err != nil {
 		return r, err
 	}
-	r.load = decide.NoLoad
+	r.load = routing.UnknownLoad
 	if text, there := f["load"]; there && text != "" {
 		r.load, err = readLoad(text)
 	}
@@ -116,13 +116,13 @@
 }
 
 // readLoad reads pairs of names and values.
-func readLoad(text string) (decide.Load, error) {
+func readLoad(text string) (routing.HostLoad, error) {
 	values := map[string]float64{}
 	for _, pair := range strings.Split(text, ",") {
 		name, figure, _ := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(figure, 64)
 		if err != nil || name == "" || !inRange(name, v) {
-			return decide.NoLoad, fmt.Errorf("load holds %.30q", pair)
+			return routing.UnknownLoad, fmt.Errorf("load holds %.30q", pair)
 		}
 		values[name] = v
 	}
@@ -134,7 +134,7 @@
 }
 
 // loadOf makes a load report of the values that are there and in range.
-func loadOf(value func(name string) (float64, bool)) decide.Load {
+func loadOf(value func(name string) (float64, bool)) routing.HostLoad {
 	return instance.Load(func(name string) float64 {
 		if v, ok := value(name); ok && inRange(name, v) {
 			return v
@@ -149,7 +149,7 @@
 		return r, err
 	}
 	var ok bool
-	if r.class, ok = inst.Class(f["class"]); !ok {
+	if r.class, ok = inst.ClassIndex(f["class"]); !ok {
 		return r, fmt.Errorf("class is %.20q", f["class"])
 	}
 	return r, f.counted(&r)
@@ -161,7 +161,7 @@
 		return
 	}
 	var ok bool
-	if zone, ok = inst.Zone(f["zone"]); !ok {
+	if zone, ok = inst.ZoneIndex(f["zone"]); !ok {
 		err = fmt.Errorf("zone is %.20q", f["zone"])
 		return
 	}
--- a/internal/platform/messages_test.go
+++ b/internal/platform/messages_test.go
@@ -5,10 +5,10 @@
 	"strings"
 	"testing"
 
-	"barleysail/decide"
+	"barleysail/internal/golden"
 	"barleysail/internal/instance"
-	"barleysail/internal/kept"
-	"barleysail/internal/wire"
+	"barleysail/internal/simwire"
+	"barleysail/routing"
 )
 
 const settings = `{"Discovery":"automatic","FailureDomains":["a","b"],"Index":0,"Instances":1,"Zone":"a","StepUs":5000,
@@ -18,7 +18,7 @@
 	"HardLimitUs":900000,"Value":1,"Effect":"idempotent"},{"Name":"sign","AimUs":500000,"HardLimitUs":900000,"Value":1,"Effect":"at_most_once"}]}`
 
 func testInstance(t testing.TB) (*instance.Instance, bounds) {
-	s, err := wire.ReadSettings([]byte(settings))
+	s, err := simwire.ReadSettings([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,11 +26,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	inst.WholeList(true)
-	inst.Entry(inst.Host("s-1"), 0, decide.Ready, 1, 0)
+	inst.ObserveSnapshot(true)
+	inst.ObserveEndpoint(inst.HostIndex("s-1"), 0, routing.Ready, 1, 0)
 	return inst, boundsOf(s)
 }
 
+// reportText spells a report as the golden trace has it, whatever the names of its fields in the code.
+func reportText(r report) string {
+	return fmt.Sprintf("{host:%d tries:%d failed:%d proxy:%d class:%d mean:%v span:%v load:{Util:%v Rate:%v Queue:%v}}",
+		r.host, r.tries, r.failed, r.proxy, r.class, r.mean, r.span, r.load.Utilization, r.load.RequestRate, r.load.QueueLength)
+}
+
 // Good and malformed reports, and what is read of them: a field too few, of another type or out of range drops its message
 // alone, and none reaches the module.
 func TestReports(t *testing.T) {
@@ -61,11 +67,11 @@
 			case "LOAD":
 				var r report
 				r, err = b.hostReport(f, inst)
-				out = fmt.Sprintf("%+v", r)
+				out = reportText(r)
 			case "RATE":
 				var r report
 				r, err = b.usage(f, inst)
-				out = fmt.Sprintf("%+v", r)
+				out = reportText(r)
 			case "SUBSCRIBE":
 				p, z, w, e := b.joining(f, inst)
 				out, err = fmt.Sprint(p, z, w), e
@@ -79,5 +85,5 @@
 		}
 		fmt.Fprintf(&now, "%s\n    %s\n", in, out)
 	}
-	kept.Trace(t, now.String())
+	golden.Trace(t, now.String())
 }
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -73,14 +73,14 @@
 	ctx  context.Context
 }
 
-func (w *writer) Wake(at float64) { w.node.wakeAt = at }
+func (w *writer) ScheduleRound(at float64) { w.node.wakeAt = at }
 
-// Watch asks for nothing: the list is followed from the start.
-func (w *writer) Watch() {}
+// WatchEndpoints asks for nothing: the list is followed from the start.
+func (w *writer) WatchEndpoints() {}
 
 func (w *writer) Log(text string) { w.node.log.Info().Msg(text) }
 
-func (w *writer) Probe(host int) {
+func (w *writer) CheckHealth(host int) {
 	n, asked := w.node, w.node.hosts[host]
 	n.work.Go(func() {
 		select {
@@ -138,8 +138,8 @@
 	for _, s := range c.Settings.Services {
 		names = append(names, s.Name)
 	}
-	n.orders = newOrders(names, inst.ID, func() iter.Seq[int] { return maps.Keys(n.streams) })
-	n.list = newWatcher(log, n.faults, inst.Zone, func(l list) { n.post(func() { n.applyList(l, false) }) })
+	n.orders = newOrders(names, inst.HostID, func() iter.Seq[int] { return maps.Keys(n.streams) })
+	n.list = newWatcher(log, n.faults, inst.ZoneIndex, func(l list) { n.post(func() { n.applyList(l, false) }) })
 	return n, nil
 }
 
@@ -160,7 +160,7 @@
 	known.Reset = true
 	// There is no older list to stand in for this one, so a malformed entry is left out alone.
 	known.Instances = slices.DeleteFunc(known.Instances, func(e entry) bool {
-		err := e.check(n.inst.Zone)
+		err := e.check(n.inst.ZoneIndex)
 		if err != nil {
 			n.faults.count("a malformed entry of the known list is dropped", err)
 		}
@@ -257,8 +257,8 @@
 	n.streams[s.proxy] = s
 	s.sent = nil
 	n.orders.forget(s.proxy)
-	if n.inst.Hosts() > 0 { // until one is known the proxy keeps what it holds: a table of ours would be empty
-		n.inst.Joined(s.proxy, s.zone, s.weight)
+	if n.inst.HostIndexCount() > 0 { // until one is known the proxy keeps what it holds: a table of ours would be empty
+		n.inst.ConnectProxy(s.proxy, s.zone, s.weight)
 	}
 }
 
@@ -266,7 +266,7 @@
 	if n.streams[s.proxy] == s {
 		delete(n.streams, s.proxy)
 		n.orders.forget(s.proxy)
-		n.inst.Left(s.proxy)
+		n.inst.DisconnectProxy(s.proxy)
 	}
 	if n.silent[s.proxy] == s {
 		delete(n.silent, s.proxy)
@@ -318,7 +318,7 @@
 		if err != nil {
 			return err
 		}
-		n.inst.Heard(r.host, r.tries, r.failed, r.mean, r.span, r.load)
+		n.inst.ObserveHostStats(r.host, r.tries, r.failed, r.mean, r.span, r.load)
 	case "RATE":
 		r, err := n.bounds.usage(f, n.inst)
 		if err != nil {
@@ -327,7 +327,7 @@
 		if s.proxy >= 0 && s.proxy != r.proxy {
 			return fmt.Errorf("proxy is %d on the stream of %d", r.proxy, s.proxy)
 		}
-		n.inst.Usage(r.proxy, r.class, r.tries, r.span)
+		n.inst.ObserveDemand(r.proxy, r.class, r.tries, r.span)
 	case "ACK":
 		proxy, mark, err := n.bounds.answer(f)
 		if err != nil {
@@ -351,7 +351,7 @@
 		return fmt.Errorf("mark %d does not wait for an answer", mark)
 	}
 	if n.streams[s.proxy] == s {
-		n.inst.Answered(s.proxy, mark)
+		n.inst.Ack(s.proxy, mark)
 		n.slowest = max(n.slowest, n.clock.Now()-s.sent[at].at)
 	}
 	s.sent = slices.Delete(s.sent, 0, at+1)
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -240,7 +240,7 @@
 	}
 	heard := make(chan bool)
 	n.post(func() {
-		_, known := n.inst.Known("s-2")
+		_, known := n.inst.LookupHost("s-2")
 		heard <- known
 	})
 	if !<-heard {
--- a/internal/platform/orders.go
+++ b/internal/platform/orders.go
@@ -8,8 +8,8 @@
 	"strconv"
 	"strings"
 
-	"barleysail/decide"
 	"barleysail/internal/resp"
+	"barleysail/routing"
 )
 
 // level is how much of a class is let in, and how often a proxy tries again.
@@ -76,7 +76,7 @@
 
 // Of decide.Writer, what goes to proxies.
 
-func (o *orders) Line(number, host int, weight float64) {
+func (o *orders) SetWeight(number, host int, weight float64) {
 	t := o.table(number)
 	if weight == 0 {
 		delete(t.weights, host)
@@ -89,7 +89,7 @@
 	t.changed = append(t.changed, host)
 }
 
-func (o *orders) Bind(proxy, number, _ int) {
+func (o *orders) AssignTable(proxy, number, _ int) {
 	if was, ok := o.bound[proxy]; ok {
 		delete(o.tables[was].holders, proxy)
 	}
@@ -98,7 +98,7 @@
 	o.binds = append(o.binds, proxy)
 }
 
-func (o *orders) Level(_, classes int, share float64, tries int) {
+func (o *orders) SetAdmission(_, classes int, share float64, tries int) {
 	for c := range o.levels {
 		if classes == 0 || classes>>c&1 == 1 {
 			o.levels[c] = level{share, tries}
@@ -107,7 +107,7 @@
 	o.leveled = true
 }
 
-func (o *orders) Mark(number int) { o.mark = number }
+func (o *orders) StampVersion(number int) { o.mark = number }
 
 // flush ends a round: send gets each proxy's message, and whether it carries the mark.
 func (o *orders) flush(send func(proxy int, message []byte, mark int)) {
@@ -236,4 +236,4 @@
 	return strconv.FormatFloat(six, 'f', -1, 64)
 }
 
-var _ decide.Writer = (*writer)(nil)
+var _ routing.UpdateWriter = (*writer)(nil)
--- a/internal/platform/streams.go
+++ b/internal/platform/streams.go
@@ -135,7 +135,7 @@
 		n.post(func() { n.join(s) })
 		left = func() { n.leave(s) }
 	case "SOURCE":
-		zone, ok := n.inst.Zone(f["zone"])
+		zone, ok := n.inst.ZoneIndex(f["zone"])
 		if !ok {
 			n.faults.count("a joining makes no sense", fmt.Errorf("zone is %.20q", f["zone"]))
 			return nil
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -6,7 +6,7 @@
 
 	"github.com/rs/zerolog"
 
-	"barleysail/decide"
+	"barleysail/routing"
 )
 
 // traceEvery is how often, in ms, a steward that logs at debug level says what it believes of each host.
@@ -18,15 +18,15 @@
 		return
 	}
 	n.tracedAt = now
-	level, _, median := n.inst.Fleet()
+	level, _, median := n.inst.Admission()
 	var line strings.Builder
-	for h := range n.inst.Hosts() {
+	for h := range n.inst.HostIndexCount() {
 		e, ok := n.inst.Explain(h)
-		if !ok || e.Phase == decide.Gone && e.Told == 0 {
+		if !ok || e.State == routing.Removed && e.PublishedWeight == 0 {
 			continue
 		}
 		fmt.Fprintf(&line, " %d:%d%s w%.2f/%.2f rate%.2f r%.0f cap%.2f warm%.2f util%.2f qps%.1f won%.1f lost%.1f hold%.1f strikes%d;", h,
-			e.Phase, map[bool]string{true: "out"}[e.Out], e.Told, e.Want, e.Rate, e.R, e.Cap, e.Warmth, e.Load.Util, e.Load.Rate, e.Won, e.Lost, (e.Hold-now)/1000, e.Strikes)
+			e.State, map[bool]string{true: "out"}[e.Ejected], e.PublishedWeight, e.TargetWeight, e.ArrivalRate, e.MeanLatencyMs, e.Capacity, e.SlowStartFactor, e.Load.Utilization, e.Load.RequestRate, e.Successes, e.Failures, (e.CooldownUntilMs-now)/1000, e.ConsecutiveFailures)
 	}
 	n.log.Debug().Int("streams", len(n.streams)).Float64("level", level).Float64("median", median).Msg("believes" + line.String())
 }
--- a/internal/rehearse/day.go
+++ b/internal/rehearse/day.go
@@ -20,10 +20,10 @@
 	"barleysail/internal/config"
 	"barleysail/internal/config/configpb"
 	"barleysail/internal/daemon"
+	"barleysail/internal/fake"
 	"barleysail/internal/record"
 	"barleysail/internal/rehearse/daypb"
 	"barleysail/internal/rules"
-	"barleysail/internal/standin"
 )
 
 // Result of a day.
@@ -57,7 +57,7 @@
 
 	mu         sync.Mutex
 	hosts      []*member
-	forwarders []*standin.Forwarder
+	forwarders []*fake.Forwarder
 	stewards   []running
 	addresses  []string
 	note       string
@@ -65,7 +65,7 @@
 
 // member is a host with what the list says of it.
 type member struct {
-	*standin.Host
+	*fake.Host
 	zone     string
 	listed   bool
 	draining bool
@@ -184,7 +184,7 @@
 func (d *day) begin() error {
 	f := d.figures()
 	for _, g := range d.script.Hosts {
-		set := standin.HostSettings{Zone: g.Zone, Cores: max(int(g.Cores), 1), Speed: g.Speed, Queue: int(g.Queue),
+		set := fake.HostSettings{Zone: g.Zone, Cores: max(int(g.Cores), 1), Speed: g.Speed, Queue: int(g.Queue),
 			ColdFrom: f.ColdFrom, Cold: f.Cold, Multiple: f.Multiple, Fall: f.Fall, Once: f.Once, Rate: g.ReportMs > 0}
 		if g.Cores == 0 {
 			set.Cores = 4
@@ -196,7 +196,7 @@
 			set.Queue = 64
 		}
 		for range g.Count {
-			h, err := standin.NewHost(set, d.journal)
+			h, err := fake.NewHost(set, d.journal)
 			if err != nil {
 				return fmt.Errorf("starting a host: %w", err)
 			}
@@ -208,7 +208,7 @@
 		return err
 	}
 	d.start = time.Now()
-	d.service = newService(standin.Now())
+	d.service = newService(fake.Now())
 	for _, k := range d.config.Classes {
 		d.service.class(k.Name, *k.Earnings, *k.DueMs)
 	}
@@ -283,7 +283,7 @@
 			}
 		}
 		for range g.Count {
-			set := standin.ForwarderSettings{Name: fmt.Sprintf("forwarder-%d", n), Zone: g.Zone, Of: total, Standing: near,
+			set := fake.ForwarderSettings{Name: fmt.Sprintf("forwarder-%d", n), Zone: g.Zone, Of: total, Standing: near,
 				Seed: d.script.Seed + uint64(n), Wait: 10 * time.Second, Ejects: int(*d.config.Fleet.Ejects),
 				Period:  time.Duration(*d.config.Fleet.PeriodMs * float64(time.Millisecond)),
 				Journal: d.journal, Ended: d.service.ended, Log: func(text string) { d.log.Debug().Msg(text) }}
@@ -298,7 +298,7 @@
 			}
 			for _, t := range d.script.Traffic {
 				k := classes[t.Class]
-				set.Traffic = append(set.Traffic, standin.Traffic{Class: t.Class, Rate: t.Rate / float64(total),
+				set.Traffic = append(set.Traffic, fake.Traffic{Class: t.Class, Rate: t.Rate / float64(total),
 					Work: t.WorkMs, Due: *k.DueMs, Patience: *k.PatienceMs, Repeats: t.Effect == daypb.Effect_SAFE})
 			}
 			if d.records != "" {
@@ -306,7 +306,7 @@
 					return err
 				}
 			}
-			f, err := standin.NewForwarder(set)
+			f, err := fake.NewForwarder(set)
 			if err != nil {
 				return fmt.Errorf("making a forwarder: %w", err)
 			}
@@ -340,7 +340,7 @@
 }
 
 // recordProxy has a forwarder's transactions recorded.
-func (d *day) recordProxy(set *standin.ForwarderSettings) error {
+func (d *day) recordProxy(set *fake.ForwarderSettings) error {
 	f, err := os.Create(filepath.Join(d.records, set.Name+".day"))
 	if err != nil {
 		return fmt.Errorf("starting a recording: %w", err)
@@ -376,7 +376,7 @@
 	if err := os.WriteFile(next, text, 0o644); err != nil {
 		return fmt.Errorf("writing the host list: %w", err)
 	}
-	d.journal.Gave(standin.Now(), seen)
+	d.journal.Gave(fake.Now(), seen)
 	return os.Rename(next, d.config.List.File)
 }
 
@@ -444,7 +444,7 @@
 }
 
 func (d *day) report(f rules.Figures) *Result {
-	r := &Result{Kept: true, Verdicts: d.journal.Check(f, standin.Now())}
+	r := &Result{Kept: true, Verdicts: d.journal.Check(f, fake.Now())}
 	r.Service, _ = d.service.share(0, 1<<30)
 	for _, h := range d.hosts {
 		if h.Fallen() {
--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -17,8 +17,8 @@
 
 	"barleysail/internal/config/configpb"
 	"barleysail/internal/daemon"
+	"barleysail/internal/fake/issuer"
 	"barleysail/internal/identity"
-	"barleysail/internal/standin/issuer"
 )
 
 // identities of a day: an issuer with short lives that are renewed all day, and an impostor who tries what he can.
--- a/internal/rehearse/intake.go
+++ b/internal/rehearse/intake.go
@@ -20,7 +20,7 @@
 // taken follows what the stewards take in, sampled each second.
 type taken struct {
 	client  *http.Client
-	samples []daemon.IntakeReport // of the first steward
+	samples []daemon.IngestReport // of the first steward
 	refused atomic.Int64          // hosts' reports that were not let in
 	level   int
 	late    float64
@@ -63,7 +63,7 @@
 		}
 		text, err := io.ReadAll(r.Body)
 		r.Body.Close()
-		var x daemon.IntakeReport
+		var x daemon.IngestReport
 		if err != nil || json.Unmarshal(text, &x) != nil {
 			continue
 		}
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -13,14 +13,14 @@
 	"github.com/rs/zerolog"
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"barleysail/decide"
+	"barleysail/controller"
 	"barleysail/internal/config"
 	"barleysail/internal/record"
 	"barleysail/internal/record/recordpb"
 	"barleysail/internal/rehearse/daypb"
 	"barleysail/internal/rules"
 	"barleysail/replay"
-	"barleysail/steward"
+	"barleysail/routing"
 )
 
 const short = `length_s: 9 seed: 3 stewards: 2 list_late_ms: 200
@@ -89,7 +89,7 @@
 		}
 		return all, nil
 	}
-	build := func(s *recordpb.Start) (*steward.Steward, error) {
+	build := func(s *recordpb.Start) (*controller.Controller, error) {
 		c, err := config.Parse("recorded", []byte(s.Config))
 		if err != nil {
 			return nil, err
@@ -117,9 +117,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := replay.Setting{Make: build, Figures: config.Rules(c, 3000), Probes: 250, Classes: []steward.Class{
-		{Name: "sheet", Class: decide.Class{Due: 1000, Patience: 2500, Earnings: 3}},
-		{Name: "finish", Class: decide.Class{Due: 500, Patience: 1200, Earnings: 9}}}}
+	set := replay.Setting{Make: build, Figures: config.Rules(c, 3000), Probes: 250, Classes: []controller.RequestClass{
+		{Name: "sheet", RequestClass: routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 2500, PriorityWeight: 3}},
+		{Name: "finish", RequestClass: routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1200, PriorityWeight: 9}}}}
 	o, err := replay.Replay(open, set)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rehearse/reports_test.go
+++ b/internal/rehearse/reports_test.go
@@ -52,7 +52,7 @@
 	if !r.Kept || r.Service < 0.5 {
 		t.Error(out)
 	}
-	if d.taken.refused.Load() == 0 || last.Door.Refused == 0 {
+	if d.taken.refused.Load() == 0 || last.Door.Rejected == 0 {
 		t.Errorf("the flood was let in: %+v", last)
 	}
 	if last.Silent < 1 || last.Taken < 3000 || last.Waiting > 5000 {
--- a/internal/rehearse/steps.go
+++ b/internal/rehearse/steps.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
+	"barleysail/internal/fake"
 	"barleysail/internal/rehearse/daypb"
-	"barleysail/internal/standin"
 )
 
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
@@ -97,7 +97,7 @@
 const slowSocket = 300 * time.Millisecond
 
 // withSockets gives a part of the forwarders that have one.
-func (d *day) withSockets(part float64) (all []*standin.Forwarder) {
+func (d *day) withSockets(part float64) (all []*fake.Forwarder) {
 	for _, f := range d.forwarders {
 		if f.SocketAddress() != "" {
 			all = append(all, f)
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"barleysail/internal/kept"
+	"barleysail/internal/golden"
 )
 
 var limits = Limits{Words: 4, Bytes: 60}
@@ -40,7 +40,7 @@
 			fmt.Fprintf(&now, "%q:%s\n", in, out)
 		}
 	}
-	kept.Trace(t, now.String())
+	golden.Trace(t, now.String())
 }
 
 // What is written can be read, and what was read and written again is the same; nothing panics or passes its limits.
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"barleysail/internal/kept"
+	"barleysail/internal/golden"
 )
 
 var figures = Figures{Bare: 5000, Grace: 3000, ColdFrom: 0.2, Cold: 10000, Multiple: 4, Fall: 3000, LinesPerS: 1000, Head: 5,
@@ -99,5 +99,5 @@
 			}
 		}
 	}
-	kept.Compare(t, "broken", now.String())
+	golden.Compare(t, "broken", now.String())
 }
--- a/internal/runtimeapi/commands.go
+++ b/internal/runtimeapi/commands.go
@@ -10,8 +10,8 @@
 	"strings"
 	"time"
 
+	"barleysail/controller"
 	"barleysail/operator"
-	"barleysail/steward"
 )
 
 // command of the front: the words that name it, the level it needs, and what it does with the words after those.
@@ -27,7 +27,7 @@
 	return []command{
 		{"add server", Admin, "add server <backend>/<server> <addr>:<port> [weight <n>] [zone <name>] : add a server, in maintenance", (*session).addServer},
 		{"del server", Admin, "del server <backend>/<server> : take an added server off that is in maintenance", (*session).delServer},
-		{"disable server", Admin, "disable server <backend>/<server> : put a server into maintenance", state(operator.Maint)},
+		{"disable server", Admin, "disable server <backend>/<server> : put a server into maintenance", state(operator.Maintenance)},
 		{"drain server", Admin, "drain server <backend>/<server> [wait] [for <seconds>] : drain it, once that can be done", (*session).drain},
 		{"enable server", Admin, "enable server <backend>/<server> : take back what was set on a server", state(operator.Listed)},
 		{"get weight", User, "get weight <backend>/<server> : report a server's current weight", (*session).getWeight},
@@ -121,7 +121,7 @@
 }
 
 // find finds the host that backend/server names.
-func (s *session) find(args []string) (h steward.HostInfo, answer string, ok bool) {
+func (s *session) find(args []string) (h controller.HostInfo, answer string, ok bool) {
 	if len(args) == 0 {
 		return h, "Require 'backend/server'.\n", false
 	}
@@ -139,12 +139,12 @@
 }
 
 // order gives an order to the steward and words its answer.
-func (s *session) order(o operator.Order) (string, bool) {
-	if o.By == "" {
-		o.By = "socket"
+func (s *session) order(o operator.Command) (string, bool) {
+	if o.Operator == "" {
+		o.Operator = "socket"
 	}
 	waits, err := s.server.steward.Order(o)
-	var refused *operator.Refusal
+	var refused *operator.RejectedError
 	switch {
 	case errors.As(err, &refused):
 		return "Refused: " + refused.Reason + ".\n", false
@@ -162,7 +162,7 @@
 		if !ok {
 			return answer, false
 		}
-		return s.order(operator.Order{Host: h.Host, State: to, Weight: -1})
+		return s.order(operator.Command{Host: h.Host, State: to, Weight: -1})
 	}
 }
 
@@ -171,17 +171,17 @@
 	if !ok {
 		return answer, false
 	}
-	o := operator.Order{Host: h.Host, State: operator.Drain, Weight: -1}
+	o := operator.Command{Host: h.Host, State: operator.Draining, Weight: -1}
 	for i := 1; i < len(args); i++ {
 		switch {
 		case args[i] == "wait":
-			o.Wait = true
+			o.Queue = true
 		case args[i] == "for" && i+1 < len(args):
 			x, err := strconv.ParseFloat(args[i+1], 64)
 			if err != nil || !(x > 0) {
 				return "'for' expects a number of seconds.\n", false
 			}
-			o.For, i = x*1000, i+1
+			o.DurationMs, i = x*1000, i+1
 		default:
 			return "'drain server' only supports 'wait' and 'for'.\n", false
 		}
@@ -222,9 +222,9 @@
 	if !ok {
 		return "Absolute weight can only be between 0 and 256 inclusive.\n", false
 	}
-	o := operator.Order{Host: h.Host, Weight: w, Part: part, Keep: true}
+	o := operator.Command{Host: h.Host, Weight: w, Relative: part, KeepState: true}
 	if w == 0 {
-		o.Keep, o.State = false, operator.Drain
+		o.KeepState, o.State = false, operator.Draining
 	}
 	return s.order(o)
 }
@@ -258,7 +258,7 @@
 	if _, _, err := net.SplitHostPort(args[1]); err != nil || name != args[1] {
 		return "A server's name is its <addr>:<port> here.\n", false
 	}
-	a := &operator.Added{Weight: 1, Zone: s.server.steward.Status().Zones[0]}
+	a := &operator.AddedHost{Weight: 1, Zone: s.server.steward.Status().Zones[0]}
 	for i := 2; i < len(args); i++ {
 		switch {
 		case args[i] == "weight" && i+1 < len(args):
@@ -274,7 +274,7 @@
 			return fmt.Sprintf("'server' : unknown keyword '%s'.\n", args[i]), false
 		}
 	}
-	answer, ok := s.order(operator.Order{Host: name, State: operator.Maint, Weight: -1, Add: a})
+	answer, ok := s.order(operator.Command{Host: name, State: operator.Maintenance, Weight: -1, Add: a})
 	if ok {
 		answer = "New server registered.\n"
 	}
@@ -286,7 +286,7 @@
 	if !ok {
 		return answer, false
 	}
-	if answer, ok = s.order(operator.Order{Host: h.Host, State: operator.Maint, Weight: -1, Remove: true}); ok {
+	if answer, ok = s.order(operator.Command{Host: h.Host, State: operator.Maintenance, Weight: -1, Remove: true}); ok {
 		answer = "Server deleted.\n"
 	}
 	return answer, ok
@@ -315,12 +315,12 @@
 		}()
 	}
 	for {
-		got := make(chan []steward.Event, 1)
+		got := make(chan []controller.Event, 1)
 		wait := time.Duration(0)
 		if follow && after > 0 {
 			wait = 10 * time.Second
 		}
-		cancel := s.server.steward.Events(after, wait, func(all []steward.Event) { got <- all })
+		cancel := s.server.steward.Events(after, wait, func(all []controller.Event) { got <- all })
 		select {
 		case all := <-got:
 			for _, e := range all {
@@ -333,7 +333,7 @@
 		if !follow {
 			return "", true
 		}
-		s.conn.SetWriteDeadline(time.Now().Add(s.server.set.Write))
+		s.conn.SetWriteDeadline(time.Now().Add(s.server.set.WriteTimeout))
 		if s.out.Flush() != nil {
 			s.over = true
 			return "", true
@@ -351,7 +351,7 @@
 	var b strings.Builder
 	if len(args) == 0 {
 		for _, p := range s.server.steward.Proxies() {
-			a, ok := s.server.steward.Holds(p.Proxy)
+			a, ok := s.server.steward.PublishedTables(p.Proxy)
 			n := 0
 			if ok {
 				for _, t := range a.Tables() {
@@ -362,12 +362,12 @@
 		}
 		return b.String(), true
 	}
-	a, ok := s.server.steward.Holds(args[0])
+	a, ok := s.server.steward.PublishedTables(args[0])
 	if !ok {
 		return "No such table\n", false
 	}
 	for _, t := range a.Tables() {
-		fmt.Fprintf(&b, "# table: %s/%s, type: string, size:%d, used:%d, share:%g, tries:%d\n", args[0], t.Class, len(t.Hosts), len(t.Hosts), t.Share, t.Tries)
+		fmt.Fprintf(&b, "# table: %s/%s, type: string, size:%d, used:%d, share:%g, tries:%d\n", args[0], t.Class, len(t.Hosts), len(t.Hosts), t.AdmissionRatio, t.RetryPolicy)
 		for i, host := range t.Hosts {
 			fmt.Fprintf(&b, "0x%x: key=%s weight=%g\n", i+1, host, t.Weights[i])
 		}
--- a/internal/runtimeapi/server.go
+++ b/internal/runtimeapi/server.go
@@ -13,19 +13,19 @@
 	"sync"
 	"time"
 
+	"barleysail/controller"
 	"barleysail/operator"
-	"barleysail/steward"
 )
 
-// Steward is what the front needs of one.
-type Steward interface {
-	Hosts() []steward.HostInfo
-	Host(name string) (steward.HostInfo, bool)
-	Proxies() []steward.ProxyInfo
-	Holds(proxy string) (steward.Answer, bool)
-	Status() steward.Status
-	Order(orders ...operator.Order) (waits bool, err error)
-	Events(after int64, wait time.Duration, to func([]steward.Event)) (cancel func())
+// Controller is what the front needs of one.
+type Controller interface {
+	Hosts() []controller.HostInfo
+	Host(name string) (controller.HostInfo, bool)
+	Proxies() []controller.ProxyInfo
+	PublishedTables(proxy string) (controller.Response, bool)
+	Status() controller.Status
+	Order(orders ...operator.Command) (waits bool, err error)
+	Events(after int64, wait time.Duration, to func([]controller.Event)) (cancel func())
 }
 
 // Level of a socket: what may be done by it.
@@ -50,17 +50,17 @@
 
 // Config of a server. Zero values stand for the figures named.
 type Config struct {
-	Level   Level
-	Version string
-	Line    int           // bytes of a command line: 16384
-	Idle    time.Duration // without a command: 60 s
-	Write   time.Duration // for an answer: 10 s
-	Conns   int           // at once: 256
+	Level          Level
+	Version        string
+	MaxLineBytes   int           // bytes of a command line: 16384
+	IdleTimeout    time.Duration // without a command: 60 s
+	WriteTimeout   time.Duration // for an answer: 10 s
+	MaxConnections int           // at once: 256
 }
 
 // Server serves the front on listeners.
 type Server struct {
-	steward  Steward
+	steward  Controller
 	set      Config
 	commands []command
 	slots    chan struct{}
@@ -73,20 +73,20 @@
 }
 
 // New makes a server.
-func New(s Steward, set Config) *Server {
-	if set.Line == 0 {
-		set.Line = 16384
+func New(s Controller, set Config) *Server {
+	if set.MaxLineBytes == 0 {
+		set.MaxLineBytes = 16384
 	}
-	if set.Idle == 0 {
-		set.Idle = time.Minute
+	if set.IdleTimeout == 0 {
+		set.IdleTimeout = time.Minute
 	}
-	if set.Write == 0 {
-		set.Write = 10 * time.Second
+	if set.WriteTimeout == 0 {
+		set.WriteTimeout = 10 * time.Second
 	}
-	if set.Conns == 0 {
-		set.Conns = 256
+	if set.MaxConnections == 0 {
+		set.MaxConnections = 256
 	}
-	return &Server{steward: s, set: set, commands: commands(), slots: make(chan struct{}, set.Conns), conns: map[net.Conn]bool{}}
+	return &Server{steward: s, set: set, commands: commands(), slots: make(chan struct{}, set.MaxConnections), conns: map[net.Conn]bool{}}
 }
 
 // Serve takes connections until the listener is closed.
@@ -118,7 +118,7 @@
 				<-s.slots
 				s.all.Done()
 			}()
-			(&session{server: s, conn: c, text: textproto.NewReader(bufio.NewReaderSize(c, s.set.Line)), out: bufio.NewWriter(c)}).serve()
+			(&session{server: s, conn: c, text: textproto.NewReader(bufio.NewReaderSize(c, s.set.MaxLineBytes)), out: bufio.NewWriter(c)}).serve()
 		}()
 	}
 }
@@ -157,7 +157,7 @@
 
 func (s *session) serve() {
 	for !s.over {
-		s.conn.SetReadDeadline(time.Now().Add(s.server.set.Idle))
+		s.conn.SetReadDeadline(time.Now().Add(s.server.set.IdleTimeout))
 		line, err := s.text.R.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
 			s.answer("The command is too long.\n")
@@ -172,7 +172,7 @@
 		if s.prompt && !s.over {
 			s.out.WriteString("> ")
 		}
-		s.conn.SetWriteDeadline(time.Now().Add(s.server.set.Write))
+		s.conn.SetWriteDeadline(time.Now().Add(s.server.set.WriteTimeout))
 		if s.out.Flush() != nil || err != nil || !s.prompt {
 			return
 		}
@@ -221,7 +221,7 @@
 	var all strings.Builder
 	for {
 		line, err := s.text.R.ReadSlice('\n')
-		if err != nil || all.Len()+len(line) > s.server.set.Line {
+		if err != nil || all.Len()+len(line) > s.server.set.MaxLineBytes {
 			return "", errors.New("no whole payload")
 		}
 		text := strings.TrimRight(string(line), "\r\n")
--- a/internal/runtimeapi/show.go
+++ b/internal/runtimeapi/show.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"strings"
 
+	"barleysail/controller"
 	"barleysail/internal/haproxy"
 	"barleysail/operator"
-	"barleysail/steward"
 )
 
 // firstBackend is the id of the first class; the ids of the others follow in the order of the settings.
@@ -25,7 +25,7 @@
 
 // servers gives the backends, or the one that is named by name or id, and their servers: every host is a server of every
 // class, since one table serves all.
-func (s *session) servers(named string) (backends []backend, hosts []steward.HostInfo, answer string, ok bool) {
+func (s *session) servers(named string) (backends []backend, hosts []controller.HostInfo, answer string, ok bool) {
 	for i, class := range s.server.steward.Status().Classes {
 		if id := firstBackend + i; named == "" || named == class || named == strconv.Itoa(id) {
 			backends = append(backends, backend{class, id})
@@ -38,7 +38,7 @@
 }
 
 // word is a host's status as show stat has it.
-func word(h steward.HostInfo) string {
+func word(h controller.HostInfo) string {
 	switch {
 	case h.Phase == "gone":
 		return "MAINT"
@@ -51,16 +51,16 @@
 }
 
 // admin gives the operational and the administrative state.
-func admin(h steward.HostInfo) (op, adm int) {
+func admin(h controller.HostInfo) (op, adm int) {
 	op = haproxy.Running
 	if word(h) == "DOWN" || word(h) == "MAINT" {
 		op = haproxy.Stopped
 	}
 	if h.Operator != nil && !h.Operator.Waiting {
 		switch state, _ := operator.ParseState(h.Operator.State); state {
-		case operator.Maint:
+		case operator.Maintenance:
 			adm |= haproxy.ForcedMaint
-		case operator.Drain:
+		case operator.Draining:
 			adm |= haproxy.ForcedDrain
 			op = haproxy.Stopping
 		}
@@ -108,7 +108,7 @@
 	for _, k := range backends {
 		for i, h := range hosts {
 			at := strings.LastIndexByte(h.Host, ':')
-			used := int(math.Max(h.Why.Rate*h.Why.R/1000, 0))
+			used := int(math.Max(h.Why.ArrivalRate*h.Why.MeanLatencyMs/1000, 0))
 			fmt.Fprintf(&b, "%s/%s %d/%d %s %s - 0 %d %d %d 0 0 -1 0 0\n", k.class, h.Host, k.id, i+1, h.Host[:at], h.Host[at+1:], used, used, used)
 		}
 	}
@@ -143,14 +143,14 @@
 			if word(h) == "UP" {
 				up, total = up+1, total+quantised(h.Weight)
 			}
-			rate += h.Why.Rate
+			rate += h.Why.ArrivalRate
 			if kinds >= 0 && kinds&4 == 0 || sid >= 0 && sid != i+1 {
 				continue
 			}
 			rows = append(rows, haproxy.Row{"pxname": k.class, "svname": h.Host, "status": word(h), "weight": strconv.Itoa(quantised(h.Weight)),
-				"qcur": figure(h.Why.Load.Queue), "scur": figure(h.Why.Rate * h.Why.R / 1000), "stot": "0", "act": "1", "bck": "0",
-				"econ": "0", "eresp": figure(h.Why.Lost), "chkfail": strconv.Itoa(h.Why.Strikes), "pid": "1", "iid": iid, "sid": strconv.Itoa(i + 1),
-				"type": strconv.Itoa(haproxy.Server), "rate": figure(h.Why.Rate), "rtime": figure(h.Why.R), "ttime": figure(h.Why.R), "addr": h.Host,
+				"qcur": figure(h.Why.Load.QueueLength), "scur": figure(h.Why.ArrivalRate * h.Why.MeanLatencyMs / 1000), "stot": "0", "act": "1", "bck": "0",
+				"econ": "0", "eresp": figure(h.Why.Failures), "chkfail": strconv.Itoa(h.Why.ConsecutiveFailures), "pid": "1", "iid": iid, "sid": strconv.Itoa(i + 1),
+				"type": strconv.Itoa(haproxy.Server), "rate": figure(h.Why.ArrivalRate), "rtime": figure(h.Why.MeanLatencyMs), "ttime": figure(h.Why.MeanLatencyMs), "addr": h.Host,
 				"mode": "http", "check_status": check(h)})
 		}
 		if kinds < 0 || kinds&2 != 0 {
@@ -172,11 +172,11 @@
 	return haproxy.WriteCSV(rows), true
 }
 
-func check(h steward.HostInfo) string {
+func check(h controller.HostInfo) string {
 	switch {
-	case h.Why.Strikes > 0:
+	case h.Why.ConsecutiveFailures > 0:
 		return "L7TOUT"
-	case h.Why.Fine > 0:
+	case h.Why.ConsecutiveSuccesses > 0:
 		return "L7OK"
 	}
 	return "INI"
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
 // Package wire frames the simulator's JSON lines and is the only place that spells their names. It knows
 // nothing of decisions: what it reads is checked for form, and what it writes is one line an order.
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/internal/socketproxy/socketproxy.go
+++ b/internal/socketproxy/socketproxy.go
@@ -14,16 +14,16 @@
 	"strings"
 	"time"
 
+	"barleysail/controller"
 	"barleysail/internal/haproxy"
 	"barleysail/publisher"
-	"barleysail/steward"
 )
 
 // Steward is what a driver needs of one.
 type Steward interface {
-	Poll(q steward.Query, to func(steward.Answer)) (id int64, err error)
+	Poll(q controller.PollRequest, to func(controller.Response)) (id int64, err error)
 	PollGone(proxy string, id int64)
-	Sums(proxy string, u steward.Sums) (counted bool, err error)
+	Sums(proxy string, u controller.ProxyStats) (counted bool, err error)
 	Listed(host string) bool
 	Now() float64
 }
@@ -47,9 +47,9 @@
 type Driver struct {
 	set     Config
 	steward Steward
-	proxy   *publisher.Proxy
+	proxy   *publisher.ProxyUpdater
 	counts  *publisher.Counters
-	owner   *publisher.Owner
+	owner   *publisher.SocketOwner
 	tag     string // of the version that the proxy has
 	last    string // line in the log
 }
@@ -63,7 +63,7 @@
 		set.Log = func(string) {}
 	}
 	return &Driver{set: set, steward: s, proxy: publisher.New(set.Grace), counts: publisher.NewCounters(set.Life),
-		owner: publisher.NewOwner(set.Life)}
+		owner: publisher.NewSocketOwner(set.Life)}
 }
 
 // Run drives the proxy until the context ends. After a failure it connects again, after a wait that doubles up to four
@@ -72,7 +72,7 @@
 	for failures := 0; ctx.Err() == nil; failures++ {
 		began := time.Now()
 		err := d.session(ctx)
-		d.proxy.Lost()
+		d.proxy.ConnectionLost()
 		if ctx.Err() != nil {
 			return
 		}
@@ -109,7 +109,7 @@
 	*Driver
 	conn    net.Conn
 	in      *bufio.Reader
-	answers chan steward.Answer
+	answers chan controller.Response
 	poll    int64 // held at the steward, 0: none
 	polled  time.Time
 	newest  string // tag of what is wanted
@@ -125,7 +125,7 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	s := &session{Driver: d, conn: conn, in: bufio.NewReaderSize(conn, 64<<10), answers: make(chan steward.Answer, 4)}
+	s := &session{Driver: d, conn: conn, in: bufio.NewReaderSize(conn, 64<<10), answers: make(chan controller.Response, 4)}
 	defer func() {
 		if s.poll != 0 {
 			s.steward.PollGone(s.set.Proxy, s.poll)
@@ -178,7 +178,7 @@
 func (s *session) until(ctx context.Context, cycle <-chan time.Time, driving bool) error {
 	for {
 		due := time.NewTimer(time.Hour)
-		if wait := s.proxy.Due() - s.steward.Now(); driving && !math.IsInf(wait, 1) {
+		if wait := s.proxy.NextDeadlineMs() - s.steward.Now(); driving && !math.IsInf(wait, 1) {
 			due.Reset(time.Duration(math.Max(wait, 1) * float64(time.Millisecond)))
 		}
 		select {
@@ -256,7 +256,7 @@
 	if err != nil {
 		return err
 	}
-	if n := s.proxy.Read(s.steward.Now(), all); n > 0 {
+	if n := s.proxy.ObserveServers(s.steward.Now(), all); n > 0 {
 		s.set.Log(fmt.Sprintf("proxy %s: %d servers were changed by someone else", s.set.Proxy, n))
 	}
 	return nil
@@ -280,11 +280,11 @@
 
 // hear polls the steward for the proxy, with the tag of what it has.
 func (s *session) hear() {
-	q := steward.Query{Proxy: s.set.Proxy, Zone: s.set.Zone, Rate: s.set.Rate, Wait: 60000}
+	q := controller.PollRequest{Proxy: s.set.Proxy, Zone: s.set.Zone, RequestRate: s.set.Rate, WaitMs: 60000}
 	if s.tag != "" {
 		q.Tags = []string{s.tag}
 	}
-	id, err := s.steward.Poll(q, func(a steward.Answer) {
+	id, err := s.steward.Poll(q, func(a controller.Response) {
 		select {
 		case s.answers <- a:
 		default: // the next poll gets it
@@ -297,10 +297,10 @@
 	s.poll, s.polled = id, time.Now()
 }
 
-func (s *session) take(a steward.Answer) {
+func (s *session) take(a controller.Response) {
 	s.poll, s.newest = 0, a.Tag
-	if a.Kind != steward.Same {
-		s.proxy.Want(a.Tables())
+	if a.Kind != controller.NotModified {
+		s.proxy.SetTarget(a.Tables())
 	}
 }
 
@@ -313,7 +313,7 @@
 			s.take(a)
 		default:
 		}
-		command, ok := s.proxy.Next(s.steward.Now())
+		command, ok := s.proxy.NextCommand(s.steward.Now())
 		if !ok {
 			break
 		}
@@ -321,7 +321,7 @@
 		if err != nil {
 			return err
 		}
-		if err := s.proxy.Answered(s.steward.Now(), answer); err != nil {
+		if err := s.proxy.ObserveResponse(s.steward.Now(), answer); err != nil {
 			s.set.Log(fmt.Sprintf("proxy %s refuses: %v", s.set.Proxy, err))
 		}
 		if s.poll == 0 && time.Since(s.polled) > time.Second {
--- a/internal/statefile/fs.go
+++ b/internal/statefile/fs.go
@@ -39,8 +39,8 @@
 	lock *os.File
 }
 
-// ErrTaken says that another process has the folder.
-var ErrTaken = errors.New("another steward keeps its state there")
+// ErrLocked says that another process has the folder.
+var ErrLocked = errors.New("another steward keeps its state there")
 
 // OpenFolder makes the folder where it is missing, and takes it for this process.
 func OpenFolder(path string) (*Folder, error) {
@@ -54,7 +54,7 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = ErrTaken
+			err = ErrLocked
 		}
 		return nil, fmt.Errorf("locking the state folder %s: %w", path, err)
 	}
@@ -66,8 +66,8 @@
 	return &Folder{path, dir, lock}, nil
 }
 
-// LookFolder opens a folder to be read only, be it another process's.
-func LookFolder(path string) (*Folder, error) {
+// OpenReadOnly opens a folder to be read only, be it another process's.
+func OpenReadOnly(path string) (*Folder, error) {
 	dir, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("opening the state folder: %w", err)
--- a/internal/statefile/store.go
+++ b/internal/statefile/store.go
@@ -26,23 +26,23 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Found is what a folder held.
-type Found struct {
+// LoadResult is what a folder held.
+type LoadResult struct {
 	State      *statepb.State // nil: nothing that may be gone by
 	Generation uint64         // it is from; 0: none
 	Changes    int            // of the log that were applied
-	Notes      []string       // what was damaged, refused or left out
+	Warnings   []string       // what was damaged, refused or left out
 	newest     uint64         // generation of any file
 }
 
 // Load reads the newest state that is whole: a snapshot and as many of the changes after it as are whole. What is damaged
 // is told, and the generation before serves then.
-func Load(fs FS) (*Found, error) {
+func Load(fs FS) (*LoadResult, error) {
 	names, err := fs.Names()
 	if err != nil {
 		return nil, fmt.Errorf("looking into the state folder: %w", err)
 	}
-	f, gens := &Found{}, []uint64(nil)
+	f, gens := &LoadResult{}, []uint64(nil)
 	for _, n := range names {
 		if kind, gen, ok := parse(n); ok {
 			if f.newest = max(f.newest, gen); kind == 'S' {
@@ -55,7 +55,7 @@
 	for _, gen := range gens {
 		s, err := readSnapshot(fs, gen)
 		if err != nil {
-			f.Notes = append(f.Notes, fmt.Sprintf("%s: %v", file('S', gen), err))
+			f.Warnings = append(f.Warnings, fmt.Sprintf("%s: %v", file('S', gen), err))
 			continue
 		}
 		f.State, f.Generation = s, gen
@@ -66,7 +66,7 @@
 }
 
 // replay applies a generation's log as far as it is whole.
-func (f *Found) replay(fs FS, gen uint64) {
+func (f *LoadResult) replay(fs FS, gen uint64) {
 	text, err := fs.Read(file('L', gen))
 	if err != nil {
 		return // not begun
@@ -84,7 +84,7 @@
 		}
 	}
 	if err != nil {
-		f.Notes = append(f.Notes, fmt.Sprintf("%s after %d changes: %v", file('L', gen), f.Changes, err))
+		f.Warnings = append(f.Warnings, fmt.Sprintf("%s after %d changes: %v", file('L', gen), f.Changes, err))
 	}
 }
 
@@ -119,8 +119,8 @@
 	if string(text[:7]) != magic || text[7] != kind {
 		return nil, errors.New("it is no such file")
 	}
-	if major := binary.LittleEndian.Uint32(text[8:]); major > state.Major {
-		return nil, fmt.Errorf("format %d, %d is the newest known here: %w", major, state.Major, ErrNewer)
+	if major := binary.LittleEndian.Uint32(text[8:]); major > state.FormatMajor {
+		return nil, fmt.Errorf("format %d, %d is the newest known here: %w", major, state.FormatMajor, ErrNewer)
 	}
 	return text[headBytes:], nil
 }
@@ -164,26 +164,26 @@
 	if err := proto.Unmarshal(body, s); err != nil {
 		return nil, fmt.Errorf("reading it: %w", err)
 	}
-	if s.Major > state.Major {
-		return nil, fmt.Errorf("format %d, %d is the newest known here: %w", s.Major, state.Major, ErrNewer)
+	if s.Major > state.FormatMajor {
+		return nil, fmt.Errorf("format %d, %d is the newest known here: %w", s.Major, state.FormatMajor, ErrNewer)
 	}
 	return s, nil
 }
 
 // Store writes a folder's state.
 type Store struct {
-	fs       FS
-	most     int // bytes of a snapshot
-	gen      uint64
-	state    *statepb.State // as it stands in the folder; nil: to be written anew
-	log      File
-	logBytes int
-	snapshot int
-	Dropped  int // entries that did not fit
+	fs             FS
+	most           int // bytes of a snapshot
+	gen            uint64
+	state          *statepb.State // as it stands in the folder; nil: to be written anew
+	log            File
+	logBytes       int
+	snapshot       int
+	DroppedEntries int // entries that did not fit
 }
 
 // NewStore writes on from what was found: the first state goes into a snapshot of a new generation.
-func NewStore(fs FS, found *Found, mostBytes int) *Store {
+func NewStore(fs FS, found *LoadResult, mostBytes int) *Store {
 	return &Store{fs: fs, most: mostBytes, gen: found.newest}
 }
 
@@ -218,8 +218,8 @@
 	return nil
 }
 
-// Fresh writes a state into a generation of its own, whatever stood there.
-func (s *Store) Fresh(now *statepb.State) error {
+// SaveSnapshot writes a state into a generation of its own, whatever stood there.
+func (s *Store) SaveSnapshot(now *statepb.State) error {
 	s.abandon()
 	return s.Save(now)
 }
@@ -230,7 +230,7 @@
 
 func first(kind byte) []byte {
 	b := append([]byte(magic), kind)
-	return binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(b, state.Major), state.Minor)
+	return binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(b, state.FormatMajor), state.FormatMinor)
 }
 
 // whole begins a generation: a snapshot under another name, synced, renamed, the folder synced; then its log; then what is
@@ -238,8 +238,8 @@
 func (s *Store) whole(now *statepb.State) error {
 	s.abandon()
 	now = proto.CloneOf(now)
-	now.Major, now.Minor = state.Major, state.Minor
-	s.Dropped += state.Shrink(now, s.most)
+	now.Major, now.Minor = state.FormatMajor, state.FormatMinor
+	s.DroppedEntries += state.Shrink(now, s.most)
 	body, err := proto.Marshal(now)
 	if err != nil {
 		return fmt.Errorf("encoding the state: %w", err)
--- a/internal/statefile/store_test.go
+++ b/internal/statefile/store_test.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"barleysail/internal/kept"
+	"barleysail/internal/golden"
 	"barleysail/state"
 	"barleysail/state/statepb"
 )
@@ -86,7 +86,7 @@
 	case f.State != nil && is == 0:
 		return fmt.Errorf("a state that never was: %v", f.State)
 	case is < sure:
-		return fmt.Errorf("state %d of %d that were sure, notes %v", is, sure, f.Notes)
+		return fmt.Errorf("state %d of %d that were sure, notes %v", is, sure, f.Warnings)
 	}
 	s := NewStore(m, f, 1<<20)
 	if err := s.Save(told(9)); err != nil {
@@ -158,7 +158,7 @@
 				}
 				f, err := Load(m)
 				if at := f.State.GetAt(); err != nil || at != last {
-					t.Fatalf("full from %d to %d, after %d: found %v, not %v; %v %v", from, to, n, at, last, f.Notes, err)
+					t.Fatalf("full from %d to %d, after %d: found %v, not %v; %v %v", from, to, n, at, last, f.Warnings, err)
 				}
 			}
 		}
@@ -200,7 +200,7 @@
 			}
 		}
 	}
-	folder, err := LookFolder(name)
+	folder, err := OpenReadOnly(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +210,7 @@
 		t.Fatalf("%+v, %v", f, err)
 	}
 	text, _ := prototext.MarshalOptions{Multiline: true}.Marshal(f.State)
-	kept.Compare(t, "format-1.0", strings.ReplaceAll(string(text), ":  ", ": ")+fmt.Sprint(f.Changes, " changes\n"))
+	golden.Compare(t, "format-1.0", strings.ReplaceAll(string(text), ":  ", ": ")+fmt.Sprint(f.Changes, " changes\n"))
 
 	// A field that is not known, at the top and in a host.
 	odd := protowire.AppendString(protowire.AppendTag(nil, 999, protowire.BytesType), "from later")
@@ -219,13 +219,13 @@
 	s.Hosts[0].ProtoReflect().SetUnknown(odd)
 	s.Minor = 7
 	m := newMemory()
-	store := NewStore(m, &Found{}, 1<<20)
+	store := NewStore(m, &LoadResult{}, 1<<20)
 	if err := store.Save(s); err != nil {
 		t.Fatal(err)
 	}
 	f, _ = Load(m)
 	again := newMemory()
-	if err := NewStore(again, &Found{}, 1<<20).Save(f.State); err != nil {
+	if err := NewStore(again, &LoadResult{}, 1<<20).Save(f.State); err != nil {
 		t.Fatal(err)
 	}
 	f, _ = Load(again)
@@ -235,10 +235,10 @@
 
 	// A newer major format in a generation of its own, with one of ours before it.
 	text, _ = m.Read(file('S', 1))
-	text[8] = state.Major + 1
+	text[8] = state.FormatMajor + 1
 	m.now[file('S', 5)] = &inode{synced: text}
 	f, _ = Load(m)
-	if f.State == nil || f.Generation != 1 || len(f.Notes) != 1 {
+	if f.State == nil || f.Generation != 1 || len(f.Warnings) != 1 {
 		t.Errorf("%+v", f)
 	}
 	store = NewStore(m, f, 1<<20)
@@ -264,10 +264,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenFolder(path); !errors.Is(err, ErrTaken) {
+	if _, err := OpenFolder(path); !errors.Is(err, ErrLocked) {
 		t.Errorf("a second one: %v", err)
 	}
-	s := NewStore(one, &Found{}, 1<<20)
+	s := NewStore(one, &LoadResult{}, 1<<20)
 	for n := 1; n < 4; n++ {
 		if err := s.Save(told(n)); err != nil {
 			t.Fatal(err)
@@ -292,12 +292,12 @@
 		s.Hosts = append(s.Hosts, &statepb.Host{Name: fmt.Sprintf("x%04d", i), Weight: 1, At: 1})
 	}
 	m := newMemory()
-	store := NewStore(m, &Found{}, 20000)
+	store := NewStore(m, &LoadResult{}, 20000)
 	if err := store.Save(s); err != nil {
 		t.Fatal(err)
 	}
 	f, _ := Load(m)
-	if proto.Size(f.State) > 20000 || len(f.State.Settings) != 1 || len(f.State.Tables) != 0 || len(f.State.Hosts) < 100 || store.Dropped == 0 {
+	if proto.Size(f.State) > 20000 || len(f.State.Settings) != 1 || len(f.State.Tables) != 0 || len(f.State.Hosts) < 100 || store.DroppedEntries == 0 {
 		t.Errorf("%d bytes, %d hosts, %d tables, %d settings", proto.Size(f.State), len(f.State.Hosts), len(f.State.Tables), len(f.State.Settings))
 	}
 }
@@ -332,7 +332,7 @@
 		b.Fatal(err)
 	}
 	defer folder.Close()
-	s := NewStore(folder, &Found{}, 64<<20)
+	s := NewStore(folder, &LoadResult{}, 64<<20)
 	bytes := 0
 	states := []*statepb.State{}
 	for n := range 20 {
@@ -356,7 +356,7 @@
 		b.Fatal(err)
 	}
 	defer folder.Close()
-	s := NewStore(folder, &Found{}, 64<<20)
+	s := NewStore(folder, &LoadResult{}, 64<<20)
 	for n := range 10 {
 		if err := s.Save(full(n)); err != nil {
 			b.Fatal(err)
@@ -368,7 +368,7 @@
 		if err != nil || f.State == nil {
 			b.Fatal(err)
 		}
-		state.Age(f.State, 20000, state.DefaultLimits(18000))
+		state.ApplyDecay(f.State, 20000, state.DefaultLimits(18000))
 	}
 }
 
--- a/publisher/counters.go
+++ b/publisher/counters.go
@@ -4,9 +4,9 @@
 	"math"
 	"strconv"
 
-	"barleysail/decide"
+	"barleysail/controller"
 	"barleysail/internal/haproxy"
-	"barleysail/steward"
+	"barleysail/routing"
 )
 
 // Counters makes sums of a proxy's show stat: what its counters grew by since the last reading. A counter that is
@@ -30,9 +30,9 @@
 // Read takes show stat in and gives the sums since the last reading; false at the first. Tries are the sessions and
 // the failed connections, failed ones those whose connection or response failed, the mean is the published average of
 // the last ones.
-func (c *Counters) Read(now float64, rows []haproxy.Row, known func(host string) bool) (u steward.Sums, ok bool) {
+func (c *Counters) Read(now float64, rows []haproxy.Row, known func(host string) bool) (u controller.ProxyStats, ok bool) {
 	span := math.Max(now-c.at, 1)
-	u = steward.Sums{Sender: c.sender, Hosts: map[string]steward.HostSums{}, Usage: map[string]steward.ClassUsage{}}
+	u = controller.ProxyStats{Sender: c.sender, Hosts: map[string]controller.HostStats{}, Demand: map[string]controller.ClassDemand{}}
 	sums := map[string]float64{}
 	for _, r := range rows {
 		name := r["pxname"] + "/" + r["svname"]
@@ -44,7 +44,7 @@
 		}
 		if r["type"] == strconv.Itoa(haproxy.Backend) {
 			came := int(d.total)
-			u.Usage[r["pxname"]] = steward.ClassUsage{Came: came, Unanswered: min(int(d.connect+d.response), came), Span: span}
+			u.Demand[r["pxname"]] = controller.ClassDemand{Arrivals: came, Unanswered: min(int(d.connect+d.response), came), WindowMs: span}
 			continue
 		}
 		tries := d.total + d.connect
@@ -54,19 +54,19 @@
 		}
 		v := u.Hosts[host]
 		failed := math.Min(d.connect+d.response, tries)
-		v.Tries, v.Failed = v.Tries+int(tries), v.Failed+int(failed)
+		v.Attempts, v.Failed = v.Attempts+int(tries), v.Failed+int(failed)
 		sums[host] += figure(r, "ttime") * (tries - failed)
-		v.Span, v.Load = span, decide.NoLoad
-		v.Mean = 0
-		if good := float64(v.Tries - v.Failed); good > 0 {
-			v.Mean = sums[host] / good
+		v.WindowMs, v.Load = span, routing.UnknownLoad
+		v.MeanLatencyMs = 0
+		if good := float64(v.Attempts - v.Failed); good > 0 {
+			v.MeanLatencyMs = sums[host] / good
 		}
 		u.Hosts[host] = v
 	}
 	ok = c.known
 	c.at, c.known = now, true
 	c.number++
-	u.Number = c.number
+	u.Sequence = c.number
 	return u, ok
 }
 
--- a/publisher/owner.go
+++ b/publisher/owner.go
@@ -11,10 +11,10 @@
 // staleCycles without a raised figure show that an owner is gone.
 const staleCycles = 3
 
-// Owner settles which of several stewards drives a proxy: the one whose mark stands and is raised goes on, the others
+// SocketOwner settles which of several stewards drives a proxy: the one whose mark stands and is raised goes on, the others
 // watch and take over once it stands still. Two that take over at once read different marks in the next cycle, and
 // the one that finds another's gives up.
-type Owner struct {
+type SocketOwner struct {
 	life  string
 	beat  int64
 	last  string // mark as read last
@@ -22,12 +22,12 @@
 	mine  bool
 }
 
-// NewOwner makes one for a steward's life.
-func NewOwner(life string) *Owner { return &Owner{life: life} }
+// NewSocketOwner makes one for a steward's life.
+func NewSocketOwner(life string) *SocketOwner { return &SocketOwner{life: life} }
 
 // Read takes in the mark that stands, "" for none, and tells whether this steward drives the proxy and what mark to
 // set, "" for none.
-func (o *Owner) Read(mark string) (mine bool, set string) {
+func (o *SocketOwner) Read(mark string) (mine bool, set string) {
 	life, _, ok := strings.Cut(mark, ":")
 	switch {
 	case ok && life == o.life:
@@ -52,4 +52,4 @@
 	return true, o.mark()
 }
 
-func (o *Owner) mark() string { return o.life + ":" + strconv.FormatInt(o.beat, 10) }
+func (o *SocketOwner) mark() string { return o.life + ":" + strconv.FormatInt(o.beat, 10) }
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -10,8 +10,8 @@
 	"slices"
 	"strings"
 
+	"barleysail/controller"
 	"barleysail/internal/haproxy"
-	"barleysail/steward"
 )
 
 // weightMost is the largest weight of the socket.
@@ -49,8 +49,8 @@
 	since  float64 // when it was drained, as far as that is known
 }
 
-// Proxy is what is known of one, and what it should have.
-type Proxy struct {
+// ProxyUpdater is what is known of one, and what it should have.
+type ProxyUpdater struct {
 	grace  float64 // a drained server is taken off after so long
 	have   map[string]map[string]server
 	want   map[string]map[string]int
@@ -67,18 +67,18 @@
 type command struct {
 	text            string
 	backend, server string
-	done            func(p *Proxy, now float64)
+	done            func(p *ProxyUpdater, now float64)
 }
 
 // New makes the publisher of a proxy of which nothing is known.
-func New(grace float64) *Proxy {
-	return &Proxy{grace: grace, have: map[string]map[string]server{}, want: map[string]map[string]int{}, scale: map[string]float64{},
+func New(grace float64) *ProxyUpdater {
+	return &ProxyUpdater{grace: grace, have: map[string]map[string]server{}, want: map[string]map[string]int{}, scale: map[string]float64{},
 		shares: map[string]float64{}, told: map[string]float64{}, failed: map[string]int{}}
 }
 
-// Read takes in the proxy's state, as show servers state tells it: after connecting, and now and then, since others
+// ObserveServers takes in the proxy's state, as show servers state tells it: after connecting, and now and then, since others
 // may change it too. It tells how many servers were not as they were left.
-func (p *Proxy) Read(now float64, all []haproxy.ServerState) (foreign int) {
+func (p *ProxyUpdater) ObserveServers(now float64, all []haproxy.ServerState) (foreign int) {
 	fresh := map[string]map[string]server{}
 	for _, s := range all {
 		if fresh[s.Backend] == nil {
@@ -111,17 +111,17 @@
 	return foreign
 }
 
-// Lost notes that the connection is gone: nothing is known of the proxy any more but when servers were drained.
-func (p *Proxy) Lost() {
+// ConnectionLost notes that the connection is gone: nothing is known of the proxy any more but when servers were drained.
+func (p *ProxyUpdater) ConnectionLost() {
 	p.read, p.out, p.plan = false, nil, nil
 	clear(p.told)
 }
 
-// Want takes in the tables decided. A class whose hosts are not ordered keeps what it has.
-func (p *Proxy) Want(tables []steward.Table) {
+// SetTarget takes in the tables decided. A class whose hosts are not ordered keeps what it has.
+func (p *ProxyUpdater) SetTarget(tables []controller.Table) {
 	p.plan = nil
 	for _, t := range tables {
-		p.shares[t.Class] = math.Min(t.Share, 1)
+		p.shares[t.Class] = math.Min(t.AdmissionRatio, 1)
 		if !t.Ordered {
 			continue
 		}
@@ -136,7 +136,7 @@
 }
 
 // Settled tells whether the proxy has what it should: what is drained and not yet taken off does not count.
-func (p *Proxy) Settled(now float64) bool {
+func (p *ProxyUpdater) Settled(now float64) bool {
 	if !p.read || p.out != nil {
 		return false
 	}
@@ -144,8 +144,8 @@
 	return c == nil || c.backend != "" && p.want[c.backend][c.server] == 0 && !p.have[c.backend][c.server].ready
 }
 
-// Next gives the command to be sent now; false where none is, or one is out.
-func (p *Proxy) Next(now float64) (text string, ok bool) {
+// NextCommand gives the command to be sent now; false where none is, or one is out.
+func (p *ProxyUpdater) NextCommand(now float64) (text string, ok bool) {
 	if !p.read || p.out != nil {
 		return "", false
 	}
@@ -158,7 +158,7 @@
 }
 
 // first gives the plan's first command, of a new plan where the old one is done; nil where nothing is to be done.
-func (p *Proxy) first(now float64) *command {
+func (p *ProxyUpdater) first(now float64) *command {
 	if len(p.plan) == 0 {
 		p.plan = p.next(now)
 	}
@@ -173,7 +173,7 @@
 
 // next finds what is most urgent: servers to go to first, then weights, then drains, and last what is taken off. All
 // of one kind are one plan. A backend is never left without a ready server: drains wait for the others.
-func (p *Proxy) next(now float64) (plan []*command) {
+func (p *ProxyUpdater) next(now float64) (plan []*command) {
 	names := map[string][]string{}
 	for backend, want := range p.want {
 		all := maps.Clone(want)
@@ -205,7 +205,7 @@
 	for _, class := range slices.Sorted(maps.Keys(p.shares)) {
 		if share := p.shares[class]; math.Abs(share-value(p.told, class)) >= 0.0005 {
 			plan = append(plan, &command{text: fmt.Sprintf("set var proc.%s%s int(%d)", ShareVariable, class, int(math.Round(share*1000))),
-				done: func(p *Proxy, _ float64) { p.told[class] = share }})
+				done: func(p *ProxyUpdater, _ float64) { p.told[class] = share }})
 		}
 	}
 	return plan
@@ -222,7 +222,7 @@
 	return -1
 }
 
-func (p *Proxy) set(backend, name string, change func(*server)) {
+func (p *ProxyUpdater) set(backend, name string, change func(*server)) {
 	if p.have[backend] == nil {
 		p.have[backend] = map[string]server{}
 	}
@@ -232,42 +232,44 @@
 }
 
 // come adds servers, and makes those ready that should be.
-func (p *Proxy) come(backend, name string, h server, has bool, want int) *command {
+func (p *ProxyUpdater) come(backend, name string, h server, has bool, want int) *command {
 	switch {
 	case want == 0 || h.ready && !h.maint:
 		return nil
 	case !has: // an added server begins in maintenance
 		return &command{text: fmt.Sprintf("add server %s/%s %s weight %d", backend, name, name, want),
-			done: func(p *Proxy, now float64) {
+			done: func(p *ProxyUpdater, now float64) {
 				p.set(backend, name, func(s *server) { *s = server{weight: want, maint: true, since: now} })
 			}}
 	case h.weight != want: // not first to all its old weight
 		return p.weigh(backend, name, server{weight: h.weight, ready: true}, true, want)
 	}
 	return &command{text: fmt.Sprintf("set server %s/%s state ready", backend, name),
-		done: func(p *Proxy, _ float64) { p.set(backend, name, func(s *server) { s.ready, s.maint = true, false }) }}
+		done: func(p *ProxyUpdater, _ float64) {
+			p.set(backend, name, func(s *server) { s.ready, s.maint = true, false })
+		}}
 }
 
-func (p *Proxy) weigh(backend, name string, h server, has bool, want int) *command {
+func (p *ProxyUpdater) weigh(backend, name string, h server, has bool, want int) *command {
 	if !has || want == 0 || h.weight == want || !h.ready {
 		return nil
 	}
 	return &command{text: fmt.Sprintf("set weight %s/%s %d", backend, name, want),
-		done: func(p *Proxy, _ float64) { p.set(backend, name, func(s *server) { s.weight = want }) }}
+		done: func(p *ProxyUpdater, _ float64) { p.set(backend, name, func(s *server) { s.weight = want }) }}
 }
 
-func (p *Proxy) drain(backend, name string, h server, has bool, want int) *command {
+func (p *ProxyUpdater) drain(backend, name string, h server, has bool, want int) *command {
 	if !has || want > 0 || !h.ready || len(p.want[backend]) > 0 && !p.left(backend) {
 		return nil
 	}
 	return &command{text: fmt.Sprintf("set server %s/%s state drain", backend, name),
-		done: func(p *Proxy, now float64) {
+		done: func(p *ProxyUpdater, now float64) {
 			p.set(backend, name, func(s *server) { s.ready, s.since = false, now })
 		}}
 }
 
 // left tells whether a server that should have traffic is ready: one whose adding was refused is not.
-func (p *Proxy) left(backend string) bool {
+func (p *ProxyUpdater) left(backend string) bool {
 	for name, w := range p.want[backend] {
 		if h := p.have[backend][name]; w > 0 && h.ready && h.weight > 0 {
 			return true
@@ -277,24 +279,24 @@
 }
 
 // leave takes drained servers off once the grace is over.
-func (p *Proxy) leave(now float64, backend, name string, h server, has bool, want int) *command {
+func (p *ProxyUpdater) leave(now float64, backend, name string, h server, has bool, want int) *command {
 	if !has || want > 0 || h.ready || now < h.since+p.grace {
 		return nil
 	}
 	if !h.maint {
 		return &command{text: fmt.Sprintf("set server %s/%s state maint", backend, name),
-			done: func(p *Proxy, _ float64) { p.set(backend, name, func(s *server) { s.maint = true }) }}
+			done: func(p *ProxyUpdater, _ float64) { p.set(backend, name, func(s *server) { s.maint = true }) }}
 	}
 	return &command{text: fmt.Sprintf("del server %s/%s", backend, name),
-		done: func(p *Proxy, _ float64) { delete(p.have[backend], name) }}
+		done: func(p *ProxyUpdater, _ float64) { delete(p.have[backend], name) }}
 }
 
 // said are the answers of commands that were done; all others but an empty one are refusals.
 var said = []string{"new server registered", "server deleted"}
 
-// Answered takes in the answer to the command that is out. A refusal is given as an error: the command is tried again a
+// ObserveResponse takes in the answer to the command that is out. A refusal is given as an error: the command is tried again a
 // few times, and then the server is left until the state is read anew.
-func (p *Proxy) Answered(now float64, answer string) error {
+func (p *ProxyUpdater) ObserveResponse(now float64, answer string) error {
 	c := p.out
 	if p.out = nil; c == nil {
 		return nil
@@ -315,8 +317,8 @@
 	return nil
 }
 
-// Due is when Next has something for the sake of time alone: a drained server's end. +Inf: never.
-func (p *Proxy) Due() float64 {
+// NextDeadlineMs is when Next has something for the sake of time alone: a drained server's end. +Inf: never.
+func (p *ProxyUpdater) NextDeadlineMs() float64 {
 	due := math.Inf(1)
 	for backend, servers := range p.have {
 		for name, h := range servers {
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -11,9 +11,9 @@
 
 	"pgregory.net/rapid"
 
+	"barleysail/controller"
+	"barleysail/internal/golden"
 	"barleysail/internal/haproxy"
-	"barleysail/internal/kept"
-	"barleysail/steward"
 )
 
 // proxy is a small model of one that is driven by a socket: it does what it is told, refuses what the guide says it
@@ -78,23 +78,23 @@
 }
 
 // drive sends what is due, up to so many commands.
-func drive(p *Proxy, x *proxy, now float64, most int) (n int) {
+func drive(p *ProxyUpdater, x *proxy, now float64, most int) (n int) {
 	for ; n < most; n++ {
-		c, ok := p.Next(now)
+		c, ok := p.NextCommand(now)
 		if !ok {
 			return n
 		}
-		p.Answered(now, x.do(c))
+		p.ObserveResponse(now, x.do(c))
 	}
 	return n
 }
 
-func table(share float64, hosts ...any) []steward.Table {
-	t := steward.Table{Class: "sheet", Ordered: true, Share: share, Tries: 1}
+func table(share float64, hosts ...any) []controller.Table {
+	t := controller.Table{Class: "sheet", Ordered: true, AdmissionRatio: share, RetryPolicy: 1}
 	for i := 0; i < len(hosts); i += 2 {
 		t.Hosts, t.Weights = append(t.Hosts, hosts[i].(string)), append(t.Weights, hosts[i+1].(float64))
 	}
-	return []steward.Table{t}
+	return []controller.Table{t}
 }
 
 // A proxy that comes with its old file is brought to its tables: to servers first, weights, drains, and once the grace
@@ -111,31 +111,31 @@
 			fmt.Fprintln(&out, "  "+c)
 		}
 	}
-	p.Want(table(1, "a:80", 1.0, "b:80", 0.5))
+	p.SetTarget(table(1, "a:80", 1.0, "b:80", 0.5))
 	step("before anything is known", 0)
-	p.Read(0, x.state())
+	p.ObserveServers(0, x.state())
 	step("its old file", 0)
 	step("before the grace is over", 2999)
 	step("after it", 3000)
-	p.Want(table(0.25, "a:80", 1.0, "b:80", 0.5))
+	p.SetTarget(table(0.25, "a:80", 1.0, "b:80", 0.5))
 	step("a level", 4000)
-	p.Want(table(0.25, "a:80", 1.0, "b:80", 0.001))
+	p.SetTarget(table(0.25, "a:80", 1.0, "b:80", 0.001))
 	step("a small weight", 5000)
 	delete(x.servers, "sheet/b:80")
 	a := x.servers["sheet/a:80"]
 	a.Weight = 3
 	x.servers["sheet/a:80"] = a
-	fmt.Fprintf(&out, "others changed %d\n", p.Read(6000, x.state()))
+	fmt.Fprintf(&out, "others changed %d\n", p.ObserveServers(6000, x.state()))
 	step("behind its back", 6000)
 	x.refuses = true
-	p.Want(table(0.25, "c:80", 1.0))
+	p.SetTarget(table(0.25, "c:80", 1.0))
 	step("a proxy that takes no further server keeps those it has", 7000)
 	x.refuses = false
-	p.Read(8000, x.state())
+	p.ObserveServers(8000, x.state())
 	step("once it does", 8000)
-	p.Lost()
+	p.ConnectionLost()
 	step("without a connection", 9000)
-	kept.Compare(t, "reconcile", out.String())
+	golden.Compare(t, "reconcile", out.String())
 }
 
 // Whatever is wanted, whatever others change and whenever the connection breaks: no backend is left without a server
@@ -143,8 +143,8 @@
 func TestNeverBare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x, p, now := &proxy{servers: map[string]haproxy.ServerState{"sheet/h0:80": {Backend: "sheet", Server: "h0:80", Weight: 256}}}, New(1000), 0.0
-		p.Read(now, x.state())
-		var last []steward.Table
+		p.ObserveServers(now, x.state())
+		var last []controller.Table
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now += rapid.SampledFrom([]float64{1, 400, 1500}).Draw(t, "pause")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
@@ -157,11 +157,11 @@
 				}
 				if len(hosts) > 0 {
 					last = table(1, hosts...)
-					p.Want(last)
+					p.SetTarget(last)
 				}
 			case 1:
-				p.Lost()
-				p.Read(now, x.state())
+				p.ConnectionLost()
+				p.ObserveServers(now, x.state())
 			case 2: // by someone else, who leaves one that takes traffic
 				for _, k := range slices.Sorted(maps.Keys(x.servers)) {
 					s := x.servers[k]
@@ -178,7 +178,7 @@
 		}
 		for range 3 {
 			now += 2000
-			p.Read(now, x.state())
+			p.ObserveServers(now, x.state())
 			drive(p, x, now, 1000)
 		}
 		if last == nil {
@@ -242,11 +242,11 @@
 		t.Error("sums of a first reading")
 	}
 	u, ok := c.Read(2000, rows(110, 7), known)
-	if v := u.Hosts["a:80"]; !ok || v.Tries != 20 || v.Failed != 2 || math.Abs(v.Mean-(8*50+10*20)/18.0) > 1e-9 || v.Span != 1000 || len(u.Hosts) != 1 ||
-		u.Usage["sheet"].Came != 20 || u.Usage["sheet"].Unanswered != 2 {
+	if v := u.Hosts["a:80"]; !ok || v.Attempts != 20 || v.Failed != 2 || math.Abs(v.MeanLatencyMs-(8*50+10*20)/18.0) > 1e-9 || v.WindowMs != 1000 || len(u.Hosts) != 1 ||
+		u.Demand["sheet"].Arrivals != 20 || u.Demand["sheet"].Unanswered != 2 {
 		t.Errorf("%v %+v", ok, u)
 	}
-	if u, _ = c.Read(3000, rows(4, 1), known); u.Hosts["a:80"].Tries != 8 || u.Usage["sheet"].Came != 8 || u.Number != 3 {
+	if u, _ = c.Read(3000, rows(4, 1), known); u.Hosts["a:80"].Attempts != 8 || u.Demand["sheet"].Arrivals != 8 || u.Sequence != 3 {
 		t.Errorf("after a restart: %+v", u)
 	}
 }
@@ -254,9 +254,9 @@
 // Of two stewards one drives a proxy; when it is gone the other does, and if both take over at once one gives up.
 func TestOwner(t *testing.T) {
 	mark := ""
-	a, b := NewOwner("A"), NewOwner("B")
+	a, b := NewSocketOwner("A"), NewSocketOwner("B")
 	var out strings.Builder
-	turn := func(name string, o *Owner) {
+	turn := func(name string, o *SocketOwner) {
 		mine, set := o.Read(mark)
 		if set != "" {
 			mark = set
@@ -286,5 +286,5 @@
 		turn("a", a)
 		turn("b", b)
 	}
-	kept.Compare(t, "owner", out.String())
+	golden.Compare(t, "owner", out.String())
 }
--- a/replay/ahead.go
+++ b/replay/ahead.go
@@ -5,7 +5,7 @@
 	"io"
 	"math"
 
-	"barleysail/internal/core"
+	"barleysail/internal/deadlinequeue"
 	"barleysail/internal/record/recordpb"
 	"barleysail/replay/response"
 )
@@ -18,7 +18,7 @@
 	lines   *response.Lines // nil: they are not wanted
 	by      float64         // ms that it reads ahead
 	queue   []*workedItem
-	pending core.Dues[func()]
+	pending deadlinequeue.Queue[func()]
 	at      float64 // of what was read last
 	settled float64 // the model has taken in what was read up to then
 	ended   bool
@@ -105,7 +105,7 @@
 		for k, r := range t.Tries {
 			a.model.Saw(t.Class, r.Host, r.At, r.Took, response.Outcome(r.Result))
 			if a.lines != nil {
-				a.pending.Add(r.At, func() { a.take(i, t.Class, k, r) })
+				a.pending.Schedule(r.At, func() { a.take(i, t.Class, k, r) })
 			}
 		}
 	case *recordpb.Record_Probed:
--- a/replay/coupling.go
+++ b/replay/coupling.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
+	"barleysail/controller"
 	"barleysail/internal/record/recordpb"
-	"barleysail/steward"
 )
 
 // A replayed proxy draws hosts and lets transactions in as the recorded one did, as far as its table allows: of a draw
@@ -18,7 +18,7 @@
 // going is what a proxy went by in the record: weights by class and host, and the shares let in.
 type going struct {
 	known   bool // since a whole document
-	classes map[string]*steward.Table
+	classes map[string]*controller.Table
 	waiting []*recordpb.Published // documents on their way
 }
 
@@ -27,7 +27,7 @@
 
 // published notes a document on its way.
 func (g *going) published(p *recordpb.Published) {
-	if steward.Kind(p.Kind) == steward.Same {
+	if controller.ResponseKind(p.Kind) == controller.NotModified {
 		return
 	}
 	if g.waiting = append(g.waiting, p); len(g.waiting) > goingMost {
@@ -53,7 +53,7 @@
 
 func (g *going) take(p *recordpb.Published) {
 	var d tables
-	whole := steward.Kind(p.Kind) == steward.Whole
+	whole := controller.ResponseKind(p.Kind) == controller.Snapshot
 	if err := json.Unmarshal(p.Body, &d); err != nil {
 		g.known = false // format 1 has no documents
 		return
@@ -62,11 +62,11 @@
 	for class, change := range d.Tables {
 		t := g.classes[class]
 		if t == nil {
-			t = &steward.Table{Share: 1}
+			t = &controller.Table{AdmissionRatio: 1}
 			g.classes[class] = t
 		}
 		if change.Share != nil {
-			t.Share = *change.Share
+			t.AdmissionRatio = *change.Share
 		}
 		if whole && change.Hosts != nil {
 			t.Hosts, t.Weights = nil, nil
@@ -78,7 +78,7 @@
 }
 
 // setWeight puts a line into a table, or with nil takes it out; the hosts stay in order.
-func setWeight(t *steward.Table, host string, w *float64) {
+func setWeight(t *controller.Table, host string, w *float64) {
 	i, has := slices.BinarySearch(t.Hosts, host)
 	switch {
 	case w == nil && has:
@@ -91,7 +91,7 @@
 }
 
 // weight of a host in a table, 0 where it has none.
-func weight(t *steward.Table, host string) float64 {
+func weight(t *controller.Table, host string) float64 {
 	if i, has := slices.BinarySearch(t.Hosts, host); has {
 		return t.Weights[i]
 	}
@@ -99,7 +99,7 @@
 }
 
 // total weight of a table's hosts that are not out.
-func total(t *steward.Table, out func(host string) bool) (sum float64) {
+func total(t *controller.Table, out func(host string) bool) (sum float64) {
 	for i, host := range t.Hosts {
 		if !out(host) {
 			sum += t.Weights[i]
@@ -109,7 +109,7 @@
 }
 
 // by gives what the proxy went by for a class, nil where that is not known.
-func (g *going) by(class string) *steward.Table {
+func (g *going) by(class string) *controller.Table {
 	if !g.known {
 		return nil
 	}
@@ -117,12 +117,12 @@
 }
 
 // letIn tells whether a transaction is let in, by what became of it in the record.
-func (e *engine) letIn(share float64, old *steward.Table, was bool) bool {
+func (e *engine) letIn(share float64, old *controller.Table, was bool) bool {
 	x, part := e.chance(), math.Min(share, 1)
 	if old == nil {
 		return x < part
 	}
-	before := math.Min(old.Share, 1)
+	before := math.Min(old.AdmissionRatio, 1)
 	if was {
 		return before <= 0 || x*before < part
 	}
@@ -130,7 +130,7 @@
 }
 
 // draw draws a host by weight, none that is out, by the host that the recorded draw fell on; "": it is not known.
-func (e *engine) draw(t, old *steward.Table, was string, out func(host string) bool) (string, bool) {
+func (e *engine) draw(t, old *controller.Table, was string, out func(host string) bool) (string, bool) {
 	if old == nil || was == "" || !(weight(old, was) > 0) || out(was) {
 		return e.pick(t, out)
 	}
@@ -154,7 +154,7 @@
 }
 
 // pick draws a host by weight, none that is out.
-func (e *engine) pick(t *steward.Table, out func(host string) bool) (string, bool) {
+func (e *engine) pick(t *controller.Table, out func(host string) bool) (string, bool) {
 	return e.choose(t.Hosts, func(i int) float64 {
 		if out(t.Hosts[i]) {
 			return 0
--- a/replay/describe.go
+++ b/replay/describe.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strings"
 
-	"barleysail/decide"
 	"barleysail/internal/record/recordpb"
 	"barleysail/operator"
+	"barleysail/routing"
 )
 
 // Describe words an input in a line.
@@ -19,7 +19,7 @@
 	case *recordpb.Record_Listed:
 		draining := 0
 		for _, h := range x.Listed.Hosts {
-			if decide.Phase(h.Phase) == decide.Draining {
+			if routing.HostState(h.Phase) == routing.Draining {
 				draining++
 			}
 		}
--- a/replay/gap.go
+++ b/replay/gap.go
@@ -26,7 +26,7 @@
 // model has them then: one that hangs or is dead has no cores, a slow one a part of its speed.
 func (e *engine) sample() {
 	e.sampled += windowLength
-	e.dues.Add(e.sampled+windowLength, e.sample)
+	e.dues.Schedule(e.sampled+windowLength, e.sample)
 	came := e.demand
 	e.demand = demand{}
 	if len(came) == 0 || len(e.listed) == 0 {
@@ -57,7 +57,7 @@
 	p.Zones = slices.Sorted(maps.Keys(zones))
 	for _, c := range e.set.Classes {
 		if by := came[c.Name]; len(by) > 0 {
-			p.Classes = append(p.Classes, solver.Class{Name: c.Name, Earnings: c.Earnings, Work: e.scan.model.UsualTime(c.Name), Local: c.Local})
+			p.Classes = append(p.Classes, solver.Class{Name: c.Name, Earnings: c.PriorityWeight, Work: e.scan.model.UsualTime(c.Name), Local: c.ZoneLocal})
 		}
 	}
 	if g, err := p.Measure(e.standing()); err == nil {
@@ -71,7 +71,7 @@
 	for _, name := range slices.Sorted(maps.Keys(e.proxies)) {
 		q := e.proxies[name]
 		for class, table := range q.tables {
-			pool.Add(class, q.zone, table.Share, func(yield func(string, float64) bool) {
+			pool.Add(class, q.zone, table.AdmissionRatio, func(yield func(string, float64) bool) {
 				for i, host := range table.Hosts {
 					if !yield(host, table.Weights[i]) {
 						return
--- a/replay/other.go
+++ b/replay/other.go
@@ -9,19 +9,19 @@
 	"math"
 	"sort"
 
-	"barleysail/decide"
-	"barleysail/internal/core"
+	"barleysail/controller"
+	"barleysail/internal/deadlinequeue"
 	"barleysail/internal/record"
 	"barleysail/internal/record/recordpb"
 	"barleysail/internal/rules"
 	"barleysail/replay/response"
-	"barleysail/steward"
+	"barleysail/routing"
 )
 
 // Setting is what a day is replayed with.
 type Setting struct {
 	Make    Make // of a steward, by the start of its life
-	Classes []steward.Class
+	Classes []controller.RequestClass
 	Figures rules.Figures
 	Probes  float64 // ms until a probe without an answer is given up
 }
@@ -58,7 +58,7 @@
 	}
 	patience := 0.0
 	for _, c := range set.Classes {
-		patience = math.Max(patience, c.Patience)
+		patience = math.Max(patience, c.DeadlineMs)
 	}
 	if err := sc.fit(open, patience+5000); err != nil {
 		return nil, err
@@ -72,8 +72,8 @@
 		out: &Outcome{From: sc.from, Offsets: map[string][]Offset{}}}
 	e.journal.Lean()
 	e.sampled = sc.from
-	e.dues.Add(sc.from+windowLength, e.sample)
-	e.dues.Add(sc.from+foldEvery, e.fold)
+	e.dues.Schedule(sc.from+windowLength, e.sample)
+	e.dues.Schedule(sc.from+foldEvery, e.fold)
 	for i, c := range set.Classes {
 		e.class[c.Name] = i
 		e.out.Classes = append(e.out.Classes, c.Name)
@@ -109,7 +109,7 @@
 	out     *Outcome
 
 	now     float64
-	dues    core.Dues[func()]
+	dues    deadlinequeue.Queue[func()]
 	lives   map[string]*life // by source
 	proxies map[string]*proxy
 	class   map[string]int
@@ -141,7 +141,7 @@
 type life struct {
 	e       *engine
 	name    string
-	steward *steward.Steward
+	steward *controller.Controller
 	polls   map[int64]*proxy
 	woken   float64 // the time for which a wake is noted
 	over    bool
@@ -153,8 +153,8 @@
 	life       *life
 	poll       int64 // 0: none is out
 	tag        string
-	tables     map[string]steward.Table
-	sums       steward.Sums
+	tables     map[string]controller.Table
+	sums       controller.ProxyStats
 	since      float64
 	number     int64
 
@@ -176,7 +176,7 @@
 	e.now = math.Max(e.now, at)
 }
 
-func (e *engine) after(ms float64, do func()) { e.dues.Add(e.now+ms, do) }
+func (e *engine) after(ms float64, do func()) { e.dues.Schedule(e.now+ms, do) }
 
 func (e *engine) chance() float64 {
 	e.counter++
@@ -196,7 +196,7 @@
 		}
 		l = &life{e: e, name: x.source, steward: s, polls: map[int64]*proxy{}, woken: math.Inf(1)}
 		e.lives[x.source] = l
-		e.dues.Add(e.scan.ends[x.source]+0.001, l.end)
+		e.dues.Schedule(e.scan.ends[x.source]+0.001, l.end)
 	case *recordpb.Record_Transaction:
 		e.transaction(e.scan.proxies[x.source].Proxy, e.scan.proxies[x.source].Zone, r.Transaction, x.works)
 		return nil
@@ -217,9 +217,9 @@
 	case *recordpb.Record_Listed:
 		l.listed(r.Listed)
 	case *recordpb.Record_ListFailed:
-		l.steward.ListFailed(e.now)
+		l.steward.ObserveWatchFailure(e.now)
 	case *recordpb.Record_Operate:
-		l.steward.Operate(e.now, record.Orders(r.Operate), l) // one that is now refused is refused
+		l.steward.ApplyOverrides(e.now, record.Orders(r.Operate), l) // one that is now refused is refused
 	case *recordpb.Record_Poll:
 		p := e.proxy(r.Poll.Proxy, r.Poll.Zone)
 		if p.life != l {
@@ -234,7 +234,7 @@
 			p.part()
 		}
 	case *recordpb.Record_Leave:
-		l.steward.Leave(e.now, r.Leave, l)
+		l.steward.Disconnect(e.now, r.Leave, l)
 		if p := e.proxies[r.Leave]; p != nil && p.life == l {
 			p.life, p.poll = nil, 0
 		}
@@ -250,8 +250,8 @@
 func (e *engine) proxy(name, zone string) *proxy {
 	p := e.proxies[name]
 	if p == nil {
-		p = &proxy{name: name, zone: zone, tables: map[string]steward.Table{}, since: e.now, shunned: map[string]shun{},
-			repeats: map[string]bool{}, going: going{classes: map[string]*steward.Table{}}}
+		p = &proxy{name: name, zone: zone, tables: map[string]controller.Table{}, since: e.now, shunned: map[string]shun{},
+			repeats: map[string]bool{}, going: going{classes: map[string]*controller.Table{}}}
 		p.begin()
 		e.ways(p)
 		e.proxies[name] = p
@@ -279,7 +279,7 @@
 }
 
 func (p *proxy) begin() {
-	p.sums = steward.Sums{Sender: "replay", Hosts: map[string]steward.HostSums{}, Usage: map[string]steward.ClassUsage{}}
+	p.sums = controller.ProxyStats{Sender: "replay", Hosts: map[string]controller.HostStats{}, Demand: map[string]controller.ClassDemand{}}
 }
 
 // ask polls the proxy's steward.
@@ -288,7 +288,7 @@
 	l.e.polls++
 	p.poll = l.e.polls
 	l.polls[p.poll] = p
-	q := steward.Query{Proxy: p.name, Zone: p.zone, Rate: rate, Wait: 60000, Delta: true}
+	q := controller.PollRequest{Proxy: p.name, Zone: p.zone, RequestRate: rate, WaitMs: 60000, AcceptDelta: true}
 	if p.tag != "" {
 		q.Tags = []string{p.tag}
 	}
@@ -305,7 +305,7 @@
 	}
 	if p.poll != 0 {
 		delete(p.life.polls, p.poll)
-		p.life.steward.PollGone(p.life.e.now, p.name, p.poll)
+		p.life.steward.CancelPoll(p.life.e.now, p.name, p.poll)
 		p.poll = 0
 	}
 	p.life.e.journal.Answered(p.life.e.now, p.name, p.life.name, 0, "", "", "", nil)
@@ -317,34 +317,34 @@
 	e, u := p.life.e, p.sums
 	span := math.Max(e.now-p.since, 1)
 	p.number++
-	u.Number = p.number
+	u.Sequence = p.number
 	for host, v := range u.Hosts {
-		if good := v.Tries - v.Failed; good > 0 {
-			v.Mean /= float64(good)
+		if good := v.Attempts - v.Failed; good > 0 {
+			v.MeanLatencyMs /= float64(good)
 		}
-		v.Span = span
+		v.WindowMs = span
 		u.Hosts[host] = v
 	}
-	for class, v := range u.Usage {
-		v.Span = span
-		u.Usage[class] = v
+	for class, v := range u.Demand {
+		v.WindowMs = span
+		u.Demand[class] = v
 	}
 	p.begin()
 	p.since = e.now
-	p.life.steward.Sums(e.now, p.name, u) // one that names a host no longer listed is refused, as in service
+	p.life.steward.ObserveProxyStats(e.now, p.name, u) // one that names a host no longer listed is refused, as in service
 }
 
 func (l *life) listed(list *recordpb.Listed) {
 	entries, seen := record.Entries(list), map[string]rules.Listed{}
 	l.e.listed = map[string]listedHost{}
 	for _, x := range entries {
-		ready := x.Phase == decide.Ready
-		l.e.listed[x.Host], seen[x.Host] = listedHost{x.Zone, ready}, rules.Listed{Ready: ready, Started: x.Started}
+		ready := x.State == routing.Ready
+		l.e.listed[x.Host], seen[x.Host] = listedHost{x.Zone, ready}, rules.Listed{Ready: ready, Started: x.StartedMs}
 		fit := l.e.scan.model.Host(x.Host)
 		l.e.journal.Capacity(x.Host, float64(fit.Cores)/fit.Speed)
 	}
 	l.e.journal.Gave(l.e.now, seen)
-	l.steward.Listed(l.e.now, entries)
+	l.steward.SetEndpoints(l.e.now, entries)
 }
 
 // settle lets the steward do what is due, and notes when it is next.
@@ -358,7 +358,7 @@
 	next := math.Max(l.steward.Next(), l.e.now+0.2)
 	if next < l.woken && !math.IsInf(next, 1) {
 		l.woken = next
-		l.e.dues.Add(next, func() {
+		l.e.dues.Schedule(next, func() {
 			l.woken = math.Inf(1)
 			l.settle()
 		})
@@ -386,13 +386,13 @@
 
 // The steward.Out of a life.
 
-func (l *life) Answer(poll int64, a steward.Answer) {
+func (l *life) Respond(poll int64, a controller.Response) {
 	p := l.polls[poll]
 	delete(l.polls, poll)
 	if p == nil || p.poll != poll {
 		return
 	}
-	if a.Kind != steward.Same {
+	if a.Kind != controller.NotModified {
 		l.e.out.Messages++
 	}
 	l.e.after(math.Max(l.e.scan.late, 0.5), func() {
@@ -403,23 +403,23 @@
 	})
 }
 
-func (l *life) Probe(host string) {
+func (l *life) CheckHealth(host string) {
 	answers, there := l.e.scan.model.Alive(host, l.e.now)
-	wait, how := 1.0, decide.Fine
+	wait, how := 1.0, routing.Healthy
 	if !answers && there {
-		wait, how = l.e.set.Probes, decide.Silent
+		wait, how = l.e.set.Probes, routing.TimedOut
 	} else if !answers {
-		how = decide.Unreachable
+		how = routing.Unreachable
 	}
 	l.e.after(wait, func() {
 		if !l.over {
-			l.steward.Probed(l.e.now, host, how, decide.NoLoad)
+			l.steward.ObserveHealthCheck(l.e.now, host, how, routing.UnknownLoad)
 			l.settle()
 		}
 	})
 }
 
-func (l *life) Watch() {}
+func (l *life) WatchEndpoints() {}
 
 func (l *life) Log(text string) {
 	if len(l.e.out.Moments) < momentsKept {
@@ -428,16 +428,16 @@
 }
 
 // take lets the proxy go by an answer, and poll again.
-func (p *proxy) take(a steward.Answer) {
+func (p *proxy) take(a controller.Response) {
 	status := 304
 	switch a.Kind {
-	case steward.Whole:
+	case controller.Snapshot:
 		status = 200
-	case steward.Delta:
+	case controller.Delta:
 		status = 226
 	}
-	p.life.e.journal.Answered(p.life.e.now, p.name, p.life.name, status, a.Tag, a.Base, p.tag, a.Body())
-	if a.Kind != steward.Same {
+	p.life.e.journal.Answered(p.life.e.now, p.name, p.life.name, status, a.Tag, a.BaseTag, p.tag, a.Body())
+	if a.Kind != controller.NotModified {
 		for _, t := range a.Tables() {
 			if old, ok := p.tables[t.Class]; ok && !t.Ordered {
 				t.Hosts, t.Weights, t.Ordered = old.Hosts, old.Weights, old.Ordered
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -11,19 +11,19 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"barleysail/decide"
+	"barleysail/controller"
 	"barleysail/internal/config"
-	"barleysail/internal/kept"
+	"barleysail/internal/golden"
 	"barleysail/internal/record"
 	"barleysail/internal/record/recordpb"
-	"barleysail/steward"
+	"barleysail/routing"
 )
 
 const settings = `zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
 classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } list { file: "x" } probes { on: false }
 channel { lines_per_s: 1000000 most_waiting: 1000000 } `
 
-func build(s *recordpb.Start) (*steward.Steward, error) {
+func build(s *recordpb.Start) (*controller.Controller, error) {
 	c, err := config.Parse("test", []byte(s.Config))
 	if err != nil {
 		return nil, err
@@ -33,20 +33,20 @@
 
 // recorder plays a day on a scripted clock, and passes on what a daemon would record.
 type recorder struct {
-	s    *steward.Steward
+	s    *controller.Controller
 	at   float64
 	emit func(*recordpb.Record)
 	tags map[string]string
 	id   int64
 }
 
-func (r *recorder) Answer(poll int64, a steward.Answer) {
+func (r *recorder) Respond(poll int64, a controller.Response) {
 	r.emit(record.Published(r.at, poll, a))
 	r.tags[a.Proxy] = a.Tag
 }
-func (r *recorder) Probe(string) {}
-func (r *recorder) Watch()       {}
-func (r *recorder) Log(string)   {}
+func (r *recorder) CheckHealth(string) {}
+func (r *recorder) WatchEndpoints()    {}
+func (r *recorder) Log(string)         {}
 
 func (r *recorder) in(x *recordpb.Record) {
 	r.emit(proto.Clone(x).(*recordpb.Record))
@@ -71,38 +71,38 @@
 	}
 	r := &recorder{s: s, at: 1000, emit: emit, tags: map[string]string{}}
 	emit(&recordpb.Record{At: r.at, What: &recordpb.Record_Start{Start: start}})
-	var list []steward.Entry
+	var list []controller.Endpoint
 	for i := range hosts {
-		list = append(list, steward.Entry{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: []string{"a", "b"}[i%2], Phase: decide.Ready, Weight: 1})
+		list = append(list, controller.Endpoint{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: []string{"a", "b"}[i%2], State: routing.Ready, Weight: 1})
 	}
 	r.in(record.Listed(r.at, list))
 	for second := range seconds {
 		switch second {
 		case seconds / 3:
-			list[0].Phase = decide.Draining
+			list[0].State = routing.Draining
 			r.in(record.Listed(r.at, list))
 		case seconds / 2:
 			r.in(record.Listed(r.at, list[1:]))
 		case seconds * 3 / 4:
-			list[0].Phase, list[0].Started = decide.Ready, r.at
+			list[0].State, list[0].StartedMs = routing.Ready, r.at
 			r.in(record.Listed(r.at, list))
 		}
 		for p := range proxies {
 			name := fmt.Sprint("p", p)
 			r.id++
-			q := steward.Query{Proxy: name, Zone: []string{"a", "b"}[p%2], Wait: 900, Delta: true}
+			q := controller.PollRequest{Proxy: name, Zone: []string{"a", "b"}[p%2], WaitMs: 900, AcceptDelta: true}
 			if tag := r.tags[name]; tag != "" {
 				q.Tags = []string{tag}
 			}
 			r.in(record.Poll(r.at, r.id, q))
-			u := steward.Sums{Number: int64(second + 1), Hosts: map[string]steward.HostSums{}, Usage: map[string]steward.ClassUsage{"sheet": {Came: 9, Span: 1000}}}
+			u := controller.ProxyStats{Sequence: int64(second + 1), Hosts: map[string]controller.HostStats{}, Demand: map[string]controller.ClassDemand{"sheet": {Arrivals: 9, WindowMs: 1000}}}
 			for k := range min(10, hosts-1) {
 				h := list[1+(p*7+k*3+second)%(hosts-1)]
 				mean := 40.0
 				if i := 1 + (p*7+k*3+second)%(hosts-1); i%5 == 0 && second > 5 && second < 25 {
 					mean = 400
 				}
-				u.Hosts[h.Host] = steward.HostSums{Tries: 20, Mean: mean, Span: 1000, Load: decide.NoLoad}
+				u.Hosts[h.Host] = controller.HostStats{Attempts: 20, MeanLatencyMs: mean, WindowMs: 1000, Load: routing.UnknownLoad}
 			}
 			r.in(record.Sums(r.at, name, u))
 		}
@@ -183,7 +183,7 @@
 	say("an answer was not recorded", append(append([]*recordpb.Record(nil), day[:i]...), day[i+1:]...))
 	say("an answer was recorded twice", append(append([]*recordpb.Record(nil), day[:i+1]...), day[i:]...))
 	say("the start is gone", day[1:])
-	kept.Trace(t, now.String())
+	golden.Trace(t, now.String())
 }
 
 // A part that is cut out replays by itself.
@@ -223,7 +223,7 @@
 	for _, m := range s.Moments {
 		fmt.Fprintf(&now, "%.0f %s\n", m.At, m.Text)
 	}
-	kept.Trace(t, now.String())
+	golden.Trace(t, now.String())
 	z := &summarizer{Summary: &Summary{From: 0}, width: firstSpan}
 	came := int64(0)
 	for z.now = 0; z.now < 3e6; z.now += 700 {
@@ -261,7 +261,7 @@
 	change func(p, n int, r *recordpb.Record) []*recordpb.Record) Open {
 	applied := map[string][]*recordpb.Record{}
 	for _, r := range day {
-		if p := r.GetPublished(); p != nil && steward.Kind(p.Kind) != steward.Same {
+		if p := r.GetPublished(); p != nil && controller.ResponseKind(p.Kind) != controller.NotModified {
 			applied[p.Proxy] = append(applied[p.Proxy], &recordpb.Record{At: r.At, What: &recordpb.Record_Applied{Applied: p.Tag}})
 		}
 	}
@@ -333,8 +333,8 @@
 func asItWas(_, _ int, r *recordpb.Record) []*recordpb.Record { return []*recordpb.Record{r} }
 
 func plainSetting() Setting {
-	set := Setting{Make: build, Probes: 250, Classes: []steward.Class{{Name: "sheet", Class: decide.Class{Due: 1000, Patience: 2500, Earnings: 3}},
-		{Name: "finish", Class: decide.Class{Due: 500, Patience: 1200, Earnings: 9}}}}
+	set := Setting{Make: build, Probes: 250, Classes: []controller.RequestClass{{Name: "sheet", RequestClass: routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 2500, PriorityWeight: 3}},
+		{Name: "finish", RequestClass: routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1200, PriorityWeight: 9}}}}
 	f := &set.Figures
 	f.Bare, f.Grace, f.Cold, f.Multiple, f.Fall, f.LinesPerS, f.MostWaiting = 5000, 3000, 18000, 4, 3000, 1e6, 1e6
 	return set
--- a/replay/same.go
+++ b/replay/same.go
@@ -8,16 +8,16 @@
 	"fmt"
 	"io"
 
+	"barleysail/controller"
 	"barleysail/internal/record"
 	"barleysail/internal/record/recordpb"
-	"barleysail/steward"
 )
 
 // Next gives the records of a day one by one, and io.EOF at its end.
 type Next func() (*recordpb.Record, error)
 
 // Make makes the steward that a recording's start describes.
-type Make func(*recordpb.Start) (*steward.Steward, error)
+type Make func(*recordpb.Start) (*controller.Controller, error)
 
 // Difference is where a replay first parts from the record.
 type Difference struct {
@@ -58,7 +58,7 @@
 // answer of the replay, not yet compared.
 type answer struct {
 	poll int64
-	steward.Answer
+	controller.Response
 }
 
 // replayer is the steward.Out of a replay. Watches and probes were carried out when the day was recorded; what
@@ -68,11 +68,11 @@
 	lines   func(text string)
 }
 
-func (r *replayer) Answer(poll int64, a steward.Answer) {
+func (r *replayer) Respond(poll int64, a controller.Response) {
 	r.waiting = append(r.waiting, answer{poll, a})
 }
-func (r *replayer) Probe(string) {}
-func (r *replayer) Watch()       {}
+func (r *replayer) CheckHealth(string) {}
+func (r *replayer) WatchEndpoints()    {}
 func (r *replayer) Log(text string) {
 	if r.lines != nil {
 		r.lines(text)
@@ -105,7 +105,7 @@
 	same    *Same
 	out     *replayer
 	build   Make
-	steward *steward.Steward
+	steward *controller.Controller
 	agreed  float64
 	inputs  []string
 	left    int
@@ -128,7 +128,7 @@
 	// What the replay answered to the input before must have been recorded before this one.
 	if len(c.out.waiting) > 0 {
 		a := c.out.waiting[0]
-		c.part(r.At, a.Proxy, fmt.Sprintf("now published, not recorded: %s", describe(a.Kind, a.Tag, a.Base)))
+		c.part(r.At, a.Proxy, fmt.Sprintf("now published, not recorded: %s", describe(a.Kind, a.Tag, a.BaseTag)))
 		return nil
 	}
 	c.note(r)
@@ -150,19 +150,19 @@
 
 func (c *comparison) compare(at float64, p *recordpb.Published) {
 	if len(c.out.waiting) == 0 {
-		c.part(at, p.Proxy, fmt.Sprintf("recorded, now not published: %s", describe(steward.Kind(p.Kind), p.Tag, p.Base)))
+		c.part(at, p.Proxy, fmt.Sprintf("recorded, now not published: %s", describe(controller.ResponseKind(p.Kind), p.Tag, p.Base)))
 		return
 	}
 	a := c.out.waiting[0]
 	c.out.waiting = c.out.waiting[1:]
 	body := a.Body()
-	if a.poll == p.Poll && a.Proxy == p.Proxy && a.Kind == steward.Kind(p.Kind) && a.Tag == p.Tag && a.Base == p.Base &&
+	if a.poll == p.Poll && a.Proxy == p.Proxy && a.Kind == controller.ResponseKind(p.Kind) && a.Tag == p.Tag && a.BaseTag == p.Base &&
 		record.Sum(body) == p.Sum {
 		c.same.Answers++
 		c.agreed, c.inputs, c.left = at, c.inputs[:0], 0
 		return
 	}
-	was, now := describe(steward.Kind(p.Kind), p.Tag, p.Base), describe(a.Kind, a.Tag, a.Base)
+	was, now := describe(controller.ResponseKind(p.Kind), p.Tag, p.Base), describe(a.Kind, a.Tag, a.BaseTag)
 	switch {
 	case a.Proxy != p.Proxy || a.poll != p.Poll:
 		c.part(at, p.Proxy, fmt.Sprintf("recorded %s, now an answer to %s: %s", was, a.Proxy, now))
@@ -173,11 +173,11 @@
 	}
 }
 
-func describe(k steward.Kind, tag, base string) string {
+func describe(k controller.ResponseKind, tag, base string) string {
 	switch k {
-	case steward.Delta:
+	case controller.Delta:
 		return fmt.Sprintf("a delta from %s to %s", base, tag)
-	case steward.Same:
+	case controller.NotModified:
 		return "nothing new, " + tag
 	}
 	return "the whole, " + tag
--- a/replay/scan.go
+++ b/replay/scan.go
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"barleysail/internal/core"
+	"barleysail/internal/deadlinequeue"
 	"barleysail/internal/record"
 	"barleysail/internal/record/recordpb"
 	"barleysail/replay/response"
@@ -268,10 +268,10 @@
 type merged struct {
 	sources []Source
 	clocks  []shifter
-	heads   core.Dues[head]    // the next record of each source
-	seen    map[uint32]float64 // sums of transactions that came lately, and their times
-	Doubled int                // transactions that were recorded twice, and are played once
-	buffer  core.Dues[item]
+	heads   deadlinequeue.Queue[head] // the next record of each source
+	seen    map[uint32]float64        // sums of transactions that came lately, and their times
+	Doubled int                       // transactions that were recorded twice, and are played once
+	buffer  deadlinequeue.Queue[item]
 	behind  float64
 }
 
@@ -307,7 +307,7 @@
 		return
 	}
 	m.clocks[i].shift(r)
-	m.heads.Add(r.At, head{i, r})
+	m.heads.Schedule(r.At, head{i, r})
 }
 
 // next gives the next item, and io.EOF after the last.
@@ -327,7 +327,7 @@
 			x.at = t.Came
 		}
 		if !m.again(x) {
-			m.buffer.Add(x.at, x)
+			m.buffer.Schedule(x.at, x)
 		}
 		m.fill(h.source)
 	}
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -6,10 +6,10 @@
 	"sort"
 	"strings"
 
-	"barleysail/decide"
+	"barleysail/controller"
 	"barleysail/internal/record"
 	"barleysail/internal/record/recordpb"
-	"barleysail/steward"
+	"barleysail/routing"
 )
 
 // Moment of a day that is worth telling: a change of mode, a list, a join or a leave of many.
@@ -83,7 +83,7 @@
 
 type summarizer struct {
 	*Summary
-	steward *steward.Steward
+	steward *controller.Controller
 	out     *replayer
 	width   float64
 	joined  map[string]bool
@@ -158,13 +158,13 @@
 			s.Came, s.Unanswered = s.Came+u.Came, s.Unanswered+u.Unanswered
 		}
 	case *recordpb.Record_Probed:
-		if decide.Outcome(x.Probed.Outcome) == decide.Fine {
+		if routing.HealthCheckResult(x.Probed.Outcome) == routing.Healthy {
 			s.ProbesFine++
 		} else {
 			s.ProbesOther++
 		}
 	case *recordpb.Record_Published:
-		if steward.Kind(x.Published.Kind) != steward.Same {
+		if controller.ResponseKind(x.Published.Kind) != controller.NotModified {
 			s.Messages++
 		}
 	}
@@ -197,7 +197,7 @@
 type cutter struct {
 	start, list *recordpb.Record
 	proxies     map[string]*recordpb.Record // the last poll of each joined proxy
-	steward     *steward.Steward
+	steward     *controller.Controller
 	out         *replayer
 	emit        func(*recordpb.Record) error
 	build       Make
@@ -274,7 +274,7 @@
 		return err
 	}
 	for _, a := range c.out.waiting {
-		if err := c.emit(record.Published(r.At, a.poll, a.Answer)); err != nil {
+		if err := c.emit(record.Published(r.At, a.poll, a.Response)); err != nil {
 			return err
 		}
 	}
--- a/replay/transactions.go
+++ b/replay/transactions.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"slices"
 
-	"barleysail/decide"
+	"barleysail/controller"
 	"barleysail/internal/record/recordpb"
 	"barleysail/replay/response"
-	"barleysail/steward"
+	"barleysail/routing"
 )
 
 // carried is a transaction on its way.
@@ -20,8 +20,8 @@
 	due      float64
 	id       string
 	tried    []string
-	old      *steward.Table  // what the proxy went by in the record, nil: not known
-	recorded []*recordpb.Try // the tries of the record
+	old      *controller.Table // what the proxy went by in the record, nil: not known
+	recorded []*recordpb.Try   // the tries of the record
 	tries    int
 	ran      int // tries that ran, or may have
 }
@@ -35,17 +35,17 @@
 	p, c := e.proxy(name, zone), e.set.Classes[k]
 	e.came(t.Class, zone)
 	w := e.window(t.Came)
-	w.Asked[k] += c.Earnings
+	w.Asked[k] += c.PriorityWeight
 	earned := 0.0
-	if last := len(t.Tries) - 1; t.Fulfilled && t.Tries[last].At+t.Tries[last].Took-t.Came <= c.Due {
-		earned = c.Earnings
+	if last := len(t.Tries) - 1; t.Fulfilled && t.Tries[last].At+t.Tries[last].Took-t.Came <= c.LatencyObjectiveMs {
+		earned = c.PriorityWeight
 	}
 	w.Recorded[k] += earned
-	u := p.sums.Usage[t.Class]
-	u.Came++
-	p.sums.Usage[t.Class] = u
+	u := p.sums.Demand[t.Class]
+	u.Arrivals++
+	p.sums.Demand[t.Class] = u
 	e.counter++
-	x := &carried{class: t.Class, k: k, came: e.now, patience: c.Patience, due: c.Due, work: e.work(t, works),
+	x := &carried{class: t.Class, k: k, came: e.now, patience: c.DeadlineMs, due: c.LatencyObjectiveMs, work: e.work(t, works),
 		id: fmt.Sprintf("%s-%d", name, e.counter)}
 	table := p.tables[t.Class]
 	if !table.Ordered { // it went by hosts of its own, which no steward ordered
@@ -54,10 +54,10 @@
 		return
 	}
 	x.old, x.recorded = p.going.by(t.Class), t.Tries
-	if !e.letIn(table.Share, x.old, t.LetIn) {
+	if !e.letIn(table.AdmissionRatio, x.old, t.LetIn) {
 		return
 	}
-	x.tries = table.Tries
+	x.tries = table.RetryPolicy
 	e.try(p, x)
 }
 
@@ -120,19 +120,19 @@
 	if e.set.Figures.Once[x.class] && x.ran == 2 {
 		e.doubled++
 	}
-	e.dues.Add(done, func() { e.ended(p, x, host, began, how) })
+	e.dues.Schedule(done, func() { e.ended(p, x, host, began, how) })
 }
 
 func (e *engine) ended(p *proxy, x *carried, host string, began float64, how response.Outcome) {
 	v, met := p.sums.Hosts[host]
 	if !met {
-		v.Load = decide.NoLoad
+		v.Load = routing.UnknownLoad
 	}
-	if v.Tries++; how == response.Fulfilled {
-		v.Mean += e.now - began // a sum until it is reported
+	if v.Attempts++; how == response.Fulfilled {
+		v.MeanLatencyMs += e.now - began // a sum until it is reported
 		if e.scan.loads {
 			util, queue := e.hosts.Load(host, e.now)
-			v.Load = decide.Load{Util: util, Rate: -1, Queue: queue} // the newest is reported
+			v.Load = routing.HostLoad{Utilization: util, RequestRate: -1, QueueLength: queue} // the newest is reported
 		}
 	} else {
 		v.Failed++
@@ -142,7 +142,7 @@
 	switch {
 	case how == response.Fulfilled:
 		if e.now-x.came <= x.due {
-			e.window(x.came).Replayed[x.k] += e.set.Classes[x.k].Earnings
+			e.window(x.came).Replayed[x.k] += e.set.Classes[x.k].PriorityWeight
 		}
 	case e.now < x.came+x.patience && again(x.tries, len(x.tried), how, p.repeats[x.class]):
 		e.try(p, x)
@@ -183,8 +183,8 @@
 }
 
 func (e *engine) lost(p *proxy, x *carried) {
-	if u := p.sums.Usage[x.class]; u.Unanswered < u.Came {
+	if u := p.sums.Demand[x.class]; u.Unanswered < u.Arrivals {
 		u.Unanswered++
-		p.sums.Usage[x.class] = u
+		p.sums.Demand[x.class] = u
 	}
 }
--- a/replay/transactions_test.go
+++ b/replay/transactions_test.go
@@ -5,10 +5,10 @@
 	"math"
 	"testing"
 
-	"barleysail/internal/core"
+	"barleysail/controller"
+	"barleysail/internal/deadlinequeue"
 	"barleysail/internal/record/recordpb"
 	"barleysail/replay/response"
-	"barleysail/steward"
 )
 
 // A replayed proxy shuns a host that failed it as often in a row as its recording says, for as long, and goes to a
@@ -20,7 +20,7 @@
 	if !p.repeats["sheet"] || p.repeats["finish"] {
 		t.Errorf("repeats %v", p.repeats)
 	}
-	table := &steward.Table{Hosts: []string{"x", "y"}, Weights: []float64{1, 1}}
+	table := &controller.Table{Hosts: []string{"x", "y"}, Weights: []float64{1, 1}}
 	shunned := func(now float64) func(string) bool {
 		return func(host string) bool { return now < p.shunned[host].until }
 	}
@@ -36,10 +36,10 @@
 			t.Fatalf("%s picked while x is shunned", host)
 		}
 	}
-	if _, ok := e.pick(&steward.Table{Hosts: []string{"x"}, Weights: []float64{1}}, shunned(1029)); ok {
+	if _, ok := e.pick(&controller.Table{Hosts: []string{"x"}, Weights: []float64{1}}, shunned(1029)); ok {
 		t.Error("picked where only a shunned host is left, before the second draw")
 	}
-	if host, _ := e.pick(&steward.Table{Hosts: []string{"x"}, Weights: []float64{1}}, shunned(1031)); host != "x" {
+	if host, _ := e.pick(&controller.Table{Hosts: []string{"x"}, Weights: []float64{1}}, shunned(1031)); host != "x" {
 		t.Error("still shunned")
 	}
 }
@@ -47,13 +47,13 @@
 // Draws go by the new table whatever the old one was, and stay where they fell as far as both allow.
 func TestCoupling(t *testing.T) {
 	e := &engine{}
-	old := &steward.Table{Hosts: []string{"x", "y", "z"}, Weights: []float64{3, 1, 1}, Share: 0.5}
+	old := &controller.Table{Hosts: []string{"x", "y", "z"}, Weights: []float64{3, 1, 1}, AdmissionRatio: 0.5}
 	for _, c := range []struct {
 		hosts   []string
 		weights []float64
 		stays   float64 // 1 less half the distance of the two
 	}{{[]string{"x", "y", "z"}, []float64{6, 2, 2}, 1}, {[]string{"x", "y"}, []float64{1, 4}, 0.4}, {[]string{"v", "z"}, []float64{1, 1}, 0.2}} {
-		table, total := &steward.Table{Hosts: c.hosts, Weights: c.weights}, 0.0
+		table, total := &controller.Table{Hosts: c.hosts, Weights: c.weights}, 0.0
 		for _, w := range c.weights {
 			total += w
 		}
@@ -92,21 +92,21 @@
 
 // Documents are taken in when the proxy tells so, deltas onto what it holds; an unknown version leaves all unknown.
 func TestGoing(t *testing.T) {
-	g := going{classes: map[string]*steward.Table{}}
-	doc := func(kind steward.Kind, tag, body string) {
+	g := going{classes: map[string]*controller.Table{}}
+	doc := func(kind controller.ResponseKind, tag, body string) {
 		g.published(&recordpb.Published{Kind: int32(kind), Tag: tag, Body: []byte(body)})
 	}
-	doc(steward.Whole, "1", `{"tables":{"sheet":{"hosts":{"x":1,"y":2},"share":1}}}`)
-	doc(steward.Delta, "2", `{"tables":{"sheet":{"hosts":{"x":null,"z":0.5},"share":0.3}}}`)
+	doc(controller.Snapshot, "1", `{"tables":{"sheet":{"hosts":{"x":1,"y":2},"share":1}}}`)
+	doc(controller.Delta, "2", `{"tables":{"sheet":{"hosts":{"x":null,"z":0.5},"share":0.3}}}`)
 	if g.by("sheet") != nil {
 		t.Error("known before it was applied")
 	}
 	g.applied("1")
-	if c := g.by("sheet"); c == nil || weight(c, "x") != 1 || c.Share != 1 {
+	if c := g.by("sheet"); c == nil || weight(c, "x") != 1 || c.AdmissionRatio != 1 {
 		t.Errorf("%+v", c)
 	}
 	g.applied("2")
-	if c := g.by("sheet"); len(c.Hosts) != 2 || weight(c, "z") != 0.5 || c.Share != 0.3 {
+	if c := g.by("sheet"); len(c.Hosts) != 2 || weight(c, "z") != 0.5 || c.AdmissionRatio != 0.3 {
 		t.Errorf("%+v", c)
 	}
 	if g.applied("9"); g.by("sheet") != nil {
@@ -124,10 +124,10 @@
 		return &recordpb.Record{At: at + took, What: &recordpb.Record_Transaction{Transaction: &recordpb.Transaction{Class: "sheet", Came: came,
 			Fulfilled: true, Tries: []*recordpb.Try{{At: at, Host: "x", Took: took}}}}}
 	}
-	var pass core.Dues[item]
+	var pass deadlinequeue.Queue[item]
 	records := []*recordpb.Record{tx(0, 0, 100), tx(10, 400, 120), tx(20, 20, 180)}
 	for _, r := range records {
-		pass.Add(r.GetTransaction().Came, item{r.GetTransaction().Came, "p", r})
+		pass.Schedule(r.GetTransaction().Came, item{r.GetTransaction().Came, "p", r})
 	}
 	w := &ahead{m: &merged{buffer: pass, seen: map[uint32]float64{}}, model: m, lines: response.NewLines(m), by: 3000}
 	for i, want := range []tryWork{{0, 100}, {400, 120}, {100, 100}} {
