--- a/decide/decide.go
+++ b/routing/balancer.go
@@ -2,7 +2,7 @@
 // kept and noted in state.go. The caller makes one Steward an instance with New, notes what came in, and
 // then calls Round once a batch, also when the timer asked for by Wake is due. Noting only records; Round
 // decides and writes orders to the Writer. Hosts and proxies are small indices.
-package decide
+package routing
 
 import (
 	"fmt"
@@ -72,25 +72,25 @@
 )
 
 // New makes the steward of an instance that has just started.
-func New(fleet Fleet, classes []Class, channel Channel, guard Guard, goal Goal) *Steward {
-	s := &Steward{fleet: fleet, classes: classes, channel: channel, guard: guard, goal: goal, wakeAt: -1,
-		heardAt: -1, level: 1, tries: 1, toldTries: fleet.UsualTries, fulfilled: 1}
-	s.late, s.cycle, s.settle = channel.Late, fleet.Period, channel.Late+2*fleet.Period
+func New(fleet Deployment, classes []RequestClass, channel ControlChannel, guard SafetyLimits, goal Objective) *Balancer {
+	s := &Balancer{fleet: fleet, classes: classes, channel: channel, guard: guard, goal: goal, wakeAt: -1,
+		heardAt: -1, level: 1, tries: 1, toldTries: fleet.DefaultRetryPolicy, fulfilled: 1}
+	s.late, s.cycle, s.settle = channel.PropagationDelayMs, fleet.ReportIntervalMs, channel.PropagationDelayMs+2*fleet.ReportIntervalMs
 	n := len(classes)
 	s.came, s.shares, s.toldShares = make([]float64, n), make([]float64, n), make([]float64, n)
 	s.zoneBack = make([]bool, fleet.Zones)
 	for c := range classes {
 		s.shares[c], s.toldShares[c] = 1, 1
-		s.local = s.local || classes[c].Local
+		s.local = s.local || classes[c].ZoneLocal
 	}
 	return s
 }
 
 // share is the part of all proxies that are joined here.
-func (s *Steward) share() float64 { return float64(max(s.joined, 1)) / float64(s.fleet.Proxies) }
+func (s *Balancer) share() float64 { return float64(max(s.joined, 1)) / float64(s.fleet.Proxies) }
 
-// Entry notes an entry of the list. A new id or a new start time is a start; a weight of 0 says nothing.
-func (s *Steward) Entry(host, zone int, phase Phase, listed, started float64) {
+// ObserveEndpoint notes an entry of the list. A new id or a new start time is a start; a weight of 0 says nothing.
+func (s *Balancer) ObserveEndpoint(host, zone int, phase HostState, listed, started float64) {
 	v := s.server(host)
 	if listed <= 0 {
 		listed = 1
@@ -109,20 +109,20 @@
 	v.seen, v.zone, v.phase, v.listed = true, zone, phase, listed
 	if started > 0 && started != v.started {
 		*v = server{zone: zone, phase: phase, seen: true, listed: listed, started: started, weight: listed,
-			r: s.median, told: v.told, load: NoLoad, probing: v.probing, back: longAgo, since: s.now, life: v.life}
+			r: s.median, told: v.told, load: UnknownLoad, probing: v.probing, back: longAgo, since: s.now, life: v.life}
 	}
 }
 
 // Round decides on all that was noted since the last round.
-func (s *Steward) Round(now float64, w Writer) {
+func (s *Balancer) Round(now float64, w UpdateWriter) {
 	s.now = now
-	if s.fleet.MustAsk {
+	if s.fleet.WatchesEndpoints {
 		s.follow(w)
 	}
-	if s.fleet.MayProbe {
+	if s.fleet.HealthChecks {
 		for _, h := range s.order[s.planned:] {
 			life := s.servers[h].life
-			s.add(s.chance()*1000, func(w Writer) { s.probe(w, h, life) })
+			s.add(s.chance()*1000, func(w UpdateWriter) { s.probe(w, h, life) })
 		}
 		s.planned = len(s.order)
 	}
@@ -131,9 +131,9 @@
 	}
 	if now >= s.wakeAt {
 		s.wakeAt = now + tick
-		w.Wake(s.wakeAt)
-		if s.heard && now-s.heardAt >= s.fleet.Period*0.9 {
-			s.report(w, s.fleet.Period)
+		w.ScheduleRound(s.wakeAt)
+		if s.heard && now-s.heardAt >= s.fleet.ReportIntervalMs*0.9 {
+			s.report(w, s.fleet.ReportIntervalMs)
 		}
 	}
 	for len(s.dues) > 0 && s.dues[0].at <= now {
@@ -147,7 +147,7 @@
 
 // probe examines a host, and again after a while that keeps the price of probes under a small part of the
 // result, or soon where one was left unanswered. Each outcome raises or lowers the doubt about the host.
-func (s *Steward) probe(w Writer, h, life int) {
+func (s *Balancer) probe(w UpdateWriter, h, life int) {
 	v := &s.servers[h]
 	if v.life != life { // forgotten meanwhile: its index may be another host's
 		return
@@ -165,29 +165,29 @@
 				n++
 			}
 		}
-		every := n * float64(s.fleet.Instances) * s.goal.ProbePrice / (probePart * total) * 1000
+		every := n * float64(s.fleet.Controllers) * s.goal.HealthCheckCost / (probePart * total) * 1000
 		v.probing, v.probeAt = true, s.now+math.Min(math.Max(every, 500), 4000)
-		w.Probe(h)
+		w.CheckHealth(h)
 	}
-	s.add(probeSoon, func(w Writer) { s.probe(w, h, life) })
+	s.add(probeSoon, func(w UpdateWriter) { s.probe(w, h, life) })
 }
 
 // follow keeps the subscription where the list must be asked. A failed call is repeated after a wait that
 // doubles up to a bound, with some chance in it so that stewards do not ask in step.
-func (s *Steward) follow(w Writer) {
+func (s *Balancer) follow(w UpdateWriter) {
 	if s.wakeAt < 0 {
-		w.Watch()
+		w.WatchEndpoints()
 	}
 	if s.askFailed {
 		s.askFailed = false
 		s.askWait = math.Min(math.Max(2*s.askWait, 250), 4000)
-		s.add(s.askWait*(0.5+s.chance()), func(w Writer) { w.Watch() })
+		s.add(s.askWait*(0.5+s.chance()), func(w UpdateWriter) { w.WatchEndpoints() })
 		w.Log(fmt.Sprintf("list call failed, asking again within %.0f ms", s.askWait*1.5))
 	}
 }
 
 // report takes in a round of sums. Without sums nothing of this happens and the tables stay.
-func (s *Steward) report(w Writer, period float64) {
+func (s *Balancer) report(w UpdateWriter, period float64) {
 	passed := period
 	if s.heardAt >= 0 {
 		passed = s.now - s.heardAt
@@ -203,17 +203,17 @@
 	s.estimate(s.share(), period, passed)
 	s.shift()
 	s.strain(w)
-	if s.fleet.Admits {
+	if s.fleet.AdmissionControl {
 		s.admit(w, s.classes, s.goal)
 	} else {
-		s.relieve(w, s.classes, s.guard.Bare/2)
+		s.relieve(w, s.classes, s.guard.EmptyTableMs/2)
 	}
 }
 
 // estimate brings λ, the whole rate (as reported, else our own sums over our share of the proxies), and R up
 // to date. A failed try counts as one that took d, so that errors and few answers never read as room; it
 // stays out of the median. Average answers keep a noisy R from faking overload.
-func (s *Steward) estimate(share, period, passed float64) {
+func (s *Balancer) estimate(share, period, passed float64) {
 	var heard []float64
 	good, all := 1.0, 1.0
 	s.cycle = math.Max(period, shortly*s.cycle+(1-shortly)*s.spans/s.lines)
@@ -236,8 +236,8 @@
 		p.span = p.span*keep + passed
 		v.r = (p.time + (p.bad*dMedians+average)*s.median) / (p.good + p.bad + average)
 		v.rate = (p.good + p.bad) / p.span * 1000 / share
-		if v.load.Rate >= 0 {
-			v.rate = math.Max(v.load.Rate, v.rate/2)
+		if v.load.RequestRate >= 0 {
+			v.rate = math.Max(v.load.RequestRate, v.rate/2)
 		}
 		if s.serving(v) && p.good >= average {
 			heard = append(heard, p.time/p.good)
@@ -260,7 +260,7 @@
 // shift is the design's mechanism: from the most overloaded server, min{excess, room, sender's rate} goes
 // to the roomiest, servers of the same zone first; with none over its cap the weights drift back. Both
 // sides of a move wait until it shows; one too small to tell is left, since it would only hold up the next.
-func (s *Steward) shift() {
+func (s *Balancer) shift() {
 	var over, all []loaded
 	total, weights := 0.0, 0.0
 	for _, h := range s.order {
@@ -308,7 +308,7 @@
 
 // admit sets how much is let in. Only measured overload lowers it: busy cores, with failed tries or R that
 // eats up the due time. A step down follows the part of the tries fulfilled, a step up the idle cores.
-func (s *Steward) admit(w Writer, classes []Class, goal Goal) {
+func (s *Balancer) admit(w UpdateWriter, classes []RequestClass, goal Objective) {
 	busy, n, good, slow, came, dueTime := 0.0, 0.0, 1e-9, 0.0, 1e-9, 0.0
 	for _, h := range s.order {
 		v := &s.servers[h]
@@ -320,7 +320,7 @@
 	}
 	for c := range s.came {
 		s.came[c] *= memory
-		came, dueTime = came+s.came[c], dueTime+s.came[c]*classes[c].Due
+		came, dueTime = came+s.came[c], dueTime+s.came[c]*classes[c].LatencyObjectiveMs
 	}
 	if n <= 0 || s.now < s.levelHold {
 		return
@@ -346,20 +346,20 @@
 
 // spread deals the level out to the classes: the least earnings per work (the due time stands for it) go
 // first, unless the worst-served class weighs so much that cutting all evenly costs less.
-func (s *Steward) spread(classes []Class, goal Goal) {
+func (s *Balancer) spread(classes []RequestClass, goal Objective) {
 	n := len(classes)
 	work, earn, order := make([]float64, n), make([]float64, n), make([]int, n)
 	allWork, allEarn := 1e-9, 1e-9
 	for c, k := range classes {
 		n := s.came[c] + 1
-		work[c], earn[c], order[c] = n*k.Due, n*k.Earnings, c
+		work[c], earn[c], order[c] = n*k.LatencyObjectiveMs, n*k.PriorityWeight, c
 		allWork, allEarn = allWork+work[c], allEarn+earn[c]
 	}
 	sort.SliceStable(order, func(i, j int) bool {
 		return earn[order[i]]*work[order[j]] < earn[order[j]]*work[order[i]]
 	})
 	low, cut := order[0], (1-s.level)*allWork
-	even := (goal.Whole*earn[low]/allEarn+goal.WorstClass)*allWork/work[low] >= goal.Whole+goal.WorstClass
+	even := (goal.TotalWeight*earn[low]/allEarn+goal.WorstClassWeight)*allWork/work[low] >= goal.TotalWeight+goal.WorstClassWeight
 	for _, c := range order {
 		part := math.Min(cut, work[c]*(1-levelLeast))
 		if s.shares[c] = s.level; !even {
@@ -372,7 +372,7 @@
 // tries failing after the cause is gone. All proxies go to one server until the patience of every class is
 // over, then return to emptier queues. It must not act on a cut or a hang, where some servers fulfil; where
 // capacity is lacking it trades a steady failure for good spells.
-func (s *Steward) relieve(w Writer, classes []Class, most float64) {
+func (s *Balancer) relieve(w UpdateWriter, classes []RequestClass, most float64) {
 	n, failing, keep := 0.0, 0.0, -1
 	for _, h := range s.order {
 		v := &s.servers[h]
@@ -396,20 +396,20 @@
 	if s.storm < 2 || s.now < s.stormNext || keep < 0 || s.local {
 		return
 	}
-	rest := s.channel.Late
+	rest := s.channel.PropagationDelayMs
 	for _, c := range classes {
-		rest = math.Max(rest, math.Min(c.Patience, most)+s.channel.Late)
+		rest = math.Max(rest, math.Min(c.DeadlineMs, most)+s.channel.PropagationDelayMs)
 	}
 	s.stormNext = s.now + rest + 2*s.settle
 	s.keep = keep
 	s.rest(true)
-	s.add(rest, func(Writer) { s.rest(false) })
+	s.add(rest, func(UpdateWriter) { s.rest(false) })
 	w.Log(fmt.Sprintf("storm: %.0f of %.0f hosts failing, fulfilled %.2f: all but host %d rest %.0f ms",
 		failing, n, s.fulfilled, s.keep, rest))
 }
 
 // rest takes all proxies off their tables; join gives them others.
-func (s *Steward) rest(on bool) {
+func (s *Balancer) rest(on bool) {
 	s.resting = on
 	for i := range s.proxies {
 		s.proxies[i].bound, s.proxies[i].own = false, false
@@ -419,7 +419,7 @@
 // judge withdraws servers on proof, by symptom, and lets them return by trial. Proof is absence, or silence
 // while no try is fulfilled there, alone or with its zone. It must not take a busy server for a silent one:
 // many silent, or a fleet that fails, prove nothing. What is left must carry the joined proxies' traffic.
-func (s *Steward) judge(w Writer) {
+func (s *Balancer) judge(w UpdateWriter) {
 	listed, in, silent, n, doubted := 0.0, 0.0, 0, 0, 1e-9
 	all, fine, mute := make([]int, s.fleet.Zones), make([]int, s.fleet.Zones), make([]int, s.fleet.Zones)
 	for _, h := range s.order {
@@ -478,26 +478,26 @@
 }
 
 // serving servers take part in moves: ready, in the tables with their full weight, and warm.
-func (s *Steward) serving(v *server) bool {
+func (s *Balancer) serving(v *server) bool {
 	return v.phase == Ready && !v.out && s.part(v) >= 1 && s.warmth(v, s.guard) >= 1
 }
 
 // warmth is the least part of its capacity that a server has after its start.
-func (s *Steward) warmth(v *server, g Guard) float64 {
-	if v.started < 0 || s.now >= v.started+g.Cold {
+func (s *Balancer) warmth(v *server, g SafetyLimits) float64 {
+	if v.started < 0 || s.now >= v.started+g.SlowStartMs {
 		return 1
 	}
-	return g.ColdFrom + (1-g.ColdFrom)*math.Max(s.now-v.started, 0)/g.Cold
+	return g.SlowStartInitialFactor + (1-g.SlowStartInitialFactor)*math.Max(s.now-v.started, 0)/g.SlowStartMs
 }
 
 // part is what a server gets of its weight on trial, doubling each step.
-func (s *Steward) part(v *server) float64 {
+func (s *Balancer) part(v *server) float64 {
 	return math.Min(1, trialPart*math.Exp2(math.Floor((s.now-v.back)/trialStep)))
 }
 
 // left tells whether a base table should hold, or (held) holds already, a warm line. Where none should be,
 // withdrawals are passed over; where none is held, additions go as early as removals.
-func (s *Steward) left(base int, held bool) bool {
+func (s *Balancer) left(base int, held bool) bool {
 	for _, h := range s.order {
 		v := &s.servers[h]
 		if s.base(v.zone) == base && (!held || v.told > 0) && s.warmth(v, s.guard) >= 1 && s.want(v, false) > 0 {
@@ -510,7 +510,7 @@
 // heat tells whether cold servers may be sent to at all. Shunning proxies would send a fresh one all they
 // have, and until sums show our own first orders nobody knows how the fleet fares under them. Where no
 // ready server is warm, the cold ones together must bear the traffic.
-func (s *Steward) heat(ejects, multiple float64) bool {
+func (s *Balancer) heat(ejects, multiple float64) bool {
 	warm, able, all, held := false, 0.0, 0.0, 0.0
 	for _, h := range s.order {
 		v := &s.servers[h]
@@ -534,13 +534,13 @@
 
 // want is the weight that a server should have. A cold one gets the least it can surely do, less where the
 // fleet fails tries or its warm lines weigh less than listed: all proxies together stay under its budget.
-func (s *Steward) want(v *server, bare bool) float64 {
+func (s *Balancer) want(v *server, bare bool) float64 {
 	warm := s.warmth(v, s.guard)
 	if v.phase != Ready || !bare && v.out || warm < 1 && !s.heats {
 		return 0
 	}
 	if warm < 1 {
-		warm *= s.fulfilled * s.thin * math.Min(1, s.guard.FallMultiple*budgetPart)
+		warm *= s.fulfilled * s.thin * math.Min(1, s.guard.CollapseMultiple*budgetPart)
 	}
 	// A host that fails its tries loses weight at once, whatever ails it; a fleet that fails does not.
 	trust := math.Max(trustLeast, (v.won+2)/(v.won+v.lost+2))
@@ -560,7 +560,7 @@
 // which it keeps its connections. The strain no longer shows then, so the one table comes back by trial,
 // after a time that doubles when it soon returns. Also guards against links that lose tries everywhere;
 // harms where hosts fail tries for reasons of their own, by a coarser balance.
-func (s *Steward) strain(w Writer) {
+func (s *Balancer) strain(w UpdateWriter) {
 	n, failing, idle, silent := 1.0, 0.0, 0.0, 0.0
 	for _, h := range s.order {
 		if v := &s.servers[h]; v.won+v.lost >= 1 && v.phase == Ready {
@@ -592,16 +592,16 @@
 }
 
 // busy is the part of a server's cores that a report shows as busy, below 0 if it shows nothing.
-func (l Load) busy() float64 {
-	if l.Util < 0 && l.Queue >= 0 {
-		return math.Min(1, idleQueue+l.Queue)
+func (l HostLoad) busy() float64 {
+	if l.Utilization < 0 && l.QueueLength >= 0 {
+		return math.Min(1, idleQueue+l.QueueLength)
 	}
-	return l.Util
+	return l.Utilization
 }
 
 // deal fills up the hand of a proxy to the weight its traffic is due, with servers that carry least for
 // their weight so far, of its own zone while they are under their fair share.
-func (s *Steward) deal(w Writer, i int, fair float64) int {
+func (s *Balancer) deal(w UpdateWriter, i int, fair float64) int {
 	p, got, free := &s.proxies[i], 0.0, []int(nil)
 	near := func(v *server) bool { return v.zone == p.zone && v.carried < fair*v.told }
 	for _, h := range s.order {
@@ -624,7 +624,7 @@
 			break
 		}
 		p.hand, got = append(p.hand, h), got+s.servers[h].told
-		w.Line(s.own(i), h, s.servers[h].told)
+		w.SetWeight(s.own(i), h, s.servers[h].told)
 	}
 	for _, h := range p.hand {
 		s.servers[h].carried += p.rate / float64(len(p.hand))
@@ -633,7 +633,7 @@
 }
 
 // open tells whether most proxies that got the last weights answered, or 2 s have passed.
-func (s *Steward) open() bool {
+func (s *Balancer) open() bool {
 	return float64(s.answers) >= ackPart*float64(s.asked) || s.now >= s.markAt+ackWait
 }
 
@@ -642,16 +642,16 @@
 // price of orders allows. Each may fill a part of the caps; what does not fit waits. In the channel is all
 // that joined proxies have not answered, less as much as they answered within the last way of a message:
 // that is taken to be on its way now. What is older than a full channel at the least pace has left it.
-func (s *Steward) publish(w Writer, c Channel) {
+func (s *Balancer) publish(w UpdateWriter, c ControlChannel) {
 	passed := s.now - s.filledAt
 	s.filledAt = s.now
-	s.purse = math.Min(c.LinesPerS, s.purse+passed/1000*c.LinesPerS*ordersPart/math.Max(c.Price, ordersPart))
-	s.arriving *= math.Exp(-passed / math.Max(c.Late, 1))
+	s.purse = math.Min(c.EntriesPerSecond, s.purse+passed/1000*c.EntriesPerSecond*ordersPart/math.Max(c.Cost, ordersPart))
+	s.arriving *= math.Exp(-passed / math.Max(c.PropagationDelayMs, 1))
 	lines := make([]int, s.fleet.Zones+1)
-	bound, unbound, most, fair := s.tally(c.MessagesOver, c.Late+c.MostWaiting/(c.LinesPerS*crawl)*1000)
+	bound, unbound, most, fair := s.tally(c.MessageWindowMs, c.PropagationDelayMs+c.MaxBacklog/(c.EntriesPerSecond*crawl)*1000)
 	s.costs = grown(s.costs, len(s.proxies), 0)
 	clear(s.costs)
-	b := &batch{before: math.Max(0, s.waiting-s.arriving), head: c.Head + 1 + float64(len(s.shares)),
+	b := &batch{before: math.Max(0, s.waiting-s.arriving), head: c.MessageOverhead + 1 + float64(len(s.shares)),
 		cost: s.costs}
 	b.queue = b.before
 	if s.number == 0 && unbound == 0 {
@@ -659,10 +659,10 @@
 	}
 	fits := func(n int, part float64) bool {
 		cost := b.queue + float64(n) + float64(min(n, bound-b.asked))*b.head
-		return cost <= part*c.MostWaiting && cost+s.waiting-b.before <= drainsTo*c.MostWaiting &&
+		return cost <= part*c.MaxBacklog && cost+s.waiting-b.before <= drainsTo*c.MaxBacklog &&
 			(b.asked >= bound || c.may(most, part))
 	}
-	if heats := s.heat(float64(s.fleet.Ejects), s.guard.FallMultiple); heats != s.heats {
+	if heats := s.heat(float64(s.fleet.ProxyEjectAfter), s.guard.CollapseMultiple); heats != s.heats {
 		s.heats = heats
 		w.Log(fmt.Sprintf("cold hosts held back: %v, fulfilled %.2f", !heats, s.fulfilled))
 	}
@@ -708,7 +708,7 @@
 	s.join(w, c, b, unbound, lines, fair, behind)
 	b.number = s.number%60000 + 1
 	// A drain that comes next must still leave in time, unless no line to all proxies does.
-	spare, line := c.LinesPerS*s.guard.Grace/1000*weightsIn, float64(bound)*(b.head+1)
+	spare, line := c.EntriesPerSecond*s.guard.DrainGraceMs/1000*weightsIn, float64(bound)*(b.head+1)
 	if start := b.queue; s.open() && !behind {
 		sort.SliceStable(later, func(i, j int) bool { return later[i].size > later[j].size })
 		for _, l := range later {
@@ -723,7 +723,7 @@
 		}
 	}
 	if b.queue > b.before {
-		w.Mark(b.number)
+		w.StampVersion(b.number)
 		s.number = b.number
 	}
 	for i, cost := range b.cost {
@@ -736,26 +736,26 @@
 }
 
 // may tells whether a proxy that was sent so many messages may be sent one more within a part of the cap.
-func (c Channel) may(sent int, part float64) bool {
-	return c.MessagesMost == 0 || float64(sent+2) <= part*float64(c.MessagesMost)
+func (c ControlChannel) may(sent int, part float64) bool {
+	return c.MaxMessages == 0 || float64(sent+2) <= part*float64(c.MaxMessages)
 }
 
 // tooLate tells whether so many lines take too long to keep the grace for drains.
-func (s *Steward) tooLate(lines float64, c Channel) bool {
-	return lines/(c.LinesPerS*slowest)*1000 > s.guard.Grace*inTime
+func (s *Balancer) tooLate(lines float64, c ControlChannel) bool {
+	return lines/(c.EntriesPerSecond*slowest)*1000 > s.guard.DrainGraceMs*inTime
 }
 
 // starting tells whether the tables hold far more of a cold server than it may get, whatever the fleet fails:
 // that cuts all cold ones at once, and would keep removals out of the channel.
-func (s *Steward) starting(v *server) bool {
+func (s *Balancer) starting(v *server) bool {
 	return s.warmth(v, s.guard) < 1 && s.want(v, false) < v.told*startsTo*s.fulfilled
 }
 
 // write sets the line of a server in every table that holds it.
-func (s *Steward) write(w Writer, h int, want float64, b *batch) {
+func (s *Balancer) write(w UpdateWriter, h int, want float64, b *batch) {
 	v := &s.servers[h]
 	v.told = want
-	w.Line(s.base(v.zone), h, want)
+	w.SetWeight(s.base(v.zone), h, want)
 	for i := 0; v.holders > 0 && i < len(s.proxies); i++ {
 		p := &s.proxies[i]
 		if at := slices.Index(p.hand, h); p.joined && p.bound && p.own && at >= 0 {
@@ -763,7 +763,7 @@
 			if s.warmth(v, s.guard) < 1 { // a cold one might be all that is left of a hand
 				want = 0
 			}
-			if w.Line(s.own(i), h, want); want == 0 {
+			if w.SetWeight(s.own(i), h, want); want == 0 {
 				p.hand = slices.Delete(p.hand, at, at+1)
 			}
 		} else if p.joined && p.bound && !p.own && s.base(p.zone) == s.base(v.zone) {
@@ -775,7 +775,7 @@
 // join binds proxies to the shared table: those without a table of ours first, then by their traffic. One
 // that cannot have the whole table in time first gets a few hosts, since it must not go on by an old one;
 // so does every proxy under strain. A hand that lost servers is filled up.
-func (s *Steward) join(w Writer, c Channel, b *batch, unbound int, lines []int, fair float64, behind bool) {
+func (s *Balancer) join(w UpdateWriter, c ControlChannel, b *batch, unbound int, lines []int, fair float64, behind bool) {
 	whole := func(p *proxy) float64 { return float64(lines[s.base(p.zone)]) + 2 }
 	short := func(p *proxy) bool {
 		return p.own && !s.resting && (len(p.hand) < handLeast || p.held*fair < shortHand*p.rate)
@@ -798,23 +798,23 @@
 		cost := whole(p) + b.head
 		late := !s.local && s.tooLate(float64(unbound)*cost+b.before, c)
 		few := s.dealt || s.resting || (late || behind) && !p.bound
-		room := b.queue+cost <= joinsTo*c.MostWaiting || b.queue == 0
-		if !few && !behind && room && (!p.bound || s.purse > c.LinesPerS/2) {
+		room := b.queue+cost <= joinsTo*c.MaxBacklog || b.queue == 0
+		if !few && !behind && room && (!p.bound || s.purse > c.EntriesPerSecond/2) {
 			if b.reach(i, cost-b.head); p.bound {
 				s.purse -= cost
 			}
-			w.Bind(i, s.base(p.zone), 0)
+			w.AssignTable(i, s.base(p.zone), 0)
 			p.bound, p.own = true, false
 		} else if !s.local && (few && !p.own || short(p) && !behind) &&
-			b.queue+b.head+handLeast <= guardsTo*c.MostWaiting {
+			b.queue+b.head+handLeast <= guardsTo*c.MaxBacklog {
 			for !p.own && len(p.hand) > 0 {
-				w.Line(s.own(i), p.hand[0], 0)
+				w.SetWeight(s.own(i), p.hand[0], 0)
 				p.hand = p.hand[1:]
 			}
 			if n := s.deal(w, i, fair); n > 0 {
 				if b.reach(i, float64(n)); !p.own {
 					b.reach(i, 1)
-					w.Bind(i, s.own(i), 0)
+					w.AssignTable(i, s.own(i), 0)
 				}
 				p.bound, p.own = true, true
 			}
@@ -824,7 +824,7 @@
 
 // tellLevels writes what changed of levels and ways of trying again, for all joined proxies. A further try
 // follows only proof that the first never ran, so it is safe for every class.
-func (s *Steward) tellLevels(w Writer, b *batch) {
+func (s *Balancer) tellLevels(w UpdateWriter, b *batch) {
 	changed := s.tries != s.toldTries
 	s.toldTries = s.tries
 	for k, share := range s.shares {
@@ -832,10 +832,10 @@
 			continue
 		}
 		s.toldShares[k] = share
-		if !s.fleet.Admits {
+		if !s.fleet.AdmissionControl {
 			share = unlimited
 		}
-		w.Level(AllTables, 1<<k, share, s.tries)
+		w.SetAdmission(AllTables, 1<<k, share, s.tries)
 		for i := range s.proxies {
 			if s.proxies[i].joined {
 				b.reach(i, 1)
--- a/decide/decide_test.go
+++ b/routing/balancer_test.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 import (
 	"math"
@@ -59,11 +59,11 @@
 func TestJoin(t *testing.T) {
 	b := start(plain(), 2)
 	b.quiet = false
-	b.Left(1)
-	b.Joined(1, 0, 1)
+	b.DisconnectProxy(1)
+	b.ConnectProxy(1, 0, 1)
 	b.Round(1010, b)
-	b.Joined(0, 0, 1)
-	b.Left(0)
+	b.ConnectProxy(0, 0, 1)
+	b.DisconnectProxy(0)
 	b.Round(1020, b)
 	b.check(t)
 }
@@ -72,17 +72,17 @@
 func TestDrain(t *testing.T) {
 	b := start(plain(), 4)
 	b.now = 1100
-	b.ListChange()
-	b.Entry(1, 1, Draining, 1, 0)
+	b.ObserveDelta()
+	b.ObserveEndpoint(1, 1, Draining, 1, 0)
 	b.Round(b.now, b)
 	b.now = 1110
-	b.ListChange()
-	b.Entry(2, 0, Gone, 0, 0)
+	b.ObserveDelta()
+	b.ObserveEndpoint(2, 0, Removed, 0, 0)
 	b.Round(b.now, b)
 	b.run(400, nil)
 	b.say("the drain of host 1 is taken back")
-	b.ListChange()
-	b.Entry(1, 1, Ready, 1, 0)
+	b.ObserveDelta()
+	b.ObserveEndpoint(1, 1, Ready, 1, 0)
 	b.run(800, alike(4, [3]float64{10, 0, 200}))
 	b.check(t)
 }
@@ -92,8 +92,8 @@
 	b := start(plain(), 3)
 	sums := alike(3, [3]float64{10, 0, 200})
 	b.run(3000, sums)
-	b.ListChange()
-	b.Entry(2, 0, Ready, 1, b.now-100)
+	b.ObserveDelta()
+	b.ObserveEndpoint(2, 0, Ready, 1, b.now-100)
 	b.Round(b.now, b)
 	b.run(12000, sums)
 	b.check(t)
@@ -102,22 +102,22 @@
 // Where proxies shun, a cold host stays out of a fleet that refuses most tries.
 func TestColdInRefusingFleet(t *testing.T) {
 	set := plain()
-	set.Ejects = 3
+	set.ProxyEjectAfter = 3
 	b := start(set, 3)
 	b.run(3000, alike(3, [3]float64{50, 45, 900}))
-	b.ListChange()
-	b.Entry(2, 0, Ready, 1, b.now-100)
+	b.ObserveDelta()
+	b.ObserveEndpoint(2, 0, Ready, 1, b.now-100)
 	b.Round(b.now, b)
 	b.run(3000, alike(3, [3]float64{50, 45, 900}))
 	b.check(t)
 }
 
 // probes answers the probes of all hosts for a while: silent ones not at all.
-func (b *bench) probes(ms float64, sums map[int][3]float64, how func(h int) Outcome) {
+func (b *bench) probes(ms float64, sums map[int][3]float64, how func(h int) HealthCheckResult) {
 	for end := b.now + ms; b.now < end; {
 		for h := range b.servers {
 			if b.servers[h].probing {
-				b.Probed(h, how(h), NoLoad)
+				b.ObserveHealthCheck(h, how(h), UnknownLoad)
 			}
 		}
 		b.run(200, sums)
@@ -128,17 +128,17 @@
 func TestSilentHost(t *testing.T) {
 	b := start(plain(), 6)
 	sums := alike(6, [3]float64{10, 0, 200})
-	b.probes(6000, sums, func(int) Outcome { return Fine })
+	b.probes(6000, sums, func(int) HealthCheckResult { return Healthy })
 	delete(sums, 3)
 	b.say("host 3 falls silent")
-	b.probes(6000, sums, func(h int) Outcome {
+	b.probes(6000, sums, func(h int) HealthCheckResult {
 		if h == 3 {
-			return Silent
+			return TimedOut
 		}
-		return Fine
+		return Healthy
 	})
 	b.say("host 3 answers again")
-	b.probes(8000, sums, func(int) Outcome { return Fine })
+	b.probes(8000, sums, func(int) HealthCheckResult { return Healthy })
 	b.check(t)
 }
 
@@ -146,11 +146,11 @@
 func TestBusyHostStays(t *testing.T) {
 	b := start(plain(), 6)
 	sums := alike(6, [3]float64{10, 0, 200})
-	b.probes(8000, sums, func(h int) Outcome {
+	b.probes(8000, sums, func(h int) HealthCheckResult {
 		if h == 3 {
-			return Silent
+			return TimedOut
 		}
-		return Fine
+		return Healthy
 	})
 	b.check(t)
 }
@@ -158,7 +158,7 @@
 // All fall silent at once: an overload or a cut of our own, and the tables stay.
 func TestAllSilent(t *testing.T) {
 	b := start(plain(), 6)
-	b.probes(8000, map[int][3]float64{}, func(int) Outcome { return Silent })
+	b.probes(8000, map[int][3]float64{}, func(int) HealthCheckResult { return TimedOut })
 	b.check(t)
 }
 
@@ -166,13 +166,13 @@
 func TestCutZone(t *testing.T) {
 	b := start(plain(), 6)
 	sums := alike(6, [3]float64{10, 0, 200})
-	b.probes(3000, sums, func(int) Outcome { return Fine })
+	b.probes(3000, sums, func(int) HealthCheckResult { return Healthy })
 	b.say("zone 1 is cut off")
-	b.probes(4000, sums, func(h int) Outcome {
+	b.probes(4000, sums, func(h int) HealthCheckResult {
 		if h%2 == 1 {
-			return Silent
+			return TimedOut
 		}
-		return Fine
+		return Healthy
 	})
 	b.check(t)
 }
@@ -183,10 +183,10 @@
 	b := start(plain(), 3)
 	for range 12 {
 		for h := range 3 {
-			b.Heard(h, 30, 15, 900, 1000, Load{Util: 1, Rate: -1})
+			b.ObserveHostStats(h, 30, 15, 900, 1000, HostLoad{Utilization: 1, RequestRate: -1})
 		}
-		b.Usage(0, 0, 50, 1000)
-		b.Usage(0, 1, 40, 1000)
+		b.ObserveDemand(0, 0, 50, 1000)
+		b.ObserveDemand(0, 1, 40, 1000)
 		b.run(1000, nil)
 	}
 	b.check(t)
@@ -195,10 +195,10 @@
 // The list must be asked: a subscription at the start, and after failures again in growing steps.
 func TestAskForList(t *testing.T) {
 	set := plain()
-	set.MustAsk = true
+	set.WatchesEndpoints = true
 	b := start(set, 2)
 	for range 4 {
-		b.ListFailed()
+		b.ObserveWatchFailure()
 		b.run(6000, nil)
 	}
 	b.check(t)
@@ -209,7 +209,7 @@
 func TestManyJoin(t *testing.T) {
 	set := plain()
 	set.Proxies = 30
-	set.Channel.LinesPerS, set.Channel.MostWaiting, set.Grace = 200, 150, 60000
+	set.ControlChannel.EntriesPerSecond, set.ControlChannel.MaxBacklog, set.DrainGraceMs = 200, 150, 60000
 	b := start(set, 8)
 	b.run(12000, nil)
 	b.check(t)
@@ -219,11 +219,11 @@
 // most; a host that drains leaves their tables at once; the whole table follows as the channel allows.
 func TestLateTable(t *testing.T) {
 	set := plain()
-	set.Proxies, set.Channel.LinesPerS, set.Channel.MostWaiting = 3, 30, 90
+	set.Proxies, set.ControlChannel.EntriesPerSecond, set.ControlChannel.MaxBacklog = 3, 30, 90
 	b := start(set, 14)
 	b.run(400, nil)
-	b.ListChange()
-	b.Entry(3, 1, Draining, 1, 0)
+	b.ObserveDelta()
+	b.ObserveEndpoint(3, 1, Draining, 1, 0)
 	b.run(12000, nil)
 	b.check(t)
 }
@@ -231,14 +231,14 @@
 // A change that does not fit the channel at once goes in pieces, removals first.
 func TestPieces(t *testing.T) {
 	set := plain()
-	set.Proxies, set.Channel.LinesPerS, set.Channel.MostWaiting, set.Grace = 8, 400, 150, 60000
+	set.Proxies, set.ControlChannel.EntriesPerSecond, set.ControlChannel.MaxBacklog, set.DrainGraceMs = 8, 400, 150, 60000
 	b := start(set, 10)
 	b.run(6000, alike(10, [3]float64{10, 0, 200}))
-	b.ListChange()
+	b.ObserveDelta()
 	for h := range 8 {
-		b.Entry(h, h%2, Draining, 1, 0)
+		b.ObserveEndpoint(h, h%2, Draining, 1, 0)
 	}
-	b.Entry(8, 0, Ready, 3, 0)
+	b.ObserveEndpoint(8, 0, Ready, 3, 0)
 	for range 6 {
 		b.now += 200
 		b.Round(b.now, b)
@@ -249,13 +249,13 @@
 // Nearly all hosts start anew at once: their lines go out before all else, in pieces, what has waited longest first.
 func TestManyStart(t *testing.T) {
 	set := plain()
-	set.Proxies, set.Channel.LinesPerS, set.Channel.MostWaiting, set.Grace = 4, 60, 200, 3000
+	set.Proxies, set.ControlChannel.EntriesPerSecond, set.ControlChannel.MaxBacklog, set.DrainGraceMs = 4, 60, 200, 3000
 	b := start(set, 14)
 	b.run(12000, alike(14, [3]float64{10, 0, 200}))
 	b.say("hosts 4 to 13 start anew")
-	b.ListChange()
+	b.ObserveDelta()
 	for h := 4; h < 14; h++ {
-		b.Entry(h, h%2, Ready, 1, b.now-100)
+		b.ObserveEndpoint(h, h%2, Ready, 1, b.now-100)
 	}
 	b.run(200, nil)
 	b.check(t)
@@ -264,13 +264,13 @@
 // A proxy that was sent all the messages it may get waits, whatever the others were sent.
 func TestMessageCap(t *testing.T) {
 	set := plain()
-	set.MessagesMost = 20
+	set.MaxMessages = 20
 	b := start(set, 3)
 	for range 18 {
 		b.proxies[1].sent = append(b.proxies[1].sent, b.now)
 	}
-	b.ListChange()
-	b.Entry(2, 0, Draining, 1, 0)
+	b.ObserveDelta()
+	b.ObserveEndpoint(2, 0, Draining, 1, 0)
 	b.run(400, nil)
 	b.say("the first messages are ten seconds old")
 	b.run(11000, nil)
@@ -281,10 +281,10 @@
 // table comes back by trial.
 func TestStrain(t *testing.T) {
 	b := start(plain(), 10)
-	fine := func(int) Outcome { return Fine }
+	fine := func(int) HealthCheckResult { return Healthy }
 	b.probes(4000, alike(10, [3]float64{10, 0, 200}), fine)
 	for h := range 10 {
-		b.servers[h].load.Util = 0.4
+		b.servers[h].load.Utilization = 0.4
 	}
 	b.probes(4000, alike(10, [3]float64{20, 12, 300}), fine)
 	b.probes(32000, alike(10, [3]float64{10, 0, 200}), fine)
@@ -296,16 +296,16 @@
 	b := start(plain(), 3)
 	sums := alike(3, [3]float64{10, 0, 200})
 	b.run(4000, sums)
-	b.Heard(9, 0, 0, 0, 0, NoLoad)
-	b.Heard(0, 0, 5, 0, 0, NoLoad)
-	b.Usage(0, 0, 0, 0)
-	b.Answered(0, 60000)
-	b.Probed(8, Unreachable, NoLoad)
+	b.ObserveHostStats(9, 0, 0, 0, 0, UnknownLoad)
+	b.ObserveHostStats(0, 0, 5, 0, 0, UnknownLoad)
+	b.ObserveDemand(0, 0, 0, 0)
+	b.Ack(0, 60000)
+	b.ObserveHealthCheck(8, Unreachable, UnknownLoad)
 	b.run(3000, nil)
-	b.WholeList(false)
+	b.ObserveSnapshot(false)
 	b.run(1000, sums)
-	b.WholeList(false)
-	b.Entry(0, 0, Ready, 0, 0)
+	b.ObserveSnapshot(false)
+	b.ObserveEndpoint(0, 0, Ready, 0, 0)
 	b.run(3000, sums)
 	for h := range b.servers {
 		if v := &b.servers[h]; math.IsNaN(v.weight) || v.weight < 0 || math.IsInf(v.weight, 0) {
@@ -319,13 +319,13 @@
 // the whole table together. The one that stays in is never withdrawn meanwhile, so no proxy is left bare.
 func TestStorm(t *testing.T) {
 	set := plain()
-	set.Admits = false
+	set.AdmissionControl = false
 	b := start(set, 4)
 	b.run(3000, alike(4, [3]float64{10, 0, 200}))
 	b.say("the storm begins")
-	b.probes(7000, alike(4, [3]float64{30, 28, 900}), func(int) Outcome { return Silent })
+	b.probes(7000, alike(4, [3]float64{30, 28, 900}), func(int) HealthCheckResult { return TimedOut })
 	b.say("the storm is over")
-	b.probes(6000, alike(4, [3]float64{10, 0, 200}), func(int) Outcome { return Fine })
+	b.probes(6000, alike(4, [3]float64{10, 0, 200}), func(int) HealthCheckResult { return Healthy })
 	b.check(t)
 }
 
@@ -333,10 +333,10 @@
 func TestNeverBare(t *testing.T) {
 	b := start(plain(), 3)
 	sums := alike(3, [3]float64{10, 0, 200})
-	b.probes(3000, sums, func(int) Outcome { return Fine })
+	b.probes(3000, sums, func(int) HealthCheckResult { return Healthy })
 	b.say("hosts 0 and 2 are gone, then host 1")
-	b.probes(3000, nil, func(h int) Outcome { return []Outcome{Unreachable, Fine, Unreachable}[h] })
-	b.probes(3000, nil, func(h int) Outcome { return Unreachable })
+	b.probes(3000, nil, func(h int) HealthCheckResult { return []HealthCheckResult{Unreachable, Healthy, Unreachable}[h] })
+	b.probes(3000, nil, func(h int) HealthCheckResult { return Unreachable })
 	b.check(t)
 }
 
@@ -345,12 +345,12 @@
 func TestFailingHost(t *testing.T) {
 	b := start(plain(), 4)
 	sums := alike(4, [3]float64{10, 0, 200})
-	b.probes(3000, sums, func(int) Outcome { return Fine })
+	b.probes(3000, sums, func(int) HealthCheckResult { return Healthy })
 	sums[2] = [3]float64{10, 9, 300}
-	b.probes(2000, sums, func(int) Outcome { return Fine })
+	b.probes(2000, sums, func(int) HealthCheckResult { return Healthy })
 	b.say("host 2 is well again")
 	sums[2] = [3]float64{10, 0, 200}
-	b.probes(4000, sums, func(int) Outcome { return Fine })
+	b.probes(4000, sums, func(int) HealthCheckResult { return Healthy })
 	b.check(t)
 }
 
@@ -359,17 +359,17 @@
 // moves on.
 func TestReturnGoesWithRemoval(t *testing.T) {
 	set := plain()
-	set.MessagesMost = 20
+	set.MaxMessages = 20
 	b := start(set, 2)
 	sums := alike(2, [3]float64{10, 0, 200})
-	b.probes(2000, sums, func(int) Outcome { return Fine })
+	b.probes(2000, sums, func(int) HealthCheckResult { return Healthy })
 	b.servers[1].out, b.servers[1].strikes = true, 5
 	b.run(200, nil)
 	for range 10 {
 		b.proxies[0].sent = append(b.proxies[0].sent, b.now)
 	}
-	b.ListChange()
-	b.Entry(0, 0, Draining, 1, 0)
+	b.ObserveDelta()
+	b.ObserveEndpoint(0, 0, Draining, 1, 0)
 	b.servers[1].fine = 2
 	b.run(400, nil)
 	b.check(t)
@@ -379,8 +379,8 @@
 // them.
 func TestColdBeforeSums(t *testing.T) {
 	b := start(plain(), 3)
-	b.ListChange()
-	b.Entry(2, 0, Ready, 1, b.now-100)
+	b.ObserveDelta()
+	b.ObserveEndpoint(2, 0, Ready, 1, b.now-100)
 	b.run(1400, nil)
 	b.run(6000, alike(3, [3]float64{10, 0, 200}))
 	b.check(t)
@@ -390,17 +390,17 @@
 // that is no cut, the busy ones stay in, and the cold one does not get what they cannot take.
 func TestColdIsNoEvidence(t *testing.T) {
 	set := plain()
-	set.Ejects, set.Admits = 3, false
+	set.ProxyEjectAfter, set.AdmissionControl = 3, false
 	b := start(set, 5)
-	b.ListChange()
-	b.Entry(1, 1, Gone, 1, 0)
-	b.Entry(3, 1, Gone, 1, 0)
+	b.ObserveDelta()
+	b.ObserveEndpoint(1, 1, Removed, 1, 0)
+	b.ObserveEndpoint(3, 1, Removed, 1, 0)
 	b.Round(b.now, b)
 	sums := alike(5, [3]float64{30, 30, 0})
-	b.probes(5000, sums, func(int) Outcome { return Silent })
-	b.ListChange()
-	b.Entry(1, 1, Ready, 1, b.now-100)
-	b.probes(1000, sums, func(int) Outcome { return Silent })
+	b.probes(5000, sums, func(int) HealthCheckResult { return TimedOut })
+	b.ObserveDelta()
+	b.ObserveEndpoint(1, 1, Ready, 1, b.now-100)
+	b.probes(1000, sums, func(int) HealthCheckResult { return TimedOut })
 	b.check(t)
 }
 
@@ -409,9 +409,9 @@
 	b := start(plain(), 2)
 	sums := alike(2, [3]float64{10, 0, 200})
 	b.run(5000, sums)
-	b.ListChange()
-	b.Entry(0, 0, Ready, 1, b.now-100)
-	b.Entry(1, 1, Ready, 1, b.now-100)
+	b.ObserveDelta()
+	b.ObserveEndpoint(0, 0, Ready, 1, b.now-100)
+	b.ObserveEndpoint(1, 1, Ready, 1, b.now-100)
 	b.run(5000, sums)
 	b.check(t)
 }
@@ -420,13 +420,13 @@
 // repeat effects: they are bound at once, the way is set first, and what the whole list lacks is removed.
 func TestStartOver(t *testing.T) {
 	set := plain()
-	set.UsualTries = 3
+	set.DefaultRetryPolicy = 3
 	b := start(set, 3)
-	b.WholeList(false)
-	b.Entry(0, 0, Ready, 1, 0)
-	b.Entry(2, 0, Ready, 1, 400)
+	b.ObserveSnapshot(false)
+	b.ObserveEndpoint(0, 0, Ready, 1, 0)
+	b.ObserveEndpoint(2, 0, Ready, 1, 400)
 	b.now = 1050
-	b.Answered(0, 7)
+	b.Ack(0, 7)
 	b.Round(b.now, b)
 	b.check(t)
 }
@@ -434,7 +434,7 @@
 // A fleet is replaced host by host under new ids: what is gone must not thin out what a cold host gets.
 func TestReplacedFleet(t *testing.T) {
 	set := plain()
-	set.MayProbe = false
+	set.HealthChecks = false
 	b := start(set, 4)
 	sums := map[int][3]float64{}
 	for h := range 4 {
@@ -443,12 +443,12 @@
 	b.run(12000, sums)
 	for h := range 4 {
 		delete(sums, h)
-		b.ListChange()
-		b.Entry(h, h%2, Draining, 1, 0)
-		b.Entry(h+4, h%2, Ready, 1, b.now)
+		b.ObserveDelta()
+		b.ObserveEndpoint(h, h%2, Draining, 1, 0)
+		b.ObserveEndpoint(h+4, h%2, Ready, 1, b.now)
 		b.run(2000, sums)
-		b.ListChange()
-		b.Entry(h, h%2, Gone, 1, 0)
+		b.ObserveDelta()
+		b.ObserveEndpoint(h, h%2, Removed, 1, 0)
 		sums[h+4] = [3]float64{20, 0, 100}
 		b.run(12000, sums)
 	}
@@ -460,30 +460,30 @@
 // probes bring it back by steps.
 func TestSlowHost(t *testing.T) {
 	b := start(plain(), 8)
-	answer := func(ms float64, how Outcome) {
+	answer := func(ms float64, how HealthCheckResult) {
 		for end := b.now + ms; b.now < end; {
 			b.run(200, nil)
 			for h := range 8 {
-				load := Load{Util: 0.5, Rate: -1, Queue: -1}
+				load := HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}
 				if h == 2 {
-					load.Util = 0.97
+					load.Utilization = 0.97
 				}
 				if int(b.now)%1000 == 0 {
-					b.Heard(h, 3, 0, 100, 1000, load)
+					b.ObserveHostStats(h, 3, 0, 100, 1000, load)
 				}
 				if b.servers[h].probing && (h == 2 || h == 3) {
-					b.Probed(h, how, NoLoad)
+					b.ObserveHealthCheck(h, how, UnknownLoad)
 				} else if b.servers[h].probing {
-					b.Probed(h, Fine, load)
+					b.ObserveHealthCheck(h, Healthy, load)
 				}
 			}
 		}
 	}
-	answer(2000, Fine)
+	answer(2000, Healthy)
 	b.say("two hosts let probes wait")
-	answer(6000, Silent)
+	answer(6000, TimedOut)
 	b.say("and answer again")
-	answer(16000, Fine)
+	answer(16000, Healthy)
 	b.check(t)
 }
 
@@ -492,20 +492,20 @@
 func TestManyDoubted(t *testing.T) {
 	b := start(plain(), 8)
 	b.run(3000, nil)
-	b.Entry(8, 0, Ready, 1, b.now)
+	b.ObserveEndpoint(8, 0, Ready, 1, b.now)
 	for second := range 12 {
 		for range 5 {
 			b.run(200, nil)
 			for h := range 9 {
-				load := Load{Util: 0.97, Rate: -1, Queue: -1}
+				load := HostLoad{Utilization: 0.97, RequestRate: -1, QueueLength: -1}
 				if int(b.now)%1000 == 0 {
-					b.Heard(h, 3, 0, 100, 1000, load)
+					b.ObserveHostStats(h, 3, 0, 100, 1000, load)
 				}
-				if how := Fine; b.servers[h].probing {
+				if how := Healthy; b.servers[h].probing {
 					if h%4 == second%4 && h < 8 {
-						how = Silent
+						how = TimedOut
 					}
-					b.Probed(h, how, load)
+					b.ObserveHealthCheck(h, how, load)
 				}
 			}
 		}
--- a/decide/channel_test.go
+++ b/routing/channel_test.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 import (
 	"slices"
@@ -8,8 +8,8 @@
 // slowChannel takes a steward's orders as proxies on a channel that runs at a part of its pace: first come first served, each
 // message costs its head and a line for each line, binding, level and mark. An answer comes once the message has left and arrived.
 type slowChannel struct {
-	*Steward
-	set     Channel
+	*Balancer
+	set     ControlChannel
 	pace    float64
 	failing int // tries of twenty, at each host
 	tables  map[int]map[int]float64
@@ -27,14 +27,14 @@
 
 // newSlowChannel lists so many ready hosts, and joins the proxies.
 func newSlowChannel(set deployment, pace float64, hosts int) *slowChannel {
-	c := &slowChannel{Steward: New(set.Fleet, set.classes, set.Channel, set.Guard, set.Goal), set: set.Channel, pace: pace,
+	c := &slowChannel{Balancer: New(set.Deployment, set.classes, set.ControlChannel, set.SafetyLimits, set.Objective), set: set.ControlChannel, pace: pace,
 		tables: map[int]map[int]float64{}, bound: map[int]int{}, round: map[int]float64{}, missing: map[int]int{}, cutIn: map[int][]int{}, cutAt: map[int]float64{}}
-	c.WholeList(true)
+	c.ObserveSnapshot(true)
 	for h := range hosts {
-		c.Entry(h, h%2, Ready, 1, 0)
+		c.ObserveEndpoint(h, h%2, Ready, 1, 0)
 	}
 	for p := range set.Proxies {
-		c.Joined(p, p%2, 1)
+		c.ConnectProxy(p, p%2, 1)
 	}
 	return c
 }
@@ -44,7 +44,7 @@
 	lines, at     float64
 }
 
-func (c *slowChannel) Line(table, host int, weight float64) {
+func (c *slowChannel) SetWeight(table, host int, weight float64) {
 	if c.tables[table] == nil {
 		c.tables[table] = map[int]float64{}
 	}
@@ -59,21 +59,21 @@
 	}
 }
 
-func (c *slowChannel) Bind(p, table, _ int) {
+func (c *slowChannel) AssignTable(p, table, _ int) {
 	c.bound[p] = table
 	c.round[p] = 1 + float64(len(c.tables[table]))
 }
 
-func (c *slowChannel) Level(int, int, float64, int) {
+func (c *slowChannel) SetAdmission(int, int, float64, int) {
 	for p := range c.bound {
 		c.round[p]++
 	}
 }
 
-func (c *slowChannel) Mark(number int) {
+func (c *slowChannel) StampVersion(number int) {
 	for p := range c.proxies {
 		if lines := c.round[p]; lines > 0 {
-			lines += c.set.Head + 1
+			lines += c.set.MessageOverhead + 1
 			c.waiting, c.sum = append(c.waiting, sentMessage{p, number, lines, 0}), c.sum+lines
 			c.missing[number]++
 		}
@@ -82,20 +82,20 @@
 	clear(c.round)
 	c.most = max(c.most, c.sum)
 }
-func (c *slowChannel) Probe(int)    {}
-func (c *slowChannel) Wake(float64) {}
-func (c *slowChannel) Watch()       {}
-func (c *slowChannel) Log(string)   {}
+func (c *slowChannel) CheckHealth(int)       {}
+func (c *slowChannel) ScheduleRound(float64) {}
+func (c *slowChannel) WatchEndpoints()       {}
+func (c *slowChannel) Log(string)            {}
 
 // run lets time pass; the channel sends, and proxies answer.
 func (c *slowChannel) run(from, ms float64) float64 {
 	left := 0.0
 	for now := from; now < from+ms; now += 50 {
-		left += c.set.LinesPerS * c.pace * 0.05
+		left += c.set.EntriesPerSecond * c.pace * 0.05
 		for len(c.waiting) > 0 && c.waiting[0].lines <= left {
 			m := c.waiting[0]
 			c.waiting, c.sum, left = c.waiting[1:], c.sum-m.lines, left-m.lines
-			m.at = now + c.set.Late
+			m.at = now + c.set.PropagationDelayMs
 			c.way = append(c.way, m)
 		}
 		if len(c.waiting) == 0 {
@@ -103,7 +103,7 @@
 		}
 		c.way = slices.DeleteFunc(c.way, func(m sentMessage) bool {
 			if m.at <= now {
-				c.Answered(m.proxy, m.number)
+				c.Ack(m.proxy, m.number)
 				if c.missing[m.number]--; c.missing[m.number] == 0 {
 					for _, h := range c.cutIn[m.number] {
 						c.cutAt[h] = now
@@ -114,7 +114,7 @@
 		})
 		for h := range c.servers {
 			if int(now)%1000 == 0 && c.servers[h].phase == Ready {
-				c.Heard(h, 20, c.failing, 100, 1000, NoLoad)
+				c.ObserveHostStats(h, 20, c.failing, 100, 1000, UnknownLoad)
 			}
 		}
 		c.Round(now, c)
@@ -126,21 +126,21 @@
 func TestSlowChannel(t *testing.T) {
 	for _, pace := range []float64{1, 0.5, 0.25, 0.12} {
 		set := plain()
-		set.MayProbe, set.Proxies = false, 30
-		set.Channel.LinesPerS, set.Channel.MostWaiting = 1500, 3000
+		set.HealthChecks, set.Proxies = false, 30
+		set.ControlChannel.EntriesPerSecond, set.ControlChannel.MaxBacklog = 1500, 3000
 		c := newSlowChannel(set, pace, 60)
 		now := c.run(1000, 20000)
 		for first := 0; first < 120; first += 30 {
-			c.ListChange()
+			c.ObserveDelta()
 			for h := first; h < first+30; h++ {
-				c.Entry(h, h%2, Draining, 1, 0)
-				c.Entry(h+60, h%2, Ready, 1, now)
+				c.ObserveEndpoint(h, h%2, Draining, 1, 0)
+				c.ObserveEndpoint(h+60, h%2, Ready, 1, now)
 			}
 			now = c.run(now, 3000)
 		}
 		c.run(now, 10000)
-		if c.most > set.Channel.MostWaiting {
-			t.Errorf("at %.2f of its pace %.0f lines wait where %.0f may", pace, c.most, set.Channel.MostWaiting)
+		if c.most > set.ControlChannel.MaxBacklog {
+			t.Errorf("at %.2f of its pace %.0f lines wait where %.0f may", pace, c.most, set.ControlChannel.MaxBacklog)
 		}
 		if c.number < 10 {
 			t.Errorf("at %.2f of its pace only %d rounds were ordered", pace, c.number)
@@ -152,26 +152,26 @@
 // half drains. What the weights of cold hosts cost must not keep the removals out of the channel.
 func TestDrainsBesideColdHosts(t *testing.T) {
 	set := plain()
-	set.MayProbe, set.Proxies, set.Guard.Grace, set.Guard.FallMultiple = false, 45, 2000, 4
-	set.Channel = Channel{LinesPerS: 2600, Head: 4, MostWaiting: 8200, Late: 285, Price: 0.04}
+	set.HealthChecks, set.Proxies, set.SafetyLimits.DrainGraceMs, set.SafetyLimits.CollapseMultiple = false, 45, 2000, 4
+	set.ControlChannel = ControlChannel{EntriesPerSecond: 2600, MessageOverhead: 4, MaxBacklog: 8200, PropagationDelayMs: 285, Cost: 0.04}
 	c := newSlowChannel(set, 1, 200)
 	now := c.run(1000, 30000)
-	c.ListChange()
+	c.ObserveDelta()
 	for h := 200; h < 320; h++ {
-		c.Entry(h, h%2, Ready, 1, now)
+		c.ObserveEndpoint(h, h%2, Ready, 1, now)
 	}
 	now = c.run(now, 4000)
 	for c.failing = 2; c.failing < 14; c.failing += 2 {
 		now = c.run(now, 700)
 	}
-	c.ListChange()
+	c.ObserveDelta()
 	for h := range 60 {
-		c.Entry(h, h%2, Draining, 1, 0)
+		c.ObserveEndpoint(h, h%2, Draining, 1, 0)
 	}
 	told := now
 	c.run(now, 6000)
 	for h := range 60 {
-		if took := c.cutAt[h] - told; took < 0 || took > set.Guard.Grace+300 {
+		if took := c.cutAt[h] - told; took < 0 || took > set.SafetyLimits.DrainGraceMs+300 {
 			t.Errorf("host %d is in a table %.0f ms after it was told to drain", h, took)
 			break
 		}
--- a/decide/helper_test.go
+++ b/routing/helper_test.go
@@ -1,4 +1,4 @@
-package decide
+package routing
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 // bench drives one Steward through small hand-made rounds and prints what it decides. Probes are answered
 // by hand.
 type bench struct {
-	*Steward
+	*Balancer
 	now    float64
 	out    strings.Builder
 	wakeAt float64
@@ -25,61 +25,61 @@
 	fmt.Fprintf(&b.out, "%7.0f  %s\n", b.now, fmt.Sprintf(format, args...))
 }
 
-func (b *bench) Line(table, host int, weight float64) {
+func (b *bench) SetWeight(table, host int, weight float64) {
 	b.say("table %d host %d weight %.3f", table, host, weight)
 }
-func (b *bench) Bind(p, table, classes int) {
+func (b *bench) AssignTable(p, table, classes int) {
 	b.say("bind proxy %d to table %d classes %d", p, table, classes)
 }
-func (b *bench) Level(table, classes int, share float64, tries int) {
+func (b *bench) SetAdmission(table, classes int, share float64, tries int) {
 	b.say("level %.2f classes %b tries %d", share, classes, tries)
 }
-func (b *bench) Mark(number int) {
+func (b *bench) StampVersion(number int) {
 	b.marks = number
 	if !b.quiet {
 		b.say("mark %d", number)
 	}
 }
-func (b *bench) Probe(host int) {
+func (b *bench) CheckHealth(host int) {
 	if !b.quiet {
 		b.say("probe host %d", host)
 	}
 }
-func (b *bench) Wake(at float64) { b.wakeAt = at }
-func (b *bench) Watch()          { b.say("watch the list") }
-func (b *bench) Log(text string) { b.say("log: %s", text) }
+func (b *bench) ScheduleRound(at float64) { b.wakeAt = at }
+func (b *bench) WatchEndpoints()          { b.say("watch the list") }
+func (b *bench) Log(text string)          { b.say("log: %s", text) }
 
 // deployment holds the settings of a plain one; a case changes what it is about.
 type deployment struct {
-	Fleet
-	classes []Class
-	Channel
-	Guard
-	Goal
+	Deployment
+	classes []RequestClass
+	ControlChannel
+	SafetyLimits
+	Objective
 }
 
 func plain() deployment {
 	return deployment{
-		Fleet{Instances: 1, Zones: 2, Proxies: 2, Seed: 7, Period: 1000, UsualTries: 1, Admits: true, MayProbe: true},
-		[]Class{{Due: 1000, Patience: 3000, Earnings: 1}, {Due: 500, Patience: 1500, Earnings: 5}},
-		Channel{LinesPerS: 10000, Head: 5, MostWaiting: 10000, Late: 200, MessagesOver: 10000},
-		Guard{Bare: 5000, Grace: 3000, ColdFrom: 0.2, Cold: 10000, FallMultiple: 4}, Goal{Whole: 0.9, WorstClass: 0.1, ProbePrice: 0.02}}
+		Deployment{Controllers: 1, Zones: 2, Proxies: 2, Seed: 7, ReportIntervalMs: 1000, DefaultRetryPolicy: 1, AdmissionControl: true, HealthChecks: true},
+		[]RequestClass{{LatencyObjectiveMs: 1000, DeadlineMs: 3000, PriorityWeight: 1}, {LatencyObjectiveMs: 500, DeadlineMs: 1500, PriorityWeight: 5}},
+		ControlChannel{EntriesPerSecond: 10000, MessageOverhead: 5, MaxBacklog: 10000, PropagationDelayMs: 200, MessageWindowMs: 10000},
+		SafetyLimits{EmptyTableMs: 5000, DrainGraceMs: 3000, SlowStartInitialFactor: 0.2, SlowStartMs: 10000, CollapseMultiple: 4}, Objective{TotalWeight: 0.9, WorstClassWeight: 0.1, HealthCheckCost: 0.02}}
 }
 
 // start lists n ready hosts of weight 1, the even ones in zone 0, and joins the proxies.
 func start(set deployment, n int) *bench {
-	b := &bench{Steward: New(set.Fleet, set.classes, set.Channel, set.Guard, set.Goal), now: 1000, quiet: true}
-	b.WholeList(true)
+	b := &bench{Balancer: New(set.Deployment, set.classes, set.ControlChannel, set.SafetyLimits, set.Objective), now: 1000, quiet: true}
+	b.ObserveSnapshot(true)
 	for h := range n {
-		b.Entry(h, h%2, Ready, 1, 0)
+		b.ObserveEndpoint(h, h%2, Ready, 1, 0)
 	}
 	for p := range set.Proxies {
-		b.Joined(p, p%2, 1)
+		b.ConnectProxy(p, p%2, 1)
 	}
 	b.Round(b.now, b)
-	b.WholeList(false)
+	b.ObserveSnapshot(false)
 	for h := range n {
-		b.Entry(h, h%2, Ready, 1, 0)
+		b.ObserveEndpoint(h, h%2, Ready, 1, 0)
 	}
 	return b
 }
@@ -92,12 +92,12 @@
 		if int(b.now)%1000 == 0 {
 			for h := range b.servers {
 				if s, ok := sums[h]; ok {
-					b.Heard(h, int(s[0]), int(s[1]), s[2], 1000, NoLoad)
+					b.ObserveHostStats(h, int(s[0]), int(s[1]), s[2], 1000, UnknownLoad)
 				}
 			}
 		}
 		for p := range b.proxies {
-			b.Answered(p, b.marks)
+			b.Ack(p, b.marks)
 		}
 		b.Round(b.now, b)
 	}
--- a/decide/state.go
+++ b/routing/state.go
@@ -1,5 +1,5 @@
 // What a Steward keeps, and the noting methods, which only record. Every decision is in decide.go.
-package decide
+package routing
 
 import (
 	"encoding/binary"
@@ -18,28 +18,28 @@
 // server is what the steward knows of one host.
 type server struct {
 	zone            int
-	phase           Phase
-	seen            bool    // on a list
-	listed, started float64 // listed weight; last known start, or -1 where that is long ago
-	weight          float64 // where the moves have put it, as a listed weight
-	told            float64 // what the tables hold
-	fresh, past     sums    // since the last report round; faded sums of the rounds before
-	load            Load    // as last reported
-	rate, r         float64 // λ and R
-	hold            float64 // no move before this time
-	holders         int     // proxies that hold it in a table of their own
-	carried         float64 // and the traffic they send there
-	since           float64 // when the list last changed what it says of it
-	fed             float64 // when sums last showed a try fulfilled
-	strikes, fine   int     // probes in a row unanswered, answered
-	absent          bool    // the last unanswered probe found nothing there
-	probing         bool    // a probe is out
-	probeAt         float64 // when the next one is due
-	doubt           float64 // probes unanswered lately
-	out             bool    // withdrawn
-	back            float64 // when it returned on trial
-	won, lost       float64 // faded fast: tries fulfilled and failed, also while a move has yet to show
-	life            int     // counts the hosts that had this index
+	phase           HostState
+	seen            bool     // on a list
+	listed, started float64  // listed weight; last known start, or -1 where that is long ago
+	weight          float64  // where the moves have put it, as a listed weight
+	told            float64  // what the tables hold
+	fresh, past     sums     // since the last report round; faded sums of the rounds before
+	load            HostLoad // as last reported
+	rate, r         float64  // λ and R
+	hold            float64  // no move before this time
+	holders         int      // proxies that hold it in a table of their own
+	carried         float64  // and the traffic they send there
+	since           float64  // when the list last changed what it says of it
+	fed             float64  // when sums last showed a try fulfilled
+	strikes, fine   int      // probes in a row unanswered, answered
+	absent          bool     // the last unanswered probe found nothing there
+	probing         bool     // a probe is out
+	probeAt         float64  // when the next one is due
+	doubt           float64  // probes unanswered lately
+	out             bool     // withdrawn
+	back            float64  // when it returned on trial
+	won, lost       float64  // faded fast: tries fulfilled and failed, also while a move has yet to show
+	life            int      // counts the hosts that had this index
 }
 
 type proxy struct {
@@ -61,7 +61,7 @@
 // due is work for a later time.
 type due struct {
 	at float64
-	do func(Writer)
+	do func(UpdateWriter)
 }
 
 // batch is what one round orders: lines that wait before and after it, and what each proxy costs, a head for
@@ -72,13 +72,13 @@
 	cost                []float64
 }
 
-// Steward decides for one instance.
-type Steward struct {
-	fleet   Fleet
-	classes []Class
-	channel Channel
-	guard   Guard
-	goal    Goal
+// Balancer decides for one instance.
+type Balancer struct {
+	fleet   Deployment
+	classes []RequestClass
+	channel ControlChannel
+	guard   SafetyLimits
+	goal    Objective
 
 	now, wakeAt float64
 	knowing     float64 // sums from then on show our own first orders
@@ -137,36 +137,36 @@
 	return list
 }
 
-func (s *Steward) server(h int) *server {
-	s.servers = grown(s.servers, h+1, server{started: -1, back: longAgo, load: NoLoad})
+func (s *Balancer) server(h int) *server {
+	s.servers = grown(s.servers, h+1, server{started: -1, back: longAgo, load: UnknownLoad})
 	return &s.servers[h]
 }
 
-// WholeList notes that the entries which follow are the whole list.
-func (s *Steward) WholeList(cached bool) {
+// ObserveSnapshot notes that the entries which follow are the whole list.
+func (s *Balancer) ObserveSnapshot(cached bool) {
 	for i := range s.servers {
-		s.servers[i].phase = Gone
+		s.servers[i].phase = Removed
 	}
 	if !cached {
 		s.listKnown, s.askWait = true, 0
 	}
 }
 
-// ListChange notes that the entries which follow are changes.
-func (s *Steward) ListChange() { s.askWait = 0 }
+// ObserveDelta notes that the entries which follow are changes.
+func (s *Balancer) ObserveDelta() { s.askWait = 0 }
 
-// ListFailed notes that a call for the list failed or that the list no longer sends its changes.
-func (s *Steward) ListFailed() { s.askFailed = true }
+// ObserveWatchFailure notes that a call for the list failed or that the list no longer sends its changes.
+func (s *Balancer) ObserveWatchFailure() { s.askFailed = true }
 
-func (s *Steward) Joined(p, zone int, rate float64) {
-	s.Left(p)
+func (s *Balancer) ConnectProxy(p, zone int, rate float64) {
+	s.DisconnectProxy(p)
 	s.proxies = grown(s.proxies, p+1, proxy{})
 	s.proxies[p] = proxy{zone: zone, rate: rate + 0.01, joined: true, hand: s.proxies[p].hand}
 	s.joined++
 	s.zoneBack[zone] = true
 }
 
-func (s *Steward) Left(p int) {
+func (s *Balancer) DisconnectProxy(p int) {
 	if p < len(s.proxies) && s.proxies[p].joined {
 		q := &s.proxies[p]
 		q.joined = false
@@ -175,7 +175,7 @@
 	}
 }
 
-func (s *Steward) Heard(host, tries, failed int, mean, span float64, load Load) {
+func (s *Balancer) ObserveHostStats(host, tries, failed int, mean, span float64, load HostLoad) {
 	v := s.server(host)
 	good := float64(max(tries-failed, 0))
 	f := &v.fresh
@@ -185,13 +185,13 @@
 	s.heard = true
 }
 
-func (v *server) note(load Load) {
-	if load != NoLoad {
+func (v *server) note(load HostLoad) {
+	if load != UnknownLoad {
 		v.load = load
 	}
 }
 
-func (s *Steward) Usage(p, class, came int, span float64) {
+func (s *Balancer) ObserveDemand(p, class, came int, span float64) {
 	s.came[class] += float64(came)
 	if p < len(s.proxies) {
 		q := &s.proxies[p]
@@ -199,22 +199,22 @@
 	}
 }
 
-func (s *Steward) Probed(host int, how Outcome, load Load) {
+func (s *Balancer) ObserveHealthCheck(host int, how HealthCheckResult, load HostLoad) {
 	v := s.server(host)
 	v.probing = false
 	switch how {
-	case Fine:
+	case Healthy:
 		v.strikes, v.fine = 0, v.fine+1
 		v.note(load)
-	case Silent, Unreachable:
+	case TimedOut, Unreachable:
 		v.strikes, v.fine, v.absent = v.strikes+1, 0, how == Unreachable
 	}
 }
 
-// Recall notes what an earlier life knew of a host, as far as the caller still trusts it: where the moves had put its
+// RestoreHost notes what an earlier life knew of a host, as far as the caller still trusts it: where the moves had put its
 // weight, as a part of the listed one; its mean time, 0 for unknown; and tries fulfilled and failed. It is evidence like
 // any other: moves, drift and sums go on from there, and it proves no withdrawal.
-func (s *Steward) Recall(host int, weight, r, won, lost float64) {
+func (s *Balancer) RestoreHost(host int, weight, r, won, lost float64) {
 	v := s.server(host)
 	v.weight = v.listed * weight
 	v.won, v.lost = won, lost
@@ -223,9 +223,9 @@
 	}
 }
 
-// RecallFleet notes the level, each class's share and the median of mean times that an earlier life had; 0 for a median
+// RestoreAdmission notes the level, each class's share and the median of mean times that an earlier life had; 0 for a median
 // that is not known.
-func (s *Steward) RecallFleet(level float64, shares []float64, median float64) {
+func (s *Balancer) RestoreAdmission(level float64, shares []float64, median float64) {
 	s.level = level
 	copy(s.shares, shares)
 	if s.tries = 1; level < 1 {
@@ -234,8 +234,8 @@
 	s.median = median
 }
 
-// Answered notes a proxy's answer to a mark. The channel keeps its order: what was written to it before has left.
-func (s *Steward) Answered(p, number int) {
+// Ack notes a proxy's answer to a mark. The channel keeps its order: what was written to it before has left.
+func (s *Balancer) Ack(p, number int) {
 	if p >= len(s.proxies) {
 		return
 	}
@@ -245,7 +245,7 @@
 }
 
 // gone takes a proxy's n oldest messages out of the channel, by an answer, its leaving or their age.
-func (s *Steward) gone(q *proxy, n int) {
+func (s *Balancer) gone(q *proxy, n int) {
 	for _, m := range q.unanswered[:n] {
 		if s.waiting -= m.lines; q.joined && m.number == s.mark {
 			s.answers++
@@ -263,14 +263,14 @@
 	b.queue += lines
 }
 
-// Forget drops what is kept of a host that is gone, so that its index may be given to another. It answers
+// ForgetHost drops what is kept of a host that is gone, so that its index may be given to another. It answers
 // false, and keeps all, while a table or a probe still names the host.
-func (s *Steward) Forget(host int) bool {
+func (s *Balancer) ForgetHost(host int) bool {
 	if host >= len(s.servers) {
 		return true
 	}
 	v := &s.servers[host]
-	if v.phase != Gone || v.told != 0 || v.probing {
+	if v.phase != Removed || v.told != 0 || v.probing {
 		return false
 	}
 	for i := range s.proxies {
@@ -284,28 +284,28 @@
 			s.planned--
 		}
 	}
-	*v = server{started: -1, back: longAgo, load: NoLoad, life: v.life + 1}
+	*v = server{started: -1, back: longAgo, load: UnknownLoad, life: v.life + 1}
 	return true
 }
 
 // ForgetProxy drops the table of a proxy that has left; the caller drops its lines too.
-func (s *Steward) ForgetProxy(p int) {
+func (s *Balancer) ForgetProxy(p int) {
 	if p < len(s.proxies) && !s.proxies[p].joined {
 		s.proxies[p].hand = nil
 	}
 }
 
-// OwnTable is the number of the table that a proxy may be given for itself.
-func (s *Steward) OwnTable(p int) int { return s.own(p) }
+// SubsetTable is the number of the table that a proxy may be given for itself.
+func (s *Balancer) SubsetTable(p int) int { return s.own(p) }
 
 // chance gives the next figure from 0 to 1.
-func (s *Steward) chance() float64 {
+func (s *Balancer) chance() float64 {
 	s.counter++
 	b := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, s.fleet.Seed), s.counter)
 	return float64(crc32.ChecksumIEEE(b)) / (1 << 32)
 }
 
-func (s *Steward) add(in float64, do func(Writer)) {
+func (s *Balancer) add(in float64, do func(UpdateWriter)) {
 	at := s.now + in
 	i := sort.Search(len(s.dues), func(i int) bool { return s.dues[i].at > at })
 	s.dues = append(s.dues, due{})
@@ -314,7 +314,7 @@
 }
 
 // base is the table that a zone's proxies share: one for all, or the zone's where a class may not leave it.
-func (s *Steward) base(zone int) int {
+func (s *Balancer) base(zone int) int {
 	if s.local {
 		return 1 + zone
 	}
@@ -322,12 +322,12 @@
 }
 
 // own is the number of a proxy's own table.
-func (s *Steward) own(p int) int { return 1 + s.fleet.Zones + p }
+func (s *Balancer) own(p int) int { return 1 + s.fleet.Zones + p }
 
 // tally counts the proxies that are bound and those that wait, and for each server the proxies that hold it
 // and the traffic that hands bring it. It gives the most messages that one proxy was sent lately, and the
 // traffic for each part of weight, too. Messages older than so much have left the channel without an answer.
-func (s *Steward) tally(over, oldest float64) (bound, unbound, most int, fair float64) {
+func (s *Balancer) tally(over, oldest float64) (bound, unbound, most int, fair float64) {
 	shared, traffic, weight := make([]int, s.fleet.Zones+1), 0.0, 1e-9
 	for i := range s.proxies {
 		if p := &s.proxies[i]; p.joined {
--- a/standby/standby.go
+++ b/standby/standby.go
@@ -8,7 +8,7 @@
 
 // Limits of a standby.
 type Limits struct {
-	Fresh float64 // what the first told is gone by for so long
+	LeaseMs float64 // what the first told is gone by for so long
 }
 
 // Standby follows one steward.
@@ -26,8 +26,8 @@
 	return &Standby{limits: l, heardAt: math.Inf(-1), has: map[string]bool{}}
 }
 
-// Heard notes that the first told how it stands, and the proxies that have joined there.
-func (s *Standby) Heard(now float64, proxies []string) {
+// ObserveSessions notes that the first told how it stands, and the proxies that have joined there.
+func (s *Standby) ObserveSessions(now float64, proxies []string) {
 	s.heardAt = now
 	clear(s.has)
 	for _, p := range proxies {
@@ -35,18 +35,18 @@
 	}
 }
 
-// Still notes that the first is there, and nothing has changed.
-func (s *Standby) Still(now float64) { s.heardAt = now }
+// Heartbeat notes that the first is there, and nothing has changed.
+func (s *Standby) Heartbeat(now float64) { s.heardAt = now }
 
-// Fresh tells whether what the first told may still be gone by.
-func (s *Standby) Fresh(now float64) bool { return now < s.heardAt+s.limits.Fresh }
+// LeaseValid tells whether what the first told may still be gone by.
+func (s *Standby) LeaseValid(now float64) bool { return now < s.heardAt+s.limits.LeaseMs }
 
-// May tells whether a proxy that polls may be served, and if not, after how long it may ask again. The first one that is
+// ShouldServe tells whether a proxy that polls may be served, and if not, after how long it may ask again. The first one that is
 // served makes the standby a steward like any other, for those who come.
-func (s *Standby) May(now float64, proxy string) (serve bool, again float64) {
-	if s.Fresh(now) && s.has[proxy] {
+func (s *Standby) ShouldServe(now float64, proxy string) (serve bool, again float64) {
+	if s.LeaseValid(now) && s.has[proxy] {
 		s.sent++
-		return false, s.heardAt + s.limits.Fresh - now
+		return false, s.heardAt + s.limits.LeaseMs - now
 	}
 	if !s.live {
 		s.live, s.liveAt = true, now
@@ -54,8 +54,8 @@
 	return true, 0
 }
 
-// Live tells whether somebody was served, and since when.
-func (s *Standby) Live() (live bool, since float64) { return s.live, s.liveAt }
+// Active tells whether somebody was served, and since when.
+func (s *Standby) Active() (live bool, since float64) { return s.live, s.liveAt }
 
-// Sent is how many polls were sent back.
-func (s *Standby) Sent() int64 { return s.sent }
+// RejectedPolls is how many polls were sent back.
+func (s *Standby) RejectedPolls() int64 { return s.sent }
--- a/standby/standby_test.go
+++ b/standby/standby_test.go
@@ -15,9 +15,9 @@
 
 // decider is what the standby decides by: the package's own, or a mutant.
 type decider interface {
-	Heard(now float64, proxies []string)
-	Still(now float64)
-	May(now float64, proxy string) (bool, float64)
+	ObserveSessions(now float64, proxies []string)
+	Heartbeat(now float64)
+	ShouldServe(now float64, proxy string) (bool, float64)
 }
 
 // world is where everything stands. What the decider knows follows from the path, so each path replays into a fresh one.
@@ -53,7 +53,7 @@
 					has = append(has, n)
 				}
 			}
-			d.Heard(w.now, has)
+			d.ObserveSessions(w.now, has)
 		}
 	case "first dies":
 		w.up, w.polled = false, [2]float64{-1, -1}
@@ -80,7 +80,7 @@
 		w.polled[i], w.serves[i] = w.now, 1
 		return
 	}
-	serve, _ := d.May(w.now, name)
+	serve, _ := d.ShouldServe(w.now, name)
 	heard := w.now < w.last+fresh && w.hadThen[i]
 	if serve {
 		w.serves[i] = 2
@@ -127,37 +127,37 @@
 // eager serves whoever comes; deaf never hears that a proxy has left; stale goes by what it heard for ever.
 type eager struct{ *Standby }
 
-func (eager) May(float64, string) (bool, float64) { return true, 0 }
+func (eager) ShouldServe(float64, string) (bool, float64) { return true, 0 }
 
 type deaf struct{ *Standby }
 
-func (d deaf) Heard(now float64, proxies []string) {
+func (d deaf) ObserveSessions(now float64, proxies []string) {
 	for p := range d.has {
 		proxies = append(proxies, p)
 	}
-	d.Standby.Heard(now, append([]string(nil), proxies...))
+	d.Standby.ObserveSessions(now, append([]string(nil), proxies...))
 }
 
 type stale struct{ *Standby }
 
-func (s stale) May(now float64, proxy string) (bool, float64) {
-	s.limits.Fresh = 1e9
-	return s.Standby.May(now, proxy)
+func (s stale) ShouldServe(now float64, proxy string) (bool, float64) {
+	s.limits.LeaseMs = 1e9
+	return s.Standby.ShouldServe(now, proxy)
 }
 
 // All orders of six events keep both invariants: nobody is given tables whom the first was lately heard to have, and nobody
 // else is sent away. Mutants of the decision are caught.
 func TestTakeoverModel(t *testing.T) {
-	fine := func() decider { return New(Limits{Fresh: fresh}) }
+	fine := func() decider { return New(Limits{LeaseMs: fresh}) }
 	paths, broken := explore(6, fine)
 	if broken != "" || paths < 500000 {
 		t.Errorf("%d paths: %s", paths, broken)
 	}
 	t.Logf("%d paths", paths)
 	for name, mutant := range map[string]func() decider{
-		"eager": func() decider { return eager{New(Limits{Fresh: fresh})} },
-		"deaf":  func() decider { return deaf{New(Limits{Fresh: fresh})} },
-		"stale": func() decider { return stale{New(Limits{Fresh: fresh})} }} {
+		"eager": func() decider { return eager{New(Limits{LeaseMs: fresh})} },
+		"deaf":  func() decider { return deaf{New(Limits{LeaseMs: fresh})} },
+		"stale": func() decider { return stale{New(Limits{LeaseMs: fresh})} }} {
 		if _, broken := explore(8, mutant); broken == "" {
 			t.Errorf("the %s standby was not caught", name)
 		}
@@ -166,22 +166,22 @@
 
 // Served once, it is live, and counts whom it sent back.
 func TestLive(t *testing.T) {
-	s := New(Limits{Fresh: 3000})
-	s.Heard(1000, []string{"p"})
-	if serve, again := s.May(2000, "p"); serve || again != 2000 {
+	s := New(Limits{LeaseMs: 3000})
+	s.ObserveSessions(1000, []string{"p"})
+	if serve, again := s.ShouldServe(2000, "p"); serve || again != 2000 {
 		t.Errorf("served %v, again %g", serve, again)
 	}
-	s.Still(3000)
-	if serve, _ := s.May(5999, "p"); serve {
+	s.Heartbeat(3000)
+	if serve, _ := s.ShouldServe(5999, "p"); serve {
 		t.Error("served though the first is there")
 	}
-	if live, _ := s.Live(); live || s.Sent() != 2 {
-		t.Errorf("live %v, sent back %d", live, s.Sent())
+	if live, _ := s.Active(); live || s.RejectedPolls() != 2 {
+		t.Errorf("live %v, sent back %d", live, s.RejectedPolls())
 	}
-	if serve, _ := s.May(6000, "p"); !serve {
+	if serve, _ := s.ShouldServe(6000, "p"); !serve {
 		t.Error("not served though the first was not heard")
 	}
-	if live, since := s.Live(); !live || since != 6000 || s.Fresh(6000) {
+	if live, since := s.Active(); !live || since != 6000 || s.LeaseValid(6000) {
 		t.Errorf("live %v since %g", live, since)
 	}
 }
--- a/state/age.go
+++ b/state/age.go
@@ -11,117 +11,117 @@
 	"barleysail/state/statepb"
 )
 
-// Fade is how one kind of knowledge ages.
-type Fade struct {
-	Half  float64 // ms in which what it says beyond the ordinary halves
-	Bound float64 // ms after which nothing is known
+// Decay is how one kind of knowledge ages.
+type Decay struct {
+	HalfLifeMs float64 // ms in which what it says beyond the ordinary halves
+	MaxAgeMs   float64 // ms after which nothing is known
 }
 
 // soon is how far in the future an entry may lie, in ms: figures are noted a moment after the state's own time.
 const soon = 5000.0
 
 // left is what is left of knowledge of an age, 0 where it is unknown.
-func (f Fade) left(age float64) float64 {
-	if !(age < f.Bound) || age < -soon { // no figure, too old, or not yet
+func (f Decay) left(age float64) float64 {
+	if !(age < f.MaxAgeMs) || age < -soon { // no figure, too old, or not yet
 		return 0
 	}
-	return math.Exp2(-math.Max(age, 0) / f.Half)
+	return math.Exp2(-math.Max(age, 0) / f.HalfLifeMs)
 }
 
 // Limits say how each kind ages.
 type Limits struct {
-	Estimates Fade    // weights, rates and mean times of hosts
-	Failures  Fade    // tries that failed, withdrawals
-	Levels    Fade    // what is let in
-	Reports   Fade    // trust in load reports
-	Demand    float64 // ms for which what came to a proxy is still expected
-	Versions  float64 // ms for which a proxy may come with a tag from before
-	Cold      float64 // ms until a started host is warm
-	Back      float64 // ms that a clock may have gone back, by rounding and small corrections
+	Estimates        Decay   // weights, rates and mean times of hosts
+	Failures         Decay   // tries that failed, withdrawals
+	Admission        Decay   // what is let in
+	Reports          Decay   // trust in load reports
+	DemandMaxAgeMs   float64 // ms for which what came to a proxy is still expected
+	TagMaxAgeMs      float64 // ms for which a proxy may come with a tag from before
+	SlowStartMs      float64 // ms until a started host is warm
+	ClockToleranceMs float64 // ms that a clock may have gone back, by rounding and small corrections
 }
 
 // DefaultLimits are the limits where none are set; cold is that of the rules.
 func DefaultLimits(cold float64) Limits {
-	return Limits{Estimates: Fade{120e3, 900e3}, Failures: Fade{20e3, 120e3}, Levels: Fade{20e3, 120e3}, Reports: Fade{600e3, 7200e3},
-		Demand: 120e3, Versions: 900e3, Cold: cold, Back: 1000}
+	return Limits{Estimates: Decay{120e3, 900e3}, Failures: Decay{20e3, 120e3}, Admission: Decay{20e3, 120e3}, Reports: Decay{600e3, 7200e3},
+		DemandMaxAgeMs: 120e3, TagMaxAgeMs: 900e3, SlowStartMs: cold, ClockToleranceMs: 1000}
 }
 
-// Recalled is what a steward may go by when it starts again.
-type Recalled struct {
-	Life     string  // the one it is from; empty: nothing is known
-	Passed   float64 // since it was true, ms
-	Why      string  // nothing or less than all is known
-	Hosts    map[string]*Host
-	Proxies  map[string]*Proxy
-	Level    float64 // 1 where none is known
-	Shares   map[string]float64
-	Median   float64 // 0: not known
-	Settings []*statepb.Setting
+// Restored is what a steward may go by when it starts again.
+type Restored struct {
+	Incarnation     string  // the one it is from; empty: nothing is known
+	ElapsedMs       float64 // since it was true, ms
+	Reason          string  // nothing or less than all is known
+	Hosts           map[string]*Host
+	Proxies         map[string]*Proxy
+	AdmissionRatio  float64 // 1 where none is known
+	AdmissionQuotas map[string]float64
+	MedianLatencyMs float64 // 0: not known
+	Overrides       []*statepb.Setting
 }
 
 // Host as it may be recalled.
 type Host struct {
-	Zone        string
-	Started     float64 // 0: long ago, or not known
-	Drains      float64 // since when; 0: it does not
-	Weight      float64 // a part of the listed one, 1 where nothing is known
-	Rate, R     float64 // 0: not known
-	Won, Lost   float64
-	Out, Absent bool    // it was withdrawn: to be looked at first
-	Trust       float64 // 1 where nothing is known
-	known       bool
+	Zone                       string
+	StartedMs                  float64 // 0: long ago, or not known
+	DrainingSinceMs            float64 // since when; 0: it does not
+	Weight                     float64 // a part of the listed one, 1 where nothing is known
+	ArrivalRate, MeanLatencyMs float64 // 0: not known
+	Successes, Failures        float64
+	Ejected, Unreachable       bool    // it was withdrawn: to be looked at first
+	ReportTrust                float64 // 1 where nothing is known
+	known                      bool
 }
 
 // Proxy as it may be recalled.
 type Proxy struct {
-	Zone   string
-	Tag    string // empty: not to be gone by
-	Tables []*statepb.Class
-	Rates  []float64 // nil: not known
+	Zone         string
+	Tag          string // empty: not to be gone by
+	Tables       []*statepb.Class
+	RequestRates []float64 // nil: not known
 }
 
 // nothing is known, for a reason.
-func nothing(why string) *Recalled {
-	return &Recalled{Why: why, Level: 1, Hosts: map[string]*Host{}, Proxies: map[string]*Proxy{}, Shares: map[string]float64{}}
+func nothing(why string) *Restored {
+	return &Restored{Reason: why, AdmissionRatio: 1, Hosts: map[string]*Host{}, Proxies: map[string]*Proxy{}, AdmissionQuotas: map[string]float64{}}
 }
 
-// Age gives what may be gone by now of what was kept. A clock that went back makes all of it unknown but for what operators
+// ApplyDecay gives what may be gone by now of what was kept. A clock that went back makes all of it unknown but for what operators
 // set: nobody can tell how old it is.
-func Age(s *statepb.State, now float64, l Limits) *Recalled {
+func ApplyDecay(s *statepb.State, now float64, l Limits) *Restored {
 	if s == nil {
 		return nothing("nothing was kept")
 	}
 	r := nothing("")
-	r.Passed = now - s.At
-	if back := r.Passed < -l.Back; back || math.IsNaN(r.Passed) {
-		r.Why = fmt.Sprintf("the clock went back by %.0f ms", -r.Passed)
+	r.ElapsedMs = now - s.At
+	if back := r.ElapsedMs < -l.ClockToleranceMs; back || math.IsNaN(r.ElapsedMs) {
+		r.Reason = fmt.Sprintf("the clock went back by %.0f ms", -r.ElapsedMs)
 		for _, x := range s.Settings { // an end that cannot be told is left as it is
-			r.Settings = append(r.Settings, x)
+			r.Overrides = append(r.Overrides, x)
 		}
 		return r
 	}
-	r.Life = s.Life
+	r.Incarnation = s.Life
 	for _, x := range s.Settings {
 		if x.Until == 0 || x.Until > now {
-			r.Settings = append(r.Settings, x)
+			r.Overrides = append(r.Overrides, x)
 		}
 	}
 	if f := s.Fleet; f != nil {
-		if left := l.Levels.left(now - f.At); left > 0 {
-			r.Level = 1 + (clamp(f.Level, 0.01, 1)-1)*left
+		if left := l.Admission.left(now - f.At); left > 0 {
+			r.AdmissionRatio = 1 + (clamp(f.Level, 0.01, 1)-1)*left
 			for i, class := range f.Classes {
 				if i < len(f.Shares) {
-					r.Shares[class] = 1 + (clamp(f.Shares[i], 0.01, 1)-1)*left
+					r.AdmissionQuotas[class] = 1 + (clamp(f.Shares[i], 0.01, 1)-1)*left
 				}
 			}
 		}
 		if l.Estimates.left(now-f.At) > 0 && f.Median > 0 && f.Median < 1e7 {
-			r.Median = f.Median
+			r.MedianLatencyMs = f.Median
 		}
 	}
 	unknown := 0
 	for _, x := range s.Hosts {
-		if h := age(x, now, r.Median, l); h.known {
+		if h := age(x, now, r.MedianLatencyMs, l); h.known {
 			r.Hosts[x.Name] = h
 		} else {
 			unknown++
@@ -133,18 +133,18 @@
 	}
 	for _, x := range s.Proxies {
 		p := &Proxy{Zone: x.Zone}
-		if recent(now-x.At, l.Versions) && x.Table != "" && tables[x.Table] != nil {
+		if recent(now-x.At, l.TagMaxAgeMs) && x.Table != "" && tables[x.Table] != nil {
 			p.Tag, p.Tables = x.Tag, tables[x.Table]
 		}
-		if recent(now-x.At, l.Demand) && !slices.ContainsFunc(x.Rates, func(r float64) bool { return !(r >= 0 && r <= 1e9) }) {
-			p.Rates = x.Rates
+		if recent(now-x.At, l.DemandMaxAgeMs) && !slices.ContainsFunc(x.Rates, func(r float64) bool { return !(r >= 0 && r <= 1e9) }) {
+			p.RequestRates = x.Rates
 		}
-		if p.Tag != "" || p.Rates != nil {
+		if p.Tag != "" || p.RequestRates != nil {
 			r.Proxies[x.Name] = p
 		}
 	}
 	if unknown > 0 {
-		r.Why = fmt.Sprintf("%d of %d hosts were not heard of for too long", unknown, len(s.Hosts))
+		r.Reason = fmt.Sprintf("%d of %d hosts were not heard of for too long", unknown, len(s.Hosts))
 	}
 	return r
 }
@@ -161,36 +161,36 @@
 // age of one host. Its start stands until it is warm, and its drain until the list says otherwise: both are facts that
 // somebody told, not estimates.
 func age(x *statepb.Host, now, median float64, l Limits) *Host {
-	h := &Host{Zone: x.Zone, Weight: 1, Trust: 1}
+	h := &Host{Zone: x.Zone, Weight: 1, ReportTrust: 1}
 	old := now - x.At
-	if x.Started > 0 && x.Started <= now+soon && now < x.Started+l.Cold { // one in the future would stay cold for as long
-		h.Started, h.known = math.Min(x.Started, now), true
+	if x.Started > 0 && x.Started <= now+soon && now < x.Started+l.SlowStartMs { // one in the future would stay cold for as long
+		h.StartedMs, h.known = math.Min(x.Started, now), true
 	}
 	if x.Drains > 0 && x.Drains <= now {
-		h.Drains, h.known = x.Drains, true
+		h.DrainingSinceMs, h.known = x.Drains, true
 	}
 	if left := l.Estimates.left(old); left > 0 {
 		h.known = true
 		h.Weight = 1 + (clamp(x.Weight, 0.05, 20)-1)*left
 		if x.R > 0 && x.R < 1e7 && median > 0 {
-			h.R = median + (x.R-median)*left
+			h.MeanLatencyMs = median + (x.R-median)*left
 		}
 	}
 	if left := l.Failures.left(old); left > 0 {
 		h.known = true
-		h.Won, h.Lost = clamp(x.Won, 0, 1e6)*left, clamp(x.Lost, 0, 1e6)*left
-		h.Out, h.Absent = x.Out, x.Absent
+		h.Successes, h.Failures = clamp(x.Won, 0, 1e6)*left, clamp(x.Lost, 0, 1e6)*left
+		h.Ejected, h.Unreachable = x.Out, x.Absent
 	}
 	if left := l.Reports.left(old); left > 0 && x.Trust > 0 {
 		h.known = true
-		h.Trust = 1 + (clamp(x.Trust, 0, 1)-1)*left
+		h.ReportTrust = 1 + (clamp(x.Trust, 0, 1)-1)*left
 	}
 	return h
 }
 
-// Shift moves the times at which things were so, as from a clock that only advances to that of the wall. Times that others
+// ShiftTimes moves the times at which things were so, as from a clock that only advances to that of the wall. Times that others
 // told, as starts and ends, are the wall's already.
-func Shift(s *statepb.State, by float64) {
+func ShiftTimes(s *statepb.State, by float64) {
 	s.At += by
 	for _, h := range s.Hosts {
 		h.At += by
--- a/state/change.go
+++ b/state/change.go
@@ -10,11 +10,11 @@
 	"barleysail/state/statepb"
 )
 
-// Major and Minor are the format that is written. A file of a larger major is refused; one of a larger minor is read as far
+// FormatMajor and Minor are the format that is written. A file of a larger major is refused; one of a larger minor is read as far
 // as it is known, and what is not known is kept.
 const (
-	Major = 1
-	Minor = 0
+	FormatMajor = 1
+	FormatMinor = 0
 )
 
 // worth is the relative change of a figure that is worth a line in the log.
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"barleysail/internal/kept"
+	"barleysail/internal/golden"
 	"barleysail/state/statepb"
 )
 
@@ -28,18 +28,18 @@
 func TestAge(t *testing.T) {
 	var out strings.Builder
 	for _, later := range []float64{1000, 60e3, 600e3, 3600e3, -60e3} {
-		r := Age(sample(), 1e6+later, DefaultLimits(18000))
-		fmt.Fprintf(&out, "after %.0f s: life %q, %s\n  level %.2f, share %.2f, median %.0f, %d settings\n", later/1000, r.Life, r.Why, r.Level, r.Shares["sheet"], r.Median, len(r.Settings))
+		r := ApplyDecay(sample(), 1e6+later, DefaultLimits(18000))
+		fmt.Fprintf(&out, "after %.0f s: life %q, %s\n  level %.2f, share %.2f, median %.0f, %d settings\n", later/1000, r.Incarnation, r.Reason, r.AdmissionRatio, r.AdmissionQuotas["sheet"], r.MedianLatencyMs, len(r.Overrides))
 		for _, name := range []string{"fails", "fresh", "leaves"} {
 			if h := r.Hosts[name]; h != nil {
-				fmt.Fprintf(&out, "  %s: weight %.2f, r %.0f, %.1f of %.1f lost, out %v, trust %.2f, started %.0f, drains %.0f\n", name, h.Weight, h.R, h.Lost, h.Won+h.Lost, h.Out, h.Trust, h.Started, h.Drains)
+				fmt.Fprintf(&out, "  %s: weight %.2f, r %.0f, %.1f of %.1f lost, out %v, trust %.2f, started %.0f, drains %.0f\n", name, h.Weight, h.MeanLatencyMs, h.Failures, h.Successes+h.Failures, h.Ejected, h.ReportTrust, h.StartedMs, h.DrainingSinceMs)
 			}
 		}
 		if p := r.Proxies["p"]; p != nil {
-			fmt.Fprintf(&out, "  p: tag %q, %d tables, rates %v\n", p.Tag, len(p.Tables), p.Rates)
+			fmt.Fprintf(&out, "  p: tag %q, %d tables, rates %v\n", p.Tag, len(p.Tables), p.RequestRates)
 		}
 	}
-	kept.Compare(t, "age", out.String())
+	golden.Compare(t, "age", out.String())
 }
 
 // A change onto a state gives the other, as far as figures matter; names stay in order, and tables that nobody holds go.
@@ -104,28 +104,28 @@
 		if proto.Unmarshal(text, s) != nil {
 			return
 		}
-		r := Age(s, now, DefaultLimits(18000))
+		r := ApplyDecay(s, now, DefaultLimits(18000))
 		within := func(what string, x, least, most float64) {
 			if !(x >= least && x <= most) {
 				t.Errorf("%s %g", what, x)
 			}
 		}
-		within("level", r.Level, 0.01, 1)
-		for _, x := range r.Shares {
+		within("level", r.AdmissionRatio, 0.01, 1)
+		for _, x := range r.AdmissionQuotas {
 			within("share", x, 0.01, 1)
 		}
 		for _, h := range r.Hosts {
 			within("weight", h.Weight, 0.05, 20)
-			within("r", h.R, 0, 2e7)
-			within("won", h.Won, 0, 1e6)
-			within("lost", h.Lost, 0, 1e6)
-			within("trust", h.Trust, 0, 1)
-			if h.Started > now || h.Drains > now {
-				t.Errorf("started %g, drains %g at %g", h.Started, h.Drains, now)
+			within("r", h.MeanLatencyMs, 0, 2e7)
+			within("won", h.Successes, 0, 1e6)
+			within("lost", h.Failures, 0, 1e6)
+			within("trust", h.ReportTrust, 0, 1)
+			if h.StartedMs > now || h.DrainingSinceMs > now {
+				t.Errorf("started %g, drains %g at %g", h.StartedMs, h.DrainingSinceMs, now)
 			}
 		}
 		for _, p := range r.Proxies {
-			for _, x := range p.Rates {
+			for _, x := range p.RequestRates {
 				within("a proxy's rate", x, 0, 1e9)
 			}
 		}
