--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -202,4 +202,4 @@
 func (n *steward) CheckHealth(host int)     { n.out.Probe(n.number, n.HostID(host)) }
 func (n *steward) ScheduleRound(at float64) { n.out.After(n.number, int64(math.Ceil(at*1000)), 1) }
 func (n *steward) WatchEndpoints()          { n.out.Subscribe(n.number) }
-func (n *steward) Log(text string)          { n.out.Remark(n.number, text) }
+func (n *steward) Log(event routing.Event)  { n.out.Remark(n.number, event.Text(routing.HostIndex)) }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -11,8 +11,6 @@
 import (
 	"fmt"
 	"math"
-	"strconv"
-	"strings"
 
 	"barleysail/intake"
 	"barleysail/internal/interner"
@@ -249,16 +247,14 @@
 	return st
 }
 
-// log passes a line of the module on, with the names of hosts in place of their indices.
-func (s *Controller) log(text string) {
-	words := strings.Split(text, " ")
-	for i := 1; i < len(words); i++ {
-		number := strings.TrimRight(words[i], ":,")
-		if h, err := strconv.Atoi(number); err == nil && words[i-1] == "host" && h < len(s.hosts.Names) {
-			words[i] = s.hosts.Names[h] + words[i][len(number):]
-		}
-	}
-	s.mode, s.modeAt = strings.Join(words, " "), s.now
-	s.event("mode", s.mode)
-	s.out.Log(s.mode)
+// logEvent passes an event of the balancer on as a line, with the names of hosts.
+func (s *Controller) logEvent(event routing.Event) {
+	s.log(event.Text(func(host int) string { return s.hosts.Names[host] }))
+}
+
+// log notes a change of mode and passes its line on.
+func (s *Controller) log(line string) {
+	s.mode, s.modeAt = line, s.now
+	s.event("mode", line)
+	s.out.Log(line)
 }
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -159,8 +159,8 @@
 func (w writer) ScheduleRound(at float64) {
 	w.Controller.round.wake = w.now + (at-w.now)*w.intake.pace.IntervalFactor()
 }
-func (w writer) WatchEndpoints() { w.out.WatchEndpoints() }
-func (w writer) Log(text string) { w.log(text) }
+func (w writer) WatchEndpoints()         { w.out.WatchEndpoints() }
+func (w writer) Log(event routing.Event) { w.logEvent(event) }
 
 // order puts what the round has ordered into the channel, a message for each proxy concerned.
 func (s *Controller) order() {
--- a/internal/platform/alike_test.go
+++ b/internal/platform/alike_test.go
@@ -12,6 +12,7 @@
 
 	"barleysail/internal/instance"
 	"barleysail/internal/simwire"
+	"barleysail/routing"
 )
 
 // wired writes a node's orders as the bench's adapter does.
@@ -31,7 +32,7 @@
 func (w wired) CheckHealth(host int)     { w.Writer.Probe(0, w.inst.HostID(host)) }
 func (w wired) ScheduleRound(at float64) { w.After(0, int64(at*1000), 1) }
 func (w wired) WatchEndpoints()          { w.Subscribe(0) }
-func (w wired) Log(text string)          { w.Remark(0, text) }
+func (w wired) Log(event routing.Event)  { w.Remark(0, event.Text(routing.HostIndex)) }
 
 // The steward on streams and the bench's adapter drive the module alike: the same that comes in, each in its own form,
 // brings the same orders, round by round.
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -5,7 +5,6 @@
 package routing
 
 import (
-	"fmt"
 	"math"
 	"slices"
 	"sort"
@@ -182,7 +181,7 @@
 		s.askFailed = false
 		s.askWait = math.Min(math.Max(2*s.askWait, 250), 4000)
 		s.add(s.askWait*(0.5+s.chance()), func(w UpdateWriter) { w.WatchEndpoints() })
-		w.Log(fmt.Sprintf("list call failed, asking again within %.0f ms", s.askWait*1.5))
+		w.Log(Event{WatchRetryScheduled, NoHost, []Field{{"within_ms", s.askWait * 1.5, 0}}})
 	}
 }
 
@@ -338,8 +337,8 @@
 		return
 	}
 	s.levelHold = s.now + s.settle + s.gap
-	w.Log(fmt.Sprintf("level %.2f: busy %.2f, fulfilled %.2f, R %.0f of %.0f ms", s.level, busy, s.fulfilled,
-		slow, dueTime))
+	w.Log(Event{AdmissionRatioChanged, NoHost, []Field{{"admission_ratio", s.level, 2}, {"utilization", busy, 2},
+		{"success_ratio", s.fulfilled, 2}, {"mean_latency_ms", slow, 0}, {"latency_objective_ms", dueTime, 0}}})
 	s.tries = int(s.level) // none while less than all is let in
 	s.spread(classes, goal)
 }
@@ -404,8 +403,8 @@
 	s.keep = keep
 	s.rest(true)
 	s.add(rest, func(UpdateWriter) { s.rest(false) })
-	w.Log(fmt.Sprintf("storm: %.0f of %.0f hosts failing, fulfilled %.2f: all but host %d rest %.0f ms",
-		failing, n, s.fulfilled, s.keep, rest))
+	w.Log(Event{RetryStormQuiesced, s.keep, []Field{{"failing_hosts", failing, 0}, {"hosts", n, 0},
+		{"success_ratio", s.fulfilled, 2}, {"quiesce_ms", rest, 0}}})
 }
 
 // rest takes all proxies off their tables; join gives them others.
@@ -455,7 +454,7 @@
 				v.started, v.back = s.now, longAgo
 			}
 			in += v.listed
-			w.Log(fmt.Sprintf("return host %d on trial", h))
+			w.Log(Event{HostRecovering, h, nil})
 			continue
 		}
 		// A cut, which also fits a lost zone that says nothing: nearly all of the zone's servers leave probes
@@ -470,8 +469,8 @@
 		if (v.absent || dry) && in-v.listed >= least && in > v.listed {
 			v.out, v.fine = true, 0
 			in -= v.listed
-			w.Log(fmt.Sprintf("withdraw host %d: %d probes failed, absent %v, %.2f of the weight left", h,
-				v.strikes, v.absent, in/listed))
+			w.Log(Event{HostEjected, h, []Field{{"consecutive_failures", float64(v.strikes), 0},
+				{"unreachable", indicator(v.absent), 0}, {"remaining_weight_ratio", in / listed, 2}}})
 		}
 	}
 	clear(s.zoneBack)
@@ -580,14 +579,14 @@
 	}
 	if s.dealt && s.now >= s.dealtUntil {
 		s.dealt = false
-		w.Log(fmt.Sprintf("one table for all again, fulfilled %.2f", s.fulfilled))
+		w.Log(Event{SubsetModeLeft, NoHost, []Field{{"success_ratio", s.fulfilled, 2}}})
 	} else if !s.dealt && s.strained > 1 && !s.local {
 		if s.dealtFor *= 2; s.now > s.dealtUntil+s.dealtFor || s.dealtFor == 0 {
 			s.dealtFor = dealtFirst
 		}
 		s.dealt, s.dealtUntil = true, s.now+s.dealtFor
-		w.Log(fmt.Sprintf("tables dealt for %.0f s: %.0f of %.0f hosts fail, %.0f though idle, fulfilled %.2f",
-			s.dealtFor/1000, failing, n-1, idle, s.fulfilled))
+		w.Log(Event{SubsetModeEntered, NoHost, []Field{{"for_s", s.dealtFor / 1000, 0}, {"failing_hosts", failing, 0},
+			{"hosts", n - 1, 0}, {"failing_idle_hosts", idle, 0}, {"success_ratio", s.fulfilled, 2}}})
 	}
 }
 
@@ -664,7 +663,7 @@
 	}
 	if heats := s.heat(float64(s.fleet.ProxyEjectAfter), s.guard.CollapseMultiple); heats != s.heats {
 		s.heats = heats
-		w.Log(fmt.Sprintf("cold hosts held back: %v, fulfilled %.2f", !heats, s.fulfilled))
+		w.Log(Event{SlowStartChanged, NoHost, []Field{{"allowed", indicator(heats), 0}, {"success_ratio", s.fulfilled, 2}}})
 	}
 	bare, thin := make([]bool, len(lines)), make([]bool, len(lines))
 	for z := range s.fleet.Zones {
--- a/routing/channel_test.go
+++ b/routing/channel_test.go
@@ -85,7 +85,7 @@
 func (c *slowChannel) CheckHealth(int)       {}
 func (c *slowChannel) ScheduleRound(float64) {}
 func (c *slowChannel) WatchEndpoints()       {}
-func (c *slowChannel) Log(string)            {}
+func (c *slowChannel) Log(Event)             {}
 
 // run lets time pass; the channel sends, and proxies answer.
 func (c *slowChannel) run(from, ms float64) float64 {
--- a/routing/config.go
+++ b/routing/config.go
@@ -85,5 +85,5 @@
 	CheckHealth(host int)
 	ScheduleRound(at float64)
 	WatchEndpoints()
-	Log(text string)
+	Log(event Event)
 }
--- a/routing/helper_test.go
+++ b/routing/helper_test.go
@@ -47,7 +47,7 @@
 }
 func (b *bench) ScheduleRound(at float64) { b.wakeAt = at }
 func (b *bench) WatchEndpoints()          { b.say("watch the list") }
-func (b *bench) Log(text string)          { b.say("log: %s", text) }
+func (b *bench) Log(event Event)          { b.say("log: %s", event.Text(HostIndex)) }
 
 // deployment holds the settings of a plain one; a case changes what it is about.
 type deployment struct {
