--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -79,7 +79,7 @@
 // WatchEndpoints asks for nothing: the list is followed from the start.
 func (w *writer) WatchEndpoints() {}
 
-func (w *writer) Log(event routing.Event) { w.node.log.Info().Msg(event.Text(routing.HostIndex)) }
+func (w *writer) Log(event routing.Event) { w.node.log.Info().Msg(event.Text(w.node.inst.HostID)) }
 
 func (w *writer) CheckHealth(host int) {
 	n, asked := w.node, w.node.hosts[host]
--- a/routing/event.go
+++ b/routing/event.go
@@ -1,8 +1,8 @@
 package routing
 
 import (
-	"fmt"
 	"strconv"
+	"strings"
 )
 
 // EventKind names what a Balancer did that an operator may want to see.
@@ -45,36 +45,41 @@
 	Fields []Field
 }
 
-// Text gives the log line; hostName gives the name of a host's index.
-func (e Event) Text(hostName func(host int) string) string {
-	f := make([]float64, len(e.Fields))
-	for i := range e.Fields {
-		f[i] = e.Fields[i].Value
-	}
-	host := ""
-	if e.Host != NoHost {
-		host = hostName(e.Host)
-	}
-	switch e.Kind {
+// String is the kind as a log line begins with it.
+func (k EventKind) String() string {
+	switch k {
 	case WatchRetryScheduled:
-		return fmt.Sprintf("list call failed, asking again within %.0f ms", f[0])
+		return "watch retry scheduled"
 	case AdmissionRatioChanged:
-		return fmt.Sprintf("level %.2f: busy %.2f, fulfilled %.2f, R %.0f of %.0f ms", f[0], f[1], f[2], f[3], f[4])
+		return "admission ratio changed"
 	case RetryStormQuiesced:
-		return fmt.Sprintf("storm: %.0f of %.0f hosts failing, fulfilled %.2f: all but host %s rest %.0f ms",
-			f[0], f[1], f[2], host, f[3])
+		return "retry storm quiesced"
 	case HostEjected:
-		return fmt.Sprintf("withdraw host %s: %.0f probes failed, absent %v, %.2f of the weight left", host, f[0], f[1] == 1, f[2])
+		return "host ejected"
 	case HostRecovering:
-		return fmt.Sprintf("return host %s on trial", host)
+		return "host recovering"
 	case SubsetModeEntered:
-		return fmt.Sprintf("tables dealt for %.0f s: %.0f of %.0f hosts fail, %.0f though idle, fulfilled %.2f",
-			f[0], f[1], f[2], f[3], f[4])
+		return "subset mode entered"
 	case SubsetModeLeft:
-		return fmt.Sprintf("one table for all again, fulfilled %.2f", f[0])
+		return "subset mode left"
+	case SlowStartChanged:
+		return "slow start changed"
 	default:
-		return fmt.Sprintf("cold hosts held back: %v, fulfilled %.2f", f[0] == 0, f[1])
+		return "event " + strconv.Itoa(int(k))
+	}
+}
+
+// Text gives the log line, such as "host ejected: host 10.0.0.3:80, consecutive_failures 3, unreachable 0"; hostName gives
+// the name of a host's index.
+func (e Event) Text(hostName func(host int) string) string {
+	var figures []string
+	if e.Host != NoHost {
+		figures = append(figures, "host "+hostName(e.Host))
+	}
+	for _, field := range e.Fields {
+		figures = append(figures, field.Name+" "+strconv.FormatFloat(field.Value, 'f', field.Decimals, 64))
 	}
+	return e.Kind.String() + ": " + strings.Join(figures, ", ")
 }
 
 // HostIndex spells a host's index, for log lines of programs that know no names.
