--- a/cmd/barleysail/main.go
+++ b/cmd/barleysail/main.go
@@ -1,30 +1,48 @@
-// Command barleysail is the steward as a daemon, and the operators' command line.
+// Command barleysail runs the controller as a daemon and holds the operators' command line. It owns flags, exit
+// codes and the printing of results; balancing, recording and replay belong to the packages that it calls.
 package main
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"os"
 
 	"github.com/spf13/cobra"
 )
 
-// version of the program.
+// version is the program's release, printed by "barleysail version" and written into recordings and state files.
 const version = "0.1.0"
 
 func main() {
-	root := &cobra.Command{Use: "barleysail", Short: "A control service that publishes weighted tables to plain proxies",
-		SilenceUsage: true, SilenceErrors: true, CompletionOptions: cobra.CompletionOptions{}}
-	root.AddCommand(runCommand(), nodeCommand(), rehearseCommand(), replayCommand(), daysCommand(), solveCommand(), planCommand(), stateCommand(), authCommand(), configCommand(), &cobra.Command{Use: "version", Short: "Print the version",
-		Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), "barleysail", version) }})
-	root.AddCommand(operators()...)
-	if err := root.ExecuteContext(context.Background()); err != nil {
+	if err := newRootCommand().ExecuteContext(context.Background()); err != nil {
 		fmt.Fprintln(os.Stderr, "barleysail:", err)
-		var coded *exitError
-		if errors.As(err, &coded) {
-			os.Exit(coded.code)
-		}
-		os.Exit(1)
+		os.Exit(exitCode(err))
+	}
+}
+
+// newRootCommand builds the whole command tree.
+func newRootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use:           "barleysail",
+		Short:         "A control plane that publishes routing weights to proxies",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
+	root.AddCommand(
+		runCommand(), nodeCommand(), rehearseCommand(), replayCommand(), daysCommand(), solveCommand(), planCommand(),
+		stateCommand(), authCommand(), configCommand(), versionCommand())
+	root.AddCommand(operators()...)
+	return root
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			_, err := fmt.Fprintln(cmd.OutOrStdout(), "barleysail", version)
+			return err
+		},
 	}
 }
--- a/cmd/barleysail/operate.go
+++ b/cmd/barleysail/operate.go
@@ -23,22 +23,6 @@
 	"barleysail/controller"
 )
 
-// Exit codes beside 1: refused is of an order that would break a rule, unreachable of a steward that cannot be asked.
-const (
-	exitRefused     = 3
-	exitUnreachable = 4
-	exitDiffers     = 5
-)
-
-// exitError is an error with an exit code of its own.
-type exitError struct {
-	code int
-	err  error
-}
-
-func (e *exitError) Error() string { return e.err.Error() }
-func (e *exitError) Unwrap() error { return e.err }
-
 // remote is a running steward.
 type remote struct {
 	url    string
--- a/cmd/barleysail/operate_test.go
+++ b/cmd/barleysail/operate_test.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -12,7 +11,6 @@
 	"time"
 
 	"github.com/rs/zerolog"
-	"github.com/spf13/cobra"
 
 	"barleysail/internal/config"
 	"barleysail/internal/daemon"
@@ -23,21 +21,15 @@
 // command runs the command line against a steward, and gives what it printed and its exit code.
 func command(t *testing.T, url string, args ...string) (string, int) {
 	t.Helper()
-	root := &cobra.Command{Use: "barleysail", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(operators()...)
+	root := newRootCommand()
 	var out bytes.Buffer
 	root.SetOut(&out)
-	if args[0] != "diff" {
+	if url != "" && args[0] != "diff" {
 		args = append(args, "--steward", url)
 	}
 	root.SetArgs(args)
-	err := root.ExecuteContext(context.Background())
-	var coded *exitError
-	switch {
-	case errors.As(err, &coded):
-		return out.String() + err.Error(), coded.code
-	case err != nil:
-		return out.String() + err.Error(), 1
+	if err := root.ExecuteContext(context.Background()); err != nil {
+		return out.String() + err.Error(), exitCode(err)
 	}
 	return out.String(), 0
 }
