--- /dev/null
+++ b/cmd/barleysail/controller_client.go
@@ -0,0 +1,214 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"os"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"barleysail/controller"
+)
+
+const (
+	controllerFlag       = "steward"            // the flag that names the controller
+	controllerEnv        = "BARLEYSAIL_STEWARD" // names the controller where the flag is not given
+	defaultControllerURL = "http://127.0.0.1:7070"
+
+	requestTimeout   = 90 * time.Second // above the longest wait that a command asks for, followWaitSeconds
+	maxResponseBytes = 64 << 20
+)
+
+// controllerClient calls the HTTP API of a running controller.
+type controllerClient struct {
+	baseURL    string
+	httpClient *http.Client
+}
+
+// addControllerFlag gives a command the flag that names the controller it calls.
+func addControllerFlag(cmd *cobra.Command) {
+	address := os.Getenv(controllerEnv)
+	if address == "" {
+		address = defaultControllerURL
+	}
+	cmd.Flags().String(controllerFlag, address, "the controller's URL, by default from the environment's "+controllerEnv)
+}
+
+// clientFromFlag returns a client of the controller that the command's flag names.
+func clientFromFlag(cmd *cobra.Command) (*controllerClient, error) {
+	address, err := cmd.Flags().GetString(controllerFlag)
+	if err != nil {
+		return nil, err
+	}
+	return newControllerClient(address), nil
+}
+
+// newControllerClient returns a client of the controller at a URL; without a scheme it is http.
+func newControllerClient(address string) *controllerClient {
+	if !strings.Contains(address, "://") {
+		address = "http://" + address
+	}
+	httpClient := &http.Client{Timeout: requestTimeout}
+	if strings.HasPrefix(address, "https://") {
+		httpClient.Transport = newIdentityTransport()
+	}
+	return &controllerClient{baseURL: strings.TrimRight(address, "/"), httpClient: httpClient}
+}
+
+// apiError is an error response of the controller, a problem document of RFC 9457.
+type apiError struct {
+	Status int    `json:"status"`
+	Detail string `json:"detail"`
+	Field  string `json:"field"` // the setting or parameter that is wrong; empty: none in particular
+}
+
+func (e *apiError) Error() string {
+	if e.Field != "" {
+		return e.Field + ": " + e.Detail
+	}
+	return e.Detail
+}
+
+// apiRequest is a call of the controller's API.
+type apiRequest struct {
+	method string
+	path   string
+	header http.Header
+	body   any // encoded as JSON; nil: none
+}
+
+// get calls a resource and decodes the response.
+func (c *controllerClient) get(ctx context.Context, path string, response any) error {
+	return c.call(ctx, apiRequest{method: http.MethodGet, path: path}, response)
+}
+
+// post sends a body to a resource and decodes the response.
+func (c *controllerClient) post(ctx context.Context, path string, body, response any) error {
+	return c.call(ctx, apiRequest{method: http.MethodPost, path: path, body: body}, response)
+}
+
+// call makes a request and decodes the JSON of the response. An error response is an *apiError; one that refuses the
+// request carries the exit code exitRefused, a controller that cannot be reached carries exitUnreachable.
+func (c *controllerClient) call(ctx context.Context, request apiRequest, response any) error {
+	httpRequest, err := c.newHTTPRequest(ctx, request)
+	if err != nil {
+		return fmt.Errorf("calling the controller: %w", err)
+	}
+	httpResponse, err := c.httpClient.Do(httpRequest)
+	if err != nil {
+		return &exitError{exitUnreachable, fmt.Errorf("calling the controller: %w", err)}
+	}
+	text, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
+	if err = errors.Join(err, httpResponse.Body.Close()); err != nil {
+		return &exitError{exitUnreachable, fmt.Errorf("reading the controller's response: %w", err)}
+	}
+	if httpResponse.StatusCode >= http.StatusMultipleChoices {
+		return responseError(httpResponse.StatusCode, text)
+	}
+	if err := json.Unmarshal(text, response); err != nil {
+		return fmt.Errorf("reading the controller's response: %w", err)
+	}
+	return nil
+}
+
+func (c *controllerClient) newHTTPRequest(ctx context.Context, request apiRequest) (*http.Request, error) {
+	var body io.Reader
+	if request.body != nil {
+		text, err := json.Marshal(request.body)
+		if err != nil {
+			return nil, fmt.Errorf("encoding the request: %w", err)
+		}
+		body = bytes.NewReader(text)
+	}
+	httpRequest, err := http.NewRequestWithContext(ctx, request.method, c.baseURL+request.path, body)
+	if err != nil {
+		return nil, err
+	}
+	if request.header != nil {
+		httpRequest.Header = request.header
+	}
+	if body != nil {
+		httpRequest.Header.Set("Content-Type", "application/json")
+	}
+	return httpRequest, nil
+}
+
+// responseError returns the error that a response reports. A body that is no problem document is the detail itself.
+func responseError(status int, body []byte) error {
+	failure := &apiError{}
+	if err := json.Unmarshal(body, failure); err != nil {
+		failure = &apiError{}
+	}
+	if failure.Detail == "" {
+		failure.Detail = string(bytes.TrimSpace(body))
+	}
+	failure.Status = status
+	if status == http.StatusConflict {
+		return &exitError{exitRefused, fmt.Errorf("refused: %w", failure)}
+	}
+	return failure
+}
+
+// hosts returns the hosts of the endpoint list.
+func (c *controllerClient) hosts(ctx context.Context) ([]controller.HostInfo, error) {
+	var response struct{ Hosts []controller.HostInfo }
+	err := c.get(ctx, "/v1/hosts", &response)
+	return response.Hosts, err
+}
+
+// host returns one host.
+func (c *controllerClient) host(ctx context.Context, name string) (host controller.HostInfo, err error) {
+	err = c.get(ctx, "/v1/hosts/"+url.PathEscape(name), &host)
+	return host, err
+}
+
+// proxies returns the connected proxies.
+func (c *controllerClient) proxies(ctx context.Context) ([]controller.ProxyInfo, error) {
+	var response struct{ Proxies []controller.ProxyInfo }
+	err := c.get(ctx, "/v1/proxies", &response)
+	return response.Proxies, err
+}
+
+// events returns the events after a number. Where there is none yet the controller waits for one, so many seconds at
+// most.
+func (c *controllerClient) events(ctx context.Context, after int64, waitSeconds int) ([]controller.Event, error) {
+	var response struct{ Events []controller.Event }
+	err := c.call(ctx, apiRequest{
+		method: http.MethodGet,
+		path:   fmt.Sprintf("/v1/events?after=%d", after),
+		header: http.Header{"Prefer": {fmt.Sprintf("wait=%d", waitSeconds)}},
+	}, &response)
+	return response.Events, err
+}
+
+// status returns the controller's own state.
+func (c *controllerClient) status(ctx context.Context) (status controller.Status, err error) {
+	err = c.get(ctx, "/v1/status", &status)
+	return status, err
+}
+
+// routingTable is a proxy's table for one request class.
+type routingTable struct {
+	Hosts       map[string]float64 `json:"hosts"` // weights by host
+	Share       float64            `json:"share"` // admitted share of the requests
+	MaxAttempts int                `json:"tries"`
+}
+
+// proxyTables are the tables that a proxy holds, by request class.
+type proxyTables struct {
+	Tables map[string]routingTable `json:"tables"`
+}
+
+// tables returns the tables that a proxy holds.
+func (c *controllerClient) tables(ctx context.Context, proxy string) (tables proxyTables, err error) {
+	err = c.get(ctx, "/v1/proxies/"+url.PathEscape(proxy)+"/holds", &tables)
+	return tables, err
+}
--- /dev/null
+++ b/cmd/barleysail/describe.go
@@ -0,0 +1,81 @@
+package main
+
+import (
+	"fmt"
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"barleysail/controller"
+)
+
+func describeCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "describe host NAME",
+		Short: "Explain the weight of a host",
+		Args:  cobra.ExactArgs(2),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if args[0] != "host" {
+				return fmt.Errorf("describe %s: hosts can be described", args[0])
+			}
+			client, err := clientFromFlag(cmd)
+			if err != nil {
+				return err
+			}
+			host, err := client.host(cmd.Context(), args[1])
+			if err != nil {
+				return err
+			}
+			return describeHost(cmd.OutOrStdout(), host)
+		},
+	}
+}
+
+// describeHost prints what the weight of a host follows from, and its last changes.
+func describeHost(out io.Writer, host controller.HostInfo) error {
+	p := newPrinter(out)
+	p.printf("%s of zone %s is %s\n", host.Host, host.Zone, hostState(host))
+	if host.Operator != nil {
+		p.printf("operator      %s\n", formatOverride(host.Operator))
+	}
+	describeWeight(p, host)
+	describeHealth(p, host)
+	for _, change := range host.Moves {
+		p.printf("%s  weight %s to %s; rate %s, R %s ms, cap %s\n", formatTime(change.At), formatNumber(change.From),
+			formatNumber(change.To), formatNumber(change.Rate), formatNumber(change.R), formatNumber(change.Cap))
+	}
+	return p.flush()
+}
+
+func describeWeight(p *printer, host controller.HostInfo) {
+	why := host.Why
+	p.printf("weight        %s told to proxies, %s wanted; moves have put it at %s, listed is %s\n",
+		formatNumber(host.Weight), formatNumber(why.TargetWeight), formatNumber(why.Weight), formatNumber(host.Listed))
+	p.printf("load          rate %s a second, R %s ms (median of all %s ms)\n",
+		formatNumber(why.ArrivalRate), formatNumber(why.MeanLatencyMs), formatNumber(why.MedianLatencyMs))
+	headroom := why.Capacity - why.ArrivalRate
+	word := "room"
+	if headroom < 0 {
+		word = "excess"
+		headroom = -headroom
+	}
+	p.printf("cap           mu %s - K %s = %s a second; %s %s\n", formatNumber(why.ServiceRate),
+		formatNumber(why.LatencyMargin), formatNumber(why.Capacity), word, formatNumber(headroom))
+}
+
+func describeHealth(p *printer, host controller.HostInfo) {
+	why := host.Why
+	p.printf("reported      busy %s, queue %s\n", formatNumber(why.Load.Utilization), formatNumber(why.Load.QueueLength))
+	p.printf("tries lately  %s fulfilled, %s failed\n", formatNumber(why.Successes), formatNumber(why.Failures))
+	p.printf("probes        %d in a row answered, %d not; withdrawn: %v\n",
+		why.ConsecutiveSuccesses, why.ConsecutiveFailures, why.Ejected)
+	if why.SlowStartFactor < 1 {
+		p.printf("cold          %.0f%% of its capacity now\n", 100*why.SlowStartFactor)
+	}
+	if why.RecoveryFactor < 1 {
+		p.printf("on trial      %.0f%% of its weight\n", 100*why.RecoveryFactor)
+	}
+	if !why.Balanced {
+		p.println("it takes no part in moves now")
+	}
+}
--- /dev/null
+++ b/cmd/barleysail/get.go
@@ -0,0 +1,244 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+
+	"github.com/spf13/cobra"
+
+	"barleysail/controller"
+)
+
+// Resources of "get".
+const (
+	resourceHosts   = "hosts"
+	resourceProxies = "proxies"
+	resourceTables  = "tables"
+	resourceEvents  = "events"
+	resourceStatus  = "status"
+)
+
+func getCommand() *cobra.Command {
+	var format, proxy string
+	cmd := &cobra.Command{
+		Use:       "get hosts|proxies|tables|events|status",
+		Short:     "Print the state of a running controller",
+		Args:      cobra.ExactArgs(1),
+		ValidArgs: []string{resourceHosts, resourceProxies, resourceTables, resourceEvents, resourceStatus},
+		RunE: func(cmd *cobra.Command, args []string) error {
+			client, err := clientFromFlag(cmd)
+			if err != nil {
+				return err
+			}
+			result, err := getResource(cmd.Context(), client, args[0], proxy)
+			if err != nil {
+				return err
+			}
+			return result.print(cmd.OutOrStdout(), format)
+		},
+	}
+	cmd.Flags().StringVarP(&format, "output", "o", formatTable, "output format: table, json or csv")
+	cmd.Flags().StringVar(&proxy, "proxy", "", "print the tables of this proxy alone")
+	return cmd
+}
+
+// getResource queries a resource by its name on the command line. The proxy limits tables to one proxy; empty: all.
+func getResource(ctx context.Context, client *controllerClient, resource, proxy string) (*resultTable, error) {
+	switch resource {
+	case resourceHosts:
+		return getHosts(ctx, client)
+	case resourceProxies:
+		return getProxies(ctx, client)
+	case resourceTables:
+		return getTables(ctx, client, proxy)
+	case resourceEvents:
+		return getEvents(ctx, client)
+	case resourceStatus:
+		return getStatus(ctx, client)
+	}
+	return nil, fmt.Errorf("get %s: hosts, proxies, tables, events and status are known", resource)
+}
+
+func getHosts(ctx context.Context, client *controllerClient) (*resultTable, error) {
+	hosts, err := client.hosts(ctx)
+	if err != nil {
+		return nil, err
+	}
+	result := &resultTable{
+		header:   []string{"host", "zone", "state", "listed", "weight", "rate", "r_ms", "cap", "util", "operator"},
+		document: hosts,
+	}
+	for _, host := range hosts {
+		result.rows = append(result.rows, []string{
+			host.Host,
+			host.Zone,
+			hostState(host),
+			formatNumber(host.Listed),
+			formatNumber(host.Weight),
+			formatNumber(host.Why.ArrivalRate),
+			formatNumber(host.Why.MeanLatencyMs),
+			formatNumber(host.Why.Capacity),
+			formatNumber(host.Why.Load.Utilization),
+			formatOverride(host.Operator),
+		})
+	}
+	return result, nil
+}
+
+func getProxies(ctx context.Context, client *controllerClient) (*resultTable, error) {
+	proxies, err := client.proxies(ctx)
+	if err != nil {
+		return nil, err
+	}
+	result := &resultTable{
+		header:   []string{"proxy", "zone", "tag", "acked", "held", "rate", "lines_waiting"},
+		document: proxies,
+	}
+	for _, proxy := range proxies {
+		result.rows = append(result.rows, []string{
+			proxy.Proxy,
+			proxy.Zone,
+			proxy.Tag,
+			strconv.FormatBool(proxy.Acked),
+			strconv.FormatBool(proxy.Held),
+			formatNumber(totalRate(proxy)),
+			formatNumber(proxy.Waiting),
+		})
+	}
+	return result, nil
+}
+
+// totalRate returns a proxy's requests a second, of all request classes.
+func totalRate(proxy controller.ProxyInfo) float64 {
+	total := 0.0
+	for _, rate := range proxy.Rates {
+		total += rate
+	}
+	return total
+}
+
+// getTables queries the tables of one proxy, or of all with the empty name.
+func getTables(ctx context.Context, client *controllerClient, proxy string) (*resultTable, error) {
+	names, err := proxyNames(ctx, client, proxy)
+	if err != nil {
+		return nil, err
+	}
+	document := map[string]proxyTables{}
+	result := &resultTable{
+		header:   []string{"proxy", "class", "host", "weight", "share", "tries"},
+		document: document,
+	}
+	for _, name := range names {
+		tables, err := client.tables(ctx, name)
+		if err != nil {
+			return nil, err
+		}
+		document[name] = tables
+		for _, class := range slices.Sorted(maps.Keys(tables.Tables)) {
+			result.rows = append(result.rows, tableRows(name, class, tables.Tables[class])...)
+		}
+	}
+	return result, nil
+}
+
+// proxyNames returns the one name given, or the names of all connected proxies.
+func proxyNames(ctx context.Context, client *controllerClient, proxy string) ([]string, error) {
+	if proxy != "" {
+		return []string{proxy}, nil
+	}
+	proxies, err := client.proxies(ctx)
+	if err != nil {
+		return nil, err
+	}
+	var names []string
+	for _, proxy := range proxies {
+		names = append(names, proxy.Proxy)
+	}
+	return names, nil
+}
+
+func tableRows(proxy, class string, table routingTable) [][]string {
+	var rows [][]string
+	for _, host := range slices.Sorted(maps.Keys(table.Hosts)) {
+		weight := formatNumber(table.Hosts[host])
+		share := formatNumber(table.Share)
+		rows = append(rows, []string{proxy, class, host, weight, share, strconv.Itoa(table.MaxAttempts)})
+	}
+	return rows
+}
+
+func getEvents(ctx context.Context, client *controllerClient) (*resultTable, error) {
+	events, err := client.events(ctx, 0, 0)
+	if err != nil {
+		return nil, err
+	}
+	result := &resultTable{header: []string{"number", "at", "kind", "text"}, document: events}
+	for _, event := range events {
+		number := strconv.FormatInt(event.Number, 10)
+		result.rows = append(result.rows, []string{number, formatTime(event.At), event.Kind, event.Text})
+	}
+	return result, nil
+}
+
+// getStatus queries the status as a bare document, to print the fields of newer controllers too.
+func getStatus(ctx context.Context, client *controllerClient) (*resultTable, error) {
+	var status map[string]any
+	if err := client.get(ctx, "/v1/status", &status); err != nil {
+		return nil, err
+	}
+	result := &resultTable{header: []string{"field", "value"}, document: status}
+	for _, field := range slices.Sorted(maps.Keys(status)) {
+		value, err := json.Marshal(status[field])
+		if err != nil {
+			return nil, fmt.Errorf("status field %s: %w", field, err)
+		}
+		result.rows = append(result.rows, []string{field, string(value)})
+	}
+	return result, nil
+}
+
+// Words for host states that the endpoint list does not have. Scripts read them.
+const (
+	stateEjected   = "withdrawn"
+	stateSlowStart = "cold"
+	phaseReady     = "ready"
+)
+
+// hostState returns the state of a host as the commands print it: ejected, in slow start, or its state on the list.
+func hostState(host controller.HostInfo) string {
+	if host.Withdrawn {
+		return stateEjected
+	}
+	if host.Phase == phaseReady && host.Why.SlowStartFactor < 1 {
+		return stateSlowStart
+	}
+	return host.Phase
+}
+
+// formatOverride describes the override that an operator set on a host; empty: none.
+func formatOverride(override *controller.OverrideInfo) string {
+	if override == nil {
+		return ""
+	}
+	text := override.State
+	if override.Waiting {
+		text += " (waits)"
+	}
+	if override.Weight > 0 {
+		text += " weight " + formatNumber(override.Weight)
+	}
+	if override.Part > 0 {
+		text += " weight x" + formatNumber(override.Part)
+	}
+	if override.Added {
+		text += " added"
+	}
+	if override.By != "" {
+		text += " by " + override.By
+	}
+	return text
+}
--- a/cmd/barleysail/guard.go
+++ b/cmd/barleysail/guard.go
@@ -29,7 +29,7 @@
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error { return guardCheck(c, args[0], zone) }}
 	check.Flags().StringVar(&zone, "zone", "", "for the proxies of one zone; without it, for all")
-	withSteward(check)
+	addControllerFlag(check)
 	days := &cobra.Command{Use: "days DAY...", Short: "What the guard would have found on recorded days",
 		Long: "Replays stewards' recordings with the guard looking on but changing nothing, and counts what it finds by check.",
 		Args: cobra.MinimumNArgs(1),
@@ -51,7 +51,11 @@
 		doc["zone"] = zone
 	}
 	var a controller.ValidationResult
-	if err := stewardURL(c).do(c.Context(), "POST", "/v1/guard/check", doc, &a); err != nil {
+	client, err := clientFromFlag(c)
+	if err != nil {
+		return err
+	}
+	if err := client.post(c.Context(), "/v1/guard/check", doc, &a); err != nil {
 		return err
 	}
 	out := c.OutOrStdout()
--- /dev/null
+++ b/cmd/barleysail/identity_transport.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"context"
+	"crypto/tls"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+
+	"github.com/spiffe/go-spiffe/v2/spiffeid"
+
+	"barleysail/internal/identity"
+)
+
+const (
+	workloadAPIEnv  = "BARLEYSAIL_WORKLOAD_API" // address of the SPIFFE Workload API's socket
+	controllerIDEnv = "BARLEYSAIL_STEWARD_ID"   // SPIFFE ID that the controller has to have
+
+	identityTimeout = 5 * time.Second // of waiting for the Workload API's first identity
+)
+
+var errIdentityEnvironment = errors.New("for https, " + workloadAPIEnv + " has to name the Workload API's socket and " +
+	controllerIDEnv + " the controller's SPIFFE ID")
+
+// identityDialer dials a controller over mutual TLS: it proves the operator's identity, and verifies that the controller
+// has the SPIFFE ID that the environment names. The identity is fetched on the first connection and kept until the
+// program ends.
+type identityDialer struct {
+	once      sync.Once
+	tlsConfig *tls.Config
+	err       error // why there is no identity
+}
+
+// newIdentityTransport returns an HTTP transport whose connections are made by an identityDialer.
+func newIdentityTransport() *http.Transport {
+	dialer := &identityDialer{}
+	return &http.Transport{DialTLSContext: dialer.dial}
+}
+
+func (d *identityDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	d.once.Do(func() { d.tlsConfig, d.err = fetchIdentity() })
+	if d.err != nil {
+		return nil, d.err
+	}
+	return (&tls.Dialer{Config: d.tlsConfig}).DialContext(ctx, network, address)
+}
+
+// fetchIdentity fetches the operator's identity from the Workload API. It has a context of its own, because the identity
+// outlives the request that needs it first.
+func fetchIdentity() (*tls.Config, error) {
+	workloadAPI := os.Getenv(workloadAPIEnv)
+	controllerID := os.Getenv(controllerIDEnv)
+	if workloadAPI == "" || controllerID == "" {
+		return nil, errIdentityEnvironment
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), identityTimeout)
+	defer cancel()
+	source, err := identity.Open(ctx, workloadAPI)
+	if err != nil {
+		return nil, err
+	}
+	return source.Client(func(id spiffeid.ID) error {
+		if id.String() != controllerID {
+			return fmt.Errorf("it is %s, not %s", id, controllerID)
+		}
+		return nil
+	}), nil
+}
--- a/cmd/barleysail/main.go
+++ b/cmd/barleysail/main.go
@@ -31,10 +31,23 @@
 	root.AddCommand(
 		runCommand(), nodeCommand(), rehearseCommand(), replayCommand(), daysCommand(), solveCommand(), planCommand(),
 		stateCommand(), authCommand(), configCommand(), versionCommand())
-	root.AddCommand(operators()...)
+	root.AddCommand(controllerCommands()...)
+	root.AddCommand(diffCommand(), guardCommand())
 	return root
 }
 
+// controllerCommands are the commands that call one running controller, named by a flag.
+func controllerCommands() []*cobra.Command {
+	commands := []*cobra.Command{
+		getCommand(), describeCommand(), eventsCommand(), topCommand(),
+		drainCommand(), maintCommand(), readyCommand(), weightCommand(),
+	}
+	for _, cmd := range commands {
+		addControllerFlag(cmd)
+	}
+	return commands
+}
+
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
--- /dev/null
+++ b/cmd/barleysail/override.go
@@ -0,0 +1,152 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"net/url"
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+)
+
+// Override states as the controller's API spells them.
+const (
+	overrideDrain = "drain"
+	overrideMaint = "maint"
+	overrideReady = "ready"
+)
+
+const zonePrefix = "zone=" // in place of a host, names all hosts of a zone
+
+var errWeightMissing = errors.New("a weight, a part in percent, or --clear is needed")
+
+// overrideRequest sets or ends an operator's override of a host, or of all hosts of a zone. Its fields are those of the
+// controller's API.
+type overrideRequest struct {
+	By     string   `json:"by"`
+	Clear  bool     `json:"clear,omitempty"`  // the weight of the endpoint list again
+	ForMs  float64  `json:"for_ms"`           // the override ends after it; 0: never
+	Part   *float64 `json:"part,omitempty"`   // factor of the listed weight
+	State  string   `json:"state,omitempty"`  // empty: unchanged
+	Wait   bool     `json:"wait"`             // queue it where it cannot be done at once
+	Weight *float64 `json:"weight,omitempty"` // in place of the listed weight
+}
+
+// overrideResponse is the controller's response to an overrideRequest.
+type overrideResponse struct {
+	Hosts int
+	Waits bool // the override is queued
+}
+
+// overrideFlags are the flags of all commands that set overrides.
+type overrideFlags struct {
+	duration time.Duration
+	wait     bool
+	by       string
+}
+
+func (f *overrideFlags) register(cmd *cobra.Command) {
+	cmd.Flags().DurationVar(&f.duration, "for", 0, "end the override after this time, as in 10m")
+	cmd.Flags().BoolVar(&f.wait, "wait", false, "queue the override where it cannot be done at once, in place of an error")
+	cmd.Flags().StringVar(&f.by, "by", os.Getenv("USER"), "name of the operator")
+}
+
+func (f *overrideFlags) request() overrideRequest {
+	return overrideRequest{By: f.by, ForMs: f.duration.Seconds() * 1000, Wait: f.wait}
+}
+
+func drainCommand() *cobra.Command {
+	return overrideCommand("drain HOST|zone=ZONE", "Drain a host, or the hosts of a zone one after the other", overrideDrain)
+}
+
+func maintCommand() *cobra.Command {
+	return overrideCommand("maint HOST|zone=ZONE", "Remove a host from the endpoint list for maintenance", overrideMaint)
+}
+
+func readyCommand() *cobra.Command {
+	return overrideCommand("ready HOST|zone=ZONE", "End the overrides of a host", overrideReady)
+}
+
+// overrideCommand is a command that sets the state of hosts.
+func overrideCommand(use, short, state string) *cobra.Command {
+	var flags overrideFlags
+	cmd := &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			request := flags.request()
+			request.State = state
+			return postOverride(cmd, args[0], request)
+		},
+	}
+	flags.register(cmd)
+	return cmd
+}
+
+func weightCommand() *cobra.Command {
+	var flags overrideFlags
+	var clearWeight bool
+	cmd := &cobra.Command{
+		Use:   "weight HOST [WEIGHT|PART%]",
+		Short: "Override the listed weight of a host",
+		Args:  cobra.RangeArgs(1, 2),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			request := flags.request()
+			switch {
+			case len(args) == 2:
+				if err := request.setWeight(args[1]); err != nil {
+					return err
+				}
+			case clearWeight:
+				request.Clear = true
+			default:
+				return errWeightMissing
+			}
+			return postOverride(cmd, args[0], request)
+		},
+	}
+	flags.register(cmd)
+	cmd.Flags().BoolVar(&clearWeight, "clear", false, "return to the listed weight")
+	return cmd
+}
+
+// setWeight reads a weight, or with a percent sign a factor of the listed weight.
+func (r *overrideRequest) setWeight(text string) error {
+	digits, percent := strings.CutSuffix(text, "%")
+	number, err := strconv.ParseFloat(digits, 64)
+	if err != nil {
+		return fmt.Errorf("%q is no weight: %w", text, err)
+	}
+	if percent {
+		factor := number / 100
+		r.Part = &factor
+		return nil
+	}
+	r.Weight = &number
+	return nil
+}
+
+// postOverride sends an override for a host, or for a zone named by zonePrefix, and prints what became of it.
+func postOverride(cmd *cobra.Command, target string, request overrideRequest) error {
+	client, err := clientFromFlag(cmd)
+	if err != nil {
+		return err
+	}
+	path := "/v1/hosts/" + url.PathEscape(target) + "/operator"
+	if zone, ok := strings.CutPrefix(target, zonePrefix); ok {
+		path = "/v1/zones/" + url.PathEscape(zone) + "/operator"
+	}
+	var response overrideResponse
+	if err := client.post(cmd.Context(), path, request, &response); err != nil {
+		return err
+	}
+	outcome := "done"
+	if response.Waits {
+		outcome = "waits for its turn"
+	}
+	return printLine(cmd, "%d of host: %s", response.Hosts, outcome)
+}
--- a/cmd/barleysail/replay.go
+++ b/cmd/barleysail/replay.go
@@ -52,10 +52,6 @@
 	}
 }
 
-func clockTime(ms float64) string {
-	return time.UnixMicro(int64(ms * 1000)).UTC().Format("2006-01-02 15:04:05.000")
-}
-
 func replayCommand() *cobra.Command {
 	w := &whatIf{}
 	c := &cobra.Command{Use: "replay DAY...", Short: "Replay recorded days, with their own setting or with another",
@@ -196,7 +192,7 @@
 		}
 		last = r.At
 	}
-	fmt.Fprintf(w, "%s\t%s\t%.1f s\t%d\t%d\t%s\t%s\n", filepath.Base(name), clockTime(first), (last-first)/1000, n, info.Size(),
+	fmt.Fprintf(w, "%s\t%s\t%.1f s\t%d\t%d\t%s\t%s\n", filepath.Base(name), formatTime(first), (last-first)/1000, n, info.Size(),
 		program, recordingState(d))
 	return nil
 }
@@ -266,7 +262,7 @@
 
 func show(out io.Writer, s *replay.Summary) {
 	fmt.Fprintf(out, "from %s, %.1f s, steward %s of version %s\n%d records; at most %d proxies joined and %d hosts listed\n\n",
-		clockTime(s.From), (s.To-s.From)/1000, s.Start.Life, s.Start.Program, s.Records, s.Proxies, s.Hosts)
+		formatTime(s.From), (s.To-s.From)/1000, s.Start.Life, s.Start.Program, s.Records, s.Proxies, s.Hosts)
 	w := tabwriter.NewWriter(out, 2, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "from s\tcame\tunanswered\ttries\tfailed\tmessages\tjoined\tleft\tprobes answered\tnot\t")
 	for _, x := range s.Spans {
--- a/cmd/barleysail/solve.go
+++ b/cmd/barleysail/solve.go
@@ -59,7 +59,7 @@
 		return p, err
 	}
 	p := &solver.Problem{}
-	if err := newRemote(from).do(ctx, "GET", "/v1/fleet", nil, p); err != nil {
+	if err := newControllerClient(from).get(ctx, "/v1/fleet", p); err != nil {
 		return nil, err
 	}
 	return p, nil
--- a/cmd/barleysail/state.go
+++ b/cmd/barleysail/state.go
@@ -78,7 +78,7 @@
 	s, now := f.State, nowMs()
 	r := state.ApplyDecay(s, now, state.DefaultLimits(cold))
 	fmt.Fprintf(out, "life %s of program %s, format %d.%d, generation %d and %d changes, %d bytes\n", s.Life, s.Program, s.Major, s.Minor, f.Generation, f.Changes, proto.Size(s))
-	fmt.Fprintf(out, "true at %s, %.1f s ago\n", clockTime(s.At), (now-s.At)/1000)
+	fmt.Fprintf(out, "true at %s, %.1f s ago\n", formatTime(s.At), (now-s.At)/1000)
 	for _, n := range f.Warnings {
 		fmt.Fprintln(out, "left out:", n)
 	}
--- a/cmd/barleysail/top_test.go
+++ b/cmd/barleysail/top_test.go
@@ -35,7 +35,7 @@
 		state.events = append(state.events, controller.Event{Number: int64(i + 1), At: float64(i) * 1000, Kind: "mode", Text: fmt.Sprint("event ", i+1, strings.Repeat(" long", 20))})
 	}
 	asked := 0
-	var m tea.Model = top{every: time.Second, width: 80, height: 12, fetch: func(topState) topState { asked++; return state }}
+	var m tea.Model = topModel{interval: time.Second, width: 80, height: 12, fetch: func(topState) topState { asked++; return state }}
 	var out strings.Builder
 	frame := func(what string) {
 		fmt.Fprintf(&out, "--- %s\n%s\n", what, m.View())
@@ -65,7 +65,7 @@
 		key(k)
 	}
 	state.err = errors.New("asking the steward: connection refused")
-	m, _ = m.Update(m.(top).ask()())
+	m, _ = m.Update(m.(topModel).query()())
 	frame("the steward is gone")
 	m, _ = m.Update(tea.WindowSizeMsg{Width: 40, Height: 8})
 	frame("a small terminal")
--- /dev/null
+++ b/cmd/barleysail/top_view.go
@@ -0,0 +1,129 @@
+package main
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+
+	"barleysail/controller"
+)
+
+const (
+	loadBarScale  = 8 // marks of the load bar at full load
+	loadBarLength = 9 // marks at most
+)
+
+// View draws the screen; no line is longer than the terminal is wide.
+func (m topModel) View() string {
+	lines := m.headLines()
+	heads, rows := m.table()
+	lines = append(lines, heads)
+	first := min(m.firstRow, len(rows))
+	last := min(first+m.visibleRows(), len(rows))
+	lines = append(lines, rows[first:last]...)
+	if further := len(rows) - first - m.visibleRows(); further > 0 {
+		lines = append(lines, fmt.Sprintf("%d more", further))
+	}
+	for i, line := range lines {
+		lines[i] = m.clip(line)
+	}
+	return strings.Join(lines, "\n")
+}
+
+// headLines are the lines above the table: the controller's status, its mode or the error, and the views.
+func (m topModel) headLines() []string {
+	status := m.state.status
+	second := "mode: " + status.Mode
+	if m.state.err != nil {
+		second = "NOT REACHED: " + m.state.err.Error()
+	}
+	return []string{
+		fmt.Sprintf("barleysail %s  %d hosts  %d proxies  %d polls  %.0f lines waiting",
+			status.Life, status.Hosts, status.Joined, status.Polls, status.LinesWaiting),
+		second,
+		m.viewNames() + "   s: order  q: end",
+	}
+}
+
+// viewNames lists the views, the present one in brackets.
+func (m topModel) viewNames() string {
+	names := []string{"1 hosts", "2 proxies", "3 events"}
+	names[m.view] = "[" + names[m.view] + "]"
+	return strings.Join(names, "  ")
+}
+
+// clip cuts a line to the width of the terminal.
+func (m topModel) clip(line string) string {
+	runes := []rune(line)
+	if m.width <= 0 || len(runes) <= m.width {
+		return line
+	}
+	return string(runes[:m.width-1]) + "~"
+}
+
+// table returns the column heads and the rows of the present view.
+func (m topModel) table() (heads string, rows []string) {
+	switch m.view {
+	case proxiesView:
+		return m.proxiesTable()
+	case eventsView:
+		return m.eventsTable()
+	}
+	return m.hostsTable()
+}
+
+func (m topModel) hostsTable() (heads string, rows []string) {
+	hosts := slices.Clone(m.state.hosts)
+	if !m.byName {
+		slices.SortStableFunc(hosts, func(one, other controller.HostInfo) int {
+			switch {
+			case hostLoad(one) > hostLoad(other):
+				return -1
+			case hostLoad(one) < hostLoad(other):
+				return 1
+			}
+			return 0
+		})
+	}
+	for _, host := range hosts {
+		rows = append(rows, hostRow(host))
+	}
+	heads = fmt.Sprintf("%-21s %-7s %-9s %6s %7s %7s  %-12s", "host", "zone", "state", "weight", "rate/s", "cap", "load")
+	return heads, rows
+}
+
+func hostRow(host controller.HostInfo) string {
+	load := hostLoad(host)
+	bar := strings.Repeat("#", min(int(math.Round(load*loadBarScale)), loadBarLength))
+	override := ""
+	if host.Operator != nil {
+		override = " " + host.Operator.State
+	}
+	return fmt.Sprintf("%-21s %-7s %-9s %6.2f %7.1f %7.1f  %-9s%3.0f%%%s", host.Host, host.Zone, hostState(host),
+		host.Weight, host.Why.ArrivalRate, host.Why.Capacity, bar, 100*load, override)
+}
+
+// hostLoad is a host's rate as a part of its capacity; 0 where no capacity is known.
+func hostLoad(host controller.HostInfo) float64 {
+	if host.Why.Capacity <= 0 {
+		return 0
+	}
+	return host.Why.ArrivalRate / host.Why.Capacity
+}
+
+func (m topModel) proxiesTable() (heads string, rows []string) {
+	for _, proxy := range m.state.proxies {
+		rows = append(rows, fmt.Sprintf("%-24s %-10s %8.1f %8.0f %6v",
+			proxy.Proxy, proxy.Zone, totalRate(proxy), proxy.Waiting, proxy.Acked))
+	}
+	return fmt.Sprintf("%-24s %-10s %8s %8s %6s", "proxy", "zone", "rate/s", "waiting", "acked"), rows
+}
+
+// eventsTable shows the newest event first.
+func (m topModel) eventsTable() (heads string, rows []string) {
+	for _, event := range slices.Backward(m.state.events) {
+		rows = append(rows, fmt.Sprintf("%s  %-8s  %s", instant(event.At).Format("15:04:05"), event.Kind, event.Text))
+	}
+	return "time      kind      what", rows
+}
