--- /dev/null
+++ b/cmd/barleysail/compare.go
@@ -0,0 +1,195 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+
+	"google.golang.org/protobuf/encoding/prototext"
+	"google.golang.org/protobuf/proto"
+
+	"barleysail/controller"
+	"barleysail/internal/config"
+	"barleysail/internal/config/configpb"
+	"barleysail/internal/record/recordpb"
+	"barleysail/replay"
+	"barleysail/routing"
+)
+
+const (
+	changedConfig    = "the other setting" // names the changed configuration in error messages
+	maxOverrideDepth = 2                   // names in the path of a field: a message and its field
+	comparisonSeed   = 1                   // of the random draws of replay.Compare, for repeatable intervals
+)
+
+var errOverrideForm = errors.New("wanted is a field as in guard.grace_ms=2000")
+
+// settingsComparison replays recordings with the recorded settings and with others, and compares the outcomes.
+type settingsComparison struct {
+	overrides  []string // FIELD=VALUE, over the recorded or the other configuration
+	configFile string   // the other configuration; empty: the recorded one
+	plotFile   string   // empty: no plot
+	collapseMs float64  // overload after which a host in slow start counts as collapsed
+}
+
+// requested tells whether there are other settings to compare with.
+func (c *settingsComparison) requested() bool { return len(c.overrides) > 0 || c.configFile != "" }
+
+// run replays the recordings at the paths with both settings and prints how they differ.
+func (c *settingsComparison) run(out io.Writer, paths []string, asJSON bool) error {
+	names, err := findRecordings(paths)
+	if err != nil {
+		return err
+	}
+	recorded, err := firstRecordedConfig(names)
+	if err != nil {
+		return err
+	}
+	changed, err := c.change(recorded)
+	if err != nil {
+		return err
+	}
+	report, err := c.replayBoth(names, recorded, changed)
+	if err != nil {
+		return err
+	}
+	if c.plotFile != "" {
+		if err := plotComparison(c.plotFile, report.Recorded, report.Changed); err != nil {
+			return err
+		}
+	}
+	if asJSON {
+		return report.printJSON(out)
+	}
+	return report.print(out)
+}
+
+// replayBoth replays with both settings at once; each replay reads the recordings for itself.
+func (c *settingsComparison) replayBoth(names []string, recorded, changed *configpb.Config) (*comparisonReport, error) {
+	type result struct {
+		outcome *replay.Outcome
+		err     error
+	}
+	replayWith := func(setting replay.Setting) result {
+		recordings := &recordingSet{names: names}
+		defer recordings.close()
+		outcome, err := replay.Replay(recordings.sources, setting)
+		return result{outcome, err}
+	}
+	changedResult := make(chan result, 1)
+	go func() { changedResult <- replayWith(c.setting(changed, c.change)) }() // ends before this function does
+	one := replayWith(c.setting(recorded, unchanged))
+	other := <-changedResult
+	if one.err != nil {
+		return nil, one.err
+	}
+	if other.err != nil {
+		return nil, other.err
+	}
+	return &comparisonReport{
+		Comparison: replay.Compare(one.outcome, other.outcome, comparisonSeed),
+		Recorded:   one.outcome,
+		Changed:    other.outcome,
+	}, nil
+}
+
+// firstRecordedConfig returns the configuration of the first controller's recording.
+func firstRecordedConfig(names []string) (*configpb.Config, error) {
+	recordings := &recordingSet{names: names}
+	defer recordings.close()
+	sources, err := recordings.sources()
+	if err != nil {
+		return nil, err
+	}
+	for _, source := range sources {
+		first, err := source.Next()
+		if err == nil && first.GetStart() != nil { // damaged recordings are reported by the replay
+			return config.Parse(recordedConfig, []byte(first.GetStart().Config))
+		}
+	}
+	return nil, errNoControllerRecording
+}
+
+// configChange makes other settings of a configuration.
+type configChange func(*configpb.Config) (*configpb.Config, error)
+
+func unchanged(settings *configpb.Config) (*configpb.Config, error) { return settings, nil }
+
+// change makes the other settings of a recorded configuration.
+func (c *settingsComparison) change(recorded *configpb.Config) (*configpb.Config, error) {
+	settings := recorded
+	if c.configFile != "" {
+		other, err := config.Load(c.configFile)
+		if err != nil {
+			return nil, err
+		}
+		if !slices.Equal(other.Zones, recorded.Zones) || len(other.Classes) != len(recorded.Classes) {
+			return nil, fmt.Errorf("%s: zones and classes are not those of the recording", c.configFile)
+		}
+		other.List = recorded.List
+		settings = other
+	}
+	settings = proto.CloneOf(settings)
+	for _, override := range c.overrides {
+		if err := applyOverride(settings, override); err != nil {
+			return nil, fmt.Errorf("--set %s: %w", override, err)
+		}
+	}
+	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(settings)
+	if err != nil {
+		return nil, fmt.Errorf("encoding the other settings: %w", err)
+	}
+	return config.Parse(changedConfig, text)
+}
+
+// applyOverride sets one field of a configuration, given as MESSAGE.FIELD=VALUE or FIELD=VALUE.
+func applyOverride(settings *configpb.Config, override string) error {
+	path, value, found := strings.Cut(override, "=")
+	names := strings.Split(path, ".")
+	if !found || len(names) > maxOverrideDepth || strings.ContainsAny(path, "[]{} ") {
+		return errOverrideForm
+	}
+	text := names[len(names)-1] + ": " + value
+	if len(names) == maxOverrideDepth {
+		text = names[0] + " { " + text + " }"
+	}
+	part := &configpb.Config{}
+	if err := prototext.Unmarshal([]byte(text), part); err != nil {
+		return err
+	}
+	proto.Merge(settings, part)
+	return nil
+}
+
+// setting returns what a replay needs of a configuration. The change is applied to the configuration of each
+// controller's recording.
+func (c *settingsComparison) setting(settings *configpb.Config, change configChange) replay.Setting {
+	setting := replay.Setting{
+		Figures: config.Rules(settings, c.collapseMs),
+		Probes:  *settings.Probes.TimeoutMs,
+		Make: func(start *recordpb.Start) (*controller.Controller, error) {
+			recorded, err := config.Parse(recordedConfig, []byte(start.Config))
+			if err != nil {
+				return nil, err
+			}
+			changed, err := change(recorded)
+			if err != nil {
+				return nil, err
+			}
+			return config.Steward(config.Of(changed, start.Format), start.Life, start.Seed), nil
+		},
+	}
+	for _, class := range settings.Classes {
+		setting.Classes = append(setting.Classes, controller.RequestClass{
+			Name: class.Name,
+			RequestClass: routing.RequestClass{
+				LatencyObjectiveMs: *class.DueMs,
+				DeadlineMs:         *class.PatienceMs,
+				PriorityWeight:     *class.Earnings,
+			},
+		})
+	}
+	return setting
+}
--- /dev/null
+++ b/cmd/barleysail/compare_output.go
@@ -0,0 +1,136 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"math"
+
+	"barleysail/replay"
+)
+
+const maxModeChanges = 15 // printed of each replay; JSON has all
+
+// comparisonReport is the result of a settingsComparison, as JSON shows it.
+type comparisonReport struct {
+	Comparison *replay.Comparison `json:"comparison"`
+	Changed    *replay.Outcome    `json:"other"` // with the other settings
+	Recorded   *replay.Outcome    `json:"same"`  // with the recorded settings
+}
+
+func (r *comparisonReport) printJSON(out io.Writer) error {
+	clipEstimates(r.Comparison)
+	return printJSON(out, r)
+}
+
+// clipEstimates replaces infinite intervals, which JSON cannot hold, by the widest that a share can have.
+func clipEstimates(comparison *replay.Comparison) {
+	clip := func(estimate *replay.Estimate) {
+		estimate.Low = math.Max(estimate.Low, -1)
+		estimate.High = math.Min(estimate.High, 1)
+	}
+	clip(&comparison.All.Difference)
+	clip(&comparison.Model)
+	for i := range comparison.Classes {
+		clip(&comparison.Classes[i].Difference)
+	}
+}
+
+// formatEstimate writes a value with its 95% interval; "none" marks a value that does not differ from 0.
+func formatEstimate(estimate replay.Estimate) string {
+	mark := ""
+	if !estimate.Sure() {
+		mark = "  none"
+	}
+	return fmt.Sprintf("%+.4f (%+.4f to %+.4f)%s", estimate.Value, estimate.Low, estimate.High, mark)
+}
+
+func (r *comparisonReport) print(out io.Writer) error {
+	if err := r.printService(out); err != nil {
+		return err
+	}
+	p := newPrinter(out)
+	r.printModel(p)
+	if err := errors.Join(p.flush(), r.printInvariants(out)); err != nil {
+		return err
+	}
+	r.printDifferingWindows(p)
+	r.printClocks(p)
+	printModeChanges(p, "replayed", r.Recorded)
+	printModeChanges(p, "with the other setting", r.Changed)
+	return p.flush()
+}
+
+// printService prints the share of the priority weight that was served, in total and by request class.
+func (r *comparisonReport) printService(out io.Writer) error {
+	columns := newColumnPrinter(out)
+	columns.println("service\trecorded\treplayed\twith the other setting\tdifference (95 of 100)")
+	rows := append([]replay.ClassDifference{r.Comparison.All}, r.Comparison.Classes...)
+	for _, row := range rows {
+		columns.printf("%s\t%.4f\t%.4f\t%.4f\t%s\n", row.Class, row.Recorded, row.One, row.Other,
+			formatEstimate(row.Difference))
+	}
+	return columns.flush()
+}
+
+// printModel prints how far the replay's model of the hosts can be trusted.
+func (r *comparisonReport) printModel(p *printer) {
+	one := r.Recorded
+	other := r.Changed
+	p.printf("\nthe model, replayed less recorded: %s\n", formatEstimate(r.Comparison.Model))
+	p.printf("answers extrapolated, where nothing was seen of the host: %.1f%% and %.1f%%; taken as recorded: %d and %d\n",
+		percentage(one.Beyond, one.Tries), percentage(other.Beyond, other.Tries), one.AsSeen, other.AsSeen)
+	p.printf("messages to proxies: %d and %d; mean gap to the best tables: %.4f and %.4f\n\n",
+		r.Comparison.Messages[0], r.Comparison.Messages[1], one.MeanGap(), other.MeanGap())
+}
+
+// percentage returns a part of a total in percent; 0 of nothing is 0.
+func percentage(part, total int) float64 { return 100 * float64(part) / math.Max(float64(total), 1) }
+
+// printInvariants prints the margins by which both replays keep the invariants.
+func (r *comparisonReport) printInvariants(out io.Writer) error {
+	columns := newColumnPrinter(out)
+	columns.println("rule\tmargin\tother\t")
+	for i, verdict := range r.Recorded.Verdicts {
+		if i < len(r.Changed.Verdicts) {
+			other := r.Changed.Verdicts[i]
+			columns.printf("%s\t%.2f\t%.2f\t%s\n", verdict.Rule, verdict.Margin, other.Margin, other.Seen)
+		}
+	}
+	return columns.flush()
+}
+
+func (r *comparisonReport) printDifferingWindows(p *printer) {
+	for _, window := range r.Comparison.Parted {
+		p.printf("parted at %.0f s: service %.3f, with the other %.3f\n", seconds(window.From-r.Recorded.From),
+			window.One, window.Other)
+	}
+}
+
+// printClocks prints how the proxies' clocks were aligned with the controllers', and what was recorded twice.
+func (r *comparisonReport) printClocks(p *printer) {
+	maxErrorMs := 0.0
+	adjustments := 0
+	for _, offsets := range r.Recorded.Offsets {
+		adjustments += len(offsets) - 1
+		for _, offset := range offsets {
+			maxErrorMs = math.Max(maxErrorMs, offset.Within)
+		}
+	}
+	p.printf("clocks of %d proxies set to the stewards', within %.1f ms; %d were set anew during the day\n",
+		len(r.Recorded.Offsets), maxErrorMs, adjustments)
+	if r.Recorded.Doubled > 0 {
+		p.printf("%d transactions were recorded twice, and are played once\n", r.Recorded.Doubled)
+	}
+}
+
+func printModeChanges(p *printer, name string, outcome *replay.Outcome) {
+	p.printf("changes of mode, %s:\n", name)
+	for i, moment := range outcome.Moments {
+		if i == maxModeChanges {
+			p.printf("  and %d more\n", len(outcome.Moments)-i)
+			return
+		}
+		p.printf("  %9.3f s  %s\n", seconds(moment.At-outcome.From), moment.Text)
+	}
+}
