--- a/cmd/barleysail/auth.go
+++ b/cmd/barleysail/auth.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 
 	"github.com/spf13/cobra"
 	"github.com/spiffe/go-spiffe/v2/spiffeid"
@@ -11,46 +12,65 @@
 	"barleysail/internal/config"
 )
 
+var errDenied = errors.New("denied")
+
 func authCommand() *cobra.Command {
-	c := &cobra.Command{Use: "auth", Short: "Who may do what"}
-	var file string
-	var q auth.Request
-	explain := &cobra.Command{Use: "explain SPIFFE-ID ACTION", Short: "Whether an identity may do something by a configuration, and why",
-		Long: "Actions are poll, sums, report, see, set and follow. Exit code 3 where it may not.",
-		Args: cobra.ExactArgs(2),
-		RunE: func(c *cobra.Command, args []string) error {
+	cmd := &cobra.Command{Use: "auth", Short: "Explain access decisions"}
+	cmd.AddCommand(authExplainCommand())
+	return cmd
+}
+
+func authExplainCommand() *cobra.Command {
+	var configFile string
+	var request auth.Request
+	cmd := &cobra.Command{
+		Use:   "explain SPIFFE-ID ACTION",
+		Short: "Explain whether a configuration allows an identity an action",
+		Long:  "Actions are poll, sums, report, see, set and follow. Exit code 3 where the action is denied.",
+		Args:  cobra.ExactArgs(2),
+		RunE: func(cmd *cobra.Command, args []string) error {
 			id, err := spiffeid.FromString(args[0])
 			if err != nil {
 				return fmt.Errorf("%q: %w", args[0], err)
 			}
-			if q.Action, err = auth.ParseAction(args[1]); err != nil {
-				return err
-			}
-			cfg, err := config.Load(file)
-			if err != nil {
-				return err
-			}
-			p, err := config.Policy(cfg)
-			if err != nil {
+			if request.Action, err = auth.ParseAction(args[1]); err != nil {
 				return err
 			}
-			if p == nil {
-				fmt.Fprintln(c.OutOrStdout(), "no identities are used: anybody on this machine may do everything")
-				return nil
-			}
-			v := p.Decide(id, q)
-			for _, line := range v.Why {
-				fmt.Fprintln(c.OutOrStdout(), line)
-			}
-			if !v.Allowed {
-				return &exitError{exitRefused, errors.New("denied")}
-			}
-			return nil
-		}}
-	explain.Flags().StringVar(&file, "config", "steward.textproto", "the steward's configuration")
-	explain.Flags().StringVar(&q.Proxy, "proxy", "", "the proxy that the request names")
-	explain.Flags().StringVar(&q.Zone, "zone", "", "and its zone")
-	explain.Flags().StringVar(&q.Host, "host", "", "the host that it names, address:port")
-	c.AddCommand(explain)
-	return c
+			return explainAccess(cmd.OutOrStdout(), configFile, id, request)
+		},
+	}
+	cmd.Flags().StringVar(&configFile, "config", "steward.textproto", "the controller's configuration")
+	cmd.Flags().StringVar(&request.Proxy, "proxy", "", "the proxy that the request names")
+	cmd.Flags().StringVar(&request.Zone, "zone", "", "the zone that the request names")
+	cmd.Flags().StringVar(&request.Host, "host", "", "the host that the request names, address:port")
+	return cmd
+}
+
+// explainAccess prints how each rule of a configuration judges a request. A denied one is errDenied, with the exit code
+// exitRefused.
+func explainAccess(out io.Writer, configFile string, id spiffeid.ID, request auth.Request) error {
+	settings, err := config.Load(configFile)
+	if err != nil {
+		return err
+	}
+	policy, err := config.Policy(settings)
+	if err != nil {
+		return err
+	}
+	p := newPrinter(out)
+	if policy == nil {
+		p.println("no identities are used: anybody on this machine may do everything")
+		return p.flush()
+	}
+	verdict := policy.Decide(id, request)
+	for _, line := range verdict.Why {
+		p.println(line)
+	}
+	if err := p.flush(); err != nil {
+		return err
+	}
+	if !verdict.Allowed {
+		return &exitError{exitRefused, errDenied}
+	}
+	return nil
 }
--- /dev/null
+++ b/cmd/barleysail/config.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"barleysail/internal/config"
+	"barleysail/internal/config/configpb"
+)
+
+func configCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "config", Short: "Check configurations"}
+	cmd.AddCommand(&cobra.Command{
+		Use:   "check FILE",
+		Short: "Check a configuration and its host list, and print its access rules",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			settings, err := config.Load(args[0])
+			if err != nil {
+				return err
+			}
+			hosts, err := checkEndpointList(settings)
+			if err != nil {
+				return err
+			}
+			if err := printLine(cmd, "%s: good: %d zones, %d classes, %s", args[0], len(settings.Zones),
+				len(settings.Classes), hosts); err != nil {
+				return err
+			}
+			return printAccessRules(cmd.OutOrStdout(), settings)
+		},
+	})
+	return cmd
+}
+
+// checkEndpointList checks the host list file that a configuration names, and says where hosts come from.
+func checkEndpointList(settings *configpb.Config) (string, error) {
+	file := settings.List.File
+	if file == "" {
+		return "a list service", nil
+	}
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return "", fmt.Errorf("reading the host list: %w", err)
+	}
+	endpoints, err := config.Hosts(file, text)
+	if err != nil {
+		return "", err
+	}
+	if err := config.Steward(settings, "check", 1).SetEndpoints(1, endpoints); err != nil {
+		return "", config.Refused(file, text, err)
+	}
+	return fmt.Sprintf("%d hosts", len(endpoints)), nil
+}
+
+// printAccessRules prints who may do what. Without identities it also checks that the configuration allows that.
+func printAccessRules(out io.Writer, settings *configpb.Config) error {
+	policy, err := config.Policy(settings)
+	if err != nil {
+		return err
+	}
+	p := newPrinter(out)
+	if policy == nil {
+		p.println("no identities: anybody on this machine may do everything")
+		if err := p.flush(); err != nil {
+			return err
+		}
+		return config.MayStart(settings)
+	}
+	for _, rule := range policy.Rules() {
+		p.println(rule)
+	}
+	return p.flush()
+}
--- a/cmd/barleysail/log.go
+++ b/cmd/barleysail/log.go
@@ -8,12 +8,14 @@
 	"github.com/rs/zerolog"
 )
 
-// logger writes to standard error what is of a level or over it.
-func logger(level string) (zerolog.Logger, error) {
-	least, err := zerolog.ParseLevel(level)
+const defaultLogLevel = "info"
+
+// newLogger returns a logger of JSON lines on standard error, for messages of a level or above it.
+func newLogger(minLevel string) (zerolog.Logger, error) {
+	level, err := zerolog.ParseLevel(minLevel)
 	if err != nil {
 		return zerolog.Nop(), fmt.Errorf("--log-level: %w", err)
 	}
 	zerolog.TimeFieldFormat = time.RFC3339Nano
-	return zerolog.New(os.Stderr).Level(least).With().Timestamp().Logger(), nil
+	return zerolog.New(os.Stderr).Level(level).With().Timestamp().Logger(), nil
 }
--- a/cmd/barleysail/main.go
+++ b/cmd/barleysail/main.go
@@ -29,7 +29,7 @@
 		SilenceErrors: true,
 	}
 	root.AddCommand(
-		runCommand(), nodeCommand(), rehearseCommand(), replayCommand(), recordingsCommand(), solveCommand(), planCommand(),
+		runCommand(), nodeCommand(), scenarioCommand(), replayCommand(), recordingsCommand(), solveCommand(), planCommand(),
 		stateCommand(), authCommand(), configCommand(), versionCommand())
 	root.AddCommand(controllerCommands()...)
 	root.AddCommand(diffCommand(), guardCommand())
--- /dev/null
+++ b/cmd/barleysail/main_test.go
@@ -0,0 +1,85 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+)
+
+// The names that commands had up to version 0.1 stay as aliases.
+func TestOldCommandNames(t *testing.T) {
+	for _, c := range []struct {
+		old  []string
+		want string
+	}{
+		{[]string{"rehearse"}, "barleysail scenario"},
+		{[]string{"days"}, "barleysail recordings"},
+		{[]string{"days", "list"}, "barleysail recordings list"},
+		{[]string{"days", "check"}, "barleysail recordings check"},
+		{[]string{"days", "show"}, "barleysail recordings show"},
+		{[]string{"days", "cut"}, "barleysail recordings cut"},
+		{[]string{"guard", "days"}, "barleysail guard replay"},
+	} {
+		t.Run(fmt.Sprint(c.old), func(t *testing.T) {
+			found, rest, err := newRootCommand().Find(c.old)
+			if err != nil || len(rest) > 0 || found.CommandPath() != c.want {
+				t.Errorf("found %q with %q left, %v; want %q", found.CommandPath(), rest, err, c.want)
+			}
+		})
+	}
+}
+
+func TestOldCommandNamesRun(t *testing.T) {
+	for _, c := range []struct{ old, plain []string }{
+		{[]string{"rehearse", "missing"}, []string{"scenario", "missing"}},
+		{[]string{"days", "show", "missing"}, []string{"recordings", "show", "missing"}},
+		{[]string{"guard", "days", "missing"}, []string{"guard", "replay", "missing"}},
+	} {
+		t.Run(fmt.Sprint(c.old), func(t *testing.T) {
+			oldOut, oldCode := command(t, "", c.old...)
+			plainOut, plainCode := command(t, "", c.plain...)
+			if oldOut != plainOut || oldCode != plainCode || oldCode != exitFailure {
+				t.Errorf("the old name: %d %s\nthe plain name: %d %s", oldCode, oldOut, plainCode, plainOut)
+			}
+		})
+	}
+}
+
+// --apart is the old name of --separate-processes.
+func TestScenarioSeparateProcesses(t *testing.T) {
+	for _, name := range []string{"apart", "separate-processes"} {
+		t.Run(name, func(t *testing.T) {
+			cmd := scenarioCommand()
+			if err := cmd.ParseFlags([]string{"--" + name}); err != nil {
+				t.Fatal(err)
+			}
+			value, err := cmd.Flags().GetBool("separate-processes")
+			if err != nil || !value {
+				t.Errorf("separate processes: %v, %v", value, err)
+			}
+		})
+	}
+}
+
+func TestExitCode(t *testing.T) {
+	plain := errors.New("plain")
+	for _, c := range []struct {
+		name string
+		err  error
+		want int
+	}{
+		{"plain", plain, 1},
+		{"refused", &exitError{exitRefused, plain}, 3},
+		{"unreachable", &exitError{exitUnreachable, plain}, 4},
+		{"differs, wrapped", fmt.Errorf("wrapped: %w", &exitError{exitDiffers, plain}), 5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := exitCode(c.err); got != c.want {
+				t.Errorf("exit code %d, want %d", got, c.want)
+			}
+			if !errors.Is(c.err, plain) {
+				t.Errorf("%v does not wrap its cause", c.err)
+			}
+		})
+	}
+}
--- a/cmd/barleysail/node.go
+++ b/cmd/barleysail/node.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"os"
 	"os/signal"
@@ -14,58 +15,78 @@
 )
 
 const (
-	rereadTries = 10 // a configuration that is just being replaced may not be whole
-	rereadWait  = 50 * time.Millisecond
+	nodeConfigEnv = "EDGE_CONFIG" // names the node's configuration file
+
+	// A file that is just being replaced may be incomplete when it is read.
+	reloadAttempts = 10
+	reloadBackoff  = 50 * time.Millisecond // between two attempts
 )
 
+var errNoNodeConfig = errors.New(nodeConfigEnv + " is not set, and no --config given")
+
 func nodeCommand() *cobra.Command {
-	var file, level string
-	c := &cobra.Command{Use: "node", Short: "Run a steward on the platform: streams of RESP2, the list and probes over HTTP",
-		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			log, err := logger(level)
-			if err != nil {
-				return err
-			}
-			hup := make(chan os.Signal, 1)
-			signal.Notify(hup, syscall.SIGHUP)
-			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM, syscall.SIGINT)
-			defer stop()
-			if file == "" {
-				return errors.New("EDGE_CONFIG is not set, and no --config given")
-			}
-			cfg, err := platform.LoadConfig(file)
-			if err != nil {
-				return err
-			}
-			cfg.Limits.Apply()
-			n, err := platform.New(cfg, log)
+	var configFile, logLevel string
+	cmd := &cobra.Command{
+		Use:   "node",
+		Short: "Run a controller on the platform: RESP2 streams to proxies, endpoint list and health checks over HTTP",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			log, err := newLogger(logLevel)
 			if err != nil {
 				return err
 			}
-			go func() {
-				for range hup {
-					reread(file, n, log)
-				}
-			}()
-			err = n.Run(ctx)
-			log.Info().Msg("stopped")
-			return err
-		}}
-	c.Flags().StringVar(&file, "config", os.Getenv("EDGE_CONFIG"), "configuration, JSON; by default what EDGE_CONFIG names")
-	c.Flags().StringVar(&level, "log-level", "info", "debug, info, warn or error")
-	return c
+			return runNode(cmd.Context(), configFile, log)
+		},
+	}
+	cmd.Flags().StringVar(&configFile, "config", os.Getenv(nodeConfigEnv),
+		"configuration file, JSON; by default the one that "+nodeConfigEnv+" names")
+	cmd.Flags().StringVar(&logLevel, "log-level", defaultLogLevel, "least level that is logged: debug, info, warn or error")
+	return cmd
+}
+
+// runNode runs a controller on the platform until SIGTERM or SIGINT. SIGHUP reloads its configuration. Signals are
+// received from the first line on, so that none is lost while the configuration is being read.
+func runNode(ctx context.Context, configFile string, log zerolog.Logger) error {
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	if configFile == "" {
+		return errNoNodeConfig
+	}
+	settings, err := platform.LoadConfig(configFile)
+	if err != nil {
+		return err
+	}
+	settings.Limits.Apply()
+	node, err := platform.New(settings, log)
+	if err != nil {
+		return err
+	}
+	go reloadOnSignal(reloads, configFile, node, log) // until the program ends
+	err = node.Run(ctx)
+	log.Info().Msg("stopped")
+	return err
+}
+
+func reloadOnSignal(reloads <-chan os.Signal, configFile string, node *platform.Node, log zerolog.Logger) {
+	for range reloads {
+		reload(configFile, node, log)
+	}
 }
 
-// reread takes what may change while a steward serves: the address of the list, and the limits.
-func reread(file string, n *platform.Node, log zerolog.Logger) {
-	var err error
-	for range rereadTries {
-		var cfg *platform.Config
-		if cfg, err = platform.LoadConfig(file); err == nil {
-			n.Reload(cfg)
+// reload applies the settings that may change while a node runs: the address of the endpoint list, and the limits. A
+// configuration that stays unreadable is logged, and the present one kept.
+func reload(configFile string, node *platform.Node, log zerolog.Logger) {
+	var lastErr error
+	for range reloadAttempts {
+		settings, err := platform.LoadConfig(configFile)
+		if err == nil {
+			node.Reload(settings)
 			return
 		}
-		time.Sleep(rereadWait)
+		lastErr = err
+		time.Sleep(reloadBackoff)
 	}
-	log.Error().Err(err).Msg("the configuration cannot be read again: the old one holds")
+	log.Error().Err(lastErr).Msg("the configuration cannot be read again: the old one holds")
 }
--- a/cmd/barleysail/offline_test.go
+++ b/cmd/barleysail/offline_test.go
@@ -119,17 +119,17 @@
 	}
 	writeFile(t, torn, string(text[:len(text)-20]))
 	part, plot := filepath.Join(dir, "part.day"), filepath.Join(dir, "plot.svg")
-	cut := []string{"days", "cut", controller, "--from", "0", "--to", "100"}
+	cut := []string{"recordings", "cut", controller, "--from", "0", "--to", "100"}
 	comparison := []string{"replay", dir, "--set", "guard.grace_ms=2000"}
 	for _, c := range []commandCase{
-		{"list", []string{"days", "list", dir}, 0,
+		{"list", []string{"recordings", "list", dir}, 0,
 			[]string{"day             from (UTC)", "controller.day  20", "test     whole"}},
-		{"check", []string{"days", "check", controller, proxy}, 0, []string{"controller.day: ", " records, whole"}},
-		{"check a torn one", []string{"days", "check", torn}, 1, []string{"1 of 1 recordings are damaged"}},
-		{"show", []string{"days", "show", controller}, 0,
+		{"check", []string{"recordings", "check", controller, proxy}, 0, []string{"controller.day: ", " records, whole"}},
+		{"check a torn one", []string{"recordings", "check", torn}, 1, []string{"1 of 1 recordings are damaged"}},
+		{"show", []string{"recordings", "show", controller}, 0,
 			[]string{"1 proxies joined and 2 hosts listed", "the list: 2 hosts"}},
-		{"show as JSON", []string{"days", "show", controller, "--json"}, 0, []string{`"Hosts": 2`}},
-		{"show a missing one", []string{"days", "show", controller + "x"}, 1, []string{"no such file"}},
+		{"show as JSON", []string{"recordings", "show", controller, "--json"}, 0, []string{`"Hosts": 2`}},
+		{"show a missing one", []string{"recordings", "show", controller + "x"}, 1, []string{"no such file"}},
 		{"cut", append(cut, "-o", part), 0, []string{"part.day: ", " records\n"}},
 		{"cut onto an existing file", append(cut, "-o", part), 1, []string{"file exists"}},
 		{"cut without an output", cut, 1, []string{"--output that ends in .day"}},
@@ -144,8 +144,8 @@
 		{"replay with a malformed setting", []string{"replay", dir, "--set", "guard"}, 1, []string{"guard.grace_ms=2000"}},
 		{"replay with settings of other zones", []string{"replay", dir, "--config", "../../examples/steward.textproto"}, 1,
 			[]string{"zones and classes are not those"}},
-		{"guard", []string{"guard", "days", dir}, 0, []string{"day ", "looks", "controller.day"}},
-		{"guard without a controller's", []string{"guard", "days", proxy}, 1, []string{"recording is among them"}},
+		{"guard", []string{"guard", "replay", dir}, 0, []string{"day ", "looks", "controller.day"}},
+		{"guard without a controller's", []string{"guard", "replay", proxy}, 1, []string{"recording is among them"}},
 	} {
 		c.run(t)
 	}
--- a/cmd/barleysail/run.go
+++ b/cmd/barleysail/run.go
@@ -2,101 +2,95 @@
 
 import (
 	"context"
-	"fmt"
 	"os"
 	"os/signal"
 	"syscall"
 	"time"
 
+	"github.com/rs/zerolog"
 	"github.com/spf13/cobra"
 
 	"barleysail/internal/config"
+	"barleysail/internal/config/configpb"
 	"barleysail/internal/daemon"
 )
 
-// stopMost is how long a clean end may take.
-const stopMost = 10 * time.Second
+const shutdownTimeout = 10 * time.Second // of a graceful shutdown; connections left then are cut
+
+// runFlags are the flags of "run".
+type runFlags struct {
+	configFile string
+	listen     string // address:port, in place of the configuration's; empty: that
+	recording  string // file, in place of the configuration's; empty: that
+	logLevel   string
+}
 
 func runCommand() *cobra.Command {
-	var file, listen, record, level string
-	c := &cobra.Command{Use: "run", Short: "Run a steward", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			cfg, err := config.Load(file)
-			if err != nil {
-				return err
-			}
-			if listen != "" {
-				cfg.Listen = listen
-			}
-			if record != "" {
-				cfg.Record = record
-			}
-			log, err := logger(level)
+	var flags runFlags
+	cmd := &cobra.Command{
+		Use:   "run",
+		Short: "Run a controller",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			settings, err := flags.loadConfig()
 			if err != nil {
 				return err
 			}
-			d, err := daemon.Start(cfg, version, log)
+			log, err := newLogger(flags.logLevel)
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "listening on http://%s\n", d.Addr())
-			signals := make(chan os.Signal, 2)
-			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-			s := <-signals
-			log.Info().Str("signal", s.String()).Msg("stopping: polls are answered; a second signal ends at once")
-			ctx, cancel := context.WithTimeout(c.Context(), stopMost)
-			defer cancel()
-			go func() {
-				<-signals
-				d.Kill()
-				os.Exit(1)
-			}()
-			return d.Stop(ctx)
-		}}
-	c.Flags().StringVar(&file, "config", "", "configuration, protobuf text format")
-	c.Flags().StringVar(&listen, "listen", "", "address:port in place of the configuration's")
-	c.Flags().StringVar(&record, "record", "", "record each input to this file")
-	c.Flags().StringVar(&level, "log-level", "info", "debug, info, warn or error")
-	c.MarkFlagRequired("config")
-	return c
+			return runController(cmd, settings, log)
+		},
+	}
+	set := cmd.Flags()
+	set.StringVar(&flags.configFile, "config", "", "configuration file, in protobuf text format")
+	set.StringVar(&flags.listen, "listen", "", "address:port to listen on, in place of the configuration's")
+	set.StringVar(&flags.recording, "record", "", "record each input to this file")
+	set.StringVar(&flags.logLevel, "log-level", defaultLogLevel, "least level that is logged: debug, info, warn or error")
+	if err := cmd.MarkFlagRequired("config"); err != nil {
+		panic(err) // the flag is defined above
+	}
+	return cmd
 }
 
-func configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Work on configurations"}
-	c.AddCommand(&cobra.Command{Use: "check FILE", Short: "Check a configuration and its host list", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			cfg, err := config.Load(args[0])
-			if err != nil {
-				return err
-			}
-			hosts := "a list service"
-			if cfg.List.File != "" {
-				text, err := os.ReadFile(cfg.List.File)
-				if err != nil {
-					return fmt.Errorf("reading the host list: %w", err)
-				}
-				entries, err := config.Hosts(cfg.List.File, text)
-				if err != nil {
-					return err
-				}
-				if err := config.Steward(cfg, "check", 1).SetEndpoints(1, entries); err != nil {
-					return config.Refused(cfg.List.File, text, err)
-				}
-				hosts = fmt.Sprintf("%d hosts", len(entries))
-			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: good: %d zones, %d classes, %s\n", args[0], len(cfg.Zones), len(cfg.Classes), hosts)
-			p, err := config.Policy(cfg)
-			if err != nil {
-				return err
-			}
-			if p == nil {
-				fmt.Fprintln(c.OutOrStdout(), "no identities: anybody on this machine may do everything")
-				return config.MayStart(cfg)
-			}
-			for _, line := range p.Rules() {
-				fmt.Fprintln(c.OutOrStdout(), line)
-			}
-			return nil
-		}})
-	return c
+func (f *runFlags) loadConfig() (*configpb.Config, error) {
+	settings, err := config.Load(f.configFile)
+	if err != nil {
+		return nil, err
+	}
+	if f.listen != "" {
+		settings.Listen = f.listen
+	}
+	if f.recording != "" {
+		settings.Record = f.recording
+	}
+	return settings, nil
+}
+
+// runController runs a controller until SIGTERM or SIGINT, then shuts it down gracefully: it answers the polls that are
+// held. A second signal ends the program at once.
+func runController(cmd *cobra.Command, settings *configpb.Config, log zerolog.Logger) error {
+	controller, err := daemon.Start(settings, version, log)
+	if err != nil {
+		return err
+	}
+	signals := make(chan os.Signal, 2)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
+	if err := printLine(cmd, "listening on http://%s", controller.Addr()); err != nil {
+		controller.Kill()
+		return err
+	}
+	received := <-signals
+	log.Info().Str("signal", received.String()).Msg("stopping: polls are answered; a second signal ends at once")
+	go killOnSignal(signals, controller) // until the program ends
+	ctx, cancel := context.WithTimeout(cmd.Context(), shutdownTimeout)
+	defer cancel()
+	return controller.Stop(ctx)
+}
+
+func killOnSignal(signals <-chan os.Signal, controller *daemon.Daemon) {
+	<-signals
+	controller.Kill()
+	os.Exit(exitFailure)
 }
