--- /dev/null
+++ b/cmd/barleysail/state_forget.go
@@ -0,0 +1,96 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"barleysail/internal/statefile"
+	"barleysail/state/statepb"
+)
+
+const (
+	maxStateBytes   = 1 << 30 // of a snapshot: nothing is dropped for its size
+	keptGenerations = 2       // of snapshots in a state folder
+)
+
+// forgetFlags say what "state forget" removes.
+type forgetFlags struct {
+	hosts     []string // these alone; empty: all hosts, proxies and tables
+	overrides bool     // operators' overrides too
+}
+
+func stateForgetCommand() *cobra.Command {
+	var flags forgetFlags
+	cmd := &cobra.Command{
+		Use:   "forget FOLDER",
+		Short: "Remove a state, or a part of it, while its controller is stopped",
+		Long:  "Without flags all is removed but operators' overrides. The controller that keeps its state there must be stopped.",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if err := forgetState(args[0], flags); err != nil {
+				return err
+			}
+			return printLine(cmd, "forgotten")
+		},
+	}
+	cmd.Flags().StringSliceVar(&flags.hosts, "host", nil, "remove what is known of these hosts alone")
+	cmd.Flags().BoolVar(&flags.overrides, "settings", false, "remove operators' overrides too")
+	return cmd
+}
+
+// forgetState rewrites a state folder without what the flags name.
+func forgetState(path string, flags forgetFlags) (err error) {
+	if _, err := os.Stat(path); err != nil { // OpenFolder would create it
+		return fmt.Errorf("opening the state folder: %w", err)
+	}
+	folder, err := statefile.OpenFolder(path)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, folder.Close()) }()
+	loaded, err := statefile.Load(folder)
+	if err != nil {
+		return err
+	}
+	if loaded.State == nil {
+		return errNoState
+	}
+	if err := flags.remove(loaded.State); err != nil {
+		return err
+	}
+	store := statefile.NewStore(folder, loaded, maxStateBytes)
+	defer store.Close()
+	for range keptGenerations { // so that no older generation has what is removed
+		if err := store.SaveSnapshot(loaded.State); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// remove removes from a state what the flags name. Hosts that it does not have are an error.
+func (f forgetFlags) remove(kept *statepb.State) error {
+	if f.overrides {
+		kept.Settings = nil
+	}
+	if len(f.hosts) == 0 {
+		kept.Hosts = nil
+		kept.Proxies = nil
+		kept.Tables = nil
+		kept.Fleet = nil
+		return nil
+	}
+	before := len(kept.Hosts)
+	kept.Hosts = slices.DeleteFunc(kept.Hosts, func(host *statepb.Host) bool {
+		return slices.Contains(f.hosts, host.Name)
+	})
+	if len(kept.Hosts) == before {
+		return fmt.Errorf("nothing is kept of %s", strings.Join(f.hosts, ", "))
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/barleysail/state_show.go
@@ -0,0 +1,109 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"time"
+
+	"github.com/spf13/cobra"
+	"google.golang.org/protobuf/proto"
+
+	"barleysail/internal/statefile"
+	"barleysail/operator"
+	"barleysail/state"
+	"barleysail/state/statepb"
+)
+
+const defaultSlowStartMs = 18_000 // of the flag --cold-ms, as the configuration's guard.cold_ms
+
+func stateShowCommand() *cobra.Command {
+	var slowStartMs float64
+	cmd := &cobra.Command{
+		Use:   "show FOLDER",
+		Short: "Print a state, and what of it a controller would restore now",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return showState(cmd.OutOrStdout(), args[0], slowStartMs)
+		},
+	}
+	cmd.Flags().Float64Var(&slowStartMs, "cold-ms", defaultSlowStartMs,
+		"ms of slow start after a host's start, as guard.cold_ms of the configuration")
+	return cmd
+}
+
+func showState(out io.Writer, path string, slowStartMs float64) error {
+	loaded, err := loadState(path)
+	if err != nil {
+		return err
+	}
+	nowMs := float64(time.Now().UnixMicro()) / 1000
+	restored := state.ApplyDecay(loaded.State, nowMs, state.DefaultLimits(slowStartMs))
+	p := newPrinter(out)
+	printStateHead(p, loaded, restored, nowMs)
+	columns := newColumnPrinter(out)
+	printStateHosts(columns, loaded.State.Hosts, restored, nowMs)
+	for _, override := range restored.Overrides {
+		columns.printf("operator set %s\t%s\tweight %g\tpart %g\tby %s\n", override.Host, overrideState(override),
+			override.Weight, override.Part, override.By)
+	}
+	columns.printf("%d proxies are known, %d of them with their tables (%d different)\n", len(loaded.State.Proxies),
+		countProxiesWithTables(restored), len(loaded.State.Tables))
+	return errors.Join(p.flush(), columns.flush())
+}
+
+// printStateHead prints the origin, age and condition of a state, and the fleet's figures.
+func printStateHead(p *printer, loaded *statefile.LoadResult, restored *state.Restored, nowMs float64) {
+	kept := loaded.State
+	p.printf("life %s of program %s, format %d.%d, generation %d and %d changes, %d bytes\n", kept.Life, kept.Program,
+		kept.Major, kept.Minor, loaded.Generation, loaded.Changes, proto.Size(kept))
+	p.printf("true at %s, %.1f s ago\n", formatTime(kept.At), seconds(nowMs-kept.At))
+	for _, warning := range loaded.Warnings {
+		p.println("left out:", warning)
+	}
+	if restored.Reason != "" {
+		p.println("less than all is known:", restored.Reason)
+	}
+	if fleet := kept.GetFleet(); fleet != nil {
+		p.printf("level %.2f, now %.2f; median of mean times %.1f ms\n", fleet.Level, restored.AdmissionRatio,
+			restored.MedianLatencyMs)
+	}
+}
+
+// printStateHosts prints each host as it is kept and, in the columns "now", as it would be restored.
+func printStateHosts(columns *printer, hosts []*statepb.Host, restored *state.Restored, nowMs float64) {
+	columns.println("host\tzone\tweight\tnow\tr ms\tnow\tlost\tnow\twithdrawn\tnow\ttrust\tnow\tstarted\tdrains since")
+	for _, kept := range hosts {
+		now := restored.Hosts[kept.Name]
+		if now == nil {
+			now = &state.Host{Weight: 1, ReportTrust: 1}
+		}
+		columns.printf("%s\t%s\t%.3g\t%.3g\t%.4g\t%.4g\t%.3g\t%.3g\t%v\t%v\t%.2f\t%.2f\t%s\t%s\n", kept.Name, kept.Zone,
+			kept.Weight, now.Weight, kept.R, now.MeanLatencyMs, kept.Lost, now.Failures, kept.Out, now.Ejected,
+			kept.Trust, now.ReportTrust, formatAge(kept.Started, nowMs), formatAge(kept.Drains, nowMs))
+	}
+}
+
+// overrideState returns the state that an override sets; numbers that are out of range count as the nearest state.
+func overrideState(override *statepb.Setting) operator.State {
+	return operator.State(min(max(override.State, 0), int32(operator.Maintenance)))
+}
+
+// countProxiesWithTables counts the proxies whose tables would be restored.
+func countProxiesWithTables(restored *state.Restored) int {
+	count := 0
+	for _, proxy := range restored.Proxies {
+		if proxy.Tag != "" {
+			count++
+		}
+	}
+	return count
+}
+
+// formatAge writes how long ago an instant was, both in ms since the Unix epoch; empty for an unknown one.
+func formatAge(atMs, nowMs float64) string {
+	if atMs <= 0 {
+		return ""
+	}
+	return fmt.Sprintf("%.1f s ago", seconds(nowMs-atMs))
+}
