--- a/cmd/barleysail/guard.go
+++ b/cmd/barleysail/guard.go
@@ -24,9 +24,10 @@
 	cmd := &cobra.Command{
 		Use:   "check TABLES.json",
 		Short: "Check whether a running controller's table guard would accept tables",
-		Long: "Reads tables in the form of the document that proxies get, {\"tables\":{CLASS:{\"hosts\":{HOST:WEIGHT}}}}, and\n" +
-			"asks a running controller what its guard finds in them in the present state, and what it would publish\n" +
-			"instead. Nothing is published. Exit code 3 where it would reject them.",
+		Long: "Reads tables in the form of the document that proxies get,\n" +
+			"{\"tables\":{CLASS:{\"hosts\":{HOST:WEIGHT}}}}, and asks a running controller what its guard finds in them\n" +
+			"in the present state, and what it would publish instead. Nothing is published.\n" +
+			"Exit code 3 where it would reject them.",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			tables, err := readTables(args[0], zone)
--- a/cmd/barleysail/guard_replay.go
+++ b/cmd/barleysail/guard_replay.go
@@ -20,8 +20,8 @@
 		Use:     "replay RECORDING...",
 		Aliases: []string{"days"}, // its name up to 0.1
 		Short:   "Count what the table guard finds in recordings",
-		Long: "Replays controllers' recordings with a table guard that reports but changes nothing, and counts its findings\n" +
-			"by check.",
+		Long: "Replays controllers' recordings with a table guard that reports but changes nothing, and counts its\n" +
+			"findings by check.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return printGuardReplays(cmd.OutOrStdout(), args)
--- a/cmd/barleysail/identity_transport.go
+++ b/cmd/barleysail/identity_transport.go
@@ -26,9 +26,9 @@
 var errIdentityEnvironment = errors.New("for https, " + workloadAPIEnv + " has to name the Workload API's socket and " +
 	controllerIDEnv + " the controller's SPIFFE ID")
 
-// identityDialer dials a controller over mutual TLS: it proves the operator's identity, and verifies that the controller
-// has the SPIFFE ID that the environment names. The identity is fetched on the first connection and kept until the
-// program ends.
+// identityDialer dials a controller over mutual TLS: it proves the operator's identity, and verifies that the
+// controller has the SPIFFE ID that the environment names. The identity is fetched on the first connection and kept
+// until the program ends.
 type identityDialer struct {
 	once      sync.Once
 	tlsConfig *tls.Config
@@ -49,8 +49,8 @@
 	return (&tls.Dialer{Config: d.tlsConfig}).DialContext(ctx, network, address)
 }
 
-// fetchIdentity fetches the operator's identity from the Workload API. It has a context of its own, because the identity
-// outlives the request that needs it first.
+// fetchIdentity fetches the operator's identity from the Workload API. It has a context of its own, because the
+// identity outlives the request that needs it first.
 func fetchIdentity() (*tls.Config, error) {
 	workloadAPI := os.Getenv(workloadAPIEnv)
 	controllerID := os.Getenv(controllerIDEnv)
--- a/cmd/barleysail/log.go
+++ b/cmd/barleysail/log.go
@@ -8,7 +8,10 @@
 	"github.com/rs/zerolog"
 )
 
-const defaultLogLevel = "info"
+const (
+	defaultLogLevel = "info"
+	logLevelHelp    = "least level that is logged: debug, info, warn or error"
+)
 
 // newLogger returns a logger of JSON lines on standard error, for messages of a level or above it.
 func newLogger(minLevel string) (zerolog.Logger, error) {
--- a/cmd/barleysail/node.go
+++ b/cmd/barleysail/node.go
@@ -40,7 +40,7 @@
 	}
 	cmd.Flags().StringVar(&configFile, "config", os.Getenv(nodeConfigEnv),
 		"configuration file, JSON; by default the one that "+nodeConfigEnv+" names")
-	cmd.Flags().StringVar(&logLevel, "log-level", defaultLogLevel, "least level that is logged: debug, info, warn or error")
+	cmd.Flags().StringVar(&logLevel, "log-level", defaultLogLevel, logLevelHelp)
 	return cmd
 }
 
--- a/cmd/barleysail/override.go
+++ b/cmd/barleysail/override.go
@@ -59,7 +59,8 @@
 }
 
 func drainCommand() *cobra.Command {
-	return overrideCommand("drain HOST|zone=ZONE", "Drain a host, or the hosts of a zone one after the other", overrideDrain)
+	short := "Drain a host, or the hosts of a zone one after the other"
+	return overrideCommand("drain HOST|zone=ZONE", short, overrideDrain)
 }
 
 func maintCommand() *cobra.Command {
--- a/cmd/barleysail/recordings_cut.go
+++ b/cmd/barleysail/recordings_cut.go
@@ -41,9 +41,10 @@
 			return printLine(cmd, "%s: %d records", output, count)
 		},
 	}
-	cmd.Flags().Float64Var(&part.fromSeconds, "from", 0, "beginning of the part, in seconds from the recording's beginning")
-	cmd.Flags().Float64Var(&part.toSeconds, "to", 0, "end of the part, in seconds from the recording's beginning")
-	cmd.Flags().StringVarP(&output, "output", "o", "", "the file to write; it must not exist")
+	flags := cmd.Flags()
+	flags.Float64Var(&part.fromSeconds, "from", 0, "beginning of the part, in seconds of the recording")
+	flags.Float64Var(&part.toSeconds, "to", 0, "end of the part, in seconds of the recording")
+	flags.StringVarP(&output, "output", "o", "", "the file to write; it must not exist")
 	return cmd
 }
 
--- a/cmd/barleysail/run.go
+++ b/cmd/barleysail/run.go
@@ -47,7 +47,7 @@
 	set.StringVar(&flags.configFile, "config", "", "configuration file, in protobuf text format")
 	set.StringVar(&flags.listen, "listen", "", "address:port to listen on, in place of the configuration's")
 	set.StringVar(&flags.recording, "record", "", "record each input to this file")
-	set.StringVar(&flags.logLevel, "log-level", defaultLogLevel, "least level that is logged: debug, info, warn or error")
+	set.StringVar(&flags.logLevel, "log-level", defaultLogLevel, logLevelHelp)
 	if err := cmd.MarkFlagRequired("config"); err != nil {
 		panic(err) // the flag is defined above
 	}
--- a/cmd/barleysail/solve.go
+++ b/cmd/barleysail/solve.go
@@ -64,19 +64,23 @@
 		return err
 	}
 	if uncertainty.Spread > 0 {
-		return printUncertainty(out, &certain, uncertainty, solution)
+		return printCautionCost(out, &certain, uncertainty, solution)
 	}
 	return nil
 }
 
-// printUncertainty prints what the caution of a solution costs, against the solution of the problem as stated.
-func printUncertainty(out io.Writer, certain *solver.Problem, uncertainty solver.Doubt, solution *solver.Solution) error {
+// printCautionCost prints what it costs that a solution allows for an uncertainty, against the solution of the problem
+// as stated.
+func printCautionCost(
+	out io.Writer, certain *solver.Problem, uncertainty solver.Doubt, solution *solver.Solution,
+) error {
 	unguarded, err := certain.Solve()
 	if err != nil {
 		return err
 	}
 	p := newPrinter(out)
-	p.printf("\nagainst %d hosts with %.0f%% less than stated: costs %.4f of the result, and leaves %.2f a second at risk\n",
-		uncertainty.Worst, 100*uncertainty.Spread, unguarded.Result-solution.Result, solution.AtRisk)
+	p.printf("\nagainst %d hosts with %.0f%% less than stated: ", uncertainty.Worst, 100*uncertainty.Spread)
+	p.printf("costs %.4f of the result, and leaves %.2f a second at risk\n", unguarded.Result-solution.Result,
+		solution.AtRisk)
 	return p.flush()
 }
--- a/cmd/barleysail/state_forget.go
+++ b/cmd/barleysail/state_forget.go
@@ -29,8 +29,9 @@
 	cmd := &cobra.Command{
 		Use:   "forget FOLDER",
 		Short: "Remove a state, or a part of it, while its controller is stopped",
-		Long:  "Without flags all is removed but operators' overrides. The controller that keeps its state there must be stopped.",
-		Args:  cobra.ExactArgs(1),
+		Long: "Without flags all is removed but operators' overrides. The controller that keeps its state there must be\n" +
+			"stopped.",
+		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := forgetState(args[0], flags); err != nil {
 				return err
--- a/cmd/barleysail/top_model.go
+++ b/cmd/barleysail/top_model.go
@@ -99,7 +99,8 @@
 	return m
 }
 
-// fixedLines are the lines around the rows: status, mode, views and column heads above, the count of further rows below.
+// fixedLines are the lines around the rows: status, mode, views and column heads above, the number of further rows
+// below.
 const fixedLines = 5
 
 // visibleRows is the number of rows that fit on the terminal.
