--- a/cmd/barleysail/identity_transport_test.go
+++ b/cmd/barleysail/identity_transport_test.go
@@ -3,73 +3,83 @@
 import (
 	"os"
 	"path/filepath"
-	"strings"
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-
-	"barleysail/internal/config"
-	"barleysail/internal/daemon"
 	"barleysail/internal/fake/issuer"
 )
 
-// An operator's commands prove who he is and go to the steward that is named, and to no other; without an identity, or with
-// one that may not, they end with the code that says so.
-func TestOperatorProves(t *testing.T) {
-	dir, err := os.MkdirTemp("", "id") // a socket's path has to be short
+const trustDomain = "spiffe://race.example"
+
+// identityIssuer issues identities of one trust domain, each on a Workload API socket of its own.
+type identityIssuer struct {
+	folder    string
+	authority *issuer.Authority
+}
+
+func newIdentityIssuer(t *testing.T) *identityIssuer {
+	t.Helper()
+	folder, err := os.MkdirTemp("", "id") // a socket's path has to be short, which t.TempDir's is not
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer os.RemoveAll(dir)
-	root, err := issuer.NewAuthority("race.example")
+	t.Cleanup(func() {
+		if err := os.RemoveAll(folder); err != nil {
+			t.Error(err)
+		}
+	})
+	authority, err := issuer.NewAuthority("race.example")
 	if err != nil {
 		t.Fatal(err)
 	}
-	give := func(name, id string) string {
-		e, err := issuer.NewEndpoint(dir, name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(e.Close)
-		v, err := root.Sign("spiffe://race.example"+id, time.Hour, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		e.Give(v, []*issuer.Authority{root})
-		return e.Address
-	}
-	list, file := filepath.Join(dir, "hosts.textproto"), filepath.Join(dir, "steward.textproto")
-	os.WriteFile(list, []byte(`hosts { address: "10.0.0.1:80" zone: "a" }`), 0o644)
-	text := `zones: ["a"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 } listen: "127.0.0.1:0" probes { on: false } list { file: "` + list + `" }
-		identity { workload_api: "` + give("s", "/steward/one") + `" allow { id: "spiffe://race.example/operator/*" actions: "see" actions: "set" } }`
-	os.WriteFile(file, []byte(text), 0o644)
-	c, err := config.Parse("test", []byte(text))
+	return &identityIssuer{folder, authority}
+}
+
+// issue serves the identity of a path of the trust domain, and returns the address of its socket.
+func (i *identityIssuer) issue(t *testing.T, socket, path string) string {
+	t.Helper()
+	endpoint, err := issuer.NewEndpoint(i.folder, socket)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := daemon.Start(c, "test", zerolog.Nop())
+	t.Cleanup(endpoint.Close)
+	identity, err := i.authority.Sign(trustDomain+path, time.Hour, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer d.Kill()
-	ann, host := give("a", "/operator/ann"), give("h", "/host/10.0.0.1_80")
-	for _, x := range []struct {
-		what, api, id string
-		args          []string
-		code          int
-		want          string
+	endpoint.Give(identity, []*issuer.Authority{i.authority})
+	return endpoint.Address
+}
+
+// The commands prove the operator's identity to the controller that is named, and to no other. Without an identity, or
+// with one that is denied, they end with the exit code that says so.
+func TestOperatorIdentity(t *testing.T) {
+	identities := newIdentityIssuer(t)
+	list := writeFile(t, filepath.Join(identities.folder, "hosts.textproto"),
+		`hosts { address: "10.0.0.1:80" zone: "a" }`)
+	allow := `allow { id: "` + trustDomain + `/operator/*" actions: "see" actions: "set" }`
+	controller := startController(t, parseConfig(t, `zones: ["a"] listen: "127.0.0.1:0" probes { on: false }
+		classes { name: "sheet" due_ms: 1000 patience_ms: 2500 } list { file: "`+list+`" }
+		identity { workload_api: "`+identities.issue(t, "s", "/steward/one")+`" `+allow+` }`))
+	defer controller.Kill()
+	operator := identities.issue(t, "a", "/operator/ann")
+	host := identities.issue(t, "h", "/host/10.0.0.1_80")
+	one := trustDomain + "/steward/one"
+	two := trustDomain + "/steward/two"
+	getHosts := []string{"get", "hosts"}
+	setWeight := []string{"weight", "10.0.0.1:80", "2"}
+	for _, c := range []struct {
+		workloadAPI, controllerID string
+		commandCase
 	}{
-		{"ann", ann, "spiffe://race.example/steward/one", []string{"get", "hosts"}, 0, "10.0.0.1:80"},
-		{"ann drains", ann, "spiffe://race.example/steward/one", []string{"weight", "10.0.0.1:80", "2"}, 0, "done"},
-		{"another steward is meant", ann, "spiffe://race.example/steward/two", []string{"get", "hosts"}, exitUnreachable, "not spiffe://race.example/steward/two"},
-		{"a host's identity", host, "spiffe://race.example/steward/one", []string{"get", "hosts"}, 1, "may not see here"},
-		{"no identity", "", "", []string{"get", "hosts"}, exitUnreachable, "BARLEYSAIL_WORKLOAD_API"},
+		{operator, one, commandCase{"an operator sees", getHosts, 0, []string{"10.0.0.1:80"}}},
+		{operator, one, commandCase{"an operator sets", setWeight, 0, []string{"done"}}},
+		{operator, two, commandCase{"another controller is named", getHosts, exitUnreachable, []string{"not " + two}}},
+		{host, one, commandCase{"a host's identity", getHosts, 1, []string{"may not see here"}}},
+		{"", "", commandCase{"no identity", getHosts, exitUnreachable, []string{"BARLEYSAIL_WORKLOAD_API"}}},
 	} {
-		t.Setenv("BARLEYSAIL_WORKLOAD_API", x.api)
-		t.Setenv("BARLEYSAIL_STEWARD_ID", x.id)
-		if out, code := command(t, "https://"+d.Addr(), x.args...); code != x.code || !strings.Contains(out, x.want) {
-			t.Errorf("%s: %d %s", x.what, code, out)
-		}
+		t.Setenv("BARLEYSAIL_WORKLOAD_API", c.workloadAPI)
+		t.Setenv("BARLEYSAIL_STEWARD_ID", c.controllerID)
+		runCases(t, "https://"+controller.Addr(), []commandCase{c.commandCase})
 	}
 }
--- a/cmd/barleysail/top_test.go
+++ b/cmd/barleysail/top_test.go
@@ -14,63 +14,89 @@
 	"barleysail/routing"
 )
 
-// The terminal view, driven by keys, in 80 columns: each frame is compared with the kept one.
-func TestTop(t *testing.T) {
-	state := topState{status: controller.Status{Life: "abc", Hosts: 12, Joined: 2, Polls: 2, Mode: "withdraw host 10.0.0.3:80: 3 probes failed, absent false, 0.92 of the weight left, and so on"}}
+// exampleTopState has twelve hosts, one of them ejected, one draining and one in slow start, two proxies and nine
+// events.
+func exampleTopState() topState {
+	mode := "withdraw host 10.0.0.3:80: 3 probes failed, absent false, 0.92 of the weight left, and so on"
+	state := topState{
+		status: controller.Status{Life: "abc", Hosts: 12, Joined: 2, Polls: 2, Mode: mode},
+		proxies: []controller.ProxyInfo{
+			{Proxy: "p", Zone: "addis", Acked: true, Rates: map[string]float64{"sheet": 3, "finish": 2}},
+			{Proxy: "q", Zone: "adama"},
+		},
+	}
 	for i := range 12 {
-		h := controller.HostInfo{Host: fmt.Sprintf("10.0.0.%d:80", i), Zone: "addis", Phase: "ready", Weight: 1,
+		host := controller.HostInfo{Host: fmt.Sprintf("10.0.0.%d:80", i), Zone: "addis", Phase: "ready", Weight: 1,
 			Why: routing.Explanation{ArrivalRate: float64(i * 3), Capacity: 30, SlowStartFactor: 1}}
 		switch i {
 		case 3:
-			h.Withdrawn, h.Weight = true, 0
+			host.Withdrawn = true
+			host.Weight = 0
 		case 5:
-			h.Phase, h.Operator = "draining", &controller.OverrideInfo{State: "drain"}
+			host.Phase = "draining"
+			host.Operator = &controller.OverrideInfo{State: "drain"}
 		case 7:
-			h.Why.SlowStartFactor = 0.3
+			host.Why.SlowStartFactor = 0.3
 		}
-		state.hosts = append(state.hosts, h)
+		state.hosts = append(state.hosts, host)
 	}
-	state.proxies = []controller.ProxyInfo{{Proxy: "p", Zone: "addis", Acked: true, Rates: map[string]float64{"sheet": 3, "finish": 2}}, {Proxy: "q", Zone: "adama"}}
 	for i := range 9 {
-		state.events = append(state.events, controller.Event{Number: int64(i + 1), At: float64(i) * 1000, Kind: "mode", Text: fmt.Sprint("event ", i+1, strings.Repeat(" long", 20))})
+		text := fmt.Sprint("event ", i+1, strings.Repeat(" long", 20))
+		state.events = append(state.events,
+			controller.Event{Number: int64(i + 1), At: float64(i) * 1000, Kind: "mode", Text: text})
 	}
-	asked := 0
-	var m tea.Model = topModel{interval: time.Second, width: 80, height: 12, fetch: func(topState) topState { asked++; return state }}
-	var out strings.Builder
-	frame := func(what string) {
-		fmt.Fprintf(&out, "--- %s\n%s\n", what, m.View())
-		for _, l := range strings.Split(m.View(), "\n") {
-			if len([]rune(l)) > 80 {
-				t.Errorf("%s: a line of %d columns", what, len([]rune(l)))
-			}
-		}
+	return state
+}
+
+// keyMsg is the message that a key sends, by its name.
+func keyMsg(key string) tea.KeyMsg {
+	switch key {
+	case "tab":
+		return tea.KeyMsg{Type: tea.KeyTab}
+	case "down":
+		return tea.KeyMsg{Type: tea.KeyDown}
+	case "pgdown":
+		return tea.KeyMsg{Type: tea.KeyPgDown}
 	}
-	frame("before anything is known")
-	m, _ = m.Update(m.Init()())
-	frame("hosts by load")
-	key := func(k string) {
-		msg := tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune(k)}
-		switch k {
-		case "tab":
-			msg = tea.KeyMsg{Type: tea.KeyTab}
-		case "down":
-			msg = tea.KeyMsg{Type: tea.KeyDown}
-		case "pgdown":
-			msg = tea.KeyMsg{Type: tea.KeyPgDown}
+	return tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune(key)}
+}
+
+// The terminal view, driven by keys, in 80 columns: each frame is compared with the golden one.
+func TestTop(t *testing.T) {
+	state := exampleTopState()
+	queries := 0
+	fetch := func(topState) topState {
+		queries++
+		return state
+	}
+	var model tea.Model = topModel{interval: time.Second, width: 80, height: 12, fetch: fetch}
+	var frames strings.Builder
+	addFrame := func(name string) {
+		t.Helper()
+		view := model.View()
+		fmt.Fprintf(&frames, "--- %s\n%s\n", name, view)
+		for _, line := range strings.Split(view, "\n") {
+			if columns := len([]rune(line)); columns > 80 {
+				t.Errorf("%s: a line of %d columns", name, columns)
+			}
 		}
-		m, _ = m.Update(msg)
-		frame(k)
 	}
-	for _, k := range []string{"s", "down", "pgdown", "tab", "tab", "down", "1"} {
-		key(k)
+	update := func(msg tea.Msg) { model, _ = model.Update(msg) }
+
+	addFrame("before anything is known")
+	update(model.Init()())
+	addFrame("hosts by load")
+	for _, key := range []string{"s", "down", "pgdown", "tab", "tab", "down", "1"} {
+		update(keyMsg(key))
+		addFrame(key)
 	}
 	state.err = errors.New("asking the steward: connection refused")
-	m, _ = m.Update(m.(topModel).query()())
-	frame("the steward is gone")
-	m, _ = m.Update(tea.WindowSizeMsg{Width: 40, Height: 8})
-	frame("a small terminal")
-	if _, quit := m.Update(tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune("q")}); quit == nil || asked != 2 {
-		t.Errorf("q does not end it, or it asked %d times", asked)
+	update(model.(topModel).query()())
+	addFrame("the steward is gone")
+	update(tea.WindowSizeMsg{Width: 40, Height: 8})
+	addFrame("a small terminal")
+	if _, quit := model.Update(keyMsg("q")); quit == nil || queries != 2 {
+		t.Errorf("q does not end it, or it made %d queries", queries)
 	}
-	golden.Compare(t, "top", out.String())
+	golden.Compare(t, "top", frames.String())
 }
