--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"fmt"
-	"os"
 	"strings"
 	"testing"
 
-	"github.com/google/go-cmp/cmp"
+	"barleysail/internal/golden"
 )
 
 const settings = `{"Discovery":"automatic","FailureDomains":["a","b"],"Index":0,"Instances":1,"Zone":"a","Extra":[1],` +
@@ -43,11 +42,5 @@
 		last := in[strings.LastIndex("\n"+strings.TrimSuffix(in, "\n"), "\n"):]
 		fmt.Fprintf(&now, "case %d ends with: %.90s\n%serror: %v\n\n", i, strings.TrimSuffix(last, "\n"), out.String(), err)
 	}
-	if os.Getenv("KEEP") != "" {
-		os.WriteFile("testdata/wire.txt", []byte(now.String()), 0o644)
-	}
-	kept, _ := os.ReadFile("testdata/wire.txt")
-	if diff := cmp.Diff(strings.Split(string(kept), "\n"), strings.Split(now.String(), "\n")); diff != "" {
-		t.Errorf("(-kept +now):\n%s", diff)
-	}
+	golden.Compare(t, "wire", now.String())
 }
