--- /dev/null
+++ b/cmd/simadapter/update_writer.go
@@ -0,0 +1,47 @@
+package main
+
+import (
+	"math"
+
+	"barleysail/routing"
+)
+
+const roundAlarm = 1 // handle of the alarm that an instance asks for its next round by
+
+// controllerInstance is the routing.UpdateWriter of its balancer: it writes each update with the instance's number and
+// with host names in place of indices.
+var _ routing.UpdateWriter = (*controllerInstance)(nil)
+
+// SetWeight writes the weight of a host in a table.
+func (c *controllerInstance) SetWeight(table, host int, weight float64) {
+	c.writer.Weigh(c.number, table, c.balancer.HostID(host), weight)
+}
+
+// AssignTable writes that a proxy uses a table for the request classes of a bit mask.
+func (c *controllerInstance) AssignTable(proxy, table, classes int) {
+	c.writer.AttachTable(c.number, proxy, table, classes)
+}
+
+// SetAdmission writes the admitted share and the retry policy of the request classes of a bit mask.
+func (c *controllerInstance) SetAdmission(table, classes int, share float64, maxAttempts int) {
+	c.writer.Throttle(c.number, table, classes, share, maxAttempts)
+}
+
+// StampVersion writes the number that proxies acknowledge the updates before it by.
+func (c *controllerInstance) StampVersion(number int) { c.writer.Seal(c.number, number) }
+
+// CheckHealth writes the request of a health check.
+func (c *controllerInstance) CheckHealth(host int) { c.writer.Probe(c.number, c.balancer.HostID(host)) }
+
+// ScheduleRound writes the request of an alarm at a simulated time, rounded up to the simulator's microseconds.
+func (c *controllerInstance) ScheduleRound(atMs float64) {
+	c.writer.After(c.number, int64(math.Ceil(atMs*1000)), roundAlarm)
+}
+
+// WatchEndpoints writes the request of the endpoint list and its changes.
+func (c *controllerInstance) WatchEndpoints() { c.writer.Subscribe(c.number) }
+
+// Log writes an event of the balancer as a remark.
+func (c *controllerInstance) Log(event routing.Event) {
+	c.writer.Remark(c.number, event.Text(routing.HostIndex))
+}
