--- a/cmd/barleysail/config_test.go
+++ b/cmd/barleysail/config_test.go
@@ -8,10 +8,10 @@
 
 func TestConfigAndAuth(t *testing.T) {
 	dir := t.TempDir()
-	list := writeFile(t, filepath.Join(dir, "hosts.textproto"), `hosts { address: "10.0.0.1:80" zone: "a" }`)
-	wrongList := writeFile(t, filepath.Join(dir, "wrong.textproto"), `hosts { address: "10.0.0.1:80" zone: "odd" }`)
+	list := writeTextFile(t, filepath.Join(dir, "hosts.textproto"), `hosts { address: "10.0.0.1:80" zone: "a" }`)
+	wrongList := writeTextFile(t, filepath.Join(dir, "wrong.textproto"), `hosts { address: "10.0.0.1:80" zone: "odd" }`)
 	settings := func(name, list, identity string) string {
-		return writeFile(t, filepath.Join(dir, name), fmt.Sprintf(`zones: ["a"] classes { name: "sheet" due_ms: 1000
+		return writeTextFile(t, filepath.Join(dir, name), fmt.Sprintf(`zones: ["a"] classes { name: "sheet" due_ms: 1000
 			patience_ms: 2500 } listen: "127.0.0.1:0" %s identity { %s }`, list, identity))
 	}
 	allow := `workload_api: "unix:///nowhere" allow { id: "spiffe://race.example/operator/*" actions: "see" }`
--- a/cmd/barleysail/controller_commands_test.go
+++ b/cmd/barleysail/controller_commands_test.go
@@ -15,7 +15,7 @@
 // the controller's URL.
 func startTwoHostController(t *testing.T) string {
 	t.Helper()
-	list := writeFile(t, filepath.Join(t.TempDir(), "hosts.textproto"),
+	list := writeTextFile(t, filepath.Join(t.TempDir(), "hosts.textproto"),
 		`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "a" weight: 0.5 }`)
 	controller := startController(t, parseConfig(t, `zones: ["a"] listen: "127.0.0.1:0" identity { plain_loopback: true }
 		classes { name: "sheet" due_ms: 1000 patience_ms: 2500 } probes { on: false } list { file: "`+list+`" }`))
@@ -78,10 +78,10 @@
 func TestGuardCheck(t *testing.T) {
 	url := startTwoHostController(t)
 	dir := t.TempDir()
-	sound := writeFile(t, filepath.Join(dir, "sound.json"),
+	sound := writeTextFile(t, filepath.Join(dir, "sound.json"),
 		`{"tables":{"sheet":{"hosts":{"10.0.0.1:80":1,"10.0.0.2:80":0.5}}}}`)
-	empty := writeFile(t, filepath.Join(dir, "empty.json"), `{"tables":{"sheet":{"hosts":{}}}}`)
-	malformed := writeFile(t, filepath.Join(dir, "malformed.json"), `{`)
+	empty := writeTextFile(t, filepath.Join(dir, "empty.json"), `{"tables":{"sheet":{"hosts":{}}}}`)
+	malformed := writeTextFile(t, filepath.Join(dir, "malformed.json"), `{`)
 	runCases(t, url, []commandCase{
 		{"sound tables", []string{"guard", "check", sound}, 0, []string{"sound\n"}},
 		{"of a zone", []string{"guard", "check", sound, "--zone", "a"}, 0, []string{"sound\n"}},
--- a/cmd/barleysail/helpers_test.go
+++ b/cmd/barleysail/helpers_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// writeFile writes a text and returns the file's name.
-func writeFile(t *testing.T, name, text string) string {
+// writeTextFile writes a text file and returns its name.
+func writeTextFile(t *testing.T, name, text string) string {
 	t.Helper()
 	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
--- a/cmd/barleysail/identity_transport_test.go
+++ b/cmd/barleysail/identity_transport_test.go
@@ -55,7 +55,7 @@
 // with one that is denied, they end with the exit code that says so.
 func TestOperatorIdentity(t *testing.T) {
 	identities := newIdentityIssuer(t)
-	list := writeFile(t, filepath.Join(identities.folder, "hosts.textproto"),
+	list := writeTextFile(t, filepath.Join(identities.folder, "hosts.textproto"),
 		`hosts { address: "10.0.0.1:80" zone: "a" }`)
 	allow := `allow { id: "` + trustDomain + `/operator/*" actions: "see" actions: "set" }`
 	controller := startController(t, parseConfig(t, `zones: ["a"] listen: "127.0.0.1:0" probes { on: false }
--- a/cmd/barleysail/recordings_test.go
+++ b/cmd/barleysail/recordings_test.go
@@ -17,7 +17,7 @@
 func recordController(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	list := writeFile(t, filepath.Join(dir, "hosts.textproto"),
+	list := writeTextFile(t, filepath.Join(dir, "hosts.textproto"),
 		`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "a" }`)
 	settings := parseConfig(t, `zones: ["a"] listen: "127.0.0.1:0" identity { plain_loopback: true }
 		classes { name: "sheet" due_ms: 1000 patience_ms: 2500 } probes { on: false } list { file: "`+list+`" }`)
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeFile(t, torn, string(text[:len(text)-20]))
+	writeTextFile(t, torn, string(text[:len(text)-20]))
 	part, plot := filepath.Join(dir, "part.day"), filepath.Join(dir, "plot.svg")
 	cut := []string{"recordings", "cut", controller, "--from", "0", "--to", "100"}
 	comparison := []string{"replay", dir, "--set", "guard.grace_ms=2000"}
