--- a/routing/config.go
+++ b/routing/config.go
@@ -1,28 +1,5 @@
-// Package decide is the steward's decision module. This file is its interface: the plain setting types and
-// the Writer that takes the answers. Every decision is in decide.go. Times are in milliseconds.
 package routing
 
-// HostState is what the list says of a host.
-type HostState int
-
-// As on the list: removed, in service, finishing its work.
-const (
-	Removed HostState = iota
-	Ready
-	Draining
-)
-
-// HealthCheckResult of a probe.
-type HealthCheckResult int
-
-// A probe was answered, answered with an error or refusal, had no answer in time, or found nothing there.
-const (
-	Healthy HealthCheckResult = iota
-	Rejected
-	TimedOut
-	Unreachable
-)
-
 // RequestClass of transactions.
 type RequestClass struct {
 	LatencyObjectiveMs, DeadlineMs, PriorityWeight float64
@@ -61,29 +38,3 @@
 	AdmissionControl               bool    // levels, as shares, are heeded
 	HealthChecks, WatchesEndpoints bool    // probes are allowed; the list must be asked
 }
-
-// HostLoad is what a host reports of itself; a value below 0 was not reported.
-type HostLoad struct {
-	Utilization float64 `json:"Util"`
-	RequestRate float64 `json:"Rate"`
-	QueueLength float64 `json:"Queue"`
-}
-
-// UnknownLoad reports nothing.
-var UnknownLoad = HostLoad{-1, -1, -1}
-
-// AllTables in place of a table's number sets a level for all joined proxies.
-const AllTables = 65535
-
-// UpdateWriter takes the decisions of a round. Hosts and proxies go by the small indices they were noted with;
-// bit k of classes is class k, and 0 stands for all of them.
-type UpdateWriter interface {
-	SetWeight(table, host int, weight float64)
-	AssignTable(proxy, table, classes int)
-	SetAdmission(table, classes int, share float64, tries int)
-	StampVersion(number int)
-	CheckHealth(host int)
-	ScheduleRound(at float64)
-	WatchEndpoints()
-	Log(event Event)
-}
