--- a/routing/assignment.go
+++ b/routing/assignment.go
@@ -2,102 +2,102 @@
 
 import "sort"
 
-// join binds proxies to the shared table: those without a table of ours first, then by their traffic. One
+// assignTables binds proxies to the shared table: those without a table of ours first, then by their traffic. One
 // that cannot have the whole table in time first gets a few hosts, since it must not go on by an old one;
 // so does every proxy under strain. A hand that lost servers is filled up.
-func (s *Balancer) join(w UpdateWriter, c ControlChannel, b *batch, unbound int, lines []int, fair float64, behind bool) {
-	whole := func(p *proxy) float64 { return float64(lines[s.base(p.zone)]) + 2 }
-	short := func(p *proxy) bool {
-		return p.own && !s.resting && (len(p.hand) < handLeast || p.held*fair < shortHand*p.rate)
+func (s *Balancer) assignTables(w UpdateWriter, c ControlChannel, b *updateBatch, unbound int, lines []int, fair float64, behind bool) {
+	whole := func(p *proxyRecord) float64 { return float64(lines[s.sharedTable(p.zone)]) + 2 }
+	short := func(p *proxyRecord) bool {
+		return p.ownsTable && !s.quiescing && (len(p.subset) < minSubsetSize || p.subsetWeight*fair < subsetRefillRatio*p.requestRate)
 	}
 	var due []int
 	for i := range s.proxies {
-		if p := &s.proxies[i]; p.joined && (!p.bound || p.own != s.dealt && !s.resting || short(p)) {
+		if p := &s.proxies[i]; p.connected && (!p.assigned || p.ownsTable != s.subsetMode && !s.quiescing || short(p)) {
 			due = append(due, i)
 		}
 	}
 	sort.SliceStable(due, func(i, j int) bool {
 		a, b := &s.proxies[due[i]], &s.proxies[due[j]]
-		return !a.bound && b.bound || a.bound == b.bound && a.rate > b.rate
+		return !a.assigned && b.assigned || a.assigned == b.assigned && a.requestRate > b.requestRate
 	})
 	for _, i := range due {
 		p := &s.proxies[i]
-		if !c.may(len(p.sent), guardsTo) && (p.bound || !c.may(len(p.sent), drainsTo)) {
+		if !c.allowsMessage(len(p.messageTimesMs), protectiveFill) && (p.assigned || !c.allowsMessage(len(p.messageTimesMs), removalFill)) {
 			continue
 		}
-		cost := whole(p) + b.head
-		late := !s.local && s.tooLate(float64(unbound)*cost+b.before, c)
-		few := s.dealt || s.resting || (late || behind) && !p.bound
-		room := b.queue+cost <= joinsTo*c.MaxBacklog || b.queue == 0
-		if !few && !behind && room && (!p.bound || s.purse > c.EntriesPerSecond/2) {
-			if b.reach(i, cost-b.head); p.bound {
-				s.purse -= cost
+		cost := whole(p) + b.messageOverhead
+		late := !s.zoneLocal && s.exceedsDrainGrace(float64(unbound)*cost+b.initialBacklog, c)
+		few := s.subsetMode || s.quiescing || (late || behind) && !p.assigned
+		room := b.backlog+cost <= assignmentFill*c.MaxBacklog || b.backlog == 0
+		if !few && !behind && room && (!p.assigned || s.updateBudget > c.EntriesPerSecond/2) {
+			if b.account(i, cost-b.messageOverhead); p.assigned {
+				s.updateBudget -= cost
 			}
-			w.AssignTable(i, s.base(p.zone), 0)
-			p.bound, p.own = true, false
-		} else if !s.local && (few && !p.own || short(p) && !behind) &&
-			b.queue+b.head+handLeast <= guardsTo*c.MaxBacklog {
-			for !p.own && len(p.hand) > 0 {
-				w.SetWeight(s.own(i), p.hand[0], 0)
-				p.hand = p.hand[1:]
+			w.AssignTable(i, s.sharedTable(p.zone), 0)
+			p.assigned, p.ownsTable = true, false
+		} else if !s.zoneLocal && (few && !p.ownsTable || short(p) && !behind) &&
+			b.backlog+b.messageOverhead+minSubsetSize <= protectiveFill*c.MaxBacklog {
+			for !p.ownsTable && len(p.subset) > 0 {
+				w.SetWeight(s.subsetTable(i), p.subset[0], 0)
+				p.subset = p.subset[1:]
 			}
-			if n := s.deal(w, i, fair); n > 0 {
-				if b.reach(i, float64(n)); !p.own {
-					b.reach(i, 1)
-					w.AssignTable(i, s.own(i), 0)
+			if n := s.fillSubset(w, i, fair); n > 0 {
+				if b.account(i, float64(n)); !p.ownsTable {
+					b.account(i, 1)
+					w.AssignTable(i, s.subsetTable(i), 0)
 				}
-				p.bound, p.own = true, true
+				p.assigned, p.ownsTable = true, true
 			}
 		}
 	}
 }
 
-// base is the table that a zone's proxies share: one for all, or the zone's where a class may not leave it.
-func (s *Balancer) base(zone int) int {
-	if s.local {
+// sharedTable is the table that a zone's proxies share: one for all, or the zone's where a class may not leave it.
+func (s *Balancer) sharedTable(zone int) int {
+	if s.zoneLocal {
 		return 1 + zone
 	}
 	return 0
 }
 
-// own is the number of a proxy's own table.
-func (s *Balancer) own(p int) int { return 1 + s.fleet.Zones + p }
+// subsetTable is the number of a proxy's own table.
+func (s *Balancer) subsetTable(p int) int { return 1 + s.deployment.Zones + p }
 
 // SubsetTable is the number of the table that a proxy may be given for itself.
-func (s *Balancer) SubsetTable(p int) int { return s.own(p) }
+func (s *Balancer) SubsetTable(p int) int { return s.subsetTable(p) }
 
-// tally counts the proxies that are bound and those that wait, and for each server the proxies that hold it
+// countAssignments counts the proxies that are bound and those that wait, and for each server the proxies that hold it
 // and the traffic that hands bring it. It gives the most messages that one proxy was sent lately, and the
 // traffic for each part of weight, too. Messages older than so much have left the channel without an answer.
-func (s *Balancer) tally(over, oldest float64) (bound, unbound, most int, fair float64) {
-	shared, traffic, weight := make([]int, s.fleet.Zones+1), 0.0, 1e-9
+func (s *Balancer) countAssignments(over, oldest float64) (bound, unbound, most int, fair float64) {
+	shared, traffic, weight := make([]int, s.deployment.Zones+1), 0.0, 1e-9
 	for i := range s.proxies {
-		if p := &s.proxies[i]; p.joined {
-			for len(p.sent) > 0 && p.sent[0] < s.now-over {
-				p.sent = p.sent[1:]
+		if p := &s.proxies[i]; p.connected {
+			for len(p.messageTimesMs) > 0 && p.messageTimesMs[0] < s.nowMs-over {
+				p.messageTimesMs = p.messageTimesMs[1:]
 			}
-			for len(p.unanswered) > 0 && p.unanswered[0].at < s.now-oldest {
-				s.gone(p, 1)
+			for len(p.unacknowledged) > 0 && p.unacknowledged[0].sentAtMs < s.nowMs-oldest {
+				s.releaseMessages(p, 1)
 			}
-			most = max(most, len(p.sent))
-			traffic += p.rate
-			if !p.bound {
+			most = max(most, len(p.messageTimesMs))
+			traffic += p.requestRate
+			if !p.assigned {
 				unbound++
-			} else if bound++; !p.own {
-				shared[s.base(p.zone)]++
+			} else if bound++; !p.ownsTable {
+				shared[s.sharedTable(p.zone)]++
 			}
 		}
 	}
-	for _, h := range s.order {
-		v := &s.servers[h]
-		v.holders, v.carried, weight = shared[s.base(v.zone)], 0, weight+v.told
+	for _, h := range s.hostOrder {
+		v := &s.hosts[h]
+		v.holders, v.subsetRate, weight = shared[s.sharedTable(v.zone)], 0, weight+v.published
 	}
 	for i := range s.proxies {
 		p := &s.proxies[i]
-		p.held = 0
-		for k := 0; p.joined && p.own && k < len(p.hand); k++ {
-			v := &s.servers[p.hand[k]]
-			v.holders, v.carried, p.held = v.holders+1, v.carried+p.rate/float64(len(p.hand)), p.held+v.told
+		p.subsetWeight = 0
+		for k := 0; p.connected && p.ownsTable && k < len(p.subset); k++ {
+			v := &s.hosts[p.subset[k]]
+			v.holders, v.subsetRate, p.subsetWeight = v.holders+1, v.subsetRate+p.requestRate/float64(len(p.subset)), p.subsetWeight+v.published
 		}
 	}
 	return bound, unbound, most, traffic / weight
--- a/routing/balancer_test.go
+++ b/routing/balancer_test.go
@@ -19,7 +19,7 @@
 func TestCap(t *testing.T) {
 	b := &bench{}
 	for _, c := range [][2]float64{{10, 250}, {10, 1000}, {1, 2000}} {
-		limit := capOf(c[0], c[1], 250)
+		limit := deadlineCapacity(c[0], c[1], 250)
 		b.say("rate %.0f R %.0f: cap %.3f excess %.3f", c[0], c[1], limit, c[0]-limit)
 	}
 	b.check(t)
@@ -30,14 +30,14 @@
 // 11.255, room 1.255. So 0.255 and 1.255 of 30/s move, a tenth of that in weight: 0.849, 1.0255, 1.1255.
 func TestMovesByHand(t *testing.T) {
 	b := start(plain(), 3)
-	b.median = 250
+	b.medianLatencyMs = 250
 	for h, r := range []float64{500, 250, 200} {
-		v := &b.servers[h]
-		v.zone, v.rate, v.r, v.past.good = h/2, 10, r, 50
+		v := &b.hosts[h]
+		v.zone, v.arrivalRate, v.meanLatencyMs, v.window.successes = h/2, 10, r, 50
 	}
-	b.shift()
-	for h := range b.servers {
-		b.say("host %d weight %.4f", h, b.servers[h].weight)
+	b.rebalance()
+	for h := range b.hosts {
+		b.say("host %d weight %.4f", h, b.hosts[h].weight)
 	}
 	b.check(t)
 }
@@ -115,8 +115,8 @@
 // probes answers the probes of all hosts for a while: silent ones not at all.
 func (b *bench) probes(ms float64, sums map[int][3]float64, how func(h int) HealthCheckResult) {
 	for end := b.now + ms; b.now < end; {
-		for h := range b.servers {
-			if b.servers[h].probing {
+		for h := range b.hosts {
+			if b.hosts[h].checkInFlight {
 				b.ObserveHealthCheck(h, how(h), UnknownLoad)
 			}
 		}
@@ -267,7 +267,7 @@
 	set.MaxMessages = 20
 	b := start(set, 3)
 	for range 18 {
-		b.proxies[1].sent = append(b.proxies[1].sent, b.now)
+		b.proxies[1].messageTimesMs = append(b.proxies[1].messageTimesMs, b.now)
 	}
 	b.ObserveDelta()
 	b.ObserveEndpoint(2, 0, Draining, 1, 0)
@@ -284,7 +284,7 @@
 	fine := func(int) HealthCheckResult { return Healthy }
 	b.probes(4000, alike(10, [3]float64{10, 0, 200}), fine)
 	for h := range 10 {
-		b.servers[h].load.Utilization = 0.4
+		b.hosts[h].load.Utilization = 0.4
 	}
 	b.probes(4000, alike(10, [3]float64{20, 12, 300}), fine)
 	b.probes(32000, alike(10, [3]float64{10, 0, 200}), fine)
@@ -307,8 +307,8 @@
 	b.ObserveSnapshot(false)
 	b.ObserveEndpoint(0, 0, Ready, 0, 0)
 	b.run(3000, sums)
-	for h := range b.servers {
-		if v := &b.servers[h]; math.IsNaN(v.weight) || v.weight < 0 || math.IsInf(v.weight, 0) {
+	for h := range b.hosts {
+		if v := &b.hosts[h]; math.IsNaN(v.weight) || v.weight < 0 || math.IsInf(v.weight, 0) {
 			t.Errorf("host %d has weight %v", h, v.weight)
 		}
 	}
@@ -363,14 +363,14 @@
 	b := start(set, 2)
 	sums := alike(2, [3]float64{10, 0, 200})
 	b.probes(2000, sums, func(int) HealthCheckResult { return Healthy })
-	b.servers[1].out, b.servers[1].strikes = true, 5
+	b.hosts[1].ejected, b.hosts[1].consecutiveFailures = true, 5
 	b.run(200, nil)
 	for range 10 {
-		b.proxies[0].sent = append(b.proxies[0].sent, b.now)
+		b.proxies[0].messageTimesMs = append(b.proxies[0].messageTimesMs, b.now)
 	}
 	b.ObserveDelta()
 	b.ObserveEndpoint(0, 0, Draining, 1, 0)
-	b.servers[1].fine = 2
+	b.hosts[1].consecutiveSuccesses = 2
 	b.run(400, nil)
 	b.check(t)
 }
@@ -471,9 +471,9 @@
 				if int(b.now)%1000 == 0 {
 					b.ObserveHostStats(h, 3, 0, 100, 1000, load)
 				}
-				if b.servers[h].probing && (h == 2 || h == 3) {
+				if b.hosts[h].checkInFlight && (h == 2 || h == 3) {
 					b.ObserveHealthCheck(h, how, UnknownLoad)
-				} else if b.servers[h].probing {
+				} else if b.hosts[h].checkInFlight {
 					b.ObserveHealthCheck(h, Healthy, load)
 				}
 			}
@@ -501,7 +501,7 @@
 				if int(b.now)%1000 == 0 {
 					b.ObserveHostStats(h, 3, 0, 100, 1000, load)
 				}
-				if how := Healthy; b.servers[h].probing {
+				if how := Healthy; b.hosts[h].checkInFlight {
 					if h%4 == second%4 && h < 8 {
 						how = TimedOut
 					}
@@ -511,7 +511,7 @@
 		}
 	}
 	for h := range 9 {
-		b.say("host %d doubt %.1f told %.3f", h, b.servers[h].doubt, b.servers[h].told)
+		b.say("host %d doubt %.1f told %.3f", h, b.hosts[h].suspicion, b.hosts[h].published)
 	}
 	b.check(t)
 }
--- a/routing/controlchannel.go
+++ b/routing/controlchannel.go
@@ -3,44 +3,44 @@
 import "slices"
 
 const (
-	ackPart    = 0.8    // of the proxies answered a mark: the next changes may go
-	ackWait    = 2000.0 // or so long after it
-	ordersPart = 0.03   // of the result may go into the price of weights
-	gather     = 350.0  // ms in which urgent orders gather into one message
-	startsTo   = 0.6    // of its weight in the tables a cold host is cut to before all but removals
-	drainsTo   = 0.95   // of the channel's caps may be filled by removals of hosts that drain or are gone
-	guardsTo   = 0.55   // by withdrawals, by what guards cold hosts and by tables of a few hosts
-	weightsTo  = 0.45   // by weights and levels
-	weightsIn  = 0.4    // of the grace for drains: what is in the channel before weights has left
-	joinsTo    = 0.3    // by whole tables
-	inTime     = 0.3    // of the grace for drains: joining proxies get a table of ours
-	slowest    = 0.5    // the channel is taken to run at this part of its pace
-	crawl      = 0.1    // and never slower than so: what is not answered by then has left it
+	ackQuorum            = 0.8    // of the proxies answered a mark: the next changes may go
+	ackTimeoutMs         = 2000.0 // or so long after it
+	updateCostShare      = 0.03   // of the result may go into the price of weights
+	urgentGatherMs       = 350.0  // ms in which urgent orders gather into one message
+	slowStartCutRatio    = 0.6    // of its weight in the tables a cold host is cut to before all but removals
+	removalFill          = 0.95   // of the channel's caps may be filled by removals of hosts that drain or are gone
+	protectiveFill       = 0.55   // by withdrawals, by what guards cold hosts and by tables of a few hosts
+	weightFill           = 0.45   // by weights and levels
+	weightGraceShare     = 0.4    // of the grace for drains: what is in the channel before weights has left
+	assignmentFill       = 0.3    // by whole tables
+	assignmentGraceShare = 0.3    // of the grace for drains: joining proxies get a table of ours
+	assumedPaceRatio     = 0.5    // the channel is taken to run at this part of its pace
+	minPaceRatio         = 0.1    // and never slower than so: what is not answered by then has left it
 )
 
-// may tells whether a proxy that was sent so many messages may be sent one more within a part of the cap.
-func (c ControlChannel) may(sent int, part float64) bool {
+// allowsMessage tells whether a proxy that was sent so many messages may be sent one more within a part of the cap.
+func (c ControlChannel) allowsMessage(sent int, part float64) bool {
 	return c.MaxMessages == 0 || float64(sent+2) <= part*float64(c.MaxMessages)
 }
 
-// tooLate tells whether so many lines take too long to keep the grace for drains.
-func (s *Balancer) tooLate(lines float64, c ControlChannel) bool {
-	return lines/(c.EntriesPerSecond*slowest)*1000 > s.guard.DrainGraceMs*inTime
+// exceedsDrainGrace tells whether so many lines take too long to keep the grace for drains.
+func (s *Balancer) exceedsDrainGrace(lines float64, c ControlChannel) bool {
+	return lines/(c.EntriesPerSecond*assumedPaceRatio)*1000 > s.limits.DrainGraceMs*assignmentGraceShare
 }
 
-// open tells whether most proxies that got the last weights answered, or 2 s have passed.
-func (s *Balancer) open() bool {
-	return float64(s.answers) >= ackPart*float64(s.asked) || s.now >= s.markAt+ackWait
+// rolloutAcknowledged tells whether most proxies that got the last weights answered, or 2 s have passed.
+func (s *Balancer) rolloutAcknowledged() bool {
+	return float64(s.weightAcks) >= ackQuorum*float64(s.weightProxies) || s.nowMs >= s.weightSentAtMs+ackTimeoutMs
 }
 
-// gone takes a proxy's n oldest messages out of the channel, by an answer, its leaving or their age.
-func (s *Balancer) gone(q *proxy, n int) {
-	for _, m := range q.unanswered[:n] {
-		if s.waiting -= m.lines; q.joined && m.number == s.mark {
-			s.answers++
+// releaseMessages takes a proxy's n oldest messages out of the channel, by an answer, its leaving or their age.
+func (s *Balancer) releaseMessages(q *proxyRecord, n int) {
+	for _, m := range q.unacknowledged[:n] {
+		if s.unacknowledgedEntries -= m.entries; q.connected && m.version == s.weightVersion {
+			s.weightAcks++
 		}
 	}
-	q.unanswered = slices.Delete(q.unanswered, 0, n)
+	q.unacknowledged = slices.Delete(q.unacknowledged, 0, n)
 }
 
 // Ack notes a proxy's answer to a mark. The channel keeps its order: what was written to it before has left.
@@ -48,13 +48,13 @@
 	if p >= len(s.proxies) {
 		return
 	}
-	q, was := &s.proxies[p], s.waiting
-	s.gone(q, 1+slices.IndexFunc(q.unanswered, func(m message) bool { return m.number == number }))
-	s.arriving += was - s.waiting
+	q, was := &s.proxies[p], s.unacknowledgedEntries
+	s.releaseMessages(q, 1+slices.IndexFunc(q.unacknowledged, func(m updateMessage) bool { return m.version == number }))
+	s.arrivingEntries += was - s.unacknowledgedEntries
 }
 
-// message counts against the channel until its proxy answers its mark or a later one.
-type message struct {
-	number    int
-	lines, at float64
+// updateMessage counts against the channel until its proxy answers its mark or a later one.
+type updateMessage struct {
+	version           int
+	entries, sentAtMs float64
 }
--- a/routing/discovery.go
+++ b/routing/discovery.go
@@ -4,54 +4,54 @@
 
 // ObserveEndpoint notes an entry of the list. A new id or a new start time is a start; a weight of 0 says nothing.
 func (s *Balancer) ObserveEndpoint(host, zone int, phase HostState, listed, started float64) {
-	v := s.server(host)
+	v := s.host(host)
 	if listed <= 0 {
 		listed = 1
 	}
-	if !v.seen {
-		s.order = append(s.order, host)
-		v.listed, v.weight, v.r = listed, listed, s.median
-		if s.listKnown && started <= 0 {
-			started = s.now
+	if !v.discovered {
+		s.hostOrder = append(s.hostOrder, host)
+		v.baseWeight, v.weight, v.meanLatencyMs = listed, listed, s.medianLatencyMs
+		if s.snapshotReceived && started <= 0 {
+			started = s.nowMs
 		}
 	}
-	if phase != v.phase || started > 0 && started != v.started {
-		v.since = s.now
+	if phase != v.state || started > 0 && started != v.startedAtMs {
+		v.changedAtMs = s.nowMs
 	}
-	v.weight *= listed / v.listed
-	v.seen, v.zone, v.phase, v.listed = true, zone, phase, listed
-	if started > 0 && started != v.started {
-		*v = server{zone: zone, phase: phase, seen: true, listed: listed, started: started, weight: listed,
-			r: s.median, told: v.told, load: UnknownLoad, probing: v.probing, back: longAgo, since: s.now, life: v.life}
+	v.weight *= listed / v.baseWeight
+	v.discovered, v.zone, v.state, v.baseWeight = true, zone, phase, listed
+	if started > 0 && started != v.startedAtMs {
+		*v = hostRecord{zone: zone, state: phase, discovered: true, baseWeight: listed, startedAtMs: started, weight: listed,
+			meanLatencyMs: s.medianLatencyMs, published: v.published, load: UnknownLoad, checkInFlight: v.checkInFlight, recoveringSinceMs: neverMs, changedAtMs: s.nowMs, incarnation: v.incarnation}
 	}
 }
 
 // ObserveSnapshot notes that the entries which follow are the whole list.
 func (s *Balancer) ObserveSnapshot(cached bool) {
-	for i := range s.servers {
-		s.servers[i].phase = Removed
+	for i := range s.hosts {
+		s.hosts[i].state = Removed
 	}
 	if !cached {
-		s.listKnown, s.askWait = true, 0
+		s.snapshotReceived, s.watchBackoffMs = true, 0
 	}
 }
 
 // ObserveDelta notes that the entries which follow are changes.
-func (s *Balancer) ObserveDelta() { s.askWait = 0 }
+func (s *Balancer) ObserveDelta() { s.watchBackoffMs = 0 }
 
 // ObserveWatchFailure notes that a call for the list failed or that the list no longer sends its changes.
-func (s *Balancer) ObserveWatchFailure() { s.askFailed = true }
+func (s *Balancer) ObserveWatchFailure() { s.watchFailed = true }
 
-// follow keeps the subscription where the list must be asked. A failed call is repeated after a wait that
+// watchEndpoints keeps the subscription where the list must be asked. A failed call is repeated after a wait that
 // doubles up to a bound, with some chance in it so that stewards do not ask in step.
-func (s *Balancer) follow(w UpdateWriter) {
-	if s.wakeAt < 0 {
+func (s *Balancer) watchEndpoints(w UpdateWriter) {
+	if s.nextRoundAtMs < 0 {
 		w.WatchEndpoints()
 	}
-	if s.askFailed {
-		s.askFailed = false
-		s.askWait = math.Min(math.Max(2*s.askWait, 250), 4000)
-		s.add(s.askWait*(0.5+s.chance()), func(w UpdateWriter) { w.WatchEndpoints() })
-		w.Log(Event{WatchRetryScheduled, NoHost, []Field{{"within_ms", s.askWait * 1.5, 0}}})
+	if s.watchFailed {
+		s.watchFailed = false
+		s.watchBackoffMs = math.Min(math.Max(2*s.watchBackoffMs, 250), 4000)
+		s.schedule(s.watchBackoffMs*(0.5+s.jitter()), func(w UpdateWriter) { w.WatchEndpoints() })
+		w.Log(Event{WatchRetryScheduled, NoHost, []Field{{"within_ms", s.watchBackoffMs * 1.5, 0}}})
 	}
 }
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -35,20 +35,20 @@
 
 // Admission tells the level, each class's share, and the median of mean times, 0 where none is known.
 func (s *Balancer) Admission() (level float64, shares []float64, median float64) {
-	return s.level, slices.Clone(s.shares), s.median
+	return s.admissionRatio, slices.Clone(s.quotas), s.medianLatencyMs
 }
 
 // Explain tells how a host stands; false where the module does not know it.
 func (s *Balancer) Explain(host int) (Explanation, bool) {
-	if host >= len(s.servers) || !s.servers[host].seen {
+	if host >= len(s.hosts) || !s.hosts[host].discovered {
 		return Explanation{}, false
 	}
-	v := &s.servers[host]
-	e := Explanation{State: v.phase, Ejected: v.out, Balanced: s.serving(v), BaseWeight: v.listed, Weight: v.weight, TargetWeight: s.want(v, false),
-		PublishedWeight: v.told, ArrivalRate: v.rate, MeanLatencyMs: v.r, MedianLatencyMs: s.median, SlowStartFactor: s.warmth(v, s.guard), RecoveryFactor: s.part(v), CooldownUntilMs: v.hold,
-		StartedMs: v.started, ConsecutiveFailures: v.strikes, Unreachable: v.absent, ConsecutiveSuccesses: v.fine, Successes: v.won, Failures: v.lost, Load: v.load}
-	if v.r > 0 && s.median > 0 {
-		e.ServiceRate, e.Capacity = v.rate+1000/v.r, capOf(v.rate, v.r, s.median)
+	v := &s.hosts[host]
+	e := Explanation{State: v.state, Ejected: v.ejected, Balanced: s.rebalances(v), BaseWeight: v.baseWeight, Weight: v.weight, TargetWeight: s.targetWeight(v, false),
+		PublishedWeight: v.published, ArrivalRate: v.arrivalRate, MeanLatencyMs: v.meanLatencyMs, MedianLatencyMs: s.medianLatencyMs, SlowStartFactor: s.slowStartFactor(v, s.limits), RecoveryFactor: s.recoveryFactor(v), CooldownUntilMs: v.cooldownUntilMs,
+		StartedMs: v.startedAtMs, ConsecutiveFailures: v.consecutiveFailures, Unreachable: v.unreachable, ConsecutiveSuccesses: v.consecutiveSuccesses, Successes: v.recentSuccesses, Failures: v.recentFailures, Load: v.load}
+	if v.meanLatencyMs > 0 && s.medianLatencyMs > 0 {
+		e.ServiceRate, e.Capacity = v.arrivalRate+1000/v.meanLatencyMs, deadlineCapacity(v.arrivalRate, v.meanLatencyMs, s.medianLatencyMs)
 		e.LatencyMargin = math.Min(e.ServiceRate-e.Capacity, e.ServiceRate)
 	}
 	return e, true
@@ -57,9 +57,9 @@
 // HostStatus tells whether a host is listed as ready and not withdrawn, and the part of its capacity that it has after its
 // start: what a table guard looks at each round.
 func (s *Balancer) HostStatus(host int) (ready bool, warmth float64) {
-	if host >= len(s.servers) || !s.servers[host].seen {
+	if host >= len(s.hosts) || !s.hosts[host].discovered {
 		return false, 0
 	}
-	v := &s.servers[host]
-	return v.phase == Ready && !v.out, s.warmth(v, s.guard)
+	v := &s.hosts[host]
+	return v.state == Ready && !v.ejected, s.slowStartFactor(v, s.limits)
 }
--- a/routing/helper_test.go
+++ b/routing/helper_test.go
@@ -90,7 +90,7 @@
 	for end := b.now + ms; b.now < end; {
 		b.now += 200
 		if int(b.now)%1000 == 0 {
-			for h := range b.servers {
+			for h := range b.hosts {
 				if s, ok := sums[h]; ok {
 					b.ObserveHostStats(h, int(s[0]), int(s[1]), s[2], 1000, UnknownLoad)
 				}
--- a/routing/observation.go
+++ b/routing/observation.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	idleQueue = 0.5 // busy cores of a server that reports no waiting transaction
+	queueUtilization = 0.5 // busy cores of a server that reports no waiting transaction
 )
 
 // HostState is what the list says of a host.
@@ -37,47 +37,47 @@
 // UnknownLoad reports nothing.
 var UnknownLoad = HostLoad{-1, -1, -1}
 
-// busy is the part of a server's cores that a report shows as busy, below 0 if it shows nothing.
-func (l HostLoad) busy() float64 {
+// effectiveUtilization is the part of a server's cores that a report shows as busy, below 0 if it shows nothing.
+func (l HostLoad) effectiveUtilization() float64 {
 	if l.Utilization < 0 && l.QueueLength >= 0 {
-		return math.Min(1, idleQueue+l.QueueLength)
+		return math.Min(1, queueUtilization+l.QueueLength)
 	}
 	return l.Utilization
 }
 
 func (s *Balancer) ObserveHostStats(host, tries, failed int, mean, span float64, load HostLoad) {
-	v := s.server(host)
+	v := s.host(host)
 	good := float64(max(tries-failed, 0))
-	f := &v.fresh
-	f.good, f.bad, f.time = f.good+good, f.bad+float64(failed), f.time+mean*good
-	s.spans, s.lines = s.spans+span, s.lines+1
-	v.note(load)
-	s.heard = true
+	f := &v.pending
+	f.successes, f.failures, f.latencyMs = f.successes+good, f.failures+float64(failed), f.latencyMs+mean*good
+	s.reportSpanSumMs, s.reportCount = s.reportSpanSumMs+span, s.reportCount+1
+	v.observeLoad(load)
+	s.reportPending = true
 }
 
-func (v *server) note(load HostLoad) {
+func (v *hostRecord) observeLoad(load HostLoad) {
 	if load != UnknownLoad {
 		v.load = load
 	}
 }
 
 func (s *Balancer) ObserveDemand(p, class, came int, span float64) {
-	s.came[class] += float64(came)
+	s.classDemand[class] += float64(came)
 	if p < len(s.proxies) {
 		q := &s.proxies[p]
-		q.came, q.span = q.came+float64(came), math.Max(q.span, span)
+		q.pendingRequests, q.pendingSpanMs = q.pendingRequests+float64(came), math.Max(q.pendingSpanMs, span)
 	}
 }
 
 func (s *Balancer) ObserveHealthCheck(host int, how HealthCheckResult, load HostLoad) {
-	v := s.server(host)
-	v.probing = false
+	v := s.host(host)
+	v.checkInFlight = false
 	switch how {
 	case Healthy:
-		v.strikes, v.fine = 0, v.fine+1
-		v.note(load)
+		v.consecutiveFailures, v.consecutiveSuccesses = 0, v.consecutiveSuccesses+1
+		v.observeLoad(load)
 	case TimedOut, Unreachable:
-		v.strikes, v.fine, v.absent = v.strikes+1, 0, how == Unreachable
+		v.consecutiveFailures, v.consecutiveSuccesses, v.unreachable = v.consecutiveFailures+1, 0, how == Unreachable
 	}
 }
 
@@ -85,21 +85,21 @@
 // weight, as a part of the listed one; its mean time, 0 for unknown; and tries fulfilled and failed. It is evidence like
 // any other: moves, drift and sums go on from there, and it proves no withdrawal.
 func (s *Balancer) RestoreHost(host int, weight, r, won, lost float64) {
-	v := s.server(host)
-	v.weight = v.listed * weight
-	v.won, v.lost = won, lost
+	v := s.host(host)
+	v.weight = v.baseWeight * weight
+	v.recentSuccesses, v.recentFailures = won, lost
 	if r > 0 {
-		v.r = r
+		v.meanLatencyMs = r
 	}
 }
 
 // RestoreAdmission notes the level, each class's share and the median of mean times that an earlier life had; 0 for a median
 // that is not known.
 func (s *Balancer) RestoreAdmission(level float64, shares []float64, median float64) {
-	s.level = level
-	copy(s.shares, shares)
-	if s.tries = 1; level < 1 {
-		s.tries = 0
+	s.admissionRatio = level
+	copy(s.quotas, shares)
+	if s.retryPolicy = 1; level < 1 {
+		s.retryPolicy = 0
 	}
-	s.median = median
+	s.medianLatencyMs = median
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -3,54 +3,54 @@
 import "math"
 
 const (
-	doubtTo   = 0.25 // of the hosts may be doubted fully
-	silences  = 3    // unanswered probes in a row that may prove a server silent
-	absences  = 2    // unanswered probes in a row that prove a server absent, or count for a cut
-	cutPart   = 0.75 // of a zone's servers unanswered, and of another's answered, make a cut
-	trialPart = 0.4  // of its weight a server returns with, doubling each trialStep
-	trialStep = 1000.0
-	keepPart  = 0.34 // of the listed weight stays in the tables whatever the probes say
+	maxSuspectShare       = 0.25 // of the hosts may be doubted fully
+	unresponsiveFailures  = 3    // unanswered probes in a row that may prove a server silent
+	unreachableFailures   = 2    // unanswered probes in a row that prove a server absent, or count for a cut
+	partitionShare        = 0.75 // of a zone's servers unanswered, and of another's answered, make a cut
+	recoveryInitialFactor = 0.4  // of its weight a server returns with, doubling each trialStep
+	recoveryStepMs        = 1000.0
+	minServingShare       = 0.34 // of the listed weight stays in the tables whatever the probes say
 )
 
-// judge withdraws servers on proof, by symptom, and lets them return by trial. Proof is absence, or silence
+// detectOutliers withdraws servers on proof, by symptom, and lets them return by trial. Proof is absence, or silence
 // while no try is fulfilled there, alone or with its zone. It must not take a busy server for a silent one:
 // many silent, or a fleet that fails, prove nothing. What is left must carry the joined proxies' traffic.
-func (s *Balancer) judge(w UpdateWriter) {
+func (s *Balancer) detectOutliers(w UpdateWriter) {
 	listed, in, silent, n, doubted := 0.0, 0.0, 0, 0, 1e-9
-	all, fine, mute := make([]int, s.fleet.Zones), make([]int, s.fleet.Zones), make([]int, s.fleet.Zones)
-	for _, h := range s.order {
-		v := &s.servers[h]
-		if v.phase != Ready {
+	all, fine, mute := make([]int, s.deployment.Zones), make([]int, s.deployment.Zones), make([]int, s.deployment.Zones)
+	for _, h := range s.hostOrder {
+		v := &s.hosts[h]
+		if v.state != Ready {
 			continue
 		}
-		listed, n, all[v.zone], fine[v.zone] = listed+v.listed, n+1, all[v.zone]+1, fine[v.zone]+min(v.fine, 1)
-		if doubted += math.Min(v.doubt, 1); v.strikes > 0 && !v.absent {
+		listed, n, all[v.zone], fine[v.zone] = listed+v.baseWeight, n+1, all[v.zone]+1, fine[v.zone]+min(v.consecutiveSuccesses, 1)
+		if doubted += math.Min(v.suspicion, 1); v.consecutiveFailures > 0 && !v.unreachable {
 			silent++
 		}
-		if v.strikes >= absences {
+		if v.consecutiveFailures >= unreachableFailures {
 			mute[v.zone]++
 		}
-		if !v.out {
-			in += v.listed
+		if !v.ejected {
+			in += v.baseWeight
 		}
 	}
-	s.few, s.doubts = silent*4 <= n+3 && s.fulfilled > 0.5, math.Min(1, doubtTo*float64(n)/doubted)
-	least := keepPart * listed * s.share()
-	for _, h := range s.order {
-		v := &s.servers[h]
-		if v.phase != Ready || !v.out && v.strikes < absences {
+	s.suspicionApplies, s.suspicionScale = silent*4 <= n+3 && s.successRatio > 0.5, math.Min(1, maxSuspectShare*float64(n)/doubted)
+	least := minServingShare * listed * s.connectedShare()
+	for _, h := range s.hostOrder {
+		v := &s.hosts[h]
+		if v.state != Ready || !v.ejected && v.consecutiveFailures < unreachableFailures {
 			continue
 		}
-		if v.out {
+		if v.ejected {
 			// A proxy that joins from a cut-off zone proves the way there.
-			if v.fine < 2 && (v.absent || !s.zoneBack[v.zone]) {
+			if v.consecutiveSuccesses < 2 && (v.unreachable || !s.zoneReconnected[v.zone]) {
 				continue
 			}
-			v.out, v.strikes, v.doubt, v.hold, v.r, v.back = false, 0, 0, s.now+s.settle, s.median, s.now
-			if v.absent { // it may have restarted, and counts as cold
-				v.started, v.back = s.now, longAgo
+			v.ejected, v.consecutiveFailures, v.suspicion, v.cooldownUntilMs, v.meanLatencyMs, v.recoveringSinceMs = false, 0, 0, s.nowMs+s.settlingMs, s.medianLatencyMs, s.nowMs
+			if v.unreachable { // it may have restarted, and counts as cold
+				v.startedAtMs, v.recoveringSinceMs = s.nowMs, neverMs
 			}
-			in += v.listed
+			in += v.baseWeight
 			w.Log(Event{HostRecovering, h, nil})
 			continue
 		}
@@ -58,22 +58,22 @@
 		// unanswered at the same time, while nearly all of some other zone answer.
 		cut := false
 		for z := range all {
-			cut = cut || z != v.zone && all[z] > 0 && float64(fine[z]) >= cutPart*float64(all[z])
+			cut = cut || z != v.zone && all[z] > 0 && float64(fine[z]) >= partitionShare*float64(all[z])
 		}
-		cut = cut && all[v.zone] > 1 && float64(mute[v.zone]) >= cutPart*float64(all[v.zone])
-		alone := v.strikes >= silences && s.few
-		dry := s.heardAt-v.fed >= s.cycle*0.7 && (alone || cut)
-		if (v.absent || dry) && in-v.listed >= least && in > v.listed {
-			v.out, v.fine = true, 0
-			in -= v.listed
-			w.Log(Event{HostEjected, h, []Field{{"consecutive_failures", float64(v.strikes), 0},
-				{"unreachable", indicator(v.absent), 0}, {"remaining_weight_ratio", in / listed, 2}}})
+		cut = cut && all[v.zone] > 1 && float64(mute[v.zone]) >= partitionShare*float64(all[v.zone])
+		alone := v.consecutiveFailures >= unresponsiveFailures && s.suspicionApplies
+		dry := s.reportAtMs-v.lastSuccessAtMs >= s.reportCycleMs*0.7 && (alone || cut)
+		if (v.unreachable || dry) && in-v.baseWeight >= least && in > v.baseWeight {
+			v.ejected, v.consecutiveSuccesses = true, 0
+			in -= v.baseWeight
+			w.Log(Event{HostEjected, h, []Field{{"consecutive_failures", float64(v.consecutiveFailures), 0},
+				{"unreachable", indicator(v.unreachable), 0}, {"remaining_weight_ratio", in / listed, 2}}})
 		}
 	}
-	clear(s.zoneBack)
+	clear(s.zoneReconnected)
 }
 
-// part is what a server gets of its weight on trial, doubling each step.
-func (s *Balancer) part(v *server) float64 {
-	return math.Min(1, trialPart*math.Exp2(math.Floor((s.now-v.back)/trialStep)))
+// recoveryFactor is what a server gets of its weight on trial, doubling each step.
+func (s *Balancer) recoveryFactor(v *hostRecord) float64 {
+	return math.Min(1, recoveryInitialFactor*math.Exp2(math.Floor((s.nowMs-v.recoveringSinceMs)/recoveryStepMs)))
 }
--- a/routing/publish.go
+++ b/routing/publish.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	worthTell = 0.06 // relative change of a weight that is worth a line
-	unlimited = 1e6  // a level where shares are not heeded
+	minWeightChange = 0.06 // relative change of a weight that is worth a line
+	unlimitedQuota  = 1e6  // a level where shares are not heeded
 )
 
 // publish writes what changed, as much as the channel takes: removals, then what guards cold and withdrawn
@@ -17,160 +17,160 @@
 // that joined proxies have not answered, less as much as they answered within the last way of a message:
 // that is taken to be on its way now. What is older than a full channel at the least pace has left it.
 func (s *Balancer) publish(w UpdateWriter, c ControlChannel) {
-	passed := s.now - s.filledAt
-	s.filledAt = s.now
-	s.purse = math.Min(c.EntriesPerSecond, s.purse+passed/1000*c.EntriesPerSecond*ordersPart/math.Max(c.Cost, ordersPart))
-	s.arriving *= math.Exp(-passed / math.Max(c.PropagationDelayMs, 1))
-	lines := make([]int, s.fleet.Zones+1)
-	bound, unbound, most, fair := s.tally(c.MessageWindowMs, c.PropagationDelayMs+c.MaxBacklog/(c.EntriesPerSecond*crawl)*1000)
-	s.costs = grown(s.costs, len(s.proxies), 0)
+	passed := s.nowMs - s.publishedAtMs
+	s.publishedAtMs = s.nowMs
+	s.updateBudget = math.Min(c.EntriesPerSecond, s.updateBudget+passed/1000*c.EntriesPerSecond*updateCostShare/math.Max(c.Cost, updateCostShare))
+	s.arrivingEntries *= math.Exp(-passed / math.Max(c.PropagationDelayMs, 1))
+	lines := make([]int, s.deployment.Zones+1)
+	bound, unbound, most, fair := s.countAssignments(c.MessageWindowMs, c.PropagationDelayMs+c.MaxBacklog/(c.EntriesPerSecond*minPaceRatio)*1000)
+	s.costs = grow(s.costs, len(s.proxies), 0)
 	clear(s.costs)
-	b := &batch{before: math.Max(0, s.waiting-s.arriving), head: c.MessageOverhead + 1 + float64(len(s.shares)),
-		cost: s.costs}
-	b.queue = b.before
-	if s.number == 0 && unbound == 0 {
+	b := &updateBatch{initialBacklog: math.Max(0, s.unacknowledgedEntries-s.arrivingEntries), messageOverhead: c.MessageOverhead + 1 + float64(len(s.quotas)),
+		costs: s.costs}
+	b.backlog = b.initialBacklog
+	if s.version == 0 && unbound == 0 {
 		return
 	}
 	fits := func(n int, part float64) bool {
-		cost := b.queue + float64(n) + float64(min(n, bound-b.asked))*b.head
-		return cost <= part*c.MaxBacklog && cost+s.waiting-b.before <= drainsTo*c.MaxBacklog &&
-			(b.asked >= bound || c.may(most, part))
+		cost := b.backlog + float64(n) + float64(min(n, bound-b.proxies))*b.messageOverhead
+		return cost <= part*c.MaxBacklog && cost+s.unacknowledgedEntries-b.initialBacklog <= removalFill*c.MaxBacklog &&
+			(b.proxies >= bound || c.allowsMessage(most, part))
 	}
-	if heats := s.heat(float64(s.fleet.ProxyEjectAfter), s.guard.CollapseMultiple); heats != s.heats {
-		s.heats = heats
-		w.Log(Event{SlowStartChanged, NoHost, []Field{{"allowed", indicator(heats), 0}, {"success_ratio", s.fulfilled, 2}}})
+	if heats := s.permitsSlowStart(float64(s.deployment.ProxyEjectAfter), s.limits.CollapseMultiple); heats != s.slowStartAllowed {
+		s.slowStartAllowed = heats
+		w.Log(Event{SlowStartChanged, NoHost, []Field{{"allowed", indicator(heats), 0}, {"success_ratio", s.successRatio, 2}}})
 	}
 	bare, thin := make([]bool, len(lines)), make([]bool, len(lines))
-	for z := range s.fleet.Zones {
-		bare[s.base(z)], thin[s.base(z)] = !s.left(s.base(z), false), !s.left(s.base(z), true)
+	for z := range s.deployment.Zones {
+		bare[s.sharedTable(z)], thin[s.sharedTable(z)] = !s.hasWarmEntry(s.sharedTable(z), false), !s.hasWarmEntry(s.sharedTable(z), true)
 	}
-	var later []change
-	soon := s.now >= s.urgentAt+gather
-	order := slices.Clone(s.order)
-	if s.behind { // the channel is short: first what has waited longest
+	var later []weightUpdate
+	soon := s.nowMs >= s.urgentSentAtMs+urgentGatherMs
+	order := slices.Clone(s.hostOrder)
+	if s.urgentPending { // the channel is short: first what has waited longest
 		sort.SliceStable(order, func(i, j int) bool {
-			return s.servers[order[i]].since < s.servers[order[j]].since
+			return s.hosts[order[i]].changedAtMs < s.hosts[order[j]].changedAtMs
 		})
 	}
 	behind := false // a removal or start is not told yet: what else a proxy gets would count as knowing it
-	for rank, part := range []float64{drainsTo, drainsTo, guardsTo} {
+	for rank, part := range []float64{removalFill, removalFill, protectiveFill} {
 		for _, h := range order {
-			v := &s.servers[h]
-			want, scant := s.want(v, bare[s.base(v.zone)]), thin[s.base(v.zone)]
-			started := v.phase == Ready && s.starting(v)
-			if first := rank < 2; first != (v.phase != Ready || started) || first && started != (rank == 1) {
+			v := &s.hosts[h]
+			want, scant := s.targetWeight(v, bare[s.sharedTable(v.zone)]), thin[s.sharedTable(v.zone)]
+			started := v.state == Ready && s.exceedsSlowStart(v)
+			if first := rank < 2; first != (v.state != Ready || started) || first && started != (rank == 1) {
 				continue
 			}
 			if want > 0 {
-				lines[s.base(v.zone)]++
+				lines[s.sharedTable(v.zone)]++
 			}
-			size, guards := math.Abs(want-v.told), started || want == 0 || scant && v.told == 0
+			size, guards := math.Abs(want-v.published), started || want == 0 || scant && v.published == 0
 			if size > 0 && (v.holders == 0 || guards && !behind && (soon || scant) && fits(v.holders, part)) {
 				if v.holders > 0 {
-					s.urgentAt = s.now
+					s.urgentSentAtMs = s.nowMs
 				}
-				s.write(w, h, want, b)
-			} else if behind = behind || rank < 2 && size > 0; size > worthTell*math.Max(v.told, floorPart*v.listed) {
-				later = append(later, change{h, want, size})
+				s.publishWeight(w, h, want, b)
+			} else if behind = behind || rank < 2 && size > 0; size > minWeightChange*math.Max(v.published, minWeightRatio*v.baseWeight) {
+				later = append(later, weightUpdate{h, want, size})
 			}
 		}
 	}
-	s.behind = behind
-	if s.open() && !behind && fits(bound, guardsTo) {
-		s.tellLevels(w, b)
+	s.urgentPending = behind
+	if s.rolloutAcknowledged() && !behind && fits(bound, protectiveFill) {
+		s.publishAdmission(w, b)
 	}
-	s.join(w, c, b, unbound, lines, fair, behind)
-	b.number = s.number%60000 + 1
+	s.assignTables(w, c, b, unbound, lines, fair, behind)
+	b.version = s.version%60000 + 1
 	// A drain that comes next must still leave in time, unless no line to all proxies does.
-	spare, line := c.EntriesPerSecond*s.guard.DrainGraceMs/1000*weightsIn, float64(bound)*(b.head+1)
-	if start := b.queue; s.open() && !behind {
-		sort.SliceStable(later, func(i, j int) bool { return later[i].size > later[j].size })
+	spare, line := c.EntriesPerSecond*s.limits.DrainGraceMs/1000*weightGraceShare, float64(bound)*(b.messageOverhead+1)
+	if start := b.backlog; s.rolloutAcknowledged() && !behind {
+		sort.SliceStable(later, func(i, j int) bool { return later[i].change > later[j].change })
 		for _, l := range later {
-			if was := b.queue; (s.purse > 0 || was > start) && fits(s.servers[l.h].holders, weightsTo) &&
+			if was := b.backlog; (s.updateBudget > 0 || was > start) && fits(s.hosts[l.host].holders, weightFill) &&
 				(was <= spare || line > spare) {
-				s.write(w, l.h, l.want, b)
-				s.purse -= b.queue - was
+				s.publishWeight(w, l.host, l.weight, b)
+				s.updateBudget -= b.backlog - was
 			}
 		}
-		if b.queue > start {
-			s.mark, s.markAt, s.asked, s.answers = b.number, s.now, b.asked, 0
+		if b.backlog > start {
+			s.weightVersion, s.weightSentAtMs, s.weightProxies, s.weightAcks = b.version, s.nowMs, b.proxies, 0
 		}
 	}
-	if b.queue > b.before {
-		w.StampVersion(b.number)
-		s.number = b.number
+	if b.backlog > b.initialBacklog {
+		w.StampVersion(b.version)
+		s.version = b.version
 	}
-	for i, cost := range b.cost {
+	for i, cost := range b.costs {
 		if p := &s.proxies[i]; cost > 0 {
-			p.sent = append(p.sent, s.now)
-			p.unanswered = append(p.unanswered, message{b.number, cost, s.now})
-			s.waiting += cost
+			p.messageTimesMs = append(p.messageTimesMs, s.nowMs)
+			p.unacknowledged = append(p.unacknowledged, updateMessage{b.version, cost, s.nowMs})
+			s.unacknowledgedEntries += cost
 		}
 	}
 }
 
-// write sets the line of a server in every table that holds it.
-func (s *Balancer) write(w UpdateWriter, h int, want float64, b *batch) {
-	v := &s.servers[h]
-	v.told = want
-	w.SetWeight(s.base(v.zone), h, want)
+// publishWeight sets the line of a server in every table that holds it.
+func (s *Balancer) publishWeight(w UpdateWriter, h int, want float64, b *updateBatch) {
+	v := &s.hosts[h]
+	v.published = want
+	w.SetWeight(s.sharedTable(v.zone), h, want)
 	for i := 0; v.holders > 0 && i < len(s.proxies); i++ {
 		p := &s.proxies[i]
-		if at := slices.Index(p.hand, h); p.joined && p.bound && p.own && at >= 0 {
-			b.reach(i, 1)
-			if s.warmth(v, s.guard) < 1 { // a cold one might be all that is left of a hand
+		if at := slices.Index(p.subset, h); p.connected && p.assigned && p.ownsTable && at >= 0 {
+			b.account(i, 1)
+			if s.slowStartFactor(v, s.limits) < 1 { // a cold one might be all that is left of a hand
 				want = 0
 			}
-			if w.SetWeight(s.own(i), h, want); want == 0 {
-				p.hand = slices.Delete(p.hand, at, at+1)
+			if w.SetWeight(s.subsetTable(i), h, want); want == 0 {
+				p.subset = slices.Delete(p.subset, at, at+1)
 			}
-		} else if p.joined && p.bound && !p.own && s.base(p.zone) == s.base(v.zone) {
-			b.reach(i, 1)
+		} else if p.connected && p.assigned && !p.ownsTable && s.sharedTable(p.zone) == s.sharedTable(v.zone) {
+			b.account(i, 1)
 		}
 	}
 }
 
-// tellLevels writes what changed of levels and ways of trying again, for all joined proxies. A further try
+// publishAdmission writes what changed of levels and ways of trying again, for all joined proxies. A further try
 // follows only proof that the first never ran, so it is safe for every class.
-func (s *Balancer) tellLevels(w UpdateWriter, b *batch) {
-	changed := s.tries != s.toldTries
-	s.toldTries = s.tries
-	for k, share := range s.shares {
-		if math.Abs(share-s.toldShares[k]) <= 0.02 && !changed {
+func (s *Balancer) publishAdmission(w UpdateWriter, b *updateBatch) {
+	changed := s.retryPolicy != s.publishedRetryPolicy
+	s.publishedRetryPolicy = s.retryPolicy
+	for k, share := range s.quotas {
+		if math.Abs(share-s.publishedQuotas[k]) <= 0.02 && !changed {
 			continue
 		}
-		s.toldShares[k] = share
-		if !s.fleet.AdmissionControl {
-			share = unlimited
+		s.publishedQuotas[k] = share
+		if !s.deployment.AdmissionControl {
+			share = unlimitedQuota
 		}
-		w.SetAdmission(AllTables, 1<<k, share, s.tries)
+		w.SetAdmission(AllTables, 1<<k, share, s.retryPolicy)
 		for i := range s.proxies {
-			if s.proxies[i].joined {
-				b.reach(i, 1)
+			if s.proxies[i].connected {
+				b.account(i, 1)
 			}
 		}
 	}
 }
 
-// change is a weight that is not yet told.
-type change struct {
-	h          int
-	want, size float64
+// weightUpdate is a weight that is not yet told.
+type weightUpdate struct {
+	host           int
+	weight, change float64
 }
 
-// batch is what one round orders: lines that wait before and after it, and what each proxy costs, a head for
+// updateBatch is what one round orders: lines that wait before and after it, and what each proxy costs, a head for
 // each that it reaches.
-type batch struct {
-	number, asked       int
-	before, queue, head float64
-	cost                []float64
+type updateBatch struct {
+	version, proxies                         int
+	initialBacklog, backlog, messageOverhead float64
+	costs                                    []float64
 }
 
-// reach counts lines to a proxy.
-func (b *batch) reach(p int, lines float64) {
-	if b.cost[p] == 0 {
-		b.asked, lines = b.asked+1, lines+b.head
+// account counts lines to a proxy.
+func (b *updateBatch) account(p int, lines float64) {
+	if b.costs[p] == 0 {
+		b.proxies, lines = b.proxies+1, lines+b.messageOverhead
 	}
-	b.cost[p] += lines
-	b.queue += lines
+	b.costs[p] += lines
+	b.backlog += lines
 }
--- a/routing/rebalance.go
+++ b/routing/rebalance.go
@@ -6,66 +6,66 @@
 )
 
 const (
-	floorPart = 0.1  // a server keeps this part of its listed share
-	driftPart = 0.05 // of the way back to the listed weight, each report round
+	minWeightRatio = 0.1  // a server keeps this part of its listed share
+	relaxRatio     = 0.05 // of the way back to the listed weight, each report round
 )
 
-// shift is the design's mechanism: from the most overloaded server, min{excess, room, sender's rate} goes
+// rebalance is the design's mechanism: from the most overloaded server, min{excess, room, sender's rate} goes
 // to the roomiest, servers of the same zone first; with none over its cap the weights drift back. Both
 // sides of a move wait until it shows; one too small to tell is left, since it would only hold up the next.
-func (s *Balancer) shift() {
-	var over, all []loaded
+func (s *Balancer) rebalance() {
+	var over, all []transferParty
 	total, weights := 0.0, 0.0
-	for _, h := range s.order {
-		v := &s.servers[h]
-		if !s.serving(v) {
+	for _, h := range s.hostOrder {
+		v := &s.hosts[h]
+		if !s.rebalances(v) {
 			continue
 		}
-		total, weights = total+v.rate, weights+v.weight
-		if s.now < v.hold || v.past.good+v.past.bad < 1 || v.r <= 0 || s.median <= 0 {
+		total, weights = total+v.arrivalRate, weights+v.weight
+		if s.nowMs < v.cooldownUntilMs || v.window.successes+v.window.failures < 1 || v.meanLatencyMs <= 0 || s.medianLatencyMs <= 0 {
 			continue
 		}
-		l := loaded{v, v.rate - capOf(v.rate, v.r, s.median), v.rate * (1 - floorPart*v.listed/v.weight)}
-		if b := v.load.busy(); b > 0 { // several cores: R stays short until nearly all are busy
-			l.excess = math.Max(l.excess, math.Min(0, v.rate*(1-shedTo/b)))
+		l := transferParty{v, v.arrivalRate - deadlineCapacity(v.arrivalRate, v.meanLatencyMs, s.medianLatencyMs), v.arrivalRate * (1 - minWeightRatio*v.baseWeight/v.weight)}
+		if b := v.load.effectiveUtilization(); b > 0 { // several cores: R stays short until nearly all are busy
+			l.overload = math.Max(l.overload, math.Min(0, v.arrivalRate*(1-targetUtilization/b)))
 		}
 		all = append(all, l)
-		if math.Min(l.excess, l.can) > worthTell*v.rate {
+		if math.Min(l.overload, l.sheddableRate) > minWeightChange*v.arrivalRate {
 			over = append(over, l)
 		}
 	}
-	sort.SliceStable(over, func(i, j int) bool { return over[i].excess > over[j].excess })
+	sort.SliceStable(over, func(i, j int) bool { return over[i].overload > over[j].overload })
 	for _, o := range over {
 		sort.SliceStable(all, func(i, j int) bool {
-			near, other := all[i].v.zone == o.v.zone, all[j].v.zone == o.v.zone
-			return near && !other || near == other && all[i].excess < all[j].excess
+			near, other := all[i].host.zone == o.host.zone, all[j].host.zone == o.host.zone
+			return near && !other || near == other && all[i].overload < all[j].overload
 		})
 		for i := range all {
 			to := &all[i]
-			move := math.Min(math.Min(o.excess, -to.excess), o.can)
+			move := math.Min(math.Min(o.overload, -to.overload), o.sheddableRate)
 			if move <= 0 || total <= 0 {
 				continue
 			}
-			o.v.weight, to.v.weight = o.v.weight-move/total*weights, to.v.weight+move/total*weights
-			o.excess, o.can, to.excess = o.excess-move, o.can-move, to.excess+move
-			o.v.hold = s.now + s.settle + s.gap
-			to.v.hold = o.v.hold
+			o.host.weight, to.host.weight = o.host.weight-move/total*weights, to.host.weight+move/total*weights
+			o.overload, o.sheddableRate, to.overload = o.overload-move, o.sheddableRate-move, to.overload+move
+			o.host.cooldownUntilMs = s.nowMs + s.settlingMs + s.reportDelayMs
+			to.host.cooldownUntilMs = o.host.cooldownUntilMs
 		}
 	}
-	for _, h := range s.order {
-		if v := &s.servers[h]; len(over) == 0 && s.now >= v.hold {
-			v.weight += driftPart * (v.listed - v.weight)
+	for _, h := range s.hostOrder {
+		if v := &s.hosts[h]; len(over) == 0 && s.nowMs >= v.cooldownUntilMs {
+			v.weight += relaxRatio * (v.baseWeight - v.weight)
 		}
 	}
 }
 
-// loaded is a server's excess over its cap, below 0 room, and how much it can give.
-type loaded struct {
-	v           *server
-	excess, can float64
+// transferParty is a server's excess over its cap, below 0 room, and how much it can give.
+type transferParty struct {
+	host                    *hostRecord
+	overload, sheddableRate float64
 }
 
-// serving servers take part in moves: ready, in the tables with their full weight, and warm.
-func (s *Balancer) serving(v *server) bool {
-	return v.phase == Ready && !v.out && s.part(v) >= 1 && s.warmth(v, s.guard) >= 1
+// rebalances servers take part in moves: ready, in the tables with their full weight, and warm.
+func (s *Balancer) rebalances(v *hostRecord) bool {
+	return v.state == Ready && !v.ejected && s.recoveryFactor(v) >= 1 && s.slowStartFactor(v, s.limits) >= 1
 }
--- a/routing/schedule.go
+++ b/routing/schedule.go
@@ -6,23 +6,23 @@
 	"sort"
 )
 
-// due is work for a later time.
-type due struct {
-	at float64
-	do func(UpdateWriter)
+// task is work for a later time.
+type task struct {
+	atMs float64
+	run  func(UpdateWriter)
 }
 
-// chance gives the next figure from 0 to 1.
-func (s *Balancer) chance() float64 {
-	s.counter++
-	b := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, s.fleet.Seed), s.counter)
+// jitter gives the next figure from 0 to 1.
+func (s *Balancer) jitter() float64 {
+	s.jitterCounter++
+	b := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, s.deployment.Seed), s.jitterCounter)
 	return float64(crc32.ChecksumIEEE(b)) / (1 << 32)
 }
 
-func (s *Balancer) add(in float64, do func(UpdateWriter)) {
-	at := s.now + in
-	i := sort.Search(len(s.dues), func(i int) bool { return s.dues[i].at > at })
-	s.dues = append(s.dues, due{})
-	copy(s.dues[i+1:], s.dues[i:])
-	s.dues[i] = due{at, do}
+func (s *Balancer) schedule(in float64, do func(UpdateWriter)) {
+	at := s.nowMs + in
+	i := sort.Search(len(s.tasks), func(i int) bool { return s.tasks[i].atMs > at })
+	s.tasks = append(s.tasks, task{})
+	copy(s.tasks[i+1:], s.tasks[i:])
+	s.tasks[i] = task{at, do}
 }
