--- a/routing/admission.go
+++ b/routing/admission.go
@@ -12,6 +12,18 @@
 	minAdmissionRatio   = 0.1
 )
 
+// admissionState is what admission control keeps.
+type admissionState struct {
+	ratio                float64   // the part of all requests to admit
+	cooldownUntilMs      float64   // the ratio stays until then
+	previousSuccessRatio float64   // the fleet's success ratio when the ratio was last looked at
+	classDemand          []float64 // requests that came, by class, decaying by windowDecay
+	quotas               []float64 // the part to admit, by class
+	publishedQuotas      []float64
+	retryPolicy          int // as in UpdateWriter.SetAdmission
+	publishedRetryPolicy int
+}
+
 // adjustAdmission sets how much is let in. Only measured overload lowers it: busy cores, with failed tries or R that
 // eats up the due time. A step down follows the part of the tries fulfilled, a step up the idle cores.
 func (s *Balancer) adjustAdmission(w UpdateWriter, classes []RequestClass, goal Objective) {
@@ -19,34 +31,34 @@
 	for _, h := range s.hostOrder {
 		v := &s.hosts[h]
 		if b := v.load.effectiveUtilization(); s.rebalances(v) && b >= 0 {
-			tries := v.recentSuccesses + v.recentFailures // a host that is not heard has an old report
+			tries := v.stats.recentSuccesses + v.stats.recentFailures // a host that is not heard has an old report
 			busy, n = busy+b*tries, n+tries
 		}
-		good, slow = good+v.arrivalRate, slow+v.arrivalRate*v.meanLatencyMs
+		good, slow = good+v.stats.arrivalRate, slow+v.stats.arrivalRate*v.stats.meanLatencyMs
 	}
-	for c := range s.classDemand {
-		s.classDemand[c] *= windowDecay
-		came, dueTime = came+s.classDemand[c], dueTime+s.classDemand[c]*classes[c].LatencyObjectiveMs
+	for c := range s.admission.classDemand {
+		s.admission.classDemand[c] *= windowDecay
+		came, dueTime = came+s.admission.classDemand[c], dueTime+s.admission.classDemand[c]*classes[c].LatencyObjectiveMs
 	}
-	if n <= 0 || s.nowMs < s.admissionCooldownUntilMs {
+	if n <= 0 || s.nowMs < s.admission.cooldownUntilMs {
 		return
 	}
 	busy, slow, dueTime = busy/n, slow/good, dueTime/came
-	was := s.admissionRatio
-	better := s.admissionRatio < 1 && s.successRatio > s.previousSuccessRatio+0.05
-	if busy > overloadUtilization && !better && (s.successRatio < 0.93 || slow > 0.4*dueTime) {
-		s.admissionRatio = math.Max(s.admissionRatio*math.Min(math.Max(targetUtilization*s.successRatio, 0.6), 0.9), minAdmissionRatio)
+	was := s.admission.ratio
+	better := s.admission.ratio < 1 && s.fleet.successRatio > s.admission.previousSuccessRatio+0.05
+	if busy > overloadUtilization && !better && (s.fleet.successRatio < 0.93 || slow > 0.4*dueTime) {
+		s.admission.ratio = math.Max(s.admission.ratio*math.Min(math.Max(targetUtilization*s.fleet.successRatio, 0.6), 0.9), minAdmissionRatio)
 	} else if busy < recoverUtilization {
-		s.admissionRatio = math.Min(1, s.admissionRatio*math.Min(math.Max(targetUtilization/busy, 1.1), 1.6))
+		s.admission.ratio = math.Min(1, s.admission.ratio*math.Min(math.Max(targetUtilization/busy, 1.1), 1.6))
 	}
-	s.previousSuccessRatio = s.successRatio
-	if s.admissionRatio == was {
+	s.admission.previousSuccessRatio = s.fleet.successRatio
+	if s.admission.ratio == was {
 		return
 	}
-	s.admissionCooldownUntilMs = s.nowMs + s.settlingMs + s.reportDelayMs
-	w.Log(Event{AdmissionRatioChanged, NoHost, []Field{{"admission_ratio", s.admissionRatio, 2}, {"utilization", busy, 2},
-		{"success_ratio", s.successRatio, 2}, {"mean_latency_ms", slow, 0}, {"latency_objective_ms", dueTime, 0}}})
-	s.retryPolicy = int(s.admissionRatio) // none while less than all is let in
+	s.admission.cooldownUntilMs = s.nowMs + s.reports.settlingMs + s.reports.delayMs
+	w.Log(Event{AdmissionRatioChanged, NoHost, []Field{{"admission_ratio", s.admission.ratio, 2}, {"utilization", busy, 2},
+		{"success_ratio", s.fleet.successRatio, 2}, {"mean_latency_ms", slow, 0}, {"latency_objective_ms", dueTime, 0}}})
+	s.admission.retryPolicy = int(s.admission.ratio) // none while less than all is let in
 	s.allocateQuotas(classes, goal)
 }
 
@@ -57,19 +69,19 @@
 	work, earn, order := make([]float64, n), make([]float64, n), make([]int, n)
 	allWork, allEarn := 1e-9, 1e-9
 	for c, k := range classes {
-		n := s.classDemand[c] + 1
+		n := s.admission.classDemand[c] + 1
 		work[c], earn[c], order[c] = n*k.LatencyObjectiveMs, n*k.PriorityWeight, c
 		allWork, allEarn = allWork+work[c], allEarn+earn[c]
 	}
 	sort.SliceStable(order, func(i, j int) bool {
 		return earn[order[i]]*work[order[j]] < earn[order[j]]*work[order[i]]
 	})
-	low, cut := order[0], (1-s.admissionRatio)*allWork
+	low, cut := order[0], (1-s.admission.ratio)*allWork
 	even := (goal.TotalWeight*earn[low]/allEarn+goal.WorstClassWeight)*allWork/work[low] >= goal.TotalWeight+goal.WorstClassWeight
 	for _, c := range order {
 		part := math.Min(cut, work[c]*(1-minAdmissionRatio))
-		if s.quotas[c] = s.admissionRatio; !even {
-			s.quotas[c], cut = 1-part/work[c], cut-part
+		if s.admission.quotas[c] = s.admission.ratio; !even {
+			s.admission.quotas[c], cut = 1-part/work[c], cut-part
 		}
 	}
 }
--- a/routing/assignment.go
+++ b/routing/assignment.go
@@ -8,11 +8,11 @@
 func (s *Balancer) assignTables(w UpdateWriter, c ControlChannel, b *updateBatch, unbound int, lines []int, fair float64, behind bool) {
 	whole := func(p *proxyRecord) float64 { return float64(lines[s.sharedTable(p.zone)]) + 2 }
 	short := func(p *proxyRecord) bool {
-		return p.ownsTable && !s.quiescing && (len(p.subset) < minSubsetSize || p.subsetWeight*fair < subsetRefillRatio*p.requestRate)
+		return p.ownsTable && !s.retryStorm.quiescing && (len(p.subset) < minSubsetSize || p.subsetWeight*fair < subsetRefillRatio*p.requestRate)
 	}
 	var due []int
 	for i := range s.proxies {
-		if p := &s.proxies[i]; p.connected && (!p.assigned || p.ownsTable != s.subsetMode && !s.quiescing || short(p)) {
+		if p := &s.proxies[i]; p.connected && (!p.assigned || p.ownsTable != s.subsetMode.active && !s.retryStorm.quiescing || short(p)) {
 			due = append(due, i)
 		}
 	}
@@ -27,11 +27,11 @@
 		}
 		cost := whole(p) + b.messageOverhead
 		late := !s.zoneLocal && s.exceedsDrainGrace(float64(unbound)*cost+b.initialBacklog, c)
-		few := s.subsetMode || s.quiescing || (late || behind) && !p.assigned
+		few := s.subsetMode.active || s.retryStorm.quiescing || (late || behind) && !p.assigned
 		room := b.backlog+cost <= assignmentFill*c.MaxBacklog || b.backlog == 0
-		if !few && !behind && room && (!p.assigned || s.updateBudget > c.EntriesPerSecond/2) {
+		if !few && !behind && room && (!p.assigned || s.publishing.budget > c.EntriesPerSecond/2) {
 			if b.account(i, cost-b.messageOverhead); p.assigned {
-				s.updateBudget -= cost
+				s.publishing.budget -= cost
 			}
 			w.AssignTable(i, s.sharedTable(p.zone), 0)
 			p.assigned, p.ownsTable = true, false
@@ -90,14 +90,14 @@
 	}
 	for _, h := range s.hostOrder {
 		v := &s.hosts[h]
-		v.holders, v.subsetRate, weight = shared[s.sharedTable(v.zone)], 0, weight+v.published
+		v.publication.holders, v.publication.subsetRate, weight = shared[s.sharedTable(v.endpoint.zone)], 0, weight+v.publication.weight
 	}
 	for i := range s.proxies {
 		p := &s.proxies[i]
 		p.subsetWeight = 0
 		for k := 0; p.connected && p.ownsTable && k < len(p.subset); k++ {
 			v := &s.hosts[p.subset[k]]
-			v.holders, v.subsetRate, p.subsetWeight = v.holders+1, v.subsetRate+p.requestRate/float64(len(p.subset)), p.subsetWeight+v.published
+			v.publication.holders, v.publication.subsetRate, p.subsetWeight = v.publication.holders+1, v.publication.subsetRate+p.requestRate/float64(len(p.subset)), p.subsetWeight+v.publication.weight
 		}
 	}
 	return bound, unbound, most, traffic / weight
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -4,7 +4,7 @@
 	roundIntervalMs = 200.0 // ms between rounds of periodic work
 )
 
-// Balancer decides for one instance.
+// Balancer takes the routing decisions of one controller instance. It is not safe for concurrent use.
 type Balancer struct {
 	deployment Deployment
 	classes    []RequestClass
@@ -12,65 +12,49 @@
 	limits     SafetyLimits
 	objective  Objective
 
-	nowMs, nextRoundAtMs float64
-	observableAtMs       float64 // sums from then on show our own first orders
-	suspicionApplies     bool    // few hosts leave probes unanswered
-	suspicionScale       float64 // part of the doubts about hosts that counts
-	slowStartAllowed     bool    // cold servers may be sent to
-	urgentPending        bool    // removals or starts wait for the channel
-	slowStartShare       float64 // weight of the warm lines, as a part of what ready hosts can do now
-	jitterCounter        uint64
-	hosts                []hostRecord
-	hostOrder            []int // hosts in the order they were first listed
-	checkedHosts         int   // so many of them are probed
-	proxies              []proxyRecord
-	connectedProxies     int
-	zoneReconnected      []bool // a proxy of the zone has joined since the last round
-	zoneLocal            bool   // a class stays in its zone
-	tasks                []task // by time
+	nowMs         float64 // the instant of the present round
+	nextRoundAtMs float64 // when the timer is due; noRoundYet before the first round
+	tasks         taskQueue
+	random        jitterSource
 
-	snapshotReceived, watchFailed bool
-	watchBackoffMs                float64
+	hosts            []hostRecord // by host index
+	hostOrder        []int        // indices of the discovered hosts, in the order of discovery
+	proxies          []proxyRecord
+	connectedProxies int
+	zoneReconnected  []bool // by zone: a proxy of it has connected since the last round
+	zoneLocal        bool   // some request class must stay in its zone
 
-	reportPending                            bool
-	reportAtMs, reportDelayMs                float64   // time of the last report round; how much later than usual they have come
-	reportSpanSumMs, reportCount             float64   // sum of the times that the last sums cover, and their number
-	propagationDelayMs, reportCycleMs        float64   // way of a message; time in which the sums come round all servers
-	settlingMs                               float64   // until a move shows in the sums
-	medianLatencyMs, successRatio            float64   // median R; part of the tries fulfilled
-	classDemand                              []float64 // faded: transactions that came, by class
-	admissionRatio, admissionCooldownUntilMs float64
-	previousSuccessRatio                     float64
-	quotas, publishedQuotas                  []float64
-	retryPolicy, publishedRetryPolicy        int
-
-	subsetMode                      bool // proxies get tables of their own, a few hosts each
-	subsetModeUntilMs, subsetModeMs float64
-	pressureRounds, stormRounds     int  // report rounds in a row
-	quiescing                       bool // all proxies go to one server, keep
-	quiesceHost                     int
-	nextQuiesceAtMs                 float64
-
-	version, weightVersion        int // of the last batch; of the last that told weights
-	weightProxies, weightAcks     int // proxies that were sent that one; that answered it
-	weightSentAtMs, publishedAtMs float64
-	urgentSentAtMs                float64
-	costs                         []float64 // of the present round, by proxy
-	unacknowledgedEntries         float64   // lines that joined proxies have not answered
-	arrivingEntries               float64   // lines answered within the last way of a message, fading
-	updateBudget                  float64   // lines that weights may cost
+	discovery  discoveryState
+	reports    reportTiming
+	fleet      fleetStats
+	admission  admissionState
+	slowStart  slowStartState
+	checks     healthCheckState
+	subsetMode subsetModeState
+	retryStorm retryStormState
+	publishing publishingState
+	rollout    weightRollout
+	backlog    controlBacklog
 }
 
+// noRoundYet is Balancer.nextRoundAtMs before the first round.
+const noRoundYet = -1
+
 // New makes the steward of an instance that has just started.
 func New(fleet Deployment, classes []RequestClass, channel ControlChannel, guard SafetyLimits, goal Objective) *Balancer {
-	s := &Balancer{deployment: fleet, classes: classes, channel: channel, limits: guard, objective: goal, nextRoundAtMs: -1,
-		reportAtMs: -1, admissionRatio: 1, retryPolicy: 1, publishedRetryPolicy: fleet.DefaultRetryPolicy, successRatio: 1}
-	s.propagationDelayMs, s.reportCycleMs, s.settlingMs = channel.PropagationDelayMs, fleet.ReportIntervalMs, channel.PropagationDelayMs+2*fleet.ReportIntervalMs
+	s := &Balancer{deployment: fleet, classes: classes, channel: channel, limits: guard, objective: goal,
+		nextRoundAtMs: noRoundYet}
+	s.reports.lastAtMs = noReportYet
+	s.admission.ratio, s.admission.retryPolicy = 1, 1
+	s.admission.publishedRetryPolicy = fleet.DefaultRetryPolicy
+	s.fleet.successRatio = 1
+	s.random.seed = fleet.Seed
+	s.reports.cycleMs, s.reports.settlingMs = fleet.ReportIntervalMs, channel.PropagationDelayMs+2*fleet.ReportIntervalMs
 	n := len(classes)
-	s.classDemand, s.quotas, s.publishedQuotas = make([]float64, n), make([]float64, n), make([]float64, n)
+	s.admission.classDemand, s.admission.quotas, s.admission.publishedQuotas = make([]float64, n), make([]float64, n), make([]float64, n)
 	s.zoneReconnected = make([]bool, fleet.Zones)
 	for c := range classes {
-		s.quotas[c], s.publishedQuotas[c] = 1, 1
+		s.admission.quotas[c], s.admission.publishedQuotas[c] = 1, 1
 		s.zoneLocal = s.zoneLocal || classes[c].ZoneLocal
 	}
 	return s
@@ -83,26 +67,28 @@
 		s.watchEndpoints(w)
 	}
 	if s.deployment.HealthChecks {
-		for _, h := range s.hostOrder[s.checkedHosts:] {
+		for _, h := range s.hostOrder[s.checks.scheduledHosts:] {
 			life := s.hosts[h].incarnation
-			s.schedule(s.jitter()*1000, func(w UpdateWriter) { s.checkHealth(w, h, life) })
+			s.schedule(s.random.next()*1000, func(w UpdateWriter) { s.checkHealth(w, h, life) })
 		}
-		s.checkedHosts = len(s.hostOrder)
+		s.checks.scheduledHosts = len(s.hostOrder)
 	}
 	if s.nextRoundAtMs < 0 {
-		s.observableAtMs = now + 2*s.settlingMs
+		s.reports.observableAtMs = now + 2*s.reports.settlingMs
 	}
 	if now >= s.nextRoundAtMs {
 		s.nextRoundAtMs = now + roundIntervalMs
 		w.ScheduleRound(s.nextRoundAtMs)
-		if s.reportPending && now-s.reportAtMs >= s.deployment.ReportIntervalMs*0.9 {
+		if s.reports.pending && now-s.reports.lastAtMs >= s.deployment.ReportIntervalMs*0.9 {
 			s.processReports(w, s.deployment.ReportIntervalMs)
 		}
 	}
-	for len(s.tasks) > 0 && s.tasks[0].atMs <= now {
-		d := s.tasks[0]
-		s.tasks = s.tasks[1:]
-		d.run(w)
+	for {
+		next, due := s.tasks.popDue(now)
+		if !due {
+			break
+		}
+		next.run(w)
 	}
 	s.detectOutliers(w)
 	s.publish(w, s.channel)
--- a/routing/balancer_test.go
+++ b/routing/balancer_test.go
@@ -30,14 +30,14 @@
 // 11.255, room 1.255. So 0.255 and 1.255 of 30/s move, a tenth of that in weight: 0.849, 1.0255, 1.1255.
 func TestMovesByHand(t *testing.T) {
 	b := start(plain(), 3)
-	b.medianLatencyMs = 250
+	b.fleet.medianLatencyMs = 250
 	for h, r := range []float64{500, 250, 200} {
 		v := &b.hosts[h]
-		v.zone, v.arrivalRate, v.meanLatencyMs, v.window.successes = h/2, 10, r, 50
+		v.endpoint.zone, v.stats.arrivalRate, v.stats.meanLatencyMs, v.stats.window.successes = h/2, 10, r, 50
 	}
 	b.rebalance()
 	for h := range b.hosts {
-		b.say("host %d weight %.4f", h, b.hosts[h].weight)
+		b.say("host %d weight %.4f", h, b.hosts[h].balance.weight)
 	}
 	b.check(t)
 }
@@ -116,7 +116,7 @@
 func (b *bench) probes(ms float64, sums map[int][3]float64, how func(h int) HealthCheckResult) {
 	for end := b.now + ms; b.now < end; {
 		for h := range b.hosts {
-			if b.hosts[h].checkInFlight {
+			if b.hosts[h].health.checkInFlight {
 				b.ObserveHealthCheck(h, how(h), UnknownLoad)
 			}
 		}
@@ -308,8 +308,8 @@
 	b.ObserveEndpoint(0, 0, Ready, 0, 0)
 	b.run(3000, sums)
 	for h := range b.hosts {
-		if v := &b.hosts[h]; math.IsNaN(v.weight) || v.weight < 0 || math.IsInf(v.weight, 0) {
-			t.Errorf("host %d has weight %v", h, v.weight)
+		if v := &b.hosts[h]; math.IsNaN(v.balance.weight) || v.balance.weight < 0 || math.IsInf(v.balance.weight, 0) {
+			t.Errorf("host %d has weight %v", h, v.balance.weight)
 		}
 	}
 	b.check(t)
@@ -363,14 +363,14 @@
 	b := start(set, 2)
 	sums := alike(2, [3]float64{10, 0, 200})
 	b.probes(2000, sums, func(int) HealthCheckResult { return Healthy })
-	b.hosts[1].ejected, b.hosts[1].consecutiveFailures = true, 5
+	b.hosts[1].outlier.ejected, b.hosts[1].health.consecutiveFailures = true, 5
 	b.run(200, nil)
 	for range 10 {
 		b.proxies[0].messageTimesMs = append(b.proxies[0].messageTimesMs, b.now)
 	}
 	b.ObserveDelta()
 	b.ObserveEndpoint(0, 0, Draining, 1, 0)
-	b.hosts[1].consecutiveSuccesses = 2
+	b.hosts[1].health.consecutiveSuccesses = 2
 	b.run(400, nil)
 	b.check(t)
 }
@@ -471,9 +471,9 @@
 				if int(b.now)%1000 == 0 {
 					b.ObserveHostStats(h, 3, 0, 100, 1000, load)
 				}
-				if b.hosts[h].checkInFlight && (h == 2 || h == 3) {
+				if b.hosts[h].health.checkInFlight && (h == 2 || h == 3) {
 					b.ObserveHealthCheck(h, how, UnknownLoad)
-				} else if b.hosts[h].checkInFlight {
+				} else if b.hosts[h].health.checkInFlight {
 					b.ObserveHealthCheck(h, Healthy, load)
 				}
 			}
@@ -501,7 +501,7 @@
 				if int(b.now)%1000 == 0 {
 					b.ObserveHostStats(h, 3, 0, 100, 1000, load)
 				}
-				if how := Healthy; b.hosts[h].checkInFlight {
+				if how := Healthy; b.hosts[h].health.checkInFlight {
 					if h%4 == second%4 && h < 8 {
 						how = TimedOut
 					}
@@ -511,7 +511,7 @@
 		}
 	}
 	for h := range 9 {
-		b.say("host %d doubt %.1f told %.3f", h, b.hosts[h].suspicion, b.hosts[h].published)
+		b.say("host %d doubt %.1f told %.3f", h, b.hosts[h].health.suspicion, b.hosts[h].publication.weight)
 	}
 	b.check(t)
 }
--- a/routing/channel_test.go
+++ b/routing/channel_test.go
@@ -113,7 +113,7 @@
 			return m.at <= now
 		})
 		for h := range c.hosts {
-			if int(now)%1000 == 0 && c.hosts[h].state == Ready {
+			if int(now)%1000 == 0 && c.hosts[h].endpoint.state == Ready {
 				c.ObserveHostStats(h, 20, c.failing, 100, 1000, UnknownLoad)
 			}
 		}
@@ -142,8 +142,8 @@
 		if c.most > set.ControlChannel.MaxBacklog {
 			t.Errorf("at %.2f of its pace %.0f lines wait where %.0f may", pace, c.most, set.ControlChannel.MaxBacklog)
 		}
-		if c.version < 10 {
-			t.Errorf("at %.2f of its pace only %d rounds were ordered", pace, c.version)
+		if c.publishing.version < 10 {
+			t.Errorf("at %.2f of its pace only %d rounds were ordered", pace, c.publishing.version)
 		}
 	}
 }
--- a/routing/controlchannel.go
+++ b/routing/controlchannel.go
@@ -18,6 +18,20 @@
 	minPaceRatio         = 0.1    // and never slower than so: what is not answered by then has left it
 )
 
+// weightRollout tells how many proxies have acknowledged the last batch with ordinary weights.
+type weightRollout struct {
+	version  int
+	proxies  int // that were sent it
+	acks     int
+	sentAtMs float64
+}
+
+// controlBacklog counts the entries in the control channel.
+type controlBacklog struct {
+	unacknowledged float64 // entries written to connected proxies that they have not acknowledged
+	arriving       float64 // entries acknowledged within the last propagation delay, decaying
+}
+
 // allowsMessage tells whether a proxy that was sent so many messages may be sent one more within a part of the cap.
 func (c ControlChannel) allowsMessage(sent int, part float64) bool {
 	return c.MaxMessages == 0 || float64(sent+2) <= part*float64(c.MaxMessages)
@@ -30,14 +44,14 @@
 
 // rolloutAcknowledged tells whether most proxies that got the last weights answered, or 2 s have passed.
 func (s *Balancer) rolloutAcknowledged() bool {
-	return float64(s.weightAcks) >= ackQuorum*float64(s.weightProxies) || s.nowMs >= s.weightSentAtMs+ackTimeoutMs
+	return float64(s.rollout.acks) >= ackQuorum*float64(s.rollout.proxies) || s.nowMs >= s.rollout.sentAtMs+ackTimeoutMs
 }
 
 // releaseMessages takes a proxy's n oldest messages out of the channel, by an answer, its leaving or their age.
 func (s *Balancer) releaseMessages(q *proxyRecord, n int) {
 	for _, m := range q.unacknowledged[:n] {
-		if s.unacknowledgedEntries -= m.entries; q.connected && m.version == s.weightVersion {
-			s.weightAcks++
+		if s.backlog.unacknowledged -= m.entries; q.connected && m.version == s.rollout.version {
+			s.rollout.acks++
 		}
 	}
 	q.unacknowledged = slices.Delete(q.unacknowledged, 0, n)
@@ -48,9 +62,9 @@
 	if p >= len(s.proxies) {
 		return
 	}
-	q, was := &s.proxies[p], s.unacknowledgedEntries
+	q, was := &s.proxies[p], s.backlog.unacknowledged
 	s.releaseMessages(q, 1+slices.IndexFunc(q.unacknowledged, func(m updateMessage) bool { return m.version == number }))
-	s.arrivingEntries += was - s.unacknowledgedEntries
+	s.backlog.arriving += was - s.backlog.unacknowledged
 }
 
 // updateMessage counts against the channel until its proxy answers its mark or a later one.
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -35,20 +35,20 @@
 
 // Admission tells the level, each class's share, and the median of mean times, 0 where none is known.
 func (s *Balancer) Admission() (level float64, shares []float64, median float64) {
-	return s.admissionRatio, slices.Clone(s.quotas), s.medianLatencyMs
+	return s.admission.ratio, slices.Clone(s.admission.quotas), s.fleet.medianLatencyMs
 }
 
 // Explain tells how a host stands; false where the module does not know it.
 func (s *Balancer) Explain(host int) (Explanation, bool) {
-	if host >= len(s.hosts) || !s.hosts[host].discovered {
+	if host >= len(s.hosts) || !s.hosts[host].endpoint.discovered {
 		return Explanation{}, false
 	}
 	v := &s.hosts[host]
-	e := Explanation{State: v.state, Ejected: v.ejected, Balanced: s.rebalances(v), BaseWeight: v.baseWeight, Weight: v.weight, TargetWeight: s.targetWeight(v, false),
-		PublishedWeight: v.published, ArrivalRate: v.arrivalRate, MeanLatencyMs: v.meanLatencyMs, MedianLatencyMs: s.medianLatencyMs, SlowStartFactor: s.slowStartFactor(v, s.limits), RecoveryFactor: s.recoveryFactor(v), CooldownUntilMs: v.cooldownUntilMs,
-		StartedMs: v.startedAtMs, ConsecutiveFailures: v.consecutiveFailures, Unreachable: v.unreachable, ConsecutiveSuccesses: v.consecutiveSuccesses, Successes: v.recentSuccesses, Failures: v.recentFailures, Load: v.load}
-	if v.meanLatencyMs > 0 && s.medianLatencyMs > 0 {
-		e.ServiceRate, e.Capacity = v.arrivalRate+1000/v.meanLatencyMs, deadlineCapacity(v.arrivalRate, v.meanLatencyMs, s.medianLatencyMs)
+	e := Explanation{State: v.endpoint.state, Ejected: v.outlier.ejected, Balanced: s.rebalances(v), BaseWeight: v.endpoint.baseWeight, Weight: v.balance.weight, TargetWeight: s.targetWeight(v, false),
+		PublishedWeight: v.publication.weight, ArrivalRate: v.stats.arrivalRate, MeanLatencyMs: v.stats.meanLatencyMs, MedianLatencyMs: s.fleet.medianLatencyMs, SlowStartFactor: s.slowStartFactor(v, s.limits), RecoveryFactor: s.recoveryFactor(v), CooldownUntilMs: v.balance.cooldownUntilMs,
+		StartedMs: v.endpoint.startedAtMs, ConsecutiveFailures: v.health.consecutiveFailures, Unreachable: v.health.unreachable, ConsecutiveSuccesses: v.health.consecutiveSuccesses, Successes: v.stats.recentSuccesses, Failures: v.stats.recentFailures, Load: v.load}
+	if v.stats.meanLatencyMs > 0 && s.fleet.medianLatencyMs > 0 {
+		e.ServiceRate, e.Capacity = v.stats.arrivalRate+1000/v.stats.meanLatencyMs, deadlineCapacity(v.stats.arrivalRate, v.stats.meanLatencyMs, s.fleet.medianLatencyMs)
 		e.LatencyMargin = math.Min(e.ServiceRate-e.Capacity, e.ServiceRate)
 	}
 	return e, true
@@ -57,9 +57,9 @@
 // HostStatus tells whether a host is listed as ready and not withdrawn, and the part of its capacity that it has after its
 // start: what a table guard looks at each round.
 func (s *Balancer) HostStatus(host int) (ready bool, warmth float64) {
-	if host >= len(s.hosts) || !s.hosts[host].discovered {
+	if host >= len(s.hosts) || !s.hosts[host].endpoint.discovered {
 		return false, 0
 	}
 	v := &s.hosts[host]
-	return v.state == Ready && !v.ejected, s.slowStartFactor(v, s.limits)
+	return v.endpoint.state == Ready && !v.outlier.ejected, s.slowStartFactor(v, s.limits)
 }
--- a/routing/host.go
+++ b/routing/host.go
@@ -2,41 +2,26 @@
 
 import "slices"
 
-// neverMs is before any time.
-const neverMs = -1e18
-
-// sums of what proxies met at a server.
-type sums struct{ successes, failures, latencyMs, spanMs float64 }
-
-// hostRecord is what the steward knows of one host.
+// hostRecord is what the balancer keeps of one host, a part for each concern.
 type hostRecord struct {
-	zone                                      int
-	state                                     HostState
-	discovered                                bool     // on a list
-	baseWeight, startedAtMs                   float64  // listed weight; last known start, or -1 where that is long ago
-	weight                                    float64  // where the moves have put it, as a listed weight
-	published                                 float64  // what the tables hold
-	pending, window                           sums     // since the last report round; faded sums of the rounds before
-	load                                      HostLoad // as last reported
-	arrivalRate, meanLatencyMs                float64  // λ and R
-	cooldownUntilMs                           float64  // no move before this time
-	holders                                   int      // proxies that hold it in a table of their own
-	subsetRate                                float64  // and the traffic they send there
-	changedAtMs                               float64  // when the list last changed what it says of it
-	lastSuccessAtMs                           float64  // when sums last showed a try fulfilled
-	consecutiveFailures, consecutiveSuccesses int      // probes in a row unanswered, answered
-	unreachable                               bool     // the last unanswered probe found nothing there
-	checkInFlight                             bool     // a probe is out
-	nextCheckAtMs                             float64  // when the next one is due
-	suspicion                                 float64  // probes unanswered lately
-	ejected                                   bool     // withdrawn
-	recoveringSinceMs                         float64  // when it returned on trial
-	recentSuccesses, recentFailures           float64  // faded fast: tries fulfilled and failed, also while a move has yet to show
-	incarnation                               int      // counts the hosts that had this index
+	incarnation int // counts the hosts that have had this index
+	endpoint    endpointRecord
+	stats       requestStats
+	load        HostLoad // as last reported
+	balance     balanceRecord
+	health      healthRecord
+	outlier     outlierRecord
+	publication publicationRecord
+}
+
+// newHostRecord is the record of a host of which nothing is known.
+func newHostRecord() hostRecord {
+	return hostRecord{endpoint: endpointRecord{startedAtMs: startUnknown}, load: UnknownLoad}
 }
 
+// host gives the record of a host index, made where there is none.
 func (s *Balancer) host(h int) *hostRecord {
-	s.hosts = grow(s.hosts, h+1, hostRecord{startedAtMs: -1, recoveringSinceMs: neverMs, load: UnknownLoad})
+	s.hosts = grow(s.hosts, h+1, newHostRecord())
 	return &s.hosts[h]
 }
 
@@ -47,7 +32,7 @@
 		return true
 	}
 	v := &s.hosts[host]
-	if v.state != Removed || v.published != 0 || v.checkInFlight {
+	if v.endpoint.state != Removed || v.publication.weight != 0 || v.health.checkInFlight {
 		return false
 	}
 	for i := range s.proxies {
@@ -57,11 +42,13 @@
 	}
 	if at := slices.Index(s.hostOrder, host); at >= 0 {
 		s.hostOrder = slices.Delete(s.hostOrder, at, at+1)
-		if at < s.checkedHosts {
-			s.checkedHosts--
+		if at < s.checks.scheduledHosts {
+			s.checks.scheduledHosts--
 		}
 	}
-	*v = hostRecord{startedAtMs: -1, recoveringSinceMs: neverMs, load: UnknownLoad, incarnation: v.incarnation + 1}
+	incarnation := v.incarnation + 1
+	*v = newHostRecord()
+	v.incarnation = incarnation
 	return true
 }
 
--- a/routing/observation.go
+++ b/routing/observation.go
@@ -48,11 +48,11 @@
 func (s *Balancer) ObserveHostStats(host, tries, failed int, mean, span float64, load HostLoad) {
 	v := s.host(host)
 	good := float64(max(tries-failed, 0))
-	f := &v.pending
+	f := &v.stats.pending
 	f.successes, f.failures, f.latencyMs = f.successes+good, f.failures+float64(failed), f.latencyMs+mean*good
-	s.reportSpanSumMs, s.reportCount = s.reportSpanSumMs+span, s.reportCount+1
+	s.reports.spanSumMs, s.reports.count = s.reports.spanSumMs+span, s.reports.count+1
 	v.observeLoad(load)
-	s.reportPending = true
+	s.reports.pending = true
 }
 
 func (v *hostRecord) observeLoad(load HostLoad) {
@@ -62,7 +62,7 @@
 }
 
 func (s *Balancer) ObserveDemand(p, class, came int, span float64) {
-	s.classDemand[class] += float64(came)
+	s.admission.classDemand[class] += float64(came)
 	if p < len(s.proxies) {
 		q := &s.proxies[p]
 		q.pendingRequests, q.pendingSpanMs = q.pendingRequests+float64(came), math.Max(q.pendingSpanMs, span)
@@ -71,13 +71,13 @@
 
 func (s *Balancer) ObserveHealthCheck(host int, how HealthCheckResult, load HostLoad) {
 	v := s.host(host)
-	v.checkInFlight = false
+	v.health.checkInFlight = false
 	switch how {
 	case Healthy:
-		v.consecutiveFailures, v.consecutiveSuccesses = 0, v.consecutiveSuccesses+1
+		v.health.consecutiveFailures, v.health.consecutiveSuccesses = 0, v.health.consecutiveSuccesses+1
 		v.observeLoad(load)
 	case TimedOut, Unreachable:
-		v.consecutiveFailures, v.consecutiveSuccesses, v.unreachable = v.consecutiveFailures+1, 0, how == Unreachable
+		v.health.consecutiveFailures, v.health.consecutiveSuccesses, v.health.unreachable = v.health.consecutiveFailures+1, 0, how == Unreachable
 	}
 }
 
@@ -86,20 +86,20 @@
 // any other: moves, drift and sums go on from there, and it proves no withdrawal.
 func (s *Balancer) RestoreHost(host int, weight, r, won, lost float64) {
 	v := s.host(host)
-	v.weight = v.baseWeight * weight
-	v.recentSuccesses, v.recentFailures = won, lost
+	v.balance.weight = v.endpoint.baseWeight * weight
+	v.stats.recentSuccesses, v.stats.recentFailures = won, lost
 	if r > 0 {
-		v.meanLatencyMs = r
+		v.stats.meanLatencyMs = r
 	}
 }
 
 // RestoreAdmission notes the level, each class's share and the median of mean times that an earlier life had; 0 for a median
 // that is not known.
 func (s *Balancer) RestoreAdmission(level float64, shares []float64, median float64) {
-	s.admissionRatio = level
-	copy(s.quotas, shares)
-	if s.retryPolicy = 1; level < 1 {
-		s.retryPolicy = 0
+	s.admission.ratio = level
+	copy(s.admission.quotas, shares)
+	if s.admission.retryPolicy = 1; level < 1 {
+		s.admission.retryPolicy = 0
 	}
-	s.medianLatencyMs = median
+	s.fleet.medianLatencyMs = median
 }
--- a/routing/report.go
+++ b/routing/report.go
@@ -12,14 +12,54 @@
 	demandSmoothing = 0.3 // of a proxy's rate follows its last sums
 )
 
+// noReportYet is reportTiming.lastAtMs before the first reports.
+const noReportYet = -1
+
+// requestSums sum up the attempts that proxies made at a host.
+type requestSums struct {
+	successes float64
+	failures  float64
+	latencyMs float64 // sum over the successes
+	spanMs    float64 // the time that the sums cover
+}
+
+// requestStats are a host's request statistics.
+type requestStats struct {
+	pending         requestSums // reported since the last report round
+	window          requestSums // of earlier rounds, decaying by windowDecay
+	arrivalRate     float64     // lambda, in attempts a second, of the whole fleet of proxies
+	meanLatencyMs   float64     // R, with the prior of priorSamples
+	recentSuccesses float64     // decaying by recentDecay, counted also while a transfer has yet to show
+	recentFailures  float64
+	lastSuccessAtMs float64 // when a report last showed a success
+}
+
+// reportTiming tells when the proxies' reports come and how soon they show a change.
+type reportTiming struct {
+	pending        bool    // some came since the last report round
+	lastAtMs       float64 // the last report round, or noReportYet
+	delayMs        float64 // how much later than usual report rounds lately came
+	spanSumMs      float64 // sum of the times that the pending reports cover
+	count          float64 // number of the pending reports
+	cycleMs        float64 // the time in which reports come round all hosts
+	settlingMs     float64 // the time until a new weight shows in the reports
+	observableAtMs float64 // from then on reports show this instance's own first weights
+}
+
+// fleetStats are statistics over all hosts.
+type fleetStats struct {
+	medianLatencyMs float64 // median of the hosts' mean latencies; 0 before the first reports
+	successRatio    float64 // successes per attempt
+}
+
 // processReports takes in a round of sums. Without sums nothing of this happens and the tables stay.
 func (s *Balancer) processReports(w UpdateWriter, period float64) {
 	passed := period
-	if s.reportAtMs >= 0 {
-		passed = s.nowMs - s.reportAtMs
-		s.reportDelayMs = math.Max(passed-period, s.reportDelayMs*windowDecay)
+	if s.reports.lastAtMs >= 0 {
+		passed = s.nowMs - s.reports.lastAtMs
+		s.reports.delayMs = math.Max(passed-period, s.reports.delayMs*windowDecay)
 	}
-	s.reportAtMs, s.reportPending = s.nowMs, false
+	s.reports.lastAtMs, s.reports.pending = s.nowMs, false
 	for i := range s.proxies {
 		if p := &s.proxies[i]; p.pendingSpanMs > 0 {
 			p.requestRate += demandSmoothing * (p.pendingRequests/p.pendingSpanMs*1000 - p.requestRate)
@@ -42,36 +82,36 @@
 func (s *Balancer) updateEstimates(share, period, passed float64) {
 	var heard []float64
 	good, all := 1.0, 1.0
-	s.reportCycleMs = math.Max(period, recentDecay*s.reportCycleMs+(1-recentDecay)*s.reportSpanSumMs/s.reportCount)
-	s.settlingMs, s.reportSpanSumMs, s.reportCount = s.propagationDelayMs+2*s.reportCycleMs, 0, 0
-	keep, soon := math.Pow(windowDecay, passed/s.reportCycleMs), math.Pow(recentDecay, passed/s.reportCycleMs)
+	s.reports.cycleMs = math.Max(period, recentDecay*s.reports.cycleMs+(1-recentDecay)*s.reports.spanSumMs/s.reports.count)
+	s.reports.settlingMs, s.reports.spanSumMs, s.reports.count = s.channel.PropagationDelayMs+2*s.reports.cycleMs, 0, 0
+	keep, soon := math.Pow(windowDecay, passed/s.reports.cycleMs), math.Pow(recentDecay, passed/s.reports.cycleMs)
 	for _, h := range s.hostOrder {
 		v := &s.hosts[h]
-		f, p := v.pending, &v.window
-		v.pending = sums{}
+		f, p := v.stats.pending, &v.stats.window
+		v.stats.pending = requestSums{}
 		good, all = good+f.successes, all+f.successes+f.failures
-		v.recentSuccesses, v.recentFailures = v.recentSuccesses*soon+f.successes, v.recentFailures*soon+f.failures
+		v.stats.recentSuccesses, v.stats.recentFailures = v.stats.recentSuccesses*soon+f.successes, v.stats.recentFailures*soon+f.failures
 		if f.successes > 0 {
-			v.lastSuccessAtMs = s.nowMs
+			v.stats.lastSuccessAtMs = s.nowMs
 		}
-		if s.nowMs < v.cooldownUntilMs-s.reportCycleMs { // from before the last move showed
-			*p = sums{}
+		if s.nowMs < v.balance.cooldownUntilMs-s.reports.cycleMs { // from before the last move showed
+			*p = requestSums{}
 			continue
 		}
 		p.successes, p.failures, p.latencyMs = p.successes*keep+f.successes, p.failures*keep+f.failures, p.latencyMs*keep+f.latencyMs
 		p.spanMs = p.spanMs*keep + passed
-		v.meanLatencyMs = (p.latencyMs + (p.failures*deadlineMedians+priorSamples)*s.medianLatencyMs) / (p.successes + p.failures + priorSamples)
-		v.arrivalRate = (p.successes + p.failures) / p.spanMs * 1000 / share
+		v.stats.meanLatencyMs = (p.latencyMs + (p.failures*deadlineMedians+priorSamples)*s.fleet.medianLatencyMs) / (p.successes + p.failures + priorSamples)
+		v.stats.arrivalRate = (p.successes + p.failures) / p.spanMs * 1000 / share
 		if v.load.RequestRate >= 0 {
-			v.arrivalRate = math.Max(v.load.RequestRate, v.arrivalRate/2)
+			v.stats.arrivalRate = math.Max(v.load.RequestRate, v.stats.arrivalRate/2)
 		}
 		if s.rebalances(v) && p.successes >= priorSamples {
 			heard = append(heard, p.latencyMs/p.successes)
 		}
 	}
-	s.successRatio = math.Min(good/all, 0.5*s.successRatio+0.5*good/all)
+	s.fleet.successRatio = math.Min(good/all, 0.5*s.fleet.successRatio+0.5*good/all)
 	if len(heard) > 0 {
 		sort.Float64s(heard)
-		s.medianLatencyMs = heard[len(heard)/2]
+		s.fleet.medianLatencyMs = heard[len(heard)/2]
 	}
 }
--- a/routing/schedule.go
+++ b/routing/schedule.go
@@ -12,17 +12,44 @@
 	run  func(UpdateWriter)
 }
 
-// jitter gives the next figure from 0 to 1.
-func (s *Balancer) jitter() float64 {
-	s.jitterCounter++
-	b := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64(nil, s.deployment.Seed), s.jitterCounter)
-	return float64(crc32.ChecksumIEEE(b)) / (1 << 32)
+// taskQueue holds tasks by time; those of the same time stay in the order in which they were added.
+type taskQueue struct {
+	tasks []task
 }
 
-func (s *Balancer) schedule(in float64, do func(UpdateWriter)) {
-	at := s.nowMs + in
-	i := sort.Search(len(s.tasks), func(i int) bool { return s.tasks[i].atMs > at })
-	s.tasks = append(s.tasks, task{})
-	copy(s.tasks[i+1:], s.tasks[i:])
-	s.tasks[i] = task{at, do}
+// add puts a task into its place.
+func (q *taskQueue) add(added task) {
+	at := sort.Search(len(q.tasks), func(i int) bool { return q.tasks[i].atMs > added.atMs })
+	q.tasks = append(q.tasks, task{})
+	copy(q.tasks[at+1:], q.tasks[at:])
+	q.tasks[at] = added
+}
+
+// popDue takes the first task out if its time has come.
+func (q *taskQueue) popDue(nowMs float64) (task, bool) {
+	if len(q.tasks) == 0 || q.tasks[0].atMs > nowMs {
+		return task{}, false
+	}
+	first := q.tasks[0]
+	q.tasks = q.tasks[1:]
+	return first, true
+}
+
+// schedule has a task run in the first round after a delay.
+func (s *Balancer) schedule(delayMs float64, run func(UpdateWriter)) {
+	s.tasks.add(task{s.nowMs + delayMs, run})
+}
+
+// jitterSource draws the same sequence of numbers for the same seed, so that a recording can be replayed.
+type jitterSource struct {
+	seed    uint64
+	counter uint64
+}
+
+// next draws a number from 0 to below 1.
+func (j *jitterSource) next() float64 {
+	j.counter++
+	bytes := binary.LittleEndian.AppendUint64(nil, j.seed)
+	bytes = binary.LittleEndian.AppendUint64(bytes, j.counter)
+	return float64(crc32.ChecksumIEEE(bytes)) / (1 << 32)
 }
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -15,6 +15,14 @@
 	subsetModeInitialMs   = 30000.0 // ms that tables of a few hosts are kept under strain
 )
 
+// subsetModeState tells whether each proxy is given a subset of the hosts.
+type subsetModeState struct {
+	active         bool
+	untilMs        float64 // when it ends, or ended
+	durationMs     float64 // of the last time
+	pressureRounds int     // report rounds in a row with connection pressure
+}
+
 // updateSubsetMode tells connections that fail or are dear from a lack of capacity: many servers fail tries although
 // they answer probes and report idle cores. Then every proxy gets a table of its own with a few hosts, to
 // which it keeps its connections. The strain no longer shows then, so the one table comes back by trial,
@@ -23,10 +31,10 @@
 func (s *Balancer) updateSubsetMode(w UpdateWriter) {
 	n, failing, idle, silent := 1.0, 0.0, 0.0, 0.0
 	for _, h := range s.hostOrder {
-		if v := &s.hosts[h]; v.recentSuccesses+v.recentFailures >= 1 && v.state == Ready {
+		if v := &s.hosts[h]; v.stats.recentSuccesses+v.stats.recentFailures >= 1 && v.endpoint.state == Ready {
 			n++
-			silent += float64(min(v.consecutiveFailures, 1))
-			if v.recentFailures > pressureFailureRatio*(v.recentSuccesses+v.recentFailures) {
+			silent += float64(min(v.health.consecutiveFailures, 1))
+			if v.stats.recentFailures > pressureFailureRatio*(v.stats.recentSuccesses+v.stats.recentFailures) {
 				failing++
 				if b := v.load.effectiveUtilization(); b >= 0 && b < recoverUtilization {
 					idle++
@@ -34,20 +42,20 @@
 			}
 		}
 	}
-	s.pressureRounds++
-	if failing < pressureHostShare*n || idle < pressureIdleShare*n || silent > pressureMaxUnanswered*n || s.nowMs < s.nextQuiesceAtMs {
-		s.pressureRounds = 0
+	s.subsetMode.pressureRounds++
+	if failing < pressureHostShare*n || idle < pressureIdleShare*n || silent > pressureMaxUnanswered*n || s.nowMs < s.retryStorm.nextQuiesceAtMs {
+		s.subsetMode.pressureRounds = 0
 	}
-	if s.subsetMode && s.nowMs >= s.subsetModeUntilMs {
-		s.subsetMode = false
-		w.Log(Event{SubsetModeLeft, NoHost, []Field{{"success_ratio", s.successRatio, 2}}})
-	} else if !s.subsetMode && s.pressureRounds > 1 && !s.zoneLocal {
-		if s.subsetModeMs *= 2; s.nowMs > s.subsetModeUntilMs+s.subsetModeMs || s.subsetModeMs == 0 {
-			s.subsetModeMs = subsetModeInitialMs
+	if s.subsetMode.active && s.nowMs >= s.subsetMode.untilMs {
+		s.subsetMode.active = false
+		w.Log(Event{SubsetModeLeft, NoHost, []Field{{"success_ratio", s.fleet.successRatio, 2}}})
+	} else if !s.subsetMode.active && s.subsetMode.pressureRounds > 1 && !s.zoneLocal {
+		if s.subsetMode.durationMs *= 2; s.nowMs > s.subsetMode.untilMs+s.subsetMode.durationMs || s.subsetMode.durationMs == 0 {
+			s.subsetMode.durationMs = subsetModeInitialMs
 		}
-		s.subsetMode, s.subsetModeUntilMs = true, s.nowMs+s.subsetModeMs
-		w.Log(Event{SubsetModeEntered, NoHost, []Field{{"for_s", s.subsetModeMs / 1000, 0}, {"failing_hosts", failing, 0},
-			{"hosts", n - 1, 0}, {"failing_idle_hosts", idle, 0}, {"success_ratio", s.successRatio, 2}}})
+		s.subsetMode.active, s.subsetMode.untilMs = true, s.nowMs+s.subsetMode.durationMs
+		w.Log(Event{SubsetModeEntered, NoHost, []Field{{"for_s", s.subsetMode.durationMs / 1000, 0}, {"failing_hosts", failing, 0},
+			{"hosts", n - 1, 0}, {"failing_idle_hosts", idle, 0}, {"success_ratio", s.fleet.successRatio, 2}}})
 	}
 }
 
@@ -55,31 +63,33 @@
 // their weight so far, of its own zone while they are under their fair share.
 func (s *Balancer) fillSubset(w UpdateWriter, i int, fair float64) int {
 	p, got, free := &s.proxies[i], 0.0, []int(nil)
-	near := func(v *hostRecord) bool { return v.zone == p.zone && v.subsetRate < fair*v.published }
+	near := func(v *hostRecord) bool {
+		return v.endpoint.zone == p.zone && v.publication.subsetRate < fair*v.publication.weight
+	}
 	for _, h := range s.hostOrder {
 		if v := &s.hosts[h]; slices.Contains(p.subset, h) {
-			got += v.published
-		} else if v.published > 0 && s.targetWeight(v, false) > 0 && s.slowStartFactor(v, s.limits) >= 1 {
+			got += v.publication.weight
+		} else if v.publication.weight > 0 && s.targetWeight(v, false) > 0 && s.slowStartFactor(v, s.limits) >= 1 {
 			free = append(free, h)
 		}
 	}
 	sort.SliceStable(free, func(i, j int) bool {
 		a, b := &s.hosts[free[i]], &s.hosts[free[j]]
-		return near(a) && !near(b) || near(a) == near(b) && a.subsetRate*b.published < b.subsetRate*a.published
+		return near(a) && !near(b) || near(a) == near(b) && a.publication.subsetRate*b.publication.weight < b.publication.subsetRate*a.publication.weight
 	})
 	had := len(p.subset)
-	if s.quiescing {
-		free, got = []int{s.quiesceHost}, 1e9
+	if s.retryStorm.quiescing {
+		free, got = []int{s.retryStorm.host}, 1e9
 	}
 	for _, h := range free {
 		if len(p.subset) >= minSubsetSize && got*fair >= p.requestRate {
 			break
 		}
-		p.subset, got = append(p.subset, h), got+s.hosts[h].published
-		w.SetWeight(s.subsetTable(i), h, s.hosts[h].published)
+		p.subset, got = append(p.subset, h), got+s.hosts[h].publication.weight
+		w.SetWeight(s.subsetTable(i), h, s.hosts[h].publication.weight)
 	}
 	for _, h := range p.subset {
-		s.hosts[h].subsetRate += p.requestRate / float64(len(p.subset))
+		s.hosts[h].publication.subsetRate += p.requestRate / float64(len(p.subset))
 	}
 	return len(p.subset) - had
 }
