--- a/routing/admission.go
+++ b/routing/admission.go
@@ -24,6 +24,23 @@
 	publishedRetryPolicy int
 }
 
+// newAdmissionState admits everything; what proxies do before they are told otherwise is as published.
+func newAdmissionState(classes, defaultRetryPolicy int) admissionState {
+	state := admissionState{
+		ratio:                1,
+		classDemand:          make([]float64, classes),
+		quotas:               make([]float64, classes),
+		publishedQuotas:      make([]float64, classes),
+		retryPolicy:          retryUnprocessed,
+		publishedRetryPolicy: defaultRetryPolicy,
+	}
+	for class := range classes {
+		state.quotas[class] = 1
+		state.publishedQuotas[class] = 1
+	}
+	return state
+}
+
 // adjustAdmission sets how much is let in. Only measured overload lowers it: busy cores, with failed tries or R that
 // eats up the due time. A step down follows the part of the tries fulfilled, a step up the idle cores.
 func (s *Balancer) adjustAdmission(w UpdateWriter, classes []RequestClass, goal Objective) {
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -1,8 +1,14 @@
 package routing
 
-const (
-	roundIntervalMs = 200.0 // ms between rounds of periodic work
-)
+// roundIntervalMs is the time between rounds of periodic work.
+const roundIntervalMs = 200.0
+
+// reportRoundSlack is the part of the report interval after which a report round may follow the last one: reports that
+// come a little early must not wait for another round.
+const reportRoundSlack = 0.9
+
+// noRoundYet is Balancer.nextRoundAtMs before the first round.
+const noRoundYet = -1
 
 // Balancer takes the routing decisions of one controller instance. It is not safe for concurrent use.
 type Balancer struct {
@@ -13,7 +19,7 @@
 	objective  Objective
 
 	nowMs         float64 // the instant of the present round
-	nextRoundAtMs float64 // when the timer is due; noRoundYet before the first round
+	nextRoundAtMs float64 // when the timer is due, or noRoundYet
 	tasks         taskQueue
 	random        jitterSource
 
@@ -37,64 +43,56 @@
 	backlog    controlBacklog
 }
 
-// noRoundYet is Balancer.nextRoundAtMs before the first round.
-const noRoundYet = -1
-
-// New makes the steward of an instance that has just started.
-func New(fleet Deployment, classes []RequestClass, channel ControlChannel, guard SafetyLimits, goal Objective) *Balancer {
-	s := &Balancer{deployment: fleet, classes: classes, channel: channel, limits: guard, objective: goal,
-		nextRoundAtMs: noRoundYet}
-	s.reports.lastAtMs = noReportYet
-	s.admission.ratio, s.admission.retryPolicy = 1, 1
-	s.admission.publishedRetryPolicy = fleet.DefaultRetryPolicy
-	s.fleet.successRatio = 1
-	s.random.seed = fleet.Seed
-	s.reports.cycleMs, s.reports.settlingMs = fleet.ReportIntervalMs, channel.PropagationDelayMs+2*fleet.ReportIntervalMs
-	n := len(classes)
-	s.admission.classDemand, s.admission.quotas, s.admission.publishedQuotas = make([]float64, n), make([]float64, n), make([]float64, n)
-	s.zoneReconnected = make([]bool, fleet.Zones)
-	for c := range classes {
-		s.admission.quotas[c], s.admission.publishedQuotas[c] = 1, 1
-		s.zoneLocal = s.zoneLocal || classes[c].ZoneLocal
+// New makes the balancer of a controller instance that has just started. It has no hosts and no proxies yet.
+func New(
+	deployment Deployment, classes []RequestClass, channel ControlChannel, limits SafetyLimits, objective Objective,
+) *Balancer {
+	b := &Balancer{
+		deployment:      deployment,
+		classes:         classes,
+		channel:         channel,
+		limits:          limits,
+		objective:       objective,
+		nextRoundAtMs:   noRoundYet,
+		random:          jitterSource{seed: deployment.Seed},
+		zoneReconnected: make([]bool, deployment.Zones),
+		fleet:           fleetStats{successRatio: 1},
+		admission:       newAdmissionState(len(classes), deployment.DefaultRetryPolicy),
+	}
+	b.reports.lastAtMs = noReportYet
+	b.reports.cycleMs = deployment.ReportIntervalMs
+	b.reports.settlingMs = channel.PropagationDelayMs + settlingCycles*deployment.ReportIntervalMs
+	for _, class := range classes {
+		b.zoneLocal = b.zoneLocal || class.ZoneLocal
 	}
-	return s
+	return b
 }
 
-// Round decides on all that was noted since the last round.
-func (s *Balancer) Round(now float64, w UpdateWriter) {
-	s.nowMs = now
-	if s.deployment.WatchesEndpoints {
-		s.watchEndpoints(w)
+// Round decides on all that was recorded since the last round. now is the present instant in ms and never goes back.
+func (b *Balancer) Round(now float64, writer UpdateWriter) {
+	b.nowMs = now
+	if b.deployment.WatchesEndpoints {
+		b.watchEndpoints(writer)
 	}
-	if s.deployment.HealthChecks {
-		for _, h := range s.hostOrder[s.checks.scheduledHosts:] {
-			life := s.hosts[h].incarnation
-			s.schedule(s.random.next()*1000, func(w UpdateWriter) { s.checkHealth(w, h, life) })
-		}
-		s.checks.scheduledHosts = len(s.hostOrder)
+	if b.deployment.HealthChecks {
+		b.scheduleHealthChecks()
 	}
-	if s.nextRoundAtMs < 0 {
-		s.reports.observableAtMs = now + 2*s.reports.settlingMs
-	}
-	if now >= s.nextRoundAtMs {
-		s.nextRoundAtMs = now + roundIntervalMs
-		w.ScheduleRound(s.nextRoundAtMs)
-		if s.reports.pending && now-s.reports.lastAtMs >= s.deployment.ReportIntervalMs*0.9 {
-			s.processReports(w, s.deployment.ReportIntervalMs)
-		}
+	if b.nextRoundAtMs < 0 {
+		b.reports.observableAtMs = now + 2*b.reports.settlingMs
 	}
-	for {
-		next, due := s.tasks.popDue(now)
-		if !due {
-			break
+	if now >= b.nextRoundAtMs {
+		b.nextRoundAtMs = now + roundIntervalMs
+		writer.ScheduleRound(b.nextRoundAtMs)
+		if b.reports.pending && now-b.reports.lastAtMs >= b.deployment.ReportIntervalMs*reportRoundSlack {
+			b.processReports(writer)
 		}
-		next.run(w)
 	}
-	s.detectOutliers(w)
-	s.publish(w, s.channel)
+	b.runDueTasks(writer)
+	b.detectOutliers(writer)
+	b.publish(writer)
 }
 
-// connectedShare is the part of all proxies that are joined here.
-func (s *Balancer) connectedShare() float64 {
-	return float64(max(s.connectedProxies, 1)) / float64(s.deployment.Proxies)
+// connectedShare is the part of all proxies that are connected to this instance; at least one is taken to be.
+func (b *Balancer) connectedShare() float64 {
+	return float64(max(b.connectedProxies, 1)) / float64(b.deployment.Proxies)
 }
--- a/routing/discovery.go
+++ b/routing/discovery.go
@@ -2,8 +2,20 @@
 
 import "math"
 
-// startUnknown is endpointRecord.startedAtMs of a host that has not been seen to start: it counts as warm.
-const startUnknown = -1
+const (
+	watchBackoffMinMs = 250.0
+	watchBackoffMaxMs = 4000.0
+
+	// watchJitterMin is the least part of the backoff that a watch retry waits; jitter adds up to the whole backoff, so
+	// that controllers do not retry in step.
+	watchJitterMin = 0.5
+
+	// defaultBaseWeight stands where the endpoint list gives a host no weight.
+	defaultBaseWeight = 1.0
+
+	// startUnknown is endpointRecord.startedAtMs of a host that has not been seen to start: it counts as warm.
+	startUnknown = -1
+)
 
 // endpointRecord is what service discovery says of a host.
 type endpointRecord struct {
@@ -22,62 +34,86 @@
 	watchBackoffMs   float64 // the last backoff, before jitter; 0 after an answer
 }
 
-// ObserveEndpoint notes an entry of the list. A new id or a new start time is a start; a weight of 0 says nothing.
-func (s *Balancer) ObserveEndpoint(host, zone int, phase HostState, listed, started float64) {
-	v := s.host(host)
-	if listed <= 0 {
-		listed = 1
+// ObserveSnapshot records that the endpoints which follow are all there are. cached is true where they are from the
+// controller's own store and not from the source.
+func (b *Balancer) ObserveSnapshot(cached bool) {
+	for i := range b.hosts {
+		b.hosts[i].endpoint.state = Removed
+	}
+	if !cached {
+		b.discovery.snapshotReceived = true
+		b.discovery.watchBackoffMs = 0
+	}
+}
+
+// ObserveDelta records that the endpoints which follow are changes.
+func (b *Balancer) ObserveDelta() { b.discovery.watchBackoffMs = 0 }
+
+// ObserveWatchFailure records that a call for the endpoint list failed, or that its changes have ceased to come.
+func (b *Balancer) ObserveWatchFailure() { b.discovery.watchFailed = true }
+
+// ObserveEndpoint records one endpoint of a snapshot or delta. baseWeight is the weight as discovered; 0 or less stands
+// for none. started is the instant in ms at which the host started; 0 or less stands for none. A new start resets what
+// was known of the host. A host that appears after the first snapshot from the source has just started.
+func (b *Balancer) ObserveEndpoint(host, zone int, state HostState, baseWeight, started float64) {
+	record := b.host(host)
+	if baseWeight <= 0 {
+		baseWeight = defaultBaseWeight
 	}
-	if !v.endpoint.discovered {
-		s.hostOrder = append(s.hostOrder, host)
-		v.endpoint.baseWeight, v.balance.weight, v.stats.meanLatencyMs = listed, listed, s.fleet.medianLatencyMs
-		if s.discovery.snapshotReceived && started <= 0 {
-			started = s.nowMs
+	if !record.endpoint.discovered {
+		b.hostOrder = append(b.hostOrder, host)
+		record.endpoint.baseWeight = baseWeight
+		record.balance.weight = baseWeight
+		record.stats.meanLatencyMs = b.fleet.medianLatencyMs
+		if b.discovery.snapshotReceived && started <= 0 {
+			started = b.nowMs
 		}
 	}
-	if phase != v.endpoint.state || started > 0 && started != v.endpoint.startedAtMs {
-		v.endpoint.changedAtMs = s.nowMs
+	restarted := started > 0 && started != record.endpoint.startedAtMs
+	if restarted || state != record.endpoint.state {
+		record.endpoint.changedAtMs = b.nowMs
 	}
-	v.balance.weight *= listed / v.endpoint.baseWeight
-	v.endpoint.discovered, v.endpoint.zone, v.endpoint.state, v.endpoint.baseWeight = true, zone, phase, listed
-	if started > 0 && started != v.endpoint.startedAtMs {
-		restarted := hostRecord{incarnation: v.incarnation, load: UnknownLoad}
-		restarted.endpoint = endpointRecord{zone: zone, state: phase, discovered: true, baseWeight: listed, startedAtMs: started,
-			changedAtMs: s.nowMs}
-		restarted.balance.weight = listed
-		restarted.stats.meanLatencyMs = s.fleet.medianLatencyMs
-		restarted.publication.weight = v.publication.weight
-		restarted.health.checkInFlight = v.health.checkInFlight
-		*v = restarted
+	record.balance.weight *= baseWeight / record.endpoint.baseWeight
+	record.endpoint.zone = zone
+	record.endpoint.state = state
+	record.endpoint.discovered = true
+	record.endpoint.baseWeight = baseWeight
+	if restarted {
+		record.restart(started, b.nowMs, b.fleet.medianLatencyMs)
 	}
 }
 
-// ObserveSnapshot notes that the entries which follow are the whole list.
-func (s *Balancer) ObserveSnapshot(cached bool) {
-	for i := range s.hosts {
-		s.hosts[i].endpoint.state = Removed
-	}
-	if !cached {
-		s.discovery.snapshotReceived, s.discovery.watchBackoffMs = true, 0
+// restart resets what was known of a host that has started again, but for its endpoint, for what the published tables
+// hold of it and for a health check in flight.
+func (h *hostRecord) restart(startedAtMs, nowMs, medianLatencyMs float64) {
+	endpoint := h.endpoint
+	endpoint.startedAtMs = startedAtMs
+	endpoint.changedAtMs = nowMs
+	*h = hostRecord{
+		incarnation: h.incarnation,
+		endpoint:    endpoint,
+		stats:       requestStats{meanLatencyMs: medianLatencyMs},
+		load:        UnknownLoad,
+		balance:     balanceRecord{weight: endpoint.baseWeight},
+		health:      healthRecord{checkInFlight: h.health.checkInFlight},
+		publication: publicationRecord{weight: h.publication.weight},
 	}
 }
 
-// ObserveDelta notes that the entries which follow are changes.
-func (s *Balancer) ObserveDelta() { s.discovery.watchBackoffMs = 0 }
-
-// ObserveWatchFailure notes that a call for the list failed or that the list no longer sends its changes.
-func (s *Balancer) ObserveWatchFailure() { s.discovery.watchFailed = true }
-
-// watchEndpoints keeps the subscription where the list must be asked. A failed call is repeated after a wait that
-// doubles up to a bound, with some chance in it so that stewards do not ask in step.
-func (s *Balancer) watchEndpoints(w UpdateWriter) {
-	if s.nextRoundAtMs < 0 {
-		w.WatchEndpoints()
+// watchEndpoints starts the watch of the endpoint list in the first round, and retries it after a failure with a
+// backoff that doubles up to a bound.
+func (b *Balancer) watchEndpoints(writer UpdateWriter) {
+	if b.nextRoundAtMs < 0 {
+		writer.WatchEndpoints()
 	}
-	if s.discovery.watchFailed {
-		s.discovery.watchFailed = false
-		s.discovery.watchBackoffMs = math.Min(math.Max(2*s.discovery.watchBackoffMs, 250), 4000)
-		s.schedule(s.discovery.watchBackoffMs*(0.5+s.random.next()), func(w UpdateWriter) { w.WatchEndpoints() })
-		w.Log(Event{WatchRetryScheduled, NoHost, []Field{{"within_ms", s.discovery.watchBackoffMs * 1.5, 0}}})
+	if !b.discovery.watchFailed {
+		return
 	}
+	b.discovery.watchFailed = false
+	backoffMs := math.Min(math.Max(2*b.discovery.watchBackoffMs, watchBackoffMinMs), watchBackoffMaxMs)
+	b.discovery.watchBackoffMs = backoffMs
+	delayMs := backoffMs * (watchJitterMin + b.random.next())
+	b.schedule(delayMs, func(writer UpdateWriter) { writer.WatchEndpoints() })
+	longestDelayMs := backoffMs * (watchJitterMin + 1)
+	writer.Log(Event{WatchRetryScheduled, NoHost, []Field{{"within_ms", longestDelayMs, 0}}})
 }
--- a/routing/healthcheck.go
+++ b/routing/healthcheck.go
@@ -3,10 +3,11 @@
 import "math"
 
 const (
-	checkCostShare    = 0.003 // of the result may go into the price of probes
-	checkRetryMs      = 300.0 // ms until a host that left a probe unanswered is asked again
-	maxSuspicion      = 3.0   // of them count
-	suspicionRecovery = 1.0   // with each answered one
+	firstCheckWithinMs = 1000.0
+	checkCostShare     = 0.003 // of the result may go into the price of probes
+	checkRetryMs       = 300.0 // ms until a host that left a probe unanswered is asked again
+	maxSuspicion       = 3.0   // of them count
+	suspicionRecovery  = 1.0   // with each answered one
 )
 
 // healthRecord is what health checks show of a host.
@@ -26,6 +27,17 @@
 	suspicionScale   float64 // the part of each host's suspicion that counts
 }
 
+// scheduleHealthChecks gives each host that is new in the order of discovery its task, at a time with jitter.
+func (b *Balancer) scheduleHealthChecks() {
+	for _, index := range b.hostOrder[b.checks.scheduledHosts:] {
+		incarnation := b.hosts[index].incarnation
+		b.schedule(b.random.next()*firstCheckWithinMs, func(writer UpdateWriter) {
+			b.checkHealth(writer, index, incarnation)
+		})
+	}
+	b.checks.scheduledHosts = len(b.hostOrder)
+}
+
 // checkHealth examines a host, and again after a while that keeps the price of probes under a small part of the
 // result, or soon where one was left unanswered. Each outcome raises or lowers the doubt about the host.
 func (s *Balancer) checkHealth(w UpdateWriter, h, life int) {
--- a/routing/host.go
+++ b/routing/host.go
@@ -19,43 +19,51 @@
 	return hostRecord{endpoint: endpointRecord{startedAtMs: startUnknown}, load: UnknownLoad}
 }
 
-// host gives the record of a host index, made where there is none.
-func (s *Balancer) host(h int) *hostRecord {
-	s.hosts = grow(s.hosts, h+1, newHostRecord())
-	return &s.hosts[h]
+// host gives the record of a host index, made where there is none. It is valid until the next call.
+func (b *Balancer) host(index int) *hostRecord {
+	b.hosts = grow(b.hosts, index+1, newHostRecord())
+	return &b.hosts[index]
 }
 
-// ForgetHost drops what is kept of a host that is gone, so that its index may be given to another. It answers
-// false, and keeps all, while a table or a probe still names the host.
-func (s *Balancer) ForgetHost(host int) bool {
-	if host >= len(s.hosts) {
+// ForgetHost drops what is kept of a removed host, so that its index may be given to another. It answers false, and
+// keeps all, while a published table or a health check in flight still names the host.
+func (b *Balancer) ForgetHost(host int) bool {
+	if host >= len(b.hosts) {
 		return true
 	}
-	v := &s.hosts[host]
-	if v.endpoint.state != Removed || v.publication.weight != 0 || v.health.checkInFlight {
+	record := &b.hosts[host]
+	if record.endpoint.state != Removed || record.publication.weight != 0 || record.health.checkInFlight {
 		return false
 	}
-	for i := range s.proxies {
-		if slices.Contains(s.proxies[i].subset, host) {
+	for i := range b.proxies {
+		if slices.Contains(b.proxies[i].subset, host) {
 			return false
 		}
 	}
-	if at := slices.Index(s.hostOrder, host); at >= 0 {
-		s.hostOrder = slices.Delete(s.hostOrder, at, at+1)
-		if at < s.checks.scheduledHosts {
-			s.checks.scheduledHosts--
-		}
-	}
-	incarnation := v.incarnation + 1
-	*v = newHostRecord()
-	v.incarnation = incarnation
+	b.removeFromOrder(host)
+	incarnation := record.incarnation + 1
+	*record = newHostRecord()
+	record.incarnation = incarnation
 	return true
 }
 
-// grow gives the list with at least n entries, new ones as fresh.
-func grow[T any](list []T, n int, fresh T) []T {
-	for len(list) < n {
-		list = append(list, fresh)
+// removeFromOrder takes a host out of the order of discovery. The health check task of a host before it in the order
+// stays with its host.
+func (b *Balancer) removeFromOrder(host int) {
+	position := slices.Index(b.hostOrder, host)
+	if position < 0 {
+		return
+	}
+	b.hostOrder = slices.Delete(b.hostOrder, position, position+1)
+	if position < b.checks.scheduledHosts {
+		b.checks.scheduledHosts--
+	}
+}
+
+// grow gives the list with at least length elements; new ones are copies of fill.
+func grow[T any](list []T, length int, fill T) []T {
+	for len(list) < length {
+		list = append(list, fill)
 	}
 	return list
 }
--- a/routing/proxy.go
+++ b/routing/proxy.go
@@ -1,35 +1,52 @@
 package routing
 
+// minProxyRate, in requests a second, is added to a proxy's usual rate, so that it is due some weight in any case.
+const minProxyRate = 0.01
+
+// proxyRecord is what the balancer keeps of one proxy.
 type proxyRecord struct {
-	zone                                         int
-	requestRate                                  float64         // transactions a second that it usually gets
-	connected, assigned, ownsTable               bool            // bound to the shared table, or to one of its own
-	subset                                       []int           // the hosts in its own table
-	messageTimesMs                               []float64       // times of messages to it
-	subsetWeight, pendingRequests, pendingSpanMs float64         // their weight; transactions that came lately, in this time
-	unacknowledged                               []updateMessage // written to it, oldest first
+	zone        int
+	connected   bool
+	requestRate float64 // requests a second that it usually gets
+
+	pendingRequests float64 // requests that came to it since the last report round
+	pendingSpanMs   float64 // the time in which they came
+
+	assigned     bool    // it was given a table since it connected
+	ownsTable    bool    // that table is its own, with a subset of the hosts
+	subset       []int   // the hosts in its own table; it may be outdated while ownsTable is false
+	subsetWeight float64 // their published weight
+
+	messageTimesMs []float64       // when it was sent messages, within the message window, oldest first
+	unacknowledged []updateMessage // messages that it has not acknowledged, oldest first
 }
 
-func (s *Balancer) ConnectProxy(p, zone int, rate float64) {
-	s.DisconnectProxy(p)
-	s.proxies = grow(s.proxies, p+1, proxyRecord{})
-	s.proxies[p] = proxyRecord{zone: zone, requestRate: rate + 0.01, connected: true, subset: s.proxies[p].subset}
-	s.connectedProxies++
-	s.zoneReconnected[zone] = true
+// ConnectProxy records that a proxy has connected, also where it was connected before: it has no table then. rate is
+// the usual number of requests a second that come to it.
+func (b *Balancer) ConnectProxy(proxy, zone int, rate float64) {
+	b.DisconnectProxy(proxy)
+	b.proxies = grow(b.proxies, proxy+1, proxyRecord{})
+	record := &b.proxies[proxy]
+	*record = proxyRecord{zone: zone, requestRate: rate + minProxyRate, connected: true, subset: record.subset}
+	b.connectedProxies++
+	b.zoneReconnected[zone] = true
 }
 
-func (s *Balancer) DisconnectProxy(p int) {
-	if p < len(s.proxies) && s.proxies[p].connected {
-		q := &s.proxies[p]
-		q.connected = false
-		s.connectedProxies--
-		s.releaseMessages(q, len(q.unacknowledged)) // what waits for it is lost
+// DisconnectProxy records that a proxy is gone; what was on its way to it is lost. Its own table is kept until
+// ForgetProxy.
+func (b *Balancer) DisconnectProxy(proxy int) {
+	if proxy >= len(b.proxies) || !b.proxies[proxy].connected {
+		return
 	}
+	record := &b.proxies[proxy]
+	record.connected = false
+	b.connectedProxies--
+	b.releaseMessages(record, len(record.unacknowledged))
 }
 
-// ForgetProxy drops the table of a proxy that has left; the caller drops its lines too.
-func (s *Balancer) ForgetProxy(p int) {
-	if p < len(s.proxies) && !s.proxies[p].connected {
-		s.proxies[p].subset = nil
+// ForgetProxy drops the own table of a proxy that has disconnected; the caller drops the table's entries too.
+func (b *Balancer) ForgetProxy(proxy int) {
+	if proxy < len(b.proxies) && !b.proxies[proxy].connected {
+		b.proxies[proxy].subset = nil
 	}
 }
--- a/routing/publish.go
+++ b/routing/publish.go
@@ -33,7 +33,8 @@
 // price of orders allows. Each may fill a part of the caps; what does not fit waits. In the channel is all
 // that joined proxies have not answered, less as much as they answered within the last way of a message:
 // that is taken to be on its way now. What is older than a full channel at the least pace has left it.
-func (s *Balancer) publish(w UpdateWriter, c ControlChannel) {
+func (s *Balancer) publish(w UpdateWriter) {
+	c := s.channel
 	passed := s.nowMs - s.publishing.lastAtMs
 	s.publishing.lastAtMs = s.nowMs
 	s.publishing.budget = math.Min(c.EntriesPerSecond, s.publishing.budget+passed/1000*c.EntriesPerSecond*updateCostShare/math.Max(c.Cost, updateCostShare))
--- a/routing/report.go
+++ b/routing/report.go
@@ -12,6 +12,9 @@
 	demandSmoothing = 0.3 // of a proxy's rate follows its last sums
 )
 
+// settlingCycles is the number of report cycles, besides the propagation delay, until a new weight shows in reports.
+const settlingCycles = 2
+
 // noReportYet is reportTiming.lastAtMs before the first reports.
 const noReportYet = -1
 
@@ -53,7 +56,8 @@
 }
 
 // processReports takes in a round of sums. Without sums nothing of this happens and the tables stay.
-func (s *Balancer) processReports(w UpdateWriter, period float64) {
+func (s *Balancer) processReports(w UpdateWriter) {
+	period := s.deployment.ReportIntervalMs
 	passed := period
 	if s.reports.lastAtMs >= 0 {
 		passed = s.nowMs - s.reports.lastAtMs
--- a/routing/schedule.go
+++ b/routing/schedule.go
@@ -19,10 +19,10 @@
 
 // add puts a task into its place.
 func (q *taskQueue) add(added task) {
-	at := sort.Search(len(q.tasks), func(i int) bool { return q.tasks[i].atMs > added.atMs })
+	position := sort.Search(len(q.tasks), func(i int) bool { return q.tasks[i].atMs > added.atMs })
 	q.tasks = append(q.tasks, task{})
-	copy(q.tasks[at+1:], q.tasks[at:])
-	q.tasks[at] = added
+	copy(q.tasks[position+1:], q.tasks[position:])
+	q.tasks[position] = added
 }
 
 // popDue takes the first task out if its time has come.
@@ -36,8 +36,19 @@
 }
 
 // schedule has a task run in the first round after a delay.
-func (s *Balancer) schedule(delayMs float64, run func(UpdateWriter)) {
-	s.tasks.add(task{s.nowMs + delayMs, run})
+func (b *Balancer) schedule(delayMs float64, run func(UpdateWriter)) {
+	b.tasks.add(task{b.nowMs + delayMs, run})
+}
+
+// runDueTasks runs the tasks whose time has come, also those that another task schedules for now.
+func (b *Balancer) runDueTasks(writer UpdateWriter) {
+	for {
+		next, due := b.tasks.popDue(b.nowMs)
+		if !due {
+			return
+		}
+		next.run(writer)
+	}
 }
 
 // jitterSource draws the same sequence of numbers for the same seed, so that a recording can be replayed.
--- a/routing/writer.go
+++ b/routing/writer.go
@@ -1,17 +1,31 @@
 package routing
 
-// AllTables in place of a table's number sets a level for all joined proxies.
+// AllTables in place of a table's number sets an admission quota for all connected proxies.
 const AllTables = 65535
 
-// UpdateWriter takes the decisions of a round. Hosts and proxies go by the small indices they were noted with;
-// bit k of classes is class k, and 0 stands for all of them.
+// The retry policies that the balancer sets. A proxy may know others, as Deployment.DefaultRetryPolicy.
+const (
+	retryNone        = 0 // a failed attempt is not retried
+	retryUnprocessed = 1 // one retry, after proof that the first attempt never ran: safe for every class
+)
+
+// UpdateWriter takes the decisions of a round, in the order in which they are to be sent. Hosts and proxies go by the
+// indices with which they were recorded, tables by numbers; bit k of classes stands for class k, and 0 for all classes.
 type UpdateWriter interface {
+	// SetWeight sets the weight of a host in a table; 0 takes it out.
 	SetWeight(table, host int, weight float64)
+	// AssignTable has a proxy route by a table; it is sent all entries of the table.
 	AssignTable(proxy, table, classes int)
-	SetAdmission(table, classes int, share float64, tries int)
-	StampVersion(number int)
+	// SetAdmission sets the part of the requests that proxies admit, and their retry policy.
+	SetAdmission(table, classes int, quota float64, retryPolicy int)
+	// StampVersion closes the round's updates with a version, which proxies acknowledge.
+	StampVersion(version int)
+	// CheckHealth starts a health check of a host; its result comes back by ObserveHealthCheck.
 	CheckHealth(host int)
+	// ScheduleRound asks for a round at the instant at, in ms.
 	ScheduleRound(at float64)
+	// WatchEndpoints starts or restarts the watch of the endpoint list.
 	WatchEndpoints()
+	// Log takes an event that operators may want to see.
 	Log(event Event)
 }
