--- a/routing/admission.go
+++ b/routing/admission.go
@@ -6,10 +6,32 @@
 )
 
 const (
-	overloadUtilization = 0.9  // busy cores that may mean overload
-	targetUtilization   = 0.85 // busy cores aimed at by a change of level
-	recoverUtilization  = 0.8  // busy cores under which the level rises
-	minAdmissionRatio   = 0.1
+	// overloadUtilization is the utilization over which the fleet may be overloaded.
+	overloadUtilization = 0.9
+
+	// targetUtilization is the utilization at which a change of the admission ratio aims.
+	targetUtilization = 0.85
+
+	// recoverUtilization is the utilization under which the admission ratio rises again.
+	recoverUtilization = 0.8
+
+	// overloadSuccessRatio is the fleet's success ratio under which a high utilization is an overload.
+	overloadSuccessRatio = 0.93
+
+	// overloadLatencyShare is the part of the latency objective that the mean latency takes in an overload.
+	overloadLatencyShare = 0.4
+
+	// improvedSuccessRatio is the rise of the success ratio that shows that the last step down still works.
+	improvedSuccessRatio = 0.05
+
+	// minAdmissionRatio is the part of the requests of any class that is always admitted.
+	minAdmissionRatio = 0.1
+
+	// Bounds of the factor of one step down and of one step up.
+	stepDownMin = 0.6
+	stepDownMax = 0.9
+	stepUpMin   = 1.1
+	stepUpMax   = 1.6
 )
 
 // admissionState is what admission control keeps.
@@ -24,7 +46,7 @@
 	publishedRetryPolicy int
 }
 
-// newAdmissionState admits everything; what proxies do before they are told otherwise is as published.
+// newAdmissionState admits everything; what proxies do before they are sent anything counts as published.
 func newAdmissionState(classes, defaultRetryPolicy int) admissionState {
 	state := admissionState{
 		ratio:                1,
@@ -41,64 +63,133 @@
 	return state
 }
 
-// adjustAdmission sets how much is let in. Only measured overload lowers it: busy cores, with failed tries or R that
-// eats up the due time. A step down follows the part of the tries fulfilled, a step up the idle cores.
-func (s *Balancer) adjustAdmission(w UpdateWriter, classes []RequestClass, goal Objective) {
-	busy, n, good, slow, came, dueTime := 0.0, 0.0, 1e-9, 0.0, 1e-9, 0.0
-	for _, h := range s.hostOrder {
-		v := &s.hosts[h]
-		if b := v.load.effectiveUtilization(); s.rebalances(v) && b >= 0 {
-			tries := v.stats.recentSuccesses + v.stats.recentFailures // a host that is not heard has an old report
-			busy, n = busy+b*tries, n+tries
+// fleetLoad is how busy the fleet is and how slow.
+type fleetLoad struct {
+	measured           bool    // some host reported its load
+	utilization        float64 // mean of the hosts', by their recent attempts
+	meanLatencyMs      float64 // mean of the hosts', by their arrival rates
+	latencyObjectiveMs float64 // mean of the classes', by their demand
+}
+
+// adjustAdmission sets the admission ratio. Only measured overload lowers it: a high utilization, with failed attempts
+// or a mean latency that uses up the latency objective. A step down follows the success ratio, a step up the idle
+// cores. While less than all is admitted, nothing is retried.
+func (b *Balancer) adjustAdmission(writer UpdateWriter) {
+	load := b.measureFleetLoad()
+	if !load.measured || b.nowMs < b.admission.cooldownUntilMs {
+		return
+	}
+	ratio := b.nextAdmissionRatio(load)
+	b.admission.previousSuccessRatio = b.fleet.successRatio
+	if ratio == b.admission.ratio {
+		return
+	}
+	b.admission.ratio = ratio
+	b.admission.cooldownUntilMs = b.nowMs + b.reports.settlingMs + b.reports.delayMs
+	writer.Log(Event{AdmissionRatioChanged, NoHost, []Field{
+		{"admission_ratio", ratio, 2},
+		{"utilization", load.utilization, 2},
+		{"success_ratio", b.fleet.successRatio, 2},
+		{"mean_latency_ms", load.meanLatencyMs, 0},
+		{"latency_objective_ms", load.latencyObjectiveMs, 0},
+	}})
+	b.admission.retryPolicy = retryPolicyAt(ratio)
+	b.allocateQuotas()
+}
+
+// retryPolicyAt is the retry policy that goes with an admission ratio.
+func retryPolicyAt(admissionRatio float64) int {
+	if admissionRatio < 1 {
+		return retryNone
+	}
+	return retryUnprocessed
+}
+
+// measureFleetLoad lets the demand of the classes decay by one report round, and averages the load over the fleet. The
+// utilization counts by recent attempts, since a host that is not heard of has an old load report.
+func (b *Balancer) measureFleetLoad() fleetLoad {
+	utilization, attempts := 0.0, 0.0
+	latency, arrivalRate := 0.0, minDivisor
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		hostUtilization := host.load.effectiveUtilization()
+		if b.participates(host) && hostUtilization >= 0 {
+			utilization += hostUtilization * host.stats.recentAttempts()
+			attempts += host.stats.recentAttempts()
 		}
-		good, slow = good+v.stats.arrivalRate, slow+v.stats.arrivalRate*v.stats.meanLatencyMs
+		latency += host.stats.arrivalRate * host.stats.meanLatencyMs
+		arrivalRate += host.stats.arrivalRate
 	}
-	for c := range s.admission.classDemand {
-		s.admission.classDemand[c] *= windowDecay
-		came, dueTime = came+s.admission.classDemand[c], dueTime+s.admission.classDemand[c]*classes[c].LatencyObjectiveMs
+	objective, demand := 0.0, minDivisor
+	for class := range b.admission.classDemand {
+		b.admission.classDemand[class] *= windowDecay
+		objective += b.admission.classDemand[class] * b.classes[class].LatencyObjectiveMs
+		demand += b.admission.classDemand[class]
 	}
-	if n <= 0 || s.nowMs < s.admission.cooldownUntilMs {
-		return
+	if attempts <= 0 {
+		return fleetLoad{}
 	}
-	busy, slow, dueTime = busy/n, slow/good, dueTime/came
-	was := s.admission.ratio
-	better := s.admission.ratio < 1 && s.fleet.successRatio > s.admission.previousSuccessRatio+0.05
-	if busy > overloadUtilization && !better && (s.fleet.successRatio < 0.93 || slow > 0.4*dueTime) {
-		s.admission.ratio = math.Max(s.admission.ratio*math.Min(math.Max(targetUtilization*s.fleet.successRatio, 0.6), 0.9), minAdmissionRatio)
-	} else if busy < recoverUtilization {
-		s.admission.ratio = math.Min(1, s.admission.ratio*math.Min(math.Max(targetUtilization/busy, 1.1), 1.6))
+	return fleetLoad{
+		measured:           true,
+		utilization:        utilization / attempts,
+		meanLatencyMs:      latency / arrivalRate,
+		latencyObjectiveMs: objective / demand,
 	}
-	s.admission.previousSuccessRatio = s.fleet.successRatio
-	if s.admission.ratio == was {
-		return
+}
+
+// nextAdmissionRatio makes one step down, up or none. It makes no second step down while the success ratio shows that
+// the last one works.
+func (b *Balancer) nextAdmissionRatio(load fleetLoad) float64 {
+	ratio := b.admission.ratio
+	successRatio := b.fleet.successRatio
+	improving := ratio < 1 && successRatio > b.admission.previousSuccessRatio+improvedSuccessRatio
+	failing := successRatio < overloadSuccessRatio ||
+		load.meanLatencyMs > overloadLatencyShare*load.latencyObjectiveMs
+	if load.utilization > overloadUtilization && failing && !improving {
+		factor := math.Min(math.Max(targetUtilization*successRatio, stepDownMin), stepDownMax)
+		return math.Max(ratio*factor, minAdmissionRatio)
+	}
+	if load.utilization < recoverUtilization {
+		factor := math.Min(math.Max(targetUtilization/load.utilization, stepUpMin), stepUpMax)
+		return math.Min(1, ratio*factor)
 	}
-	s.admission.cooldownUntilMs = s.nowMs + s.reports.settlingMs + s.reports.delayMs
-	w.Log(Event{AdmissionRatioChanged, NoHost, []Field{{"admission_ratio", s.admission.ratio, 2}, {"utilization", busy, 2},
-		{"success_ratio", s.fleet.successRatio, 2}, {"mean_latency_ms", slow, 0}, {"latency_objective_ms", dueTime, 0}}})
-	s.admission.retryPolicy = int(s.admission.ratio) // none while less than all is let in
-	s.allocateQuotas(classes, goal)
+	return ratio
+}
+
+// classLoad is what a request class brings and needs.
+type classLoad struct {
+	class int
+	work  float64 // requests times the latency objective, which stands for the unknown work of a request
+	value float64 // requests times the priority weight
 }
 
-// allocateQuotas deals the level out to the classes: the least earnings per work (the due time stands for it) go
-// first, unless the worst-served class weighs so much that cutting all evenly costs less.
-func (s *Balancer) allocateQuotas(classes []RequestClass, goal Objective) {
-	n := len(classes)
-	work, earn, order := make([]float64, n), make([]float64, n), make([]int, n)
-	allWork, allEarn := 1e-9, 1e-9
-	for c, k := range classes {
-		n := s.admission.classDemand[c] + 1
-		work[c], earn[c], order[c] = n*k.LatencyObjectiveMs, n*k.PriorityWeight, c
-		allWork, allEarn = allWork+work[c], allEarn+earn[c]
+// allocateQuotas shares the admission ratio out to the classes: those with the least value for their work are shed
+// first, unless the objective counts the worst-served class for so much that it costs less to admit all classes alike.
+func (b *Balancer) allocateQuotas() {
+	loads := make([]classLoad, len(b.classes))
+	totalWork, totalValue := minDivisor, minDivisor
+	for i, class := range b.classes {
+		requests := b.admission.classDemand[i] + 1
+		loads[i] = classLoad{i, requests * class.LatencyObjectiveMs, requests * class.PriorityWeight}
+		totalWork += loads[i].work
+		totalValue += loads[i].value
 	}
-	sort.SliceStable(order, func(i, j int) bool {
-		return earn[order[i]]*work[order[j]] < earn[order[j]]*work[order[i]]
+	sort.SliceStable(loads, func(i, j int) bool {
+		return loads[i].value*loads[j].work < loads[j].value*loads[i].work
 	})
-	low, cut := order[0], (1-s.admission.ratio)*allWork
-	even := (goal.TotalWeight*earn[low]/allEarn+goal.WorstClassWeight)*allWork/work[low] >= goal.TotalWeight+goal.WorstClassWeight
-	for _, c := range order {
-		part := math.Min(cut, work[c]*(1-minAdmissionRatio))
-		if s.admission.quotas[c] = s.admission.ratio; !even {
-			s.admission.quotas[c], cut = 1-part/work[c], cut-part
+	lowest, objective := loads[0], b.objective
+	costInTurn := (objective.TotalWeight*lowest.value/totalValue + objective.WorstClassWeight) * totalWork / lowest.work
+	costAlike := objective.TotalWeight + objective.WorstClassWeight
+	if costInTurn >= costAlike {
+		for i := range b.admission.quotas {
+			b.admission.quotas[i] = b.admission.ratio
 		}
+		return
+	}
+	excessWork := (1 - b.admission.ratio) * totalWork
+	for _, load := range loads {
+		shedWork := math.Min(excessWork, load.work*(1-minAdmissionRatio))
+		b.admission.quotas[load.class] = 1 - shedWork/load.work
+		excessWork -= shedWork
 	}
 }
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -3,14 +3,31 @@
 import "math"
 
 const (
-	missProbability  = 0.05 // part of the transactions that may miss the deadline d
-	deadlineMedians  = 3.2  // d as a multiple of the median response time: a median server has a little room
-	minCapacityRatio = 0.5  // the cap is never under this part of the service rate
+	// missProbability is eps of the capacity formula: the part of the requests that may miss the deadline d.
+	missProbability = 0.05
+
+	// deadlineMedians is d of the capacity formula as a multiple of the fleet's median latency. At -ln(missProbability),
+	// about 3, or less, a fleet of equal hosts has no headroom at all; slightly more gives each a little.
+	deadlineMedians = 3.2
+
+	// minCapacityRatio is the part of the service rate that the capacity is never under.
+	minCapacityRatio = 0.5
 )
 
-// deadlineCapacity gives the arrival rate up to which a server meets the deadline d, all but a part epsilon.
-func deadlineCapacity(rate, r, median float64) float64 {
-	mu := rate + 1000/r
-	k := math.Abs(math.Log(missProbability) / (deadlineMedians * median) * 1000)
-	return math.Max(mu-k, mu*minCapacityRatio)
+// serviceRate is mu of an M/M/1 queue, in requests a second: mu = lambda + 1/R.
+func serviceRate(arrivalRate, meanLatencyMs float64) float64 {
+	return arrivalRate + msPerSecond/meanLatencyMs
+}
+
+// latencyMargin is K = |ln eps / d|, in requests a second: an M/M/1 queue whose arrival rate stays so far under its
+// service rate answers all but the part eps of the requests within d.
+func latencyMargin(medianLatencyMs float64) float64 {
+	return math.Abs(math.Log(missProbability) / (deadlineMedians * medianLatencyMs) * msPerSecond)
+}
+
+// deadlineCapacity is the arrival rate, in requests a second, up to which a host meets the deadline: mu - K, by section
+// 3 of the paper that the package comment names. Latencies are in ms and above 0.
+func deadlineCapacity(arrivalRate, meanLatencyMs, medianLatencyMs float64) float64 {
+	mu := serviceRate(arrivalRate, meanLatencyMs)
+	return math.Max(mu-latencyMargin(medianLatencyMs), mu*minCapacityRatio)
 }
--- a/routing/controlchannel.go
+++ b/routing/controlchannel.go
@@ -7,7 +7,6 @@
 	ackTimeoutMs         = 2000.0 // or so long after it
 	updateCostShare      = 0.03   // of the result may go into the price of weights
 	urgentGatherMs       = 350.0  // ms in which urgent orders gather into one message
-	slowStartCutRatio    = 0.6    // of its weight in the tables a cold host is cut to before all but removals
 	removalFill          = 0.95   // of the channel's caps may be filled by removals of hosts that drain or are gone
 	protectiveFill       = 0.55   // by withdrawals, by what guards cold hosts and by tables of a few hosts
 	weightFill           = 0.45   // by weights and levels
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -44,8 +44,8 @@
 		return Explanation{}, false
 	}
 	v := &s.hosts[host]
-	e := Explanation{State: v.endpoint.state, Ejected: v.outlier.ejected, Balanced: s.rebalances(v), BaseWeight: v.endpoint.baseWeight, Weight: v.balance.weight, TargetWeight: s.targetWeight(v, false),
-		PublishedWeight: v.publication.weight, ArrivalRate: v.stats.arrivalRate, MeanLatencyMs: v.stats.meanLatencyMs, MedianLatencyMs: s.fleet.medianLatencyMs, SlowStartFactor: s.slowStartFactor(v, s.limits), RecoveryFactor: s.recoveryFactor(v), CooldownUntilMs: v.balance.cooldownUntilMs,
+	e := Explanation{State: v.endpoint.state, Ejected: v.outlier.ejected, Balanced: s.participates(v), BaseWeight: v.endpoint.baseWeight, Weight: v.balance.weight, TargetWeight: s.targetWeight(v, false),
+		PublishedWeight: v.publication.weight, ArrivalRate: v.stats.arrivalRate, MeanLatencyMs: v.stats.meanLatencyMs, MedianLatencyMs: s.fleet.medianLatencyMs, SlowStartFactor: s.slowStartFactor(v), RecoveryFactor: s.recoveryFactor(v), CooldownUntilMs: v.balance.cooldownUntilMs,
 		StartedMs: v.endpoint.startedAtMs, ConsecutiveFailures: v.health.consecutiveFailures, Unreachable: v.health.unreachable, ConsecutiveSuccesses: v.health.consecutiveSuccesses, Successes: v.stats.recentSuccesses, Failures: v.stats.recentFailures, Load: v.load}
 	if v.stats.meanLatencyMs > 0 && s.fleet.medianLatencyMs > 0 {
 		e.ServiceRate, e.Capacity = v.stats.arrivalRate+1000/v.stats.meanLatencyMs, deadlineCapacity(v.stats.arrivalRate, v.stats.meanLatencyMs, s.fleet.medianLatencyMs)
@@ -61,5 +61,5 @@
 		return false, 0
 	}
 	v := &s.hosts[host]
-	return v.endpoint.state == Ready && !v.outlier.ejected, s.slowStartFactor(v, s.limits)
+	return v.endpoint.state == Ready && !v.outlier.ejected, s.slowStartFactor(v)
 }
--- a/routing/healthcheck.go
+++ b/routing/healthcheck.go
@@ -3,11 +3,23 @@
 import "math"
 
 const (
+	// checkCostShare is the part of the deployment's result that the cost of health checks may take.
+	checkCostShare = 0.003
+
+	// Bounds of the interval between two health checks of a host that answers.
+	checkIntervalMinMs = 500.0
+	checkIntervalMaxMs = 4000.0
+
+	// checkRetryMs is the time after which a host that left a health check unanswered is checked again.
+	checkRetryMs = 300.0
+
+	// firstCheckWithinMs bounds the jitter of a host's first health check.
 	firstCheckWithinMs = 1000.0
-	checkCostShare     = 0.003 // of the result may go into the price of probes
-	checkRetryMs       = 300.0 // ms until a host that left a probe unanswered is asked again
-	maxSuspicion       = 3.0   // of them count
-	suspicionRecovery  = 1.0   // with each answered one
+
+	// maxSuspicion bounds the number of unanswered health checks that count; suspicionRecovery is taken off for an
+	// answered one.
+	maxSuspicion      = 3.0
+	suspicionRecovery = 1.0
 )
 
 // healthRecord is what health checks show of a host.
@@ -25,6 +37,8 @@
 	scheduledHosts   int     // the first so many of hostOrder have a task
 	suspicionApplies bool    // failures say something of a host, since few hosts have any
 	suspicionScale   float64 // the part of each host's suspicion that counts
+
+	zones []zoneHealth // kept from round to round to spare an allocation
 }
 
 // scheduleHealthChecks gives each host that is new in the order of discovery its task, at a time with jitter.
@@ -32,35 +46,53 @@
 	for _, index := range b.hostOrder[b.checks.scheduledHosts:] {
 		incarnation := b.hosts[index].incarnation
 		b.schedule(b.random.next()*firstCheckWithinMs, func(writer UpdateWriter) {
-			b.checkHealth(writer, index, incarnation)
+			b.runHealthCheck(writer, index, incarnation)
 		})
 	}
 	b.checks.scheduledHosts = len(b.hostOrder)
 }
 
-// checkHealth examines a host, and again after a while that keeps the price of probes under a small part of the
-// result, or soon where one was left unanswered. Each outcome raises or lowers the doubt about the host.
-func (s *Balancer) checkHealth(w UpdateWriter, h, life int) {
-	v := &s.hosts[h]
-	if v.incarnation != life { // forgotten meanwhile: its index may be another host's
+// runHealthCheck is a host's repeated task: it starts a health check where one is due, or at once where the last was
+// left unanswered, and schedules itself again. It ends when the host was forgotten: its index may be another's then.
+func (b *Balancer) runHealthCheck(writer UpdateWriter, index, incarnation int) {
+	host := &b.hosts[index]
+	if host.incarnation != incarnation {
 		return
 	}
-	urgent := v.health.consecutiveFailures > 0 && v.health.consecutiveFailures <= unresponsiveFailures && !v.outlier.ejected
-	if v.endpoint.state == Ready && !v.health.checkInFlight && (urgent || s.nowMs >= v.health.nextCheckAtMs) {
-		if v.health.consecutiveFailures > 0 && s.checks.suspicionApplies {
-			v.health.suspicion = math.Min(v.health.suspicion+1, maxSuspicion)
-		} else if v.health.consecutiveFailures == 0 {
-			v.health.suspicion = math.Max(v.health.suspicion-suspicionRecovery, 0)
-		}
-		total, n := 1e-9, 0.0
-		for _, h := range s.hostOrder {
-			if total += s.hosts[h].stats.arrivalRate; s.hosts[h].endpoint.state == Ready {
-				n++
-			}
+	health := &host.health
+	failures := health.consecutiveFailures
+	urgent := failures > 0 && failures <= unresponsiveFailures && !host.outlier.ejected
+	due := urgent || b.nowMs >= health.nextCheckAtMs
+	if host.endpoint.state == Ready && !health.checkInFlight && due {
+		b.updateSuspicion(health)
+		health.checkInFlight = true
+		health.nextCheckAtMs = b.nowMs + b.healthCheckIntervalMs()
+		writer.CheckHealth(index)
+	}
+	b.schedule(checkRetryMs, func(writer UpdateWriter) { b.runHealthCheck(writer, index, incarnation) })
+}
+
+// updateSuspicion raises or lowers the suspicion of a host by its last health check.
+func (b *Balancer) updateSuspicion(health *healthRecord) {
+	if health.consecutiveFailures == 0 {
+		health.suspicion = math.Max(health.suspicion-suspicionRecovery, 0)
+	} else if b.checks.suspicionApplies {
+		health.suspicion = math.Min(health.suspicion+1, maxSuspicion)
+	}
+}
+
+// healthCheckIntervalMs spaces a host's health checks so that what those of all controllers cost stays at
+// checkCostShare of the result that the fleet's requests bring.
+func (b *Balancer) healthCheckIntervalMs() float64 {
+	arrivalRate, readyHosts := minDivisor, 0.0
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		arrivalRate += host.stats.arrivalRate
+		if host.endpoint.state == Ready {
+			readyHosts++
 		}
-		every := n * float64(s.deployment.Controllers) * s.objective.HealthCheckCost / (checkCostShare * total) * 1000
-		v.health.checkInFlight, v.health.nextCheckAtMs = true, s.nowMs+math.Min(math.Max(every, 500), 4000)
-		w.CheckHealth(h)
 	}
-	s.schedule(checkRetryMs, func(w UpdateWriter) { s.checkHealth(w, h, life) })
+	costOfAll := readyHosts * float64(b.deployment.Controllers) * b.objective.HealthCheckCost
+	intervalMs := costOfAll / (checkCostShare * arrivalRate) * msPerSecond
+	return math.Min(math.Max(intervalMs, checkIntervalMinMs), checkIntervalMaxMs)
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -3,13 +3,38 @@
 import "math"
 
 const (
-	maxSuspectShare       = 0.25 // of the hosts may be doubted fully
-	unresponsiveFailures  = 3    // unanswered probes in a row that may prove a server silent
-	unreachableFailures   = 2    // unanswered probes in a row that prove a server absent, or count for a cut
-	partitionShare        = 0.75 // of a zone's servers unanswered, and of another's answered, make a cut
-	recoveryInitialFactor = 0.4  // of its weight a server returns with, doubling each trialStep
+	// unresponsiveFailures is the number of unanswered health checks in a row that may prove a host unresponsive.
+	unresponsiveFailures = 3
+
+	// unreachableFailures is the same for one that was found unreachable, and for counting toward a network partition.
+	unreachableFailures = 2
+
+	// recoveredSuccesses is the number of healthy answers in a row with which an ejected host returns.
+	recoveredSuccesses = 2
+
+	// partitionShare is the part of a zone's hosts that leave health checks unanswered, and of another zone's that
+	// answer them, in a network partition.
+	partitionShare = 0.75
+
+	// minServingShare is the part of the fleet's base weight that ejections leave, whatever health checks show.
+	minServingShare = 0.34
+
+	// maxSuspectShare is the part of the hosts for which suspicion counts in full.
+	maxSuspectShare = 0.25
+
+	// suspectsPerHosts is the number of hosts for each of which one may be unresponsive: more say that the fleet is
+	// busy, or that this controller's own network is at fault.
+	suspectsPerHosts = 4
+
+	// minFleetSuccessRatio is the fleet's success ratio up to which an unanswered health check says nothing of a host.
+	minFleetSuccessRatio = 0.5
+
+	// silentCycleShare is the part of the report cycle without a success after which a host counts as without any.
+	silentCycleShare = 0.7
+
+	// recoveryInitialFactor is the part of its weight with which a host returns. It doubles each recoveryStepMs.
+	recoveryInitialFactor = 0.4
 	recoveryStepMs        = 1000.0
-	minServingShare       = 0.34 // of the listed weight stays in the tables whatever the probes say
 )
 
 // outlierRecord tells whether a host is ejected or coming back.
@@ -19,72 +44,165 @@
 	recoveringSinceMs float64 // valid while recovering
 }
 
-// detectOutliers withdraws servers on proof, by symptom, and lets them return by trial. Proof is absence, or silence
-// while no try is fulfilled there, alone or with its zone. It must not take a busy server for a silent one:
-// many silent, or a fleet that fails, prove nothing. What is left must carry the joined proxies' traffic.
-func (s *Balancer) detectOutliers(w UpdateWriter) {
-	listed, in, silent, n, doubted := 0.0, 0.0, 0, 0, 1e-9
-	all, fine, mute := make([]int, s.deployment.Zones), make([]int, s.deployment.Zones), make([]int, s.deployment.Zones)
-	for _, h := range s.hostOrder {
-		v := &s.hosts[h]
-		if v.endpoint.state != Ready {
-			continue
-		}
-		listed, n, all[v.endpoint.zone], fine[v.endpoint.zone] = listed+v.endpoint.baseWeight, n+1, all[v.endpoint.zone]+1, fine[v.endpoint.zone]+min(v.health.consecutiveSuccesses, 1)
-		if doubted += math.Min(v.health.suspicion, 1); v.health.consecutiveFailures > 0 && !v.health.unreachable {
-			silent++
-		}
-		if v.health.consecutiveFailures >= unreachableFailures {
-			mute[v.endpoint.zone]++
-		}
-		if !v.outlier.ejected {
-			in += v.endpoint.baseWeight
+// zoneHealth counts the ready hosts of a zone.
+type zoneHealth struct {
+	hosts      int
+	answering  int // the last health check was answered
+	unanswered int // at least unreachableFailures in a row were not
+}
+
+// fleetHealth sums up the health of the ready hosts for one round.
+type fleetHealth struct {
+	hosts         int
+	baseWeight    float64
+	servingWeight float64 // base weight of the hosts that are not ejected
+	unresponsive  int     // the last health check was left unanswered, but not for want of a listener
+	suspicion     float64 // suspicion of all hosts, that of each up to 1
+	zones         []zoneHealth
+}
+
+// detectOutliers ejects hosts on proof, and lets ejected ones return on a recovery ramp. Proof is that nothing listens
+// there, or that health checks are left unanswered while no attempt succeeds, at this host alone or at nearly all of
+// its zone. It must not take a busy host for an unresponsive one: many such, or a fleet that fails, prove nothing. What
+// is left must carry the traffic of the connected proxies.
+func (b *Balancer) detectOutliers(writer UpdateWriter) {
+	fleet := b.measureFleetHealth()
+	b.updateSuspicionScale(&fleet)
+	minServingWeight := minServingShare * fleet.baseWeight * b.connectedShare()
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		switch {
+		case host.endpoint.state != Ready:
+		case host.outlier.ejected:
+			if b.mayRecover(host) {
+				b.recoverHost(writer, index)
+				fleet.servingWeight += host.endpoint.baseWeight
+			}
+		case b.isOutlier(host, &fleet):
+			remaining := fleet.servingWeight - host.endpoint.baseWeight
+			if remaining >= minServingWeight && remaining > 0 {
+				b.ejectHost(writer, index, remaining/fleet.baseWeight)
+				fleet.servingWeight = remaining
+			}
 		}
 	}
-	s.checks.suspicionApplies, s.checks.suspicionScale = silent*4 <= n+3 && s.fleet.successRatio > 0.5, math.Min(1, maxSuspectShare*float64(n)/doubted)
-	least := minServingShare * listed * s.connectedShare()
-	for _, h := range s.hostOrder {
-		v := &s.hosts[h]
-		if v.endpoint.state != Ready || !v.outlier.ejected && v.health.consecutiveFailures < unreachableFailures {
+	clear(b.zoneReconnected)
+}
+
+// measureFleetHealth sums up the health of the ready hosts. Its zones are valid until the next call.
+func (b *Balancer) measureFleetHealth() fleetHealth {
+	b.checks.zones = grow(b.checks.zones, b.deployment.Zones, zoneHealth{})
+	clear(b.checks.zones)
+	fleet := fleetHealth{suspicion: minDivisor, zones: b.checks.zones}
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		if host.endpoint.state != Ready {
 			continue
 		}
-		if v.outlier.ejected {
-			// A proxy that joins from a cut-off zone proves the way there.
-			if v.health.consecutiveSuccesses < 2 && (v.health.unreachable || !s.zoneReconnected[v.endpoint.zone]) {
-				continue
-			}
-			v.outlier.ejected, v.health.consecutiveFailures, v.health.suspicion, v.balance.cooldownUntilMs, v.stats.meanLatencyMs, v.outlier.recoveringSinceMs = false, 0, 0, s.nowMs+s.reports.settlingMs, s.fleet.medianLatencyMs, s.nowMs
-			v.outlier.recovering = !v.health.unreachable
-			if v.health.unreachable { // it may have restarted, and counts as cold
-				v.endpoint.startedAtMs = s.nowMs
-			}
-			in += v.endpoint.baseWeight
-			w.Log(Event{HostRecovering, h, nil})
-			continue
+		zone := &fleet.zones[host.endpoint.zone]
+		zone.hosts++
+		zone.answering += min(host.health.consecutiveSuccesses, 1)
+		if host.health.consecutiveFailures >= unreachableFailures {
+			zone.unanswered++
+		}
+		fleet.hosts++
+		fleet.baseWeight += host.endpoint.baseWeight
+		fleet.suspicion += math.Min(host.health.suspicion, 1)
+		if host.health.consecutiveFailures > 0 && !host.health.unreachable {
+			fleet.unresponsive++
 		}
-		// A cut, which also fits a lost zone that says nothing: nearly all of the zone's servers leave probes
-		// unanswered at the same time, while nearly all of some other zone answer.
-		cut := false
-		for z := range all {
-			cut = cut || z != v.endpoint.zone && all[z] > 0 && float64(fine[z]) >= partitionShare*float64(all[z])
+		if !host.outlier.ejected {
+			fleet.servingWeight += host.endpoint.baseWeight
 		}
-		cut = cut && all[v.endpoint.zone] > 1 && float64(mute[v.endpoint.zone]) >= partitionShare*float64(all[v.endpoint.zone])
-		alone := v.health.consecutiveFailures >= unresponsiveFailures && s.checks.suspicionApplies
-		dry := s.reports.lastAtMs-v.stats.lastSuccessAtMs >= s.reports.cycleMs*0.7 && (alone || cut)
-		if (v.health.unreachable || dry) && in-v.endpoint.baseWeight >= least && in > v.endpoint.baseWeight {
-			v.outlier.ejected, v.health.consecutiveSuccesses = true, 0
-			in -= v.endpoint.baseWeight
-			w.Log(Event{HostEjected, h, []Field{{"consecutive_failures", float64(v.health.consecutiveFailures), 0},
-				{"unreachable", indicator(v.health.unreachable), 0}, {"remaining_weight_ratio", in / listed, 2}}})
+	}
+	return fleet
+}
+
+// updateSuspicionScale decides whether unanswered health checks say something of a host, and how much suspicion counts:
+// that of all hosts together as much as full suspicion of maxSuspectShare of them.
+func (b *Balancer) updateSuspicionScale(fleet *fleetHealth) {
+	fewUnresponsive := fleet.unresponsive*suspectsPerHosts < fleet.hosts+suspectsPerHosts
+	b.checks.suspicionApplies = fewUnresponsive && b.fleet.successRatio > minFleetSuccessRatio
+	b.checks.suspicionScale = math.Min(1, maxSuspectShare*float64(fleet.hosts)/fleet.suspicion)
+}
+
+// isOutlier tells whether there is proof that a host serves nothing.
+func (b *Balancer) isOutlier(host *hostRecord, fleet *fleetHealth) bool {
+	failures := host.health.consecutiveFailures
+	if failures < unreachableFailures {
+		return false
+	}
+	if host.health.unreachable {
+		return true
+	}
+	withoutSuccessMs := b.reports.lastAtMs - host.stats.lastSuccessAtMs
+	if withoutSuccessMs < b.reports.cycleMs*silentCycleShare {
+		return false
+	}
+	unresponsiveAlone := failures >= unresponsiveFailures && b.checks.suspicionApplies
+	return unresponsiveAlone || fleet.partitioned(host.endpoint.zone)
+}
+
+// partitioned tells whether a zone is cut off, or lost as a whole without a word: nearly all of its hosts leave health
+// checks unanswered at the same time, while nearly all hosts of some other zone answer theirs.
+func (f *fleetHealth) partitioned(zone int) bool {
+	own := f.zones[zone]
+	if own.hosts < 2 || float64(own.unanswered) < partitionShare*float64(own.hosts) {
+		return false
+	}
+	for i, other := range f.zones {
+		if i != zone && other.hosts > 0 && float64(other.answering) >= partitionShare*float64(other.hosts) {
+			return true
 		}
 	}
-	clear(s.zoneReconnected)
+	return false
+}
+
+// ejectHost takes a host out of the tables; remainingRatio is the part of the fleet's base weight that is left.
+func (b *Balancer) ejectHost(writer UpdateWriter, index int, remainingRatio float64) {
+	host := &b.hosts[index]
+	host.outlier.ejected = true
+	host.health.consecutiveSuccesses = 0
+	writer.Log(Event{HostEjected, index, []Field{
+		{"consecutive_failures", float64(host.health.consecutiveFailures), 0},
+		{"unreachable", indicator(host.health.unreachable), 0},
+		{"remaining_weight_ratio", remainingRatio, 2},
+	}})
+}
+
+// mayRecover tells whether an ejected host may return: health checks are answered again, or a proxy of its zone has
+// connected, which proves the way there.
+func (b *Balancer) mayRecover(host *hostRecord) bool {
+	if host.health.consecutiveSuccesses >= recoveredSuccesses {
+		return true
+	}
+	return !host.health.unreachable && b.zoneReconnected[host.endpoint.zone]
+}
+
+// recoverHost lets an ejected host return on the recovery ramp. One that was unreachable may have restarted, and warms
+// up instead.
+func (b *Balancer) recoverHost(writer UpdateWriter, index int) {
+	host := &b.hosts[index]
+	host.outlier.ejected = false
+	host.health.consecutiveFailures = 0
+	host.health.suspicion = 0
+	host.balance.cooldownUntilMs = b.nowMs + b.reports.settlingMs
+	host.stats.meanLatencyMs = b.fleet.medianLatencyMs
+	if host.health.unreachable {
+		host.outlier.recovering = false
+		host.endpoint.startedAtMs = b.nowMs
+	} else {
+		host.outlier.recovering = true
+		host.outlier.recoveringSinceMs = b.nowMs
+	}
+	writer.Log(Event{HostRecovering, index, nil})
 }
 
-// recoveryFactor is what a server gets of its weight on trial, doubling each step.
-func (s *Balancer) recoveryFactor(v *hostRecord) float64 {
-	if !v.outlier.recovering {
+// recoveryFactor is the part of its weight that a host gets on the recovery ramp, 1 where it is on none.
+func (b *Balancer) recoveryFactor(host *hostRecord) float64 {
+	if !host.outlier.recovering {
 		return 1
 	}
-	return math.Min(1, recoveryInitialFactor*math.Exp2(math.Floor((s.nowMs-v.outlier.recoveringSinceMs)/recoveryStepMs)))
+	steps := math.Floor((b.nowMs - host.outlier.recoveringSinceMs) / recoveryStepMs)
+	return math.Min(1, recoveryInitialFactor*math.Exp2(steps))
 }
--- a/routing/publish.go
+++ b/routing/publish.go
@@ -7,8 +7,7 @@
 )
 
 const (
-	minWeightChange = 0.06 // relative change of a weight that is worth a line
-	unlimitedQuota  = 1e6  // a level where shares are not heeded
+	unlimitedQuota = 1e6 // a level where shares are not heeded
 )
 
 // publicationRecord is what the published tables hold of a host.
@@ -54,10 +53,7 @@
 		return cost <= part*c.MaxBacklog && cost+s.backlog.unacknowledged-b.initialBacklog <= removalFill*c.MaxBacklog &&
 			(b.proxies >= bound || c.allowsMessage(most, part))
 	}
-	if heats := s.permitsSlowStart(float64(s.deployment.ProxyEjectAfter), s.limits.CollapseMultiple); heats != s.slowStart.allowed {
-		s.slowStart.allowed = heats
-		w.Log(Event{SlowStartChanged, NoHost, []Field{{"allowed", indicator(heats), 0}, {"success_ratio", s.fleet.successRatio, 2}}})
-	}
+	s.updateSlowStart(w)
 	bare, thin := make([]bool, len(lines)), make([]bool, len(lines))
 	for z := range s.deployment.Zones {
 		bare[s.sharedTable(z)], thin[s.sharedTable(z)] = !s.hasWarmEntry(s.sharedTable(z), false), !s.hasWarmEntry(s.sharedTable(z), true)
@@ -136,7 +132,7 @@
 		p := &s.proxies[i]
 		if at := slices.Index(p.subset, h); p.connected && p.assigned && p.ownsTable && at >= 0 {
 			b.account(i, 1)
-			if s.slowStartFactor(v, s.limits) < 1 { // a cold one might be all that is left of a hand
+			if s.slowStartFactor(v) < 1 { // a cold one might be all that is left of a hand
 				want = 0
 			}
 			if w.SetWeight(s.subsetTable(i), h, want); want == 0 {
@@ -192,3 +188,15 @@
 	b.costs[p] += lines
 	b.backlog += lines
 }
+
+// hasWarmEntry tells whether a base table should hold, or (held) holds already, a warm line. Where none should be,
+// withdrawals are passed over; where none is held, additions go as early as removals.
+func (s *Balancer) hasWarmEntry(base int, held bool) bool {
+	for _, h := range s.hostOrder {
+		v := &s.hosts[h]
+		if s.sharedTable(v.endpoint.zone) == base && (!held || v.publication.weight > 0) && s.slowStartFactor(v) >= 1 && s.targetWeight(v, false) > 0 {
+			return true
+		}
+	}
+	return false
+}
--- a/routing/rebalance.go
+++ b/routing/rebalance.go
@@ -6,8 +6,15 @@
 )
 
 const (
-	minWeightRatio = 0.1  // a server keeps this part of its listed share
-	relaxRatio     = 0.05 // of the way back to the listed weight, each report round
+	// minWeightRatio is the part of its base weight that a host keeps, so that its latency goes on being measured.
+	minWeightRatio = 0.1
+
+	// relaxRatio is the part of the way back to its base weight that a host's weight goes in each report round.
+	relaxRatio = 0.05
+
+	// minWeightChange is the relative change of a weight that is worth a transfer or an entry. A smaller one would only
+	// hold up the next.
+	minWeightChange = 0.06
 )
 
 // balanceRecord is what rebalancing keeps of a host.
@@ -16,62 +23,115 @@
 	cooldownUntilMs float64 // no transfer before
 }
 
-// rebalance is the design's mechanism: from the most overloaded server, min{excess, room, sender's rate} goes
-// to the roomiest, servers of the same zone first; with none over its cap the weights drift back. Both
-// sides of a move wait until it shows; one too small to tell is left, since it would only hold up the next.
-func (s *Balancer) rebalance() {
-	var over, all []transferParty
-	total, weights := 0.0, 0.0
-	for _, h := range s.hostOrder {
-		v := &s.hosts[h]
-		if !s.rebalances(v) {
+// transferParty is a host that takes part in weight transfers. Rates are in requests a second.
+type transferParty struct {
+	host          *hostRecord
+	overload      float64 // arrival rate over the capacity; below 0 it is headroom
+	sheddableRate float64 // what the host can give away and still keep its least weight
+}
+
+// fleetTotals are sums over the hosts that take part in rebalancing.
+type fleetTotals struct {
+	arrivalRate float64
+	weight      float64
+}
+
+// participates tells whether a host takes part in rebalancing: it is ready, and neither ejected, recovering nor
+// warming up.
+func (b *Balancer) participates(host *hostRecord) bool {
+	return host.endpoint.state == Ready && !host.outlier.ejected &&
+		b.recoveryFactor(host) >= 1 && b.slowStartFactor(host) >= 1
+}
+
+// rebalance transfers weight, by section 4.3 of the paper that the package comment names: from the most overloaded host
+// min{overload, headroom, sheddable rate} goes to the host with the most headroom, hosts of the same zone first. With
+// no host over its capacity all weights relax toward their base weights.
+func (b *Balancer) rebalance() {
+	parties, overloaded, totals := b.transferParties()
+	sort.SliceStable(overloaded, func(i, j int) bool { return overloaded[i].overload > overloaded[j].overload })
+	for _, sender := range overloaded {
+		b.shedWeight(sender, parties, totals)
+	}
+	if len(overloaded) == 0 {
+		b.relaxWeights()
+	}
+}
+
+// transferParties gives the hosts that may send or receive weight now, and those of them that must send some.
+func (b *Balancer) transferParties() (parties, overloaded []transferParty, totals fleetTotals) {
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		if !b.participates(host) {
 			continue
 		}
-		total, weights = total+v.stats.arrivalRate, weights+v.balance.weight
-		if s.nowMs < v.balance.cooldownUntilMs || v.stats.window.successes+v.stats.window.failures < 1 || v.stats.meanLatencyMs <= 0 || s.fleet.medianLatencyMs <= 0 {
+		totals.arrivalRate += host.stats.arrivalRate
+		totals.weight += host.balance.weight
+		measured := host.stats.attempts() >= 1 && host.stats.meanLatencyMs > 0 && b.fleet.medianLatencyMs > 0
+		if b.nowMs < host.balance.cooldownUntilMs || !measured {
 			continue
 		}
-		l := transferParty{v, v.stats.arrivalRate - deadlineCapacity(v.stats.arrivalRate, v.stats.meanLatencyMs, s.fleet.medianLatencyMs), v.stats.arrivalRate * (1 - minWeightRatio*v.endpoint.baseWeight/v.balance.weight)}
-		if b := v.load.effectiveUtilization(); b > 0 { // several cores: R stays short until nearly all are busy
-			l.overload = math.Max(l.overload, math.Min(0, v.stats.arrivalRate*(1-targetUtilization/b)))
-		}
-		all = append(all, l)
-		if math.Min(l.overload, l.sheddableRate) > minWeightChange*v.stats.arrivalRate {
-			over = append(over, l)
+		party := newTransferParty(host, b.fleet.medianLatencyMs)
+		parties = append(parties, party)
+		if math.Min(party.overload, party.sheddableRate) > minWeightChange*host.stats.arrivalRate {
+			overloaded = append(overloaded, party)
 		}
 	}
-	sort.SliceStable(over, func(i, j int) bool { return over[i].overload > over[j].overload })
-	for _, o := range over {
-		sort.SliceStable(all, func(i, j int) bool {
-			near, other := all[i].host.endpoint.zone == o.host.endpoint.zone, all[j].host.endpoint.zone == o.host.endpoint.zone
-			return near && !other || near == other && all[i].overload < all[j].overload
-		})
-		for i := range all {
-			to := &all[i]
-			move := math.Min(math.Min(o.overload, -to.overload), o.sheddableRate)
-			if move <= 0 || total <= 0 {
-				continue
-			}
-			o.host.balance.weight, to.host.balance.weight = o.host.balance.weight-move/total*weights, to.host.balance.weight+move/total*weights
-			o.overload, o.sheddableRate, to.overload = o.overload-move, o.sheddableRate-move, to.overload+move
-			o.host.balance.cooldownUntilMs = s.nowMs + s.reports.settlingMs + s.reports.delayMs
-			to.host.balance.cooldownUntilMs = o.host.balance.cooldownUntilMs
-		}
+	return parties, overloaded, totals
+}
+
+// newTransferParty measures a host's overload. A host with several cores answers fast until nearly all are busy, so its
+// mean latency overstates its headroom: it is given no more than brings the utilization that it reports to
+// targetUtilization. A load report can take headroom away and never gives any; by itself it moves no weight.
+func newTransferParty(host *hostRecord, medianLatencyMs float64) transferParty {
+	rate := host.stats.arrivalRate
+	party := transferParty{
+		host:          host,
+		overload:      rate - deadlineCapacity(rate, host.stats.meanLatencyMs, medianLatencyMs),
+		sheddableRate: rate * (1 - minWeightRatio*host.endpoint.baseWeight/host.balance.weight),
 	}
-	for _, h := range s.hostOrder {
-		if v := &s.hosts[h]; len(over) == 0 && s.nowMs >= v.balance.cooldownUntilMs {
-			v.balance.weight += relaxRatio * (v.endpoint.baseWeight - v.balance.weight)
-		}
+	if utilization := host.load.effectiveUtilization(); utilization > 0 {
+		headroomByLoad := math.Min(0, rate*(1-targetUtilization/utilization))
+		party.overload = math.Max(party.overload, headroomByLoad)
 	}
+	return party
 }
 
-// transferParty is a server's excess over its cap, below 0 room, and how much it can give.
-type transferParty struct {
-	host                    *hostRecord
-	overload, sheddableRate float64
+// shedWeight transfers weight from one overloaded host to those with headroom. Both sides of a transfer are left alone
+// until it shows in the reports.
+func (b *Balancer) shedWeight(sender transferParty, parties []transferParty, totals fleetTotals) {
+	if totals.arrivalRate <= 0 {
+		return
+	}
+	senderZone := sender.host.endpoint.zone
+	sort.SliceStable(parties, func(i, j int) bool {
+		near := parties[i].host.endpoint.zone == senderZone
+		otherNear := parties[j].host.endpoint.zone == senderZone
+		return near && !otherNear || near == otherNear && parties[i].overload < parties[j].overload
+	})
+	for i := range parties {
+		receiver := &parties[i]
+		movedRate := math.Min(math.Min(sender.overload, -receiver.overload), sender.sheddableRate)
+		if movedRate <= 0 {
+			continue
+		}
+		movedWeight := movedRate / totals.arrivalRate * totals.weight
+		sender.host.balance.weight -= movedWeight
+		receiver.host.balance.weight += movedWeight
+		sender.overload -= movedRate
+		sender.sheddableRate -= movedRate
+		receiver.overload += movedRate
+		cooldownUntilMs := b.nowMs + b.reports.settlingMs + b.reports.delayMs
+		sender.host.balance.cooldownUntilMs = cooldownUntilMs
+		receiver.host.balance.cooldownUntilMs = cooldownUntilMs
+	}
 }
 
-// rebalances servers take part in moves: ready, in the tables with their full weight, and warm.
-func (s *Balancer) rebalances(v *hostRecord) bool {
-	return v.endpoint.state == Ready && !v.outlier.ejected && s.recoveryFactor(v) >= 1 && s.slowStartFactor(v, s.limits) >= 1
+// relaxWeights brings the weights of all hosts without a cooldown a step nearer to their base weights.
+func (b *Balancer) relaxWeights() {
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		if b.nowMs >= host.balance.cooldownUntilMs {
+			host.balance.weight += relaxRatio * (host.endpoint.baseWeight - host.balance.weight)
+		}
+	}
 }
--- a/routing/retrystorm.go
+++ b/routing/retrystorm.go
@@ -3,11 +3,17 @@
 import "math"
 
 const (
-	stormFailureRatio = 0.6 // of the servers, and of their tries, fail in a storm of repeats
-	retrySuccessRatio = 0.8 // of all tries are fulfilled where further tries help and no level is heeded
+	// stormFailureRatio is the part of the hosts that fail, and of their attempts, in a retry storm.
+	stormFailureRatio = 0.6
+
+	// stormRounds is the number of report rounds in a row that prove a retry storm.
+	stormRounds = 2
+
+	// retrySuccessRatio is the fleet's success ratio from which on retries help where no admission ratio is heeded.
+	retrySuccessRatio = 0.8
 )
 
-// retryStormState tells whether the proxies are kept from sending to end a storm of retries.
+// retryStormState tells whether the proxies are kept from sending to end a retry storm.
 type retryStormState struct {
 	rounds          int     // report rounds in a row that showed a storm
 	quiescing       bool    // all proxies are sent to one host
@@ -15,50 +21,91 @@
 	nextQuiesceAtMs float64 // not again before
 }
 
-// relieveRetryStorm ends a storm of repeats where proxies heed no level: work that clients gave up on keeps most
-// tries failing after the cause is gone. All proxies go to one server until the patience of every class is
-// over, then return to emptier queues. It must not act on a cut or a hang, where some servers fulfil; where
-// capacity is lacking it trades a steady failure for good spells.
-func (s *Balancer) relieveRetryStorm(w UpdateWriter, classes []RequestClass, most float64) {
-	n, failing, keep := 0.0, 0.0, -1
-	for _, h := range s.hostOrder {
-		v := &s.hosts[h]
-		if v.stats.recentSuccesses+v.stats.recentFailures >= 1 {
-			n++
-			if v.stats.recentFailures > stormFailureRatio*(v.stats.recentSuccesses+v.stats.recentFailures) {
-				failing++
-			}
-		}
-		if s.rebalances(v) && (keep < 0 || v.endpoint.baseWeight > s.hosts[keep].endpoint.baseWeight) {
-			keep = h
-		}
+// noQuiesceHost stands where no host can be kept in service while the others' queues empty.
+const noQuiesceHost = -1
+
+// stormSymptoms is what the last reports show of a retry storm.
+type stormSymptoms struct {
+	hosts        int // with recent attempts
+	failingHosts int
+	keptHost     int // the heaviest host that takes part in rebalancing, or noQuiesceHost
+}
+
+// relieveRetryStorm ends a retry storm where proxies heed no admission ratio: work that clients have given up on keeps
+// most attempts failing after the cause is gone. All proxies are sent to one host until the deadline of every class is
+// over, and then return to shorter queues. It must not act on a network partition or a host that hangs, where some
+// hosts succeed; where capacity is lacking for good it trades a steady failure for good spells.
+func (b *Balancer) relieveRetryStorm(writer UpdateWriter) {
+	symptoms := b.measureRetryStorm()
+	b.admission.retryPolicy = retryUnprocessed
+	if b.fleet.successRatio < retrySuccessRatio {
+		b.admission.retryPolicy = retryNone
 	}
-	s.admission.retryPolicy, s.retryStorm.rounds = 1, s.retryStorm.rounds+1
-	if s.fleet.successRatio < retrySuccessRatio {
-		s.admission.retryPolicy = 0
+	fewFailing := float64(symptoms.failingHosts) < stormFailureRatio*float64(symptoms.hosts)
+	if b.fleet.successRatio > 1-stormFailureRatio || fewFailing {
+		b.retryStorm.rounds = 0
+	} else {
+		b.retryStorm.rounds++
 	}
-	if s.fleet.successRatio > 1-stormFailureRatio || failing < stormFailureRatio*n {
-		s.retryStorm.rounds = 0
+	proven := b.retryStorm.rounds >= stormRounds && b.nowMs >= b.retryStorm.nextQuiesceAtMs
+	if proven && symptoms.keptHost != noQuiesceHost && !b.zoneLocal {
+		b.quiesceRetryStorm(writer, symptoms)
 	}
-	if s.retryStorm.rounds < 2 || s.nowMs < s.retryStorm.nextQuiesceAtMs || keep < 0 || s.zoneLocal {
-		return
+}
+
+// measureRetryStorm counts the hosts that fail most of their attempts.
+func (b *Balancer) measureRetryStorm() stormSymptoms {
+	symptoms := stormSymptoms{keptHost: noQuiesceHost}
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		if attempts := host.stats.recentAttempts(); attempts >= 1 {
+			symptoms.hosts++
+			if host.stats.recentFailures > stormFailureRatio*attempts {
+				symptoms.failingHosts++
+			}
+		}
+		if !b.participates(host) {
+			continue
+		}
+		kept := symptoms.keptHost
+		if kept == noQuiesceHost || host.endpoint.baseWeight > b.hosts[kept].endpoint.baseWeight {
+			symptoms.keptHost = index
+		}
 	}
-	rest := s.channel.PropagationDelayMs
-	for _, c := range classes {
-		rest = math.Max(rest, math.Min(c.DeadlineMs, most)+s.channel.PropagationDelayMs)
+	return symptoms
+}
+
+// quiesceRetryStorm sends all proxies to one host until the requests in the others' queues are past their deadlines.
+func (b *Balancer) quiesceRetryStorm(writer UpdateWriter, symptoms stormSymptoms) {
+	quiesceMs := b.quiesceMs()
+	b.retryStorm.nextQuiesceAtMs = b.nowMs + quiesceMs + 2*b.reports.settlingMs
+	b.retryStorm.host = symptoms.keptHost
+	b.setQuiescing(true)
+	b.schedule(quiesceMs, func(UpdateWriter) { b.setQuiescing(false) })
+	writer.Log(Event{RetryStormQuiesced, symptoms.keptHost, []Field{
+		{"failing_hosts", float64(symptoms.failingHosts), 0},
+		{"hosts", float64(symptoms.hosts), 0},
+		{"success_ratio", b.fleet.successRatio, 2},
+		{"quiesce_ms", quiesceMs, 0},
+	}})
+}
+
+// quiesceMs is the time until every class's requests are past their deadlines, though at most half the time for which a
+// proxy may be without hosts.
+func (b *Balancer) quiesceMs() float64 {
+	delayMs := b.channel.PropagationDelayMs
+	longestMs := delayMs
+	for _, class := range b.classes {
+		longestMs = math.Max(longestMs, math.Min(class.DeadlineMs, b.limits.EmptyTableMs/2)+delayMs)
 	}
-	s.retryStorm.nextQuiesceAtMs = s.nowMs + rest + 2*s.reports.settlingMs
-	s.retryStorm.host = keep
-	s.setQuiescing(true)
-	s.schedule(rest, func(UpdateWriter) { s.setQuiescing(false) })
-	w.Log(Event{RetryStormQuiesced, s.retryStorm.host, []Field{{"failing_hosts", failing, 0}, {"hosts", n, 0},
-		{"success_ratio", s.fleet.successRatio, 2}, {"quiesce_ms", rest, 0}}})
+	return longestMs
 }
 
-// setQuiescing takes all proxies off their tables; join gives them others.
-func (s *Balancer) setQuiescing(on bool) {
-	s.retryStorm.quiescing = on
-	for i := range s.proxies {
-		s.proxies[i].assigned, s.proxies[i].ownsTable = false, false
+// setQuiescing takes all proxies off their tables; assignTables gives them others.
+func (b *Balancer) setQuiescing(quiescing bool) {
+	b.retryStorm.quiescing = quiescing
+	for i := range b.proxies {
+		b.proxies[i].assigned = false
+		b.proxies[i].ownsTable = false
 	}
 }
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -69,7 +69,7 @@
 	for _, h := range s.hostOrder {
 		if v := &s.hosts[h]; slices.Contains(p.subset, h) {
 			got += v.publication.weight
-		} else if v.publication.weight > 0 && s.targetWeight(v, false) > 0 && s.slowStartFactor(v, s.limits) >= 1 {
+		} else if v.publication.weight > 0 && s.targetWeight(v, false) > 0 && s.slowStartFactor(v) >= 1 {
 			free = append(free, h)
 		}
 	}
--- a/routing/weight.go
+++ b/routing/weight.go
@@ -3,43 +3,61 @@
 import "math"
 
 const (
-	penaltyThreshold  = 0.8 // of the fleet's share of tries fulfilled; a server under it loses weight
-	minSuccessPenalty = 0.5 // and never more than so: lost tries wear off later than their cause
-	suspicionPenalty  = 0.5 // of its weight is left to a host for each unanswered probe
-	idleUtilization   = 0.6 // busy cores under which a host that lets probes wait is out of reach, not slow
+	// penaltyThreshold is the part of the fleet's success ratio under which a host loses weight for its failures.
+	penaltyThreshold = 0.8
+
+	// minSuccessPenalty is the least factor that failures bring: old failures count on after their cause is gone.
+	minSuccessPenalty = 0.5
+
+	// priorSuccesses are added to a host's recent successes, so that one failure of a host with few attempts says little.
+	priorSuccesses = 2
+
+	// suspicionPenalty is the factor for each unit of suspicion.
+	suspicionPenalty = 0.5
+
+	// idleUtilization is the utilization up to which a host that leaves health checks unanswered is out of this
+	// controller's reach and not slow.
+	idleUtilization = 0.6
 )
 
-// targetWeight is the weight that a server should have. A cold one gets the least it can surely do, less where the
-// fleet fails tries or its warm lines weigh less than listed: all proxies together stay under its budget.
-func (s *Balancer) targetWeight(v *hostRecord, bare bool) float64 {
-	warm := s.slowStartFactor(v, s.limits)
-	if v.endpoint.state != Ready || !bare && v.outlier.ejected || warm < 1 && !s.slowStart.allowed {
+// targetWeight is the weight that the published tables should hold of a host, 0 for none. emptyTable is true where its
+// table would hold no warm host otherwise: ejections are passed over then, since a proxy must not be without hosts.
+func (b *Balancer) targetWeight(host *hostRecord, emptyTable bool) float64 {
+	if host.endpoint.state != Ready || host.outlier.ejected && !emptyTable {
 		return 0
 	}
-	if warm < 1 {
-		warm *= s.fleet.successRatio * s.slowStart.share * math.Min(1, s.limits.CollapseMultiple*slowStartBudgetShare)
-	}
-	// A host that fails its tries loses weight at once, whatever ails it; a fleet that fails does not.
-	trust := math.Max(minSuccessPenalty, (v.stats.recentSuccesses+2)/(v.stats.recentSuccesses+v.stats.recentFailures+2))
-	if trust > penaltyThreshold*s.fleet.successRatio {
-		trust = 1
+	slowStart := b.slowStartFactor(host)
+	if slowStart < 1 {
+		if !b.slowStart.allowed {
+			return 0
+		}
+		slowStart *= b.slowStartCaution()
 	}
-	// A host that lets probes wait is slow long before its sums show it; where many do, the fleet is busy, and
-	// what the doubted ones lose would only jam the next.
-	if b := v.load.effectiveUtilization(); s.checks.suspicionApplies && (b < 0 || b > idleUtilization) {
-		trust = math.Min(trust, math.Pow(suspicionPenalty, v.health.suspicion*s.checks.suspicionScale))
+	penalty := math.Min(b.successPenalty(host), b.suspicionPenalty(host))
+	weight := math.Max(host.balance.weight, minWeightRatio*host.endpoint.baseWeight)
+	return weight * b.recoveryFactor(host) * slowStart * penalty
+}
+
+// successPenalty is the factor at which a host whose attempts fail loses weight at once, whatever its fault is. A fleet
+// that fails as a whole loses none.
+func (b *Balancer) successPenalty(host *hostRecord) float64 {
+	stats := &host.stats
+	successRatio := (stats.recentSuccesses + priorSuccesses) / (stats.recentAttempts() + priorSuccesses)
+	penalty := math.Max(minSuccessPenalty, successRatio)
+	if penalty > penaltyThreshold*b.fleet.successRatio {
+		return 1
 	}
-	return math.Max(v.balance.weight, minWeightRatio*v.endpoint.baseWeight) * s.recoveryFactor(v) * warm * trust
+	return penalty
 }
 
-// hasWarmEntry tells whether a base table should hold, or (held) holds already, a warm line. Where none should be,
-// withdrawals are passed over; where none is held, additions go as early as removals.
-func (s *Balancer) hasWarmEntry(base int, held bool) bool {
-	for _, h := range s.hostOrder {
-		v := &s.hosts[h]
-		if s.sharedTable(v.endpoint.zone) == base && (!held || v.publication.weight > 0) && s.slowStartFactor(v, s.limits) >= 1 && s.targetWeight(v, false) > 0 {
-			return true
-		}
+// suspicionPenalty is the factor at which a host that leaves health checks unanswered loses weight: it is slow long
+// before its request stats show it. Where many do, the fleet is busy, and what the suspects lose would only overload
+// the next; a host that reports idle cores is out of this controller's reach, and its proxies may reach it.
+func (b *Balancer) suspicionPenalty(host *hostRecord) float64 {
+	utilization := host.load.effectiveUtilization()
+	idle := utilization >= 0 && utilization <= idleUtilization
+	if !b.checks.suspicionApplies || idle {
+		return 1
 	}
-	return false
+	return math.Pow(suspicionPenalty, host.health.suspicion*b.checks.suspicionScale)
 }
