--- /dev/null
+++ b/routing/admission.go
@@ -0,0 +1,195 @@
+package routing
+
+import (
+	"math"
+	"sort"
+)
+
+const (
+	// overloadUtilization is the utilization over which the fleet may be overloaded.
+	overloadUtilization = 0.9
+
+	// targetUtilization is the utilization at which a change of the admission ratio aims.
+	targetUtilization = 0.85
+
+	// recoverUtilization is the utilization under which the admission ratio rises again.
+	recoverUtilization = 0.8
+
+	// overloadSuccessRatio is the fleet's success ratio under which a high utilization is an overload.
+	overloadSuccessRatio = 0.93
+
+	// overloadLatencyShare is the part of the latency objective that the mean latency takes in an overload.
+	overloadLatencyShare = 0.4
+
+	// improvedSuccessRatio is the rise of the success ratio that shows that the last step down still works.
+	improvedSuccessRatio = 0.05
+
+	// minAdmissionRatio is the part of the requests of any class that is always admitted.
+	minAdmissionRatio = 0.1
+
+	// Bounds of the factor of one step down and of one step up.
+	stepDownMin = 0.6
+	stepDownMax = 0.9
+	stepUpMin   = 1.1
+	stepUpMax   = 1.6
+)
+
+// admissionState is what admission control keeps.
+type admissionState struct {
+	ratio                float64   // the part of all requests to admit
+	cooldownUntilMs      float64   // the ratio stays until then
+	previousSuccessRatio float64   // the fleet's success ratio when the ratio was last looked at
+	classDemand          []float64 // requests that came, by class, decaying by windowDecay
+	quotas               []float64 // the part to admit, by class
+	publishedQuotas      []float64
+	retryPolicy          int // as in UpdateWriter.SetAdmission
+	publishedRetryPolicy int
+}
+
+// newAdmissionState admits everything; what proxies do before they are sent anything counts as published.
+func newAdmissionState(classes, defaultRetryPolicy int) admissionState {
+	state := admissionState{
+		ratio:                1,
+		classDemand:          make([]float64, classes),
+		quotas:               make([]float64, classes),
+		publishedQuotas:      make([]float64, classes),
+		retryPolicy:          retryUnprocessed,
+		publishedRetryPolicy: defaultRetryPolicy,
+	}
+	for class := range classes {
+		state.quotas[class] = 1
+		state.publishedQuotas[class] = 1
+	}
+	return state
+}
+
+// fleetLoad is how busy the fleet is and how slow.
+type fleetLoad struct {
+	measured           bool    // some host reported its load
+	utilization        float64 // mean of the hosts', by their recent attempts
+	meanLatencyMs      float64 // mean of the hosts', by their arrival rates
+	latencyObjectiveMs float64 // mean of the classes', by their demand
+}
+
+// adjustAdmission sets the admission ratio. Only measured overload lowers it: a high utilization, with failed attempts
+// or a mean latency that uses up the latency objective. A step down follows the success ratio, a step up the idle
+// cores. While less than all is admitted, nothing is retried.
+func (b *Balancer) adjustAdmission(writer UpdateWriter) {
+	load := b.measureFleetLoad()
+	if !load.measured || b.nowMs < b.admission.cooldownUntilMs {
+		return
+	}
+	ratio := b.nextAdmissionRatio(load)
+	b.admission.previousSuccessRatio = b.fleet.successRatio
+	if ratio == b.admission.ratio {
+		return
+	}
+	b.admission.ratio = ratio
+	b.admission.cooldownUntilMs = b.nowMs + b.reports.settlingMs + b.reports.delayMs
+	writer.Log(Event{AdmissionRatioChanged, NoHost, []Field{
+		{"admission_ratio", ratio, 2},
+		{"utilization", load.utilization, 2},
+		{"success_ratio", b.fleet.successRatio, 2},
+		{"mean_latency_ms", load.meanLatencyMs, 0},
+		{"latency_objective_ms", load.latencyObjectiveMs, 0},
+	}})
+	b.admission.retryPolicy = retryPolicyAt(ratio)
+	b.allocateQuotas()
+}
+
+// retryPolicyAt is the retry policy that goes with an admission ratio.
+func retryPolicyAt(admissionRatio float64) int {
+	if admissionRatio < 1 {
+		return retryNone
+	}
+	return retryUnprocessed
+}
+
+// measureFleetLoad lets the demand of the classes decay by one report round, and averages the load over the fleet. The
+// utilization counts by recent attempts, since a host that is not heard of has an old load report.
+func (b *Balancer) measureFleetLoad() fleetLoad {
+	utilization, attempts := 0.0, 0.0
+	latency, arrivalRate := 0.0, minDivisor
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		hostUtilization := host.load.effectiveUtilization()
+		if b.participates(host) && hostUtilization >= 0 {
+			utilization += hostUtilization * host.stats.recentAttempts()
+			attempts += host.stats.recentAttempts()
+		}
+		latency += host.stats.arrivalRate * host.stats.meanLatencyMs
+		arrivalRate += host.stats.arrivalRate
+	}
+	objective, demand := 0.0, minDivisor
+	for class := range b.admission.classDemand {
+		b.admission.classDemand[class] *= windowDecay
+		objective += b.admission.classDemand[class] * b.classes[class].LatencyObjectiveMs
+		demand += b.admission.classDemand[class]
+	}
+	if attempts <= 0 {
+		return fleetLoad{}
+	}
+	return fleetLoad{
+		measured:           true,
+		utilization:        utilization / attempts,
+		meanLatencyMs:      latency / arrivalRate,
+		latencyObjectiveMs: objective / demand,
+	}
+}
+
+// nextAdmissionRatio makes one step down, up or none. It makes no second step down while the success ratio shows that
+// the last one works.
+func (b *Balancer) nextAdmissionRatio(load fleetLoad) float64 {
+	ratio := b.admission.ratio
+	successRatio := b.fleet.successRatio
+	improving := ratio < 1 && successRatio > b.admission.previousSuccessRatio+improvedSuccessRatio
+	failing := successRatio < overloadSuccessRatio ||
+		load.meanLatencyMs > overloadLatencyShare*load.latencyObjectiveMs
+	if load.utilization > overloadUtilization && failing && !improving {
+		factor := math.Min(math.Max(targetUtilization*successRatio, stepDownMin), stepDownMax)
+		return math.Max(ratio*factor, minAdmissionRatio)
+	}
+	if load.utilization < recoverUtilization {
+		factor := math.Min(math.Max(targetUtilization/load.utilization, stepUpMin), stepUpMax)
+		return math.Min(1, ratio*factor)
+	}
+	return ratio
+}
+
+// classLoad is what a request class brings and needs.
+type classLoad struct {
+	class int
+	work  float64 // requests times the latency objective, which stands for the unknown work of a request
+	value float64 // requests times the priority weight
+}
+
+// allocateQuotas shares the admission ratio out to the classes: those with the least value for their work are shed
+// first, unless the objective counts the worst-served class for so much that it costs less to admit all classes alike.
+func (b *Balancer) allocateQuotas() {
+	loads := make([]classLoad, len(b.classes))
+	totalWork, totalValue := minDivisor, minDivisor
+	for i, class := range b.classes {
+		requests := b.admission.classDemand[i] + 1
+		loads[i] = classLoad{i, requests * class.LatencyObjectiveMs, requests * class.PriorityWeight}
+		totalWork += loads[i].work
+		totalValue += loads[i].value
+	}
+	sort.SliceStable(loads, func(i, j int) bool {
+		return loads[i].value*loads[j].work < loads[j].value*loads[i].work
+	})
+	lowest, objective := loads[0], b.objective
+	costInTurn := (objective.TotalWeight*lowest.value/totalValue + objective.WorstClassWeight) * totalWork / lowest.work
+	costAlike := objective.TotalWeight + objective.WorstClassWeight
+	if costInTurn >= costAlike {
+		for i := range b.admission.quotas {
+			b.admission.quotas[i] = b.admission.ratio
+		}
+		return
+	}
+	excessWork := (1 - b.admission.ratio) * totalWork
+	for _, load := range loads {
+		shedWork := math.Min(excessWork, load.work*(1-minAdmissionRatio))
+		b.admission.quotas[load.class] = 1 - shedWork/load.work
+		excessWork -= shedWork
+	}
+}
