--- a/cmd/barleysail/node_test.go
+++ b/cmd/barleysail/node_test.go
@@ -1,7 +1,8 @@
 package main
 
 import (
-	"bufio"
+	"context"
+	"encoding/json"
 	"fmt"
 	"io"
 	"net"
@@ -14,183 +15,185 @@
 	"time"
 )
 
-const nodeSettings = `{"Discovery":"automatic","FailureDomains":["a"],"Index":0,"Instances":1,"FamilyInfo":{"BareUs":5000000,"ChannelRate":1000,
-	"MostWaiting":1000,"IntervalUs":1000000,"PerMessage":5,"DataPlaneSize":4},"Rules":{"ColdFrom":0.2,"ColdUs":9000000,"StopSendingWithinUs":2000000,
-	"FallMultiple":3,"FallUs":2000000},"Services":[{"Name":"read","AimUs":500000,"HardLimitUs":900000,"Value":1,"Effect":"idempotent"}]}`
+// shutdownLimit is how soon after SIGTERM the program must have ended: the platform sends SIGKILL then.
+const shutdownLimit = 700 * time.Millisecond
 
-// The program itself: it gives a sign of life, follows the list elsewhere on SIGHUP, stands a configuration that cannot be
-// read, ends with status 0 on SIGTERM, and names what is wrong with a configuration at its start.
+const nodeSettings = `{"Discovery":"automatic","FailureDomains":["a"],"Index":0,"Instances":1,
+	"FamilyInfo":{"BareUs":5000000,"ChannelRate":1000,"MostWaiting":1000,"IntervalUs":1000000,"PerMessage":5,
+	"DataPlaneSize":4},"Rules":{"ColdFrom":0.2,"ColdUs":9000000,"StopSendingWithinUs":2000000,"FallMultiple":3,
+	"FallUs":2000000},"Services":[{"Name":"read","AimUs":500000,"HardLimitUs":900000,"Value":1,"Effect":"idempotent"}]}`
+
+// nodeConfig is a configuration that follows the endpoint list at the listener.
+func nodeConfig(list *net.TCPListener, settings string) []byte {
+	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"1f","settings":%s}`,
+		list.Addr(), settings)
+}
+
+// writeFile replaces the file.
+func writeFile(t *testing.T, file string, text []byte) {
+	t.Helper()
+	if err := os.WriteFile(file, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The program answers PING, follows the endpoint list at its new address on SIGHUP, keeps its configuration where the
+// new one cannot be read, ends with status 0 on SIGTERM, and names what is wrong with a configuration at its start.
 func TestNode(t *testing.T) {
-	dir := t.TempDir()
-	program, file := buildProgram(t, dir), filepath.Join(dir, "config.json")
-	lists := [2]net.Listener{listen(t), listen(t)}
-	free := listen(t)
-	address := free.Addr().String()
-	free.Close()
-	write := func(list net.Listener, settings string) {
-		text := fmt.Sprintf(`{"name":"n0","listen":"%s","discovery":"%s","seed":"1f","settings":%s}`, address, list.Addr(), settings)
-		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+	directory := t.TempDir()
+	program := buildProgram(t, directory)
+	configFile := filepath.Join(directory, "config.json")
+	firstList, secondList := listen(t), listen(t)
+
+	writeFile(t, configFile, nodeConfig(firstList, strings.Replace(nodeSettings, "BareUs", "Bare", 1)))
+	expectConfigError(t, program, configFile, "setting FamilyInfo.BareUs is missing\n")
+
+	writeFile(t, configFile, nodeConfig(firstList, nodeSettings))
+	process := startNode(t, program, configFile)
+	address := listenAddress(t, process.waitForLog(t, "in service"))
+	process.waitForListCall(t, firstList)
+	expectPong(t, address)
+	writeFile(t, configFile, nodeConfig(secondList, nodeSettings))
+	process.signal(t, syscall.SIGHUP)
+	process.waitForListCall(t, secondList)
+	writeFile(t, configFile, []byte("{"))
+	process.signal(t, syscall.SIGHUP)
+	process.waitForLog(t, "cannot be read again")
+	expectPong(t, address)
+	process.signal(t, syscall.SIGTERM)
+	process.waitForLog(t, "stopped")
+	if err := process.waitForExit(t); err != nil {
+		t.Errorf("after SIGTERM: %v", err)
+	}
+}
+
+// expectConfigError runs the program with a wrong configuration: it must fail with one line that ends with the text.
+func expectConfigError(t *testing.T, program, configFile, ending string) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), eventTimeout)
+	defer cancel()
+	command := exec.CommandContext(ctx, program, "node")
+	command.Env = append(os.Environ(), "EDGE_CONFIG="+configFile)
+	output, err := command.CombinedOutput()
+	if err == nil || !strings.HasSuffix(string(output), ending) || strings.Count(string(output), "\n") != 1 {
+		t.Errorf("a wrong configuration: %v, %s", err, output)
 	}
-	write(lists[0], strings.Replace(nodeSettings, "BareUs", "Bare", 1))
-	wrong := exec.Command(program, "node")
-	wrong.Env = append(os.Environ(), "EDGE_CONFIG="+file)
-	if out, err := wrong.CombinedOutput(); err == nil || !strings.HasSuffix(string(out), "setting FamilyInfo.BareUs is missing\n") || strings.Count(string(out), "\n") != 1 {
-		t.Errorf("a wrong configuration: %v, %s", err, out)
+}
+
+// listenAddress takes the address of the listening socket from the program's first log line.
+func listenAddress(t *testing.T, line string) string {
+	t.Helper()
+	var fields struct{ Listen string }
+	if err := json.Unmarshal([]byte(line), &fields); err != nil {
+		t.Fatalf("log line %q: %v", line, err)
 	}
-	write(lists[0], nodeSettings)
-	run := exec.Command(program, "node")
-	run.Env = append(os.Environ(), "EDGE_CONFIG="+file)
-	log, err := run.StderrPipe()
+	return fields.Listen
+}
+
+// expectPong sends PING on a connection of its own and wants PONG for an answer.
+func expectPong(t *testing.T, address string) {
+	t.Helper()
+	connection, err := net.DialTimeout("tcp", address, eventTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := run.Start(); err != nil {
+	defer connection.Close() //nolint:errcheck // the test is done with it
+	if err := connection.SetDeadline(time.Now().Add(eventTimeout)); err != nil {
 		t.Fatal(err)
 	}
-	defer run.Process.Kill()
-	lines := bufio.NewScanner(log)
-	until := func(part string) {
-		t.Helper()
-		for lines.Scan() {
-			if strings.Contains(lines.Text(), part) {
-				return
-			}
-		}
-		t.Fatalf("no line with %q", part)
-	}
-	alive := func() {
-		t.Helper()
-		c, err := net.Dial("tcp", address)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer c.Close()
-		c.SetDeadline(time.Now().Add(10 * time.Second))
-		io.WriteString(c, "*1\r\n$4\r\nPING\r\n")
-		answer := make([]byte, 14)
-		if _, err := io.ReadFull(c, answer); err != nil || string(answer) != "*1\r\n$4\r\nPONG\r\n" {
-			t.Fatalf("%q, %v", answer, err)
-		}
-	}
-	until("in service")
-	called(t, lists[0])
-	alive()
-	write(lists[1], nodeSettings)
-	run.Process.Signal(syscall.SIGHUP)
-	called(t, lists[1])
-	if err := os.WriteFile(file, []byte("{"), 0o600); err != nil {
+	if _, err := io.WriteString(connection, "*1\r\n$4\r\nPING\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	run.Process.Signal(syscall.SIGHUP)
-	until("cannot be read again")
-	alive()
-	run.Process.Signal(syscall.SIGTERM)
-	until("stopped")
-	if err := run.Wait(); err != nil {
-		t.Errorf("after SIGTERM: %v", err)
+	answer := make([]byte, 14)
+	if _, err := io.ReadFull(connection, answer); err != nil || string(answer) != "*1\r\n$4\r\nPONG\r\n" {
+		t.Fatalf("%q, %v", answer, err)
 	}
 }
 
-func buildProgram(t *testing.T, dir string) string {
-	t.Helper()
-	program := filepath.Join(dir, "barleysail")
-	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
-	}
-	return program
-}
-
-// Signals between two lines. SIGTERM that comes before the configuration has been read (a pipe that the test holds open), or
-// right after a SIGHUP whose configuration cannot be read to its end, ends the program with status 0 well within 0.7 s; of two
-// SIGHUPs in a row the newest configuration counts.
+// Signals that follow each other closely. SIGTERM that comes before the configuration has been read, or right after a
+// SIGHUP whose configuration cannot be read to its end, ends the program with status 0 within shutdownLimit; of two
+// SIGHUPs in a row the newest configuration counts. Each subtest has listeners of its own: a connection that the
+// program of another one has left in a listener's queue would be taken for a call of this one's program.
 func TestNodeSignals(t *testing.T) {
-	dir := t.TempDir()
-	program := buildProgram(t, dir)
-	lists := [3]net.Listener{listen(t), listen(t), listen(t)}
-	text := func(list net.Listener) []byte {
-		return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"1f","settings":%s}`, list.Addr(), nodeSettings)
-	}
-	launch := func(file string) *exec.Cmd {
-		t.Helper()
-		run := exec.Command(program, "node")
-		run.Env = append(os.Environ(), "EDGE_CONFIG="+file)
-		run.Stderr = io.Discard
-		if err := run.Start(); err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { run.Process.Kill() })
-		return run
-	}
-	ends := func(run *exec.Cmd, began time.Time) {
-		t.Helper()
-		if err := run.Wait(); err != nil {
-			t.Errorf("after SIGTERM: %v", err)
-		}
-		if took := time.Since(began); took > 700*time.Millisecond {
-			t.Errorf("it ends %v after SIGTERM", took)
-		}
-	}
+	program := buildProgram(t, t.TempDir())
 	t.Run("before the configuration", func(t *testing.T) {
-		pipe := filepath.Join(dir, "pipe")
+		pipe := filepath.Join(t.TempDir(), "pipe")
 		if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		run := launch(pipe)
-		w, err := os.OpenFile(pipe, os.O_WRONLY, 0) // opens once the program reads
-		if err != nil {
+		process := startNode(t, program, pipe)
+		writer := openPipeForWriting(t, pipe, process) // opens once the program reads
+		began := time.Now()
+		process.signal(t, syscall.SIGTERM)
+		if _, err := writer.Write(nodeConfig(listen(t), nodeSettings)); err != nil {
 			t.Fatal(err)
 		}
-		began := time.Now()
-		run.Process.Signal(syscall.SIGTERM)
-		w.Write(text(lists[0]))
-		w.Close()
-		ends(run, began)
+		if err := writer.Close(); err != nil {
+			t.Fatal(err)
+		}
+		expectShutdown(t, process, began)
 	})
 	t.Run("in a row", func(t *testing.T) {
-		file := filepath.Join(dir, "config.json")
-		write := func(text []byte) {
-			if err := os.WriteFile(file, text, 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
-		write(text(lists[0]))
-		run := launch(file)
-		called(t, lists[0])
-		write(text(lists[1])[:50]) // half replaced
-		run.Process.Signal(syscall.SIGHUP)
-		write(text(lists[1]))
-		run.Process.Signal(syscall.SIGHUP)
-		called(t, lists[1])
-		write(text(lists[2]))
-		run.Process.Signal(syscall.SIGHUP)
-		run.Process.Signal(syscall.SIGHUP)
-		called(t, lists[2])
-		write(text(lists[2])[:50])
-		run.Process.Signal(syscall.SIGHUP)
+		configFile := filepath.Join(t.TempDir(), "config.json")
+		firstList, secondList, thirdList := listen(t), listen(t), listen(t)
+		second, third := nodeConfig(secondList, nodeSettings), nodeConfig(thirdList, nodeSettings)
+
+		writeFile(t, configFile, nodeConfig(firstList, nodeSettings))
+		process := startNode(t, program, configFile)
+		process.waitForListCall(t, firstList)
+		writeFile(t, configFile, second[:50]) // half replaced
+		process.signal(t, syscall.SIGHUP)
+		writeFile(t, configFile, second)
+		process.signal(t, syscall.SIGHUP)
+		process.waitForListCall(t, secondList)
+		writeFile(t, configFile, third)
+		process.signal(t, syscall.SIGHUP)
+		process.signal(t, syscall.SIGHUP)
+		process.waitForListCall(t, thirdList)
+		writeFile(t, configFile, third[:50])
+		process.signal(t, syscall.SIGHUP)
 		began := time.Now()
-		run.Process.Signal(syscall.SIGTERM)
-		ends(run, began)
+		process.signal(t, syscall.SIGTERM)
+		expectShutdown(t, process, began)
 	})
 }
 
-func listen(t *testing.T) net.Listener {
+// openPipeForWriting opens a named pipe once the process reads it. A process that ends or never reads fails the test.
+func openPipeForWriting(t *testing.T, pipe string, process *nodeProcess) *os.File {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	type result struct {
+		file *os.File
+		err  error
 	}
-	t.Cleanup(func() { l.Close() })
-	return l
+	opened := make(chan result, 1)
+	go func() {
+		file, err := os.OpenFile(pipe, os.O_WRONLY, 0)
+		opened <- result{file, err}
+	}()
+	select {
+	case result := <-opened:
+		if result.err != nil {
+			t.Fatal(result.err)
+		}
+		return result.file
+	case <-process.exited:
+	case <-time.After(eventTimeout):
+	}
+	// A reader of the test's own lets the goroutine above end.
+	if reader, err := os.OpenFile(pipe, os.O_RDONLY|syscall.O_NONBLOCK, 0); err == nil {
+		defer reader.Close() //nolint:errcheck // nothing was written to it
+	}
+	t.Fatalf("the program does not read its configuration%s", process.diagnosis())
+	return nil
 }
 
-// called takes a list call and ends its connection.
-func called(t *testing.T, l net.Listener) {
+// expectShutdown wants the process to end with status 0 soon after the SIGTERM that was sent at the time given.
+func expectShutdown(t *testing.T, process *nodeProcess, terminatedAt time.Time) {
 	t.Helper()
-	c, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
+	if err := process.waitForExit(t); err != nil {
+		t.Errorf("after SIGTERM: %v%s", err, process.diagnosis())
+	}
+	if took := time.Since(terminatedAt); took > shutdownLimit {
+		t.Errorf("it ends %v after SIGTERM", took)
 	}
-	c.Close()
 }
