--- a/internal/platform/streams.go
+++ b/internal/platform/streams.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"net"
-	"net/textproto"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -152,7 +151,8 @@
 	for {
 		var err error
 		if words, err = r.Read(words, resp.Limits{Words: wordsMost, Bytes: messageMost}); err != nil {
-			if ill := textproto.ProtocolError(""); errors.As(err, &ill) {
+			var malformed *resp.ProtocolError
+			if errors.As(err, &malformed) {
 				n.faults.count("a stream goes on with what can't be read", err)
 			}
 			n.log.Debug().Err(err).Int("proxy", s.proxy).Msg("a stream ends")
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,131 +1,176 @@
-// Package resp frames messages by RESP2 as arrays of bulk strings. What it reads is bounded: a peer that announces
-// impossible lengths, or never ends, costs no more memory than it has sent bytes within the limits.
+// Package resp reads and writes messages that are framed by RESP2 as arrays of bulk strings. It owns the framing alone:
+// what the words of a message mean is the caller's. What it reads is bounded: a peer that announces impossible lengths,
+// or whose message never ends, costs no more memory than the bytes it has sent within the limits.
 package resp
 
 import (
 	"bufio"
+	"bytes"
 	"errors"
 	"fmt"
 	"io"
-	"net/textproto"
 	"strconv"
 )
 
-// Limits bound a message.
+const (
+	arrayPrefix  = '*' // first byte of the line that announces how many bulk strings follow
+	bulkPrefix   = '$' // first byte of the line that announces how many bytes a bulk string has
+	lineEnd      = "\r\n"
+	lineOverhead = 1 + len(lineEnd) // bytes of a length line besides its digits
+
+	// maxDigits bounds the digits of a length, leading zeros included; the number then fits into an int.
+	maxDigits = 13
+
+	readBufferBytes = 2048 // most messages fit
+	bulkChunkBytes  = 512  // a bulk string is allocated as it arrives, by so much at once
+)
+
+// Limits bound one message.
 type Limits struct {
 	Words int // bulk strings in an array
 	Bytes int // of the whole message, framing included
 }
 
-// lineMost is the longest line that can announce a length: its type, digits and CR LF.
-const lineMost = 16
+// ProtocolError says why bytes are not a message. Nothing after them can be read either: the peer's next message cannot
+// be found.
+type ProtocolError struct {
+	Reason string
+}
+
+func (e *ProtocolError) Error() string { return e.Reason }
 
-// Reader reads messages off a connection.
+func protocolErrorf(format string, args ...any) error {
+	return &ProtocolError{Reason: fmt.Sprintf(format, args...)}
+}
+
+// Reader reads messages from a connection.
 type Reader struct {
-	buf  *bufio.Reader
-	left int
+	buffer    *bufio.Reader
+	bytesLeft int // that the message being read may still have
 }
 
-// NewReader reads from r.
-func NewReader(r io.Reader) *Reader { return &Reader{buf: bufio.NewReaderSize(r, 2048)} }
+// NewReader returns a Reader of what comes in from source.
+func NewReader(source io.Reader) *Reader {
+	return &Reader{buffer: bufio.NewReaderSize(source, readBufferBytes)}
+}
 
-// Read reads one message into words, which are made anew. A textproto.ProtocolError means that the bytes are no
-// message and that nothing after them can be read either; io.EOF comes only between messages.
-func (r *Reader) Read(words []string, l Limits) ([]string, error) {
-	r.left = l.Bytes
-	n, err := r.length('*', l.Words)
+// Read reads one message and returns its words, for which it uses the memory of the slice given. A *ProtocolError means
+// that the bytes are no message within the limits; io.EOF comes only between messages, io.ErrUnexpectedEOF within one.
+func (r *Reader) Read(words []string, limits Limits) ([]string, error) {
+	r.bytesLeft = limits.Bytes
+	count, err := r.readLength(arrayPrefix, limits.Words)
 	if err != nil {
 		return nil, err
 	}
 	words = words[:0]
-	for range n {
-		size, err := r.length('$', r.left)
+	for range count {
+		size, err := r.readLength(bulkPrefix, r.bytesLeft)
 		if err != nil {
-			return nil, cutShort(err)
+			return nil, withinMessage(err)
 		}
-		word, err := r.bulk(size)
+		word, err := r.readBulk(size)
 		if err != nil {
-			return nil, cutShort(err)
+			return nil, withinMessage(err)
 		}
 		words = append(words, word)
 	}
 	return words, nil
 }
 
-func cutShort(err error) error {
+// withinMessage makes an end of the input, which is regular between messages, an unexpected one.
+func withinMessage(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func malformed(format string, args ...any) error {
-	return textproto.ProtocolError(fmt.Sprintf(format, args...))
-}
-
-// length reads a line that announces a length: its type, digits, CR LF.
-func (r *Reader) length(kind byte, most int) (int, error) {
-	first, err := r.buf.ReadByte()
+// readLength reads a line that announces a length: its prefix, digits, CR LF.
+func (r *Reader) readLength(prefix byte, limit int) (int, error) {
+	first, err := r.buffer.ReadByte()
+	if err != nil {
+		return 0, err
+	}
+	if first != prefix { // refused at the first byte: what follows might never end in a line
+		return 0, protocolErrorf("%q stands where %q is due", first, prefix)
+	}
+	length, digits, err := r.readDigits()
 	if err != nil {
 		return 0, err
 	}
-	if first != kind { // seen at the first byte: what follows might never end in a line
-		return 0, malformed("%q stands where %q is due", first, kind)
+	last, err := r.buffer.ReadByte()
+	if err != nil {
+		return 0, withinMessage(err)
+	}
+	if last != '\n' {
+		return 0, protocolErrorf("a length ends with %q", last)
 	}
-	n, digits := 0, 0
+	r.bytesLeft -= digits + lineOverhead
+	if length > limit || r.bytesLeft < 0 {
+		return 0, protocolErrorf("a length of %d where %d are left", length, limit)
+	}
+	return length, nil
+}
+
+// readDigits reads a decimal number up to and with the CR that ends it, and returns how many digits it has.
+func (r *Reader) readDigits() (number, digits int, err error) {
 	for {
-		c, err := r.buf.ReadByte()
+		next, err := r.buffer.ReadByte()
 		if err != nil {
-			return 0, cutShort(err)
+			return 0, 0, withinMessage(err)
 		}
-		if c == '\r' && digits > 0 {
-			break
+		if next == '\r' && digits > 0 {
+			return number, digits, nil
 		}
-		if c < '0' || c > '9' || digits+4 > lineMost {
-			return 0, malformed("%q stands in a length", c)
+		if next < '0' || next > '9' || digits >= maxDigits {
+			return 0, 0, protocolErrorf("%q stands in a length", next)
 		}
-		n, digits = n*10+int(c-'0'), digits+1
+		number = number*10 + int(next-'0')
+		digits++
 	}
-	if c, err := r.buf.ReadByte(); err != nil {
-		return 0, cutShort(err)
-	} else if c != '\n' {
-		return 0, malformed("a length ends with %q", c)
-	}
-	if r.left -= digits + 3; n > most || r.left < 0 {
-		return 0, malformed("a length of %d where %d are left", n, most)
-	}
-	return n, nil
 }
 
-// bulk reads the bytes of a bulk string. What was only announced is not allocated.
-func (r *Reader) bulk(size int) (string, error) {
-	if r.left -= size + 2; r.left < 0 {
-		return "", malformed("a message is too long")
+// readBulk reads the bytes of a bulk string and the line end after them. It allocates what has arrived, not what was
+// announced.
+func (r *Reader) readBulk(size int) (string, error) {
+	r.bytesLeft -= size + len(lineEnd)
+	if r.bytesLeft < 0 {
+		return "", protocolErrorf("a message is too long")
 	}
-	var body []byte
-	for part := [512]byte{}; size > 0; {
-		n, err := io.ReadFull(r.buf, part[:min(size, len(part))])
-		body, size = append(body, part[:n]...), size-n
+	var body bytes.Buffer
+	var chunk [bulkChunkBytes]byte
+	for body.Len() < size {
+		n, err := io.ReadFull(r.buffer, chunk[:min(size-body.Len(), len(chunk))])
+		body.Write(chunk[:n])
 		if err != nil {
 			return "", err
 		}
 	}
-	for _, want := range []byte("\r\n") {
-		if c, err := r.buf.ReadByte(); err != nil {
+	for _, want := range []byte(lineEnd) {
+		got, err := r.buffer.ReadByte()
+		if err != nil {
 			return "", err
-		} else if c != want {
-			return "", malformed("a bulk string ends with %q", c)
+		}
+		if got != want {
+			return "", protocolErrorf("a bulk string ends with %q", got)
 		}
 	}
-	return string(body), nil
+	return body.String(), nil
 }
 
-// Append appends a message to dst.
-func Append(dst []byte, words ...string) []byte {
-	dst = append(strconv.AppendInt(append(dst, '*'), int64(len(words)), 10), '\r', '\n')
-	for _, w := range words {
-		dst = append(strconv.AppendInt(append(dst, '$'), int64(len(w)), 10), '\r', '\n')
-		dst = append(append(dst, w...), '\r', '\n')
+// Append appends a message of the words to destination and returns the extended slice.
+func Append(destination []byte, words ...string) []byte {
+	destination = appendLength(destination, arrayPrefix, len(words))
+	for _, word := range words {
+		destination = appendLength(destination, bulkPrefix, len(word))
+		destination = append(destination, word...)
+		destination = append(destination, lineEnd...)
 	}
-	return dst
+	return destination
+}
+
+func appendLength(destination []byte, prefix byte, length int) []byte {
+	destination = append(destination, prefix)
+	destination = strconv.AppendInt(destination, int64(length), 10)
+	return append(destination, lineEnd...)
 }
