--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,6 +1,7 @@
-// Package instance puts the decision module to work for one steward: settings become the module's own, and the ids of
-// hosts, zones and classes become small indices in the order they were first met. The bench's adapter and the steward
-// on the platform both go through it.
+// Package instance puts a routing.Balancer to work for one controller: it translates the settings into the balancer's
+// own configuration, and the names of hosts, zones and request classes into the small indices that the balancer works
+// by. The bench's adapter (cmd/simadapter) and the node (internal/platform) both use it. It decides nothing, keeps no
+// time and does no I/O.
 package instance
 
 import (
@@ -11,7 +12,23 @@
 	"barleysail/routing"
 )
 
-// Instance is a steward's module with the ids that it knows.
+// The settings give durations in microseconds, the balancer takes milliseconds.
+const microsecondsPerMs = 1000
+
+// UnsupportedSettingError says that the settings ask for something that this program does not implement.
+type UnsupportedSettingError struct {
+	Field  string // path of the setting, such as FamilyInfo.Shards
+	Value  int
+	Reason string
+}
+
+func (e *UnsupportedSettingError) Error() string {
+	return fmt.Sprintf("Start: setting %s is %d: %s", e.Field, e.Value, e.Reason)
+}
+
+// Instance is a controller's balancer together with the names behind the balancer's indices. The balancer is embedded
+// since callers drive it directly: an Instance adds names to it and hides nothing of it. Like the balancer, it belongs
+// to one goroutine; only the zones and request classes, which never change, may be looked up from any.
 type Instance struct {
 	*routing.Balancer
 	zones   map[string]int
@@ -19,74 +36,129 @@
 	hosts   interner.Interner
 }
 
-// New starts the module by the settings.
-func New(s *simwire.Settings, seed uint64) (*Instance, error) {
-	if s.FamilyInfo.Shards > 0 {
-		return nil, fmt.Errorf("Start: setting FamilyInfo.Shards is %d: slices are not served yet", s.FamilyInfo.Shards)
+// New starts a balancer by settings that simwire.ReadSettings has checked. The seed is that of the balancer's random
+// draws. An UnsupportedSettingError names a setting that is valid and not implemented.
+func New(settings *simwire.Settings, seed uint64) (*Instance, error) {
+	if shards := settings.FamilyInfo.Shards; shards > 0 {
+		return nil, &UnsupportedSettingError{Field: "FamilyInfo.Shards", Value: shards, Reason: "slices are not served yet"}
+	}
+	instance := &Instance{
+		Balancer: routing.New(deployment(settings, seed), requestClasses(settings), controlChannel(settings),
+			safetyLimits(settings), objective(settings)),
+		zones:   map[string]int{},
+		classes: map[string]int{},
+		hosts:   interner.New(),
 	}
-	n := &Instance{zones: map[string]int{}, classes: map[string]int{}, hosts: interner.New()}
-	for i, z := range s.FailureDomains {
-		n.zones[z] = i
+	for index, zone := range settings.FailureDomains {
+		instance.zones[zone] = index
 	}
-	f, r := &s.FamilyInfo, &s.Rules
+	for index, class := range settings.Services {
+		instance.classes[class.Name] = index
+	}
+	return instance, nil
+}
+
+func deployment(settings *simwire.Settings, seed uint64) routing.Deployment {
+	family := &settings.FamilyInfo
+	return routing.Deployment{
+		Controllers:        *settings.Instances,
+		Zones:              len(settings.FailureDomains),
+		Proxies:            *family.DataPlaneSize,
+		Seed:               seed,
+		ReportIntervalMs:   *family.IntervalUs / microsecondsPerMs,
+		ProxyEjectAfter:    family.Ejects,
+		DefaultRetryPolicy: family.RetryDefault,
+		AdmissionControl:   family.Admission == simwire.AdmitShare,
+		HealthChecks:       settings.Limits.MayProbe,
+		WatchesEndpoints:   settings.Discovery == simwire.Subscribed,
+	}
+}
+
+func requestClasses(settings *simwire.Settings) []routing.RequestClass {
+	zoneLocal := settings.FamilyInfo.StaysLocal // by class; may be shorter than the classes are many
 	var classes []routing.RequestClass
-	for i, c := range s.Services {
-		n.classes[c.Name] = i
-		classes = append(classes, routing.RequestClass{LatencyObjectiveMs: *c.AimUs / 1000, DeadlineMs: *c.HardLimitUs / 1000,
-			PriorityWeight: *c.Value, ZoneLocal: i < len(f.StaysLocal) && f.StaysLocal[i]})
+	for index, service := range settings.Services {
+		classes = append(classes, routing.RequestClass{
+			LatencyObjectiveMs: *service.AimUs / microsecondsPerMs,
+			DeadlineMs:         *service.HardLimitUs / microsecondsPerMs,
+			PriorityWeight:     *service.Value,
+			ZoneLocal:          index < len(zoneLocal) && zoneLocal[index],
+		})
+	}
+	return classes
+}
+
+func controlChannel(settings *simwire.Settings) routing.ControlChannel {
+	family := &settings.FamilyInfo
+	return routing.ControlChannel{
+		EntriesPerSecond:   *family.ChannelRate,
+		MessageOverhead:    *family.PerMessage,
+		MaxBacklog:         *family.MostWaiting,
+		PropagationDelayMs: family.LateUs / microsecondsPerMs,
+		MaxMessages:        family.MessagesMost,
+		MessageWindowMs:    family.UpdateWindowUs / microsecondsPerMs,
+		Cost:               family.OrderPrice,
+	}
+}
+
+func safetyLimits(settings *simwire.Settings) routing.SafetyLimits {
+	rules := &settings.Rules
+	return routing.SafetyLimits{
+		EmptyTableMs:           *settings.FamilyInfo.BareUs / microsecondsPerMs,
+		DrainGraceMs:           *rules.StopSendingWithinUs / microsecondsPerMs,
+		SlowStartInitialFactor: *rules.ColdFrom,
+		SlowStartMs:            *rules.ColdUs / microsecondsPerMs,
+		CollapseMultiple:       *rules.FallMultiple,
+	}
+}
+
+func objective(settings *simwire.Settings) routing.Objective {
+	return routing.Objective{
+		TotalWeight:      settings.ScoreParts.Whole + settings.ScoreParts.WorstWindow,
+		WorstClassWeight: settings.ScoreParts.WorstClass,
+		HealthCheckCost:  settings.Prices.Probe,
 	}
-	n.Balancer = routing.New(
-		routing.Deployment{Controllers: *s.Instances, Zones: len(s.FailureDomains), Proxies: *f.DataPlaneSize, Seed: seed,
-			ReportIntervalMs: *f.IntervalUs / 1000, ProxyEjectAfter: f.Ejects, DefaultRetryPolicy: f.RetryDefault,
-			AdmissionControl: f.Admission == simwire.AdmitShare, HealthChecks: s.Limits.MayProbe, WatchesEndpoints: s.Discovery == simwire.Subscribed},
-		classes,
-		routing.ControlChannel{EntriesPerSecond: *f.ChannelRate, MessageOverhead: *f.PerMessage, MaxBacklog: *f.MostWaiting, PropagationDelayMs: f.LateUs / 1000,
-			MaxMessages: f.MessagesMost, MessageWindowMs: f.UpdateWindowUs / 1000, Cost: f.OrderPrice},
-		routing.SafetyLimits{EmptyTableMs: *f.BareUs / 1000, DrainGraceMs: *r.StopSendingWithinUs / 1000, SlowStartInitialFactor: *r.ColdFrom, SlowStartMs: *r.ColdUs / 1000,
-			CollapseMultiple: *r.FallMultiple},
-		routing.Objective{TotalWeight: s.ScoreParts.Whole + s.ScoreParts.WorstWindow, WorstClassWeight: s.ScoreParts.WorstClass,
-			HealthCheckCost: s.Prices.Probe})
-	return n, nil
 }
 
-// HostIndex gives the index of a host, a new one for an id not met before.
-func (n *Instance) HostIndex(id string) int { return n.hosts.Index(id) }
+// HostIndex returns the index of a host and assigns one, the lowest that is free, to a name not met before.
+func (i *Instance) HostIndex(name string) int { return i.hosts.Index(name) }
 
-// ReleaseHost forgets a host that is gone and gives its index to another. It answers false, and keeps all, while a table or a
-// probe still names the host.
-func (n *Instance) ReleaseHost(host int) bool {
-	if !n.ForgetHost(host) {
+// ReleaseHost forgets a removed host and frees its index for another host. It returns false, and keeps everything,
+// while a table or a health check in flight still refers to the host.
+func (i *Instance) ReleaseHost(host int) bool {
+	if !i.ForgetHost(host) {
 		return false
 	}
-	n.hosts.Release(n.HostID(host))
+	i.hosts.Release(i.HostID(host))
 	return true
 }
 
-// LookupHost gives the index of a host that was met before.
-func (n *Instance) LookupHost(id string) (int, bool) {
-	i, ok := n.hosts.IndexOf[id]
-	return i, ok
+// LookupHost returns the index of a host that has one.
+func (i *Instance) LookupHost(name string) (int, bool) {
+	index, ok := i.hosts.IndexOf[name]
+	return index, ok
 }
 
-// HostIndexCount is how many indices hosts have had so far.
-func (n *Instance) HostIndexCount() int { return len(n.hosts.Names) }
+// HostIndexCount returns how many host indices there are, free ones included: all are below it.
+func (i *Instance) HostIndexCount() int { return len(i.hosts.Names) }
 
-// HostID is the id of a host, empty for an index that was given free.
-func (n *Instance) HostID(host int) string { return n.hosts.Names[host] }
+// HostID returns the name of the host with the index, empty for a free one.
+func (i *Instance) HostID(host int) string { return i.hosts.Names[host] }
 
-// ZoneIndex gives the index of a zone of the settings.
-func (n *Instance) ZoneIndex(name string) (int, bool) {
-	i, ok := n.zones[name]
-	return i, ok
+// ZoneIndex returns the index of a zone of the settings.
+func (i *Instance) ZoneIndex(name string) (int, bool) {
+	index, ok := i.zones[name]
+	return index, ok
 }
 
-// ClassIndex gives the index of a class of the settings.
-func (n *Instance) ClassIndex(name string) (int, bool) {
-	i, ok := n.classes[name]
-	return i, ok
+// ClassIndex returns the index of a request class of the settings.
+func (i *Instance) ClassIndex(name string) (int, bool) {
+	index, ok := i.classes[name]
+	return index, ok
 }
 
-// Load makes a report of its values by name; value gives one below 0 for what was not reported.
+// Load makes a load report of the values that a host has reported by name; value returns one below 0 for a name that
+// was not reported.
 func Load(value func(name string) float64) routing.HostLoad {
 	return routing.HostLoad{Utilization: value("util"), RequestRate: value("qps"), QueueLength: value("queue")}
 }
