--- a/internal/platform/admission.go
+++ b/internal/platform/admission.go
@@ -9,127 +9,127 @@
 	"time"
 )
 
-// admission bounds the connections by the descriptors there are for them. Those that have not joined are pending; those that
+// connectionLimiter bounds the connections by the descriptors there are for them. Those that have not joined are pending; those that
 // fell silent are kept as long as nobody needs their descriptors.
-type admission struct {
-	mu      sync.Mutex
-	limit   int              // of all connections
-	open    map[*stream]bool // accepted and not yet ended
-	pending []*stream        // oldest first
-	silent  []*stream        // likewise
-	closed  bool
-	freed   chan struct{} // holds one when a connection has ended
+type connectionLimiter struct {
+	mu           sync.Mutex
+	limit        int               // of all connections
+	open         map[*session]bool // accepted and not yet ended
+	unidentified []*session        // oldest first
+	unresponsive []*session        // likewise
+	closed       bool
+	released     chan struct{} // holds one when a connection has ended
 }
 
-func newAdmission(limit int) *admission {
-	return &admission{limit: limit, open: map[*stream]bool{}, freed: make(chan struct{}, 1)}
+func newConnectionLimiter(limit int) *connectionLimiter {
+	return &connectionLimiter{limit: limit, open: map[*session]bool{}, released: make(chan struct{}, 1)}
 }
 
-// pendingLimit keeps a half of the descriptors for those that have joined.
-func (a *admission) pendingLimit() int { return max(a.limit/2, pendingMin) }
+// unidentifiedLimit keeps a half of the descriptors for those that have joined.
+func (a *connectionLimiter) unidentifiedLimit() int { return max(a.limit/2, minUnidentified) }
 
 // admit takes in a connection, if need be in place of a silent one, or of the oldest pending one after that had its least
 // time. It answers false where all descriptors are held by streams in use: who dials again may find another steward.
-func (a *admission) admit(ctx context.Context, s *stream) bool {
+func (a *connectionLimiter) admit(ctx context.Context, s *session) bool {
 	for {
 		a.mu.Lock()
 		full := len(a.open) >= a.limit
-		if a.closed || full && len(a.pending)+len(a.silent) == 0 {
+		if a.closed || full && len(a.unidentified)+len(a.unresponsive) == 0 {
 			a.mu.Unlock()
 			return false
 		}
-		if !full && len(a.pending) < a.pendingLimit() {
-			s.since = time.Now()
-			a.open[s], a.pending = true, append(a.pending, s)
+		if !full && len(a.unidentified) < a.unidentifiedLimit() {
+			s.admittedAt = time.Now()
+			a.open[s], a.unidentified = true, append(a.unidentified, s)
 			a.mu.Unlock()
 			return true
 		}
-		var victim *stream
-		wait := evictWait
-		if full && len(a.silent) > 0 {
-			victim = a.silent[0]
-		} else if wait = pendingLeast - time.Since(a.pending[0].since); wait <= 0 {
-			victim, wait = a.pending[0], evictWait
+		var victim *session
+		wait := evictionWait
+		if full && len(a.unresponsive) > 0 {
+			victim = a.unresponsive[0]
+		} else if wait = minUnidentifiedTime - time.Since(a.unidentified[0].admittedAt); wait <= 0 {
+			victim, wait = a.unidentified[0], evictionWait
 		}
 		if victim != nil {
-			a.settle(victim)
+			a.removeEvictable(victim)
 		}
 		a.mu.Unlock()
 		if victim != nil {
-			victim.end()
+			victim.terminate()
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-a.freed:
+		case <-a.released:
 		case <-time.After(wait):
 		}
 	}
 }
 
-// settle takes a stream off the lists of those that may have to give way.
-func (a *admission) settle(s *stream) {
-	for _, list := range []*[]*stream{&a.pending, &a.silent} {
+// removeEvictable takes a stream off the lists of those that may have to give way.
+func (a *connectionLimiter) removeEvictable(s *session) {
+	for _, list := range []*[]*session{&a.unidentified, &a.unresponsive} {
 		if i := slices.Index(*list, s); i >= 0 {
 			*list = slices.Delete(*list, i, i+1)
 		}
 	}
 }
 
-// joined notes that a connection is in use: it has joined, or speaks again.
-func (a *admission) joined(s *stream) {
+// markActive notes that a connection is in use: it has joined, or speaks again.
+func (a *connectionLimiter) markActive(s *session) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settle(s)
+	a.removeEvictable(s)
 }
 
-// fellSilent notes that a joined stream counts as left.
-func (a *admission) fellSilent(s *stream) {
+// markUnresponsive notes that a joined stream counts as left.
+func (a *connectionLimiter) markUnresponsive(s *session) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.open[s] {
-		a.silent = append(a.silent, s)
+		a.unresponsive = append(a.unresponsive, s)
 	}
 }
 
 // release notes that a connection has ended.
-func (a *admission) release(s *stream) {
+func (a *connectionLimiter) release(s *session) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settle(s)
+	a.removeEvictable(s)
 	delete(a.open, s)
 	select {
-	case a.freed <- struct{}{}:
+	case a.released <- struct{}{}:
 	default:
 	}
 }
 
-// resize sets another limit; what is open beyond it may stay.
-func (a *admission) resize(limit int) {
+// setLimit sets another limit; what is open beyond it may stay.
+func (a *connectionLimiter) setLimit(limit int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.limit = limit
 }
 
 // close ends all connections and admits no more.
-func (a *admission) close() {
+func (a *connectionLimiter) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.closed = true
 	for s := range a.open {
-		s.end()
+		s.terminate()
 	}
 }
 
-// accept takes connections until the listener is closed.
-func (n *Node) accept(ctx context.Context, l net.Listener) {
+// acceptConnections takes connections until the listener is closed.
+func (n *Node) acceptConnections(ctx context.Context, l net.Listener) {
 	for number := uint64(1); ; number++ {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil { // out of descriptors, most likely: pending connections time out meanwhile
-			n.faults.count("accepting fails", err)
+			n.warnings.warn("accepting fails", err)
 			select {
 			case <-ctx.Done():
 				return
@@ -137,12 +137,12 @@
 			}
 			continue
 		}
-		s := &stream{Conn: c, number: number, work: &n.work, proxy: -1}
-		if !n.admission.admit(ctx, s) {
-			s.end()
-			n.faults.count("a connection is refused: streams hold all descriptors", nil)
+		s := &session{Conn: c, acceptNumber: number, goroutines: &n.goroutines, proxy: -1}
+		if !n.connections.admit(ctx, s) {
+			s.terminate()
+			n.warnings.warn("a connection is refused: streams hold all descriptors", nil)
 			continue
 		}
-		n.work.Go(func() { n.serve(s) })
+		n.goroutines.Go(func() { n.serve(s) })
 	}
 }
--- a/internal/platform/admission_test.go
+++ b/internal/platform/admission_test.go
@@ -19,7 +19,7 @@
 	c := config(t, lists, 10)
 	*c.Settings.FamilyInfo.DataPlaneSize = 1000
 	n = run(t, c)
-	for p := range n.admission.limit {
+	for p := range n.connections.limit {
 		s := dial(t, c.Listen, fmt.Sprintf("SUBSCRIBE proxy %d zone a weight 1 fresh 1", p))
 		told := s.hear()
 		if at := strings.LastIndex(told, "stamp "); at < 0 {
@@ -43,10 +43,10 @@
 		t.Error("a connection is neither refused nor served")
 	}
 	moved := open(t)
-	n.list.move(moved.Addr().String())
+	n.watcher.setAddress(moved.Addr().String())
 	answer(held(t, moved), members(8, true, oneHost))
 	joined[1].Close()
-	for !ask(n, func() bool { return n.streams[1] == nil }) {
+	for !ask(n, func() bool { return n.sessions[1] == nil }) {
 		runtime.Gosched()
 	}
 	if told := dial(t, at, "SUBSCRIBE proxy 901 zone a weight 1 fresh 1").hear(); !strings.HasPrefix(told, "CONFIG replace 1 rows s-1:1") {
@@ -58,9 +58,9 @@
 func TestSilentStreamGivesWay(t *testing.T) {
 	n, at, joined := full(t)
 	if !ask(n, func() bool {
-		n.silentAt = 0
-		n.expireSilent(n.clock.Now() + silentMost/2)
-		return len(n.silent) == 1 && n.silent[0] != nil
+		n.lastSessionCheckMs = 0
+		n.expireUnresponsive(n.clock.Now() + unresponsiveRetentionMs/2)
+		return len(n.unresponsive) == 1 && n.unresponsive[0] != nil
 	}) {
 		t.Fatal("the stream that left its mark unanswered does not count as silent")
 	}
@@ -78,8 +78,8 @@
 	hosts, lists := open(t), open(t)
 	c := config(t, lists.Addr().String(), 0)
 	c.Settings.Limits.MayProbe = true
-	c.CheckTimeout = most
-	c.Known.Instances[0].HostPort = hosts.Addr().String()
+	c.HealthCheckTimeout = most
+	c.KnownEndpoints.Instances[0].HostPort = hosts.Addr().String()
 	n, err := New(c, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/alike_test.go
+++ b/internal/platform/alike_test.go
@@ -43,12 +43,12 @@
 	}
 	n := node(t)
 	var steward, lines bytes.Buffer
-	out := wired{simwire.NewWriter(&steward), n.inst}
+	out := wired{simwire.NewWriter(&steward), n.balancer}
 	batch := 0
 	round := func(ms float64, events ...string) {
 		batch++
 		fmt.Fprintf(&lines, `{"event_type":"Turn","SimTimeUs":%d,"n":%d}`+"\n%s\n"+`{"event_type":"End"}`+"\n", int64(ms*1000), batch, strings.Join(events, "\n"))
-		n.inst.Round(ms, out)
+		n.balancer.Round(ms, out)
 		if err := out.Done(int64(batch)); err != nil {
 			t.Fatal(err)
 		}
@@ -61,33 +61,33 @@
 	}
 	hosts := []entry{host("s-1", "a", "Ready", 0), host("s-2", "b", "Ready", 0)}
 	records := record("s-1", "a", 1, 0) + "," + record("s-2", "b", 1, 0)
-	n.applyList(list{Reset: true, Instances: hosts}, true)
-	n.join(&stream{proxy: 2, zone: 1, weight: 3})
+	n.applyWatchEvent(watchEvent{Reset: true, Instances: hosts}, true)
+	n.connect(&session{proxy: 2, zone: 1, weight: 3})
 	round(1000, fmt.Sprintf(`{"event_type":"Start","I":0,"Prng":%d,"Settings":%s}`, 0x1f, strings.ReplaceAll(settings, "\n", "")),
 		`{"event_type":"Endpoints","I":0,"How":4,"Number":1,"Records":[`+records+`]}`, `{"event_type":"CheckedIn","I":0,"Px":2,"Area":"b","W":3,"Flag":true}`)
-	n.applyList(list{Reset: true, Instances: append(hosts, host("s-3", "a", "Ready", 1500))}, false)
+	n.applyWatchEvent(watchEvent{Reset: true, Instances: append(hosts, host("s-3", "a", "Ready", 1500))}, false)
 	round(1600, `{"event_type":"Endpoints","I":0,"How":1,"Number":2,"Records":[`+records+","+record("s-3", "a", 1, 1500)+`]}`)
 	for i := range 40 {
 		var events []string
 		for h, mean := range []float64{100, 300} {
 			text := fmt.Sprintf("LOAD zone a server s-%d tries 20 failed %d mean_ms %g span_ms 1000 load util:0.6,qps:20", h+1, h, mean)
-			f, _ := fieldsOf(strings.Fields(text))
-			if err := n.handle(&stream{proxy: -1}, "LOAD", f); err != nil {
+			f, _ := parseFields(strings.Fields(text))
+			if err := n.handle(&session{proxy: -1}, "LOAD", f); err != nil {
 				t.Fatal(err)
 			}
 			events = append(events, fmt.Sprintf(`{"event_type":"Stats","I":0,"WindowUs":1000000,"Errors":%d,"Host":"s-%d","CostTimeUs":%d,"Area":"a","Count":20,"Report":{"util":0.6,"qps":20}}`, h, h+1, int64(mean*1000)))
 		}
-		f, _ := fieldsOf(strings.Fields("RATE proxy 2 class sign tries 9 failed 0 span_ms 1000"))
-		if err := n.handle(&stream{proxy: -1}, "RATE", f); err != nil {
+		f, _ := parseFields(strings.Fields("RATE proxy 2 class sign tries 9 failed 0 span_ms 1000"))
+		if err := n.handle(&session{proxy: -1}, "RATE", f); err != nil {
 			t.Fatal(err)
 		}
 		events = append(events, `{"event_type":"Arrivals","I":0,"Px":2,"Kind":"sign","Count":9,"Errors":0,"WindowUs":1000000}`)
 		switch i {
 		case 20:
-			n.applyList(list{Instances: []entry{host("s-2", "b", "Terminating", 0)}}, false)
+			n.applyWatchEvent(watchEvent{Instances: []entry{host("s-2", "b", "Terminating", 0)}}, false)
 			events = append(events, `{"event_type":"Endpoints","I":0,"How":3,"Number":3,"Records":[`+record("s-2", "b", 2, 0)+`]}`)
 		case 30:
-			n.leave(n.streams[2])
+			n.disconnect(n.sessions[2])
 			events = append(events, `{"event_type":"Disconnected","I":0,"Px":2}`)
 		}
 		round(2000+1000*float64(i), events...)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -28,17 +28,17 @@
 	Name, Listen, Discovery string
 	Seed                    uint64
 	Limits                  Limits
-	Known                   list
+	KnownEndpoints          watchEvent
 	Settings                *simwire.Settings
-	settings                []byte        // as they were written
-	Step                    time.Duration // the least time between rounds
-	CheckTimeout            time.Duration // for a probe
+	settingsText            []byte        // as they were written
+	RoundDelay              time.Duration // the least time between rounds
+	HealthCheckTimeout      time.Duration // for a probe
 }
 
-// defaultStep and defaultDial hold where the settings say nothing.
+// defaultRoundDelay and defaultDial hold where the settings say nothing.
 const (
-	defaultStep = 5 * time.Millisecond
-	defaultDial = 400 * time.Millisecond
+	defaultRoundDelay  = 5 * time.Millisecond
+	defaultDialTimeout = 400 * time.Millisecond
 )
 
 // LoadConfig reads and checks the configuration.
@@ -63,7 +63,7 @@
 	if err := json.Unmarshal(text, &raw); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Limits: raw.Limits, Known: knownList(raw.Known)}
+	c := &Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Limits: raw.Limits, KnownEndpoints: decodeKnownEndpoints(raw.Known)}
 	for what, address := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
 			return nil, fmt.Errorf("%s is no address: %w", what, err)
@@ -81,13 +81,13 @@
 	}
 	var settings bytes.Buffer
 	json.Compact(&settings, raw.Settings)
-	c.settings = settings.Bytes()
-	dial := defaultDial
+	c.settingsText = settings.Bytes()
+	dial := defaultDialTimeout
 	if us := c.Settings.Limits.DialTimeoutUs; us > 0 {
 		dial = time.Duration(us * 1e3)
 	}
-	if c.Step = defaultStep; c.Settings.StepUs > 0 {
-		c.Step = time.Duration(c.Settings.StepUs * 1e3)
+	if c.RoundDelay = defaultRoundDelay; c.Settings.StepUs > 0 {
+		c.RoundDelay = time.Duration(c.Settings.StepUs * 1e3)
 	}
 	// A probe is served like a transaction: one that has not been answered in half of the shortest due time shows a
 	// host that would hardly keep it. A connection must have had the time to stand.
@@ -95,16 +95,16 @@
 	for _, s := range c.Settings.Services {
 		due = math.Min(due, *s.AimUs)
 	}
-	c.CheckTimeout = max(time.Duration(due/2*1e3), dial)
+	c.HealthCheckTimeout = max(time.Duration(due/2*1e3), dial)
 	return c, nil
 }
 
-// knownList decodes the list that a steward starts from. What can't be read of it stands as an empty entry, to be dropped and
+// decodeKnownEndpoints decodes the list that a steward starts from. What can't be read of it stands as an empty entry, to be dropped and
 // told with those that make no sense: nothing in an old list may keep a steward from its start.
-func knownList(text json.RawMessage) (l list) {
+func decodeKnownEndpoints(text json.RawMessage) (l watchEvent) {
 	var raw struct{ Instances []json.RawMessage }
 	if len(text) > 0 && json.Unmarshal(text, &raw) != nil {
-		return list{Instances: []entry{{}}}
+		return watchEvent{Instances: []entry{{}}}
 	}
 	for _, text := range raw.Instances {
 		var e entry
@@ -116,13 +116,13 @@
 	return l
 }
 
-// differs names what another configuration has otherwise that takes a restart.
-func (c *Config) differs(other *Config) []string {
+// restartFields names what another configuration has otherwise that takes a restart.
+func (c *Config) restartFields(other *Config) []string {
 	var names []string
 	for _, f := range []struct {
 		name string
 		same bool
-	}{{"name", c.Name == other.Name}, {"listen", c.Listen == other.Listen}, {"settings", bytes.Equal(c.settings, other.settings)}} {
+	}{{"name", c.Name == other.Name}, {"listen", c.Listen == other.Listen}, {"settings", bytes.Equal(c.settingsText, other.settingsText)}} {
 		if !f.same {
 			names = append(names, f.name)
 		}
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -79,10 +79,10 @@
 	next.Listen, next.Discovery, next.Limits.Sockets = c.Listen, second, 1024
 	n.Reload(next)
 	<-then
-	n.admission.mu.Lock()
-	limit := n.admission.limit
-	n.admission.mu.Unlock()
-	if want := 1024 - checksLeast - ownFiles; limit != want {
+	n.connections.mu.Lock()
+	limit := n.connections.limit
+	n.connections.mu.Unlock()
+	if want := 1024 - minHealthChecks - reservedDescriptors; limit != want {
 		t.Errorf("%d connections may be open, not %d", limit, want)
 	}
 	line := ""
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -33,15 +33,15 @@
 	}
 	newer.say("PING")
 	newer.want("PONG")
-	if !ask(n, func() bool { return n.streams[0] != nil }) {
+	if !ask(n, func() bool { return n.sessions[0] != nil }) {
 		t.Error("the proxy has no stream")
 	}
 }
 
 // settle waits until a round that the module asked for has passed: it has decided on all that was queued before.
 func settle(n *Node) {
-	was := ask(n, func() float64 { return n.wakeAt })
-	for ask(n, func() float64 { return n.wakeAt }) == was {
+	was := ask(n, func() float64 { return n.nextRoundMs })
+	for ask(n, func() float64 { return n.nextRoundMs }) == was {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -50,7 +50,7 @@
 func TestJoinBeforeFirstList(t *testing.T) {
 	lists := open(t)
 	c := config(t, lists.Addr().String(), 0)
-	c.Known.Instances = nil
+	c.KnownEndpoints.Instances = nil
 	n := run(t, c)
 	p := dial(t, c.Listen, subscribe)
 	p.say("PING")
@@ -63,7 +63,7 @@
 // One malformed entry of the known list must not leave a steward that has just started with no host.
 func TestKnownListWithMalformedEntry(t *testing.T) {
 	c := config(t, "127.0.0.1:1", 0)
-	c.Known.Instances = append([]entry{{InstanceID: "s-0", HostPort: "127.0.0.1:1", Zone: "nowhere", Lifecycle: "Ready"}}, c.Known.Instances...)
+	c.KnownEndpoints.Instances = append([]entry{{InstanceID: "s-0", HostPort: "127.0.0.1:1", Zone: "nowhere", Lifecycle: "Ready"}}, c.KnownEndpoints.Instances...)
 	at := c.Listen
 	run(t, c)
 	dial(t, at, subscribe).want(firstTold)
@@ -73,12 +73,12 @@
 func TestChecksAtOnce(t *testing.T) {
 	for _, sockets := range []int{0, 256, 1024, 4096} {
 		c := config(t, "127.0.0.1:1", sockets)
-		c.Known.Instances = nil
+		c.KnownEndpoints.Instances = nil
 		n, err := New(c, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := cap(n.checks); got < 16 {
+		if got := cap(n.healthCheckSlots); got < 16 {
 			t.Errorf("with %d descriptors %d health checks may go on", sockets, got)
 		}
 	}
@@ -86,11 +86,11 @@
 
 // A proxy that answers no mark but goes on speaking costs a bounded number of marks; an answer to the newest still counts.
 func TestMarksNeverAnswered(t *testing.T) {
-	s := &stream{}
-	for number := range 10 * marksMost {
-		s.mark(number, float64(number))
+	s := &session{}
+	for number := range 10 * maxUnacknowledged {
+		s.recordStamp(number, float64(number))
 	}
-	if len(s.sent) != marksMost || s.sent[len(s.sent)-1].number != 10*marksMost-1 {
-		t.Errorf("%d marks are kept, the last %v", len(s.sent), s.sent[len(s.sent)-1])
+	if len(s.unacknowledged) != maxUnacknowledged || s.unacknowledged[len(s.unacknowledged)-1].number != 10*maxUnacknowledged-1 {
+		t.Errorf("%d marks are kept, the last %v", len(s.unacknowledged), s.unacknowledged[len(s.unacknowledged)-1])
 	}
 }
--- a/internal/platform/faults.go
+++ b/internal/platform/faults.go
@@ -7,38 +7,38 @@
 	"github.com/rs/zerolog"
 )
 
-// logEvery is the least time between two lines on one kind of fault.
-const logEvery = 5 * time.Second
+// minLogInterval is the least time between two lines on one kind of fault.
+const minLogInterval = 5 * time.Second
 
-// faultLog counts faults by kind and logs one line a kind at a limited rate. The kinds are few and our own words.
-type faultLog struct {
+// rateLimitedLog counts faults by kind and logs one line a kind at a limited rate. The kinds are few and our own words.
+type rateLimitedLog struct {
 	log zerolog.Logger
 	now func() time.Time
 
 	mu    sync.Mutex
-	kinds map[string]*fault
+	kinds map[string]*warningCount
 }
 
-type fault struct {
-	count    int
-	loggedAt time.Time
+type warningCount struct {
+	count        int
+	lastLoggedAt time.Time
 }
 
-func newFaultLog(log zerolog.Logger, now func() time.Time) *faultLog {
-	return &faultLog{log: log, now: now, kinds: map[string]*fault{}}
+func newRateLimitedLog(log zerolog.Logger, now func() time.Time) *rateLimitedLog {
+	return &rateLimitedLog{log: log, now: now, kinds: map[string]*warningCount{}}
 }
 
-func (t *faultLog) count(kind string, err error) {
+func (t *rateLimitedLog) warn(kind string, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := t.kinds[kind]
 	if k == nil {
-		k = &fault{}
+		k = &warningCount{}
 		t.kinds[kind] = k
 	}
 	k.count++
-	if now := t.now(); k.count == 1 || now.Sub(k.loggedAt) >= logEvery {
-		k.loggedAt = now
+	if now := t.now(); k.count == 1 || now.Sub(k.lastLoggedAt) >= minLogInterval {
+		k.lastLoggedAt = now
 		t.log.Warn().Int("so_far", k.count).Err(err).Msg(kind)
 	}
 }
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -16,7 +16,7 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		inst, b := testInstance(t)
 		words := strings.Split(in, " ")
-		fields, err := fieldsOf(words)
+		fields, err := parseFields(words)
 		if err != nil {
 			return
 		}
@@ -26,27 +26,27 @@
 			}
 		}
 		if r, err := b.hostReport(fields, inst); err == nil {
-			within("mean", r.mean, b.meanMs)
-			within("span", r.span, spanMost)
-			within("failed", float64(r.failed), float64(r.tries))
+			within("mean", r.meanMs, b.maxMeanMs)
+			within("span", r.intervalMs, maxIntervalMs)
+			within("failed", float64(r.failed), float64(r.attempts))
 			for _, v := range []float64{r.load.Utilization, r.load.RequestRate, r.load.QueueLength} {
 				if math.IsNaN(v) || math.IsInf(v, 0) {
 					t.Errorf("load is %v", r.load)
 				}
 			}
-			inst.ObserveHostStats(r.host, r.tries, r.failed, r.mean, r.span, r.load)
+			inst.ObserveHostStats(r.host, r.attempts, r.failed, r.meanMs, r.intervalMs, r.load)
 		}
-		if r, err := b.usage(fields, inst); err == nil {
-			within("proxy", float64(r.proxy), float64(b.proxy))
+		if r, err := b.demandReport(fields, inst); err == nil {
+			within("proxy", float64(r.proxy), float64(b.maxProxy))
 			within("class", float64(r.class), 1)
-			inst.ObserveDemand(r.proxy, r.class, r.tries, r.span)
+			inst.ObserveDemand(r.proxy, r.class, r.attempts, r.intervalMs)
 		}
-		if p, z, w, err := b.joining(fields, inst); err == nil {
-			within("proxy", float64(p), float64(b.proxy))
-			within("weight", w, weightMost)
+		if p, z, w, err := b.subscription(fields, inst); err == nil {
+			within("proxy", float64(p), float64(b.maxProxy))
+			within("weight", w, maxWeight)
 			inst.ConnectProxy(p, z, w)
 		}
-		if p, m, err := b.answer(fields); err == nil {
+		if p, m, err := b.ack(fields); err == nil {
 			inst.Ack(p, m)
 		}
 	})
@@ -59,14 +59,14 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if l, err := readList(in); err == nil {
+		if l, err := decodeWatchEvent(in); err == nil {
 			n := node(t)
-			if l.check(n.inst.ZoneIndex) == nil {
-				n.applyList(l, false)
-				n.applyList(l, true)
+			if l.validate(n.balancer.ZoneIndex) == nil {
+				n.applyWatchEvent(l, false)
+				n.applyWatchEvent(l, true)
 			}
 		}
-		knownList(in)
+		decodeKnownEndpoints(in)
 		if json.Valid(in) {
 			parseConfig(in)
 		}
--- a/internal/platform/health.go
+++ b/internal/platform/health.go
@@ -13,21 +13,21 @@
 	"barleysail/routing"
 )
 
-const resetMost = 3 // calls of a health check: a network that resets connections says nothing of the host
+const maxHealthCheckAttempts = 3 // calls of a health check: a network that resets connections says nothing of the host
 
-// check asks a host how it is, and notes the outcome. One that was moved, restarted or gone meanwhile is not judged by what its
+// checkHealth asks a host how it is, and notes the outcome. One that was moved, restarted or gone meanwhile is not judged by what its
 // former process or address had to say: that counts as a refusal, which proves nothing.
-func (n *Node) check(ctx context.Context, h int, asked process) {
+func (n *Node) checkHealth(ctx context.Context, h int, asked hostProcess) {
 	began := time.Now()
-	how, load, err := healthCheck(ctx, n.checker, asked.address, n.config.CheckTimeout)
+	how, load, err := healthCheck(ctx, n.healthClient, asked.address, n.config.HealthCheckTimeout)
 	if err != nil {
 		n.log.Debug().Int("host", h).Int("outcome", int(how)).Dur("took", time.Since(began)).Err(err).Msg("health check")
 	}
 	n.post(func() {
-		if _, gone := n.retired[h]; gone || n.hosts[h] != asked {
+		if _, gone := n.removedHosts[h]; gone || n.hosts[h] != asked {
 			how, load = routing.Rejected, routing.UnknownLoad
 		}
-		n.inst.ObserveHealthCheck(h, how, load)
+		n.balancer.ObserveHealthCheck(h, how, load)
 	})
 }
 
@@ -40,7 +40,7 @@
 	defer cancel()
 	var r *http1.Response
 	var err error
-	for range resetMost {
+	for range maxHealthCheckAttempts {
 		r, err = c.Call(ctx, "GET", address, "/_load", http1.Header("Connection", "close"))
 		if err == nil || ctx.Err() != nil || errors.Is(err, syscall.ECONNREFUSED) {
 			break
@@ -60,7 +60,7 @@
 	if json.Unmarshal(r.Body, &values) != nil {
 		return routing.Healthy, routing.UnknownLoad, nil
 	}
-	return routing.Healthy, loadOf(func(name string) (float64, bool) {
+	return routing.Healthy, hostLoad(func(name string) (float64, bool) {
 		v, err := strconv.ParseFloat(string(values[name]), 64)
 		return v, err == nil
 	}), nil
--- a/internal/platform/health_crossing_test.go
+++ b/internal/platform/health_crossing_test.go
@@ -31,19 +31,19 @@
 // process answers says nothing of the host as it is now, and the next check goes to where it is.
 func TestCheckOfMovedHost(t *testing.T) {
 	for name, moved := range map[string]func(n *Node, e entry){
-		"moved": func(n *Node, e entry) { n.applyList(list{Instances: []entry{e}}, false) },
+		"moved": func(n *Node, e entry) { n.applyWatchEvent(watchEvent{Instances: []entry{e}}, false) },
 		"gone and back": func(n *Node, e entry) {
-			n.applyList(list{Reset: true}, false)
-			n.applyList(list{Reset: true, Instances: []entry{e}}, false)
+			n.applyWatchEvent(watchEvent{Reset: true}, false)
+			n.applyWatchEvent(watchEvent{Reset: true, Instances: []entry{e}}, false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			was, is, lists := open(t), open(t), open(t)
 			c := config(t, lists.Addr().String(), 0)
 			c.Settings.Limits.MayProbe = true
-			c.CheckTimeout = most
-			c.Known.Instances[0].HostPort = was.Addr().String()
-			e := c.Known.Instances[0]
+			c.HealthCheckTimeout = most
+			c.KnownEndpoints.Instances[0].HostPort = was.Addr().String()
+			e := c.KnownEndpoints.Instances[0]
 			e.HostPort = is.Addr().String()
 			n := run(t, c)
 			old := held(t, was)
@@ -52,7 +52,7 @@
 			old.(*net.TCPConn).SetLinger(0)
 			old.Close()
 			held(t, is)
-			if strikes := ask(n, func() int { e, _ := n.inst.Explain(0); return e.ConsecutiveFailures }); strikes != 0 {
+			if strikes := ask(n, func() int { e, _ := n.balancer.Explain(0); return e.ConsecutiveFailures }); strikes != 0 {
 				t.Errorf("%d checks count as failed", strikes)
 			}
 		})
--- a/internal/platform/list_crossing_test.go
+++ b/internal/platform/list_crossing_test.go
@@ -51,8 +51,8 @@
 	return ask(n, func() string {
 		var ready []string
 		for _, id := range []string{"s-1", "s-2"} {
-			if h, ok := n.inst.LookupHost(id); ok {
-				if _, gone := n.retired[h]; !gone {
+			if h, ok := n.balancer.LookupHost(id); ok {
+				if _, gone := n.removedHosts[h]; !gone {
 					ready = append(ready, id)
 				}
 			}
@@ -74,7 +74,7 @@
 	if target := next(t, c); target != wholeCall+"?from=7&hold_ms=1500" {
 		t.Errorf("asked %s", target)
 	}
-	n.list.move(second.Addr().String())
+	n.watcher.setAddress(second.Addr().String())
 	target, c = called(t, second)
 	if target != wholeCall {
 		t.Errorf("asked %s after the move", target)
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.list.held, n.list.olderMost = 40, 0
+	n.watcher.generation, n.watcher.staleLimit = 40, 0
 	start(t, n)
 	_, call := called(t, first)
 	answer(call, members(1, true, sTwo))
--- a/internal/platform/list_test.go
+++ b/internal/platform/list_test.go
@@ -20,10 +20,10 @@
 	var now strings.Builder
 	for _, change := range [][2]string{{"", ""}, {`"s-1"`, `""`}, {"Ready", "Steady"}, {"1.0", "-1"}, {`"a"`, `"z"`}, {"127.0.0.1:1", "nowhere"},
 		{"Ready", "Gone"}, {`"startedAtMs":0`, `"startedAtMs":-5`}, {`"a"`, `7`}} {
-		var l list
+		var l watchEvent
 		err := json.Unmarshal([]byte(`{"generation":2,"reset":true,"instances":[`+strings.Replace(oneHost, change[0], change[1], 1)+`]}`), &l)
 		if err == nil {
-			err = l.check(n.inst.ZoneIndex)
+			err = l.validate(n.balancer.ZoneIndex)
 		}
 		fmt.Fprintf(&now, "%s for %s: %v\n", change[1], change[0], err)
 	}
@@ -35,15 +35,15 @@
 	n := node(t)
 	for i := range 50 {
 		id := fmt.Sprintf("s-%d", i)
-		n.applyList(list{Instances: []entry{{InstanceID: id, HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}, false)
-		n.applyList(list{Instances: []entry{{InstanceID: id, Lifecycle: "Gone"}}}, false)
-		n.forgetRetired(n.clock.Now())
-		if _, known := n.inst.LookupHost(id); !known {
+		n.applyWatchEvent(watchEvent{Instances: []entry{{InstanceID: id, HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}}}, false)
+		n.applyWatchEvent(watchEvent{Instances: []entry{{InstanceID: id, Lifecycle: "Gone"}}}, false)
+		n.releaseRemovedHosts(n.clock.Now())
+		if _, known := n.balancer.LookupHost(id); !known {
 			t.Fatalf("%s is forgotten at once", id)
 		}
-		n.forgetRetired(n.clock.Now() + retiredKept + 1)
-		if _, known := n.inst.LookupHost(id); known || n.inst.HostIndexCount() != 1 || len(n.retired)+len(n.hosts) > 0 {
-			t.Fatalf("%s is kept: %d hosts, %d gone, %d addresses", id, n.inst.HostIndexCount(), len(n.retired), len(n.hosts))
+		n.releaseRemovedHosts(n.clock.Now() + removedHostRetentionMs + 1)
+		if _, known := n.balancer.LookupHost(id); known || n.balancer.HostIndexCount() != 1 || len(n.removedHosts)+len(n.hosts) > 0 {
+			t.Fatalf("%s is kept: %d hosts, %d gone, %d addresses", id, n.balancer.HostIndexCount(), len(n.removedHosts), len(n.hosts))
 		}
 	}
 }
@@ -52,10 +52,10 @@
 func TestFaultLog(t *testing.T) {
 	var out bytes.Buffer
 	clock := time.Unix(0, 0)
-	faults := newFaultLog(zerolog.New(&out), func() time.Time { return clock })
+	faults := newRateLimitedLog(zerolog.New(&out), func() time.Time { return clock })
 	for range 1000 {
-		faults.count(dropped("LOAD"), errors.New("x"))
-		faults.count(dropped("WHATEVER"), nil)
+		faults.warn(droppedMessageText("LOAD"), errors.New("x"))
+		faults.warn(droppedMessageText("WHATEVER"), nil)
 		clock = clock.Add(10 * time.Millisecond)
 	}
 	golden.Trace(t, out.String())
--- a/internal/platform/messages_test.go
+++ b/internal/platform/messages_test.go
@@ -17,7 +17,7 @@
 	"StopSendingWithinUs":2000000,"FallMultiple":3,"FallUs":2000000},"Services":[{"Name":"read","AimUs":500000,
 	"HardLimitUs":900000,"Value":1,"Effect":"idempotent"},{"Name":"sign","AimUs":500000,"HardLimitUs":900000,"Value":1,"Effect":"at_most_once"}]}`
 
-func testInstance(t testing.TB) (*instance.Instance, bounds) {
+func testInstance(t testing.TB) (*instance.Instance, messageBounds) {
 	s, err := simwire.ReadSettings([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
@@ -28,13 +28,13 @@
 	}
 	inst.ObserveSnapshot(true)
 	inst.ObserveEndpoint(inst.HostIndex("s-1"), 0, routing.Ready, 1, 0)
-	return inst, boundsOf(s)
+	return inst, newMessageBounds(s)
 }
 
 // reportText spells a report as the golden trace has it, whatever the names of its fields in the code.
 func reportText(r report) string {
 	return fmt.Sprintf("{host:%d tries:%d failed:%d proxy:%d class:%d mean:%v span:%v load:{Util:%v Rate:%v Queue:%v}}",
-		r.host, r.tries, r.failed, r.proxy, r.class, r.mean, r.span, r.load.Utilization, r.load.RequestRate, r.load.QueueLength)
+		r.host, r.attempts, r.failed, r.proxy, r.class, r.meanMs, r.intervalMs, r.load.Utilization, r.load.RequestRate, r.load.QueueLength)
 }
 
 // Good and malformed reports, and what is read of them: a field too few, of another type or out of range drops its message
@@ -60,7 +60,7 @@
 		"ACK proxy 3 mark 905 took_ms 310.4", "ACK proxy 3 mark 70000 took_ms 310.4", "ACK proxy 3 mark 905 took_ms -1", "ACK proxy 3 took_ms 1",
 	} {
 		words := strings.Split(in, " ")
-		f, err := fieldsOf(words)
+		f, err := parseFields(words)
 		out := ""
 		if err == nil {
 			switch words[0] {
@@ -70,13 +70,13 @@
 				out = reportText(r)
 			case "RATE":
 				var r report
-				r, err = b.usage(f, inst)
+				r, err = b.demandReport(f, inst)
 				out = reportText(r)
 			case "SUBSCRIBE":
-				p, z, w, e := b.joining(f, inst)
+				p, z, w, e := b.subscription(f, inst)
 				out, err = fmt.Sprint(p, z, w), e
 			case "ACK":
-				p, m, e := b.answer(f)
+				p, m, e := b.ack(f)
 				out, err = fmt.Sprint(p, m), e
 			}
 		}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -22,72 +22,74 @@
 )
 
 const (
-	queueMost     = 1024 // what came in and waits for the owner
-	collectorMost = 3    // streams of one zone's collector: an old one may not have been seen to end
-	ownFiles      = 24   // descriptors of the runtime, the logs, the listener, the list
-	checksLeast   = 16   // health checks at once
-	checksMost    = 256
-	checksPart    = 8 // they may hold an eighth of the descriptors: hosts that hang hold theirs until the time-out
-	pendingMin    = 8
-	unbounded     = 1 << 16 // connections where no limit is set
+	maxQueuedEvents           = 1024 // what came in and waits for the owner
+	maxCollectorsPerZone      = 3    // streams of one zone's collector: an old one may not have been seen to end
+	reservedDescriptors       = 24   // descriptors of the runtime, the logs, the listener, the list
+	minHealthChecks           = 16   // health checks at once
+	maxHealthChecks           = 256
+	descriptorsPerHealthCheck = 8 // they may hold an eighth of the descriptors: hosts that hang hold theirs until the time-out
+	minUnidentified           = 8
+	unlimitedConnections      = 1 << 16 // connections where no limit is set
 
-	silentEvery = 500.0   // ms between looks for silent streams
-	silentLeast = 3000.0  // ms without an answer, besides twice the longest way lately
-	silentMost  = 20000.0 // ms until a silent connection is ended
-	slowestKept = 0.95    // of the longest way, from look to look
+	sessionCheckIntervalMs  = 500.0   // ms between looks for silent streams
+	minAckTimeoutMs         = 3000.0  // ms without an answer, besides twice the longest way lately
+	unresponsiveRetentionMs = 20000.0 // ms until a silent connection is ended
+	ackLatencyDecay         = 0.95    // of the longest way, from look to look
 )
 
 // Node is a steward in service.
 type Node struct {
-	config    *Config
-	log       zerolog.Logger
-	inst      *instance.Instance
-	orders    *orders
-	bounds    bounds
-	admission *admission
-	list      *watcher
-	checker   *http1.Client
-	checks    chan struct{} // held by those that go on
-	faults    *faultLog
-	events    chan func()
-	done      chan struct{}
-	work      sync.WaitGroup // all goroutines but the event loop
+	config           *Config
+	log              zerolog.Logger
+	balancer         *instance.Instance
+	updates          *updateEncoder
+	bounds           messageBounds
+	connections      *connectionLimiter
+	watcher          *endpointWatcher
+	healthClient     *http1.Client
+	healthCheckSlots chan struct{} // held by those that go on
+	warnings         *rateLimitedLog
+	events           chan func()
+	done             chan struct{}
+	goroutines       sync.WaitGroup // all goroutines but the event loop
 
 	clock clock.Clock
 
 	// What follows is the owner's.
-	streams    map[int]*stream
-	silent     map[int]*stream // that fell silent, by proxy
-	collectors map[int][]*stream
-	hosts      map[int]process
-	wakeAt     float64
-	tracedAt   float64
-	silentAt   float64
-	slowest    float64         // the longest way to an answer lately, ms
-	retired    map[int]float64 // hosts that are gone, and since when
+	sessions           map[int]*session
+	unresponsive       map[int]*session // that fell silent, by proxy
+	collectors         map[int][]*session
+	hosts              map[int]hostProcess
+	nextRoundMs        float64
+	lastTraceMs        float64
+	lastSessionCheckMs float64
+	maxAckLatencyMs    float64         // the longest way to an answer lately, ms
+	removedHosts       map[int]float64 // hosts that are gone, and since when
 }
 
-// writer is the decide.Writer of a node: what is not for proxies is done at once.
-type writer struct {
-	*orders
+// balancerOutput is the decide.Writer of a node: what is not for proxies is done at once.
+type balancerOutput struct {
+	*updateEncoder
 	node *Node
 	ctx  context.Context
 }
 
-func (w *writer) ScheduleRound(at float64) { w.node.wakeAt = at }
+func (w *balancerOutput) ScheduleRound(at float64) { w.node.nextRoundMs = at }
 
 // WatchEndpoints asks for nothing: the list is followed from the start.
-func (w *writer) WatchEndpoints() {}
+func (w *balancerOutput) WatchEndpoints() {}
 
-func (w *writer) Log(event routing.Event) { w.node.log.Info().Msg(event.Text(w.node.inst.HostID)) }
+func (w *balancerOutput) Log(event routing.Event) {
+	w.node.log.Info().Msg(event.Text(w.node.balancer.HostID))
+}
 
-func (w *writer) CheckHealth(host int) {
+func (w *balancerOutput) CheckHealth(host int) {
 	n, asked := w.node, w.node.hosts[host]
-	n.work.Go(func() {
+	n.goroutines.Go(func() {
 		select {
-		case n.checks <- struct{}{}:
-			defer func() { <-n.checks }()
-			n.check(w.ctx, host, asked)
+		case n.healthCheckSlots <- struct{}{}:
+			defer func() { <-n.healthCheckSlots }()
+			n.checkHealth(w.ctx, host, asked)
 		case <-w.ctx.Done():
 		}
 	})
@@ -107,20 +109,20 @@
 	debug.SetMemoryLimit(memory)
 }
 
-// checks is how many health checks may go on at once.
-func (l Limits) checks() int {
+// healthChecks is how many health checks may go on at once.
+func (l Limits) healthChecks() int {
 	if l.Sockets == 0 {
-		return checksMost
+		return maxHealthChecks
 	}
-	return min(max(l.Sockets/checksPart, checksLeast), checksMost)
+	return min(max(l.Sockets/descriptorsPerHealthCheck, minHealthChecks), maxHealthChecks)
 }
 
 // connections is how many may be open: what the health checks and the steward's own files leave.
 func (l Limits) connections(checks int) int {
 	if l.Sockets == 0 {
-		return unbounded
+		return unlimitedConnections
 	}
-	return max(l.Sockets-checks-ownFiles, 2*pendingMin)
+	return max(l.Sockets-checks-reservedDescriptors, 2*minUnidentified)
 }
 
 // New makes a node.
@@ -129,18 +131,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("starting the module: %w", err)
 	}
-	n := &Node{config: c, log: log, inst: inst, bounds: boundsOf(c.Settings), checker: &http1.Client{Idle: -1},
-		events: make(chan func(), queueMost), done: make(chan struct{}), clock: clock.New(),
-		streams: map[int]*stream{}, silent: map[int]*stream{}, collectors: map[int][]*stream{}, hosts: map[int]process{}, retired: map[int]float64{}}
-	n.faults = newFaultLog(log, time.Now)
-	n.checks = make(chan struct{}, c.Limits.checks())
-	n.admission = newAdmission(c.Limits.connections(cap(n.checks)))
+	n := &Node{config: c, log: log, balancer: inst, bounds: newMessageBounds(c.Settings), healthClient: &http1.Client{Idle: -1},
+		events: make(chan func(), maxQueuedEvents), done: make(chan struct{}), clock: clock.New(),
+		sessions: map[int]*session{}, unresponsive: map[int]*session{}, collectors: map[int][]*session{}, hosts: map[int]hostProcess{}, removedHosts: map[int]float64{}}
+	n.warnings = newRateLimitedLog(log, time.Now)
+	n.healthCheckSlots = make(chan struct{}, c.Limits.healthChecks())
+	n.connections = newConnectionLimiter(c.Limits.connections(cap(n.healthCheckSlots)))
 	var names []string
 	for _, s := range c.Settings.Services {
 		names = append(names, s.Name)
 	}
-	n.orders = newOrders(names, inst.HostID, func() iter.Seq[int] { return maps.Keys(n.streams) })
-	n.list = newWatcher(log, n.faults, inst.ZoneIndex, func(l list) { n.post(func() { n.applyList(l, false) }) })
+	n.updates = newUpdateEncoder(names, inst.HostID, func() iter.Seq[int] { return maps.Keys(n.sessions) })
+	n.watcher = newEndpointWatcher(log, n.warnings, inst.ZoneIndex, func(l watchEvent) { n.post(func() { n.applyWatchEvent(l, false) }) })
 	return n, nil
 }
 
@@ -153,29 +155,29 @@
 	defer l.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	n.log.Info().Str("name", n.config.Name).Stringer("listen", l.Addr()).Int("connections", n.admission.limit).
+	n.log.Info().Str("name", n.config.Name).Stringer("listen", l.Addr()).Int("connections", n.connections.limit).
 		Float64("cores", n.config.Limits.Cores).Float64("memory_mb", n.config.Limits.MemoryMB).Int("sockets", n.config.Limits.Sockets).
 		Float64("lines_per_s", *n.config.Settings.FamilyInfo.ChannelRate).Float64("most_waiting", *n.config.Settings.FamilyInfo.MostWaiting).
 		Float64("head", *n.config.Settings.FamilyInfo.PerMessage).Float64("grace_ms", *n.config.Settings.Rules.StopSendingWithinUs/1000).Float64("order_price", n.config.Settings.FamilyInfo.OrderPrice).Msg("in service")
-	known := n.config.Known
+	known := n.config.KnownEndpoints
 	known.Reset = true
 	// There is no older list to stand in for this one, so a malformed entry is left out alone.
 	known.Instances = slices.DeleteFunc(known.Instances, func(e entry) bool {
-		err := e.check(n.inst.ZoneIndex)
+		err := e.validate(n.balancer.ZoneIndex)
 		if err != nil {
-			n.faults.count("a malformed entry of the known list is dropped", err)
+			n.warnings.warn("a malformed entry of the known list is dropped", err)
 		}
 		return err != nil
 	})
-	n.applyList(known, true)
-	n.config.Known = list{}
-	n.work.Go(func() { n.list.run(ctx, n.config.Discovery) })
-	n.work.Go(func() { n.accept(ctx, l) })
+	n.applyWatchEvent(known, true)
+	n.config.KnownEndpoints = watchEvent{}
+	n.goroutines.Go(func() { n.watcher.run(ctx, n.config.Discovery) })
+	n.goroutines.Go(func() { n.acceptConnections(ctx, l) })
 	n.loop(ctx)
 	close(n.done)
 	l.Close()
-	n.admission.close()
-	n.work.Wait()
+	n.connections.close()
+	n.goroutines.Wait()
 	return nil
 }
 
@@ -183,10 +185,10 @@
 // is followed anew also where its address is the same. Health checks go on as many at once as before.
 func (n *Node) Reload(c *Config) {
 	c.Limits.Apply()
-	n.admission.resize(c.Limits.connections(cap(n.checks)))
-	n.list.move(c.Discovery)
+	n.connections.setLimit(c.Limits.connections(cap(n.healthCheckSlots)))
+	n.watcher.setAddress(c.Discovery)
 	n.log.Info().Str("discovery", c.Discovery).Float64("cores", c.Limits.Cores).Float64("memory_mb", c.Limits.MemoryMB).
-		Int("sockets", c.Limits.Sockets).Strs("takes_a_restart", n.config.differs(c)).Msg("the configuration is read again")
+		Int("sockets", c.Limits.Sockets).Strs("takes_a_restart", n.config.restartFields(c)).Msg("the configuration is read again")
 }
 
 // post queues an event for the loop, and waits while the queue is full.
@@ -199,7 +201,7 @@
 
 // loop is the event loop, the one goroutine that owns the module. What comes in gathers for a step, then a round decides on all of it.
 func (n *Node) loop(ctx context.Context) {
-	w := &writer{n.orders, n, ctx}
+	w := &balancerOutput{n.updates, n, ctx}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -208,7 +210,7 @@
 			return
 		case f := <-n.events:
 			f()
-			timer.Reset(n.config.Step)
+			timer.Reset(n.config.RoundDelay)
 			for gathering := true; gathering; {
 				select {
 				case f := <-n.events:
@@ -222,139 +224,139 @@
 		case <-timer.C:
 		}
 		now := n.clock.Now()
-		n.expireSilent(now)
-		n.inst.Round(now, w)
-		n.orders.flush(func(p int, message []byte, mark int) {
-			s := n.streams[p]
+		n.expireUnresponsive(now)
+		n.balancer.Round(now, w)
+		n.updates.flush(func(p int, message []byte, mark int) {
+			s := n.sessions[p]
 			if s == nil {
 				return
 			}
 			if mark != 0 {
-				s.mark(mark, now)
+				s.recordStamp(mark, now)
 			}
-			s.send(message)
+			s.enqueue(message)
 		})
-		n.trace(now)
-		timer.Reset(time.Duration(max(n.wakeAt-n.clock.Now(), 0) * 1e6))
+		n.traceHosts(now)
+		timer.Reset(time.Duration(max(n.nextRoundMs-n.clock.Now(), 0) * 1e6))
 	}
 }
 
-// join begins a proxy's stream. Its connection accepted last is its present one, in whatever order the joinings are read: each
+// connect begins a proxy's stream. Its connection accepted last is its present one, in whatever order the joinings are read: each
 // stream is read by a goroutine of its own. Earlier ones are over.
-func (n *Node) join(s *stream) {
-	for _, other := range []*stream{n.streams[s.proxy], n.silent[s.proxy]} {
-		if other != nil && other.number > s.number {
-			s.end()
+func (n *Node) connect(s *session) {
+	for _, other := range []*session{n.sessions[s.proxy], n.unresponsive[s.proxy]} {
+		if other != nil && other.acceptNumber > s.acceptNumber {
+			s.terminate()
 			return
 		}
 	}
-	for _, other := range []*stream{n.streams[s.proxy], n.silent[s.proxy]} {
+	for _, other := range []*session{n.sessions[s.proxy], n.unresponsive[s.proxy]} {
 		if other != nil && other != s {
-			other.end()
+			other.terminate()
 		}
 	}
-	delete(n.silent, s.proxy)
-	n.admission.joined(s)
-	n.streams[s.proxy] = s
-	s.sent = nil
-	n.orders.forget(s.proxy)
-	if n.inst.HostIndexCount() > 0 { // until one is known the proxy keeps what it holds: a table of ours would be empty
-		n.inst.ConnectProxy(s.proxy, s.zone, s.weight)
+	delete(n.unresponsive, s.proxy)
+	n.connections.markActive(s)
+	n.sessions[s.proxy] = s
+	s.unacknowledged = nil
+	n.updates.forgetProxy(s.proxy)
+	if n.balancer.HostIndexCount() > 0 { // until one is known the proxy keeps what it holds: a table of ours would be empty
+		n.balancer.ConnectProxy(s.proxy, s.zone, s.weight)
 	}
 }
 
-func (n *Node) leave(s *stream) {
-	if n.streams[s.proxy] == s {
-		delete(n.streams, s.proxy)
-		n.orders.forget(s.proxy)
-		n.inst.DisconnectProxy(s.proxy)
+func (n *Node) disconnect(s *session) {
+	if n.sessions[s.proxy] == s {
+		delete(n.sessions, s.proxy)
+		n.updates.forgetProxy(s.proxy)
+		n.balancer.DisconnectProxy(s.proxy)
 	}
-	if n.silent[s.proxy] == s {
-		delete(n.silent, s.proxy)
+	if n.unresponsive[s.proxy] == s {
+		delete(n.unresponsive, s.proxy)
 	}
 }
 
 // listen looks for streams that have fallen silent: a mark waits for its answer, and nothing was heard since it went out.
 // Such a proxy has left, but its connection is kept for a while: if it speaks again, it is joined again.
-func (n *Node) expireSilent(now float64) {
-	if now < n.silentAt+silentEvery {
+func (n *Node) expireUnresponsive(now float64) {
+	if now < n.lastSessionCheckMs+sessionCheckIntervalMs {
 		return
 	}
-	n.silentAt, n.slowest = now, n.slowest*slowestKept
-	n.forgetRetired(now)
-	for _, s := range n.streams {
-		if len(s.sent) > 0 && float64(s.heard.Load()) < s.sent[0].at && now > s.sent[0].at+silentLeast+2*n.slowest {
-			n.log.Debug().Int("proxy", s.proxy).Float64("since", s.sent[0].at-now).Msg("a stream is silent")
-			n.leave(s)
-			n.silent[s.proxy] = s
-			n.admission.fellSilent(s)
+	n.lastSessionCheckMs, n.maxAckLatencyMs = now, n.maxAckLatencyMs*ackLatencyDecay
+	n.releaseRemovedHosts(now)
+	for _, s := range n.sessions {
+		if len(s.unacknowledged) > 0 && float64(s.lastReadMs.Load()) < s.unacknowledged[0].sentMs && now > s.unacknowledged[0].sentMs+minAckTimeoutMs+2*n.maxAckLatencyMs {
+			n.log.Debug().Int("proxy", s.proxy).Float64("since", s.unacknowledged[0].sentMs-now).Msg("a stream is silent")
+			n.disconnect(s)
+			n.unresponsive[s.proxy] = s
+			n.connections.markUnresponsive(s)
 		}
 	}
-	for _, s := range n.silent {
-		if now > s.sent[0].at+silentMost {
-			s.end()
+	for _, s := range n.unresponsive {
+		if now > s.unacknowledged[0].sentMs+unresponsiveRetentionMs {
+			s.terminate()
 		}
 	}
 }
 
-func (n *Node) addCollector(s *stream, zone int) {
-	if all := n.collectors[zone]; len(all) >= collectorMost {
-		all[0].end()
+func (n *Node) addCollector(s *session, zone int) {
+	if all := n.collectors[zone]; len(all) >= maxCollectorsPerZone {
+		all[0].terminate()
 	}
 	n.collectors[zone] = append(n.collectors[zone], s)
 }
 
-func (n *Node) removeCollector(s *stream, zone int) {
-	n.collectors[zone] = slices.DeleteFunc(n.collectors[zone], func(c *stream) bool { return c == s })
+func (n *Node) removeCollector(s *session, zone int) {
+	n.collectors[zone] = slices.DeleteFunc(n.collectors[zone], func(c *session) bool { return c == s })
 }
 
 // handle notes a message of a stream that has joined.
-func (n *Node) handle(s *stream, kind string, f fields) error {
-	if s.proxy >= 0 && n.silent[s.proxy] == s {
-		n.join(s)
+func (n *Node) handle(s *session, kind string, f fields) error {
+	if s.proxy >= 0 && n.unresponsive[s.proxy] == s {
+		n.connect(s)
 	}
 	switch kind {
 	case "LOAD":
-		r, err := n.bounds.hostReport(f, n.inst)
+		r, err := n.bounds.hostReport(f, n.balancer)
 		if err != nil {
 			return err
 		}
-		n.inst.ObserveHostStats(r.host, r.tries, r.failed, r.mean, r.span, r.load)
+		n.balancer.ObserveHostStats(r.host, r.attempts, r.failed, r.meanMs, r.intervalMs, r.load)
 	case "RATE":
-		r, err := n.bounds.usage(f, n.inst)
+		r, err := n.bounds.demandReport(f, n.balancer)
 		if err != nil {
 			return err
 		}
 		if s.proxy >= 0 && s.proxy != r.proxy {
 			return fmt.Errorf("proxy is %d on the stream of %d", r.proxy, s.proxy)
 		}
-		n.inst.ObserveDemand(r.proxy, r.class, r.tries, r.span)
+		n.balancer.ObserveDemand(r.proxy, r.class, r.attempts, r.intervalMs)
 	case "ACK":
-		proxy, mark, err := n.bounds.answer(f)
+		proxy, mark, err := n.bounds.ack(f)
 		if err != nil {
 			return err
 		}
 		if s.proxy < 0 || proxy != s.proxy {
 			return fmt.Errorf("proxy is %d on the stream of %d", proxy, s.proxy)
 		}
-		return n.answered(s, mark)
+		return n.acknowledge(s, mark)
 	default:
 		return fmt.Errorf("not a report")
 	}
 	return nil
 }
 
-// answered notes the answer to a mark, and with it the answers to all marks sent before that are missing: streams keep
+// acknowledge notes the answer to a mark, and with it the answers to all marks sent before that are missing: streams keep
 // their order, and an answer may come malformed.
-func (n *Node) answered(s *stream, mark int) error {
-	at := slices.IndexFunc(s.sent, func(t stamp) bool { return t.number == mark })
+func (n *Node) acknowledge(s *session, mark int) error {
+	at := slices.IndexFunc(s.unacknowledged, func(t versionStamp) bool { return t.number == mark })
 	if at < 0 {
 		return fmt.Errorf("mark %d does not wait for an answer", mark)
 	}
-	if n.streams[s.proxy] == s {
-		n.inst.Ack(s.proxy, mark)
-		n.slowest = max(n.slowest, n.clock.Now()-s.sent[at].at)
+	if n.sessions[s.proxy] == s {
+		n.balancer.Ack(s.proxy, mark)
+		n.maxAckLatencyMs = max(n.maxAckLatencyMs, n.clock.Now()-s.unacknowledged[at].sentMs)
 	}
-	s.sent = slices.Delete(s.sent, 0, at+1)
+	s.unacknowledged = slices.Delete(s.unacknowledged, 0, at+1)
 	return nil
 }
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -190,7 +190,7 @@
 	address, _ := listing(t, oneHost)
 	n, at := serve(t, address, 10) // room for the least number of pending connections
 	var mute []*peer
-	for range 3 * n.admission.limit {
+	for range 3 * n.connections.limit {
 		mute = append(mute, dial(t, at, ""))
 	}
 	p := dial(t, at, "SUBSCRIBE proxy 0 zone b weight 1 fresh 1")
@@ -231,8 +231,8 @@
 			t.Errorf("asked %s", got)
 		}
 	}
-	n.list.move(first)
-	n.list.move(second)
+	n.watcher.setAddress(first)
+	n.watcher.setAddress(second)
 	for _, want := range []string{"/catalog/members", "/catalog/members?from=7&hold_ms=1500"} {
 		if got := <-then; got != want {
 			t.Errorf("asked %s", got)
@@ -240,7 +240,7 @@
 	}
 	heard := make(chan bool)
 	n.post(func() {
-		_, known := n.inst.LookupHost("s-2")
+		_, known := n.balancer.LookupHost("s-2")
 		heard <- known
 	})
 	if !<-heard {
@@ -253,23 +253,23 @@
 	n := node(t)
 	here, there := net.Pipe()
 	defer there.Close()
-	s := &stream{Conn: here, proxy: 2}
-	n.join(s)
-	s.sent = []stamp{{5, 1000}}
-	s.heard.Store(900)
+	s := &session{Conn: here, proxy: 2}
+	n.connect(s)
+	s.unacknowledged = []versionStamp{{5, 1000}}
+	s.lastReadMs.Store(900)
 	for _, step := range []struct {
 		now    float64
 		joined bool
 	}{{3900, true}, {4600, false}} {
-		n.expireSilent(step.now)
-		if (n.streams[2] == s) != step.joined {
+		n.expireUnresponsive(step.now)
+		if (n.sessions[2] == s) != step.joined {
 			t.Errorf("at %.0f joined is %v", step.now, !step.joined)
 		}
 	}
 	if err := n.handle(s, "RATE", fields{"proxy": "2", "class": "read", "tries": "1", "failed": "0", "span_ms": "1000"}); err != nil {
 		t.Error(err)
 	}
-	if n.streams[2] != s || len(n.silent) != 0 {
+	if n.sessions[2] != s || len(n.unresponsive) != 0 {
 		t.Error("it spoke again and is not joined")
 	}
 }
--- a/internal/platform/orders_test.go
+++ b/internal/platform/orders_test.go
@@ -14,7 +14,7 @@
 // a proxy forgets them with it; what an ended stream was told is forgotten.
 func TestOrders(t *testing.T) {
 	joined := []int{1, 2, 3}
-	o := newOrders([]string{"read", "sign"}, func(h int) string { return fmt.Sprintf("s-%d", h) },
+	o := newUpdateEncoder([]string{"read", "sign"}, func(h int) string { return fmt.Sprintf("s-%d", h) },
 		func() iter.Seq[int] { return slices.Values(joined) })
 	var now strings.Builder
 	flush := func(what string) {
@@ -42,7 +42,7 @@
 	o.SetWeight(0, 1, 2)
 	o.AssignTable(3, 0, 0)
 	flush("levels for all alike, a change, and the third joins")
-	o.forget(1)
+	o.forgetProxy(1)
 	o.SetWeight(0, 1, 3)
 	flush("a stream has ended")
 	o.SetWeight(9, 1, 1)
--- a/internal/platform/trace.go
+++ b/internal/platform/trace.go
@@ -9,24 +9,24 @@
 	"barleysail/routing"
 )
 
-// traceEvery is how often, in ms, a steward that logs at debug level says what it believes of each host.
-const traceEvery = 1000.0
+// traceIntervalMs is how often, in ms, a steward that logs at debug level says what it believes of each host.
+const traceIntervalMs = 1000.0
 
-// trace prints what the module believes, to be held against what really passes on the sockets.
-func (n *Node) trace(now float64) {
-	if n.log.GetLevel() > zerolog.DebugLevel || now < n.tracedAt+traceEvery {
+// traceHosts prints what the module believes, to be held against what really passes on the sockets.
+func (n *Node) traceHosts(now float64) {
+	if n.log.GetLevel() > zerolog.DebugLevel || now < n.lastTraceMs+traceIntervalMs {
 		return
 	}
-	n.tracedAt = now
-	level, _, median := n.inst.Admission()
+	n.lastTraceMs = now
+	level, _, median := n.balancer.Admission()
 	var line strings.Builder
-	for h := range n.inst.HostIndexCount() {
-		e, ok := n.inst.Explain(h)
+	for h := range n.balancer.HostIndexCount() {
+		e, ok := n.balancer.Explain(h)
 		if !ok || e.State == routing.Removed && e.PublishedWeight == 0 {
 			continue
 		}
 		fmt.Fprintf(&line, " %d:%d%s w%.2f/%.2f rate%.2f r%.0f cap%.2f warm%.2f util%.2f qps%.1f won%.1f lost%.1f hold%.1f strikes%d;", h,
 			e.State, map[bool]string{true: "out"}[e.Ejected], e.PublishedWeight, e.TargetWeight, e.ArrivalRate, e.MeanLatencyMs, e.Capacity, e.SlowStartFactor, e.Load.Utilization, e.Load.RequestRate, e.Successes, e.Failures, (e.CooldownUntilMs-now)/1000, e.ConsecutiveFailures)
 	}
-	n.log.Debug().Int("streams", len(n.streams)).Float64("level", level).Float64("median", median).Msg("believes" + line.String())
+	n.log.Debug().Int("streams", len(n.sessions)).Float64("level", level).Float64("median", median).Msg("believes" + line.String())
 }
