--- a/controller/acks.go
+++ b/controller/acks.go
@@ -6,39 +6,39 @@
 	"strings"
 )
 
-// mark is a number that the module gave the messages of a round; rounds count on where its numbers repeat.
-type mark struct {
+// versionStamp is a number that the module gave the messages of a round; rounds count on where its numbers repeat.
+type versionStamp struct {
 	round  int64
 	number int
 }
 
-// answers holds the answers to marks back until all that was ordered before has left the channel, since withdrawals go in
+// deferredAcks holds the answers to marks back until all that was ordered before has left the channel, since withdrawals go in
 // front of weights here. The module takes an answer as proof only of what was written to the same proxy.
-type answers struct{ early []answer }
+type deferredAcks struct{ pending []deferredAck }
 
-// answer is a proxy's to a mark.
-type answer struct {
-	mark
+// deferredAck is a proxy's to a mark.
+type deferredAck struct {
+	versionStamp
 	proxy int
 }
 
 // tag names a version in a steward's life.
 func (s *Controller) tag(number int64) string {
-	return s.fleet.Incarnation + "-" + strconv.FormatInt(number, 10)
+	return s.deployment.Incarnation + "-" + strconv.FormatInt(number, 10)
 }
 
 // tagOf names a version as the proxy knows it.
 func (s *Controller) tagOf(v *version) string {
-	if v.alias != "" {
-		return v.alias
+	if v.inheritedTag != "" {
+		return v.inheritedTag
 	}
 	return s.tag(v.number)
 }
 
-// inherited finds the version that has a tag from an earlier life.
-func (m *member) inherited(tag string) *version {
+// versionByInheritedTag finds the version that has a tag from an earlier life.
+func (m *session) versionByInheritedTag(tag string) *version {
 	for i := range m.versions {
-		if v := &m.versions[i]; v.alias != "" && v.alias == tag {
+		if v := &m.versions[i]; v.inheritedTag != "" && v.inheritedTag == tag {
 			return v
 		}
 	}
@@ -48,45 +48,45 @@
 // acknowledge takes the newest version that the tags name as applied by the proxy, with all before it, and
 // gives its number, or 0 where no tag names a version of the history. A version is acknowledged once; a tag of
 // another life, or of a version never given to this proxy, acknowledges nothing.
-func (s *Controller) acknowledge(m *member, tags []string) int64 {
+func (s *Controller) acknowledge(m *session, tags []string) int64 {
 	newest := int64(0)
 	for _, tag := range tags {
-		rest, ours := strings.CutPrefix(tag, s.fleet.Incarnation+"-")
+		rest, ours := strings.CutPrefix(tag, s.deployment.Incarnation+"-")
 		n, err := strconv.ParseInt(rest, 10, 64)
 		if ours && err == nil && n > newest && m.version(n) != nil {
 			newest = n
 		}
-		if v := m.inherited(tag); v != nil && v.number > newest {
+		if v := m.versionByInheritedTag(tag); v != nil && v.number > newest {
 			newest = v.number
 		}
 	}
-	if newest > m.acked {
+	if newest > m.ackedVersion {
 		for i := range m.versions {
 			if v := &m.versions[i]; v.number <= newest {
-				for _, k := range v.marks {
-					s.answered.early = append(s.answered.early, answer{k, m.index})
+				for _, k := range v.stamps {
+					s.acks.pending = append(s.acks.pending, deferredAck{k, m.index})
 				}
-				v.marks = nil
+				v.stamps = nil
 			}
 		}
-		m.acked = newest
-		s.tellAnswers()
+		m.ackedVersion = newest
+		s.releaseAcks()
 	}
 	return newest
 }
 
-// tellAnswers gives the module the answers that prove what it takes them for.
-func (s *Controller) tellAnswers() {
-	a := &s.answered
-	if len(a.early) == 0 {
+// releaseAcks gives the module the answers that prove what it takes them for.
+func (s *Controller) releaseAcks() {
+	a := &s.acks
+	if len(a.pending) == 0 {
 		return
 	}
-	slices.SortStableFunc(a.early, func(x, y answer) int { return int(x.round - y.round) })
-	waiting := s.channel.oldest()
+	slices.SortStableFunc(a.pending, func(x, y deferredAck) int { return int(x.round - y.round) })
+	waiting := s.channel.oldestRound()
 	n := 0
-	for n < len(a.early) && a.early[n].round <= waiting {
-		s.module.Ack(a.early[n].proxy, a.early[n].number)
+	for n < len(a.pending) && a.pending[n].round <= waiting {
+		s.balancer.Ack(a.pending[n].proxy, a.pending[n].number)
 		n++
 	}
-	a.early = append(a.early[:0], a.early[n:]...)
+	a.pending = append(a.pending[:0], a.pending[n:]...)
 }
--- a/controller/channel.go
+++ b/controller/channel.go
@@ -6,80 +6,80 @@
 	"barleysail/routing"
 )
 
-// channel is the way of a steward's orders to its proxies, as the module counts it: messages leave one after
+// controlChannel is the way of a steward's orders to its proxies, as the module counts it: messages leave one after
 // the other at the pace of the settings, each costing its lines and its head. Of the messages that wait,
 // those with a removal go first; a proxy's own messages keep their order, since what waits for it is one
 // message that later orders join.
-type channel struct {
-	pace, head    float64 // lines a ms
-	price         float64 // of the pace, used all the time, as a part of the result
-	most          int     // messages to a proxy within over; 0: no limit
-	over          float64
-	urgent, plain []*message
-	sending       *message
-	until         float64 // when it has left
-	lines         float64 // that wait, heads included
-	peak          float64 // the most that ever did
-	mostWaiting   float64 // that may
+type controlChannel struct {
+	entriesPerMs, messageOverhead float64 // lines a ms
+	cost                          float64 // of the pace, used all the time, as a part of the result
+	maxMessages                   int     // messages to a proxy within over; 0: no limit
+	messageWindowMs               float64
+	removals, updates             []*updateMessage
+	inFlight                      *updateMessage
+	busyUntilMs                   float64 // when it has left
+	queuedEntries                 float64 // that wait, heads included
+	peakBacklog                   float64 // the most that ever did
+	maxBacklog                    float64 // that may
 }
 
-// message is what waits for a proxy.
-type message struct {
-	to      *member
-	lines   float64
-	marks   []mark
-	oldest  int64 // the first round that ordered a part of it
-	removal bool
-	dropped bool
+// updateMessage is what waits for a proxy.
+type updateMessage struct {
+	session     *session
+	entries     float64
+	stamps      []versionStamp
+	oldestRound int64 // the first round that ordered a part of it
+	hasRemoval  bool
+	dropped     bool
 }
 
-func newChannel(c routing.ControlChannel) channel {
-	return channel{pace: c.EntriesPerSecond / 1000, head: c.MessageOverhead, price: c.Cost, mostWaiting: c.MaxBacklog, most: c.MaxMessages, over: c.MessageWindowMs,
-		until: math.Inf(-1)}
+func newControlChannel(c routing.ControlChannel) controlChannel {
+	return controlChannel{entriesPerMs: c.EntriesPerSecond / 1000, messageOverhead: c.MessageOverhead, cost: c.Cost, maxBacklog: c.MaxBacklog, maxMessages: c.MaxMessages, messageWindowMs: c.MessageWindowMs,
+		busyUntilMs: math.Inf(-1)}
 }
 
-// order adds lines to the message that waits for a proxy, or makes one.
-func (c *channel) order(m *member, lines float64, removal bool, k mark) {
-	g := m.message
+// enqueue adds lines to the message that waits for a proxy, or makes one.
+func (c *controlChannel) enqueue(m *session, lines float64, removal bool, k versionStamp) {
+	g := m.queuedMessage
 	if g == nil {
-		g = &message{to: m, oldest: k.round}
-		m.message = g
-		c.plain = append(c.plain, g)
-		c.lines += c.head
+		g = &updateMessage{session: m, oldestRound: k.round}
+		m.queuedMessage = g
+		c.updates = append(c.updates, g)
+		c.queuedEntries += c.messageOverhead
 	}
-	g.lines += lines
-	c.lines += lines
+	g.entries += lines
+	c.queuedEntries += lines
 	if k.number > 0 {
-		g.marks = append(g.marks, k)
+		g.stamps = append(g.stamps, k)
 	}
-	c.peak = max(c.peak, c.waiting())
-	if removal && !g.removal {
-		g.removal = true
-		c.urgent = append(c.urgent, g)
+	c.peakBacklog = max(c.peakBacklog, c.backlog())
+	if removal && !g.hasRemoval {
+		g.hasRemoval = true
+		c.removals = append(c.removals, g)
 	}
 }
 
 // drop takes a proxy's message out of the channel; what is on its way is lost.
-func (c *channel) drop(m *member) {
-	if g := m.message; g != nil {
-		g.dropped, m.message = true, nil
-		c.lines -= g.lines + c.head
+func (c *controlChannel) drop(m *session) {
+	if g := m.queuedMessage; g != nil {
+		g.dropped, m.queuedMessage = true, nil
+		c.queuedEntries -= g.entries + c.messageOverhead
 	}
-	if c.sending != nil && c.sending.to == m {
-		c.sending.dropped = true
+	if c.inFlight != nil && c.inFlight.session == m {
+		c.inFlight.dropped = true
 	}
 }
 
-// pick takes the next message that may leave: removals first, each in the order it came, none that would
+// dequeue takes the next message that may leave: removals first, each in the order it came, none that would
 // pass the cap on messages to its proxy.
-func (c *channel) pick(now float64) *message {
-	for _, queue := range []*[]*message{&c.urgent, &c.plain} {
-		kept, held := (*queue)[:0], (*message)(nil)
+func (c *controlChannel) dequeue(now float64) *updateMessage {
+	for _, queue := range []*[]*updateMessage{&c.removals, &c.updates} {
+		kept, held := (*queue)[:0], (*updateMessage)(nil)
 		for i, g := range *queue {
-			if g.dropped || g.to.message != g || queue == &c.plain && g.removal {
+			if g.dropped || g.session.queuedMessage != g || queue == &c.updates && g.hasRemoval {
 				continue // left already, or stands in the other queue
 			}
-			if held == nil && c.may(g.to, now) {
+			if held == nil && c.canSend(g.session, now) {
 				if held = g; len(kept) == 0 {
 					kept = (*queue)[i+1:]
 				} else {
@@ -97,98 +97,98 @@
 	return nil
 }
 
-// may tells whether a message more stays within the cap on messages to a proxy.
-func (c *channel) may(m *member, now float64) bool {
-	for len(m.sent) > 0 && m.sent[0] <= now-c.over {
-		m.sent = m.sent[1:]
+// canSend tells whether a message more stays within the cap on messages to a proxy.
+func (c *controlChannel) canSend(m *session, now float64) bool {
+	for len(m.sentMs) > 0 && m.sentMs[0] <= now-c.messageWindowMs {
+		m.sentMs = m.sentMs[1:]
 	}
-	return c.most == 0 || len(m.sent) < c.most
+	return c.maxMessages == 0 || len(m.sentMs) < c.maxMessages
 }
 
-// next is when a message has left, or when one may.
-func (c *channel) next() float64 {
-	if c.sending != nil {
-		return c.until
+// nextMs is when a message has left, or when one may.
+func (c *controlChannel) nextMs() float64 {
+	if c.inFlight != nil {
+		return c.busyUntilMs
 	}
 	at := math.Inf(1)
-	for _, queue := range [][]*message{c.urgent, c.plain} {
+	for _, queue := range [][]*updateMessage{c.removals, c.updates} {
 		for _, g := range queue {
-			if !g.dropped && g.to.message == g {
-				if len(g.to.sent) < c.most || c.most == 0 {
+			if !g.dropped && g.session.queuedMessage == g {
+				if len(g.session.sentMs) < c.maxMessages || c.maxMessages == 0 {
 					return math.Inf(-1)
 				}
-				at = math.Min(at, g.to.sent[0]+c.over)
+				at = math.Min(at, g.session.sentMs[0]+c.messageWindowMs)
 			}
 		}
 	}
 	return at
 }
 
-// waiting counts the lines that wait, heads and the message that is leaving included.
-func (c *channel) waiting() float64 {
-	if c.sending != nil {
-		return c.lines + c.sending.lines + c.head
+// backlog counts the lines that wait, heads and the message that is leaving included.
+func (c *controlChannel) backlog() float64 {
+	if c.inFlight != nil {
+		return c.queuedEntries + c.inFlight.entries + c.messageOverhead
 	}
-	return c.lines
+	return c.queuedEntries
 }
 
-func (c *channel) messages() int {
+func (c *controlChannel) queuedMessages() int {
 	n := 0
-	for _, g := range c.plain {
-		if !g.dropped && g.to.message == g && !g.removal {
+	for _, g := range c.updates {
+		if !g.dropped && g.session.queuedMessage == g && !g.hasRemoval {
 			n++
 		}
 	}
-	for _, g := range c.urgent {
-		if !g.dropped && g.to.message == g {
+	for _, g := range c.removals {
+		if !g.dropped && g.session.queuedMessage == g {
 			n++
 		}
 	}
 	return n
 }
 
-// oldest is the first round of which a part has not left.
-func (c *channel) oldest() int64 {
+// oldestRound is the first round of which a part has not left.
+func (c *controlChannel) oldestRound() int64 {
 	first := int64(math.MaxInt64)
-	if c.sending != nil && !c.sending.dropped {
-		first = c.sending.oldest
+	if c.inFlight != nil && !c.inFlight.dropped {
+		first = c.inFlight.oldestRound
 	}
-	for _, queue := range [][]*message{c.urgent, c.plain} {
+	for _, queue := range [][]*updateMessage{c.removals, c.updates} {
 		for _, g := range queue {
-			if !g.dropped && g.to.message == g {
-				first = min(first, g.oldest)
+			if !g.dropped && g.session.queuedMessage == g {
+				first = min(first, g.oldestRound)
 			}
 		}
 	}
 	return first
 }
 
-// depart lets leave what may have left by now. A message carries what its proxy's tables hold when it
+// sendUpdates lets leave what may have left by now. A message carries what its proxy's tables hold when it
 // leaves, so that one that waited names nothing outdated.
-func (s *Controller) depart() {
+func (s *Controller) sendUpdates() {
 	c := &s.channel
 	for {
-		if c.sending == nil {
-			g := c.pick(s.now)
+		if c.inFlight == nil {
+			g := c.dequeue(s.nowMs)
 			if g == nil {
 				return
 			}
-			g.to.message = nil
-			c.lines -= g.lines + c.head
-			c.sending = g
-			c.until = math.Max(c.until, s.now) + (g.lines+c.head)/c.pace
+			g.session.queuedMessage = nil
+			c.queuedEntries -= g.entries + c.messageOverhead
+			c.inFlight = g
+			c.busyUntilMs = math.Max(c.busyUntilMs, s.nowMs) + (g.entries+c.messageOverhead)/c.entriesPerMs
 		}
-		if c.until > s.now {
+		if c.busyUntilMs > s.nowMs {
 			return
 		}
-		g := c.sending
-		c.sending = nil
+		g := c.inFlight
+		c.inFlight = nil
 		if !g.dropped {
-			if c.most > 0 {
-				g.to.sent = append(g.to.sent, s.now)
+			if c.maxMessages > 0 {
+				g.session.sentMs = append(g.session.sentMs, s.nowMs)
 			}
-			s.publish(g.to, g.marks)
+			s.publish(g.session, g.stamps)
 		}
-		s.tellAnswers()
+		s.releaseAcks()
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -64,146 +64,146 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-func refuse(field, format string, args ...any) error {
+func invalidField(field, format string, args ...any) error {
 	return &FieldError{field, fmt.Sprintf(format, args...)}
 }
 
 // Controller serves the proxies that poll it. Make one with New.
 type Controller struct {
-	fleet   Deployment
-	classes []RequestClass
-	polls   Settings
-	module  *routing.Balancer
-	zone    map[string]int
-	class   map[string]int
+	deployment Deployment
+	classes    []RequestClass
+	settings   Settings
+	balancer   *routing.Balancer
+	zoneIndex  map[string]int
+	classIndex map[string]int
 
-	now     float64
-	round   rounds
-	hosts   interner.Interner
-	list    list
-	members members
-	tables  tables
-	channel channel
+	nowMs     float64
+	scheduler roundScheduler
+	hostIndex interner.Interner
+	endpoints endpointList
+	sessions  sessionStore
+	tables    tableStore
+	channel   controlChannel
 
-	intake   reports
-	came     []float64 // of each class lately, for a proxy, a second
-	memory   memory
-	drained  map[string]float64 // since when hosts drain
-	solved   solved
-	guarding guarding
-	multiple float64
-	book     *operator.OverrideStore
-	stepAt   float64 // when operators' orders are looked at next
-	grace    float64
-	cold     float64
-	moves    [][]WeightChange // by host
-	events   events
-	answered answers
-	out      Effects // of the present call
+	ingest           ingestState
+	classRates       []float64 // of each class lately, for a proxy, a second
+	restored         restoredState
+	drainingSinceMs  map[string]float64 // since when hosts drain
+	solver           solverWeights
+	validation       tableValidation
+	collapseMultiple float64
+	overrides        *operator.OverrideStore
+	nextOverrideMs   float64 // when operators' orders are looked at next
+	drainGraceMs     float64
+	slowStartMs      float64
+	weightChanges    [][]WeightChange // by host
+	events           eventLog
+	acks             deferredAcks
+	effects          Effects // of the present call
 
-	mode   string // the last line of the module
-	modeAt float64
-	rounds int64
+	modeText    string // the last line of the module
+	modeSinceMs float64
+	roundCount  int64
 }
 
 // New makes a steward that knows no list and no proxy yet.
 func New(fleet Deployment, classes []RequestClass, channel routing.ControlChannel, guard routing.SafetyLimits, goal routing.Objective,
 	polls Settings) *Controller {
-	s := &Controller{fleet: fleet, classes: classes, polls: polls, zone: map[string]int{}, class: map[string]int{}}
+	s := &Controller{deployment: fleet, classes: classes, settings: polls, zoneIndex: map[string]int{}, classIndex: map[string]int{}}
 	known := make([]routing.RequestClass, len(classes))
-	s.came, s.drained = make([]float64, len(classes)), map[string]float64{}
+	s.classRates, s.drainingSinceMs = make([]float64, len(classes)), map[string]float64{}
 	for i, c := range classes {
-		known[i], s.class[c.Name] = c.RequestClass, i
+		known[i], s.classIndex[c.Name] = c.RequestClass, i
 	}
 	for i, z := range fleet.Zones {
-		s.zone[z] = i
+		s.zoneIndex[z] = i
 	}
-	s.module = routing.New(routing.Deployment{Controllers: fleet.Controllers, Zones: len(fleet.Zones), Proxies: fleet.Proxies,
+	s.balancer = routing.New(routing.Deployment{Controllers: fleet.Controllers, Zones: len(fleet.Zones), Proxies: fleet.Proxies,
 		Seed: fleet.Seed, ReportIntervalMs: fleet.ReportIntervalMs, ProxyEjectAfter: fleet.ProxyEjectAfter, DefaultRetryPolicy: fleet.DefaultRetryPolicy,
 		AdmissionControl: fleet.AdmissionControl, HealthChecks: fleet.HealthChecks, WatchesEndpoints: fleet.WatchesEndpoints}, known, channel, guard, goal)
-	s.book, s.stepAt, s.grace, s.cold, s.multiple = operator.New(), math.Inf(1), guard.DrainGraceMs, guard.SlowStartMs, guard.CollapseMultiple
-	s.hosts, s.list, s.members = interner.New(), newList(), newMembers()
+	s.overrides, s.nextOverrideMs, s.drainGraceMs, s.slowStartMs, s.collapseMultiple = operator.New(), math.Inf(1), guard.DrainGraceMs, guard.SlowStartMs, guard.CollapseMultiple
+	s.hostIndex, s.endpoints, s.sessions = interner.New(), newList(), newMembers()
 	s.tables = newTables(len(classes), fleet.DefaultRetryPolicy)
-	s.channel = newChannel(channel)
+	s.channel = newControlChannel(channel)
 	s.SetIngestLimits(intake.DefaultLimits())
-	s.round = rounds{at: math.Inf(-1), last: math.Inf(-1), wake: math.Inf(1)}
+	s.scheduler = roundScheduler{requestedMs: math.Inf(-1), lastMs: math.Inf(-1), plannedMs: math.Inf(1)}
 	return s
 }
 
 // Advance does all that is due: it ends the polls that have waited long enough, lets proxies leave that were
 // not heard, sends what the channel may send, and decides a round.
 func (s *Controller) Advance(now float64, out Effects) {
-	s.now, s.out = now, out
-	s.expire()
-	s.depart()
-	s.recheck()
-	if s.round.due(now) {
-		s.decide()
-		s.depart()
+	s.nowMs, s.effects = now, out
+	s.expirePolls()
+	s.sendUpdates()
+	s.recheckHeldEndpoints()
+	if s.scheduler.due(now) {
+		s.runRound()
+		s.sendUpdates()
 	}
-	s.forget()
-	s.step()
-	s.renew()
+	s.forgetRemovedHosts()
+	s.applyDueOverrides()
+	s.renewSolverWeights()
 }
 
 // Next is when Advance has something to do; it may lie in the past, as at first.
 func (s *Controller) Next() float64 {
-	return min(s.round.next(), s.channel.next(), s.members.next(), s.list.next(), s.solved.next(), s.stepAt, s.guarding.next())
+	return min(s.scheduler.nextMs(), s.channel.nextMs(), s.sessions.nextMs(), s.endpoints.nextMs(), s.solver.nextMs(), s.nextOverrideMs, s.validation.nextMs())
 }
 
-// decide runs a round of the module.
-func (s *Controller) decide() {
-	s.keepPace()
-	s.round.start(s.now)
-	s.rounds++
+// runRound runs a round of the module.
+func (s *Controller) runRound() {
+	s.observeLateness()
+	s.scheduler.start(s.nowMs)
+	s.roundCount++
 	s.tables.round++
-	s.takeIn()
-	s.module.Round(s.now, writer{s})
-	s.look()
-	s.order()
+	s.processReports()
+	s.balancer.Round(s.nowMs, updateWriter{s})
+	s.validateRound()
+	s.enqueueUpdates()
 }
 
 // SetEndpoints notes the whole list as it now stands. The hosts of the first list that tell no start count as
 // started long ago; later a new host without one starts when it is listed. The error names the entry's field.
 func (s *Controller) SetEndpoints(now float64, entries []Endpoint) error {
-	s.now = now
-	if err := s.checkList(entries); err != nil {
+	s.nowMs = now
+	if err := s.checkEndpoints(entries); err != nil {
 		return err
 	}
-	if s.list.at, s.list.failed = now, false; s.holdsList(entries) {
+	if s.endpoints.receivedMs, s.endpoints.watchFailed = now, false; s.holdsEndpoints(entries) {
 		return nil
 	}
-	s.believe(entries)
+	s.acceptEndpoints(entries)
 	return nil
 }
 
-// believe takes a list for what is so.
-func (s *Controller) believe(entries []Endpoint) {
-	if before := len(s.list.raw); before != len(entries) || !s.list.known {
-		s.event("list", fmt.Sprintf("the list has %d hosts, before %d", len(entries), before))
+// acceptEndpoints takes a list for what is so.
+func (s *Controller) acceptEndpoints(entries []Endpoint) {
+	if before := len(s.endpoints.received); before != len(entries) || !s.endpoints.known {
+		s.recordEvent("list", fmt.Sprintf("the list has %d hosts, before %d", len(entries), before))
 	}
-	s.list.raw = append([]Endpoint(nil), entries...)
-	s.take(s.over(s.list.raw))
-	s.round.soon(s.now, s.polls.MinRoundIntervalMs)
+	s.endpoints.received = append([]Endpoint(nil), entries...)
+	s.observeEndpoints(s.withOverrides(s.endpoints.received))
+	s.scheduler.request(s.nowMs, s.settings.MinRoundIntervalMs)
 }
 
 // ObserveWatchFailure notes that the list could not be had, or that it no longer sends its changes.
 func (s *Controller) ObserveWatchFailure(now float64) {
-	s.now = now
-	s.list.failed = true
-	s.event("list", "the list could not be had")
-	s.module.ObserveWatchFailure()
-	s.round.soon(now, s.polls.MinRoundIntervalMs)
+	s.nowMs = now
+	s.endpoints.watchFailed = true
+	s.recordEvent("list", "the list could not be had")
+	s.balancer.ObserveWatchFailure()
+	s.scheduler.request(now, s.settings.MinRoundIntervalMs)
 }
 
 // ObserveHealthCheck notes how a probe ended; load is decide.NoLoad where the host told none.
 func (s *Controller) ObserveHealthCheck(now float64, host string, how routing.HealthCheckResult, load routing.HostLoad) {
-	s.now = now
-	if h, ok := s.hosts.IndexOf[host]; ok {
-		c := s.capacity(host)
-		s.intake.trust.ObserveLoad(now, host, load, c)
-		s.module.ObserveHealthCheck(h, how, s.intake.trust.Load(now, host, load, c))
-		s.round.soon(now, s.polls.MinRoundIntervalMs)
+	s.nowMs = now
+	if h, ok := s.hostIndex.IndexOf[host]; ok {
+		c := s.hostCapacity(host)
+		s.ingest.trust.ObserveLoad(now, host, load, c)
+		s.balancer.ObserveHealthCheck(h, how, s.ingest.trust.Load(now, host, load, c))
+		s.scheduler.request(now, s.settings.MinRoundIntervalMs)
 	}
 }
 
@@ -231,30 +231,30 @@
 
 // Status tells how things stand.
 func (s *Controller) Status(now float64) Status {
-	st := Status{Life: s.fleet.Incarnation, Zones: s.fleet.Zones, ListAgeMs: -1, ListFailed: s.list.failed,
-		Hosts: len(s.list.entries), Joined: len(s.members.byName), Polls: s.members.held,
-		LinesWaiting: s.channel.waiting(), LinesMost: s.channel.peak, Rounds: s.rounds, Mode: "ordinary", IndicesInUse: len(s.hosts.IndexOf),
-		MessagesQueued: s.channel.messages(), Intake: s.intakeReport(now), GuardRefused: s.guarding.report.Refused, Memory: s.memoryReport()}
+	st := Status{Life: s.deployment.Incarnation, Zones: s.deployment.Zones, ListAgeMs: -1, ListFailed: s.endpoints.watchFailed,
+		Hosts: len(s.endpoints.effective), Joined: len(s.sessions.byProxy), Polls: s.sessions.pendingPolls,
+		LinesWaiting: s.channel.backlog(), LinesMost: s.channel.peakBacklog, Rounds: s.roundCount, Mode: "ordinary", IndicesInUse: len(s.hostIndex.IndexOf),
+		MessagesQueued: s.channel.queuedMessages(), Intake: s.ingestReport(now), GuardRefused: s.validation.report.Refused, Memory: s.restoreReport()}
 	for _, c := range s.classes {
 		st.Classes = append(st.Classes, c.Name)
 	}
-	if s.list.known {
-		st.ListAgeMs = now - s.list.at
+	if s.endpoints.known {
+		st.ListAgeMs = now - s.endpoints.receivedMs
 	}
-	if s.mode != "" {
-		st.Mode, st.ModeForMs = s.mode, now-s.modeAt
+	if s.modeText != "" {
+		st.Mode, st.ModeForMs = s.modeText, now-s.modeSinceMs
 	}
 	return st
 }
 
 // logEvent passes an event of the balancer on as a line, with the names of hosts.
 func (s *Controller) logEvent(event routing.Event) {
-	s.log(event.Text(func(host int) string { return s.hosts.Names[host] }))
+	s.logMode(event.Text(func(host int) string { return s.hostIndex.Names[host] }))
 }
 
-// log notes a change of mode and passes its line on.
-func (s *Controller) log(line string) {
-	s.mode, s.modeAt = line, s.now
-	s.event("mode", line)
-	s.out.Log(line)
+// logMode notes a change of mode and passes its line on.
+func (s *Controller) logMode(line string) {
+	s.modeText, s.modeSinceMs = line, s.nowMs
+	s.recordEvent("mode", line)
+	s.effects.Log(line)
 }
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -18,105 +18,105 @@
 
 // A proxy joins, holds a poll, and gets what changed as a delta onto what it holds.
 func TestLongPoll(t *testing.T) {
-	d := open(t, settings())
-	d.list(d.hosts(2))
-	d.say("a proxy joins")
+	d := newHarness(t, defaultTestSettings())
+	d.setEndpoints(d.readyEndpoints(2))
+	d.printf("a proxy joins")
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000, AcceptDelta: true})
-	d.run(100)
-	d.say("without the preference to wait: nothing new, at once")
+	d.advance(100)
+	d.printf("without the preference to wait: nothing new, at once")
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: -1})
-	d.say("it waits; a host drains")
+	d.printf("it waits; a host drains")
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
-	d.run(500)
-	list := d.hosts(2)
+	d.advance(500)
+	list := d.readyEndpoints(2)
 	list[1].State = routing.Draining
-	d.list(list)
-	d.run(500)
-	d.say("the same without deltas, onto a tag of the history: the whole")
+	d.setEndpoints(list)
+	d.advance(500)
+	d.printf("the same without deltas, onto a tag of the history: the whole")
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
-	d.say("onto a tag of another life, and onto one that was never given: the whole")
+	d.printf("onto a tag of another life, and onto one that was never given: the whole")
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"K-1"}, WaitMs: 30000, AcceptDelta: true})
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-9"}, WaitMs: 30000, AcceptDelta: true})
-	d.say("whatever there is will do: held for 2 s")
+	d.printf("whatever there is will do: held for 2 s")
 	d.poll(PollRequest{Proxy: "p", AnyTag: true, WaitMs: 2000})
-	d.run(2500)
-	d.check()
+	d.advance(2500)
+	d.checkTrace()
 }
 
 // Of two polls for a proxy the later one stays, and the earlier is answered at once. A version is acknowledged
 // once, whatever tags come after.
 func TestTwoPolls(t *testing.T) {
-	d := open(t, settings())
-	d.list(d.hosts(2))
+	d := newHarness(t, defaultTestSettings())
+	d.setEndpoints(d.readyEndpoints(2))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
-	d.run(100)
+	d.advance(100)
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
-	d.run(50)
-	d.say("a second poll")
+	d.advance(50)
+	d.printf("a second poll")
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
-	d.say("acked %d, marks left %d", d.members.byName["p"].acked, len(d.members.byName["p"].versions[0].marks))
-	d.say("the caller of the first is gone: nothing happens; of the second: the proxy has to poll again")
-	d.CancelPoll(d.at, "p", 2)
-	d.say("held %d", d.Status(d.at).Polls)
-	d.CancelPoll(d.at, "p", 3)
-	d.say("held %d joined %d", d.Status(d.at).Polls, d.Status(d.at).Joined)
-	d.run(5100)
-	d.say("joined %d", d.Status(d.at).Joined)
-	d.check()
+	d.printf("acked %d, marks left %d", d.sessions.byProxy["p"].ackedVersion, len(d.sessions.byProxy["p"].versions[0].stamps))
+	d.printf("the caller of the first is gone: nothing happens; of the second: the proxy has to poll again")
+	d.CancelPoll(d.nowMs, "p", 2)
+	d.printf("held %d", d.Status(d.nowMs).Polls)
+	d.CancelPoll(d.nowMs, "p", 3)
+	d.printf("held %d joined %d", d.Status(d.nowMs).Polls, d.Status(d.nowMs).Joined)
+	d.advance(5100)
+	d.printf("joined %d", d.Status(d.nowMs).Joined)
+	d.checkTrace()
 }
 
 // A proxy that comes back after it left gets a fresh stay: its old tag names nothing.
 func TestComesBack(t *testing.T) {
-	d := open(t, settings())
-	d.list(d.hosts(2))
+	d := newHarness(t, defaultTestSettings())
+	d.setEndpoints(d.readyEndpoints(2))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
-	d.run(100)
-	d.say("leaves: %v, again: %v", d.Disconnect(d.at, "p", d), d.Disconnect(d.at, "p", d))
-	d.run(100)
+	d.advance(100)
+	d.printf("leaves: %v, again: %v", d.Disconnect(d.nowMs, "p", d), d.Disconnect(d.nowMs, "p", d))
+	d.advance(100)
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
-	d.run(100)
-	d.say("in another zone it is another stay")
+	d.advance(100)
+	d.printf("in another zone it is another stay")
 	d.poll(PollRequest{Proxy: "p", Zone: "b", Tags: []string{"L-2"}, WaitMs: 30000, AcceptDelta: true})
-	d.run(100)
-	d.check()
+	d.advance(100)
+	d.checkTrace()
 }
 
 // A steward without a list orders no hosts, not even none: a proxy keeps what it brought. With the first list
 // it does.
 func TestNoList(t *testing.T) {
-	set := settings()
+	set := defaultTestSettings()
 	set.WatchesEndpoints = true
-	d := open(t, set)
-	d.run(100)
+	d := newHarness(t, set)
+	d.advance(100)
 	d.poll(PollRequest{Proxy: "p", WaitMs: -1})
-	d.run(1000)
-	d.say("the list cannot be had")
-	d.ObserveWatchFailure(d.at)
-	d.run(1000)
-	d.list(d.hosts(1))
+	d.advance(1000)
+	d.printf("the list cannot be had")
+	d.ObserveWatchFailure(d.nowMs)
+	d.advance(1000)
+	d.setEndpoints(d.readyEndpoints(1))
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 5000, AcceptDelta: true})
-	d.run(1000)
-	d.check()
+	d.advance(1000)
+	d.checkTrace()
 }
 
 // A delta never fits another base, and any of the history onto any later version gives that version.
 func TestDeltasGiveTheWhole(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		d := open(t, settings())
-		list := d.hosts(6)
-		d.list(list)
+		d := newHarness(t, defaultTestSettings())
+		list := d.readyEndpoints(6)
+		d.setEndpoints(list)
 		docs := map[string][]byte{}
 		tags := []string{}
 		for range rapid.IntRange(2, 12).Draw(r, "rounds") {
 			id := d.poll(PollRequest{Proxy: "p", WaitMs: -1, Tags: tags})
-			d.run(400)
+			d.advance(400)
 			whole := d.poll(PollRequest{Proxy: "p", WaitMs: -1})
-			a := d.answers[whole]
+			a := d.responses[whole]
 			docs[a.Tag] = a.Body()
 			tags = append(tags, a.Tag)
 			base := rapid.SampledFrom(tags).Draw(r, "base")
 			id = d.poll(PollRequest{Proxy: "p", WaitMs: -1, Tags: []string{base}, AcceptDelta: true})
-			got := d.answers[id]
+			got := d.responses[id]
 			body := got.Body()
 			switch got.Kind {
 			case NotModified:
@@ -138,16 +138,16 @@
 				list[i].State = rapid.SampledFrom([]routing.HostState{routing.Ready, routing.Draining}).Draw(r, "phase")
 				list[i].Weight = rapid.Float64Range(0.5, 2).Draw(r, "weight")
 			}
-			d.list(list[:rapid.IntRange(1, 6).Draw(r, "listed")])
-			d.run(3000)
+			d.setEndpoints(list[:rapid.IntRange(1, 6).Draw(r, "listed")])
+			d.advance(3000)
 		}
 	})
 }
 
 // Refused inputs leave everything as it was.
 func TestRefused(t *testing.T) {
-	d := open(t, settings())
-	d.list(d.hosts(2))
+	d := newHarness(t, defaultTestSettings())
+	d.setEndpoints(d.readyEndpoints(2))
 	for _, list := range [][]Endpoint{
 		{{Host: "nonsense", Zone: "a", State: routing.Ready}}, {{Host: "10.0.0.1:0", Zone: "a", State: routing.Ready}},
 		{{Host: "10.0.0.999:80", Zone: "a", State: routing.Ready}},
@@ -157,14 +157,14 @@
 		{{Host: "h:1", Zone: "a", State: routing.Ready, Weight: math.NaN()}}, {{Host: "h:1", Zone: "a", State: routing.Ready, Weight: -1}},
 		{{Host: "h:1", Zone: "a", State: routing.Ready, StartedMs: math.Inf(1)}},
 	} {
-		d.say("list refused: %v", d.SetEndpoints(d.at, list))
+		d.printf("list refused: %v", d.SetEndpoints(d.nowMs, list))
 	}
-	d.say("%d hosts", d.Status(d.at).Hosts)
+	d.printf("%d hosts", d.Status(d.nowMs).Hosts)
 	for _, q := range []PollRequest{{Proxy: "", Zone: "a"}, {Proxy: "a/b", Zone: "a"}, {Proxy: "p", Zone: "c"}, {Proxy: "p", RequestRate: -1}, {Proxy: "p", RequestRate: math.NaN()}} {
 		d.poll(q)
 	}
-	_, err := d.ObserveProxyStats(d.at, "p", ProxyStats{Sequence: 1})
-	d.say("sums of a proxy that has not joined: %v, %v", err, errors.Is(err, ErrNotConnected))
+	_, err := d.ObserveProxyStats(d.nowMs, "p", ProxyStats{Sequence: 1})
+	d.printf("sums of a proxy that has not joined: %v, %v", err, errors.Is(err, ErrNotConnected))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	load, good := routing.UnknownLoad, HostStats{Attempts: 3, Failed: 1, MeanLatencyMs: 20, WindowMs: 1000, Load: routing.UnknownLoad}
 	load.Utilization = math.NaN()
@@ -178,96 +178,96 @@
 		{Sequence: 1, Demand: map[string]ClassDemand{"nothing": {Arrivals: 1, WindowMs: 1}}},
 		{Sequence: 1, Demand: map[string]ClassDemand{"sheet": {Arrivals: 1, Unanswered: 2, WindowMs: 1}}},
 	} {
-		counted, err := d.ObserveProxyStats(d.at, "p", u)
-		d.say("sums counted %v: %v", counted, err)
+		counted, err := d.ObserveProxyStats(d.nowMs, "p", u)
+		d.printf("sums counted %v: %v", counted, err)
 	}
-	d.check()
+	d.checkTrace()
 }
 
 // Sums are counted once for each number; a sender that starts over begins anew.
 func TestSumsOnce(t *testing.T) {
-	d := open(t, settings())
-	d.list(d.hosts(1))
+	d := newHarness(t, defaultTestSettings())
+	d.setEndpoints(d.readyEndpoints(1))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
-	d.run(100)
+	d.advance(100)
 	for _, u := range []ProxyStats{{Sender: "x", Sequence: 1}, {Sender: "x", Sequence: 1}, {Sender: "x", Sequence: 3}, {Sender: "x", Sequence: 2}, {Sender: "y", Sequence: 1}} {
 		u.Hosts = map[string]HostStats{"10.0.0.0:80": {Attempts: 10, MeanLatencyMs: 20, WindowMs: 1000, Load: routing.UnknownLoad}}
-		counted, err := d.ObserveProxyStats(d.at, "p", u)
-		d.say("sums %s %d: counted %v, %v", u.Sender, u.Sequence, counted, err)
+		counted, err := d.ObserveProxyStats(d.nowMs, "p", u)
+		d.printf("sums %s %d: counted %v, %v", u.Sender, u.Sequence, counted, err)
 	}
-	d.check()
+	d.checkTrace()
 }
 
 // Removals leave the channel before weights, a proxy's message takes in what is ordered while it waits, and the
 // answer to a later mark is held back until what was ordered before has left.
 func TestChannel(t *testing.T) {
-	d := open(t, settings())
-	c := newChannel(routing.ControlChannel{EntriesPerSecond: 1000, MessageOverhead: 5, MaxMessages: 2, MessageWindowMs: 1000})
-	one, two, three := &member{name: "one"}, &member{name: "two"}, &member{name: "three"}
-	c.order(one, 10, false, mark{1, 1})
-	c.order(two, 10, false, mark{1, 1})
-	c.order(three, 10, false, mark{1, 1})
-	d.say("waiting %.0f lines in %d messages", c.waiting(), c.messages())
-	c.order(three, 3, true, mark{2, 2})
-	d.say("a removal for three: waiting %.0f in %d, oldest round %d", c.waiting(), c.messages(), c.oldest())
+	d := newHarness(t, defaultTestSettings())
+	c := newControlChannel(routing.ControlChannel{EntriesPerSecond: 1000, MessageOverhead: 5, MaxMessages: 2, MessageWindowMs: 1000})
+	one, two, three := &session{proxy: "one"}, &session{proxy: "two"}, &session{proxy: "three"}
+	c.enqueue(one, 10, false, versionStamp{1, 1})
+	c.enqueue(two, 10, false, versionStamp{1, 1})
+	c.enqueue(three, 10, false, versionStamp{1, 1})
+	d.printf("waiting %.0f lines in %d messages", c.backlog(), c.queuedMessages())
+	c.enqueue(three, 3, true, versionStamp{2, 2})
+	d.printf("a removal for three: waiting %.0f in %d, oldest round %d", c.backlog(), c.queuedMessages(), c.oldestRound())
 	for range 4 {
-		g := c.pick(0)
+		g := c.dequeue(0)
 		if g == nil {
-			d.say("nothing")
+			d.printf("nothing")
 			continue
 		}
-		d.say("%s leaves with %.0f lines and marks %v", g.to.name, g.lines, g.marks)
-		g.to.message = nil
-		c.lines -= g.lines + c.head
-		g.to.sent = append(g.to.sent, 0)
+		d.printf("%s leaves with %.0f lines and marks %v", g.session.proxy, g.entries, g.stamps)
+		g.session.queuedMessage = nil
+		c.queuedEntries -= g.entries + c.messageOverhead
+		g.session.sentMs = append(g.session.sentMs, 0)
 	}
-	d.say("waiting %.0f in %d, oldest none: %v", c.waiting(), c.messages(), c.oldest() == math.MaxInt64)
-	c.order(one, 1, false, mark{3, 3})
-	one.sent = append(one.sent, 0)
-	c.order(two, 1, false, mark{3, 3})
-	d.say("one has had two messages, as many as it may: %s goes", c.pick(1).to.name)
+	d.printf("waiting %.0f in %d, oldest none: %v", c.backlog(), c.queuedMessages(), c.oldestRound() == math.MaxInt64)
+	c.enqueue(one, 1, false, versionStamp{3, 3})
+	one.sentMs = append(one.sentMs, 0)
+	c.enqueue(two, 1, false, versionStamp{3, 3})
+	d.printf("one has had two messages, as many as it may: %s goes", c.dequeue(1).session.proxy)
 	c.drop(two)
-	d.say("two leaves: waiting %.0f in %d, next at %.0f", c.waiting(), c.messages(), c.next())
-	d.say("after a second: %s", c.pick(1000).to.name)
-	d.check()
+	d.printf("two leaves: waiting %.0f in %d, next at %.0f", c.backlog(), c.queuedMessages(), c.nextMs())
+	d.printf("after a second: %s", c.dequeue(1000).session.proxy)
+	d.checkTrace()
 }
 
 // The answer to a mark counts only when all that was ordered before it has left.
 func TestAnswersInOrder(t *testing.T) {
-	d := open(t, settings())
-	d.list(d.hosts(2))
+	d := newHarness(t, defaultTestSettings())
+	d.setEndpoints(d.readyEndpoints(2))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	d.poll(PollRequest{Proxy: "q", WaitMs: 30000})
-	d.run(100)
-	m := d.members.byName["q"]
-	d.channel.order(m, 5, false, mark{d.tables.round, 77})
-	d.answered.early = append(d.answered.early, answer{mark{d.tables.round + 1, 78}, m.index})
-	d.tellAnswers()
-	d.say("while a message of an earlier round waits: %d held back", len(d.answered.early))
-	d.run(100)
-	d.say("after it left: %d held back", len(d.answered.early))
-	d.check()
+	d.advance(100)
+	m := d.sessions.byProxy["q"]
+	d.channel.enqueue(m, 5, false, versionStamp{d.tables.round, 77})
+	d.acks.pending = append(d.acks.pending, deferredAck{versionStamp{d.tables.round + 1, 78}, m.index})
+	d.releaseAcks()
+	d.printf("while a message of an earlier round waits: %d held back", len(d.acks.pending))
+	d.advance(100)
+	d.printf("after it left: %d held back", len(d.acks.pending))
+	d.checkTrace()
 }
 
 // A host that is gone is forgotten when no table names it, and its index is given to another; a host that
 // comes back without a start has started now.
 func TestForget(t *testing.T) {
-	d := open(t, settings())
-	d.list(d.hosts(3))
+	d := newHarness(t, defaultTestSettings())
+	d.setEndpoints(d.readyEndpoints(3))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	d.run(200)
+	d.advance(200)
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 60000, AcceptDelta: true})
-	d.list(d.hosts(2))
-	d.run(1000)
+	d.setEndpoints(d.readyEndpoints(2))
+	d.advance(1000)
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-2"}, WaitMs: 60000, AcceptDelta: true})
-	d.say("indices %d", d.Status(d.at).IndicesInUse)
-	d.run(60000)
-	d.say("indices %d", d.Status(d.at).IndicesInUse)
-	list := append(d.hosts(2), Endpoint{Host: "new.addis:80", Zone: "b", State: routing.Ready, Weight: 1})
-	d.list(list)
-	d.say("the new host has index %d", d.Controller.hosts.IndexOf["new.addis:80"])
-	d.run(100)
-	d.check()
+	d.printf("indices %d", d.Status(d.nowMs).IndicesInUse)
+	d.advance(60000)
+	d.printf("indices %d", d.Status(d.nowMs).IndicesInUse)
+	list := append(d.readyEndpoints(2), Endpoint{Host: "new.addis:80", Zone: "b", State: routing.Ready, Weight: 1})
+	d.setEndpoints(list)
+	d.printf("the new host has index %d", d.Controller.hostIndex.IndexOf["new.addis:80"])
+	d.advance(100)
+	d.checkTrace()
 }
 
 // A steward runs for months: what it keeps stays bounded while hosts are replaced and proxies come and go.
@@ -280,13 +280,13 @@
 
 // churn replaces hosts and lets proxies join and leave, n times each.
 func churn(t testing.TB, n int) (before, after uint64, st Status) {
-	set := settings()
+	set := defaultTestSettings()
 	set.RemovedHostRetentionMs = 1000
-	d := &desk{at: 1000, answers: map[int64]Response{}}
+	d := &harness{nowMs: 1000, responses: map[int64]Response{}}
 	d.Controller = New(set.Deployment, set.classes, set.channel, set.guard, routing.Objective{TotalWeight: 1}, set.Settings)
 	d.t = &testing.T{}
-	list := d.hosts(20)
-	d.list(list)
+	list := d.readyEndpoints(20)
+	d.setEndpoints(list)
 	heap := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -298,20 +298,20 @@
 			before = heap()
 		}
 		list[i%len(list)].Host = fmt.Sprintf("10.%d.%d.%d:80", i>>16+1, i>>8&255, i&255)
-		d.list(list)
+		d.setEndpoints(list)
 		p := fmt.Sprintf("p%d", i)
 		d.poll(PollRequest{Proxy: p, WaitMs: 30000})
-		d.run(50)
-		d.poll(PollRequest{Proxy: p, WaitMs: 30000, Tags: []string{fmt.Sprintf("L-%d", d.members.number)}})
-		d.run(50)
+		d.advance(50)
+		d.poll(PollRequest{Proxy: p, WaitMs: 30000, Tags: []string{fmt.Sprintf("L-%d", d.sessions.lastVersion)}})
+		d.advance(50)
 		if i%2 == 0 {
-			d.Disconnect(d.at, p, d)
+			d.Disconnect(d.nowMs, p, d)
 		}
-		clear(d.answers)
+		clear(d.responses)
 		d.trace.Reset()
 	}
 	after = heap()
-	return before, after, d.Status(d.at)
+	return before, after, d.Status(d.nowMs)
 }
 
 func BenchmarkChurn(b *testing.B) {
@@ -323,23 +323,23 @@
 	}
 }
 
-// largest is a steward at the size of the largest deployment, all proxies joined and bound.
-func largest(before func(*Controller)) (*desk, []Endpoint) {
-	set := settings()
+// newLargestHarness is a steward at the size of the largest deployment, all proxies joined and bound.
+func newLargestHarness(before func(*Controller)) (*harness, []Endpoint) {
+	set := defaultTestSettings()
 	set.Deployment.Proxies, set.channel.EntriesPerSecond, set.channel.MaxBacklog = 607, 1e6, 1e6
 	set.channel.MaxMessages = 0
-	d := &desk{at: 1000, answers: map[int64]Response{}, t: &testing.T{}}
+	d := &harness{nowMs: 1000, responses: map[int64]Response{}, t: &testing.T{}}
 	d.Controller = New(set.Deployment, set.classes, set.channel, set.guard, routing.Objective{TotalWeight: 1}, set.Settings)
 	before(d.Controller)
 	var list []Endpoint
 	for i := range 506 {
 		list = append(list, Endpoint{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: set.Zones[i%2], State: routing.Ready, Weight: 1, Cores: 4})
 	}
-	d.list(list)
+	d.setEndpoints(list)
 	for i := range 607 {
 		d.poll(PollRequest{Proxy: fmt.Sprint("p", i), WaitMs: 60000})
 	}
-	d.run(2000)
+	d.advance(2000)
 	return d, list
 }
 
@@ -349,7 +349,7 @@
 	for _, changing := range []int{0, 5, 1} { // a host drains and another is back: never, each second, in each round
 		for i, name := range []string{"off", "tells", "refuses"} {
 			b.Run(fmt.Sprintf("changing=%d/guard=%s", changing, name), func(b *testing.B) {
-				d, list := largest(func(s *Controller) {
+				d, list := newLargestHarness(func(s *Controller) {
 					if i > 0 {
 						s.EnableValidation(guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.5, SurviveZoneLoss: true}, RepairSettings{Enabled: i > 1}, guard.EndpointLossLimits{})
 					}
@@ -364,18 +364,18 @@
 						for k := range 20 {
 							hosts[list[(i*20+n*7+k)%len(list)].Host] = HostStats{Attempts: 4, MeanLatencyMs: 100 + float64(k), WindowMs: 1000, Load: routing.HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}}
 						}
-						if _, err := d.ObserveProxyStats(d.at, p, ProxyStats{Sequence: int64(n + 1), Hosts: hosts, Demand: map[string]ClassDemand{"sheet": {Arrivals: 3, WindowMs: 1000}}}); err != nil {
+						if _, err := d.ObserveProxyStats(d.nowMs, p, ProxyStats{Sequence: int64(n + 1), Hosts: hosts, Demand: map[string]ClassDemand{"sheet": {Arrivals: 3, WindowMs: 1000}}}); err != nil {
 							b.Fatal(err)
 						}
 					}
 					if changing > 0 && n%changing == 0 {
 						list[n%506].State, list[(n+505)%506].State = routing.Draining, routing.Ready
-						d.list(list)
+						d.setEndpoints(list)
 					}
 					b.StartTimer()
-					d.run(200)
+					d.advance(200)
 					d.trace.Reset()
-					clear(d.answers)
+					clear(d.responses)
 				}
 			})
 		}
@@ -384,7 +384,7 @@
 
 // BenchmarkSums measures the intake of one proxy's sums of 20 hosts.
 func BenchmarkSums(b *testing.B) {
-	d, list := largest(func(*Controller) {})
+	d, list := newLargestHarness(func(*Controller) {})
 	hosts := map[string]HostStats{}
 	for k := range 20 {
 		hosts[list[k].Host] = HostStats{Attempts: 4, MeanLatencyMs: 100, WindowMs: 1000, Load: routing.HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}}
@@ -392,7 +392,7 @@
 	b.ResetTimer()
 	b.ReportAllocs()
 	for n := range b.N {
-		if _, err := d.ObserveProxyStats(d.at, "p1", ProxyStats{Sequence: int64(n + 1), Hosts: hosts}); err != nil {
+		if _, err := d.ObserveProxyStats(d.nowMs, "p1", ProxyStats{Sequence: int64(n + 1), Hosts: hosts}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/controller/guarding.go
+++ b/controller/guarding.go
@@ -10,24 +10,24 @@
 	"barleysail/routing"
 )
 
-// guarding has the guard look at the tables, and at lists that lose many hosts at once.
-type guarding struct {
-	on      bool
-	limits  guard.Limits
-	refuse  RepairSettings
-	list    *guard.EndpointLossGuard
-	held    []Endpoint    // a list that is held back
-	hosts   []guard.Host  // by index
-	changed bool          // since it looked
-	rows    []guard.Route // with what is asked of each, and the shared tables among them
-	shared  []int
-	askedAt float64 // when that was summed up
-	hands   bool    // some have tables of their own
-	at      float64 // when it looked last
-	since   float64 // since when it refuses
-	unsound float64 // since when what it serves is not sound
-	said    bool    // that this is so for long
-	report  ValidationReport
+// tableValidation has the guard look at the tables, and at lists that lose many hosts at once.
+type tableValidation struct {
+	enabled          bool
+	limits           guard.Limits
+	repair           RepairSettings
+	endpointLoss     *guard.EndpointLossGuard
+	heldEndpoints    []Endpoint    // a list that is held back
+	hosts            []guard.Host  // by index
+	hostsChanged     bool          // since it looked
+	routes           []guard.Route // with what is asked of each, and the shared tables among them
+	sharedTables     []int
+	demandSummedMs   float64 // when that was summed up
+	hasSubsetTables  bool    // some have tables of their own
+	lastRunMs        float64 // when it looked last
+	repairingSinceMs float64 // since when it refuses
+	invalidSinceMs   float64 // since when what it serves is not sound
+	invalidReported  bool    // that this is so for long
+	report           ValidationReport
 }
 
 // RepairSettings says what the guard does about what it finds, besides telling.
@@ -54,24 +54,24 @@
 // EnableValidation switches the guard on. Findings in tables are told in events and by GuardReport; a list that loses too much
 // is held back for a time.
 func (s *Controller) EnableValidation(l guard.Limits, refuse RepairSettings, list guard.EndpointLossLimits) {
-	list.HoldMs = math.Min(list.HoldMs, s.grace/2) // a removal is never held past its grace
-	s.guarding = guarding{on: true, limits: l, refuse: refuse, list: guard.NewEndpointLossGuard(list), hosts: s.guarding.hosts,
+	list.HoldMs = math.Min(list.HoldMs, s.drainGraceMs/2) // a removal is never held past its grace
+	s.validation = tableValidation{enabled: true, limits: l, repair: refuse, endpointLoss: guard.NewEndpointLossGuard(list), hosts: s.validation.hosts,
 		report: ValidationReport{On: true, Refuses: refuse.Enabled, Found: map[string]int{}}}
 }
 
 // ValidationReport tells what the guard found.
 func (s *Controller) ValidationReport() ValidationReport {
-	r := s.guarding.report
-	r.Found, r.ListHeld = maps.Clone(r.Found), s.guarding.held != nil
-	r.Standing, r.Left = tellable(r.Standing), tellable(r.Left)
+	r := s.validation.report
+	r.Found, r.ListHeld = maps.Clone(r.Found), s.validation.heldEndpoints != nil
+	r.Standing, r.Left = jsonFindings(r.Standing), jsonFindings(r.Left)
 	if r.Refusing {
-		r.ForMs = s.now - s.guarding.since
+		r.ForMs = s.nowMs - s.validation.repairingSinceMs
 	}
 	return r
 }
 
-// tellable are findings without what JSON cannot hold.
-func tellable(found []guard.Finding) []guard.Finding {
+// jsonFindings are findings without what JSON cannot hold.
+func jsonFindings(found []guard.Finding) []guard.Finding {
 	all := append([]guard.Finding{}, found...)
 	for i, f := range all {
 		if math.IsNaN(f.Value) || math.IsInf(f.Value, 0) {
@@ -81,10 +81,10 @@
 	return all
 }
 
-// holdsList tells whether a list is held back for now.
-func (s *Controller) holdsList(entries []Endpoint) bool {
-	g := &s.guarding
-	if !g.on || !s.list.known {
+// holdsEndpoints tells whether a list is held back for now.
+func (s *Controller) holdsEndpoints(entries []Endpoint) bool {
+	g := &s.validation
+	if !g.enabled || !s.endpoints.known {
 		return false
 	}
 	stays := map[string]bool{}
@@ -92,7 +92,7 @@
 		stays[e.Host] = e.State == routing.Ready
 	}
 	ready, lost, confirmed := 0, 0, 0
-	for _, e := range s.list.raw {
+	for _, e := range s.endpoints.received {
 		if e.State != routing.Ready {
 			continue
 		}
@@ -100,43 +100,43 @@
 			continue
 		}
 		lost++
-		if set, ok := s.book.Override(e.Host); ok && set.State != operator.Listed {
+		if set, ok := s.overrides.Override(e.Host); ok && set.State != operator.Listed {
 			confirmed++
-		} else if x, ok := s.module.Explain(s.hosts.IndexOf[e.Host]); ok && x.ConsecutiveFailures > 0 {
+		} else if x, ok := s.balancer.Explain(s.hostIndex.IndexOf[e.Host]); ok && x.ConsecutiveFailures > 0 {
 			confirmed++
 		}
 	}
-	was := g.held != nil
-	if !g.list.Observe(s.now, ready, lost, confirmed) {
+	was := g.heldEndpoints != nil
+	if !g.endpointLoss.Observe(s.nowMs, ready, lost, confirmed) {
 		if was {
-			s.event("guard", fmt.Sprintf("the list is believed: %d of %d ready hosts are lost, %d of them confirmed", lost, ready, confirmed))
+			s.recordEvent("guard", fmt.Sprintf("the list is believed: %d of %d ready hosts are lost, %d of them confirmed", lost, ready, confirmed))
 		}
-		g.held = nil
+		g.heldEndpoints = nil
 		return false
 	}
 	if !was {
 		g.report.ListHolds++
-		s.event("guard", fmt.Sprintf("the list is held back: %d of %d ready hosts are lost at once, %d of them confirmed", lost, ready, confirmed))
+		s.recordEvent("guard", fmt.Sprintf("the list is held back: %d of %d ready hosts are lost at once, %d of them confirmed", lost, ready, confirmed))
 	}
-	g.held = append([]Endpoint{}, entries...)
+	g.heldEndpoints = append([]Endpoint{}, entries...)
 	return true
 }
 
-// recheck looks again at a list that is held back: its hold may be over, or those lost confirmed.
-func (s *Controller) recheck() {
-	g := &s.guarding
-	if g.held == nil {
+// recheckHeldEndpoints looks again at a list that is held back: its hold may be over, or those lost confirmed.
+func (s *Controller) recheckHeldEndpoints() {
+	g := &s.validation
+	if g.heldEndpoints == nil {
 		return
 	}
-	if entries := g.held; !s.holdsList(entries) {
-		s.believe(entries)
+	if entries := g.heldEndpoints; !s.holdsEndpoints(entries) {
+		s.acceptEndpoints(entries)
 	}
 }
 
-func (g *guarding) next() float64 {
-	if g.held == nil {
+func (g *tableValidation) nextMs() float64 {
+	if g.heldEndpoints == nil {
 		return math.Inf(1)
 	}
-	at, _ := g.list.HeldUntil()
+	at, _ := g.endpointLoss.HeldUntil()
 	return at
 }
--- a/controller/operate.go
+++ b/controller/operate.go
@@ -15,8 +15,8 @@
 // ApplyOverrides takes operators' orders; several are carried out stepwise, each once the one before is through. An order
 // that would break a rule is refused with an *operator.Refusal, and nothing of it is done.
 func (s *Controller) ApplyOverrides(now float64, orders []operator.Command, out Effects) (waits bool, err error) {
-	s.now, s.out = now, out
-	if !s.list.known {
+	s.nowMs, s.effects = now, out
+	if !s.endpoints.known {
 		return false, &operator.RejectedError{Host: "the list", Reason: "it is not known yet"}
 	}
 	for _, o := range orders {
@@ -24,14 +24,14 @@
 			continue
 		}
 		e := Endpoint{Host: o.Host, Zone: o.Add.Zone, State: routing.Ready, Weight: o.Add.Weight, Cores: o.Add.Cores, Speed: o.Add.Speed}
-		if err := s.checkList([]Endpoint{e}); err != nil {
+		if err := s.checkEndpoints([]Endpoint{e}); err != nil {
 			return false, err
 		}
 	}
 	if len(orders) > 1 {
-		waits, err = true, s.book.ApplyAll(s.operatorsView(), orders)
+		waits, err = true, s.overrides.ApplyAll(s.overrideView(), orders)
 	} else if len(orders) == 1 {
-		waits, err = s.book.Apply(s.operatorsView(), orders[0])
+		waits, err = s.overrides.Apply(s.overrideView(), orders[0])
 	}
 	for _, o := range orders {
 		word := "set"
@@ -40,18 +40,18 @@
 		} else if waits {
 			word = "waits"
 		}
-		s.event("operator", describeOrder(o)+": "+word)
+		s.recordEvent("operator", describeCommand(o)+": "+word)
 	}
 	if err != nil {
 		return false, err
 	}
-	s.lay()
-	s.stepAt = now
+	s.reapplyOverrides()
+	s.nextOverrideMs = now
 	return waits, nil
 }
 
-// describeOrder words an order.
-func describeOrder(o operator.Command) string {
+// describeCommand words an order.
+func describeCommand(o operator.Command) string {
 	text := o.Host + " " + o.State.String()
 	switch {
 	case o.Add != nil:
@@ -74,15 +74,15 @@
 	return text
 }
 
-// lay feeds the module the list with what operators set laid over it.
-func (s *Controller) lay() {
-	s.take(s.over(s.list.raw))
-	s.round.soon(s.now, s.polls.MinRoundIntervalMs)
+// reapplyOverrides feeds the module the list with what operators set laid over it.
+func (s *Controller) reapplyOverrides() {
+	s.observeEndpoints(s.withOverrides(s.endpoints.received))
+	s.scheduler.request(s.nowMs, s.settings.MinRoundIntervalMs)
 }
 
-// over lays what operators set over a list.
-func (s *Controller) over(raw []Endpoint) []Endpoint {
-	sets := s.book.Overrides()
+// withOverrides lays what operators set over a list.
+func (s *Controller) withOverrides(raw []Endpoint) []Endpoint {
+	sets := s.overrides.Overrides()
 	if len(sets) == 0 {
 		return raw
 	}
@@ -118,16 +118,16 @@
 	return all
 }
 
-// operatorsView is what decisions on operators' orders go by.
-func (s *Controller) operatorsView() operator.View {
-	v := operator.View{Now: s.now, NoUpdatePending: s.channel.waiting() == 0 && s.channel.messages() == 0, DrainGraceMs: s.grace,
+// overrideView is what decisions on operators' orders go by.
+func (s *Controller) overrideView() operator.View {
+	v := operator.View{Now: s.nowMs, NoUpdatePending: s.channel.backlog() == 0 && s.channel.queuedMessages() == 0, DrainGraceMs: s.drainGraceMs,
 		Known: func(host string) bool { _, ok := s.HostInfo(host); return ok }}
 	raw := map[string]float64{}
-	for _, e := range s.list.raw {
+	for _, e := range s.endpoints.received {
 		raw[e.Host] = e.Weight
 	}
-	for _, host := range slices.Sorted(maps.Keys(s.list.entries)) {
-		e := s.list.entries[host]
+	for _, host := range slices.Sorted(maps.Keys(s.endpoints.effective)) {
+		e := s.endpoints.effective[host]
 		h := operator.Host{Name: host, Zone: e.Zone, Ready: e.State == routing.Ready, SlowStartFactor: 1, Weight: e.Weight}
 		if w, ok := raw[host]; ok {
 			h.Weight = w
@@ -135,10 +135,10 @@
 		if h.Weight == 0 {
 			h.Weight = 1
 		}
-		if x, ok := s.module.Explain(s.hosts.IndexOf[host]); ok {
+		if x, ok := s.balancer.Explain(s.hostIndex.IndexOf[host]); ok {
 			h.SlowStartFactor = x.SlowStartFactor
 			if x.StartedMs >= 0 {
-				h.WarmAtMs = x.StartedMs + s.cold
+				h.WarmAtMs = x.StartedMs + s.slowStartMs
 			}
 			h.Ready = h.Ready && !x.Ejected
 		}
@@ -150,27 +150,27 @@
 		}
 	}
 	zones := map[string]bool{}
-	for _, m := range s.members.byIndex {
+	for _, m := range s.sessions.byIndex {
 		if m != nil {
-			zones[s.fleet.Zones[m.zone]] = true
+			zones[s.deployment.Zones[m.zone]] = true
 		}
 	}
 	v.Zones = slices.Sorted(maps.Keys(zones))
 	return v
 }
 
-// step carries out operators' orders that are due.
-func (s *Controller) step() {
-	if s.now < s.stepAt {
+// applyDueOverrides carries out operators' orders that are due.
+func (s *Controller) applyDueOverrides() {
+	if s.nowMs < s.nextOverrideMs {
 		return
 	}
-	if done := s.book.ApplyDue(s.operatorsView()); len(done) > 0 {
+	if done := s.overrides.ApplyDue(s.overrideView()); len(done) > 0 {
 		for _, o := range done {
-			s.event("operator", describeOrder(o)+": set")
+			s.recordEvent("operator", describeCommand(o)+": set")
 		}
-		s.lay()
+		s.reapplyOverrides()
 	}
-	s.stepAt = s.book.NextDeadline(s.now, s.grace)
+	s.nextOverrideMs = s.overrides.NextDeadline(s.nowMs, s.drainGraceMs)
 }
 
 // HostInfo is how a host stands.
@@ -210,33 +210,33 @@
 	Cap  float64 `json:"cap"`
 }
 
-// movesKept of each host.
-const movesKept = 4
+// maxWeightChanges of each host.
+const maxWeightChanges = 4
 
-// moved notes a line of a table that all proxies share.
-func (s *Controller) moved(h int, from, to float64) {
-	for len(s.moves) <= h {
-		s.moves = append(s.moves, nil)
-	}
-	x, _ := s.module.Explain(h)
-	m := append(s.moves[h], WeightChange{s.now, from, to, x.ArrivalRate, x.MeanLatencyMs, x.Capacity})
-	s.moves[h] = m[max(len(m)-movesKept, 0):]
+// recordWeightChange notes a line of a table that all proxies share.
+func (s *Controller) recordWeightChange(h int, from, to float64) {
+	for len(s.weightChanges) <= h {
+		s.weightChanges = append(s.weightChanges, nil)
+	}
+	x, _ := s.balancer.Explain(h)
+	m := append(s.weightChanges[h], WeightChange{s.nowMs, from, to, x.ArrivalRate, x.MeanLatencyMs, x.Capacity})
+	s.weightChanges[h] = m[max(len(m)-maxWeightChanges, 0):]
 }
 
 // HostInfos tells how the hosts stand, by name: those listed, and those that an operator took off the list.
 func (s *Controller) HostInfos() []HostInfo {
 	names := map[string]bool{}
-	for host := range s.list.entries {
+	for host := range s.endpoints.effective {
 		names[host] = true
 	}
-	for _, e := range s.list.raw {
+	for _, e := range s.endpoints.received {
 		names[e.Host] = true
 	}
-	for host := range s.book.Overrides() {
+	for host := range s.overrides.Overrides() {
 		names[host] = true
 	}
 	raw := map[string]Endpoint{}
-	for _, e := range s.list.raw {
+	for _, e := range s.endpoints.received {
 		raw[e.Host] = e
 	}
 	var all []HostInfo
@@ -250,29 +250,29 @@
 
 // ProxyZone is the zone of a proxy that has joined, empty where it has not.
 func (s *Controller) ProxyZone(proxy string) string {
-	if m := s.members.byName[proxy]; m != nil {
-		return s.fleet.Zones[m.zone]
+	if m := s.sessions.byProxy[proxy]; m != nil {
+		return s.deployment.Zones[m.zone]
 	}
 	return ""
 }
 
 // HasEndpoint tells whether a host is on the list, with what operators set laid over it.
-func (s *Controller) HasEndpoint(host string) bool { _, ok := s.list.entries[host]; return ok }
+func (s *Controller) HasEndpoint(host string) bool { _, ok := s.endpoints.effective[host]; return ok }
 
 // HostInfo tells how one host stands; false where there is no such host.
 func (s *Controller) HostInfo(host string) (HostInfo, bool) {
 	return s.hostInfo(host, func() (Endpoint, bool) {
-		i := slices.IndexFunc(s.list.raw, func(e Endpoint) bool { return e.Host == host })
+		i := slices.IndexFunc(s.endpoints.received, func(e Endpoint) bool { return e.Host == host })
 		if i < 0 {
 			return Endpoint{}, false
 		}
-		return s.list.raw[i], true
+		return s.endpoints.received[i], true
 	})
 }
 
 func (s *Controller) hostInfo(host string, raw func() (Endpoint, bool)) (HostInfo, bool) {
-	set, isSet := s.book.Override(host)
-	e, ok := s.list.entries[host]
+	set, isSet := s.overrides.Override(host)
+	e, ok := s.endpoints.effective[host]
 	if !ok {
 		if e, ok = raw(); !ok && (!isSet || set.Added == nil) {
 			return HostInfo{}, false
@@ -282,21 +282,21 @@
 		e.State = routing.Removed
 	}
 	i := HostInfo{Host: host, Zone: e.Zone, Phase: [...]string{"gone", "ready", "draining"}[e.State], Listed: e.Weight, Cores: e.Cores}
-	if h, ok := s.hosts.IndexOf[host]; ok {
-		if x, ok := s.module.Explain(h); ok {
+	if h, ok := s.hostIndex.IndexOf[host]; ok {
+		if x, ok := s.balancer.Explain(h); ok {
 			i.Why, i.Withdrawn, i.Weight = x, x.Ejected, x.PublishedWeight
 		}
-		if h < len(s.moves) {
-			i.Moves = slices.Clone(s.moves[h])
+		if h < len(s.weightChanges) {
+			i.Moves = slices.Clone(s.weightChanges[h])
 		}
 	}
-	if r, ok := s.intake.trust.Host(s.now, host, s.capacity(host)); ok {
+	if r, ok := s.ingest.trust.Host(s.nowMs, host, s.hostCapacity(host)); ok {
 		i.Reports = &r
 	}
 	if isSet {
 		i.Operator = &OverrideInfo{set.State.String(), set.Weight, set.WeightRatio, set.Added != nil, set.Operator, set.SetAtMs, set.ExpiresMs, false}
 	}
-	if o, ok := s.book.Pending(host); ok {
+	if o, ok := s.overrides.Pending(host); ok {
 		i.Operator = &OverrideInfo{State: o.State.String(), Weight: math.Max(o.Weight, 0), By: o.Operator, Waiting: true}
 	}
 	return i, true
@@ -316,17 +316,17 @@
 // ProxyInfos tells how the joined proxies stand, by name.
 func (s *Controller) ProxyInfos() []ProxyInfo {
 	var all []ProxyInfo
-	for _, name := range slices.Sorted(maps.Keys(s.members.byName)) {
-		m := s.members.byName[name]
-		i := ProxyInfo{Proxy: name, Zone: s.fleet.Zones[m.zone], Held: m.poll != nil, Rates: map[string]float64{}}
+	for _, name := range slices.Sorted(maps.Keys(s.sessions.byProxy)) {
+		m := s.sessions.byProxy[name]
+		i := ProxyInfo{Proxy: name, Zone: s.deployment.Zones[m.zone], Held: m.pendingPoll != nil, Rates: map[string]float64{}}
 		if n := len(m.versions); n > 0 {
-			i.Tag, i.Acked = s.tagOf(&m.versions[n-1]), m.acked == m.versions[n-1].number
+			i.Tag, i.Acked = s.tagOf(&m.versions[n-1]), m.ackedVersion == m.versions[n-1].number
 		}
-		if m.message != nil {
-			i.Waiting = m.message.lines
+		if m.queuedMessage != nil {
+			i.Waiting = m.queuedMessage.entries
 		}
 		for k, c := range s.classes {
-			i.Rates[c.Name] = m.rates[k]
+			i.Rates[c.Name] = m.requestRates[k]
 		}
 		all = append(all, i)
 	}
@@ -335,12 +335,12 @@
 
 // PublishedTables gives what a proxy was last given; false where it has not joined or has got nothing.
 func (s *Controller) PublishedTables(proxy string) (Response, bool) {
-	m := s.members.byName[proxy]
+	m := s.sessions.byProxy[proxy]
 	if m == nil || len(m.versions) == 0 {
 		return Response{}, false
 	}
 	v := m.versions[len(m.versions)-1]
-	return Response{Kind: Snapshot, Proxy: proxy, Tag: s.tagOf(&v), view: v.view}, true
+	return Response{Kind: Snapshot, Proxy: proxy, Tag: s.tagOf(&v), view: v.tables}, true
 }
 
 // Event is what a steward did or was told, worth an operator's eye.
@@ -351,28 +351,28 @@
 	Text   string  `json:"text"`
 }
 
-// eventsKept are the newest ones.
-const eventsKept = 1024
+// maxEvents are the newest ones.
+const maxEvents = 1024
 
-func (s *Controller) event(kind, text string) {
-	s.events.number++
-	e := Event{s.events.number, s.now, kind, text}
-	if len(s.events.all) == eventsKept {
-		s.events.all = append(s.events.all[:0], s.events.all[1:]...)
+func (s *Controller) recordEvent(kind, text string) {
+	s.events.lastNumber++
+	e := Event{s.events.lastNumber, s.nowMs, kind, text}
+	if len(s.events.newest) == maxEvents {
+		s.events.newest = append(s.events.newest[:0], s.events.newest[1:]...)
 	}
-	s.events.all = append(s.events.all, e)
+	s.events.newest = append(s.events.newest, e)
 }
 
-type events struct {
-	number int64
-	all    []Event
+type eventLog struct {
+	lastNumber int64
+	newest     []Event
 }
 
 // NewestEvent is the number of the newest one, 0 where there is none.
-func (s *Controller) NewestEvent() int64 { return s.events.number }
+func (s *Controller) NewestEvent() int64 { return s.events.lastNumber }
 
 // Events gives those after a number, as far as they are kept.
 func (s *Controller) Events(after int64) []Event {
-	i := sort.Search(len(s.events.all), func(i int) bool { return s.events.all[i].Number > after })
-	return slices.Clone(s.events.all[i:])
+	i := sort.Search(len(s.events.newest), func(i int) bool { return s.events.newest[i].Number > after })
+	return slices.Clone(s.events.newest[i:])
 }
--- a/controller/solved.go
+++ b/controller/solved.go
@@ -10,33 +10,33 @@
 	"barleysail/solver"
 )
 
-// solved decides, where an operator switched it on, on the listed weights that the module starts from and drifts
+// solverWeights decides, where an operator switched it on, on the listed weights that the module starts from and drifts
 // back to: by the cap of each host, so that the one table fills all hosts alike. They are renewed slowly, and only
 // when what the demand lately heard would earn more by them is worth the orders. Off, the list's own weights stand.
-type solved struct {
-	on      bool
-	every   float64
-	least   float64
-	at      float64            // the next look
-	weights map[string]float64 // by host; a host without one has the list's
-	lacks   string             // the host that tells no cores, as logged
+type solverWeights struct {
+	enabled          bool
+	intervalMs       float64
+	minGain          float64
+	nextRunMs        float64            // the next look
+	byHost           map[string]float64 // by host; a host without one has the list's
+	hostWithoutCores string             // the host that tells no cores, as logged
 }
 
 // EnableSolver switches solved weights on: looked at so often (ms), renewed for so much of the result.
 func (s *Controller) EnableSolver(every, least float64) {
-	s.solved = solved{on: true, every: every, least: least, at: math.Inf(-1), weights: map[string]float64{}}
+	s.solver = solverWeights{enabled: true, intervalMs: every, minGain: least, nextRunMs: math.Inf(-1), byHost: map[string]float64{}}
 }
 
-func (v *solved) next() float64 {
-	if !v.on {
+func (v *solverWeights) nextMs() float64 {
+	if !v.enabled {
 		return math.Inf(1)
 	}
-	return v.at
+	return v.nextRunMs
 }
 
-// weight is what the module is told as a host's listed weight.
-func (s *Controller) weight(e Endpoint) float64 {
-	if w, ok := s.solved.weights[e.Host]; ok && !s.book.HasWeight(e.Host) {
+// baseWeight is what the module is told as a host's listed weight.
+func (s *Controller) baseWeight(e Endpoint) float64 {
+	if w, ok := s.solver.byHost[e.Host]; ok && !s.overrides.HasWeight(e.Host) {
 		return w
 	}
 	return e.Weight
@@ -45,67 +45,67 @@
 // deadlineMeans is the deadline d in mean times of a transaction, as the module has it.
 const deadlineMeans = 3.2
 
-// renewedPart is a change of a weight that is passed on.
-const renewedPart = 0.01
+// minWeightChange is a change of a weight that is passed on.
+const minWeightChange = 0.01
 
-// renew looks whether the solved weights are worth telling.
-func (s *Controller) renew() {
-	v := &s.solved
-	if !v.on || s.now < v.at {
+// renewSolverWeights looks whether the solved weights are worth telling.
+func (s *Controller) renewSolverWeights() {
+	v := &s.solver
+	if !v.enabled || s.nowMs < v.nextRunMs {
 		return
 	}
-	v.at = s.now + v.every
-	p, lacks := s.problem()
-	if lacks != "" && lacks != v.lacks {
-		s.out.Log("no solved weights: " + lacks + " tells no cores")
+	v.nextRunMs = s.nowMs + v.intervalMs
+	p, lacks := s.solverProblem()
+	if lacks != "" && lacks != v.hostWithoutCores {
+		s.effects.Log("no solved weights: " + lacks + " tells no cores")
 	}
-	if v.lacks = lacks; p == nil {
+	if v.hostWithoutCores = lacks; p == nil {
 		return
 	}
-	fresh := s.byCaps(p)
-	now, then := p.Earn(s.shared(p, s.weights())), p.Earn(s.shared(p, fresh))
-	if then-now < math.Max(v.least, s.orders(fresh)) {
+	fresh := s.capacityWeights(p)
+	now, then := p.Earn(s.uniformTables(p, s.baseWeights())), p.Earn(s.uniformTables(p, fresh))
+	if then-now < math.Max(v.minGain, s.updateCost(fresh)) {
 		return
 	}
-	s.out.Log(fmt.Sprintf("solved weights renewed: result %.4f to %.4f", now, then))
-	s.module.ObserveDelta()
-	changed := s.changed(fresh)
+	s.effects.Log(fmt.Sprintf("solved weights renewed: result %.4f to %.4f", now, then))
+	s.balancer.ObserveDelta()
+	changed := s.changedWeights(fresh)
 	for _, host := range changed {
-		e := s.list.entries[host]
-		v.weights[host] = fresh[host]
-		s.module.ObserveEndpoint(s.hosts.Index(host), s.zone[e.Zone], e.State, fresh[host], e.StartedMs)
+		e := s.endpoints.effective[host]
+		v.byHost[host] = fresh[host]
+		s.balancer.ObserveEndpoint(s.hostIndex.Index(host), s.zoneIndex[e.Zone], e.State, fresh[host], e.StartedMs)
 	}
-	maps.DeleteFunc(v.weights, func(host string, _ float64) bool { _, ok := s.list.entries[host]; return !ok })
+	maps.DeleteFunc(v.byHost, func(host string, _ float64) bool { _, ok := s.endpoints.effective[host]; return !ok })
 	if len(changed) > 0 {
-		s.round.soon(s.now, s.polls.MinRoundIntervalMs)
+		s.scheduler.request(s.nowMs, s.settings.MinRoundIntervalMs)
 	}
 }
 
-// orders is what telling other weights costs of the result until they may be told anew: lines for all joined proxies,
+// updateCost is what telling other weights costs of the result until they may be told anew: lines for all joined proxies,
 // at the channel's price for its usual pace.
-func (s *Controller) orders(fresh map[string]float64) float64 {
-	lines := float64(len(s.members.byName)) * (float64(len(s.changed(fresh))) + s.channel.head)
-	return s.channel.price * lines / math.Max(s.channel.pace*s.solved.every, 1e-9)
+func (s *Controller) updateCost(fresh map[string]float64) float64 {
+	lines := float64(len(s.sessions.byProxy)) * (float64(len(s.changedWeights(fresh))) + s.channel.messageOverhead)
+	return s.channel.cost * lines / math.Max(s.channel.entriesPerMs*s.solver.intervalMs, 1e-9)
 }
 
-// changed are the hosts whose weights are other enough to be told anew, by name.
-func (s *Controller) changed(fresh map[string]float64) (hosts []string) {
+// changedWeights are the hosts whose weights are other enough to be told anew, by name.
+func (s *Controller) changedWeights(fresh map[string]float64) (hosts []string) {
 	for _, host := range slices.Sorted(maps.Keys(fresh)) {
-		if old := s.weight(s.list.entries[host]); math.Abs(fresh[host]-old) > renewedPart*old {
+		if old := s.baseWeight(s.endpoints.effective[host]); math.Abs(fresh[host]-old) > minWeightChange*old {
 			hosts = append(hosts, host)
 		}
 	}
 	return hosts
 }
 
-// demand is what the proxies lately told, by class and zone, for the whole fleet: the joined ones are a part of it.
-func (s *Controller) demand() map[string]map[string]float64 {
-	share, all := s.joinedShare(), map[string]map[string]float64{}
+// fleetDemand is what the proxies lately told, by class and zone, for the whole fleet: the joined ones are a part of it.
+func (s *Controller) fleetDemand() map[string]map[string]float64 {
+	share, all := s.connectedShare(), map[string]map[string]float64{}
 	for k, c := range s.classes {
 		by := map[string]float64{}
-		for _, m := range s.members.byIndex {
+		for _, m := range s.sessions.byIndex {
 			if m != nil {
-				by[s.fleet.Zones[m.zone]] += m.rates[k] / share
+				by[s.deployment.Zones[m.zone]] += m.requestRates[k] / share
 			}
 		}
 		all[c.Name] = by
@@ -113,18 +113,18 @@
 	return all
 }
 
-// problem is the fleet as listed, with the demand that the proxies lately told. Without any there is none, nor with
+// solverProblem is the fleet as listed, with the demand that the proxies lately told. Without any there is none, nor with
 // a host that tells no cores, which it names.
-func (s *Controller) problem() (p *solver.Problem, lacks string) {
-	p = &solver.Problem{Zones: s.fleet.Zones, Demand: s.demand(), Goal: solver.Goal{Whole: 1},
+func (s *Controller) solverProblem() (p *solver.Problem, lacks string) {
+	p = &solver.Problem{Zones: s.deployment.Zones, Demand: s.fleetDemand(), Goal: solver.Goal{Whole: 1},
 		Deadline: deadlineMeans, Proxies: map[string]int{}}
-	for _, m := range s.members.byIndex {
+	for _, m := range s.sessions.byIndex {
 		if m != nil {
-			p.Proxies[s.fleet.Zones[m.zone]]++
+			p.Proxies[s.deployment.Zones[m.zone]]++
 		}
 	}
-	for _, host := range slices.Sorted(maps.Keys(s.list.entries)) {
-		e := s.list.entries[host]
+	for _, host := range slices.Sorted(maps.Keys(s.endpoints.effective)) {
+		e := s.endpoints.effective[host]
 		if e.State != routing.Ready {
 			continue
 		}
@@ -135,7 +135,7 @@
 	}
 	total := 0.0
 	for _, c := range s.classes {
-		for _, z := range s.fleet.Zones {
+		for _, z := range s.deployment.Zones {
 			total += p.Demand[c.Name][z]
 		}
 		p.Classes = append(p.Classes, solver.Class{Name: c.Name, Earnings: c.PriorityWeight, Work: math.Max(c.MeanWorkMs, 1e-3), Local: c.ZoneLocal})
@@ -149,15 +149,15 @@
 // ListedProblem gives the solver's problem for the fleet as listed and the demand lately heard, nil where there is none: a
 // host tells no cores, or no demand was heard.
 func (s *Controller) ListedProblem() *solver.Problem {
-	p, lacks := s.problem()
+	p, lacks := s.solverProblem()
 	if lacks != "" {
 		return nil
 	}
 	return p
 }
 
-// byCaps gives each ready host a weight by its cap, 1 on average.
-func (s *Controller) byCaps(p *solver.Problem) map[string]float64 {
+// capacityWeights gives each ready host a weight by its cap, 1 on average.
+func (s *Controller) capacityWeights(p *solver.Problem) map[string]float64 {
 	all := 0.0
 	for _, h := range p.Hosts {
 		all += p.HostCap(h)
@@ -169,19 +169,19 @@
 	return weights
 }
 
-// weights are those of the ready hosts as the module has them from the list.
-func (s *Controller) weights() map[string]float64 {
+// baseWeights are those of the ready hosts as the module has them from the list.
+func (s *Controller) baseWeights() map[string]float64 {
 	all := map[string]float64{}
-	for host, e := range s.list.entries {
-		if all[host] = s.weight(e); all[host] == 0 {
+	for host, e := range s.endpoints.effective {
+		if all[host] = s.baseWeight(e); all[host] == 0 {
 			all[host] = 1 // a weight of 0 says nothing
 		}
 	}
 	return all
 }
 
-// shared are tables that hold the same weights for all classes and zones, as the design's one table does.
-func (s *Controller) shared(p *solver.Problem, weights map[string]float64) solver.Tables {
+// uniformTables are tables that hold the same weights for all classes and zones, as the design's one table does.
+func (s *Controller) uniformTables(p *solver.Problem, weights map[string]float64) solver.Tables {
 	t := solver.Tables{Weights: map[string]map[string]map[string]float64{}}
 	for _, c := range p.Classes {
 		t.Weights[c.Name] = map[string]map[string]float64{}
@@ -200,13 +200,13 @@
 		return nil, t
 	}
 	pool := solver.NewPool()
-	for _, m := range s.members.byIndex {
+	for _, m := range s.sessions.byIndex {
 		if m == nil || len(m.versions) == 0 {
 			continue
 		}
-		for _, c := range m.versions[len(m.versions)-1].view.classes {
-			pool.Add(c.name, s.fleet.Zones[m.zone], c.level.share, func(yield func(string, float64) bool) {
-				for _, l := range c.lines {
+		for _, c := range m.versions[len(m.versions)-1].tables.classes {
+			pool.Add(c.name, s.deployment.Zones[m.zone], c.policy.admissionRatio, func(yield func(string, float64) bool) {
+				for _, l := range c.entries {
 					if !yield(l.host, l.weight) {
 						return
 					}
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -9,86 +9,86 @@
 	"barleysail/routing"
 )
 
-// line of a table: a host by name and its weight.
-type line struct {
+// weightEntry of a table: a host by name and its weight.
+type weightEntry struct {
 	host   string
 	weight float64
 }
 
-// level of a class: the share let in, and the way of trying again.
-type level struct {
-	share float64
-	tries int
-	set   bool
+// classPolicy of a class: the share let in, and the way of trying again.
+type classPolicy struct {
+	admissionRatio float64
+	retryPolicy    int
+	set            bool
 }
 
-// table is a table as the module has it, by index, with the snapshot of it that versions share.
-type table struct {
-	weights  map[int]float64
-	row      []float64 // the same by index, of a table that proxies share
-	out      []float64 // as last ordered, by index, while a guard refuses
-	given    []float64 // what the guard gives in their place; nil: nothing
-	forRow   []float64 // the row that this was given for
-	levels   []level
-	snapshot []line    // nil: to be made anew
-	view     *TableSet // of the proxies that use it for all classes; nil: to be made anew
-	lines    float64
-	removal  bool
-	stamp    int64 // the round of these two
+// routingTable is a table as the module has it, by index, with the snapshot of it that versions share.
+type routingTable struct {
+	weights        map[int]float64
+	decided        []float64 // the same by index, of a table that proxies share
+	published      []float64 // as last ordered, by index, while a guard refuses
+	repaired       []float64 // what the guard gives in their place; nil: nothing
+	repairedFrom   []float64 // the row that this was given for
+	policies       []classPolicy
+	entries        []weightEntry // nil: to be made anew
+	tableSet       *tableSet     // of the proxies that use it for all classes; nil: to be made anew
+	changedEntries float64
+	hasRemoval     bool
+	changedRound   int64 // the round of these two
 }
 
-// tables are all tables by number, the levels for all of them, and what the present round has ordered.
-type tables struct {
-	byNumber map[int]*table
-	levels   []level
-	usual    int
-	round    int64
-	views    int64 // made so far
-	marked   int
-	bound    map[*member]bool // proxies bound in this round
-	touched  []int
-	levelled float64 // lines of levels for all
+// tableStore are all tables by number, the levels for all of them, and what the present round has ordered.
+type tableStore struct {
+	byNumber            map[int]*routingTable
+	globalPolicies      []classPolicy
+	defaultRetryPolicy  int
+	round               int64
+	lastTableSetID      int64 // made so far
+	stamp               int
+	reassigned          map[*session]bool // proxies bound in this round
+	changed             []int
+	globalPolicyChanges float64 // lines of levels for all
 }
 
-func newTables(classes, usual int) tables {
-	return tables{byNumber: map[int]*table{}, levels: make([]level, classes), usual: usual, bound: map[*member]bool{}}
+func newTables(classes, usual int) tableStore {
+	return tableStore{byNumber: map[int]*routingTable{}, globalPolicies: make([]classPolicy, classes), defaultRetryPolicy: usual, reassigned: map[*session]bool{}}
 }
 
-func (t *tables) table(number int) *table {
+func (t *tableStore) table(number int) *routingTable {
 	b := t.byNumber[number]
 	if b == nil {
-		b = &table{weights: map[int]float64{}, levels: make([]level, len(t.levels))}
+		b = &routingTable{weights: map[int]float64{}, policies: make([]classPolicy, len(t.globalPolicies))}
 		t.byNumber[number] = b
 	}
 	return b
 }
 
-// touch notes that a line of a table was ordered in this round.
-func (t *tables) touch(number int) *table {
+// markChanged notes that a line of a table was ordered in this round.
+func (t *tableStore) markChanged(number int) *routingTable {
 	b := t.table(number)
-	if b.stamp != t.round {
-		b.stamp, b.lines, b.removal = t.round, 0, false
-		t.touched = append(t.touched, number)
+	if b.changedRound != t.round {
+		b.changedRound, b.changedEntries, b.hasRemoval = t.round, 0, false
+		t.changed = append(t.changed, number)
 	}
-	b.lines++
-	b.view = nil
+	b.changedEntries++
+	b.tableSet = nil
 	return b
 }
 
-// set notes a weight by index.
-func (b *table) set(host int, weight float64) {
-	for len(b.row) <= host {
-		b.row = append(b.row, 0)
+// setDecided notes a weight by index.
+func (b *routingTable) setDecided(host int, weight float64) {
+	for len(b.decided) <= host {
+		b.decided = append(b.decided, 0)
 	}
-	b.row[host] = weight
+	b.decided[host] = weight
 }
 
-// size is the number of lines as published.
-func (b *table) size() (n float64) {
-	if b.given == nil {
+// publishedSize is the number of lines as published.
+func (b *routingTable) publishedSize() (n float64) {
+	if b.repaired == nil {
 		return float64(len(b.weights))
 	}
-	for _, w := range b.given {
+	for _, w := range b.repaired {
 		if w > 0 {
 			n++
 		}
@@ -96,12 +96,12 @@
 	return n
 }
 
-func (t *tables) forget(number int) { delete(t.byNumber, number) }
+func (t *tableStore) forget(number int) { delete(t.byNumber, number) }
 
-// writer takes the decisions of a round for a Steward.
-type writer struct{ *Controller }
+// updateWriter takes the decisions of a round for a Steward.
+type updateWriter struct{ *Controller }
 
-var _ routing.UpdateWriter = writer{}
+var _ routing.UpdateWriter = updateWriter{}
 
 // round6 keeps six digits, as many as matter to a proxy.
 func round6(x float64) float64 {
@@ -109,93 +109,93 @@
 	return y
 }
 
-func (w writer) SetWeight(number, host int, weight float64) {
-	b := w.tables.touch(number)
-	if number <= len(w.fleet.Zones) {
-		w.moved(host, b.weights[host], weight)
-		b.set(host, round6(math.Max(weight, 0)))
+func (w updateWriter) SetWeight(number, host int, weight float64) {
+	b := w.tables.markChanged(number)
+	if number <= len(w.deployment.Zones) {
+		w.recordWeightChange(host, b.weights[host], weight)
+		b.setDecided(host, round6(math.Max(weight, 0)))
 	}
-	if b.snapshot = nil; weight > 0 {
+	if b.entries = nil; weight > 0 {
 		b.weights[host] = round6(weight)
 	} else {
 		delete(b.weights, host)
-		b.removal = true
+		b.hasRemoval = true
 	}
 }
 
-func (w writer) AssignTable(proxy, number, classes int) {
-	m := w.members.byIndex[proxy]
+func (w updateWriter) AssignTable(proxy, number, classes int) {
+	m := w.sessions.byIndex[proxy]
 	if m == nil {
 		return
 	}
 	w.tables.table(number)
-	w.tables.bound[m] = true
-	for k := range m.tables {
+	w.tables.reassigned[m] = true
+	for k := range m.tableByClass {
 		if classes == 0 || classes&(1<<k) != 0 {
-			m.tables[k] = number
+			m.tableByClass[k] = number
 		}
 	}
 }
 
-func (w writer) SetAdmission(number, classes int, share float64, tries int) {
-	levels := w.tables.levels
+func (w updateWriter) SetAdmission(number, classes int, share float64, tries int) {
+	levels := w.tables.globalPolicies
 	if number == routing.AllTables {
-		w.tables.levelled++
+		w.tables.globalPolicyChanges++
 		for _, b := range w.tables.byNumber {
-			b.view = nil
+			b.tableSet = nil
 		}
 	} else {
-		levels = w.tables.touch(number).levels
+		levels = w.tables.markChanged(number).policies
 	}
 	for k := range levels {
 		if classes == 0 || classes&(1<<k) != 0 {
-			levels[k] = level{round6(share), tries, true}
+			levels[k] = classPolicy{round6(share), tries, true}
 		}
 	}
 }
 
-func (w writer) StampVersion(number int) { w.tables.marked = number }
-func (w writer) CheckHealth(host int)    { w.out.CheckHealth(w.hosts.Names[host]) }
-func (w writer) ScheduleRound(at float64) {
-	w.Controller.round.wake = w.now + (at-w.now)*w.intake.pace.IntervalFactor()
+func (w updateWriter) StampVersion(number int) { w.tables.stamp = number }
+func (w updateWriter) CheckHealth(host int)    { w.effects.CheckHealth(w.hostIndex.Names[host]) }
+func (w updateWriter) ScheduleRound(at float64) {
+	w.Controller.scheduler.plannedMs = w.nowMs + (at-w.nowMs)*w.ingest.pacer.IntervalFactor()
 }
-func (w writer) WatchEndpoints()         { w.out.WatchEndpoints() }
-func (w writer) Log(event routing.Event) { w.logEvent(event) }
+func (w updateWriter) WatchEndpoints()         { w.effects.WatchEndpoints() }
+func (w updateWriter) Log(event routing.Event) { w.logEvent(event) }
 
-// order puts what the round has ordered into the channel, a message for each proxy concerned.
-func (s *Controller) order() {
+// enqueueUpdates puts what the round has ordered into the channel, a message for each proxy concerned.
+func (s *Controller) enqueueUpdates() {
 	t := &s.tables
-	if len(t.touched) == 0 && len(t.bound) == 0 && t.levelled == 0 {
-		t.marked = 0
+	if len(t.changed) == 0 && len(t.reassigned) == 0 && t.globalPolicyChanges == 0 {
+		t.stamp = 0
 		return
 	}
-	k := mark{t.round, t.marked}
-	for _, m := range s.members.byIndex {
+	k := versionStamp{t.round, t.stamp}
+	for _, m := range s.sessions.byIndex {
 		if m == nil {
 			continue
 		}
-		lines, removal := t.levelled, false
-		if t.bound[m] {
-			for _, number := range distinct(m.tables) {
-				lines += 1 + t.byNumber[number].size() + float64(len(s.classes))
+		lines, removal := t.globalPolicyChanges, false
+		if t.reassigned[m] {
+			for _, number := range distinctTables(m.tableByClass) {
+				lines += 1 + t.byNumber[number].publishedSize() + float64(len(s.classes))
 			}
-		} else if len(t.touched) > 0 {
-			for _, number := range distinct(m.tables) {
-				if b := t.byNumber[number]; b != nil && b.stamp == t.round {
-					lines, removal = lines+b.lines, removal || b.removal
+		} else if len(t.changed) > 0 {
+			for _, number := range distinctTables(m.tableByClass) {
+				if b := t.byNumber[number]; b != nil && b.changedRound == t.round {
+					lines, removal = lines+b.changedEntries, removal || b.hasRemoval
 				}
 			}
 		}
 		if lines > 0 {
-			s.channel.order(m, lines+1, removal, k)
+			s.channel.enqueue(m, lines+1, removal, k)
 		}
 	}
-	clear(t.bound)
-	t.touched, t.levelled, t.marked = t.touched[:0], 0, 0
+	clear(t.reassigned)
+	t.changed, t.globalPolicyChanges, t.stamp = t.changed[:0], 0, 0
 }
 
-// distinct gives the tables that a proxy is bound to, each once.
-func distinct(numbers []int) []int {
+// distinctTables gives the tables that a proxy is bound to, each once.
+func distinctTables(numbers []int) []int {
 	if len(numbers) > 0 && numbers[0] >= 0 && !slices.ContainsFunc(numbers, func(n int) bool { return n != numbers[0] }) {
 		return numbers[:1]
 	}
@@ -208,35 +208,35 @@
 	return some
 }
 
-// lines gives the present lines of a table by name of host.
-func (s *Controller) lines(b *table) []line {
-	if b.snapshot == nil {
-		b.snapshot = make([]line, 0, len(b.weights))
-		if b.given != nil {
-			for h, weight := range b.given {
+// entriesOf gives the present lines of a table by name of host.
+func (s *Controller) entriesOf(b *routingTable) []weightEntry {
+	if b.entries == nil {
+		b.entries = make([]weightEntry, 0, len(b.weights))
+		if b.repaired != nil {
+			for h, weight := range b.repaired {
 				if weight > 0 {
-					b.snapshot = append(b.snapshot, line{s.hosts.Names[h], weight})
+					b.entries = append(b.entries, weightEntry{s.hostIndex.Names[h], weight})
 				}
 			}
 		} else {
 			for h, weight := range b.weights {
-				b.snapshot = append(b.snapshot, line{s.hosts.Names[h], weight})
+				b.entries = append(b.entries, weightEntry{s.hostIndex.Names[h], weight})
 			}
 		}
-		sort.Slice(b.snapshot, func(i, j int) bool { return b.snapshot[i].host < b.snapshot[j].host })
+		sort.Slice(b.entries, func(i, j int) bool { return b.entries[i].host < b.entries[j].host })
 	}
-	return b.snapshot
+	return b.entries
 }
 
-// both gives the level that holds where a table's own and the one for all are set: the lower share, and the
+// effectivePolicy gives the level that holds where a table's own and the one for all are set: the lower share, and the
 // table's own way of trying again.
-func (t *tables) both(own, all level) level {
-	l := level{1, t.usual, true}
+func (t *tableStore) effectivePolicy(own, all classPolicy) classPolicy {
+	l := classPolicy{1, t.defaultRetryPolicy, true}
 	if all.set {
 		l = all
 	}
 	if own.set {
-		l.share, l.tries = min(l.share, own.share), own.tries
+		l.admissionRatio, l.retryPolicy = min(l.admissionRatio, own.admissionRatio), own.retryPolicy
 	}
 	return l
 }
--- a/controller/view.go
+++ b/controller/view.go
@@ -12,50 +12,50 @@
 	"barleysail/state/statepb"
 )
 
-// TableSet is what a proxy's tables hold in a version. It never changes; proxies with the same tables share one,
+// tableSet is what a proxy's tables hold in a version. It never changes; proxies with the same tables share one,
 // and with it the bytes of its document and of the deltas from it.
-type TableSet struct {
-	id      int64
-	classes []classView
-	once    sync.Once
-	whole   []byte
+type tableSet struct {
+	id            int64
+	classes       []classTable
+	once          sync.Once
+	documentBytes []byte
 
 	mu        sync.Mutex
 	deltas    map[int64][]byte // by base; not by pointer, which would keep every view there ever was
-	kept      *statepb.Table   // as it is kept for another life
+	persisted *statepb.Table   // as it is kept for another life
 	canonical []byte
 }
 
-type classView struct {
-	name  string
-	lines []line
-	bound bool
-	level level
+type classTable struct {
+	name     string
+	entries  []weightEntry
+	assigned bool
+	policy   classPolicy
 }
 
-// view makes the view of a proxy's present tables, or finds the one of the other proxies with the same table.
-func (s *Controller) view(m *member) *TableSet {
-	numbers := distinct(m.tables)
-	whole := len(numbers) == 1 && !slices.Contains(m.tables, -1) && s.list.known
+// tableSetOf makes the view of a proxy's present tables, or finds the one of the other proxies with the same table.
+func (s *Controller) tableSetOf(m *session) *tableSet {
+	numbers := distinctTables(m.tableByClass)
+	whole := len(numbers) == 1 && !slices.Contains(m.tableByClass, -1) && s.endpoints.known
 	if whole {
-		if v := s.tables.table(m.tables[0]).view; v != nil {
+		if v := s.tables.table(m.tableByClass[0]).tableSet; v != nil {
 			return v
 		}
 	}
-	s.tables.views++
-	v := &TableSet{id: s.tables.views, classes: make([]classView, len(s.classes))}
-	for k, n := range m.tables {
-		c := classView{name: s.classes[k].Name, level: s.tables.both(level{}, s.tables.levels[k])}
+	s.tables.lastTableSetID++
+	v := &tableSet{id: s.tables.lastTableSetID, classes: make([]classTable, len(s.classes))}
+	for k, n := range m.tableByClass {
+		c := classTable{name: s.classes[k].Name, policy: s.tables.effectivePolicy(classPolicy{}, s.tables.globalPolicies[k])}
 		if n >= 0 {
 			b := s.tables.table(n)
-			c.lines, c.level = s.lines(b), s.tables.both(b.levels[k], s.tables.levels[k])
+			c.entries, c.policy = s.entriesOf(b), s.tables.effectivePolicy(b.policies[k], s.tables.globalPolicies[k])
 			// A steward that knows no list yet must not empty the tables that a proxy brings.
-			c.bound = s.list.known || len(c.lines) > 0
+			c.assigned = s.endpoints.known || len(c.entries) > 0
 		}
 		v.classes[k] = c
 	}
 	if whole {
-		s.tables.table(m.tables[0]).view = v
+		s.tables.table(m.tableByClass[0]).tableSet = v
 	}
 	return v
 }
@@ -75,8 +75,8 @@
 	Kind         ResponseKind
 	Proxy        string
 	Tag, BaseTag string // without quotes
-	view         *TableSet
-	from         *TableSet
+	view         *tableSet
+	from         *tableSet
 }
 
 // Body gives the JSON document: {"proxy":…,"tables":…}, or the RFC 7396 merge patch of it. A class that was
@@ -112,13 +112,13 @@
 	return v.canonical, nil
 }
 
-func (v *TableSet) document() []byte {
-	v.once.Do(func() { v.whole = v.encode(nil) })
-	return v.whole
+func (v *tableSet) document() []byte {
+	v.once.Do(func() { v.documentBytes = v.encode(nil) })
+	return v.documentBytes
 }
 
 // delta gives the merge patch from another view, and keeps it while the bases that ask for it are few.
-func (v *TableSet) delta(from *TableSet) []byte {
+func (v *tableSet) delta(from *tableSet) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if body, ok := v.deltas[from.id]; ok {
@@ -129,21 +129,21 @@
 	if string(tables) == "{}" {
 		body = []byte("{}\n")
 	}
-	if v.deltas == nil || len(v.deltas) >= mostDeltas {
+	if v.deltas == nil || len(v.deltas) >= maxCachedDeltas {
 		v.deltas = map[int64][]byte{}
 	}
 	v.deltas[from.id] = body
 	return body
 }
 
-// mostDeltas bounds the deltas kept with a view.
-const mostDeltas = 8
+// maxCachedDeltas bounds the deltas kept with a view.
+const maxCachedDeltas = 8
 
 // encode writes the tables, or with a base what differs from it.
-func (v *TableSet) encode(from *TableSet) []byte {
+func (v *tableSet) encode(from *tableSet) []byte {
 	out, first := []byte{'{'}, true
 	for i, c := range v.classes {
-		var old *classView
+		var old *classTable
 		if from != nil && i < len(from.classes) {
 			old = &from.classes[i]
 		}
@@ -151,14 +151,14 @@
 		if from != nil && string(body) == "{}" {
 			continue
 		}
-		out, first = key(out, c.name, first), false
+		out, first = appendKey(out, c.name, first), false
 		out = append(out, body...)
 	}
 	return append(out, '}')
 }
 
-// key begins a member of an object.
-func key(out []byte, name string, first bool) []byte {
+// appendKey begins a member of an object.
+func appendKey(out []byte, name string, first bool) []byte {
 	if !first {
 		out = append(out, ',')
 	}
@@ -166,29 +166,29 @@
 	return append(append(out, quoted...), ':')
 }
 
-func number(out []byte, x float64) []byte { return strconv.AppendFloat(out, x, 'g', -1, 64) }
+func appendNumber(out []byte, x float64) []byte { return strconv.AppendFloat(out, x, 'g', -1, 64) }
 
-func (c *classView) encode(old *classView) []byte {
+func (c *classTable) encode(old *classTable) []byte {
 	out, first := []byte{'{'}, true
-	if c.bound && (old == nil || !old.bound || !same(c.lines, old.lines)) {
-		out, first = key(out, "hosts", first), false
-		var before []line
-		if old != nil && old.bound {
-			before = old.lines
+	if c.assigned && (old == nil || !old.assigned || !equalEntries(c.entries, old.entries)) {
+		out, first = appendKey(out, "hosts", first), false
+		var before []weightEntry
+		if old != nil && old.assigned {
+			before = old.entries
 		}
-		out = encodeLines(out, c.lines, before)
+		out = appendEntries(out, c.entries, before)
 	}
-	if old == nil || c.level.share != old.level.share {
-		out, first = number(key(out, "share", first), c.level.share), false
+	if old == nil || c.policy.admissionRatio != old.policy.admissionRatio {
+		out, first = appendNumber(appendKey(out, "share", first), c.policy.admissionRatio), false
 	}
-	if old == nil || c.level.tries != old.level.tries {
-		out = strconv.AppendInt(key(out, "tries", first), int64(c.level.tries), 10)
+	if old == nil || c.policy.retryPolicy != old.policy.retryPolicy {
+		out = strconv.AppendInt(appendKey(out, "tries", first), int64(c.policy.retryPolicy), 10)
 	}
 	return append(out, '}')
 }
 
-// same tells whether two snapshots hold the same lines; those of one table that did not change are one.
-func same(a, b []line) bool {
+// equalEntries tells whether two snapshots hold the same lines; those of one table that did not change are one.
+func equalEntries(a, b []weightEntry) bool {
 	if len(a) != len(b) || len(a) == 0 || &a[0] == &b[0] {
 		return len(a) == len(b)
 	}
@@ -200,20 +200,20 @@
 	return true
 }
 
-// encodeLines writes the lines that differ from those before, a host that is gone as null.
-func encodeLines(out []byte, now, before []line) []byte {
+// appendEntries writes the lines that differ from those before, a host that is gone as null.
+func appendEntries(out []byte, now, before []weightEntry) []byte {
 	out, first := append(out, '{'), true
 	for len(now) > 0 || len(before) > 0 {
 		switch {
 		case len(before) == 0 || len(now) > 0 && now[0].host < before[0].host:
-			out, first = number(key(out, now[0].host, first), now[0].weight), false
+			out, first = appendNumber(appendKey(out, now[0].host, first), now[0].weight), false
 			now = now[1:]
 		case len(now) == 0 || before[0].host < now[0].host:
-			out, first = append(key(out, before[0].host, first), "null"...), false
+			out, first = append(appendKey(out, before[0].host, first), "null"...), false
 			before = before[1:]
 		default:
 			if now[0].weight != before[0].weight {
-				out, first = number(key(out, now[0].host, first), now[0].weight), false
+				out, first = appendNumber(appendKey(out, now[0].host, first), now[0].weight), false
 			}
 			now, before = now[1:], before[1:]
 		}
@@ -235,9 +235,9 @@
 func (a Response) Tables() []Table {
 	var all []Table
 	for _, c := range a.view.classes {
-		t := Table{Class: c.name, Ordered: c.bound, AdmissionRatio: c.level.share, RetryPolicy: c.level.tries}
-		if c.bound {
-			for _, l := range c.lines {
+		t := Table{Class: c.name, Ordered: c.assigned, AdmissionRatio: c.policy.admissionRatio, RetryPolicy: c.policy.retryPolicy}
+		if c.assigned {
+			for _, l := range c.entries {
 				t.Hosts, t.Weights = append(t.Hosts, l.host), append(t.Weights, l.weight)
 			}
 		}
