--- a/internal/deadlinequeue/queue.go
+++ b/internal/deadlinequeue/queue.go
@@ -1,4 +1,5 @@
-// Package core holds what several decision modules keep their work in.
+// Package deadlinequeue is a priority queue of items by the time at which they are due. It owns the order of the items
+// alone: it reads no clock and starts no timer, and the caller says what time it is.
 package deadlinequeue
 
 import (
@@ -6,51 +7,57 @@
 	"math"
 )
 
-// Queue keeps things by the time they are due; of those due at one time the first added comes first.
+// Queue holds items until they are due. Items due at the same time leave in the order in which they were scheduled.
+// Times are milliseconds on a clock of the caller's. The zero value is an empty queue.
 type Queue[T any] struct {
-	heap  dueHeap[T]
-	count int64
+	heap      itemHeap[T]
+	scheduled int64 // items scheduled so far
 }
 
-type due[T any] struct {
-	at    float64
-	order int64
-	what  T
+type item[T any] struct {
+	dueMs    float64
+	sequence int64
+	value    T
 }
 
-// Schedule keeps a thing until its time.
-func (d *Queue[T]) Schedule(at float64, what T) {
-	d.count++
-	heap.Push(&d.heap, due[T]{at, d.count, what})
+// Schedule adds an item that is due at dueMs.
+func (q *Queue[T]) Schedule(dueMs float64, value T) {
+	q.scheduled++
+	heap.Push(&q.heap, item[T]{dueMs, q.scheduled, value})
 }
 
-// Pop takes the first thing that is due by now.
-func (d *Queue[T]) Pop(now float64) (what T, ok bool) {
-	if len(d.heap) == 0 || d.heap[0].at > now {
-		return what, false
+// Pop removes the earliest item that is due by nowMs. It reports false where none is due yet.
+func (q *Queue[T]) Pop(nowMs float64) (value T, ok bool) {
+	if len(q.heap) == 0 || q.heap[0].dueMs > nowMs {
+		return value, false
 	}
-	return heap.Pop(&d.heap).(due[T]).what, true
+	return heap.Pop(&q.heap).(item[T]).value, true
 }
 
-// Next is when the first thing is due, +Inf where there is none.
-func (d *Queue[T]) Next() float64 {
-	if len(d.heap) == 0 {
+// Next is the time at which the earliest item is due, +Inf where the queue is empty.
+func (q *Queue[T]) Next() float64 {
+	if len(q.heap) == 0 {
 		return math.Inf(1)
 	}
-	return d.heap[0].at
+	return q.heap[0].dueMs
 }
 
-type dueHeap[T any] []due[T]
+// itemHeap implements heap.Interface, the earliest item first.
+type itemHeap[T any] []item[T]
 
-func (h dueHeap[T]) Len() int { return len(h) }
-func (h dueHeap[T]) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+func (h itemHeap[T]) Len() int { return len(h) }
+
+func (h itemHeap[T]) Less(i, j int) bool {
+	return h[i].dueMs < h[j].dueMs || h[i].dueMs == h[j].dueMs && h[i].sequence < h[j].sequence
 }
-func (h dueHeap[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *dueHeap[T]) Push(x any)   { *h = append(*h, x.(due[T])) }
-func (h *dueHeap[T]) Pop() any {
+
+func (h itemHeap[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *itemHeap[T]) Push(x any) { *h = append(*h, x.(item[T])) }
+
+func (h *itemHeap[T]) Pop() any {
 	old := *h
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	*h = old[:len(old)-1]
-	return x
+	return last
 }
--- a/internal/interner/interner.go
+++ b/internal/interner/interner.go
@@ -1,54 +1,59 @@
-// Package indices maps names to small indices, for the module that goes by those.
+// Package interner maps names to small integers and back, for code that keeps its state in slices by index. It owns the
+// mapping alone: what is kept by an index is the caller's to clear before the index is released.
 package interner
 
 import "container/heap"
 
-// Interner maps names to indices, the lowest free one first, so that what is kept by index stays as small as the number of
-// names alive at once. Of and Names are for reading.
+// Interner gives each name an index, the lowest free one, so that slices by index stay as small as the number of names
+// in use at once. IndexOf and Names are for reading only.
 type Interner struct {
 	IndexOf map[string]int
-	Names   []string // of a free index: empty
-	free    lowest
+	Names   []string // by index, empty for a free index
+	free    indexHeap
 }
 
-// New makes an empty one.
+// New makes an empty interner.
 func New() Interner { return Interner{IndexOf: map[string]int{}} }
 
-// Index gives the index of a name, a fresh one if it has none.
-func (x *Interner) Index(name string) int {
-	if i, ok := x.IndexOf[name]; ok {
-		return i
+// Index is the index of a name. A name without an index gets one.
+func (n *Interner) Index(name string) int {
+	if index, ok := n.IndexOf[name]; ok {
+		return index
 	}
-	i := len(x.Names)
-	if len(x.free) > 0 {
-		i = heap.Pop(&x.free).(int)
-		x.Names[i] = name
+	index := len(n.Names)
+	if len(n.free) > 0 {
+		index = heap.Pop(&n.free).(int)
+		n.Names[index] = name
 	} else {
-		x.Names = append(x.Names, name)
+		n.Names = append(n.Names, name)
 	}
-	x.IndexOf[name] = i
-	return i
+	n.IndexOf[name] = index
+	return index
 }
 
-// Release gives the index of a name free. The caller sees to it that nothing names it any more.
-func (x *Interner) Release(name string) {
-	if i, ok := x.IndexOf[name]; ok {
-		delete(x.IndexOf, name)
-		x.Names[i] = ""
-		heap.Push(&x.free, i)
+// Release makes the index of a name free for another name; a name without an index is ignored. The caller makes sure
+// that nothing refers to the index any more.
+func (n *Interner) Release(name string) {
+	index, ok := n.IndexOf[name]
+	if !ok {
+		return
 	}
+	delete(n.IndexOf, name)
+	n.Names[index] = ""
+	heap.Push(&n.free, index)
 }
 
-// lowest is a heap of free indices.
-type lowest []int
-
-func (l lowest) Len() int           { return len(l) }
-func (l lowest) Less(i, j int) bool { return l[i] < l[j] }
-func (l lowest) Swap(i, j int)      { l[i], l[j] = l[j], l[i] }
-func (l *lowest) Push(x any)        { *l = append(*l, x.(int)) }
-func (l *lowest) Pop() any {
-	old := *l
-	x := old[len(old)-1]
-	*l = old[:len(old)-1]
-	return x
+// indexHeap implements heap.Interface over the free indices, the lowest first.
+type indexHeap []int
+
+func (h indexHeap) Len() int           { return len(h) }
+func (h indexHeap) Less(i, j int) bool { return h[i] < h[j] }
+func (h indexHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *indexHeap) Push(x any)        { *h = append(*h, x.(int)) }
+
+func (h *indexHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
 }
