--- a/controller/acks.go
+++ b/controller/acks.go
@@ -22,29 +22,6 @@
 	proxy int
 }
 
-// tag names a version in a steward's life.
-func (s *Controller) tag(number int64) string {
-	return s.deployment.Incarnation + "-" + strconv.FormatInt(number, 10)
-}
-
-// tagOf names a version as the proxy knows it.
-func (s *Controller) tagOf(v *version) string {
-	if v.inheritedTag != "" {
-		return v.inheritedTag
-	}
-	return s.tag(v.number)
-}
-
-// versionByInheritedTag finds the version that has a tag from an earlier life.
-func (m *session) versionByInheritedTag(tag string) *version {
-	for i := range m.versions {
-		if v := &m.versions[i]; v.inheritedTag != "" && v.inheritedTag == tag {
-			return v
-		}
-	}
-	return nil
-}
-
 // acknowledge takes the newest version that the tags name as applied by the proxy, with all before it, and
 // gives its number, or 0 where no tag names a version of the history. A version is acknowledged once; a tag of
 // another life, or of a version never given to this proxy, acknowledges nothing.
--- a/controller/list.go
+++ b/controller/endpoints.go
@@ -3,11 +3,7 @@
 import (
 	"fmt"
 	"math"
-	"net/netip"
-	"regexp"
 	"sort"
-	"strconv"
-	"strings"
 
 	"barleysail/routing"
 )
@@ -49,59 +45,44 @@
 
 func newList() endpointList { return endpointList{effective: map[string]Endpoint{}} }
 
-// maxHosts bounds a list; indices and tables grow with it.
-const maxHosts = 50000
-
-var dnsNamePattern = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9-]*[A-Za-z0-9])?(\.[A-Za-z0-9]([A-Za-z0-9-]*[A-Za-z0-9])?)*$`)
-
-// CheckAddress tells what is wrong with an address:port, if anything.
-func CheckAddress(host string) error {
-	if a, err := netip.ParseAddrPort(host); err == nil && a.Port() > 0 {
-		return nil
+func (l *endpointList) nextMs() float64 {
+	if len(l.removed) == 0 {
+		return math.Inf(1)
 	}
-	at := strings.LastIndexByte(host, ':')
-	if at < 0 {
-		return fmt.Errorf("%q is no address:port", host)
+	return l.removed[0].forgetAtMs
+}
+
+// SetEndpoints notes the whole list as it now stands. The hosts of the first list that tell no start count as
+// started long ago; later a new host without one starts when it is listed. The error names the entry's field.
+func (s *Controller) SetEndpoints(now float64, entries []Endpoint) error {
+	s.nowMs = now
+	if err := s.checkEndpoints(entries); err != nil {
+		return err
 	}
-	port, err := strconv.ParseUint(host[at+1:], 10, 16)
-	if err != nil || port == 0 || len(host) > 255 || !dnsNamePattern.MatchString(host[:at]) ||
-		strings.Trim(host[:at], "0123456789.") == "" {
-		return fmt.Errorf("%q is no address:port", host)
+	if s.endpoints.receivedMs, s.endpoints.watchFailed = now, false; s.holdsEndpoints(entries) {
+		return nil
 	}
+	s.acceptEndpoints(entries)
 	return nil
 }
 
-func (s *Controller) checkEndpoints(entries []Endpoint) error {
-	if len(entries) > maxHosts {
-		return invalidField("hosts", "%d entries, %d at most", len(entries), maxHosts)
-	}
-	seen := make(map[string]bool, len(entries))
-	for i, e := range entries {
-		field := fmt.Sprintf("hosts[%d]", i)
-		if err := CheckAddress(e.Host); err != nil {
-			return invalidField(field+".address", "%v", err)
-		}
-		if seen[e.Host] {
-			return invalidField(field+".address", "%s stands there twice", e.Host)
-		}
-		seen[e.Host] = true
-		if _, ok := s.zoneIndex[e.Zone]; !ok {
-			return invalidField(field+".zone", "%q is not among the zones %s", e.Zone, strings.Join(s.deployment.Zones, ", "))
-		}
-		if e.State != routing.Ready && e.State != routing.Draining {
-			return invalidField(field+".phase", "%d is neither ready nor draining", e.State)
-		}
-		if !(e.Weight >= 0 && e.Weight <= 1e6) {
-			return invalidField(field+".weight", "%g is not from 0 to 1000000", e.Weight)
-		}
-		if !(e.Cores >= 0 && e.Cores <= 1e9) || !(e.Speed >= 0 && e.Speed <= 1e9) {
-			return invalidField(field+".cores", "%g cores of speed %g", e.Cores, e.Speed)
-		}
-		if !(e.StartedMs >= 0 && e.StartedMs <= 1e15) {
-			return invalidField(field+".started", "%g is no time", e.StartedMs)
-		}
+// acceptEndpoints takes a list for what is so.
+func (s *Controller) acceptEndpoints(entries []Endpoint) {
+	if before := len(s.endpoints.received); before != len(entries) || !s.endpoints.known {
+		s.recordEvent("list", fmt.Sprintf("the list has %d hosts, before %d", len(entries), before))
 	}
-	return nil
+	s.endpoints.received = append([]Endpoint(nil), entries...)
+	s.observeEndpoints(s.withOverrides(s.endpoints.received))
+	s.scheduler.request(s.nowMs, s.settings.MinRoundIntervalMs)
+}
+
+// ObserveWatchFailure notes that the list could not be had, or that it no longer sends its changes.
+func (s *Controller) ObserveWatchFailure(now float64) {
+	s.nowMs = now
+	s.endpoints.watchFailed = true
+	s.recordEvent("list", "the list could not be had")
+	s.balancer.ObserveWatchFailure()
+	s.scheduler.request(now, s.settings.MinRoundIntervalMs)
 }
 
 // observeEndpoints feeds the module what differs from the list before; a host that is no longer listed is gone. The first
@@ -179,13 +160,6 @@
 	}
 }
 
-func (l *endpointList) nextMs() float64 {
-	if len(l.removed) == 0 {
-		return math.Inf(1)
-	}
-	return l.removed[0].forgetAtMs
-}
-
 // forgetRemovedHosts gives up hosts that left the list long ago, so that their indices can be given to others. One that a
 // table or a probe still names, or that is back, waits for another turn.
 func (s *Controller) forgetRemovedHosts() {
@@ -209,3 +183,9 @@
 		}
 	}
 }
+
+// HasEndpoint tells whether a host is on the list, with what operators set laid over it.
+func (s *Controller) HasEndpoint(host string) bool { _, ok := s.endpoints.effective[host]; return ok }
+
+// EndpointsKnown tells whether a list has come yet: before, nothing was learned.
+func (s *Controller) EndpointsKnown() bool { return s.endpoints.known }
--- a/controller/intake.go
+++ b/controller/ingest.go
@@ -34,9 +34,6 @@
 // hostSource is the source that a host's own reports have.
 func hostSource(host string) string { return "/" + host } // which no proxy's name has
 
-// ErrUnknownHost answers a report on a host that is not on the list.
-var ErrUnknownHost = fmt.Errorf("the host is not on the list")
-
 // ObserveLoadReport notes a host's own load report, once for each number. It tells whether it was counted.
 func (s *Controller) ObserveLoadReport(now float64, host string, r LoadReport) (counted bool, err error) {
 	s.nowMs = now
@@ -54,6 +51,17 @@
 	return news, nil
 }
 
+// ObserveHealthCheck notes how a probe ended; load is decide.NoLoad where the host told none.
+func (s *Controller) ObserveHealthCheck(now float64, host string, how routing.HealthCheckResult, load routing.HostLoad) {
+	s.nowMs = now
+	if h, ok := s.hostIndex.IndexOf[host]; ok {
+		c := s.hostCapacity(host)
+		s.ingest.trust.ObserveLoad(now, host, load, c)
+		s.balancer.ObserveHealthCheck(h, how, s.ingest.trust.Load(now, host, load, c))
+		s.scheduler.request(now, s.settings.MinRoundIntervalMs)
+	}
+}
+
 // hostCapacity is what the list and the classes tell of a host, and which part of the proxies tells of it here.
 func (s *Controller) hostCapacity(host string) intake.Capacity {
 	e := s.endpoints.effective[host]
@@ -72,6 +80,9 @@
 	return work / math.Max(all, 1e-9)
 }
 
+// rateSmoothing is what the newest sums count for in a proxy's rates.
+const rateSmoothing = 0.2
+
 // processReports gives the module what waits, as far as a round takes it.
 func (s *Controller) processReports() {
 	r := &s.ingest
--- a/controller/rounds.go
+++ b/controller/rounds.go
@@ -1,6 +1,8 @@
 package controller
 
-import "math"
+import (
+	"math"
+)
 
 // roundScheduler decides when the module is called: at the time it asked for, or a step after the last round where
 // something came that should not wait. Sums, usage and acknowledgements wait for the module's own time, so
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -1,12 +1,9 @@
 package controller
 
 import (
-	"math"
 	"slices"
 	"sort"
 	"strconv"
-
-	"barleysail/routing"
 )
 
 // weightEntry of a table: a host by name and its weight.
@@ -75,6 +72,21 @@
 	return b
 }
 
+func (t *tableStore) forget(number int) { delete(t.byNumber, number) }
+
+// effectivePolicy gives the level that holds where a table's own and the one for all are set: the lower share, and the
+// table's own way of trying again.
+func (t *tableStore) effectivePolicy(own, all classPolicy) classPolicy {
+	l := classPolicy{1, t.defaultRetryPolicy, true}
+	if all.set {
+		l = all
+	}
+	if own.set {
+		l.admissionRatio, l.retryPolicy = min(l.admissionRatio, own.admissionRatio), own.retryPolicy
+	}
+	return l
+}
+
 // setDecided notes a weight by index.
 func (b *routingTable) setDecided(host int, weight float64) {
 	for len(b.decided) <= host {
@@ -96,118 +108,6 @@
 	return n
 }
 
-func (t *tableStore) forget(number int) { delete(t.byNumber, number) }
-
-// updateWriter takes the decisions of a round for a Steward.
-type updateWriter struct{ *Controller }
-
-var _ routing.UpdateWriter = updateWriter{}
-
-// round6 keeps six digits, as many as matter to a proxy.
-func round6(x float64) float64 {
-	y, _ := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 6, 64), 64)
-	return y
-}
-
-func (w updateWriter) SetWeight(number, host int, weight float64) {
-	b := w.tables.markChanged(number)
-	if number <= len(w.deployment.Zones) {
-		w.recordWeightChange(host, b.weights[host], weight)
-		b.setDecided(host, round6(math.Max(weight, 0)))
-	}
-	if b.entries = nil; weight > 0 {
-		b.weights[host] = round6(weight)
-	} else {
-		delete(b.weights, host)
-		b.hasRemoval = true
-	}
-}
-
-func (w updateWriter) AssignTable(proxy, number, classes int) {
-	m := w.sessions.byIndex[proxy]
-	if m == nil {
-		return
-	}
-	w.tables.table(number)
-	w.tables.reassigned[m] = true
-	for k := range m.tableByClass {
-		if classes == 0 || classes&(1<<k) != 0 {
-			m.tableByClass[k] = number
-		}
-	}
-}
-
-func (w updateWriter) SetAdmission(number, classes int, share float64, tries int) {
-	levels := w.tables.globalPolicies
-	if number == routing.AllTables {
-		w.tables.globalPolicyChanges++
-		for _, b := range w.tables.byNumber {
-			b.tableSet = nil
-		}
-	} else {
-		levels = w.tables.markChanged(number).policies
-	}
-	for k := range levels {
-		if classes == 0 || classes&(1<<k) != 0 {
-			levels[k] = classPolicy{round6(share), tries, true}
-		}
-	}
-}
-
-func (w updateWriter) StampVersion(number int) { w.tables.stamp = number }
-func (w updateWriter) CheckHealth(host int)    { w.effects.CheckHealth(w.hostIndex.Names[host]) }
-func (w updateWriter) ScheduleRound(at float64) {
-	w.Controller.scheduler.plannedMs = w.nowMs + (at-w.nowMs)*w.ingest.pacer.IntervalFactor()
-}
-func (w updateWriter) WatchEndpoints()         { w.effects.WatchEndpoints() }
-func (w updateWriter) Log(event routing.Event) { w.logEvent(event) }
-
-// enqueueUpdates puts what the round has ordered into the channel, a message for each proxy concerned.
-func (s *Controller) enqueueUpdates() {
-	t := &s.tables
-	if len(t.changed) == 0 && len(t.reassigned) == 0 && t.globalPolicyChanges == 0 {
-		t.stamp = 0
-		return
-	}
-	k := versionStamp{t.round, t.stamp}
-	for _, m := range s.sessions.byIndex {
-		if m == nil {
-			continue
-		}
-		lines, removal := t.globalPolicyChanges, false
-		if t.reassigned[m] {
-			for _, number := range distinctTables(m.tableByClass) {
-				lines += 1 + t.byNumber[number].publishedSize() + float64(len(s.classes))
-			}
-		} else if len(t.changed) > 0 {
-			for _, number := range distinctTables(m.tableByClass) {
-				if b := t.byNumber[number]; b != nil && b.changedRound == t.round {
-					lines, removal = lines+b.changedEntries, removal || b.hasRemoval
-				}
-			}
-		}
-		if lines > 0 {
-			s.channel.enqueue(m, lines+1, removal, k)
-		}
-	}
-	clear(t.reassigned)
-	t.changed, t.globalPolicyChanges, t.stamp = t.changed[:0], 0, 0
-}
-
-// distinctTables gives the tables that a proxy is bound to, each once.
-func distinctTables(numbers []int) []int {
-	if len(numbers) > 0 && numbers[0] >= 0 && !slices.ContainsFunc(numbers, func(n int) bool { return n != numbers[0] }) {
-		return numbers[:1]
-	}
-	var some []int
-	for _, n := range numbers {
-		if n >= 0 && !slices.Contains(some, n) {
-			some = append(some, n)
-		}
-	}
-	return some
-}
-
 // entriesOf gives the present lines of a table by name of host.
 func (s *Controller) entriesOf(b *routingTable) []weightEntry {
 	if b.entries == nil {
@@ -228,15 +128,22 @@
 	return b.entries
 }
 
-// effectivePolicy gives the level that holds where a table's own and the one for all are set: the lower share, and the
-// table's own way of trying again.
-func (t *tableStore) effectivePolicy(own, all classPolicy) classPolicy {
-	l := classPolicy{1, t.defaultRetryPolicy, true}
-	if all.set {
-		l = all
+// distinctTables gives the tables that a proxy is bound to, each once.
+func distinctTables(numbers []int) []int {
+	if len(numbers) > 0 && numbers[0] >= 0 && !slices.ContainsFunc(numbers, func(n int) bool { return n != numbers[0] }) {
+		return numbers[:1]
 	}
-	if own.set {
-		l.admissionRatio, l.retryPolicy = min(l.admissionRatio, own.admissionRatio), own.retryPolicy
+	var some []int
+	for _, n := range numbers {
+		if n >= 0 && !slices.Contains(some, n) {
+			some = append(some, n)
+		}
 	}
-	return l
+	return some
+}
+
+// round6 keeps six digits, as many as matter to a proxy.
+func round6(x float64) float64 {
+	y, _ := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 6, 64), 64)
+	return y
 }
--- a/controller/guarding.go
+++ b/controller/validation.go
@@ -6,8 +6,6 @@
 	"math"
 
 	"barleysail/guard"
-	"barleysail/operator"
-	"barleysail/routing"
 )
 
 // tableValidation has the guard look at the tables, and at lists that lose many hosts at once.
@@ -81,62 +79,84 @@
 	return all
 }
 
-// holdsEndpoints tells whether a list is held back for now.
-func (s *Controller) holdsEndpoints(entries []Endpoint) bool {
+// validationIntervalMs ms the tables are looked at though none changed, since the demand may have; more often while the guard
+// refuses, so that what it held back goes on in steps.
+const (
+	validationIntervalMs = 10000.0
+	repairIntervalMs     = 1000.0
+	invalidReportDelayMs = 10000.0 // that no sound table was found for so long
+)
+
+// validateRound has the guard look at the tables of the present round, and where it refuses puts the nearest sound ones in
+// their place.
+func (s *Controller) validateRound() {
 	g := &s.validation
-	if !g.enabled || !s.endpoints.known {
-		return false
+	every := validationIntervalMs
+	if g.report.Refusing {
+		every = repairIntervalMs
 	}
-	stays := map[string]bool{}
-	for _, e := range entries {
-		stays[e.Host] = e.State == routing.Ready
+	if !g.enabled || !g.hostsChanged && len(s.tables.changed) == 0 && len(s.tables.reassigned) == 0 && s.nowMs < g.lastRunMs+every {
+		return
 	}
-	ready, lost, confirmed := 0, 0, 0
-	for _, e := range s.endpoints.received {
-		if e.State != routing.Ready {
-			continue
-		}
-		if ready++; stays[e.Host] {
-			continue
-		}
-		lost++
-		if set, ok := s.overrides.Override(e.Host); ok && set.State != operator.Listed {
-			confirmed++
-		} else if x, ok := s.balancer.Explain(s.hostIndex.IndexOf[e.Host]); ok && x.ConsecutiveFailures > 0 {
-			confirmed++
+	g.lastRunMs = s.nowMs
+	v, shared := s.validationView()
+	if len(v.Routes) == 0 {
+		return
+	}
+	g.report.Looked++
+	found := guard.Check(v, g.limits)
+	before := map[string]bool{}
+	for _, f := range g.report.Standing {
+		before[f.Check+f.Subject] = true
+	}
+	for _, f := range found {
+		if !before[f.Check+f.Subject] {
+			g.report.Found[f.Check]++
+			s.recordEvent("guard", f.String())
 		}
 	}
-	was := g.heldEndpoints != nil
-	if !g.endpointLoss.Observe(s.nowMs, ready, lost, confirmed) {
-		if was {
-			s.recordEvent("guard", fmt.Sprintf("the list is believed: %d of %d ready hosts are lost, %d of them confirmed", lost, ready, confirmed))
+	g.report.Standing = found
+	if !g.repair.Enabled {
+		return
+	}
+	limits := g.limits
+	limits.SurviveZoneLoss = limits.SurviveZoneLoss && g.repair.SurviveZoneLoss
+	rows, left, why := [][]float64(nil), []guard.Finding(nil), guard.Finding{}
+	for _, f := range found {
+		if f.Check != guard.OverCapacityWithoutZone || limits.SurviveZoneLoss {
+			why = f
+			if rows = s.reuseRepair(v, shared, limits); rows == nil {
+				rows, left = guard.Repair(v, limits)
+			}
+			break
 		}
-		g.heldEndpoints = nil
-		return false
 	}
-	if !was {
-		g.report.ListHolds++
-		s.recordEvent("guard", fmt.Sprintf("the list is held back: %d of %d ready hosts are lost at once, %d of them confirmed", lost, ready, confirmed))
+	refused := 0
+	for i, number := range shared {
+		row := v.Routes[i].Decided
+		if rows != nil {
+			row = rows[i]
+		}
+		refused += s.publishRepaired(v, s.tables.table(number), number, v.Routes[i].Decided, row)
 	}
-	g.heldEndpoints = append([]Endpoint{}, entries...)
-	return true
+	s.reportRepair(refused, left, why)
 }
 
-// recheckHeldEndpoints looks again at a list that is held back: its hold may be over, or those lost confirmed.
-func (s *Controller) recheckHeldEndpoints() {
+// reportRepair notes and tells when the guard begins to put other tables in the place of those decided, and when it ends.
+func (s *Controller) reportRepair(lines int, left []guard.Finding, why guard.Finding) {
 	g := &s.validation
-	if g.heldEndpoints == nil {
-		return
+	if was := g.report.Refusing; lines > 0 && !was {
+		g.repairingSinceMs = s.nowMs
+		g.report.Refused++
+		s.logMode(fmt.Sprintf("guard refuses: %v; %d lines are others, %d findings left", why, lines, len(left)))
+	} else if lines == 0 && was {
+		s.logMode(fmt.Sprintf("guard refuses nothing again, after %.0f ms", s.nowMs-g.repairingSinceMs))
 	}
-	if entries := g.heldEndpoints; !s.holdsEndpoints(entries) {
-		s.acceptEndpoints(entries)
-	}
-}
-
-func (g *tableValidation) nextMs() float64 {
-	if g.heldEndpoints == nil {
-		return math.Inf(1)
+	g.report.Refusing, g.report.Left = lines > 0, left
+	if len(left) == 0 {
+		g.invalidReported, g.invalidSinceMs = false, s.nowMs
+	} else if !g.invalidReported && s.nowMs >= g.invalidSinceMs+invalidReportDelayMs {
+		g.invalidReported = true
+		s.logMode(fmt.Sprintf("guard finds no sound table for %.0f ms, the least bad one is served: %v", s.nowMs-g.invalidSinceMs, left[0]))
 	}
-	at, _ := g.endpointLoss.HeldUntil()
-	return at
 }
