--- a/standby/standby.go
+++ b/standby/standby.go
@@ -1,61 +1,70 @@
-// Package standby decides whom a steward that stands by another may serve. It follows what the first one keeps, and serves
-// nobody whom the first still hears: a proxy that comes to it is sent back while the first was lately heard to have that
-// proxy. A split is safe all the same, since a proxy goes by the tables of one steward at a time and each steward keeps the
-// rules alone; standing back only keeps proxies from wandering. The package does no I/O and reads no clock; times are ms.
+// Package standby decides which proxies a standby controller may serve while it follows a leader.
+//
+// The standby does not serve a proxy that has a session with the leader as long as the leader's lease is valid. Each answer
+// that the standby receives from the leader renews the lease, which expires LeaseMs later. No proxy is therefore served by
+// both controllers while the standby hears the leader. In a network partition both may publish, each to its own proxies;
+// that is safe, since a proxy follows the tables of one controller at a time. Holding proxies back only keeps them from
+// switching between controllers.
+//
+// The package performs no I/O, reads no clock and starts no goroutine; the caller serializes all calls. Instants and
+// durations are milliseconds.
 package standby
 
 import "math"
 
 // Limits of a standby.
 type Limits struct {
-	LeaseMs float64 // what the first told is gone by for so long
+	LeaseMs float64 // how long the leader's lease is valid after it was last heard
 }
 
-// Standby follows one steward.
+// Standby follows one leader.
 type Standby struct {
-	limits  Limits
-	heardAt float64 // when the first last told how it stands
-	has     map[string]bool
-	live    bool
-	liveAt  float64
-	sent    int64 // back
+	limits          Limits
+	leaderHeardAtMs float64 // when the leader last reported its sessions or sent a heartbeat; -Inf: never
+	leaderSessions  map[string]bool
+	active          bool
+	activeSinceMs   float64
+	rejectedPolls   int64
 }
 
-// New makes one that has heard nothing yet.
-func New(l Limits) *Standby {
-	return &Standby{limits: l, heardAt: math.Inf(-1), has: map[string]bool{}}
+// New returns a standby that has not heard its leader yet, and so would serve any proxy.
+func New(limits Limits) *Standby {
+	return &Standby{limits: limits, leaderHeardAtMs: math.Inf(-1), leaderSessions: map[string]bool{}}
 }
 
-// ObserveSessions notes that the first told how it stands, and the proxies that have joined there.
-func (s *Standby) ObserveSessions(now float64, proxies []string) {
-	s.heardAt = now
-	clear(s.has)
-	for _, p := range proxies {
-		s.has[p] = true
+// ObserveSessions renews the leader's lease and replaces the set of proxies that have a session with the leader.
+func (s *Standby) ObserveSessions(nowMs float64, proxies []string) {
+	s.leaderHeardAtMs = nowMs
+	clear(s.leaderSessions)
+	for _, proxy := range proxies {
+		s.leaderSessions[proxy] = true
 	}
 }
 
-// Heartbeat notes that the first is there, and nothing has changed.
-func (s *Standby) Heartbeat(now float64) { s.heardAt = now }
+// Heartbeat renews the leader's lease; the leader's sessions are as they were.
+func (s *Standby) Heartbeat(nowMs float64) { s.leaderHeardAtMs = nowMs }
 
-// LeaseValid tells whether what the first told may still be gone by.
-func (s *Standby) LeaseValid(now float64) bool { return now < s.heardAt+s.limits.LeaseMs }
+// LeaseValid reports whether the leader's lease is valid, so that its sessions have to be respected.
+func (s *Standby) LeaseValid(nowMs float64) bool { return nowMs < s.leaseExpiresAtMs() }
 
-// ShouldServe tells whether a proxy that polls may be served, and if not, after how long it may ask again. The first one that is
-// served makes the standby a steward like any other, for those who come.
-func (s *Standby) ShouldServe(now float64, proxy string) (serve bool, again float64) {
-	if s.LeaseValid(now) && s.has[proxy] {
-		s.sent++
-		return false, s.heardAt + s.limits.LeaseMs - now
+func (s *Standby) leaseExpiresAtMs() float64 { return s.leaderHeardAtMs + s.limits.LeaseMs }
+
+// ShouldServe reports whether a proxy that polls may be served. If not, retryAfterMs is the time until the lease expires
+// if it is not renewed. The first proxy that is served makes the standby active.
+func (s *Standby) ShouldServe(nowMs float64, proxy string) (serve bool, retryAfterMs float64) {
+	if s.LeaseValid(nowMs) && s.leaderSessions[proxy] {
+		s.rejectedPolls++
+		return false, s.leaseExpiresAtMs() - nowMs
 	}
-	if !s.live {
-		s.live, s.liveAt = true, now
+	if !s.active {
+		s.active = true
+		s.activeSinceMs = nowMs
 	}
 	return true, 0
 }
 
-// Active tells whether somebody was served, and since when.
-func (s *Standby) Active() (live bool, since float64) { return s.live, s.liveAt }
+// Active reports whether any proxy has been served, and since when.
+func (s *Standby) Active() (active bool, sinceMs float64) { return s.active, s.activeSinceMs }
 
-// RejectedPolls is how many polls were sent back.
-func (s *Standby) RejectedPolls() int64 { return s.sent }
+// RejectedPolls returns the number of polls that were rejected because the proxy has a session with the leader.
+func (s *Standby) RejectedPolls() int64 { return s.rejectedPolls }
--- /dev/null
+++ b/standby/takeover_model_test.go
@@ -0,0 +1,216 @@
+package standby
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// The takeover as a state machine: a leader, a standby that follows it, and two proxies that poll either of them.
+// Time passes in ticks. Every sequence of events is explored up to a depth.
+const (
+	leaseTicks       = 2 // how long the leader's lease is valid
+	sessionIdleTicks = 3 // ticks without a poll after which the leader ends a proxy's session
+
+	modelDepth  = 6      // events in a sequence of the real policy
+	mutantDepth = 8      // events in a sequence of a mutant: deep enough for each to break an invariant
+	leastPaths  = 500000 // that have to be explored; 9 events in up to 6 places make 597,871
+)
+
+// noSession is the instant of the last poll of a proxy that has no session with the leader.
+const noSession = -1
+
+var proxyNames = [2]string{"p0", "p1"}
+
+// policy is the decision under test: the package's own, or a mutant of it.
+type policy interface {
+	ObserveSessions(now float64, proxies []string)
+	Heartbeat(now float64)
+	ShouldServe(now float64, proxy string) (bool, float64)
+}
+
+// model is the state of all parties. What the policy knows follows from the sequence of events, so each sequence is
+// replayed into a new policy.
+type model struct {
+	policy           policy
+	now              float64
+	leaderUp         bool
+	replicationUp    bool       // whether the standby reaches the leader
+	leaderReachable  [2]bool    // by each proxy
+	lastPolledLeader [2]float64 // or noSession
+	standbyHeardAt   float64    // when the standby last heard the leader
+	observedSessions [2]bool    // the sessions that the leader then had
+	violations       []string   // of the invariants
+}
+
+func newModel(policy policy) *model {
+	return &model{
+		policy:           policy,
+		leaderUp:         true,
+		replicationUp:    true,
+		leaderReachable:  [2]bool{true, true},
+		lastPolledLeader: [2]float64{noSession, noSession},
+		standbyHeardAt:   math.Inf(-1),
+	}
+}
+
+type event struct {
+	name  string
+	apply func(*model)
+}
+
+var events = []event{
+	{"tick", (*model).tick},
+	{"leader dies", (*model).killLeader},
+	{"leader returns", func(m *model) { m.leaderUp = true }},
+	{"replication breaks", func(m *model) { m.replicationUp = false }},
+	{"replication recovers", func(m *model) { m.replicationUp = true }},
+	{"p0 loses the leader", func(m *model) { m.leaderReachable[0] = false }},
+	{"p0 reaches the leader", func(m *model) { m.leaderReachable[0] = true }},
+	{"p0 polls", func(m *model) { m.poll(0) }},
+	{"p1 polls", func(m *model) { m.poll(1) }},
+}
+
+func (m *model) tick() {
+	m.now++
+	for proxy, polledAt := range m.lastPolledLeader {
+		if polledAt != noSession && m.now-polledAt >= sessionIdleTicks {
+			m.lastPolledLeader[proxy] = noSession
+		}
+	}
+	if m.leaderUp && m.replicationUp {
+		m.replicateSessions()
+	}
+}
+
+func (m *model) replicateSessions() {
+	m.standbyHeardAt = m.now
+	var sessions []string
+	for proxy, name := range proxyNames {
+		m.observedSessions[proxy] = m.lastPolledLeader[proxy] != noSession
+		if m.observedSessions[proxy] {
+			sessions = append(sessions, name)
+		}
+	}
+	m.policy.ObserveSessions(m.now, sessions)
+}
+
+func (m *model) killLeader() {
+	m.leaderUp = false
+	m.lastPolledLeader = [2]float64{noSession, noSession}
+}
+
+// poll reaches the leader if it can, as a client tries its controllers in order, and the standby otherwise.
+func (m *model) poll(proxy int) {
+	if m.leaderUp && m.leaderReachable[proxy] {
+		m.lastPolledLeader[proxy] = m.now
+		return
+	}
+	serve, _ := m.policy.ShouldServe(m.now, proxyNames[proxy])
+	leaseValid := m.now < m.standbyHeardAt+leaseTicks
+	heldByLeader := leaseValid && m.observedSessions[proxy]
+	if serve && heldByLeader {
+		m.violations = append(m.violations, "a proxy with a session at the leader is served during the lease")
+	}
+	if !serve && !heldByLeader {
+		m.violations = append(m.violations, "a proxy without a session at the leader is rejected")
+	}
+}
+
+// explorer replays every sequence of events up to a depth.
+type explorer struct {
+	newPolicy func() policy
+	path      []event
+	paths     int
+	violation string // the first one found, with its path
+}
+
+func explore(depth int, newPolicy func() policy) *explorer {
+	e := &explorer{newPolicy: newPolicy}
+	e.extend(depth)
+	return e
+}
+
+// extend replays the current path and all of its continuations, and reports whether none violates an invariant.
+func (e *explorer) extend(remaining int) bool {
+	e.paths++
+	m := newModel(e.newPolicy())
+	for _, event := range e.path {
+		event.apply(m)
+	}
+	if len(m.violations) > 0 {
+		e.violation = fmt.Sprintf("%s: %s", e.pathText(), m.violations[0])
+		return false
+	}
+	if remaining == 0 {
+		return true
+	}
+	for _, event := range events {
+		e.path = append(e.path, event)
+		if !e.extend(remaining - 1) {
+			return false
+		}
+		e.path = e.path[:len(e.path)-1]
+	}
+	return true
+}
+
+func (e *explorer) pathText() string {
+	var names []string
+	for _, event := range e.path {
+		names = append(names, event.name)
+	}
+	return strings.Join(names, ", ")
+}
+
+// alwaysServes ignores the leader's lease.
+type alwaysServes struct{ *Standby }
+
+func (alwaysServes) ShouldServe(float64, string) (bool, float64) { return true, 0 }
+
+// keepsSessions never notices that a session with the leader has ended.
+type keepsSessions struct{ *Standby }
+
+func (k keepsSessions) ObserveSessions(now float64, proxies []string) {
+	for proxy := range k.leaderSessions {
+		proxies = append(proxies, proxy)
+	}
+	k.Standby.ObserveSessions(now, slices.Clone(proxies))
+}
+
+// endlessLease never lets the leader's lease expire.
+type endlessLease struct{ *Standby }
+
+func (e endlessLease) ShouldServe(now float64, proxy string) (bool, float64) {
+	e.limits.LeaseMs = 1e9 // longer than any sequence
+	return e.Standby.ShouldServe(now, proxy)
+}
+
+func newModelStandby() *Standby { return New(Limits{LeaseMs: leaseTicks}) }
+
+// Every sequence of events keeps both invariants of the poll, and each mutant of the policy breaks one.
+func TestTakeoverModel(t *testing.T) {
+	result := explore(modelDepth, func() policy { return newModelStandby() })
+	if result.violation != "" || result.paths < leastPaths {
+		t.Errorf("%d paths: %s", result.paths, result.violation)
+	}
+	t.Logf("%d paths", result.paths)
+
+	mutants := []struct {
+		name      string
+		newPolicy func() policy
+	}{
+		{"always serves", func() policy { return alwaysServes{newModelStandby()} }},
+		{"keeps sessions", func() policy { return keepsSessions{newModelStandby()} }},
+		{"endless lease", func() policy { return endlessLease{newModelStandby()} }},
+	}
+	for _, mutant := range mutants {
+		t.Run(mutant.name, func(t *testing.T) {
+			if explore(mutantDepth, mutant.newPolicy).violation == "" {
+				t.Error("no invariant was violated: the model does not detect this mutant")
+			}
+		})
+	}
+}
