--- a/standby/standby.go
+++ b/standby/standby.go
@@ -1,10 +1,10 @@
 // Package standby decides which proxies a standby controller may serve while it follows a leader.
 //
-// The standby does not serve a proxy that has a session with the leader as long as the leader's lease is valid. Each answer
-// that the standby receives from the leader renews the lease, which expires LeaseMs later. No proxy is therefore served by
-// both controllers while the standby hears the leader. In a network partition both may publish, each to its own proxies;
-// that is safe, since a proxy follows the tables of one controller at a time. Holding proxies back only keeps them from
-// switching between controllers.
+// The standby does not serve a proxy that has a session with the leader as long as the leader's lease is valid. Each
+// answer that the standby receives from the leader renews the lease, which expires LeaseMs later. No proxy is
+// therefore served by both controllers while the standby hears the leader. In a network partition both may publish,
+// each to its own proxies; that is safe, since a proxy follows the tables of one controller at a time. Holding
+// proxies back only keeps them from switching between controllers.
 //
 // The package performs no I/O, reads no clock and starts no goroutine; the caller serializes all calls. Instants and
 // durations are milliseconds.
@@ -49,8 +49,8 @@
 
 func (s *Standby) leaseExpiresAtMs() float64 { return s.leaderHeardAtMs + s.limits.LeaseMs }
 
-// ShouldServe reports whether a proxy that polls may be served. If not, retryAfterMs is the time until the lease expires
-// if it is not renewed. The first proxy that is served makes the standby active.
+// ShouldServe reports whether a proxy that polls may be served. If not, retryAfterMs is the time until the lease
+// expires if it is not renewed. The first proxy that is served makes the standby active.
 func (s *Standby) ShouldServe(nowMs float64, proxy string) (serve bool, retryAfterMs float64) {
 	if s.LeaseValid(nowMs) && s.leaderSessions[proxy] {
 		s.rejectedPolls++
