--- a/state/change.go
+++ b/state/diff.go
@@ -3,20 +3,12 @@
 import (
 	"math"
 	"slices"
-	"strings"
 
 	"google.golang.org/protobuf/proto"
 
 	"barleysail/state/statepb"
 )
 
-// FormatMajor and Minor are the format that is written. A file of a larger major is refused; one of a larger minor is read as far
-// as it is known, and what is not known is kept.
-const (
-	FormatMajor = 1
-	FormatMinor = 0
-)
-
 // worth is the relative change of a figure that is worth a line in the log.
 const worth = 0.05
 
@@ -100,69 +92,3 @@
 		}
 	}
 }
-
-// Apply brings a state up to date by a change. Tables that no proxy holds any more go.
-func Apply(s *statepb.State, c *statepb.Change) {
-	p := c.GetPart()
-	s.At = math.Max(s.At, c.At)
-	s.Hosts = merge(s.Hosts, p.GetHosts(), c.GoneHosts, (*statepb.Host).GetName)
-	s.Proxies = merge(s.Proxies, p.GetProxies(), c.GoneProxies, (*statepb.Proxy).GetName)
-	s.Settings = merge(s.Settings, p.GetSettings(), c.GoneSettings, (*statepb.Setting).GetHost)
-	s.Tables = merge(s.Tables, p.GetTables(), nil, (*statepb.Table).GetId)
-	if c.Fleet {
-		s.Fleet = p.GetFleet()
-	}
-	used := map[string]bool{}
-	for _, x := range s.Proxies {
-		used[x.Table] = true
-	}
-	s.Tables = slices.DeleteFunc(s.Tables, func(t *statepb.Table) bool { return !used[t.Id] })
-}
-
-func merge[T any](old, now []*T, gone []string, name func(*T) string) (all []*T) {
-	out := map[string]bool{}
-	for _, n := range gone {
-		out[n] = true
-	}
-	now = slices.Clone(now)
-	slices.SortFunc(now, func(a, b *T) int { return strings.Compare(name(a), name(b)) })
-	each(old, now, name, func(a, b *T) {
-		if b != nil {
-			all = append(all, b)
-		} else if !out[name(a)] {
-			all = append(all, a)
-		}
-	})
-	return all
-}
-
-// Shrink drops what is least missed until a state takes no more than so many bytes: tables that proxies hold, the longest
-// first, then proxies, then what is known of hosts. Settings of operators stay.
-func Shrink(s *statepb.State, most int) (dropped int) {
-	for proto.Size(s) > most {
-		switch {
-		case len(s.Tables) > 0:
-			worst := 0
-			for i, t := range s.Tables {
-				if proto.Size(t) > proto.Size(s.Tables[worst]) {
-					worst = i
-				}
-			}
-			id := s.Tables[worst].Id
-			s.Tables = slices.Delete(s.Tables, worst, worst+1)
-			for _, p := range s.Proxies {
-				if p.Table == id {
-					p.Table, p.Tag = "", ""
-				}
-			}
-		case len(s.Proxies) > 0:
-			s.Proxies = s.Proxies[:len(s.Proxies)*3/4]
-		case len(s.Hosts) > 0:
-			s.Hosts = s.Hosts[:len(s.Hosts)*3/4]
-		default:
-			return dropped
-		}
-		dropped++
-	}
-	return dropped
-}
