--- a/state/apply.go
+++ b/state/apply.go
@@ -8,37 +8,38 @@
 	"barleysail/state/statepb"
 )
 
-// Apply brings a state up to date by a change. Tables that no proxy holds any more go.
-func Apply(s *statepb.State, c *statepb.Change) {
-	p := c.GetPart()
-	s.At = math.Max(s.At, c.At)
-	s.Hosts = merge(s.Hosts, p.GetHosts(), c.GoneHosts, (*statepb.Host).GetName)
-	s.Proxies = merge(s.Proxies, p.GetProxies(), c.GoneProxies, (*statepb.Proxy).GetName)
-	s.Settings = merge(s.Settings, p.GetSettings(), c.GoneSettings, (*statepb.Setting).GetHost)
-	s.Tables = merge(s.Tables, p.GetTables(), nil, (*statepb.Table).GetId)
-	if c.Fleet {
-		s.Fleet = p.GetFleet()
+// Apply brings a state up to date by a change from Diff, in place, and drops the tables that no proxy refers to any
+// more. Applying a change twice is the same as applying it once.
+func Apply(s *statepb.State, change *statepb.Change) {
+	part := change.GetPart()
+	s.At = math.Max(s.At, change.At)
+	s.Hosts = merge(s.Hosts, part.GetHosts(), change.GoneHosts, (*statepb.Host).GetName)
+	s.Proxies = merge(s.Proxies, part.GetProxies(), change.GoneProxies, (*statepb.Proxy).GetName)
+	s.Settings = merge(s.Settings, part.GetSettings(), change.GoneSettings, (*statepb.Setting).GetHost)
+	s.Tables = merge(s.Tables, part.GetTables(), nil, (*statepb.Table).GetId)
+	if change.Fleet {
+		s.Fleet = part.GetFleet()
 	}
-	used := map[string]bool{}
-	for _, x := range s.Proxies {
-		used[x.Table] = true
-	}
-	s.Tables = slices.DeleteFunc(s.Tables, func(t *statepb.Table) bool { return !used[t.Id] })
+	referenced := referencedTables(s.Proxies)
+	s.Tables = slices.DeleteFunc(s.Tables, func(table *statepb.Table) bool { return !referenced[table.Id] })
 }
 
-func merge[T any](old, now []*T, gone []string, name func(*T) string) (all []*T) {
-	out := map[string]bool{}
-	for _, n := range gone {
-		out[n] = true
+// merge returns the entries of a list sorted by name, less those that were removed, with the updated ones in place
+// of those of the same name.
+func merge[T any](entries, updates []*T, removed []string, name func(*T) string) (merged []*T) {
+	isRemoved := map[string]bool{}
+	for _, removedName := range removed {
+		isRemoved[removedName] = true
 	}
-	now = slices.Clone(now)
-	slices.SortFunc(now, func(a, b *T) int { return strings.Compare(name(a), name(b)) })
-	each(old, now, name, func(a, b *T) {
-		if b != nil {
-			all = append(all, b)
-		} else if !out[name(a)] {
-			all = append(all, a)
+	updates = slices.Clone(updates)
+	slices.SortFunc(updates, func(a, b *T) int { return strings.Compare(name(a), name(b)) })
+	forEachPair(entries, updates, name, func(entry, update *T) {
+		switch {
+		case update != nil:
+			merged = append(merged, update)
+		case !isRemoved[name(entry)]:
+			merged = append(merged, entry)
 		}
 	})
-	return all
+	return merged
 }
--- a/state/decay.go
+++ b/state/decay.go
@@ -1,49 +1,70 @@
 package state
 
-import (
-	"math"
-)
+import "math"
+
+// futureToleranceMs is how far in the future an entry may lie and still count as new: figures are recorded a moment
+// after the instant of the state that holds them. Entries further in the future have an age that nobody can tell.
+const futureToleranceMs = 5000
 
-// Decay is how one kind of knowledge ages.
+// Decay describes how one kind of stored knowledge loses confidence with age.
 type Decay struct {
-	HalfLifeMs float64 // ms in which what it says beyond the ordinary halves
-	MaxAgeMs   float64 // ms after which nothing is known
+	HalfLifeMs float64 // age at which the confidence in a figure is one half
+	MaxAgeMs   float64 // age from which the figure counts as unknown
 }
 
-// soon is how far in the future an entry may lie, in ms: figures are noted a moment after the state's own time.
-const soon = 5000.0
-
-// left is what is left of knowledge of an age, 0 where it is unknown.
-func (f Decay) left(age float64) float64 {
-	if !(age < f.MaxAgeMs) || age < -soon { // no figure, too old, or not yet
+// confidence returns the remaining confidence in a figure of an age, from 1 (new) to 0 (unknown):
+//
+//	confidence = 2^(-age / half-life)   for -futureToleranceMs <= age < max age
+//	confidence = 0                      otherwise, also where the age is NaN
+//
+// An age below zero counts as zero.
+func (d Decay) confidence(ageMs float64) float64 {
+	if !withinAge(ageMs, d.MaxAgeMs) {
 		return 0
 	}
-	return math.Exp2(-math.Max(age, 0) / f.HalfLifeMs)
+	return math.Exp2(-math.Max(ageMs, 0) / d.HalfLifeMs)
 }
 
-// Limits say how each kind ages.
-type Limits struct {
-	Estimates        Decay   // weights, rates and mean times of hosts
-	Failures         Decay   // tries that failed, withdrawals
-	Admission        Decay   // what is let in
-	Reports          Decay   // trust in load reports
-	DemandMaxAgeMs   float64 // ms for which what came to a proxy is still expected
-	TagMaxAgeMs      float64 // ms for which a proxy may come with a tag from before
-	SlowStartMs      float64 // ms until a started host is warm
-	ClockToleranceMs float64 // ms that a clock may have gone back, by rounding and small corrections
+// withinAge reports whether an age is known and below a maximum. It is false for NaN.
+func withinAge(ageMs, maxAgeMs float64) bool {
+	return ageMs < maxAgeMs && ageMs >= -futureToleranceMs
 }
 
-// DefaultLimits are the limits where none are set; cold is that of the rules.
-func DefaultLimits(cold float64) Limits {
-	return Limits{Estimates: Decay{120e3, 900e3}, Failures: Decay{20e3, 120e3}, Admission: Decay{20e3, 120e3}, Reports: Decay{600e3, 7200e3},
-		DemandMaxAgeMs: 120e3, TagMaxAgeMs: 900e3, SlowStartMs: cold, ClockToleranceMs: 1000}
+// decayToward moves a figure toward the neutral value that holds where nothing is known:
+// neutral + (value - neutral) * confidence.
+func decayToward(neutral, value, confidence float64) float64 {
+	return neutral + (value-neutral)*confidence
 }
 
-func recent(age, bound float64) bool { return age < bound && age >= -soon }
+// Limits say how each kind of knowledge decays.
+type Limits struct {
+	Estimates        Decay   // weights and mean latencies of hosts
+	Failures         Decay   // failed and successful attempts, ejections
+	Admission        Decay   // admission ratio and quotas
+	Reports          Decay   // confidence in load reports
+	DemandMaxAgeMs   float64 // age from which the request rates of a proxy count as unknown
+	TagMaxAgeMs      float64 // age from which a proxy's table version counts as unknown
+	SlowStartMs      float64 // time from the start of a host until it has warmed up
+	ClockToleranceMs float64 // how far the wall clock may have gone back, by rounding and small corrections
+}
+
+const (
+	secondMs = 1000.0
+	minuteMs = 60 * secondMs
+	hourMs   = 60 * minuteMs
+)
 
-func clamp(x, least, most float64) float64 {
-	if !(x >= least) {
-		return least
+// DefaultLimits returns the limits that hold where none are set, with the slow start time of the settings. Knowledge
+// that misleads most when it is outdated (failures, admission) decays fastest.
+func DefaultLimits(slowStartMs float64) Limits {
+	return Limits{
+		Estimates:        Decay{HalfLifeMs: 2 * minuteMs, MaxAgeMs: 15 * minuteMs},
+		Failures:         Decay{HalfLifeMs: 20 * secondMs, MaxAgeMs: 2 * minuteMs},
+		Admission:        Decay{HalfLifeMs: 20 * secondMs, MaxAgeMs: 2 * minuteMs},
+		Reports:          Decay{HalfLifeMs: 10 * minuteMs, MaxAgeMs: 2 * hourMs},
+		DemandMaxAgeMs:   2 * minuteMs,
+		TagMaxAgeMs:      15 * minuteMs,
+		SlowStartMs:      slowStartMs,
+		ClockToleranceMs: secondMs,
 	}
-	return math.Min(x, most)
 }
--- a/state/diff.go
+++ b/state/diff.go
@@ -9,86 +9,148 @@
 	"barleysail/state/statepb"
 )
 
-// worth is the relative change of a figure that is worth a line in the log.
-const worth = 0.05
-
-// Diff gives what has to be noted to come from one state to another, nil where nothing has: what is other by name, and
-// figures by so much that it matters. Both states are in the order of names.
-func Diff(old, now *statepb.State) *statepb.Change {
-	c := &statepb.Change{At: now.At, Part: &statepb.State{}}
-	some := false
-	each(old.Hosts, now.Hosts, (*statepb.Host).GetName, func(a, b *statepb.Host) {
-		if b == nil {
-			c.GoneHosts, some = append(c.GoneHosts, a.Name), true
-		} else if a == nil || otherHost(a, b) {
-			c.Part.Hosts, some = append(c.Part.Hosts, b), true
+const (
+	// relativeTolerance is the relative change of a figure from which an entry is stored again. It keeps the log small
+	// while figures move little.
+	relativeTolerance = 0.05
+
+	// failureRatioTolerance is the absolute change of a host's ratio of failed attempts from which it is stored again.
+	failureRatioTolerance = 2 * relativeTolerance
+
+	// refreshIntervalMs is the time after which an entry is stored again although nothing in it changed, since its age
+	// decides how much it counts after a restart.
+	refreshIntervalMs = 10000
+)
+
+// Diff returns the change that leads from one state to another, or nil if there is none worth storing: entries that
+// were removed, and entries that are new, have other names or flags, have figures beyond the tolerance, or have to
+// be refreshed. Hosts, proxies and overrides of both states have to be sorted by name. The change shares its entries
+// with the new state.
+func Diff(previous, current *statepb.State) *statepb.Change {
+	change := &statepb.Change{At: current.At, Part: &statepb.State{}}
+	diffHosts(change, previous.Hosts, current.Hosts)
+	diffProxies(change, previous.Proxies, current.Proxies)
+	diffTables(change, previous.Tables, current.Tables)
+	diffOverrides(change, previous.Settings, current.Settings)
+	if current.Fleet != nil && (previous.Fleet == nil || fleetDiffers(previous.Fleet, current.Fleet)) {
+		change.Part.Fleet = current.Fleet
+		change.Fleet = true
+	}
+	if changeIsEmpty(change) {
+		return nil
+	}
+	return change
+}
+
+// changeIsEmpty needs no look at the tables: a change has them only for the proxies that it has.
+func changeIsEmpty(change *statepb.Change) bool {
+	removed := len(change.GoneHosts) + len(change.GoneProxies) + len(change.GoneSettings)
+	updated := len(change.Part.Hosts) + len(change.Part.Proxies) + len(change.Part.Settings)
+	return removed == 0 && updated == 0 && !change.Fleet
+}
+
+func diffHosts(change *statepb.Change, previous, current []*statepb.Host) {
+	forEachPair(previous, current, (*statepb.Host).GetName, func(before, after *statepb.Host) {
+		if after == nil {
+			change.GoneHosts = append(change.GoneHosts, before.Name)
+		} else if before == nil || hostDiffers(before, after) {
+			change.Part.Hosts = append(change.Part.Hosts, after)
 		}
 	})
-	used := map[string]bool{}
-	each(old.Proxies, now.Proxies, (*statepb.Proxy).GetName, func(a, b *statepb.Proxy) {
-		if b == nil {
-			c.GoneProxies, some = append(c.GoneProxies, a.Name), true
-		} else if a == nil || a.Tag != b.Tag || a.Zone != b.Zone || a.Table != b.Table || b.At-a.At > freshen || otherAll(a.Rates, b.Rates) {
-			c.Part.Proxies, some = append(c.Part.Proxies, b), true
-			used[b.Table] = true
+}
+
+func diffProxies(change *statepb.Change, previous, current []*statepb.Proxy) {
+	forEachPair(previous, current, (*statepb.Proxy).GetName, func(before, after *statepb.Proxy) {
+		if after == nil {
+			change.GoneProxies = append(change.GoneProxies, before.Name)
+		} else if before == nil || proxyDiffers(before, after) {
+			change.Part.Proxies = append(change.Part.Proxies, after)
 		}
 	})
-	had := map[string]bool{}
-	for _, t := range old.Tables {
-		had[t.Id] = true
+}
+
+// diffTables adds the tables that are new and that a proxy in the change refers to, so it follows diffProxies.
+// Tables do not change under their identifier, and Apply drops those that no proxy refers to.
+func diffTables(change *statepb.Change, previous, current []*statepb.Table) {
+	stored := map[string]bool{}
+	for _, table := range previous {
+		stored[table.Id] = true
 	}
-	for _, t := range now.Tables {
-		if used[t.Id] && !had[t.Id] {
-			c.Part.Tables = append(c.Part.Tables, t)
+	referenced := referencedTables(change.Part.Proxies)
+	for _, table := range current {
+		if referenced[table.Id] && !stored[table.Id] {
+			change.Part.Tables = append(change.Part.Tables, table)
 		}
 	}
-	each(old.Settings, now.Settings, (*statepb.Setting).GetHost, func(a, b *statepb.Setting) {
-		if b == nil {
-			c.GoneSettings, some = append(c.GoneSettings, a.Host), true
-		} else if a == nil || !proto.Equal(a, b) {
-			c.Part.Settings, some = append(c.Part.Settings, b), true
+}
+
+func referencedTables(proxies []*statepb.Proxy) map[string]bool {
+	referenced := map[string]bool{}
+	for _, proxy := range proxies {
+		referenced[proxy.Table] = true
+	}
+	return referenced
+}
+
+func diffOverrides(change *statepb.Change, previous, current []*statepb.Setting) {
+	forEachPair(previous, current, (*statepb.Setting).GetHost, func(before, after *statepb.Setting) {
+		if after == nil {
+			change.GoneSettings = append(change.GoneSettings, before.Host)
+		} else if before == nil || !proto.Equal(before, after) {
+			change.Part.Settings = append(change.Part.Settings, after)
 		}
 	})
-	if a, b := old.Fleet, now.Fleet; b != nil && (a == nil || other(a.Level, b.Level) || otherAll(a.Shares, b.Shares) || other(a.Median, b.Median) || b.At-a.At > freshen) {
-		c.Part.Fleet, c.Fleet, some = b, true, true
-	}
-	if !some {
-		return nil
-	}
-	return c
 }
 
-// freshen ms after which an entry is noted again though nothing of it changed, since its age is a part of it.
-const freshen = 10000.0
+func hostDiffers(before, after *statepb.Host) bool {
+	lifecycleDiffers := before.Zone != after.Zone || before.Started != after.Started || before.Drains != after.Drains
+	healthDiffers := before.Out != after.Out || before.Absent != after.Absent ||
+		math.Abs(failureRatio(before)-failureRatio(after)) > failureRatioTolerance
+	estimatesDiffer := figureDiffers(before.Weight, after.Weight) || figureDiffers(before.R, after.R) ||
+		figureDiffers(before.Trust, after.Trust)
+	return lifecycleDiffers || healthDiffers || estimatesDiffer || needsRefresh(before.At, after.At)
+}
 
-func other(a, b float64) bool { return math.Abs(a-b) > worth*math.Max(math.Abs(a), math.Abs(b)) }
+// failureRatio is the share of a host's recent attempts that failed. The 1 keeps it small where there were few.
+func failureRatio(host *statepb.Host) float64 { return host.Lost / (host.Won + host.Lost + 1) }
 
-func otherAll(a, b []float64) bool {
-	return !slices.EqualFunc(a, b, func(x, y float64) bool { return !other(x, y) })
+func proxyDiffers(before, after *statepb.Proxy) bool {
+	return before.Tag != after.Tag || before.Zone != after.Zone || before.Table != after.Table ||
+		needsRefresh(before.At, after.At) || anyFigureDiffers(before.Rates, after.Rates)
 }
 
-func otherHost(a, b *statepb.Host) bool {
-	return a.Zone != b.Zone || a.Started != b.Started || a.Drains != b.Drains || a.Out != b.Out || a.Absent != b.Absent ||
-		b.At-a.At > freshen || other(a.Weight, b.Weight) || other(a.R, b.R) || other(a.Trust, b.Trust) ||
-		math.Abs(lost(a)-lost(b)) > 2*worth
+func fleetDiffers(before, after *statepb.Fleet) bool {
+	return figureDiffers(before.Level, after.Level) || anyFigureDiffers(before.Shares, after.Shares) ||
+		figureDiffers(before.Median, after.Median) || needsRefresh(before.At, after.At)
 }
 
-// lost is the part of a host's tries that failed lately.
-func lost(h *statepb.Host) float64 { return h.Lost / (h.Won + h.Lost + 1) }
+func needsRefresh(beforeMs, afterMs float64) bool { return afterMs-beforeMs > refreshIntervalMs }
+
+func figureDiffers(before, after float64) bool {
+	return math.Abs(before-after) > relativeTolerance*math.Max(math.Abs(before), math.Abs(after))
+}
 
-// each goes through two lists in the order of names, with nil where one lacks an entry.
-func each[T any](old, now []*T, name func(*T) string, f func(a, b *T)) {
-	for i, j := 0, 0; i < len(old) || j < len(now); {
+func anyFigureDiffers(before, after []float64) bool {
+	figureEqual := func(x, y float64) bool { return !figureDiffers(x, y) }
+	return !slices.EqualFunc(before, after, figureEqual)
+}
+
+// forEachPair visits the entries of two lists that are sorted by name, those of the same name together, and passes
+// nil where a list lacks the entry.
+func forEachPair[T any](previous, current []*T, name func(*T) string, visit func(before, after *T)) {
+	i, j := 0, 0
+	for i < len(previous) || j < len(current) {
 		switch {
-		case j == len(now) || i < len(old) && name(old[i]) < name(now[j]):
-			f(old[i], nil)
+		case j == len(current) || i < len(previous) && name(previous[i]) < name(current[j]):
+			visit(previous[i], nil)
 			i++
-		case i == len(old) || name(now[j]) < name(old[i]):
-			f(nil, now[j])
+		case i == len(previous) || name(current[j]) < name(previous[i]):
+			visit(nil, current[j])
 			j++
 		default:
-			f(old[i], now[j])
-			i, j = i+1, j+1
+			visit(previous[i], current[j])
+			i++
+			j++
 		}
 	}
 }
--- a/state/restore.go
+++ b/state/restore.go
@@ -1,6 +1,13 @@
-// Package state decides what a steward keeps of what it learned for its next life, and how far that is still to be trusted
-// when it is read: each kind of knowledge fades by a half-life of its own and after a bound counts as unknown. What is left
-// is evidence, never proof. The package does no I/O and reads no clock; times are ms.
+// Package state defines what a controller stores for its next incarnation, and how much of it still counts after a
+// restart.
+//
+// It owns the differences between two stored states (Diff, Apply), the size limit of a state (Shrink), and the decay
+// of stored knowledge (ApplyDecay): the confidence in a figure halves with a half-life of its own for each kind of
+// knowledge, and beyond a maximum age the figure counts as unknown. Restored figures are evidence for the next
+// incarnation, never proof.
+//
+// The package performs no I/O, reads no clock and never writes files; package statefile does that. Instants are
+// milliseconds since 1970 by the wall clock, durations are milliseconds.
 package state
 
 import (
@@ -11,135 +18,240 @@
 	"barleysail/state/statepb"
 )
 
-// Restored is what a steward may go by when it starts again.
+// Bounds of stored figures. What lies outside is damage or an absurd measurement: ratios, weights and counts are
+// brought to the nearest bound, latencies and rates count as unknown.
+const (
+	minAdmissionRatio = 0.01
+	minWeight         = 0.05 // relative to the weight in the endpoint list
+	maxWeight         = 20
+	maxAttempts       = 1e6 // successes or failures
+	maxLatencyMs      = 1e7
+	maxRequestRate    = 1e9 // requests a second
+)
+
+// Restored is the stored knowledge that a new incarnation of a controller may use.
 type Restored struct {
-	Incarnation     string  // the one it is from; empty: nothing is known
-	ElapsedMs       float64 // since it was true, ms
-	Reason          string  // nothing or less than all is known
+	Incarnation     string  // that stored it; empty: nothing is known
+	ElapsedMs       float64 // since the state was stored
+	Reason          string  // why nothing, or less than everything, is known; empty: everything is
 	Hosts           map[string]*Host
 	Proxies         map[string]*Proxy
-	AdmissionRatio  float64 // 1 where none is known
-	AdmissionQuotas map[string]float64
-	MedianLatencyMs float64 // 0: not known
-	Overrides       []*statepb.Setting
+	AdmissionRatio  float64            // 1 where nothing is known
+	AdmissionQuotas map[string]float64 // by request class
+	MedianLatencyMs float64            // median of the hosts' mean latencies; 0: not known
+	Overrides       []*statepb.Setting // of operators, that have not expired
 }
 
-// Host as it may be recalled.
+// Host is the restored knowledge about one host.
 type Host struct {
-	Zone                       string
-	StartedMs                  float64 // 0: long ago, or not known
-	DrainingSinceMs            float64 // since when; 0: it does not
-	Weight                     float64 // a part of the listed one, 1 where nothing is known
-	ArrivalRate, MeanLatencyMs float64 // 0: not known
-	Successes, Failures        float64
-	Ejected, Unreachable       bool    // it was withdrawn: to be looked at first
-	ReportTrust                float64 // 1 where nothing is known
-	known                      bool
-}
-
-// Proxy as it may be recalled.
+	Zone                string
+	StartedMs           float64 // instant; 0: long ago, or not known
+	DrainingSinceMs     float64 // instant; 0: not draining
+	Weight              float64 // relative to the weight in the endpoint list; 1 where nothing is known
+	MeanLatencyMs       float64 // of an attempt; 0: not known
+	Successes, Failures float64 // decayed counts of attempts
+	Ejected             bool    // as an outlier: its health is to be checked first
+	Unreachable         bool    // when it was ejected
+	ReportTrust         float64 // confidence in its load reports; 1 where nothing is known
+}
+
+// Proxy is the restored knowledge about one proxy.
 type Proxy struct {
 	Zone         string
-	Tag          string // empty: not to be gone by
-	Tables       []*statepb.Class
-	RequestRates []float64 // nil: not known
+	Tag          string           // of the table version that it acknowledged; empty: not known
+	Tables       []*statepb.Class // of that version
+	RequestRates []float64        // requests a second by request class, in the order of the settings; nil: not known
 }
 
-// nothing is known, for a reason.
-func nothing(why string) *Restored {
-	return &Restored{Reason: why, AdmissionRatio: 1, Hosts: map[string]*Host{}, Proxies: map[string]*Proxy{}, AdmissionQuotas: map[string]float64{}}
+func newRestored(reason string) *Restored {
+	return &Restored{
+		Reason:          reason,
+		AdmissionRatio:  1,
+		Hosts:           map[string]*Host{},
+		Proxies:         map[string]*Proxy{},
+		AdmissionQuotas: map[string]float64{},
+	}
 }
 
-// ApplyDecay gives what may be gone by now of what was kept. A clock that went back makes all of it unknown but for what operators
-// set: nobody can tell how old it is.
-func ApplyDecay(s *statepb.State, now float64, l Limits) *Restored {
-	if s == nil {
-		return nothing("nothing was kept")
+// ApplyDecay returns what a stored state still says at an instant. A nil state says nothing.
+//
+// If the wall clock has gone back since the state was stored by more than the tolerance, no age can be told; then
+// only the overrides of operators are restored, expired or not.
+func ApplyDecay(stored *statepb.State, nowMs float64, limits Limits) *Restored {
+	if stored == nil {
+		return newRestored("nothing was kept")
 	}
-	r := nothing("")
-	r.ElapsedMs = now - s.At
-	if back := r.ElapsedMs < -l.ClockToleranceMs; back || math.IsNaN(r.ElapsedMs) {
-		r.Reason = fmt.Sprintf("the clock went back by %.0f ms", -r.ElapsedMs)
-		for _, x := range s.Settings { // an end that cannot be told is left as it is
-			r.Overrides = append(r.Overrides, x)
-		}
-		return r
+	restored := newRestored("")
+	restored.ElapsedMs = nowMs - stored.At
+	if restored.ElapsedMs < -limits.ClockToleranceMs || math.IsNaN(restored.ElapsedMs) {
+		restored.Reason = fmt.Sprintf("the clock went back by %.0f ms", -restored.ElapsedMs)
+		restored.Overrides = slices.Clone(stored.Settings)
+		return restored
 	}
-	r.Incarnation = s.Life
-	for _, x := range s.Settings {
-		if x.Until == 0 || x.Until > now {
-			r.Overrides = append(r.Overrides, x)
+	restored.Incarnation = stored.Life
+	d := decayer{nowMs: nowMs, limits: limits, restored: restored}
+	d.restoreOverrides(stored.Settings)
+	if stored.Fleet != nil {
+		d.restoreFleet(stored.Fleet)
+	}
+	d.restoreHosts(stored.Hosts)
+	d.restoreProxies(stored.Proxies, stored.Tables)
+	return restored
+}
+
+// decayer restores one stored state, part by part.
+type decayer struct {
+	nowMs    float64
+	limits   Limits
+	restored *Restored
+}
+
+func (d *decayer) restoreOverrides(overrides []*statepb.Setting) {
+	for _, override := range overrides {
+		expires := override.Until != 0
+		if !expires || override.Until > d.nowMs {
+			d.restored.Overrides = append(d.restored.Overrides, override)
 		}
 	}
-	if f := s.Fleet; f != nil {
-		if left := l.Admission.left(now - f.At); left > 0 {
-			r.AdmissionRatio = 1 + (clamp(f.Level, 0.01, 1)-1)*left
-			for i, class := range f.Classes {
-				if i < len(f.Shares) {
-					r.AdmissionQuotas[class] = 1 + (clamp(f.Shares[i], 0.01, 1)-1)*left
-				}
+}
+
+// restoreFleet restores the figures of all hosts together. The admission ratio and quotas decay toward admitting all
+// requests; the median latency does not decay, since the latencies of hosts decay toward it.
+func (d *decayer) restoreFleet(fleet *statepb.Fleet) {
+	ageMs := d.nowMs - fleet.At
+	if confidence := d.limits.Admission.confidence(ageMs); confidence > 0 {
+		d.restored.AdmissionRatio = decayAdmission(fleet.Level, confidence)
+		for i, class := range fleet.Classes {
+			if i < len(fleet.Shares) {
+				d.restored.AdmissionQuotas[class] = decayAdmission(fleet.Shares[i], confidence)
 			}
 		}
-		if l.Estimates.left(now-f.At) > 0 && f.Median > 0 && f.Median < 1e7 {
-			r.MedianLatencyMs = f.Median
-		}
 	}
+	if d.limits.Estimates.confidence(ageMs) > 0 && plausibleLatency(fleet.Median) {
+		d.restored.MedianLatencyMs = fleet.Median
+	}
+}
+
+func decayAdmission(ratio, confidence float64) float64 {
+	return decayToward(1, clamp(ratio, minAdmissionRatio, 1), confidence)
+}
+
+// restoreHosts needs the median latency, so it follows restoreFleet.
+func (d *decayer) restoreHosts(hosts []*statepb.Host) {
 	unknown := 0
-	for _, x := range s.Hosts {
-		if h := age(x, now, r.MedianLatencyMs, l); h.known {
-			r.Hosts[x.Name] = h
-		} else {
+	for _, stored := range hosts {
+		host, known := d.restoreHost(stored)
+		if !known {
 			unknown++
+			continue
 		}
+		d.restored.Hosts[stored.Name] = host
 	}
-	tables := map[string][]*statepb.Class{}
-	for _, t := range s.Tables {
-		tables[t.Id] = t.Classes
+	if unknown > 0 {
+		d.restored.Reason = fmt.Sprintf("%d of %d hosts were not heard of for too long", unknown, len(hosts))
 	}
-	for _, x := range s.Proxies {
-		p := &Proxy{Zone: x.Zone}
-		if recent(now-x.At, l.TagMaxAgeMs) && x.Table != "" && tables[x.Table] != nil {
-			p.Tag, p.Tables = x.Tag, tables[x.Table]
-		}
-		if recent(now-x.At, l.DemandMaxAgeMs) && !slices.ContainsFunc(x.Rates, func(r float64) bool { return !(r >= 0 && r <= 1e9) }) {
-			p.RequestRates = x.Rates
-		}
-		if p.Tag != "" || p.RequestRates != nil {
-			r.Proxies[x.Name] = p
-		}
+}
+
+// restoreHost reports whether anything about the host is still known.
+func (d *decayer) restoreHost(stored *statepb.Host) (host *Host, known bool) {
+	host = &Host{Zone: stored.Zone, Weight: 1, ReportTrust: 1}
+	ageMs := d.nowMs - stored.At
+	lifecycleKnown := d.restoreLifecycle(host, stored)
+	estimatesKnown := d.restoreEstimates(host, stored, ageMs)
+	failuresKnown := d.restoreFailures(host, stored, ageMs)
+	reportsKnown := d.restoreReportTrust(host, stored, ageMs)
+	return host, lifecycleKnown || estimatesKnown || failuresKnown || reportsKnown
+}
+
+// restoreLifecycle restores the start of a host until it has warmed up, and the start of its draining until the
+// endpoint list says otherwise. Both are facts that the platform reported, not estimates, so they do not decay. A
+// start in the future would keep the host in slow start until then, so it counts as unknown.
+func (d *decayer) restoreLifecycle(host *Host, stored *statepb.Host) (known bool) {
+	started := stored.Started > 0 && stored.Started <= d.nowMs+futureToleranceMs
+	if started && d.nowMs < stored.Started+d.limits.SlowStartMs {
+		host.StartedMs = math.Min(stored.Started, d.nowMs)
+		known = true
 	}
-	if unknown > 0 {
-		r.Reason = fmt.Sprintf("%d of %d hosts were not heard of for too long", unknown, len(s.Hosts))
+	if stored.Drains > 0 && stored.Drains <= d.nowMs {
+		host.DrainingSinceMs = stored.Drains
+		known = true
+	}
+	return known
+}
+
+// restoreEstimates decays the weight toward the listed one and the mean latency toward the median of all hosts.
+func (d *decayer) restoreEstimates(host *Host, stored *statepb.Host, ageMs float64) (known bool) {
+	confidence := d.limits.Estimates.confidence(ageMs)
+	if !(confidence > 0) {
+		return false
+	}
+	host.Weight = decayToward(1, clamp(stored.Weight, minWeight, maxWeight), confidence)
+	if plausibleLatency(stored.R) && d.restored.MedianLatencyMs > 0 {
+		host.MeanLatencyMs = decayToward(d.restored.MedianLatencyMs, stored.R, confidence)
+	}
+	return true
+}
+
+// restoreFailures decays the counts of attempts toward zero.
+func (d *decayer) restoreFailures(host *Host, stored *statepb.Host, ageMs float64) (known bool) {
+	confidence := d.limits.Failures.confidence(ageMs)
+	if !(confidence > 0) {
+		return false
 	}
-	return r
+	host.Successes = clamp(stored.Won, 0, maxAttempts) * confidence
+	host.Failures = clamp(stored.Lost, 0, maxAttempts) * confidence
+	host.Ejected = stored.Out
+	host.Unreachable = stored.Absent
+	return true
 }
 
-// age of one host. Its start stands until it is warm, and its drain until the list says otherwise: both are facts that
-// somebody told, not estimates.
-func age(x *statepb.Host, now, median float64, l Limits) *Host {
-	h := &Host{Zone: x.Zone, Weight: 1, ReportTrust: 1}
-	old := now - x.At
-	if x.Started > 0 && x.Started <= now+soon && now < x.Started+l.SlowStartMs { // one in the future would stay cold for as long
-		h.StartedMs, h.known = math.Min(x.Started, now), true
+// restoreReportTrust decays the confidence in a host's load reports toward 1. A stored 0 means that it was not known.
+func (d *decayer) restoreReportTrust(host *Host, stored *statepb.Host, ageMs float64) (known bool) {
+	confidence := d.limits.Reports.confidence(ageMs)
+	if !(confidence > 0 && stored.Trust > 0) { // also where the trust is NaN
+		return false
 	}
-	if x.Drains > 0 && x.Drains <= now {
-		h.DrainingSinceMs, h.known = x.Drains, true
+	host.ReportTrust = decayToward(1, clamp(stored.Trust, 0, 1), confidence)
+	return true
+}
+
+func (d *decayer) restoreProxies(proxies []*statepb.Proxy, tables []*statepb.Table) {
+	tablesByID := map[string][]*statepb.Class{}
+	for _, table := range tables {
+		tablesByID[table.Id] = table.Classes
 	}
-	if left := l.Estimates.left(old); left > 0 {
-		h.known = true
-		h.Weight = 1 + (clamp(x.Weight, 0.05, 20)-1)*left
-		if x.R > 0 && x.R < 1e7 && median > 0 {
-			h.MeanLatencyMs = median + (x.R-median)*left
+	for _, stored := range proxies {
+		proxy := d.restoreProxy(stored, tablesByID[stored.Table])
+		if proxy.Tag != "" || proxy.RequestRates != nil {
+			d.restored.Proxies[stored.Name] = proxy
 		}
 	}
-	if left := l.Failures.left(old); left > 0 {
-		h.known = true
-		h.Successes, h.Failures = clamp(x.Won, 0, 1e6)*left, clamp(x.Lost, 0, 1e6)*left
-		h.Ejected, h.Unreachable = x.Out, x.Absent
+}
+
+// restoreProxy restores the table version and the request rates of a proxy while each is recent enough.
+func (d *decayer) restoreProxy(stored *statepb.Proxy, tables []*statepb.Class) *Proxy {
+	proxy := &Proxy{Zone: stored.Zone}
+	ageMs := d.nowMs - stored.At
+	if withinAge(ageMs, d.limits.TagMaxAgeMs) && stored.Table != "" && tables != nil {
+		proxy.Tag = stored.Tag
+		proxy.Tables = tables
 	}
-	if left := l.Reports.left(old); left > 0 && x.Trust > 0 {
-		h.known = true
-		h.ReportTrust = 1 + (clamp(x.Trust, 0, 1)-1)*left
+	if withinAge(ageMs, d.limits.DemandMaxAgeMs) && !slices.ContainsFunc(stored.Rates, implausibleRate) {
+		proxy.RequestRates = stored.Rates
+	}
+	return proxy
+}
+
+// plausibleLatency is false for NaN, for infinities and for zero, which stands for an unknown latency.
+func plausibleLatency(latencyMs float64) bool { return latencyMs > 0 && latencyMs < maxLatencyMs }
+
+// implausibleRate is true for NaN.
+func implausibleRate(rate float64) bool { return !(rate >= 0 && rate <= maxRequestRate) }
+
+// clamp brings a figure within bounds; NaN becomes the lower one.
+func clamp(value, least, most float64) float64 {
+	if !(value >= least) {
+		return least
 	}
-	return h
+	return math.Min(value, most)
 }
--- a/state/shrink.go
+++ b/state/shrink.go
@@ -8,33 +8,44 @@
 	"barleysail/state/statepb"
 )
 
-// Shrink drops what is least missed until a state takes no more than so many bytes: tables that proxies hold, the longest
-// first, then proxies, then what is known of hosts. Settings of operators stay.
-func Shrink(s *statepb.State, most int) (dropped int) {
-	for proto.Size(s) > most {
+// Shrink drops entries in place until the encoded state takes at most maxBytes, those first whose loss costs least:
+// the tables of proxies, the largest first (such a proxy gets a snapshot in place of a delta), then a quarter of the
+// proxies at a time, then a quarter of the hosts. Overrides of operators always stay, so the state may remain too
+// large. It returns the number of steps that were needed.
+func Shrink(s *statepb.State, maxBytes int) (steps int) {
+	for proto.Size(s) > maxBytes {
 		switch {
 		case len(s.Tables) > 0:
-			worst := 0
-			for i, t := range s.Tables {
-				if proto.Size(t) > proto.Size(s.Tables[worst]) {
-					worst = i
-				}
-			}
-			id := s.Tables[worst].Id
-			s.Tables = slices.Delete(s.Tables, worst, worst+1)
-			for _, p := range s.Proxies {
-				if p.Table == id {
-					p.Table, p.Tag = "", ""
-				}
-			}
+			dropLargestTable(s)
 		case len(s.Proxies) > 0:
-			s.Proxies = s.Proxies[:len(s.Proxies)*3/4]
+			s.Proxies = dropQuarter(s.Proxies)
 		case len(s.Hosts) > 0:
-			s.Hosts = s.Hosts[:len(s.Hosts)*3/4]
+			s.Hosts = dropQuarter(s.Hosts)
 		default:
-			return dropped
+			return steps
 		}
-		dropped++
+		steps++
 	}
-	return dropped
+	return steps
 }
+
+// dropLargestTable also takes the table version from the proxies that have this table.
+func dropLargestTable(s *statepb.State) {
+	largest := 0
+	for i, table := range s.Tables {
+		if proto.Size(table) > proto.Size(s.Tables[largest]) {
+			largest = i
+		}
+	}
+	id := s.Tables[largest].Id
+	s.Tables = slices.Delete(s.Tables, largest, largest+1)
+	for _, proxy := range s.Proxies {
+		if proxy.Table == id {
+			proxy.Table = ""
+			proxy.Tag = ""
+		}
+	}
+}
+
+// dropQuarter drops the last quarter of a list, and its last entry where it has fewer than four.
+func dropQuarter[T any](entries []*T) []*T { return entries[:len(entries)*3/4] }
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -42,7 +42,8 @@
 	golden.Compare(t, "age", out.String())
 }
 
-// A change onto a state gives the other, as far as figures matter; names stay in order, and tables that nobody holds go.
+// A change onto a state gives the other, as far as figures matter; names stay in order, and tables that nobody holds
+// go.
 func TestDiffAndApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drawn := func() *statepb.State {
--- a/state/times.go
+++ b/state/times.go
@@ -1,20 +1,19 @@
 package state
 
-import (
-	"barleysail/state/statepb"
-)
+import "barleysail/state/statepb"
 
-// ShiftTimes moves the times at which things were so, as from a clock that only advances to that of the wall. Times that others
-// told, as starts and ends, are the wall's already.
-func ShiftTimes(s *statepb.State, by float64) {
-	s.At += by
-	for _, h := range s.Hosts {
-		h.At += by
+// ShiftTimes adds an offset to the instants at which figures were measured, to convert them from a monotonic clock
+// to the wall clock. Instants that come from outside, such as starts of hosts and ends of overrides, are wall clock
+// times already and stay.
+func ShiftTimes(s *statepb.State, offsetMs float64) {
+	s.At += offsetMs
+	for _, host := range s.Hosts {
+		host.At += offsetMs
 	}
-	for _, p := range s.Proxies {
-		p.At += by
+	for _, proxy := range s.Proxies {
+		proxy.At += offsetMs
 	}
 	if s.Fleet != nil {
-		s.Fleet.At += by
+		s.Fleet.At += offsetMs
 	}
 }
