--- a/state/apply.go
+++ b/state/apply.go
@@ -9,7 +9,7 @@
 )
 
 // Apply brings a state up to date by a change from Diff, in place, and drops the tables that no proxy refers to any
-// more. Applying a change twice is the same as applying it once.
+// more.
 func Apply(s *statepb.State, change *statepb.Change) {
 	part := change.GetPart()
 	s.At = math.Max(s.At, change.At)
--- /dev/null
+++ b/state/diff_test.go
@@ -0,0 +1,120 @@
+package state
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+	"pgregory.net/rapid"
+
+	"barleysail/state/statepb"
+)
+
+var drawnTableIDs = []string{"t1", "t2", "t3"}
+
+// drawState draws a state whose entries are sorted by name and whose tables are those that its proxies refer to.
+func drawState(t *rapid.T) *statepb.State {
+	s := &statepb.State{At: rapid.Float64Range(0, 1e5).Draw(t, "instant")}
+	for i := range 6 {
+		if rapid.Bool().Draw(t, "has host") {
+			s.Hosts = append(s.Hosts, &statepb.Host{
+				Name:   fmt.Sprint("h", i),
+				Weight: rapid.SampledFrom([]float64{1, 1.01, 2}).Draw(t, "weight"),
+				Out:    rapid.Bool().Draw(t, "ejected"),
+				At:     s.At,
+			})
+		}
+		if rapid.Bool().Draw(t, "has proxy") {
+			s.Proxies = append(s.Proxies, &statepb.Proxy{
+				Name:  fmt.Sprint("p", i),
+				Tag:   rapid.SampledFrom([]string{"L-1", "L-2"}).Draw(t, "tag"),
+				Table: rapid.SampledFrom(drawnTableIDs).Draw(t, "table"),
+				At:    s.At,
+			})
+		}
+		if rapid.Bool().Draw(t, "has override") {
+			s.Settings = append(s.Settings, &statepb.Setting{
+				Host:   fmt.Sprint("h", i),
+				Weight: rapid.SampledFrom([]float64{1, 2}).Draw(t, "override weight"),
+			})
+		}
+	}
+	referenced := referencedTables(s.Proxies)
+	for _, id := range drawnTableIDs {
+		if referenced[id] {
+			s.Tables = append(s.Tables, &statepb.Table{Id: id})
+		}
+	}
+	return s
+}
+
+func compareHostNames(a, b *statepb.Host) int { return strings.Compare(a.Name, b.Name) }
+
+// A change applied to the first state gives the second, as far as figures differ beyond the tolerance; hosts stay
+// sorted, and tables that no proxy refers to are dropped.
+func TestDiffAndApply(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		previous := drawState(t)
+		current := drawState(t)
+		if Diff(previous, proto.CloneOf(previous)) != nil {
+			t.Fatal("a state differs from its copy")
+		}
+		applied := proto.CloneOf(previous)
+		if change := Diff(previous, current); change != nil {
+			Apply(applied, proto.CloneOf(change))
+		}
+		if remaining := Diff(applied, current); remaining != nil {
+			t.Fatalf("differs after the change was applied: %v", remaining)
+		}
+		if !slices.IsSortedFunc(applied.Hosts, compareHostNames) {
+			t.Fatalf("hosts are not sorted: %v", applied.Hosts)
+		}
+		if len(applied.Hosts) != len(current.Hosts) || len(applied.Proxies) != len(current.Proxies) ||
+			len(applied.Settings) != len(current.Settings) || len(applied.Tables) != len(current.Tables) {
+			t.Fatalf("the numbers of entries differ:\n%v\n%v", applied, current)
+		}
+	})
+}
+
+// An entry is stored again once a figure moved by more than the tolerance, or once its age needs to be refreshed.
+func TestDiffTolerance(t *testing.T) {
+	tests := []struct {
+		name   string
+		modify func(*statepb.State)
+		differ bool
+	}{
+		{"same", func(*statepb.State) {}, false},
+		{"weight within tolerance", func(s *statepb.State) { s.Hosts[1].Weight = 1.04 }, false},
+		{"weight beyond tolerance", func(s *statepb.State) { s.Hosts[1].Weight = 1.06 }, true},
+		{"few more failures", func(s *statepb.State) { s.Hosts[1].Lost = 0.5 }, false},
+		{"many more failures", func(s *statepb.State) { s.Hosts[1].Lost = 3 }, true},
+		{"host recently measured", func(s *statepb.State) { s.Hosts[1].At += refreshIntervalMs }, false},
+		{"host to be refreshed", func(s *statepb.State) { s.Hosts[1].At += refreshIntervalMs + 1 }, true},
+		{"request rate beyond tolerance", func(s *statepb.State) { s.Proxies[0].Rates[0] = 13 }, true},
+		{"proxy to be refreshed", func(s *statepb.State) { s.Proxies[0].At += refreshIntervalMs + 1 }, true},
+		{"admission ratio within tolerance", func(s *statepb.State) { s.Fleet.Level = 0.41 }, false},
+		{"admission ratio beyond tolerance", func(s *statepb.State) { s.Fleet.Level = 0.5 }, true},
+		{"admission quota beyond tolerance", func(s *statepb.State) { s.Fleet.Shares[0] = 0.3 }, true},
+		{"override changed", func(s *statepb.State) { s.Settings[0].Weight = 2 }, true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			current := sampleState()
+			test.modify(current)
+			change := Diff(sampleState(), current)
+			if (change != nil) != test.differ {
+				t.Fatalf("change %v, want one: %v", change, test.differ)
+			}
+			if change == nil {
+				return
+			}
+			applied := sampleState()
+			Apply(applied, change)
+			if !proto.Equal(applied, current) {
+				t.Errorf("applied %v, want %v", applied, current)
+			}
+		})
+	}
+}
