--- a/internal/statefile/store.go
+++ b/internal/statefile/store.go
@@ -1,13 +1,15 @@
+// Package statefile keeps a steward's state in a folder: a snapshot and a log of changes since, in generations, each part
+// with a checksum, written so that a reader finds either what was last synced, or more, but never a mixture.
+//
+// A file begins with the eight bytes "BSTATE\x00" and 'S' for a snapshot or 'L' for a log, and the major and minor of its
+// format (uint32 each). Then come records: the length of the body (uint32), its CRC-32C together with the file's generation
+// (uint32), and the body, a statepb.State in a snapshot (one record) and a statepb.Change in a log. All figures are little
+// endian. The files of generation 17 are snapshot-00000017 and log-00000017.
 package statefile
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/crc32"
-	"slices"
-	"strconv"
-	"strings"
 
 	"google.golang.org/protobuf/proto"
 
@@ -15,161 +17,6 @@
 	"barleysail/state/statepb"
 )
 
-const (
-	magic     = "BSTATE\x00"
-	headBytes = 16 // of a file
-	markBytes = 8  // of a record
-	stay      = 2  // generations
-	leastLog  = 64 << 10
-	mostBytes = 256 << 20 // a record that claims more is damage
-)
-
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
-
-// LoadResult is what a folder held.
-type LoadResult struct {
-	State      *statepb.State // nil: nothing that may be gone by
-	Generation uint64         // it is from; 0: none
-	Changes    int            // of the log that were applied
-	Warnings   []string       // what was damaged, refused or left out
-	newest     uint64         // generation of any file
-}
-
-// Load reads the newest state that is whole: a snapshot and as many of the changes after it as are whole. What is damaged
-// is told, and the generation before serves then.
-func Load(fs FS) (*LoadResult, error) {
-	names, err := fs.Names()
-	if err != nil {
-		return nil, fmt.Errorf("looking into the state folder: %w", err)
-	}
-	f, gens := &LoadResult{}, []uint64(nil)
-	for _, n := range names {
-		if kind, gen, ok := parse(n); ok {
-			if f.newest = max(f.newest, gen); kind == 'S' {
-				gens = append(gens, gen)
-			}
-		}
-	}
-	slices.Sort(gens)
-	slices.Reverse(gens)
-	for _, gen := range gens {
-		s, err := readSnapshot(fs, gen)
-		if err != nil {
-			f.Warnings = append(f.Warnings, fmt.Sprintf("%s: %v", file('S', gen), err))
-			continue
-		}
-		f.State, f.Generation = s, gen
-		f.replay(fs, gen)
-		return f, nil
-	}
-	return f, nil
-}
-
-// replay applies a generation's log as far as it is whole.
-func (f *LoadResult) replay(fs FS, gen uint64) {
-	text, err := fs.Read(file('L', gen))
-	if err != nil {
-		return // not begun
-	}
-	rest, err := head(text, 'L')
-	for err == nil && len(rest) > 0 {
-		var body []byte
-		if body, rest, err = record(rest, gen); err != nil {
-			break
-		}
-		c := &statepb.Change{}
-		if err = proto.Unmarshal(body, c); err == nil {
-			state.Apply(f.State, c)
-			f.Changes++
-		}
-	}
-	if err != nil {
-		f.Warnings = append(f.Warnings, fmt.Sprintf("%s after %d changes: %v", file('L', gen), f.Changes, err))
-	}
-}
-
-func file(kind byte, gen uint64) string {
-	if kind == 'S' {
-		return fmt.Sprintf("snapshot-%08d", gen)
-	}
-	return fmt.Sprintf("log-%08d", gen)
-}
-
-func parse(name string) (kind byte, gen uint64, ok bool) {
-	word, number, _ := strings.Cut(name, "-")
-	gen, err := strconv.ParseUint(number, 10, 64)
-	switch {
-	case err != nil:
-	case word == "snapshot":
-		return 'S', gen, true
-	case word == "log":
-		return 'L', gen, true
-	}
-	return 0, 0, false
-}
-
-// ErrNewer says that a file is of a newer major format.
-var ErrNewer = errors.New("it is of a newer program")
-
-// head checks the first bytes of a file.
-func head(text []byte, kind byte) (rest []byte, err error) {
-	if len(text) < headBytes {
-		return nil, errors.New("it ends in its first bytes")
-	}
-	if string(text[:7]) != magic || text[7] != kind {
-		return nil, errors.New("it is no such file")
-	}
-	if major := binary.LittleEndian.Uint32(text[8:]); major > state.FormatMajor {
-		return nil, fmt.Errorf("format %d, %d is the newest known here: %w", major, state.FormatMajor, ErrNewer)
-	}
-	return text[headBytes:], nil
-}
-
-// sum is a body's checksum in a generation: a record of another file's is none here.
-func sum(body []byte, gen uint64) uint32 {
-	return crc32.Update(crc32.Checksum(binary.LittleEndian.AppendUint64(nil, gen), castagnoli), castagnoli, body)
-}
-
-func record(text []byte, gen uint64) (body, rest []byte, err error) {
-	if len(text) < markBytes {
-		return nil, nil, errors.New("it ends inside a record")
-	}
-	n, want := binary.LittleEndian.Uint32(text), binary.LittleEndian.Uint32(text[4:])
-	if n > mostBytes || int(n) > len(text)-markBytes {
-		return nil, nil, errors.New("it ends inside a record")
-	}
-	if body = text[markBytes : markBytes+int(n)]; sum(body, gen) != want {
-		return nil, nil, errors.New("a checksum does not fit")
-	}
-	return body, text[markBytes+int(n):], nil
-}
-
-func readSnapshot(fs FS, gen uint64) (*statepb.State, error) {
-	text, err := fs.Read(file('S', gen))
-	if err != nil {
-		return nil, err
-	}
-	rest, err := head(text, 'S')
-	if err != nil {
-		return nil, err
-	}
-	body, rest, err := record(rest, gen)
-	if err != nil {
-		return nil, err
-	}
-	if len(rest) > 0 {
-		return nil, errors.New("something follows the record")
-	}
-	s := &statepb.State{}
-	if err := proto.Unmarshal(body, s); err != nil {
-		return nil, fmt.Errorf("reading it: %w", err)
-	}
-	if s.Major > state.FormatMajor {
-		return nil, fmt.Errorf("format %d, %d is the newest known here: %w", s.Major, state.FormatMajor, ErrNewer)
-	}
-	return s, nil
-}
-
 // Store writes a folder's state.
 type Store struct {
 	fs             FS
@@ -224,15 +71,6 @@
 	return s.Save(now)
 }
 
-func mark(body []byte, gen uint64) []byte {
-	return binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(nil, uint32(len(body))), sum(body, gen))
-}
-
-func first(kind byte) []byte {
-	b := append([]byte(magic), kind)
-	return binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(b, state.FormatMajor), state.FormatMinor)
-}
-
 // whole begins a generation: a snapshot under another name, synced, renamed, the folder synced; then its log; then what is
 // older than the generation before goes.
 func (s *Store) whole(now *statepb.State) error {
