--- /dev/null
+++ b/state/shrink.go
@@ -0,0 +1,51 @@
+package state
+
+import (
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"barleysail/state/statepb"
+)
+
+// Shrink drops entries in place until the encoded state takes at most maxBytes, those first whose loss costs least:
+// the tables of proxies, the largest first (such a proxy gets a snapshot in place of a delta), then a quarter of the
+// proxies at a time, then a quarter of the hosts. Overrides of operators always stay, so the state may remain too
+// large. It returns the number of steps that were needed.
+func Shrink(s *statepb.State, maxBytes int) (steps int) {
+	for proto.Size(s) > maxBytes {
+		switch {
+		case len(s.Tables) > 0:
+			dropLargestTable(s)
+		case len(s.Proxies) > 0:
+			s.Proxies = dropQuarter(s.Proxies)
+		case len(s.Hosts) > 0:
+			s.Hosts = dropQuarter(s.Hosts)
+		default:
+			return steps
+		}
+		steps++
+	}
+	return steps
+}
+
+// dropLargestTable also takes the table version from the proxies that have this table.
+func dropLargestTable(s *statepb.State) {
+	largest := 0
+	for i, table := range s.Tables {
+		if proto.Size(table) > proto.Size(s.Tables[largest]) {
+			largest = i
+		}
+	}
+	id := s.Tables[largest].Id
+	s.Tables = slices.Delete(s.Tables, largest, largest+1)
+	for _, proxy := range s.Proxies {
+		if proxy.Table == id {
+			proxy.Table = ""
+			proxy.Tag = ""
+		}
+	}
+}
+
+// dropQuarter drops the last quarter of a list, and its last entry where it has fewer than four.
+func dropQuarter[T any](entries []*T) []*T { return entries[:len(entries)*3/4] }
