--- a/internal/daemon/api.go
+++ b/internal/daemon/api.go
@@ -27,36 +27,36 @@
 
 // api is the front for proxies: long polls with deltas. It turns requests into calls and answers into replies.
 type api struct {
-	core      *core
-	policy    *auth.Policy     // nil: anybody may do everything
-	source    *identity.Source // nil: plain
-	tokens    *identity.Tokens // nil: none are taken
-	usedMu    sync.Mutex
-	used      *auth.Tokens
-	keeper    *keeper   // nil: nothing is kept
-	standing  *standing // nil: it stands by nobody
-	following *following
-	ops       *Operators
-	version   string
+	loop           *controllerLoop
+	policy         *auth.Policy     // nil: anybody may do everything
+	credentials    *identity.Source // nil: plain
+	tokens         *identity.Tokens // nil: none are taken
+	usedTokensMu   sync.Mutex
+	usedTokens     *auth.Tokens
+	persister      *persister      // nil: nothing is kept
+	standby        *standbyReplica // nil: it stands by nobody
+	statePublisher *statePublisher
+	operators      *Operators
+	version        string
 }
 
-func (a *api) mux() *http1.Mux {
+func (a *api) routes() *http1.Mux {
 	m := &http1.Mux{}
-	m.Handle("GET", "/v1/proxies/{proxy}/tables", http1.Route{Serve: a.may(auth.Poll, a.tables)})
-	m.Handle("POST", "/v1/proxies/{proxy}/tables", http1.Route{Serve: a.may(auth.Poll, a.tables), Media: []string{"application/json"}})
-	m.Handle("DELETE", "/v1/proxies/{proxy}", http1.Route{Serve: a.may(auth.Poll, a.leave)})
-	m.Handle("POST", "/v1/proxies/{proxy}/sums", http1.Route{Serve: a.may(auth.Sums, a.sums), Media: []string{"application/json"}})
-	m.Handle("POST", "/v1/hosts/{host}/load", http1.Route{Serve: a.may(auth.Report, a.hostLoad), Media: []string{"application/json"}, MaxBody: 4096})
-	m.Handle("GET", "/v1/state", http1.Route{Serve: a.may(auth.Follow, a.following.serve)})
-	m.Handle("GET", "/v1/intake", http1.Route{Serve: a.may(auth.See, func(*http1.Request) http1.Reply { return jsonReply(a.intake()) })})
-	m.Handle("GET", "/v1/status", http1.Route{Serve: a.may(auth.See, a.status)})
-	m.Handle("GET", "/v1/fleet", http1.Route{Serve: a.may(auth.See, a.fleet)})
-	a.operators(m)
+	m.Handle("GET", "/v1/proxies/{proxy}/tables", http1.Route{Serve: a.authorize(auth.Poll, a.pollTables)})
+	m.Handle("POST", "/v1/proxies/{proxy}/tables", http1.Route{Serve: a.authorize(auth.Poll, a.pollTables), Media: []string{"application/json"}})
+	m.Handle("DELETE", "/v1/proxies/{proxy}", http1.Route{Serve: a.authorize(auth.Poll, a.disconnect)})
+	m.Handle("POST", "/v1/proxies/{proxy}/sums", http1.Route{Serve: a.authorize(auth.Sums, a.postProxyStats), Media: []string{"application/json"}})
+	m.Handle("POST", "/v1/hosts/{host}/load", http1.Route{Serve: a.authorize(auth.Report, a.postLoadReport), Media: []string{"application/json"}, MaxBody: 4096})
+	m.Handle("GET", "/v1/state", http1.Route{Serve: a.authorize(auth.Follow, a.statePublisher.serve)})
+	m.Handle("GET", "/v1/intake", http1.Route{Serve: a.authorize(auth.See, func(*http1.Request) http1.Reply { return jsonReply(a.ingestReport()) })})
+	m.Handle("GET", "/v1/status", http1.Route{Serve: a.authorize(auth.See, a.getStatus)})
+	m.Handle("GET", "/v1/fleet", http1.Route{Serve: a.authorize(auth.See, a.getFleet)})
+	a.addOperatorRoutes(m)
 	return m
 }
 
-// fail words an error of the steward.
-func fail(err error) http1.Reply {
+// errorReply words an error of the steward.
+func errorReply(err error) http1.Reply {
 	var field *controller.FieldError
 	switch {
 	case errors.As(err, &field):
@@ -73,41 +73,41 @@
 	return http1.Problem{Status: 500, Detail: err.Error()}.Reply()
 }
 
-func (a *api) tables(q *http1.Request) http1.Reply {
+func (a *api) pollTables(q *http1.Request) http1.Reply {
 	ask := controller.PollRequest{Proxy: q.Params["proxy"], Zone: q.Query.Get("zone"), WaitMs: -1,
-		AcceptDelta: accepts(q.Header, "merge-patch")}
+		AcceptDelta: acceptsManipulation(q.Header, "merge-patch")}
 	ask.Tags, ask.AnyTag = entityTags(q.Header)
-	seconds, preferred := wait(q.Header)
+	seconds, preferred := preferredWait(q.Header)
 	if preferred {
 		ask.WaitMs = seconds * 1000
 	}
 	if text := q.Query.Get("rate"); text != "" {
 		rate, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			return fail(&controller.FieldError{Field: "rate", Reason: fmt.Sprintf("%.40q is no number", text)})
+			return errorReply(&controller.FieldError{Field: "rate", Reason: fmt.Sprintf("%.40q is no number", text)})
 		}
 		ask.RequestRate = rate
 	}
 	if q.Method == "POST" {
-		offer, reply := readOffer(q)
+		offer, reply := readCachedTables(q)
 		if reply != nil {
 			return *reply
 		}
 		ask.Cached, ask.Tags = offer, []string{offer.Tag}
 	}
-	if a.standing != nil {
-		if ok, again := a.standing.may(ask.Proxy); !ok {
+	if a.standby != nil {
+		if ok, again := a.standby.shouldServe(ask.Proxy); !ok {
 			return http1.Problem{Status: 503, Detail: "another steward has this proxy; this one stands by"}.Reply("Retry-After", strconv.Itoa(int(math.Ceil(again.Seconds()))))
 		}
 	}
-	ask.WaitMs = holdFor(q, ask.WaitMs)
+	ask.WaitMs = boundWaitMs(q, ask.WaitMs)
 	id := int64(0)
-	held := q.Hold(func() { a.core.pollGone(ask.Proxy, id) })
-	id, err := a.core.poll(ask, func(s controller.Response) {
-		held.Answer(http1.Reply{Make: func() http1.Reply { return a.signed(s, reply(s, seconds, preferred)) }})
+	held := q.Hold(func() { a.loop.cancelPoll(ask.Proxy, id) })
+	id, err := a.loop.poll(ask, func(s controller.Response) {
+		held.Answer(http1.Reply{Make: func() http1.Reply { return a.sign(s, tablesReply(s, seconds, preferred)) }})
 	})
 	if err != nil {
-		return fail(err)
+		return errorReply(err)
 	}
 	return http1.Reply{Held: held}
 }
@@ -119,15 +119,15 @@
 	Tries *int               `json:"tries"`
 }
 
-// readOffer reads what a proxy holds: the document that it was given, and its tag.
-func readOffer(q *http1.Request) (*controller.CachedTables, *http1.Reply) {
+// readCachedTables reads what a proxy holds: the document that it was given, and its tag.
+func readCachedTables(q *http1.Request) (*controller.CachedTables, *http1.Reply) {
 	var b struct {
 		Tag    string               `json:"tag"`
 		Proxy  string               `json:"proxy"`
 		Tables map[string]tableBody `json:"tables"`
 	}
 	if err := readJSON(q, &b); err != nil {
-		r := malformed(err)
+		r := malformedReply(err)
 		return nil, &r
 	}
 	o := &controller.CachedTables{Tag: strings.Trim(b.Tag, `"`)}
@@ -148,8 +148,8 @@
 	return o, nil
 }
 
-// reply makes an answer of the steward a reply, by RFC 9110 (304, ETag), 3229 (226, IM, Delta-Base) and 7240.
-func reply(s controller.Response, seconds float64, preferred bool) http1.Reply {
+// tablesReply makes an answer of the steward a reply, by RFC 9110 (304, ETag), 3229 (226, IM, Delta-Base) and 7240.
+func tablesReply(s controller.Response, seconds float64, preferred bool) http1.Reply {
 	h := http1.Header("Etag", `"`+s.Tag+`"`, "Cache-Control", "no-store", "Vary", "A-IM, Prefer")
 	if preferred {
 		h.Set("Preference-Applied", "wait="+strconv.FormatFloat(seconds, 'f', -1, 64))
@@ -169,25 +169,25 @@
 	return r
 }
 
-func (a *api) leave(q *http1.Request) http1.Reply {
-	if !a.core.leave(q.Params["proxy"]) {
+func (a *api) disconnect(q *http1.Request) http1.Reply {
+	if !a.loop.disconnect(q.Params["proxy"]) {
 		return http1.Problem{Status: 404, Detail: "the proxy has not joined"}.Reply()
 	}
 	return http1.Reply{Status: 204}
 }
 
-// sumsBody is what a proxy posts. Times are milliseconds.
-type sumsBody struct {
+// proxyStatsBody is what a proxy posts. Times are milliseconds.
+type proxyStatsBody struct {
 	Sender string  `json:"sender"`
 	Number int64   `json:"number"`
 	At     float64 `json:"at"`
 	Hosts  map[string]struct {
-		Tries  int          `json:"tries"`
-		Failed int          `json:"failed"`
-		Mean   float64      `json:"mean"`
-		Span   float64      `json:"span"`
-		Load   *loadBody    `json:"load"`
-		Times  [][2]float64 `json:"times"`
+		Tries  int           `json:"tries"`
+		Failed int           `json:"failed"`
+		Mean   float64       `json:"mean"`
+		Span   float64       `json:"span"`
+		Load   *hostLoadBody `json:"load"`
+		Times  [][2]float64  `json:"times"`
 	} `json:"hosts"`
 	Usage map[string]struct {
 		Came       int     `json:"came"`
@@ -196,13 +196,13 @@
 	} `json:"usage"`
 }
 
-type loadBody struct {
+type hostLoadBody struct {
 	Util  *float64 `json:"util"`
 	Rate  *float64 `json:"rate"`
 	Queue *float64 `json:"queue"`
 }
 
-func (l *loadBody) load() routing.HostLoad {
+func (l *hostLoadBody) load() routing.HostLoad {
 	load := routing.UnknownLoad
 	if l == nil {
 		return load
@@ -221,12 +221,12 @@
 	return load
 }
 
-// lineBytes is about what a line of sums takes.
-const lineBytes = 100
+// statsEntryBytes is about what a line of sums takes.
+const statsEntryBytes = 100
 
-// let asks at the door, before the body is read; without a reply the report may come in.
-func (a *api) let(source string, q *http1.Request) *http1.Reply {
-	ok, again := a.core.door.Allow(time.Now(), source, len(q.Body)/lineBytes)
+// admitReport asks at the door, before the body is read; without a reply the report may come in.
+func (a *api) admitReport(source string, q *http1.Request) *http1.Reply {
+	ok, again := a.loop.rateLimiter.Allow(time.Now(), source, len(q.Body)/statsEntryBytes)
 	if ok {
 		return nil
 	}
@@ -234,34 +234,34 @@
 	return &r
 }
 
-func (a *api) hostLoad(q *http1.Request) http1.Reply {
+func (a *api) postLoadReport(q *http1.Request) http1.Reply {
 	host := q.Params["host"]
-	if r := a.let("/"+host, q); r != nil {
+	if r := a.admitReport("/"+host, q); r != nil {
 		return *r
 	}
 	var b struct {
-		Sender string    `json:"sender"`
-		Number int64     `json:"number"`
-		At     float64   `json:"at"`
-		Load   *loadBody `json:"load"`
+		Sender string        `json:"sender"`
+		Number int64         `json:"number"`
+		At     float64       `json:"at"`
+		Load   *hostLoadBody `json:"load"`
 	}
 	if err := readJSON(q, &b); err != nil {
-		return malformed(err)
+		return malformedReply(err)
 	}
-	counted, err := a.core.hostLoad(host, controller.LoadReport{Sender: b.Sender, Sequence: b.Number, SentAtMs: b.At, Load: b.Load.load()})
+	counted, err := a.loop.observeLoadReport(host, controller.LoadReport{Sender: b.Sender, Sequence: b.Number, SentAtMs: b.At, Load: b.Load.load()})
 	if err != nil {
-		return fail(err)
+		return errorReply(err)
 	}
 	return jsonReply(map[string]any{"number": b.Number, "counted": counted})
 }
 
-func (a *api) sums(q *http1.Request) http1.Reply {
-	if r := a.let(q.Params["proxy"], q); r != nil {
+func (a *api) postProxyStats(q *http1.Request) http1.Reply {
+	if r := a.admitReport(q.Params["proxy"], q); r != nil {
 		return *r
 	}
-	var b sumsBody
+	var b proxyStatsBody
 	if err := readJSON(q, &b); err != nil {
-		return malformed(err)
+		return malformedReply(err)
 	}
 	u := controller.ProxyStats{Sender: b.Sender, Sequence: b.Number, SentAtMs: b.At, Hosts: map[string]controller.HostStats{},
 		Demand: map[string]controller.ClassDemand{}}
@@ -275,15 +275,15 @@
 	for class, v := range b.Usage {
 		u.Demand[class] = controller.ClassDemand{Arrivals: v.Came, Unanswered: v.Unanswered, WindowMs: v.Span}
 	}
-	counted, err := a.core.sums(q.Params["proxy"], u)
+	counted, err := a.loop.observeProxyStats(q.Params["proxy"], u)
 	if err != nil {
-		return fail(err)
+		return errorReply(err)
 	}
 	return jsonReply(map[string]any{"number": u.Sequence, "counted": counted})
 }
 
-// malformed words what is wrong with a JSON body, with the field where it is known.
-func malformed(err error) http1.Reply {
+// malformedReply words what is wrong with a JSON body, with the field where it is known.
+func malformedReply(err error) http1.Reply {
 	p := http1.Problem{Status: 400, Detail: err.Error()}
 	var kind *json.UnmarshalTypeError
 	if errors.As(err, &kind) {
@@ -294,7 +294,7 @@
 	return p.Reply()
 }
 
-func (a *api) status(*http1.Request) http1.Reply {
+func (a *api) getStatus(*http1.Request) http1.Reply {
 	return jsonReply(struct {
 		Version string `json:"version"`
 		controller.Status
@@ -303,7 +303,7 @@
 		Standby  *StandbyReport           `json:"standby,omitempty"`
 		Identity *IdentityReport          `json:"identity,omitempty"`
 		Gap      *solver.Gap              `json:"gap,omitempty"` // to the best tables, where hosts tell their cores
-	}{a.version, a.core.status(), a.core.door.Report(), a.keeper.status(), a.standing.report(), a.identity(), a.core.gap()})
+	}{a.version, a.loop.status(), a.loop.rateLimiter.Report(), a.persister.status(), a.standby.report(), a.identityReport(), a.loop.optimalityGap()})
 }
 
 // IngestReport is how what comes in fares, and the memory in use.
@@ -315,16 +315,16 @@
 	GuardRefused int                      `json:"guard_refused"`      // so often the table guard began to
 }
 
-func (a *api) intake() IngestReport {
+func (a *api) ingestReport() IngestReport {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	st := a.core.status()
-	return IngestReport{st.Intake, a.core.door.Report(), m.HeapAlloc, st.LinesMost, st.GuardRefused}
+	st := a.loop.status()
+	return IngestReport{st.Intake, a.loop.rateLimiter.Report(), m.HeapAlloc, st.LinesMost, st.GuardRefused}
 }
 
-// fleet gives the solver's problem, for barleysail solve.
-func (a *api) fleet(*http1.Request) http1.Reply {
-	p := a.core.fleet()
+// getFleet gives the solver's problem, for barleysail solve.
+func (a *api) getFleet(*http1.Request) http1.Reply {
+	p := a.loop.listedProblem()
 	if p == nil {
 		return http1.Problem{Status: 404, Detail: "a host on the list tells no cores, or no demand was heard yet"}.Reply()
 	}
@@ -334,7 +334,7 @@
 func jsonReply(v any) http1.Reply {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return fail(err)
+		return errorReply(err)
 	}
 	return http1.Reply{Status: 200, Header: http1.Header("Content-Type", "application/json", "Cache-Control", "no-store"),
 		Body: append(body, '\n')}
@@ -363,8 +363,8 @@
 	return tags, false
 }
 
-// wait reads the preference wait=N, whole seconds; the first one counts (RFC 7240, 2 and 4.3).
-func wait(h textproto.MIMEHeader) (seconds float64, ok bool) {
+// preferredWait reads the preference wait=N, whole seconds; the first one counts (RFC 7240, 2 and 4.3).
+func preferredWait(h textproto.MIMEHeader) (seconds float64, ok bool) {
 	for _, v := range h.Values("Prefer") {
 		for _, p := range strings.Split(v, ",") {
 			p, _, _ = strings.Cut(p, ";")
@@ -379,8 +379,8 @@
 	return 0, false
 }
 
-// accepts tells whether A-IM names an instance manipulation, not with q=0 (RFC 3229, 10.5.3).
-func accepts(h textproto.MIMEHeader, manipulation string) bool {
+// acceptsManipulation tells whether A-IM names an instance manipulation, not with q=0 (RFC 3229, 10.5.3).
+func acceptsManipulation(h textproto.MIMEHeader, manipulation string) bool {
 	for _, v := range h.Values("A-Im") {
 		for _, m := range strings.Split(v, ",") {
 			name, params, _ := strings.Cut(m, ";")
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -26,22 +26,22 @@
 	"barleysail/routing"
 )
 
-// running starts a daemon for a benchmark, its list given by hand.
-func running(b *testing.B, hosts int) (*Daemon, []controller.Endpoint) {
-	return runningAs(b, hosts, "")
+// startBenchDaemon starts a daemon for a benchmark, its list given by hand.
+func startBenchDaemon(b *testing.B, hosts int) (*Daemon, []controller.Endpoint) {
+	return startBenchDaemonWithIdentities(b, hosts, "")
 }
 
-// runningAs is the same with identities.
-func runningAs(b *testing.B, hosts int, identities string) (*Daemon, []controller.Endpoint) {
+// startBenchDaemonWithIdentities is the same with identities.
+func startBenchDaemonWithIdentities(b *testing.B, hosts int, identities string) (*Daemon, []controller.Endpoint) {
 	b.Helper()
 	var list []controller.Endpoint
 	for i := range hosts {
 		list = append(list, controller.Endpoint{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: "a", State: routing.Ready, Weight: 1})
 	}
-	text, service := base, `list { url: "http://127.0.0.1:1/" }`
+	text, service := baseConfig, `list { url: "http://127.0.0.1:1/" }`
 	if identities != "" {
-		service = `list { url: "https://127.0.0.1:1/" id: "` + domain + `/list" }`
-		text = strings.Replace(base, "plain_loopback: true", identities, 1)
+		service = `list { url: "https://127.0.0.1:1/" id: "` + trustDomain + `/list" }`
+		text = strings.Replace(baseConfig, "plain_loopback: true", identities, 1)
 	}
 	cfg, err := config.Parse("bench", []byte(strings.ReplaceAll(strings.Replace(text, "channel {", "channel { messages_most: 0 ", 1), "1000000", "1000000000")+service+` fleet { proxies: 5000 }
 		polls { leave_after_ms: 60000 }`))
@@ -53,26 +53,26 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(d.Kill)
-	if err := d.core.listed(list); err != nil {
+	if err := d.loop.setEndpoints(list); err != nil {
 		b.Fatal(err)
 	}
 	return d, list
 }
 
-// poller polls on a connection of its own.
-type poller struct {
-	c    net.Conn
-	in   *bufio.Reader
-	name int
-	tag  string
+// benchPoller polls on a connection of its own.
+type benchPoller struct {
+	conn   net.Conn
+	reader *bufio.Reader
+	name   int
+	tag    string
 }
 
-func (p *poller) ask(extra string) {
-	fmt.Fprintf(p.c, "GET /v1/proxies/p%d/tables?zone=a HTTP/1.1\r\nHost: a\r\nIf-None-Match: %s\r\n%s\r\n", p.name, p.tag, extra)
+func (p *benchPoller) send(extra string) {
+	fmt.Fprintf(p.conn, "GET /v1/proxies/p%d/tables?zone=a HTTP/1.1\r\nHost: a\r\nIf-None-Match: %s\r\n%s\r\n", p.name, p.tag, extra)
 }
 
-func (p *poller) take() (status, bytes int, err error) {
-	r, err := http.ReadResponse(p.in, nil)
+func (p *benchPoller) receive() (status, bytes int, err error) {
+	r, err := http.ReadResponse(p.reader, nil)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -82,11 +82,13 @@
 	return r.StatusCode, int(n), err
 }
 
-func pollers(b *testing.B, d *Daemon, n int) []*poller { return pollersBy(b, d, n, nil) }
+func connectPollers(b *testing.B, d *Daemon, n int) []*benchPoller {
+	return connectPollersWithTLS(b, d, n, nil)
+}
 
-// pollersBy are pollers that prove who they are; nil: plain.
-func pollersBy(b *testing.B, d *Daemon, n int, secure *tls.Config) []*poller {
-	var all []*poller
+// connectPollersWithTLS are pollers that prove who they are; nil: plain.
+func connectPollersWithTLS(b *testing.B, d *Daemon, n int, secure *tls.Config) []*benchPoller {
+	var all []*benchPoller
 	for i := range n {
 		c, err := net.Dial("tcp", d.Addr())
 		if err != nil {
@@ -96,17 +98,17 @@
 			c = tls.Client(c, secure)
 		}
 		b.Cleanup(func() { c.Close() })
-		all = append(all, &poller{c: c, in: bufio.NewReaderSize(c, 512), name: i})
+		all = append(all, &benchPoller{conn: c, reader: bufio.NewReaderSize(c, 512), name: i})
 	}
 	var wait sync.WaitGroup
 	for _, p := range all {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			p.ask("")
+			p.send("")
 			for status := 0; status != 304; { // until it holds what it is to hold
-				if status, _, _ = p.take(); status != 304 {
-					p.ask("Prefer: wait=1\r\n")
+				if status, _, _ = p.receive(); status != 304 {
+					p.send("Prefer: wait=1\r\n")
 				}
 			}
 		}()
@@ -115,8 +117,8 @@
 	return all
 }
 
-// BenchmarkDelivery measures the time from a changed list to the delta at each of the proxies that hold a poll.
-func BenchmarkDelivery(b *testing.B) {
+// BenchmarkDeltaDelivery measures the time from a changed list to the delta at each of the proxies that hold a poll.
+func BenchmarkDeltaDelivery(b *testing.B) {
 	for _, n := range []int{1000, 5000, -1000, -5000} { // below 0: with identities and signed tables
 		secure, identities := (*tls.Config)(nil), ""
 		if n < 0 {
@@ -124,18 +126,18 @@
 		}
 		b.Run(fmt.Sprintf("%d%s", n, map[bool]string{true: "-signed"}[identities != ""]), func(b *testing.B) {
 			if identities != "" {
-				secure, identities = provers(b)
+				secure, identities = benchIdentities(b)
 			}
-			d, list := runningAs(b, 400, identities)
+			d, list := startBenchDaemonWithIdentities(b, 400, identities)
 			began := time.Now()
-			all := pollersBy(b, d, n, secure)
+			all := connectPollersWithTLS(b, d, n, secure)
 			b.ReportMetric(float64(n)/time.Since(began).Seconds(), "joins/s")
 			var took []float64
 			for i := range b.N {
 				for _, p := range all {
-					p.ask("A-IM: merge-patch\r\nPrefer: wait=60\r\n")
+					p.send("A-IM: merge-patch\r\nPrefer: wait=60\r\n")
 				}
-				for d.core.status().Polls < n {
+				for d.loop.status().Polls < n {
 					time.Sleep(time.Millisecond)
 				}
 				list[i%400].State = 3 - list[i%400].State // ready or draining
@@ -146,7 +148,7 @@
 					wait.Add(1)
 					go func() {
 						defer wait.Done()
-						if status, _, err := p.take(); err != nil || status != 226 {
+						if status, _, err := p.receive(); err != nil || status != 226 {
 							b.Errorf("status %d, %v", status, err)
 						}
 						mu.Lock()
@@ -154,7 +156,7 @@
 						mu.Unlock()
 					}()
 				}
-				d.core.listed(list)
+				d.loop.setEndpoints(list)
 				wait.Wait()
 			}
 			sort.Float64s(took)
@@ -164,8 +166,8 @@
 	}
 }
 
-// provers gives what pollers need to prove who they are, and the configuration that lets them.
-func provers(b *testing.B) (*tls.Config, string) {
+// benchIdentities gives what pollers need to prove who they are, and the configuration that lets them.
+func benchIdentities(b *testing.B) (*tls.Config, string) {
 	root, err := issuer.NewAuthority("race.example")
 	if err != nil {
 		b.Fatal(err)
@@ -181,7 +183,7 @@
 			b.Fatal(err)
 		}
 		b.Cleanup(e.Close)
-		v, err := root.Sign(domain+id, time.Hour, nil)
+		v, err := root.Sign(trustDomain+id, time.Hour, nil)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -194,25 +196,25 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { s.Close() })
-	return s.Client(func(spiffeid.ID) error { return nil }), fmt.Sprintf(`workload_api: %q allow { id: "%s/forwarder/*" actions: "poll" }`, own.Address, domain)
+	return s.Client(func(spiffeid.ID) error { return nil }), fmt.Sprintf(`workload_api: %q allow { id: "%s/forwarder/*" actions: "poll" }`, own.Address, trustDomain)
 }
 
-// BenchmarkReturn has 600 forwarders come back to four stewards at once with cold caches, and measures the time until all hold tables, and
+// BenchmarkReconnect has 600 forwarders come back to four stewards at once with cold caches, and measures the time until all hold tables, and
 // until a poll that was held before is told a drain, by how many handshakes may go on at once.
-func BenchmarkReturn(b *testing.B) {
+func BenchmarkReconnect(b *testing.B) {
 	for _, most := range []int{4, 32, 10000} {
 		b.Run(fmt.Sprint(most), func(b *testing.B) {
 			for range b.N {
-				secure, identities := provers(b)
-				d, list := runningAs(b, 400, identities+fmt.Sprintf(" handshakes: %d", most))
+				secure, identities := benchIdentities(b)
+				d, list := startBenchDaemonWithIdentities(b, 400, identities+fmt.Sprintf(" handshakes: %d", most))
 				addresses := []string{d.Addr()}
 				for range 3 {
-					other, _ := runningAs(b, 400, identities+fmt.Sprintf(" handshakes: %d", most))
+					other, _ := startBenchDaemonWithIdentities(b, 400, identities+fmt.Sprintf(" handshakes: %d", most))
 					addresses = append(addresses, other.Addr())
 				}
-				first := pollersBy(b, d, 1, secure)[0]
-				first.ask("A-IM: merge-patch\r\nPrefer: wait=60\r\n")
-				for d.core.status().Polls < 1 {
+				first := connectPollersWithTLS(b, d, 1, secure)[0]
+				first.send("A-IM: merge-patch\r\nPrefer: wait=60\r\n")
+				for d.loop.status().Polls < 1 {
 					time.Sleep(time.Millisecond)
 				}
 				var all sync.WaitGroup
@@ -227,16 +229,16 @@
 							return
 						}
 						defer c.Close()
-						p := &poller{c: c, in: bufio.NewReaderSize(c, 512), name: 1000 + i}
-						p.ask("Prefer: wait=5\r\n")
-						if status, _, err := p.take(); status != 200 || err != nil {
+						p := &benchPoller{conn: c, reader: bufio.NewReaderSize(c, 512), name: 1000 + i}
+						p.send("Prefer: wait=5\r\n")
+						if status, _, err := p.receive(); status != 200 || err != nil {
 							b.Errorf("%d %v", status, err)
 						}
 					}()
 				}
 				list[7].State = routing.Draining
-				d.core.listed(list)
-				first.take()
+				d.loop.setEndpoints(list)
+				first.receive()
 				b.ReportMetric(time.Since(began).Seconds()*1000, "ms-drain")
 				all.Wait()
 				b.ReportMetric(time.Since(began).Seconds()*1000, "ms-all")
@@ -245,11 +247,11 @@
 	}
 }
 
-// BenchmarkHeldPoll measures what a held poll costs in memory.
-func BenchmarkHeldPoll(b *testing.B) {
+// BenchmarkPendingPollMemory measures what a held poll costs in memory.
+func BenchmarkPendingPollMemory(b *testing.B) {
 	for range b.N {
-		d, _ := running(b, 400)
-		all := pollers(b, d, 2000)
+		d, _ := startBenchDaemon(b, 400)
+		all := connectPollers(b, d, 2000)
 		read := func() float64 {
 			runtime.GC()
 			runtime.GC()
@@ -259,30 +261,30 @@
 		}
 		before := read()
 		for _, p := range all {
-			p.ask("Prefer: wait=60\r\n")
+			p.send("Prefer: wait=60\r\n")
 		}
-		for d.core.status().Polls < len(all) {
+		for d.loop.status().Polls < len(all) {
 			time.Sleep(time.Millisecond)
 		}
 		b.ReportMetric((read()-before)/float64(len(all)), "B/held-poll")
 	}
 }
 
-// BenchmarkBytes compares a delta of one line with the whole at 400 hosts.
-func BenchmarkBytes(b *testing.B) {
-	d, list := running(b, 400)
-	p := pollers(b, d, 1)[0]
+// BenchmarkResponseSize compares a delta of one line with the whole at 400 hosts.
+func BenchmarkResponseSize(b *testing.B) {
+	d, list := startBenchDaemon(b, 400)
+	p := connectPollers(b, d, 1)[0]
 	for range b.N {
-		p.ask("A-IM: merge-patch\r\nPrefer: wait=60\r\n")
-		for d.core.status().Polls < 1 {
+		p.send("A-IM: merge-patch\r\nPrefer: wait=60\r\n")
+		for d.loop.status().Polls < 1 {
 			time.Sleep(time.Millisecond)
 		}
 		list[7].State = 3 - list[7].State
-		d.core.listed(list)
-		_, delta, _ := p.take()
+		d.loop.setEndpoints(list)
+		_, delta, _ := p.receive()
 		p.tag = ""
-		p.ask("")
-		_, whole, _ := p.take()
+		p.send("")
+		_, whole, _ := p.receive()
 		b.ReportMetric(float64(delta), "B-delta")
 		b.ReportMetric(float64(whole), "B-whole")
 	}
@@ -290,15 +292,15 @@
 
 // BenchmarkNotModified measures a poll that ends in 304 at once: time, and allocations of server and steward.
 func BenchmarkNotModified(b *testing.B) {
-	d, _ := running(b, 400)
-	p := pollers(b, d, 1)[0]
+	d, _ := startBenchDaemon(b, 400)
+	p := connectPollers(b, d, 1)[0]
 	request := fmt.Appendf(nil, "GET /v1/proxies/p0/tables?zone=a HTTP/1.1\r\nHost: a\r\nIf-None-Match: %s\r\n\r\n", p.tag)
 	buf := make([]byte, 4096)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		p.c.Write(request)
-		n, err := p.c.Read(buf)
+		p.conn.Write(request)
+		n, err := p.conn.Read(buf)
 		if err != nil || string(buf[9:12]) != "304" {
 			b.Fatalf("%s %v", buf[:n], err)
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -31,23 +31,23 @@
 
 // Daemon is a running steward.
 type Daemon struct {
-	core     *core
-	server   *http1.Server
-	listener net.Listener
-	cancel   context.CancelFunc
-	record   *os.File
-	clients  []*http1.Client
-	fronts   []front
-	driven   sync.WaitGroup
-	keeper   *keeper
-	standing *standing
-	source   *identity.Source // nil: plain
-	tokens   *identity.Tokens // nil: none are taken
-	kept     sync.WaitGroup
+	loop           *controllerLoop
+	server         *http1.Server
+	listener       net.Listener
+	cancel         context.CancelFunc
+	recordingFile  *os.File
+	httpClients    []*http1.Client
+	runtimeSockets []runtimeSocket
+	socketDrivers  sync.WaitGroup
+	persister      *persister
+	standby        *standbyReplica
+	credentials    *identity.Source // nil: plain
+	tokens         *identity.Tokens // nil: none are taken
+	background     sync.WaitGroup
 }
 
-// front is a runtime socket.
-type front struct {
+// runtimeSocket is a runtime socket.
+type runtimeSocket struct {
 	listener net.Listener
 	server   *runtimeapi.Server
 }
@@ -74,115 +74,115 @@
 	}()
 	var rec *record.Writer
 	if c.Record != "" {
-		if d.record, err = os.Create(c.Record); err != nil {
+		if d.recordingFile, err = os.Create(c.Record); err != nil {
 			return nil, fmt.Errorf("starting the recording: %w", err)
 		}
-		rec = record.NewWriter(d.record)
+		rec = record.NewWriter(d.recordingFile)
 	}
-	policy, secure, err := d.identify(ctx, c, log)
+	policy, secure, err := d.openCredentials(ctx, c, log)
 	if err != nil {
 		return nil, err
 	}
 	if d.listener, err = net.Listen("tcp", c.Listen); err != nil {
 		return nil, fmt.Errorf("listening for proxies: %w", err)
 	}
-	d.core = newCore(config.Steward(c, life, seed), intake.NewRateLimiter(intake.RateLimits{PerSource: *c.Intake.SourceLinesPerS, Total: *c.Intake.LinesPerS}), log, rec)
+	d.loop = newControllerLoop(config.Steward(c, life, seed), intake.NewRateLimiter(intake.RateLimits{PerSource: *c.Intake.SourceLinesPerS, Total: *c.Intake.LinesPerS}), log, rec)
 	if rec != nil {
 		text, _ := prototext.MarshalOptions{Multiline: true}.Marshal(c)
-		d.core.write(&recordpb.Record{At: d.core.clock.Now(), What: &recordpb.Record_Start{Start: &recordpb.Start{
+		d.loop.record(&recordpb.Record{At: d.loop.clock.Now(), What: &recordpb.Record_Start{Start: &recordpb.Start{
 			Format: record.Format, Program: version, Config: string(text), Life: life, Seed: seed}}})
 	}
 	if c.State.Folder != "" {
-		if d.keeper, err = openKeeper(c.State.Folder, ms(*c.State.EveryMs), int(*c.State.MostBytes), *c.Guard.ColdMs, version, d.core, log); err != nil {
+		if d.persister, err = openPersister(c.State.Folder, milliseconds(*c.State.EveryMs), int(*c.State.MostBytes), *c.Guard.ColdMs, version, d.loop, log); err != nil {
 			return nil, err
 		}
 	}
 	if c.Standby.Of != "" {
-		if d.standing, err = newStanding(c.Standby.Of, d.tlsFor(c.Standby.Id), *c.Standby.FreshMs, *c.Guard.ColdMs, d.core, log); err != nil {
+		if d.standby, err = newStandbyReplica(c.Standby.Of, d.clientTLS(c.Standby.Id), *c.Standby.FreshMs, *c.Guard.ColdMs, d.loop, log); err != nil {
 			return nil, err
 		}
-		d.clients = append(d.clients, d.standing.client)
+		d.httpClients = append(d.httpClients, d.standby.client)
 	}
 	probes := &http1.Client{Limits: http1.Limits{Line: 8 << 10, Header: 32 << 10, Body: 64 << 10}, Idle: 1024}
-	d.clients = append(d.clients, probes)
-	p := &prober{client: probes, path: c.Probes.Path, timeout: ms(*c.Probes.TimeoutMs),
-		slots: make(chan struct{}, *c.Probes.AtOnce), ctx: ctx, done: d.core.probed}
-	d.core.probe = p.probe
-	if err := d.follow(ctx, c, log); err != nil {
+	d.httpClients = append(d.httpClients, probes)
+	p := &healthChecker{client: probes, path: c.Probes.Path, timeout: milliseconds(*c.Probes.TimeoutMs),
+		slots: make(chan struct{}, *c.Probes.AtOnce), ctx: ctx, report: d.loop.observeHealthCheck}
+	d.loop.startHealthCheck = p.check
+	if err := d.startEndpointSource(ctx, c, log); err != nil {
 		return nil, err
 	}
-	a := &api{core: d.core, policy: policy, source: d.source, tokens: d.tokens, used: auth.NewTokens(mostTokens), keeper: d.keeper, standing: d.standing, following: &following{core: d.core, life: life}, ops: d.Operators(), version: version}
-	d.server = http1.NewServer(a.mux(), http1.Config{Limits: http1.Limits{Body: int64(*c.Server.BodyBytes)},
-		Header: ms(*c.Server.HeaderMs), Body: ms(*c.Server.BodyMs), Idle: ms(*c.Server.IdleMs),
-		Write: ms(*c.Server.WriteMs), Conns: int(*c.Server.Connections),
+	a := &api{loop: d.loop, policy: policy, credentials: d.credentials, tokens: d.tokens, usedTokens: auth.NewTokens(maxUsedTokens), persister: d.persister, standby: d.standby, statePublisher: &statePublisher{loop: d.loop, incarnation: life}, operators: d.Operators(), version: version}
+	d.server = http1.NewServer(a.routes(), http1.Config{Limits: http1.Limits{Body: int64(*c.Server.BodyBytes)},
+		Header: milliseconds(*c.Server.HeaderMs), Body: milliseconds(*c.Server.BodyMs), Idle: milliseconds(*c.Server.IdleMs),
+		Write: milliseconds(*c.Server.WriteMs), Conns: int(*c.Server.Connections),
 		Secure: secure})
 	go func() {
 		if err := d.server.Serve(d.listener); err != nil {
 			log.Error().Err(err).Msg("no more connections are taken")
 		}
 	}()
-	if err := d.runtime(c, version, log); err != nil {
+	if err := d.openRuntimeSockets(c, version, log); err != nil {
 		return nil, err
 	}
-	d.drive(ctx, c, life, log)
-	if d.standing != nil {
-		d.kept.Add(1)
-		go func() { defer d.kept.Done(); d.standing.run(ctx) }()
+	d.startSocketDrivers(ctx, c, life, log)
+	if d.standby != nil {
+		d.background.Add(1)
+		go func() { defer d.background.Done(); d.standby.run(ctx) }()
 	}
-	if d.keeper != nil {
-		d.kept.Add(1)
-		go func() { defer d.kept.Done(); d.keeper.run(ctx) }()
+	if d.persister != nil {
+		d.background.Add(1)
+		go func() { defer d.background.Done(); d.persister.run(ctx) }()
 	}
-	d.core.do(func(float64) {})
+	d.loop.call(func(float64) {})
 	log.Info().Str("listen", d.Addr()).Str("life", life).Str("version", version).Msg("steward started")
 	return d, nil
 }
 
-func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
+func milliseconds(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// follow takes up the host list.
-func (d *Daemon) follow(ctx context.Context, c *configpb.Config, log zerolog.Logger) error {
+// startEndpointSource takes up the host list.
+func (d *Daemon) startEndpointSource(ctx context.Context, c *configpb.Config, log zerolog.Logger) error {
 	if c.List.File != "" {
-		d.core.watch = func() {}
-		l := &listFile{file: c.List.File, log: log, take: d.takes()}
-		if err := l.read(); err != nil {
+		d.loop.startWatch = func() {}
+		l := &endpointFile{path: c.List.File, log: log, publish: d.endpointSink()}
+		if err := l.reload(); err != nil {
 			return err
 		}
-		go l.follow(ctx)
+		go l.watch(ctx)
 		return nil
 	}
-	l, err := newListService(c.List.Url, d.source != nil, ms(*c.List.WaitMs))
+	l, err := newEndpointService(c.List.Url, d.credentials != nil, milliseconds(*c.List.WaitMs))
 	if err != nil {
 		return err
 	}
-	l.log, l.ctx, l.take, l.failed = log, ctx, d.takes(), d.core.listFailed
-	l.client.TLS = d.tlsFor(c.List.Id)
-	d.clients = append(d.clients, l.client)
-	d.core.watch = l.watch
+	l.log, l.ctx, l.publish, l.reportFailure = log, ctx, d.endpointSink(), d.loop.observeWatchFailure
+	l.client.TLS = d.clientTLS(c.List.Id)
+	d.httpClients = append(d.httpClients, l.client)
+	d.loop.startWatch = l.startWatch
 	return nil
 }
 
-// takes is who takes the list: the steward, or one that stands by.
-func (d *Daemon) takes() func([]controller.Endpoint) error {
-	if d.standing != nil {
-		return d.standing.took
+// endpointSink is who takes the list: the steward, or one that stands by.
+func (d *Daemon) endpointSink() func([]controller.Endpoint) error {
+	if d.standby != nil {
+		return d.standby.setEndpoints
 	}
-	return d.core.listed
+	return d.loop.setEndpoints
 }
 
 // Operators is the way for operators.
-func (d *Daemon) Operators() *Operators { return &Operators{core: d.core} }
+func (d *Daemon) Operators() *Operators { return &Operators{loop: d.loop} }
 
-// runtime opens the runtime sockets.
-func (d *Daemon) runtime(c *configpb.Config, version string, log zerolog.Logger) error {
+// openRuntimeSockets opens the runtime sockets.
+func (d *Daemon) openRuntimeSockets(c *configpb.Config, version string, log zerolog.Logger) error {
 	for _, r := range c.Runtime {
-		l, err := listenOn(r.Address)
+		l, err := listenRuntimeSocket(r.Address)
 		if err != nil {
 			return fmt.Errorf("opening the runtime socket: %w", err)
 		}
 		level, _ := runtimeapi.ParseLevel(r.Level)
-		f := front{l, runtimeapi.New(d.Operators(), runtimeapi.Config{Level: level, Version: version})}
-		d.fronts = append(d.fronts, f)
+		f := runtimeSocket{l, runtimeapi.New(d.Operators(), runtimeapi.Config{Level: level, Version: version})}
+		d.runtimeSockets = append(d.runtimeSockets, f)
 		go func() {
 			if err := f.server.Serve(f.listener); err != nil {
 				log.Error().Err(err).Msg("the runtime socket takes no more connections")
@@ -192,33 +192,33 @@
 	return nil
 }
 
-// drive drives the proxies that are told what to do by their own sockets.
-func (d *Daemon) drive(ctx context.Context, c *configpb.Config, life string, log zerolog.Logger) {
+// startSocketDrivers drives the proxies that are told what to do by their own sockets.
+func (d *Daemon) startSocketDrivers(ctx context.Context, c *configpb.Config, life string, log zerolog.Logger) {
 	for _, p := range c.Sockets {
-		x := socketproxy.New(polling{d.core}, socketproxy.Config{Proxy: p.Proxy, Zone: p.Zone, Address: p.Address, Rate: p.GetRate(), Life: life,
-			Grace: *c.Guard.GraceMs, Period: ms(*c.Fleet.PeriodMs), Log: func(text string) { log.Info().Msg(text) }})
-		d.driven.Add(1)
-		go func() { defer d.driven.Done(); x.Run(ctx) }()
+		x := socketproxy.New(localController{d.loop}, socketproxy.Config{Proxy: p.Proxy, Zone: p.Zone, Address: p.Address, Rate: p.GetRate(), Life: life,
+			Grace: *c.Guard.GraceMs, Period: milliseconds(*c.Fleet.PeriodMs), Log: func(text string) { log.Info().Msg(text) }})
+		d.socketDrivers.Add(1)
+		go func() { defer d.socketDrivers.Done(); x.Run(ctx) }()
 	}
 }
 
-// polling is a steward as proxies of sockets poll it, from within.
-type polling struct{ core *core }
+// localController is a steward as proxies of sockets poll it, from within.
+type localController struct{ loop *controllerLoop }
 
-func (p polling) Poll(q controller.PollRequest, to func(controller.Response)) (int64, error) {
-	return p.core.poll(q, to)
+func (p localController) Poll(q controller.PollRequest, to func(controller.Response)) (int64, error) {
+	return p.loop.poll(q, to)
 }
-func (p polling) PollGone(proxy string, id int64) { p.core.pollGone(proxy, id) }
-func (p polling) Sums(proxy string, u controller.ProxyStats) (bool, error) {
-	return p.core.sums(proxy, u)
+func (p localController) PollGone(proxy string, id int64) { p.loop.cancelPoll(proxy, id) }
+func (p localController) Sums(proxy string, u controller.ProxyStats) (bool, error) {
+	return p.loop.observeProxyStats(proxy, u)
 }
-func (p polling) Now() float64 { return p.core.clock.Now() }
-func (p polling) Listed(host string) bool {
-	return look(p.core, func(s *controller.Controller) bool { return s.HasEndpoint(host) })
+func (p localController) Now() float64 { return p.loop.clock.Now() }
+func (p localController) Listed(host string) bool {
+	return query(p.loop, func(s *controller.Controller) bool { return s.HasEndpoint(host) })
 }
 
-// listenOn listens at unix:PATH or address:port. A socket's file that nobody listens at any more is replaced.
-func listenOn(address string) (net.Listener, error) {
+// listenRuntimeSocket listens at unix:PATH or address:port. A socket's file that nobody listens at any more is replaced.
+func listenRuntimeSocket(address string) (net.Listener, error) {
 	network, path := socketproxy.Network(address)
 	if network == "tcp" {
 		return net.Listen(network, path)
@@ -238,7 +238,7 @@
 }
 
 // RuntimeAddr is the address of a runtime socket, in the order of the configuration.
-func (d *Daemon) RuntimeAddr(i int) string { return d.fronts[i].listener.Addr().String() }
+func (d *Daemon) RuntimeAddr(i int) string { return d.runtimeSockets[i].listener.Addr().String() }
 
 // Addr is the address at which proxies are served.
 func (d *Daemon) Addr() string { return d.listener.Addr().String() }
@@ -247,10 +247,10 @@
 // connections are cut.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.listener.Close()
-	if d.keeper != nil {
-		d.keeper.save()
+	if d.persister != nil {
+		d.persister.save()
 	}
-	d.core.stop(true)
+	d.loop.stop(true)
 	err := d.server.Shutdown(ctx)
 	d.close()
 	return err
@@ -260,34 +260,34 @@
 func (d *Daemon) Kill() {
 	d.listener.Close()
 	d.server.Cut()
-	d.core.stop(false)
+	d.loop.stop(false)
 	d.close()
 }
 
 func (d *Daemon) close() {
 	d.cancel()
-	d.driven.Wait()
-	d.kept.Wait()
-	if d.keeper != nil {
-		d.keeper.close()
+	d.socketDrivers.Wait()
+	d.background.Wait()
+	if d.persister != nil {
+		d.persister.close()
 	}
-	for _, f := range d.fronts {
+	for _, f := range d.runtimeSockets {
 		f.listener.Close()
 		f.server.Close()
 	}
 	if d.listener != nil {
 		d.listener.Close()
 	}
-	for _, c := range d.clients {
+	for _, c := range d.httpClients {
 		c.Close()
 	}
 	if d.tokens != nil {
 		d.tokens.Close()
 	}
-	if d.source != nil {
-		d.source.Close()
+	if d.credentials != nil {
+		d.credentials.Close()
 	}
-	if d.record != nil {
-		d.record.Close()
+	if d.recordingFile != nil {
+		d.recordingFile.Close()
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -28,18 +28,18 @@
 	"barleysail/solver"
 )
 
-const base = `zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
+const baseConfig = `zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
 classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } listen: "127.0.0.1:0" seed: 7 identity { plain_loopback: true }
 probes { on: false } channel { lines_per_s: 1000000 most_waiting: 1000000 } `
 
-// started is a daemon with its list file.
-type started struct {
+// testDaemon is a daemon with its list file.
+type testDaemon struct {
 	*Daemon
-	t    *testing.T
-	cfg  *configpb.Config
-	list string
-	log  *lockedBuffer
-	url  string
+	t         *testing.T
+	config    *configpb.Config
+	hostsFile string
+	log       *lockedBuffer
+	url       string
 }
 
 type lockedBuffer struct {
@@ -54,15 +54,15 @@
 }
 func (b *lockedBuffer) String() string { b.mu.Lock(); defer b.mu.Unlock(); return b.Buffer.String() }
 
-func begin(t *testing.T, more string) *started {
+func startDaemon(t *testing.T, more string) *testDaemon {
 	t.Helper()
-	d := &started{t: t, list: filepath.Join(t.TempDir(), "hosts.textproto"), log: &lockedBuffer{}}
+	d := &testDaemon{t: t, hostsFile: filepath.Join(t.TempDir(), "hosts.textproto"), log: &lockedBuffer{}}
 	if !strings.Contains(more, "list {") {
-		more += fmt.Sprintf(" list { file: %q }", d.list)
+		more += fmt.Sprintf(" list { file: %q }", d.hostsFile)
 	}
-	d.hosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" weight: 0.5 }`)
+	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" weight: 0.5 }`)
 	var err error
-	if d.cfg, err = config.Parse("test", []byte(base+more)); err != nil {
+	if d.config, err = config.Parse("test", []byte(baseConfig+more)); err != nil {
 		t.Fatal(err)
 	}
 	d.start()
@@ -70,11 +70,11 @@
 	return d
 }
 
-func (d *started) start() {
+func (d *testDaemon) start() {
 	d.t.Helper()
 	var err error
 	for range 100 { // the port of a daemon that was killed may be held for a moment
-		if d.Daemon, err = Start(d.cfg, "test", zerolog.New(d.log)); err == nil {
+		if d.Daemon, err = Start(d.config, "test", zerolog.New(d.log)); err == nil {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -82,21 +82,21 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.cfg.Listen, d.url = d.Addr(), "http://"+d.Addr()
+	d.config.Listen, d.url = d.Addr(), "http://"+d.Addr()
 }
 
-func (d *started) hosts(text string) {
+func (d *testDaemon) writeHosts(text string) {
 	d.t.Helper()
-	next := d.list + ".next"
+	next := d.hostsFile + ".next"
 	if err := os.WriteFile(next, []byte(text), 0o644); err == nil {
-		err = os.Rename(next, d.list)
+		err = os.Rename(next, d.hostsFile)
 	} else {
 		d.t.Fatal(err)
 	}
 }
 
-// until waits for something that is sure to come.
-func until(t *testing.T, what string, f func() bool) {
+// eventually waits for something that is sure to come.
+func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -105,13 +105,13 @@
 	}
 }
 
-type got struct {
+type httpResult struct {
 	status int
 	header http.Header
 	body   string
 }
 
-func (d *started) do(method, path, body string, header ...string) got {
+func (d *testDaemon) request(method, path, body string, header ...string) httpResult {
 	d.t.Helper()
 	q, err := http.NewRequest(method, d.url+path, strings.NewReader(body))
 	if err != nil {
@@ -122,15 +122,15 @@
 	}
 	r, err := http.DefaultClient.Do(q)
 	if err != nil {
-		return got{body: err.Error()}
+		return httpResult{body: err.Error()}
 	}
 	defer r.Body.Close()
 	text, _ := io.ReadAll(r.Body)
-	return got{r.StatusCode, r.Header, string(text)}
+	return httpResult{r.StatusCode, r.Header, string(text)}
 }
 
-// show prints an answer with the life's name and the port taken out.
-func (d *started) show(out *strings.Builder, what string, g got) {
+// describe prints an answer with the life's name and the port taken out.
+func (d *testDaemon) describe(out *strings.Builder, what string, g httpResult) {
 	life := ""
 	if tag := g.header.Get("Etag"); tag != "" {
 		life, _, _ = strings.Cut(strings.Trim(tag, `"`), "-")
@@ -151,46 +151,46 @@
 
 // The API as any HTTP client sees it.
 func TestAPI(t *testing.T) {
-	d := begin(t, "")
+	d := startDaemon(t, "")
 	var out strings.Builder
-	say := func(what string, g got) got { d.show(&out, what, g); return g }
-	first := say("a proxy joins", d.do("GET", "/v1/proxies/p/tables?zone=a&rate=10", ""))
+	say := func(what string, g httpResult) httpResult { d.describe(&out, what, g); return g }
+	first := say("a proxy joins", d.request("GET", "/v1/proxies/p/tables?zone=a&rate=10", ""))
 	tag := first.header.Get("Etag")
-	say("the same tag", d.do("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", tag))
-	say("HEAD", d.do("HEAD", "/v1/proxies/p/tables?zone=a", ""))
-	say("held, and over", d.do("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", "W/"+tag, "Prefer", "respond-async, wait=0"))
-	answer := make(chan got)
+	say("the same tag", d.request("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", tag))
+	say("HEAD", d.request("HEAD", "/v1/proxies/p/tables?zone=a", ""))
+	say("held, and over", d.request("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", "W/"+tag, "Prefer", "respond-async, wait=0"))
+	answer := make(chan httpResult)
 	go func() {
-		answer <- d.do("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", `"x", `+tag, "Prefer", "wait=20", "A-IM", "gzip, merge-patch;q=0.5")
+		answer <- d.request("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", `"x", `+tag, "Prefer", "wait=20", "A-IM", "gzip, merge-patch;q=0.5")
 	}()
-	until(t, "a held poll", func() bool { return d.core.status().Polls == 1 })
-	d.hosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" phase: DRAINING }`)
+	eventually(t, "a held poll", func() bool { return d.loop.status().Polls == 1 })
+	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" phase: DRAINING }`)
 	delta := say("held until a host drains: a delta", <-answer)
-	say("the old tag without A-IM", d.do("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", tag))
-	say("with A-IM of weight 0", d.do("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", tag, "A-IM", "merge-patch;q=0"))
-	say("a tag of another life", d.do("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", `"other-1"`, "A-IM", "merge-patch"))
-	say("whatever there is", d.do("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", "*"))
+	say("the old tag without A-IM", d.request("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", tag))
+	say("with A-IM of weight 0", d.request("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", tag, "A-IM", "merge-patch;q=0"))
+	say("a tag of another life", d.request("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", `"other-1"`, "A-IM", "merge-patch"))
+	say("whatever there is", d.request("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", "*"))
 	sums := `{"sender":"s","number":1,"hosts":{"10.0.0.1:80":{"tries":5,"failed":1,"mean":20.5,"span":1000,"load":{"util":0.4,"queue":2}}},"usage":{"sheet":{"came":5,"unanswered":1,"span":1000}}}`
-	say("sums", d.do("POST", "/v1/proxies/p/sums", sums, "Content-Type", "application/json"))
-	say("the same sums again", d.do("POST", "/v1/proxies/p/sums", sums, "Content-Type", "application/json"))
-	say("leaves", d.do("DELETE", "/v1/proxies/p", ""))
-	say("leaves again", d.do("DELETE", "/v1/proxies/p", ""))
-	say("sums after that", d.do("POST", "/v1/proxies/p/sums", sums, "Content-Type", "application/json"))
+	say("sums", d.request("POST", "/v1/proxies/p/sums", sums, "Content-Type", "application/json"))
+	say("the same sums again", d.request("POST", "/v1/proxies/p/sums", sums, "Content-Type", "application/json"))
+	say("leaves", d.request("DELETE", "/v1/proxies/p", ""))
+	say("leaves again", d.request("DELETE", "/v1/proxies/p", ""))
+	say("sums after that", d.request("POST", "/v1/proxies/p/sums", sums, "Content-Type", "application/json"))
 	// What is bad is refused with the field's name, and nothing of it is applied.
-	say("no zone", d.do("GET", "/v1/proxies/p/tables", ""))
-	say("a rate that is none", d.do("GET", "/v1/proxies/p/tables?zone=a&rate=x", ""))
-	say("a name with a slash", d.do("GET", "/v1/proxies/a%2Fb/tables?zone=a", ""))
-	d.do("GET", "/v1/proxies/p/tables?zone=a", "")
+	say("no zone", d.request("GET", "/v1/proxies/p/tables", ""))
+	say("a rate that is none", d.request("GET", "/v1/proxies/p/tables?zone=a&rate=x", ""))
+	say("a name with a slash", d.request("GET", "/v1/proxies/a%2Fb/tables?zone=a", ""))
+	d.request("GET", "/v1/proxies/p/tables?zone=a", "")
 	for _, body := range []string{"", "{", "[]", `{"number":1}x`, `{"number":"1"}`, `{"number":2,"odd":1}`, `{"number":-1}`, `{"number":1e99}`,
 		`{"number":2,"hosts":{"10.0.0.1:80":{"tries":1.5}}}`, `{"number":2,"hosts":{"10.0.0.1:80":{"tries":2,"failed":3,"span":1}}}`,
 		`{"number":2,"hosts":{"1.1.1.1:1":{"tries":2,"span":1}}}`, `{"number":2,"hosts":{"10.0.0.1:80":{"tries":2,"span":1,"load":{"util":-3}}}}`,
 		`{"number":2,"hosts":{"10.0.0.1:80":{"tries":2,"span":1,"mean":NaN}}}`, `{"number":2,"usage":{"nothing":{"came":1,"span":1}}}`} {
-		say("sums "+body, d.do("POST", "/v1/proxies/p/sums", body, "Content-Type", "application/json"))
+		say("sums "+body, d.request("POST", "/v1/proxies/p/sums", body, "Content-Type", "application/json"))
 	}
-	say("another media type", d.do("POST", "/v1/proxies/p/sums", "a", "Content-Type", "text/plain"))
-	say("another method", d.do("PUT", "/v1/proxies/p/tables", ""))
+	say("another media type", d.request("POST", "/v1/proxies/p/sums", "a", "Content-Type", "text/plain"))
+	say("another method", d.request("PUT", "/v1/proxies/p/tables", ""))
 	var st controller.Status
-	if g := d.do("GET", "/v1/status", ""); json.Unmarshal([]byte(g.body), &st) != nil || st.Hosts != 2 || st.Joined != 1 {
+	if g := d.request("GET", "/v1/status", ""); json.Unmarshal([]byte(g.body), &st) != nil || st.Hosts != 2 || st.Joined != 1 {
 		t.Errorf("status %s", g.body)
 	}
 	if delta.status != 226 {
@@ -201,8 +201,8 @@
 
 // A poll held across the steward's restart: the client comes back, its old tag gets the whole, and meanwhile it
 // goes on by its last tables.
-func TestRestartWithHeldPoll(t *testing.T) {
-	d := begin(t, "")
+func TestRestartWithPendingPoll(t *testing.T) {
+	d := startDaemon(t, "")
 	c, err := client.New(client.Options{Stewards: []string{d.url}, Proxy: "p", Zone: "a", Least: time.Millisecond, Most: 10 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -210,58 +210,58 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Run(ctx); close(ended) }()
-	until(t, "tables", func() bool { return len(c.Tables()["sheet"].Hosts) == 2 })
-	until(t, "a held poll", func() bool { return d.core.status().Polls == 1 })
-	life := d.core.status().Life
+	eventually(t, "tables", func() bool { return len(c.Tables()["sheet"].Hosts) == 2 })
+	eventually(t, "a held poll", func() bool { return d.loop.status().Polls == 1 })
+	life := d.loop.status().Life
 	d.Kill()
-	until(t, "the loss", func() bool { return c.Steward() == "" })
+	eventually(t, "the loss", func() bool { return c.Steward() == "" })
 	if host, ok := c.Pick("finish"); !ok {
 		t.Errorf("no host without a steward, %q", host)
 	}
-	d.hosts(`hosts { address: "10.0.0.3:80" zone: "a" }`)
+	d.writeHosts(`hosts { address: "10.0.0.3:80" zone: "a" }`)
 	d.start()
-	until(t, "the new tables", func() bool {
+	eventually(t, "the new tables", func() bool {
 		h := c.Tables()["finish"].Hosts
 		return len(h) == 1 && h[0].Address == "10.0.0.3:80"
 	})
-	if now := d.core.status().Life; now == life {
+	if now := d.loop.status().Life; now == life {
 		t.Errorf("two lives have the name %s", now)
 	}
 	cancel()
 	<-ended
-	until(t, "the proxy's leaving", func() bool { return d.core.status().Joined == 0 })
+	eventually(t, "the proxy's leaving", func() bool { return d.loop.status().Joined == 0 })
 }
 
 // Stewards share nothing: each serves a proxy that polls both, and neither takes the other's tag.
-func TestTwoStewardsOneProxy(t *testing.T) {
-	one, two := begin(t, ""), begin(t, "")
-	a, b := one.do("GET", "/v1/proxies/p/tables?zone=a", ""), two.do("GET", "/v1/proxies/p/tables?zone=a", "")
+func TestTwoControllersOneProxy(t *testing.T) {
+	one, two := startDaemon(t, ""), startDaemon(t, "")
+	a, b := one.request("GET", "/v1/proxies/p/tables?zone=a", ""), two.request("GET", "/v1/proxies/p/tables?zone=a", "")
 	if a.status != 200 || b.status != 200 || a.header.Get("Etag") == b.header.Get("Etag") {
 		t.Fatalf("%+v %+v", a, b)
 	}
-	cross := two.do("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", a.header.Get("Etag"), "A-IM", "merge-patch", "Prefer", "wait=20")
+	cross := two.request("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", a.header.Get("Etag"), "A-IM", "merge-patch", "Prefer", "wait=20")
 	if cross.status != 200 || cross.body != b.body {
 		t.Errorf("a tag of the other steward: %+v", cross)
 	}
 }
 
 // A proxy that posts sums but does not poll cannot be told of drains: it has left, and hears so.
-func TestSumsAreNoPoll(t *testing.T) {
-	d := begin(t, "polls { leave_after_ms: 60 }")
-	d.do("GET", "/v1/proxies/p/tables?zone=a", "")
+func TestStatsDoNotKeepProxyConnected(t *testing.T) {
+	d := startDaemon(t, "polls { leave_after_ms: 60 }")
+	d.request("GET", "/v1/proxies/p/tables?zone=a", "")
 	n := 0
-	until(t, "the refusal", func() bool {
+	eventually(t, "the refusal", func() bool {
 		n++
-		return d.do("POST", "/v1/proxies/p/sums", fmt.Sprintf(`{"number":%d}`, n), "Content-Type", "application/json").status == 409
+		return d.request("POST", "/v1/proxies/p/sums", fmt.Sprintf(`{"number":%d}`, n), "Content-Type", "application/json").status == 409
 	})
-	if st := d.core.status(); st.Joined != 0 {
+	if st := d.loop.status(); st.Joined != 0 {
 		t.Errorf("%+v", st)
 	}
 }
 
 // A thousand proxies join at once, are all served, and are all told a drain.
-func TestThousandJoins(t *testing.T) {
-	d := begin(t, "fleet { proxies: 1000 }")
+func TestThousandProxiesConnect(t *testing.T) {
+	d := startDaemon(t, "fleet { proxies: 1000 }")
 	transport := &http.Transport{MaxIdleConnsPerHost: 1000}
 	defer transport.CloseIdleConnections()
 	web := &http.Client{Transport: transport}
@@ -293,8 +293,8 @@
 			}
 		}()
 	}
-	until(t, "all held", func() bool { return d.core.status().Polls == 1000 })
-	d.hosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" phase: DRAINING }`)
+	eventually(t, "all held", func() bool { return d.loop.status().Polls == 1000 })
+	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" phase: DRAINING }`)
 	all.Wait()
 	close(failed)
 	for f := range failed {
@@ -303,9 +303,9 @@
 }
 
 // The daemon ends in the middle of what it does: each answer that came is whole, the others did not come.
-func TestKilledMidway(t *testing.T) {
+func TestKillLeavesNoTornResponse(t *testing.T) {
 	for round := range 5 {
-		d := begin(t, "fleet { proxies: 200 }")
+		d := startDaemon(t, "fleet { proxies: 200 }")
 		var all sync.WaitGroup
 		whole, broken := 0, make(chan string, 500)
 		var mu sync.Mutex
@@ -315,7 +315,7 @@
 				defer all.Done()
 				tag := ""
 				for range 3 {
-					g := d.do("GET", fmt.Sprintf("/v1/proxies/p%d/tables?zone=a", i), "", "Prefer", "wait=20", "If-None-Match", tag)
+					g := d.request("GET", fmt.Sprintf("/v1/proxies/p%d/tables?zone=a", i), "", "Prefer", "wait=20", "If-None-Match", tag)
 					if g.status == 0 {
 						return
 					}
@@ -328,12 +328,12 @@
 				}
 			}()
 		}
-		until(t, "polls", func() bool { return d.core.status().Polls > 150 })
-		d.hosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.9:80" zone: "b" }`)
+		eventually(t, "polls", func() bool { return d.loop.status().Polls > 150 })
+		d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.9:80" zone: "b" }`)
 		mu.Lock()
 		before := whole
 		mu.Unlock()
-		until(t, "a first answer", func() bool { mu.Lock(); defer mu.Unlock(); return whole > before+round*20 })
+		eventually(t, "a first answer", func() bool { mu.Lock(); defer mu.Unlock(); return whole > before+round*20 })
 		d.Kill()
 		all.Wait()
 		close(broken)
@@ -345,9 +345,9 @@
 
 // What the daemon recorded, given to the library alone, leads to the same answers byte for byte; a torn tail
 // is seen and left out.
-func TestLibraryDoesTheSame(t *testing.T) {
+func TestRecordingReplaysIdentically(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.rec")
-	d := begin(t, fmt.Sprintf("record: %q fleet { proxies: 8 }", file))
+	d := startDaemon(t, fmt.Sprintf("record: %q fleet { proxies: 8 }", file))
 	var all sync.WaitGroup
 	for i := range 8 {
 		all.Add(1)
@@ -355,14 +355,14 @@
 			defer all.Done()
 			tag, path := "", fmt.Sprintf("/v1/proxies/p%d/", i)
 			for n := range 6 {
-				g := d.do("GET", path+"tables?zone=a", "", "Prefer", "wait=1", "If-None-Match", tag, "A-IM", "merge-patch")
+				g := d.request("GET", path+"tables?zone=a", "", "Prefer", "wait=1", "If-None-Match", tag, "A-IM", "merge-patch")
 				tag = g.header.Get("Etag")
-				d.do("POST", path+"sums", fmt.Sprintf(`{"number":%d,"hosts":{"10.0.0.1:80":{"tries":40,"failed":%d,"mean":20,"span":300}}}`, n+1, n), "Content-Type", "application/json")
+				d.request("POST", path+"sums", fmt.Sprintf(`{"number":%d,"hosts":{"10.0.0.1:80":{"tries":40,"failed":%d,"mean":20,"span":300}}}`, n+1, n), "Content-Type", "application/json")
 				if i == 0 && n == 2 {
-					d.hosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.4:80" zone: "b" }`)
+					d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.4:80" zone: "b" }`)
 				}
 			}
-			d.do("DELETE", path[:len(path)-1], "")
+			d.request("DELETE", path[:len(path)-1], "")
 		}()
 	}
 	all.Wait()
@@ -375,35 +375,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	said, answers, last := feed(t, text)
+	said, answers, last := replayRecording(t, text)
 	if last != io.EOF || len(said) < 30 {
 		t.Fatalf("%d answers, then %v", len(said), last)
 	}
 	if diff := cmp.Diff(said, answers); diff != "" {
 		t.Errorf("(-daemon +library):\n%s", diff)
 	}
-	if _, _, last = feed(t, text[:len(text)/2]); last != record.ErrTorn {
+	if _, _, last = replayRecording(t, text[:len(text)/2]); last != record.ErrTorn {
 		t.Errorf("a torn tail: %v", last)
 	}
 }
 
-// library collects the answers of a steward that is fed a recording.
-type library struct{ answers []string }
+// responseCollector collects the answers of a steward that is fed a recording.
+type responseCollector struct{ responses []string }
 
-func (l *library) Respond(poll int64, a controller.Response) {
-	l.answers = append(l.answers, fmt.Sprint(poll, a.Proxy, a.Kind, a.Tag, a.BaseTag, record.Sum(a.Body())))
+func (l *responseCollector) Respond(poll int64, a controller.Response) {
+	l.responses = append(l.responses, fmt.Sprint(poll, a.Proxy, a.Kind, a.Tag, a.BaseTag, record.Sum(a.Body())))
 }
-func (l *library) CheckHealth(string) {}
-func (l *library) WatchEndpoints()    {}
-func (l *library) Log(string)         {}
+func (l *responseCollector) CheckHealth(string) {}
+func (l *responseCollector) WatchEndpoints()    {}
+func (l *responseCollector) Log(string)         {}
 
-func feed(t *testing.T, text []byte) (said, answers []string, last error) {
-	r, out := record.NewReader(bytes.NewReader(text)), &library{}
+func replayRecording(t *testing.T, text []byte) (said, answers []string, last error) {
+	r, out := record.NewReader(bytes.NewReader(text)), &responseCollector{}
 	var s *controller.Controller
 	for {
 		rec, err := r.Next()
 		if err != nil {
-			return said, out.answers, err
+			return said, out.responses, err
 		}
 		switch x := rec.What.(type) {
 		case *recordpb.Record_Start:
@@ -424,8 +424,8 @@
 }
 
 // A list that is half written, empty or wrong leaves the last good one standing, and the log says so.
-func TestListFile(t *testing.T) {
-	d := begin(t, "")
+func TestEndpointFileErrors(t *testing.T) {
+	d := startDaemon(t, "")
 	for text, says := range map[string]string{`hosts { address: "10.0.0.1:80" `: "unexpected EOF", "": "no host is listed",
 		`hosts { address: "10.0.0.1" zone: "a" }`:                                 "no address:port",
 		`hosts { address: "10.0.0.1:80" zone: "c" }`:                              "hosts.textproto:1: hosts[0].zone: ",
@@ -433,109 +433,109 @@
 		"hosts { address: \"10.0.0.1:80\"\n zone: \"a\"\n colour: \"green\" }":    "hosts.textproto:3:2: unknown field: colour",
 		"hosts { address: \"10.0.0.1:80\" zone: \"a\" }\nhosts { zone: \"a\"\n }": "hosts.textproto:2: hosts[1].address: is missing",
 	} {
-		d.hosts(text)
-		until(t, says+" in "+d.log.String(), func() bool { return strings.Contains(d.log.String(), says) })
-		if st := d.core.status(); st.Hosts != 2 {
+		d.writeHosts(text)
+		eventually(t, says+" in "+d.log.String(), func() bool { return strings.Contains(d.log.String(), says) })
+		if st := d.loop.status(); st.Hosts != 2 {
 			t.Errorf("%q: %d hosts", text, st.Hosts)
 		}
 	}
-	d.hosts(`hosts { address: "box-7.addis.example:80" zone: "a" }`)
-	until(t, "the good list", func() bool { return d.core.status().Hosts == 1 })
+	d.writeHosts(`hosts { address: "box-7.addis.example:80" zone: "a" }`)
+	eventually(t, "the good list", func() bool { return d.loop.status().Hosts == 1 })
 }
 
 // listService is a stand-in that gives a list by long polls with deltas.
-type listServer struct {
-	mu      sync.Mutex
-	changed *sync.Cond
-	number  int
-	docs    map[int]string
-	patch   map[int]string
+type fakeEndpointService struct {
+	mu        sync.Mutex
+	changed   *sync.Cond
+	version   int
+	snapshots map[int]string
+	deltas    map[int]string
 }
 
-func (l *listServer) set(doc, patch string) {
+func (l *fakeEndpointService) publish(doc, patch string) {
 	l.mu.Lock()
-	l.number++
-	l.docs[l.number], l.patch[l.number] = doc, patch
+	l.version++
+	l.snapshots[l.version], l.deltas[l.version] = doc, patch
 	l.changed.Broadcast()
 	l.mu.Unlock()
 }
 
-func (l *listServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (l *fakeEndpointService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	stop := context.AfterFunc(r.Context(), l.changed.Broadcast)
 	defer stop()
 	held := r.Header.Get("If-None-Match")
-	for r.Context().Err() == nil && held == fmt.Sprintf(`"%d"`, l.number) {
+	for r.Context().Err() == nil && held == fmt.Sprintf(`"%d"`, l.version) {
 		l.changed.Wait()
 	}
-	w.Header().Set("ETag", fmt.Sprintf(`"%d"`, l.number))
-	if held == fmt.Sprintf(`"%d"`, l.number-1) && r.Header.Get("A-IM") == "merge-patch" {
+	w.Header().Set("ETag", fmt.Sprintf(`"%d"`, l.version))
+	if held == fmt.Sprintf(`"%d"`, l.version-1) && r.Header.Get("A-IM") == "merge-patch" {
 		w.Header().Set("IM", "merge-patch")
 		w.Header().Set("Delta-Base", held)
 		w.WriteHeader(226)
-		io.WriteString(w, l.patch[l.number])
+		io.WriteString(w, l.deltas[l.version])
 		return
 	}
-	io.WriteString(w, l.docs[l.number])
+	io.WriteString(w, l.snapshots[l.version])
 }
 
 // The list service is gone for a while: the last list stands, and its changes are followed when it is back.
-func TestListServiceGone(t *testing.T) {
-	l := &listServer{docs: map[int]string{}, patch: map[int]string{}}
+func TestEndpointServiceOutage(t *testing.T) {
+	l := &fakeEndpointService{snapshots: map[int]string{}, deltas: map[int]string{}}
 	l.changed = sync.NewCond(&l.mu)
-	l.set(`{"hosts":{"10.0.0.1:80":{"zone":"a"},"10.0.0.2:80":{"zone":"b","phase":"ready","weight":2,"started":5}}}`, "")
+	l.publish(`{"hosts":{"10.0.0.1:80":{"zone":"a"},"10.0.0.2:80":{"zone":"b","phase":"ready","weight":2,"started":5}}}`, "")
 	service := &http.Server{Addr: "127.0.0.1:0", Handler: l}
-	addr := serveOn(t, service, "127.0.0.1:0")
-	d := begin(t, fmt.Sprintf(`list { url: "http://%s/hosts" wait_ms: 20000 }`, addr))
-	until(t, "the list", func() bool { return d.core.status().Hosts == 2 })
-	l.set(`{"hosts":{"10.0.0.1:80":{"zone":"a"}}}`, `{"hosts":{"10.0.0.2:80":null}}`)
-	until(t, "a delta", func() bool { return d.core.status().Hosts == 1 })
+	addr := serveHTTP(t, service, "127.0.0.1:0")
+	d := startDaemon(t, fmt.Sprintf(`list { url: "http://%s/hosts" wait_ms: 20000 }`, addr))
+	eventually(t, "the list", func() bool { return d.loop.status().Hosts == 2 })
+	l.publish(`{"hosts":{"10.0.0.1:80":{"zone":"a"}}}`, `{"hosts":{"10.0.0.2:80":null}}`)
+	eventually(t, "a delta", func() bool { return d.loop.status().Hosts == 1 })
 	service.Close()
-	until(t, "the failure", func() bool { return d.core.status().ListFailed })
-	if g := d.do("GET", "/v1/proxies/p/tables?zone=a", ""); g.status != 200 || !strings.Contains(g.body, `"10.0.0.1:80":1`) {
+	eventually(t, "the failure", func() bool { return d.loop.status().ListFailed })
+	if g := d.request("GET", "/v1/proxies/p/tables?zone=a", ""); g.status != 200 || !strings.Contains(g.body, `"10.0.0.1:80":1`) {
 		t.Errorf("without the service: %+v", g)
 	}
-	l.set(`{"hosts":{"10.0.0.1:80":{"zone":"a"},"10.0.0.3:80":{"zone":"a"},"10.0.0.4:80":{"zone":"b"}}}`, `{"hosts":{"10.0.0.3:80":{"zone":"a"},"10.0.0.4:80":{"zone":"b"}}}`)
+	l.publish(`{"hosts":{"10.0.0.1:80":{"zone":"a"},"10.0.0.3:80":{"zone":"a"},"10.0.0.4:80":{"zone":"b"}}}`, `{"hosts":{"10.0.0.3:80":{"zone":"a"},"10.0.0.4:80":{"zone":"b"}}}`)
 	again := &http.Server{Handler: l}
-	serveOn(t, again, addr)
-	until(t, "the list again", func() bool { st := d.core.status(); return st.Hosts == 3 && !st.ListFailed })
+	serveHTTP(t, again, addr)
+	eventually(t, "the list again", func() bool { st := d.loop.status(); return st.Hosts == 3 && !st.ListFailed })
 }
 
 // Where hosts tell their cores and proxies their usage, the steward gives its fleet as the solver's problem, and the
 // gap of its tables.
-func TestFleet(t *testing.T) {
-	d := begin(t, "")
-	if g := d.do("GET", "/v1/fleet", ""); g.status != 404 {
+func TestFleetProblem(t *testing.T) {
+	d := startDaemon(t, "")
+	if g := d.request("GET", "/v1/fleet", ""); g.status != 404 {
 		t.Errorf("without cores: %+v", g)
 	}
-	d.hosts(`hosts { address: "10.0.0.1:80" zone: "a" cores: 8 } hosts { address: "10.0.0.2:80" zone: "b" cores: 2 speed: 0.5 }`)
-	until(t, "the list", func() bool { return strings.Count(d.log.String(), "host list read") == 2 })
-	d.do("GET", "/v1/proxies/p/tables?zone=a", "")
-	d.do("POST", "/v1/proxies/p/sums", `{"number":1,"usage":{"sheet":{"came":100,"span":1000}}}`, "Content-Type", "application/json")
-	until(t, "the sums to be taken in", func() bool { return d.core.status().Intake.Taken > 0 })
+	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" cores: 8 } hosts { address: "10.0.0.2:80" zone: "b" cores: 2 speed: 0.5 }`)
+	eventually(t, "the list", func() bool { return strings.Count(d.log.String(), "host list read") == 2 })
+	d.request("GET", "/v1/proxies/p/tables?zone=a", "")
+	d.request("POST", "/v1/proxies/p/sums", `{"number":1,"usage":{"sheet":{"came":100,"span":1000}}}`, "Content-Type", "application/json")
+	eventually(t, "the sums to be taken in", func() bool { return d.loop.status().Intake.Taken > 0 })
 	var p solver.Problem
-	if g := d.do("GET", "/v1/fleet", ""); g.status != 200 || json.Unmarshal([]byte(g.body), &p) != nil {
+	if g := d.request("GET", "/v1/fleet", ""); g.status != 200 || json.Unmarshal([]byte(g.body), &p) != nil {
 		t.Fatalf("%+v", g)
 	}
 	if s, err := p.Solve(); err != nil || len(p.Hosts) != 2 || s.Asked <= 0 || p.Verify(s) != nil {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if g := d.do("GET", "/v1/status", ""); !strings.Contains(g.body, `"gap":{"result":`) {
+	if g := d.request("GET", "/v1/status", ""); !strings.Contains(g.body, `"gap":{"result":`) {
 		t.Errorf("status %s", g.body)
 	}
 }
 
 // A clean end answers the polls that are held, with what stands, and takes no more; its recording replays to the end.
-func TestStopAnswersPolls(t *testing.T) {
+func TestStopAnswersPendingPolls(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.rec")
-	d := begin(t, fmt.Sprintf("record: %q", file))
-	tag := d.do("GET", "/v1/proxies/p/tables?zone=a", "").header.Get("Etag")
-	answer := make(chan got)
+	d := startDaemon(t, fmt.Sprintf("record: %q", file))
+	tag := d.request("GET", "/v1/proxies/p/tables?zone=a", "").header.Get("Etag")
+	answer := make(chan httpResult)
 	go func() {
-		answer <- d.do("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", tag, "Prefer", "wait=30")
+		answer <- d.request("GET", "/v1/proxies/p/tables?zone=a", "", "If-None-Match", tag, "Prefer", "wait=30")
 	}()
-	until(t, "a held poll", func() bool { return d.core.status().Polls == 1 })
+	eventually(t, "a held poll", func() bool { return d.loop.status().Polls == 1 })
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if err := d.Stop(ctx); err != nil {
@@ -544,14 +544,14 @@
 	if g := <-answer; g.status != 304 || g.header.Get("Etag") != tag {
 		t.Errorf("%+v", g)
 	}
-	if g := d.do("GET", "/v1/status", ""); g.status != 0 {
+	if g := d.request("GET", "/v1/status", ""); g.status != 0 {
 		t.Errorf("after the end: %+v", g)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	said, answers, last := feed(t, text)
+	said, answers, last := replayRecording(t, text)
 	if diff := cmp.Diff(said, answers); diff != "" || last != io.EOF || len(said) != 2 {
 		t.Errorf("%d answers, then %v (-daemon +library):\n%s", len(said), last, diff)
 	}
@@ -562,10 +562,10 @@
 	os.Exit(m.Run())
 }
 
-func serveOn(t *testing.T, s *http.Server, addr string) string {
+func serveHTTP(t *testing.T, s *http.Server, addr string) string {
 	t.Helper()
 	var l net.Listener
-	until(t, "the port", func() bool {
+	eventually(t, "the port", func() bool {
 		var err error
 		l, err = net.Listen("tcp", addr)
 		return err == nil
--- a/internal/daemon/identify.go
+++ b/internal/daemon/identify.go
@@ -21,25 +21,25 @@
 	"barleysail/internal/tablesig"
 )
 
-// firstIdentity is how long a start waits for the issuer.
-const firstIdentity = 30 * time.Second
+// firstCredentialsTimeout is how long a start waits for the issuer.
+const firstCredentialsTimeout = 30 * time.Second
 
-// identify takes up the steward's identity, where it has one.
-func (d *Daemon) identify(ctx context.Context, c *configpb.Config, log zerolog.Logger) (*auth.Policy, *http1.Secure, error) {
+// openCredentials takes up the steward's identity, where it has one.
+func (d *Daemon) openCredentials(ctx context.Context, c *configpb.Config, log zerolog.Logger) (*auth.Policy, *http1.Secure, error) {
 	policy, err := config.Policy(c)
 	if err != nil || c.Identity.WorkloadApi == "" {
 		return nil, nil, err
 	}
-	wait, cancel := context.WithTimeout(ctx, firstIdentity)
+	wait, cancel := context.WithTimeout(ctx, firstCredentialsTimeout)
 	defer cancel()
-	if d.source, err = identity.Open(wait, c.Identity.WorkloadApi); err != nil {
+	if d.credentials, err = identity.Open(wait, c.Identity.WorkloadApi); err != nil {
 		return nil, nil, err
 	}
 	tell := func(again bool) {
 		if again {
 			log.Warn().Msg("the issuer handed out the same key again: whoever has copied it can prove this identity too")
 		}
-		id, until, err := d.source.Own()
+		id, until, err := d.credentials.Own()
 		if err != nil {
 			log.Error().Err(err).Msg("no identity")
 			return
@@ -47,20 +47,20 @@
 		log.Info().Str("id", id.String()).Time("until", until).Msg("identity taken up")
 	}
 	tell(false)
-	d.kept.Add(1)
-	go func() { defer d.kept.Done(); d.source.Follow(ctx, tell) }()
-	secure := &http1.Secure{TLS: d.source.Server(), AtOnce: int(*c.Identity.Handshakes)}
+	d.background.Add(1)
+	go func() { defer d.background.Done(); d.credentials.Follow(ctx, tell) }()
+	secure := &http1.Secure{TLS: d.credentials.Server(), AtOnce: int(*c.Identity.Handshakes)}
 	if c.Identity.Tokens {
 		if d.tokens, err = identity.OpenTokens(wait, c.Identity.WorkloadApi); err != nil {
 			return nil, nil, err
 		}
-		secure.TLS = d.source.ServerWithTokens()
+		secure.TLS = d.credentials.ServerWithTokens()
 	}
 	secure.Peer = func(s tls.ConnectionState) (http1.Peer, error) {
 		if len(s.PeerCertificates) == 0 {
-			return d.source.Anonymous()
+			return d.credentials.Anonymous()
 		}
-		p, err := d.source.Peer(s)
+		p, err := d.credentials.Peer(s)
 		if err != nil {
 			log.Warn().Err(err).Msg("a connection was refused")
 			return nil, err
@@ -70,12 +70,12 @@
 	return policy, secure, nil
 }
 
-// tlsFor gives what a call to a server with an identity needs; nil where the steward has none itself.
-func (d *Daemon) tlsFor(id string) *tls.Config {
-	if d.source == nil {
+// clientTLS gives what a call to a server with an identity needs; nil where the steward has none itself.
+func (d *Daemon) clientTLS(id string) *tls.Config {
+	if d.credentials == nil {
 		return nil
 	}
-	return d.source.Client(func(is spiffeid.ID) error {
+	return d.credentials.Client(func(is spiffeid.ID) error {
 		if is.String() != id {
 			return fmt.Errorf("it is %s, not %s", is, id)
 		}
@@ -83,19 +83,19 @@
 	})
 }
 
-// may lets a handler serve only who may do an action.
-func (a *api) may(action auth.Action, serve func(*http1.Request) http1.Reply) func(*http1.Request) http1.Reply {
+// authorize lets a handler serve only who may do an action.
+func (a *api) authorize(action auth.Action, serve func(*http1.Request) http1.Reply) func(*http1.Request) http1.Reply {
 	return func(q *http1.Request) http1.Reply {
 		if a.policy == nil {
 			return serve(q)
 		}
-		id, err := a.who(q)
+		id, err := a.authenticate(q)
 		if err != nil {
 			return http1.Problem{Status: 401, Detail: err.Error()}.Reply("Www-Authenticate", "Bearer")
 		}
 		r := auth.Request{Action: action, Proxy: q.Params["proxy"], Zone: q.Query.Get("zone"), Host: q.Params["host"]}
 		if r.Proxy != "" && action != auth.Poll { // what a request says of itself counts only where it joins
-			r.Zone = look(a.core, func(s *controller.Controller) string { return s.ProxyZone(r.Proxy) })
+			r.Zone = query(a.loop, func(s *controller.Controller) string { return s.ProxyZone(r.Proxy) })
 		}
 		if v := a.policy.Decide(id, r); !v.Allowed {
 			return http1.Problem{Status: 403, Detail: id.String() + " may not " + string(action) + " here: " + strings.Join(v.Why, "; ")}.Reply()
@@ -104,21 +104,21 @@
 	}
 }
 
-// holdFor bounds how long a poll is held by the time of its connection, in ms: the proxy comes again on one of its next
+// boundWaitMs bounds how long a poll is held by the time of its connection, in ms: the proxy comes again on one of its next
 // identity.
-func holdFor(q *http1.Request, wanted float64) float64 {
+func boundWaitMs(q *http1.Request, wanted float64) float64 {
 	if at, ok := q.Retires(); ok {
 		return math.Min(wanted, math.Max(time.Until(at).Seconds()*1000, 0))
 	}
 	return wanted
 }
 
-// mostTokens are remembered until they end.
-const mostTokens = 100000
+// maxUsedTokens are remembered until they end.
+const maxUsedTokens = 100000
 
-// who tells whose request it is: by the connection's certificate, or else by the token that it bears (RFC 6750, 2.1), which
+// authenticate tells whose request it is: by the connection's certificate, or else by the token that it bears (RFC 6750, 2.1), which
 // has to be for us, and used on one connection only.
-func (a *api) who(q *http1.Request) (id spiffeid.ID, err error) {
+func (a *api) authenticate(q *http1.Request) (id spiffeid.ID, err error) {
 	p, ok := q.Peer.(*identity.Peer)
 	if !ok {
 		return id, errors.New("the connection proves nobody")
@@ -130,7 +130,7 @@
 	if a.tokens == nil || !strings.EqualFold(scheme, "Bearer") {
 		return id, errors.New("neither a certificate nor a token was shown")
 	}
-	own, _, err := a.source.Own()
+	own, _, err := a.credentials.Own()
 	if err != nil {
 		return id, err
 	}
@@ -138,34 +138,34 @@
 	if err != nil {
 		return id, err
 	}
-	a.usedMu.Lock()
-	defer a.usedMu.Unlock()
-	if !a.used.Use(wallNow(), token, float64(ends.UnixMilli()), q.Conn) {
+	a.usedTokensMu.Lock()
+	defer a.usedTokensMu.Unlock()
+	if !a.usedTokens.Use(wallClockMs(), token, float64(ends.UnixMilli()), q.Conn) {
 		return id, errors.New("the token was used on another connection, or is over: a fresh one is needed")
 	}
 	q.Until = ends
 	return id, nil
 }
 
-// signedFor is how long a proxy may take a table up after it was told: not how long it may go by it.
-const signedFor = 5 * time.Minute
+// signatureValidity is how long a proxy may take a table up after it was told: not how long it may go by it.
+const signatureValidity = 5 * time.Minute
 
-// signed adds the signature of what an answer leaves the proxy with.
-func (a *api) signed(s controller.Response, r http1.Reply) http1.Reply {
-	if a.source == nil || s.Kind == controller.NotModified {
+// sign adds the signature of what an answer leaves the proxy with.
+func (a *api) sign(s controller.Response, r http1.Reply) http1.Reply {
+	if a.credentials == nil || s.Kind == controller.NotModified {
 		return r
 	}
-	signer, err := a.source.Signer()
+	signer, err := a.credentials.Signer()
 	if err != nil {
-		return fail(err)
+		return errorReply(err)
 	}
 	tables, err := s.Canonical()
 	if err != nil {
-		return fail(err)
+		return errorReply(err)
 	}
-	field, err := signer.Sign(s.Proxy, s.Tag, tables, time.Now().Add(signedFor))
+	field, err := signer.Sign(s.Proxy, s.Tag, tables, time.Now().Add(signatureValidity))
 	if err != nil {
-		return fail(err)
+		return errorReply(err)
 	}
 	r.Header.Set(tablesig.Field, field)
 	return r
@@ -178,11 +178,11 @@
 	Failed string  `json:"failed"`
 }
 
-func (a *api) identity() *IdentityReport {
-	if a.source == nil {
+func (a *api) identityReport() *IdentityReport {
+	if a.credentials == nil {
 		return nil
 	}
-	id, until, err := a.source.Own()
+	id, until, err := a.credentials.Own()
 	if err != nil {
 		return &IdentityReport{Failed: err.Error()}
 	}
--- a/internal/daemon/identity_test.go
+++ b/internal/daemon/identity_test.go
@@ -27,59 +27,59 @@
 	"barleysail/internal/tablesig"
 )
 
-const domain = "spiffe://race.example"
+const trustDomain = "spiffe://race.example"
 
 // world is an issuer with workloads, and a steward that knows itself by it.
-type issued struct {
-	*started
-	folder string
-	root   *issuer.Authority
-	own    *issuer.Endpoint
+type identityDaemon struct {
+	*testDaemon
+	folder      string
+	authority   *issuer.Authority
+	ownEndpoint *issuer.Endpoint
 }
 
-func withIdentities(t *testing.T, inside string, list ...string) *issued {
+func startWithIdentities(t *testing.T, inside string, list ...string) *identityDaemon {
 	t.Helper()
 	folder, err := os.MkdirTemp("", "id") // a socket's path has to be short
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(folder) })
-	w := &issued{folder: folder}
-	if w.root, err = issuer.NewAuthority("race.example"); err != nil {
+	w := &identityDaemon{folder: folder}
+	if w.authority, err = issuer.NewAuthority("race.example"); err != nil {
 		t.Fatal(err)
 	}
-	w.own = w.endpoint(t, "steward")
-	w.own.Give(w.sign(t, w.root, domain+"/steward/one", time.Hour, nil), []*issuer.Authority{w.root})
-	if err := w.own.GiveKeys(w.root); err != nil {
+	w.ownEndpoint = w.endpoint(t, "steward")
+	w.ownEndpoint.Give(w.sign(t, w.authority, trustDomain+"/steward/one", time.Hour, nil), []*issuer.Authority{w.authority})
+	if err := w.ownEndpoint.GiveKeys(w.authority); err != nil {
 		t.Fatal(err)
 	}
-	d := &started{t: t, list: folder + "/hosts.textproto", log: &lockedBuffer{}}
-	d.hosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" weight: 0.5 }`)
-	text := strings.Replace(base, "plain_loopback: true", fmt.Sprintf(`workload_api: %q
+	d := &testDaemon{t: t, hostsFile: folder + "/hosts.textproto", log: &lockedBuffer{}}
+	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" weight: 0.5 }`)
+	text := strings.Replace(baseConfig, "plain_loopback: true", fmt.Sprintf(`workload_api: %q
 		allow { id: "%[2]s/forwarder/{zone}/{proxy}" actions: "poll" actions: "sums" } allow { id: "%[2]s/host/{host}" actions: "report" }
-		allow { id: "%[2]s/operator/*" actions: "see" actions: "set" } allow { id: "%[2]s/steward/*" actions: "follow" } %[3]s`, w.own.Address, domain, inside), 1)
-	from := fmt.Sprintf(" list { file: %q }", d.list)
+		allow { id: "%[2]s/operator/*" actions: "see" actions: "set" } allow { id: "%[2]s/steward/*" actions: "follow" } %[3]s`, w.ownEndpoint.Address, trustDomain, inside), 1)
+	from := fmt.Sprintf(" list { file: %q }", d.hostsFile)
 	if len(list) > 0 {
 		from = list[0]
 	}
-	if d.cfg, err = config.Parse("test", []byte(text+from)); err != nil {
+	if d.config, err = config.Parse("test", []byte(text+from)); err != nil {
 		t.Fatal(err)
 	}
 	d.start()
 	d.url = strings.Replace(d.url, "http:", "https:", 1)
-	w.started = d
+	w.testDaemon = d
 	t.Cleanup(func() { w.Kill() })
 	return w
 }
 
-// anonymous makes an HTTP client that shows no certificate.
-func anonymous(t *testing.T) *http.Client {
+// anonymousClient makes an HTTP client that shows no certificate.
+func anonymousClient(t *testing.T) *http.Client {
 	x := &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true, MinVersion: tls.VersionTLS13}}
 	t.Cleanup(x.CloseIdleConnections)
 	return &http.Client{Transport: x, Timeout: 20 * time.Second}
 }
 
-func (w *issued) endpoint(t *testing.T, name string) *issuer.Endpoint {
+func (w *identityDaemon) endpoint(t *testing.T, name string) *issuer.Endpoint {
 	t.Helper()
 	e, err := issuer.NewEndpoint(w.folder, name)
 	if err != nil {
@@ -89,8 +89,8 @@
 	return e
 }
 
-// opened takes up what an endpoint hands out.
-func opened(t *testing.T, e *issuer.Endpoint) *identity.Source {
+// openSource takes up what an endpoint hands out.
+func openSource(t *testing.T, e *issuer.Endpoint) *identity.Source {
 	t.Helper()
 	s, err := identity.Open(context.Background(), e.Address)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return s
 }
 
-func (w *issued) sign(t *testing.T, a *issuer.Authority, id string, life time.Duration, change func(*x509.Certificate)) *issuer.SVID {
+func (w *identityDaemon) sign(t *testing.T, a *issuer.Authority, id string, life time.Duration, change func(*x509.Certificate)) *issuer.SVID {
 	t.Helper()
 	v, err := a.Sign(id, life, change)
 	if err != nil {
@@ -109,8 +109,8 @@
 	return v
 }
 
-// as makes an HTTP client that proves an identity, by the library where that takes it and by hand where it must not.
-func (w *issued) as(t *testing.T, v *issuer.SVID) *http.Client {
+// clientAs makes an HTTP client that proves an identity, by the library where that takes it and by hand where it must not.
+func (w *identityDaemon) clientAs(t *testing.T, v *issuer.SVID) *http.Client {
 	t.Helper()
 	key, err := x509.ParsePKCS8PrivateKey(v.Key)
 	if err != nil {
@@ -123,8 +123,8 @@
 	return &http.Client{Transport: x, Timeout: 20 * time.Second}
 }
 
-// ask gives the status, 0 where the connection was refused.
-func (w *issued) ask(c *http.Client, method, path, body string, header ...string) (status int, h http.Header, text string) {
+// call gives the status, 0 where the connection was refused.
+func (w *identityDaemon) call(c *http.Client, method, path, body string, header ...string) (status int, h http.Header, text string) {
 	q, err := http.NewRequest(method, w.url+path, strings.NewReader(body))
 	if err != nil {
 		w.t.Fatal(err)
@@ -148,12 +148,12 @@
 }
 
 // Who may do what is judged at each request, also on a connection that is kept.
-func TestWhoMayDoWhat(t *testing.T) {
-	w := withIdentities(t, "")
-	f1 := w.as(t, w.sign(t, w.root, domain+"/forwarder/a/f1", time.Hour, nil))
-	host := w.as(t, w.sign(t, w.root, domain+"/host/10.0.0.1_80", time.Hour, nil))
-	ann := w.as(t, w.sign(t, w.root, domain+"/operator/ann", time.Hour, nil))
-	two := w.as(t, w.sign(t, w.root, domain+"/steward/two", time.Hour, nil))
+func TestAuthorizationPerRequest(t *testing.T) {
+	w := startWithIdentities(t, "")
+	f1 := w.clientAs(t, w.sign(t, w.authority, trustDomain+"/forwarder/a/f1", time.Hour, nil))
+	host := w.clientAs(t, w.sign(t, w.authority, trustDomain+"/host/10.0.0.1_80", time.Hour, nil))
+	ann := w.clientAs(t, w.sign(t, w.authority, trustDomain+"/operator/ann", time.Hour, nil))
+	two := w.clientAs(t, w.sign(t, w.authority, trustDomain+"/steward/two", time.Hour, nil))
 	json := []string{"Content-Type", "application/json"}
 	for _, x := range []struct {
 		who                *http.Client
@@ -177,18 +177,18 @@
 		{two, "GET", "/v1/state", "", 200},
 		{two, "POST", "/v1/hosts/10.0.0.1:80/operator", `{"weight":2}`, 403},
 	} {
-		if got, _, text := w.ask(x.who, x.method, x.path, x.body, json...); got != x.want {
+		if got, _, text := w.call(x.who, x.method, x.path, x.body, json...); got != x.want {
 			t.Errorf("%s %s: %d, not %d: %s", x.method, x.path, got, x.want, text)
 		}
 	}
-	if n := w.core.status().Joined; n != 1 {
+	if n := w.loop.status().Joined; n != 1 {
 		t.Errorf("%d have joined", n)
 	}
 }
 
 // Identities that must not be get no further than the handshake.
-func TestOddIdentities(t *testing.T) {
-	w := withIdentities(t, "")
+func TestInvalidCertificates(t *testing.T) {
+	w := startWithIdentities(t, "")
 	other, err := issuer.NewAuthority("other.example")
 	if err != nil {
 		t.Fatal(err)
@@ -206,7 +206,7 @@
 			}
 		}
 	}
-	f1 := domain + "/forwarder/a/f1"
+	f1 := trustDomain + "/forwarder/a/f1"
 	for _, x := range []struct {
 		what   string
 		root   *issuer.Authority
@@ -214,22 +214,22 @@
 		change func(*x509.Certificate)
 		want   int
 	}{
-		{"as it should be", w.root, time.Hour, nil, 200},
+		{"as it should be", w.authority, time.Hour, nil, 200},
 		{"of another trust domain", other, time.Hour, uri("spiffe://other.example/forwarder/a/f1"), 0},
 		{"of an impostor's root", impostor, time.Hour, nil, 0},
 		{"another's root for our name", other, time.Hour, nil, 0},
-		{"over", w.root, -time.Second, nil, 0},
-		{"not yet: the issuer's clock is five minutes ahead", w.root, time.Hour, func(c *x509.Certificate) { c.NotBefore = time.Now().Add(5 * time.Minute) }, 0},
-		{"a CA certificate as leaf", w.root, time.Hour, func(c *x509.Certificate) { c.IsCA, c.KeyUsage = true, x509.KeyUsageCertSign }, 0},
-		{"two URI names", w.root, time.Hour, uri(f1, domain+"/operator/ann"), 0},
-		{"none", w.root, time.Hour, uri(), 0},
-		{"upper case", w.root, time.Hour, uri("spiffe://RACE.example/forwarder/a/f1"), 0},
-		{"a port", w.root, time.Hour, uri("spiffe://race.example:80/forwarder/a/f1"), 0},
-		{"a query", w.root, time.Hour, uri(f1 + "?x"), 0},
-		{"a trailing slash", w.root, time.Hour, uri(f1 + "/"), 0},
-		{"another scheme", w.root, time.Hour, uri("https://race.example/forwarder/a/f1"), 0},
+		{"over", w.authority, -time.Second, nil, 0},
+		{"not yet: the issuer's clock is five minutes ahead", w.authority, time.Hour, func(c *x509.Certificate) { c.NotBefore = time.Now().Add(5 * time.Minute) }, 0},
+		{"a CA certificate as leaf", w.authority, time.Hour, func(c *x509.Certificate) { c.IsCA, c.KeyUsage = true, x509.KeyUsageCertSign }, 0},
+		{"two URI names", w.authority, time.Hour, uri(f1, trustDomain+"/operator/ann"), 0},
+		{"none", w.authority, time.Hour, uri(), 0},
+		{"upper case", w.authority, time.Hour, uri("spiffe://RACE.example/forwarder/a/f1"), 0},
+		{"a port", w.authority, time.Hour, uri("spiffe://race.example:80/forwarder/a/f1"), 0},
+		{"a query", w.authority, time.Hour, uri(f1 + "?x"), 0},
+		{"a trailing slash", w.authority, time.Hour, uri(f1 + "/"), 0},
+		{"another scheme", w.authority, time.Hour, uri("https://race.example/forwarder/a/f1"), 0},
 	} {
-		got, _, text := w.ask(w.as(t, w.sign(t, x.root, f1, x.life, x.change)), "GET", "/v1/proxies/f1/tables?zone=a", "")
+		got, _, text := w.call(w.clientAs(t, w.sign(t, x.root, f1, x.life, x.change)), "GET", "/v1/proxies/f1/tables?zone=a", "")
 		if got != x.want {
 			t.Errorf("%s: %d, not %d: %s", x.what, got, x.want, text)
 		}
@@ -238,35 +238,35 @@
 	if err == nil && plain.StatusCode == 200 {
 		t.Error("a plain request was answered")
 	}
-	if n := w.core.status().Joined; n != 1 {
+	if n := w.loop.status().Joined; n != 1 {
 		t.Errorf("%d have joined", n)
 	}
 }
 
 // A poll whose identity ends while it is held is told nothing after it: it ends in time, and the next one, on a connection
 // of the next identity, gets what was missed as a delta.
-func TestIdentityEndsDuringAPoll(t *testing.T) {
+func TestCertificateExpiresDuringPoll(t *testing.T) {
 	t.Parallel()
-	w := withIdentities(t, "")
-	id, path := domain+"/forwarder/a/f1", "/v1/proxies/f1/tables?zone=a"
-	long := w.as(t, w.sign(t, w.root, id, time.Hour, nil))
-	_, h, text := w.ask(long, "GET", path, "")
+	w := startWithIdentities(t, "")
+	id, path := trustDomain+"/forwarder/a/f1", "/v1/proxies/f1/tables?zone=a"
+	long := w.clientAs(t, w.sign(t, w.authority, id, time.Hour, nil))
+	_, h, text := w.call(long, "GET", path, "")
 	for i := 0; i < 100 && !strings.Contains(text, "10.0.0.2:80"); i++ {
-		_, h, text = w.ask(long, "GET", path, "", "If-None-Match", h.Get("Etag"), "Prefer", "wait=1")
+		_, h, text = w.call(long, "GET", path, "", "If-None-Match", h.Get("Etag"), "Prefer", "wait=1")
 	}
 	tag := h.Get("Etag")
 	began := time.Now()
-	short := w.as(t, w.sign(t, w.root, id, 2*time.Second, nil))
-	status, h, _ := w.ask(short, "GET", path, "", "If-None-Match", tag, "Prefer", "wait=10", "A-IM", "merge-patch")
+	short := w.clientAs(t, w.sign(t, w.authority, id, 2*time.Second, nil))
+	status, h, _ := w.call(short, "GET", path, "", "If-None-Match", tag, "Prefer", "wait=10", "A-IM", "merge-patch")
 	if took := time.Since(began); status != 304 || took > 2*time.Second {
 		t.Errorf("%d after %v", status, took)
 	}
-	w.hosts(`hosts { address: "10.0.0.1:80" zone: "a" phase: DRAINING } hosts { address: "10.0.0.2:80" zone: "b" weight: 0.5 }`)
+	w.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" phase: DRAINING } hosts { address: "10.0.0.2:80" zone: "b" weight: 0.5 }`)
 	time.Sleep(time.Until(began.Add(2100 * time.Millisecond))) // its end has to have passed; more does no harm
-	if status, _, text := w.ask(short, "GET", path, "", "If-None-Match", tag); status == 200 || status == 226 {
+	if status, _, text := w.call(short, "GET", path, "", "If-None-Match", tag); status == 200 || status == 226 {
 		t.Errorf("told after its end: %d %s", status, text)
 	}
-	status, h, text = w.ask(long, "GET", path, "", "If-None-Match", tag, "Prefer", "wait=10", "A-IM", "merge-patch")
+	status, h, text = w.call(long, "GET", path, "", "If-None-Match", tag, "Prefer", "wait=10", "A-IM", "merge-patch")
 	if status != 226 || h.Get("Delta-Base") != tag || !strings.Contains(text, `"10.0.0.1:80":null`) {
 		t.Errorf("%d %s", status, text)
 	}
@@ -274,78 +274,78 @@
 
 // A root that is taken away ends what stands by it, and a new one is taken up, without a restart; while both are there both
 // serve.
-func TestRootsChange(t *testing.T) {
+func TestTrustBundleRotation(t *testing.T) {
 	t.Parallel()
-	w := withIdentities(t, "")
+	w := startWithIdentities(t, "")
 	fresh, err := issuer.NewAuthority("race.example")
 	if err != nil {
 		t.Fatal(err)
 	}
-	id, path := domain+"/forwarder/a/f1", "/v1/proxies/f1/tables?zone=a"
-	old, next := w.as(t, w.sign(t, w.root, id, time.Hour, nil)), w.as(t, w.sign(t, fresh, id, time.Hour, nil))
-	get := func(c *http.Client) int { s, _, _ := w.ask(c, "GET", path, ""); return s }
+	id, path := trustDomain+"/forwarder/a/f1", "/v1/proxies/f1/tables?zone=a"
+	old, next := w.clientAs(t, w.sign(t, w.authority, id, time.Hour, nil)), w.clientAs(t, w.sign(t, fresh, id, time.Hour, nil))
+	get := func(c *http.Client) int { s, _, _ := w.call(c, "GET", path, ""); return s }
 	if a, b := get(old), get(next); a != 200 || b != 0 {
 		t.Errorf("old %d, next %d", a, b)
 	}
-	own := w.sign(t, w.root, domain+"/steward/one", time.Hour, nil)
-	w.own.Give(own, []*issuer.Authority{w.root, fresh})
-	until(t, "the new root", func() bool { return get(next) == 200 })
+	own := w.sign(t, w.authority, trustDomain+"/steward/one", time.Hour, nil)
+	w.ownEndpoint.Give(own, []*issuer.Authority{w.authority, fresh})
+	eventually(t, "the new root", func() bool { return get(next) == 200 })
 	if got := get(old); got != 200 {
 		t.Errorf("old %d while both are there", got)
 	}
-	w.own.Give(own, []*issuer.Authority{fresh})
-	until(t, "the old root to be gone", func() bool { return get(old) != 200 })
+	w.ownEndpoint.Give(own, []*issuer.Authority{fresh})
+	eventually(t, "the old root to be gone", func() bool { return get(old) != 200 })
 	if got := get(next); got != 200 {
 		t.Errorf("next %d", got)
 	}
 }
 
 // The issuer is away: the last good identity serves on, and status tells how long.
-func TestIssuerAway(t *testing.T) {
-	w := withIdentities(t, "")
-	w.own.Close()
-	f1 := w.as(t, w.sign(t, w.root, domain+"/forwarder/a/f1", time.Hour, nil))
-	ann := w.as(t, w.sign(t, w.root, domain+"/operator/ann", time.Hour, nil))
-	if s, _, _ := w.ask(f1, "GET", "/v1/proxies/f1/tables?zone=a", ""); s != 200 {
+func TestIssuerUnavailable(t *testing.T) {
+	w := startWithIdentities(t, "")
+	w.ownEndpoint.Close()
+	f1 := w.clientAs(t, w.sign(t, w.authority, trustDomain+"/forwarder/a/f1", time.Hour, nil))
+	ann := w.clientAs(t, w.sign(t, w.authority, trustDomain+"/operator/ann", time.Hour, nil))
+	if s, _, _ := w.call(f1, "GET", "/v1/proxies/f1/tables?zone=a", ""); s != 200 {
 		t.Errorf("%d", s)
 	}
-	if _, _, text := w.ask(ann, "GET", "/v1/status", ""); !strings.Contains(text, `"identity":{"id":"spiffe://race.example/steward/one","left_ms":3`) {
+	if _, _, text := w.call(ann, "GET", "/v1/status", ""); !strings.Contains(text, `"identity":{"id":"spiffe://race.example/steward/one","left_ms":3`) {
 		t.Errorf("%s", text)
 	}
 }
 
 // An issuer that hands out the same key twice is told of, and served by all the same.
-func TestSameKeyTwice(t *testing.T) {
-	w := withIdentities(t, "")
-	v := w.sign(t, w.root, domain+"/steward/one", time.Hour, nil)
+func TestReissuedKeyIsLogged(t *testing.T) {
+	w := startWithIdentities(t, "")
+	v := w.sign(t, w.authority, trustDomain+"/steward/one", time.Hour, nil)
 	said := func() int { return strings.Count(w.log.String(), "the same key again") }
-	w.own.Give(v, []*issuer.Authority{w.root})
-	until(t, "a fresh key", func() bool { return strings.Count(w.log.String(), "identity taken up") >= 2 })
+	w.ownEndpoint.Give(v, []*issuer.Authority{w.authority})
+	eventually(t, "a fresh key", func() bool { return strings.Count(w.log.String(), "identity taken up") >= 2 })
 	if said() != 0 {
 		t.Error("a fresh key was taken for the same")
 	}
-	w.own.Give(v, []*issuer.Authority{w.root})
-	until(t, "the same key to be told", func() bool { return said() > 0 })
-	if s, _, _ := w.ask(w.as(t, w.sign(t, w.root, domain+"/operator/ann", time.Hour, nil)), "GET", "/v1/hosts", ""); s != 200 {
+	w.ownEndpoint.Give(v, []*issuer.Authority{w.authority})
+	eventually(t, "the same key to be told", func() bool { return said() > 0 })
+	if s, _, _ := w.call(w.clientAs(t, w.sign(t, w.authority, trustDomain+"/operator/ann", time.Hour, nil)), "GET", "/v1/hosts", ""); s != 200 {
 		t.Errorf("%d", s)
 	}
 }
 
 // A client whose identities live a second or two, renewed again and again while it polls and sends sums, never goes without: what
 // its steward decides comes through, and no transaction lacks a host.
-func TestRenewals(t *testing.T) {
+func TestCertificateRenewals(t *testing.T) {
 	t.Parallel()
-	w := withIdentities(t, "")
+	w := startWithIdentities(t, "")
 	e := w.endpoint(t, "f1")
 	give := func() { // a certificate's times are whole seconds, so it lives from one to two
-		e.Give(w.sign(t, w.root, domain+"/forwarder/a/f1", 2*time.Second, nil), []*issuer.Authority{w.root})
+		e.Give(w.sign(t, w.authority, trustDomain+"/forwarder/a/f1", 2*time.Second, nil), []*issuer.Authority{w.authority})
 	}
 	give()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	source := opened(t, e)
+	source := openSource(t, e)
 	tlsOf := source.Client(func(id spiffeid.ID) error {
-		if id.String() != domain+"/steward/one" {
+		if id.String() != trustDomain+"/steward/one" {
 			return fmt.Errorf("an impostor: %s", id)
 		}
 		return nil
@@ -365,7 +365,7 @@
 	}
 	ended := make(chan struct{})
 	go func() { c.Run(ctx); close(ended) }()
-	until(t, "tables", func() bool { _, ok := c.Pick("sheet"); return ok })
+	eventually(t, "tables", func() bool { _, ok := c.Pick("sheet"); return ok })
 	renewals := 16 // four seconds; RENEWALS=1000 takes as many
 	if n, err := strconv.Atoi(os.Getenv("RENEWALS")); err == nil {
 		renewals = n
@@ -374,15 +374,15 @@
 	for i := range renewals { // each identity renewed after a quarter of a second
 		give()
 		weight := 0.5 + float64(i%4)/10
-		w.hosts(fmt.Sprintf(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" weight: %g }`, weight))
+		w.writeHosts(fmt.Sprintf(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" weight: %g }`, weight))
 		for next := began.Add(time.Duration(i+1) * 250 * time.Millisecond); time.Now().Before(next); time.Sleep(5 * time.Millisecond) {
 			if err := c.Do(ctx, "sheet", func(context.Context, string) client.Try { return client.Try{} }); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	w.hosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" phase: DRAINING }`)
-	until(t, "the last change", func() bool {
+	w.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" phase: DRAINING }`)
+	eventually(t, "the last change", func() bool {
 		give()
 		for _, h := range c.Tables()["sheet"].Hosts {
 			if h.Address == "10.0.0.2:80" {
@@ -391,7 +391,7 @@
 		}
 		return true
 	})
-	if n := w.core.status(); n.Joined != 1 || n.Intake.Taken == 0 {
+	if n := w.loop.status(); n.Joined != 1 || n.Intake.Taken == 0 {
 		t.Errorf("%+v", n)
 	}
 	if n := lost.Load(); n > 0 {
@@ -405,15 +405,15 @@
 // of another steward of the same domain, nor an old one that comes again out of a cache.
 func TestSignedTables(t *testing.T) {
 	t.Parallel()
-	w := withIdentities(t, "")
+	w := startWithIdentities(t, "")
 	e := w.endpoint(t, "f1")
-	e.Give(w.sign(t, w.root, domain+"/forwarder/a/f1", time.Hour, nil), []*issuer.Authority{w.root})
+	e.Give(w.sign(t, w.authority, trustDomain+"/forwarder/a/f1", time.Hour, nil), []*issuer.Authority{w.authority})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	source := opened(t, e)
+	source := openSource(t, e)
 	is := func(want string) func(spiffeid.ID) error {
 		return func(id spiffeid.ID) error {
-			if id.String() != domain+want {
+			if id.String() != trustDomain+want {
 				return fmt.Errorf("it is %s", id)
 			}
 			return nil
@@ -422,7 +422,7 @@
 	x := &http.Transport{TLSClientConfig: source.Client(is("/steward/one"))}
 	defer x.CloseIdleConnections()
 	// between the client and the steward stands a cache that can answer out of what it saw
-	cache := &replayer{next: x}
+	cache := &replayingCache{next: x}
 	run := func(signed func([]*x509.Certificate) error) (weight func() float64, refused *atomic.Int64, stop func()) {
 		refused = &atomic.Int64{}
 		c, err := client.New(client.Options{Stewards: []string{w.url}, Proxy: "f1", Zone: "a", HTTP: &http.Client{Transport: cache}, Wait: time.Second,
@@ -447,52 +447,52 @@
 		}, refused, func() { cancel(); <-ended }
 	}
 	list := func(weight float64) {
-		w.hosts(fmt.Sprintf(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" weight: %g }`, weight))
+		w.writeHosts(fmt.Sprintf(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" weight: %g }`, weight))
 	}
 	weight, refused, stop := run(source.Signed(is("/steward/one")))
-	until(t, "the tables", func() bool { return weight() == 0.5 })
+	eventually(t, "the tables", func() bool { return weight() == 0.5 })
 	list(0.7)
-	until(t, "a delta", func() bool { return weight() == 0.7 })
-	cache.again.Store(true) // the first whole, again and again
-	until(t, "the old table to be refused", func() bool { return refused.Load() > 0 })
+	eventually(t, "a delta", func() bool { return weight() == 0.7 })
+	cache.replay.Store(true) // the first whole, again and again
+	eventually(t, "the old table to be refused", func() bool { return refused.Load() > 0 })
 	if weight() != 0.7 {
 		t.Errorf("the old table was taken: %g", weight())
 	}
-	cache.again.Store(false)
+	cache.replay.Store(false)
 	list(0.8)
-	until(t, "what is newer", func() bool { return weight() == 0.8 })
+	eventually(t, "what is newer", func() bool { return weight() == 0.8 })
 	cache.strip.Store(true)
 	refused.Store(0)
 	list(0.9)
-	until(t, "an unsigned one to be refused", func() bool { return refused.Load() > 0 })
+	eventually(t, "an unsigned one to be refused", func() bool { return refused.Load() > 0 })
 	if weight() != 0.8 {
 		t.Errorf("an unsigned table was taken: %g", weight())
 	}
 	stop()
 	cache.strip.Store(false)
 	weight, refused, stop = run(source.Signed(is("/steward/two")))
-	until(t, "another's to be refused", func() bool { return refused.Load() > 0 })
+	eventually(t, "another's to be refused", func() bool { return refused.Load() > 0 })
 	if weight() != 0 {
 		t.Error("a table of another steward was taken")
 	}
 	stop()
 }
 
-// replayer passes requests on, and may answer with the first whole table that it saw, or take signatures off.
-type replayer struct {
-	next         http.RoundTripper
-	first        atomic.Pointer[cached]
-	again, strip atomic.Bool
+// replayingCache passes requests on, and may answer with the first whole table that it saw, or take signatures off.
+type replayingCache struct {
+	next          http.RoundTripper
+	first         atomic.Pointer[cachedTables]
+	replay, strip atomic.Bool
 }
 
-type cached struct {
+type cachedTables struct {
 	header http.Header
 	body   string
 }
 
-func (r *replayer) RoundTrip(q *http.Request) (*http.Response, error) {
+func (r *replayingCache) RoundTrip(q *http.Request) (*http.Response, error) {
 	tables := strings.HasSuffix(q.URL.Path, "/tables")
-	if c := r.first.Load(); tables && c != nil && r.again.Load() {
+	if c := r.first.Load(); tables && c != nil && r.replay.Load() {
 		return &http.Response{StatusCode: 200, Status: "200 OK", Header: c.header.Clone(), Body: io.NopCloser(strings.NewReader(c.body)), Request: q}, nil
 	}
 	a, err := r.next.RoundTrip(q)
@@ -506,7 +506,7 @@
 	}
 	a.Body = io.NopCloser(strings.NewReader(string(body)))
 	if a.StatusCode == 200 && strings.Contains(string(body), "10.0.0.2:80") {
-		r.first.CompareAndSwap(nil, &cached{a.Header.Clone(), string(body)})
+		r.first.CompareAndSwap(nil, &cachedTables{a.Header.Clone(), string(body)})
 	}
 	if r.strip.Load() {
 		a.Header.Del(tablesig.Field)
@@ -517,67 +517,67 @@
 // A forwarder of a federated trust domain is known by that domain's roots, and may what a rule for it says, no more.
 func TestFederation(t *testing.T) {
 	t.Parallel()
-	w := withIdentities(t, `allow { id: "spiffe://club.example/forwarder/{zone}/{proxy}" actions: "poll" }`)
+	w := startWithIdentities(t, `allow { id: "spiffe://club.example/forwarder/{zone}/{proxy}" actions: "poll" }`)
 	club, err := issuer.NewAuthority("club.example")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f9 := w.as(t, w.sign(t, club, "spiffe://club.example/forwarder/a/f9", time.Hour, nil))
-	get := func() int { s, _, _ := w.ask(f9, "GET", "/v1/proxies/f9/tables?zone=a", ""); return s }
+	f9 := w.clientAs(t, w.sign(t, club, "spiffe://club.example/forwarder/a/f9", time.Hour, nil))
+	get := func() int { s, _, _ := w.call(f9, "GET", "/v1/proxies/f9/tables?zone=a", ""); return s }
 	if got := get(); got != 0 {
 		t.Errorf("%d without its domain's roots", got)
 	}
-	own := w.sign(t, w.root, domain+"/steward/one", time.Hour, nil)
-	w.own.Give(own, []*issuer.Authority{w.root}, club)
-	until(t, "the club's roots", func() bool { return get() == 200 })
-	if got, _, _ := w.ask(f9, "POST", "/v1/proxies/f9/sums", `{"number":1}`, "Content-Type", "application/json"); got != 403 {
+	own := w.sign(t, w.authority, trustDomain+"/steward/one", time.Hour, nil)
+	w.ownEndpoint.Give(own, []*issuer.Authority{w.authority}, club)
+	eventually(t, "the club's roots", func() bool { return get() == 200 })
+	if got, _, _ := w.call(f9, "POST", "/v1/proxies/f9/sums", `{"number":1}`, "Content-Type", "application/json"); got != 403 {
 		t.Errorf("sums of the club's forwarder: %d", got)
 	}
 	// the club signs for our domain: its roots count for its own names only
-	if got, _, _ := w.ask(w.as(t, w.sign(t, club, domain+"/operator/ann", time.Hour, nil)), "GET", "/v1/hosts", ""); got != 0 {
+	if got, _, _ := w.call(w.clientAs(t, w.sign(t, club, trustDomain+"/operator/ann", time.Hour, nil)), "GET", "/v1/hosts", ""); got != 0 {
 		t.Errorf("our operator by the club's root: %d", got)
 	}
-	w.own.Give(own, []*issuer.Authority{w.root})
-	until(t, "the club to be left out", func() bool { return get() != 200 })
+	w.ownEndpoint.Give(own, []*issuer.Authority{w.authority})
+	eventually(t, "the club to be left out", func() bool { return get() != 200 })
 }
 
 // Three hundred forwarders come at once with cold caches, four handshakes going on at a time: all join, and a poll that was
 // held meanwhile is told a drain in time.
-func TestManyHandshakes(t *testing.T) {
-	w := withIdentities(t, "handshakes: 4")
-	id := func(i int) string { return fmt.Sprintf("%s/forwarder/a/g%d", domain, i) }
-	f1 := w.as(t, w.sign(t, w.root, domain+"/forwarder/a/f1", time.Hour, nil))
-	_, h, text := w.ask(f1, "GET", "/v1/proxies/f1/tables?zone=a", "")
+func TestHandshakeLimit(t *testing.T) {
+	w := startWithIdentities(t, "handshakes: 4")
+	id := func(i int) string { return fmt.Sprintf("%s/forwarder/a/g%d", trustDomain, i) }
+	f1 := w.clientAs(t, w.sign(t, w.authority, trustDomain+"/forwarder/a/f1", time.Hour, nil))
+	_, h, text := w.call(f1, "GET", "/v1/proxies/f1/tables?zone=a", "")
 	for i := 0; i < 100 && !strings.Contains(text, "10.0.0.2:80"); i++ {
-		_, h, text = w.ask(f1, "GET", "/v1/proxies/f1/tables?zone=a", "", "If-None-Match", h.Get("Etag"), "Prefer", "wait=1")
+		_, h, text = w.call(f1, "GET", "/v1/proxies/f1/tables?zone=a", "", "If-None-Match", h.Get("Etag"), "Prefer", "wait=1")
 	}
 	const n = 300
 	clients := make([]*http.Client, n)
 	for i := range clients {
-		clients[i] = w.as(t, w.sign(t, w.root, id(i), time.Hour, nil))
+		clients[i] = w.clientAs(t, w.sign(t, w.authority, id(i), time.Hour, nil))
 	}
 	told := make(chan time.Duration, 1)
 	began := time.Now()
 	go func() {
-		s, _, text := w.ask(f1, "GET", "/v1/proxies/f1/tables?zone=a", "", "If-None-Match", h.Get("Etag"), "Prefer", "wait=10", "A-IM", "merge-patch")
+		s, _, text := w.call(f1, "GET", "/v1/proxies/f1/tables?zone=a", "", "If-None-Match", h.Get("Etag"), "Prefer", "wait=10", "A-IM", "merge-patch")
 		if s != 226 || !strings.Contains(text, `"10.0.0.1:80":null`) {
 			t.Errorf("the held poll: %d %s", s, text)
 		}
 		told <- time.Since(began)
 	}()
-	until(t, "the poll to be held", func() bool { return w.core.status().Polls == 1 })
+	eventually(t, "the poll to be held", func() bool { return w.loop.status().Polls == 1 })
 	var all sync.WaitGroup
 	joined := atomic.Int64{}
 	for i, c := range clients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if s, _, _ := w.ask(c, "GET", fmt.Sprintf("/v1/proxies/g%d/tables?zone=a", i), ""); s == 200 {
+			if s, _, _ := w.call(c, "GET", fmt.Sprintf("/v1/proxies/g%d/tables?zone=a", i), ""); s == 200 {
 				joined.Add(1)
 			}
 		}()
 	}
-	w.hosts(`hosts { address: "10.0.0.1:80" zone: "a" phase: DRAINING } hosts { address: "10.0.0.2:80" zone: "b" weight: 0.5 }`)
+	w.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" phase: DRAINING } hosts { address: "10.0.0.2:80" zone: "b" weight: 0.5 }`)
 	if took := <-told; took > 3*time.Second {
 		t.Errorf("the held poll was told after %v, and the grace is 3 s", took)
 	}
@@ -589,14 +589,14 @@
 }
 
 // Tokens stand in for a certificate where the steward takes them: for its own name, in time, and on one connection only.
-func TestTokens(t *testing.T) {
+func TestBearerTokens(t *testing.T) {
 	t.Parallel()
-	w := withIdentities(t, "tokens: true")
+	w := startWithIdentities(t, "tokens: true")
 	other, err := issuer.NewAuthority("other.example")
 	if err != nil {
 		t.Fatal(err)
 	}
-	us, ann := domain+"/steward/one", domain+"/operator/ann"
+	us, ann := trustDomain+"/steward/one", trustDomain+"/operator/ann"
 	token := func(a *issuer.Authority, id string, aud []string, life time.Duration, change func(map[string]any)) string {
 		text, err := a.Token(id, aud, life, change)
 		if err != nil {
@@ -608,66 +608,66 @@
 		what, token string
 		want        int
 	}{
-		{"as it should be", token(w.root, ann, []string{us}, time.Minute, nil), 200},
-		{"for another steward", token(w.root, ann, []string{domain + "/steward/two"}, time.Minute, nil), 401},
-		{"for several", token(w.root, ann, []string{us, domain + "/steward/two"}, time.Minute, nil), 401},
-		{"over", token(w.root, ann, []string{us}, -2*time.Minute, nil), 401},
-		{"without an end", token(w.root, ann, []string{us}, time.Minute, func(c map[string]any) { delete(c, "exp") }), 401},
-		{"of nobody", token(w.root, ann, []string{us}, time.Minute, func(c map[string]any) { delete(c, "sub") }), 401},
+		{"as it should be", token(w.authority, ann, []string{us}, time.Minute, nil), 200},
+		{"for another steward", token(w.authority, ann, []string{trustDomain + "/steward/two"}, time.Minute, nil), 401},
+		{"for several", token(w.authority, ann, []string{us, trustDomain + "/steward/two"}, time.Minute, nil), 401},
+		{"over", token(w.authority, ann, []string{us}, -2*time.Minute, nil), 401},
+		{"without an end", token(w.authority, ann, []string{us}, time.Minute, func(c map[string]any) { delete(c, "exp") }), 401},
+		{"of nobody", token(w.authority, ann, []string{us}, time.Minute, func(c map[string]any) { delete(c, "sub") }), 401},
 		{"by another domain's key", token(other, ann, []string{us}, time.Minute, nil), 401},
 		{"of another domain", token(other, "spiffe://other.example/operator/ann", []string{us}, time.Minute, nil), 401},
-		{"of a forwarder", token(w.root, domain+"/forwarder/a/f1", []string{us}, time.Minute, nil), 403},
+		{"of a forwarder", token(w.authority, trustDomain+"/forwarder/a/f1", []string{us}, time.Minute, nil), 403},
 		{"none", "", 401}, {"no token", "x.y.z", 401},
 	} {
-		if got, _, text := w.ask(anonymous(t), "GET", "/v1/hosts", "", "Authorization", "Bearer "+x.token); got != x.want {
+		if got, _, text := w.call(anonymousClient(t), "GET", "/v1/hosts", "", "Authorization", "Bearer "+x.token); got != x.want {
 			t.Errorf("%s: %d, not %d: %s", x.what, got, x.want, text)
 		}
 	}
-	good := token(w.root, ann, []string{us}, time.Minute, nil)
-	owner, thief := anonymous(t), anonymous(t)
+	good := token(w.authority, ann, []string{us}, time.Minute, nil)
+	owner, thief := anonymousClient(t), anonymousClient(t)
 	for i, x := range []struct {
 		c    *http.Client
 		want int
 	}{{owner, 200}, {thief, 401}, {owner, 200}} {
-		if got, _, _ := w.ask(x.c, "GET", "/v1/hosts", "", "Authorization", "Bearer "+good); got != x.want {
+		if got, _, _ := w.call(x.c, "GET", "/v1/hosts", "", "Authorization", "Bearer "+good); got != x.want {
 			t.Errorf("use %d: %d", i, got)
 		}
 	}
 	// a certificate that is shown has to be good, token or not
-	if got, _, _ := w.ask(w.as(t, w.sign(t, other, ann, time.Hour, nil)), "GET", "/v1/hosts", "", "Authorization", "Bearer "+token(w.root, ann, []string{us}, time.Minute, nil)); got != 0 {
+	if got, _, _ := w.call(w.clientAs(t, w.sign(t, other, ann, time.Hour, nil)), "GET", "/v1/hosts", "", "Authorization", "Bearer "+token(w.authority, ann, []string{us}, time.Minute, nil)); got != 0 {
 		t.Errorf("a bad certificate beside a token: %d", got)
 	}
 	// a poll is held no longer than its token lasts
 	began := time.Now()
-	f1 := token(w.root, domain+"/forwarder/a/f1", []string{us}, 3*time.Second, nil)
-	c := anonymous(t)
-	_, h, text := w.ask(c, "GET", "/v1/proxies/f1/tables?zone=a", "", "Authorization", "Bearer "+f1)
+	f1 := token(w.authority, trustDomain+"/forwarder/a/f1", []string{us}, 3*time.Second, nil)
+	c := anonymousClient(t)
+	_, h, text := w.call(c, "GET", "/v1/proxies/f1/tables?zone=a", "", "Authorization", "Bearer "+f1)
 	for i := 0; i < 20 && !strings.Contains(text, "10.0.0.2:80"); i++ {
-		_, h, text = w.ask(c, "GET", "/v1/proxies/f1/tables?zone=a", "", "Authorization", "Bearer "+f1, "If-None-Match", h.Get("Etag"), "Prefer", "wait=1")
+		_, h, text = w.call(c, "GET", "/v1/proxies/f1/tables?zone=a", "", "Authorization", "Bearer "+f1, "If-None-Match", h.Get("Etag"), "Prefer", "wait=1")
 	}
-	got, _, _ := w.ask(c, "GET", "/v1/proxies/f1/tables?zone=a", "", "Authorization", "Bearer "+f1, "If-None-Match", h.Get("Etag"), "Prefer", "wait=10")
+	got, _, _ := w.call(c, "GET", "/v1/proxies/f1/tables?zone=a", "", "Authorization", "Bearer "+f1, "If-None-Match", h.Get("Etag"), "Prefer", "wait=10")
 	if took := time.Since(began); got != 304 || took > 4*time.Second {
 		t.Errorf("held: %d after %v", got, took)
 	}
-	plain := withIdentities(t, "")
-	if got, _, _ := plain.ask(anonymous(t), "GET", "/v1/hosts", "", "Authorization", "Bearer "+good); got != 0 {
+	plain := startWithIdentities(t, "")
+	if got, _, _ := plain.call(anonymousClient(t), "GET", "/v1/hosts", "", "Authorization", "Bearer "+good); got != 0 {
 		t.Errorf("a steward that takes no tokens: %d", got)
 	}
 }
 
 // A list service proves itself to the steward and the steward to it; a list of a service with another name is not taken.
-func TestListServiceProvesItself(t *testing.T) {
+func TestEndpointServiceIdentity(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	list := fmt.Sprintf(` list { url: "https://%s/hosts" id: "%s/list" wait_ms: 1000 }`, listener.Addr(), domain)
-	w := withIdentities(t, "", list)
-	as := func(id string) *issuer.SVID { return w.sign(t, w.root, domain+id, time.Hour, nil) }
+	list := fmt.Sprintf(` list { url: "https://%s/hosts" id: "%s/list" wait_ms: 1000 }`, listener.Addr(), trustDomain)
+	w := startWithIdentities(t, "", list)
+	as := func(id string) *issuer.SVID { return w.sign(t, w.authority, trustDomain+id, time.Hour, nil) }
 	e := w.endpoint(t, "list")
-	e.Give(as("/impostor"), []*issuer.Authority{w.root})
-	source := opened(t, e)
+	e.Give(as("/impostor"), []*issuer.Authority{w.authority})
+	source := openSource(t, e)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	changed := atomic.Bool{}
@@ -681,13 +681,13 @@
 	}), ErrorLog: log.New(io.Discard, "", 0)}
 	go server.Serve(tls.NewListener(listener, source.Server()))
 	t.Cleanup(func() { server.Close() })
-	until(t, "the impostor to be turned away", func() bool { return strings.Contains(w.log.String(), "not "+domain+"/list") })
-	if n := w.core.status().Hosts; n != 0 || asked.Load() != nil {
+	eventually(t, "the impostor to be turned away", func() bool { return strings.Contains(w.log.String(), "not "+trustDomain+"/list") })
+	if n := w.loop.status().Hosts; n != 0 || asked.Load() != nil {
 		t.Errorf("%d hosts by the impostor", n)
 	}
-	e.Give(as("/list"), []*issuer.Authority{w.root})
-	until(t, "the list", func() bool { return w.core.status().Hosts == 1 })
-	if who := asked.Load(); who == nil || *who != domain+"/steward/one" {
+	e.Give(as("/list"), []*issuer.Authority{w.authority})
+	eventually(t, "the list", func() bool { return w.loop.status().Hosts == 1 })
+	if who := asked.Load(); who == nil || *who != trustDomain+"/steward/one" {
 		t.Errorf("asked by %v", who)
 	}
 }
--- a/internal/daemon/keep.go
+++ b/internal/daemon/keep.go
@@ -11,17 +11,17 @@
 	"barleysail/internal/statefile"
 )
 
-// keeper keeps what the steward learned in a folder. A disk that is full, slow or broken costs what would be kept, never a
+// persister keeps what the steward learned in a folder. A disk that is full, slow or broken costs what would be kept, never a
 // decision: the state is taken under the steward's lock, and written without it.
-type keeper struct {
-	core    *core
-	log     zerolog.Logger
-	folder  *statefile.Folder
-	store   *statefile.Store
-	program string
-	every   time.Duration
+type persister struct {
+	loop     *controllerLoop
+	log      zerolog.Logger
+	folder   *statefile.Folder
+	store    *statefile.Store
+	program  string
+	interval time.Duration
 
-	saving sync.Mutex
+	saveMu sync.Mutex
 	mu     sync.Mutex
 	report PersisterReport
 }
@@ -37,16 +37,16 @@
 	Notes    string  `json:"found_note"` // what was wrong with the state that was found
 }
 
-// wallNow is ms since 1970, by the clock of the wall and not the one that only advances.
-func wallNow() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+// wallClockMs is ms since 1970, by the clock of the wall and not the one that only advances.
+func wallClockMs() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-// openKeeper opens the folder and recalls what it holds.
-func openKeeper(path string, every time.Duration, most int, cold float64, program string, c *core, log zerolog.Logger) (*keeper, error) {
+// openPersister opens the folder and recalls what it holds.
+func openPersister(path string, every time.Duration, most int, cold float64, program string, c *controllerLoop, log zerolog.Logger) (*persister, error) {
 	folder, err := statefile.OpenFolder(path)
 	if err != nil {
 		return nil, err
 	}
-	k := &keeper{core: c, log: log, folder: folder, program: program, every: every}
+	k := &persister{loop: c, log: log, folder: folder, program: program, interval: every}
 	found, err := statefile.Load(folder)
 	if err != nil {
 		folder.Close()
@@ -60,7 +60,7 @@
 	if found.State == nil {
 		return k, nil
 	}
-	r, err := c.recall(found.State, cold)
+	r, err := c.restore(found.State, cold)
 	if err != nil {
 		folder.Close()
 		return nil, err
@@ -70,8 +70,8 @@
 }
 
 // run saves until the context ends.
-func (k *keeper) run(ctx context.Context) {
-	tick := time.NewTicker(k.every)
+func (k *persister) run(ctx context.Context) {
+	tick := time.NewTicker(k.interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -84,11 +84,11 @@
 }
 
 // save takes the state and makes it last. A steward without a list has learned nothing: what was kept before stays.
-func (k *keeper) save() {
-	k.saving.Lock()
-	defer k.saving.Unlock()
+func (k *persister) save() {
+	k.saveMu.Lock()
+	defer k.saveMu.Unlock()
 	began := time.Now()
-	s, listed := k.core.remember()
+	s, listed := k.loop.snapshot()
 	locked := time.Since(began)
 	if !listed {
 		return
@@ -115,7 +115,7 @@
 	r.TookMs, r.LockedMs = float64(time.Since(began).Microseconds())/1000, float64(locked.Microseconds())/1000
 }
 
-func (k *keeper) status() *PersisterReport {
+func (k *persister) status() *PersisterReport {
 	if k == nil {
 		return nil
 	}
@@ -126,7 +126,7 @@
 	return &r
 }
 
-func (k *keeper) close() {
+func (k *persister) close() {
 	k.store.Close()
 	k.folder.Close()
 }
--- a/internal/daemon/listfile.go
+++ b/internal/daemon/listfile.go
@@ -15,57 +15,57 @@
 	"barleysail/internal/config"
 )
 
-// listFile follows a host list in a file. What cannot be read, does not parse or is empty leaves the last good
+// endpointFile follows a host list in a file. What cannot be read, does not parse or is empty leaves the last good
 // list standing, and is logged.
-type listFile struct {
-	file string
-	log  zerolog.Logger
-	take func([]controller.Endpoint) error
-	last []byte
+type endpointFile struct {
+	path     string
+	log      zerolog.Logger
+	publish  func([]controller.Endpoint) error
+	lastText []byte
 }
 
-// settle is waited after a change, since an editor writes in several steps.
-const settle = 50 * time.Millisecond
+// settleDelay is waited after a change, since an editor writes in several steps.
+const settleDelay = 50 * time.Millisecond
 
-// recheck is how often the file is looked at where its folder tells no changes.
-const recheck = 2 * time.Second
+// recheckInterval is how often the file is looked at where its folder tells no changes.
+const recheckInterval = 2 * time.Second
 
-func (l *listFile) read() error {
-	text, err := os.ReadFile(l.file)
+func (l *endpointFile) reload() error {
+	text, err := os.ReadFile(l.path)
 	if err != nil {
 		return fmt.Errorf("reading the host list: %w", err)
 	}
-	if l.last != nil && bytes.Equal(text, l.last) {
+	if l.lastText != nil && bytes.Equal(text, l.lastText) {
 		return nil
 	}
-	l.last = text
-	entries, err := config.Hosts(l.file, text)
+	l.lastText = text
+	entries, err := config.Hosts(l.path, text)
 	if err != nil {
 		return err
 	}
 	if len(entries) == 0 {
-		return fmt.Errorf("%s: no host is listed", l.file)
+		return fmt.Errorf("%s: no host is listed", l.path)
 	}
-	if err := l.take(entries); err != nil {
-		return config.Refused(l.file, text, err)
+	if err := l.publish(entries); err != nil {
+		return config.Refused(l.path, text, err)
 	}
 	l.log.Info().Int("hosts", len(entries)).Msg("host list read")
 	return nil
 }
 
-// follow reads the file again whenever it changes, until the context ends.
-func (l *listFile) follow(ctx context.Context) {
+// watch reads the file again whenever it changes, until the context ends.
+func (l *endpointFile) watch(ctx context.Context) {
 	var events chan fsnotify.Event
 	watcher, err := fsnotify.NewWatcher()
 	if err == nil {
 		defer watcher.Close()
-		err = watcher.Add(filepath.Dir(l.file))
+		err = watcher.Add(filepath.Dir(l.path))
 		events = watcher.Events
 	}
 	if err != nil {
 		l.log.Warn().Err(err).Msg("the folder of the host list tells no changes; looking every two seconds")
 	}
-	timer := time.NewTimer(recheck)
+	timer := time.NewTimer(recheckInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -74,12 +74,12 @@
 		case e, ok := <-events:
 			if !ok {
 				events = nil
-			} else if filepath.Clean(e.Name) == filepath.Clean(l.file) {
-				timer.Reset(settle)
+			} else if filepath.Clean(e.Name) == filepath.Clean(l.path) {
+				timer.Reset(settleDelay)
 			}
 		case <-timer.C:
-			timer.Reset(recheck)
-			if err := l.read(); err != nil {
+			timer.Reset(recheckInterval)
+			if err := l.reload(); err != nil {
 				l.log.Error().Err(err).Msg("host list refused, the last one stands")
 			}
 		}
--- a/internal/daemon/listservice.go
+++ b/internal/daemon/listservice.go
@@ -18,24 +18,24 @@
 	"barleysail/routing"
 )
 
-// listService follows a host list by the protocol that proxies use: long polls with deltas onto entity tags.
+// endpointService follows a host list by the protocol that proxies use: long polls with deltas onto entity tags.
 // The module says when to ask; after a failure it waits for the next such word.
-type listService struct {
+type endpointService struct {
 	address, target string
 	wait            time.Duration
 	client          *http1.Client
 	log             zerolog.Logger
 	ctx             context.Context
-	take            func([]controller.Endpoint) error
-	failed          func()
+	publish         func([]controller.Endpoint) error
+	reportFailure   func()
 
-	asking atomic.Bool
-	tag    string
-	doc    []byte
+	watching atomic.Bool
+	tag      string
+	document []byte
 }
 
-// listBody is the document: hosts by address.
-type listBody struct {
+// endpointDocument is the document: hosts by address.
+type endpointDocument struct {
 	Hosts map[string]struct {
 		Zone    string   `json:"zone"`
 		Phase   string   `json:"phase"`
@@ -44,17 +44,17 @@
 	} `json:"hosts"`
 }
 
-func newListService(raw string, secure bool, wait time.Duration) (*listService, error) {
-	u, address, err := serviceOf("list.url", raw, secure)
+func newEndpointService(raw string, secure bool, wait time.Duration) (*endpointService, error) {
+	u, address, err := parseServiceURL("list.url", raw, secure)
 	if err != nil {
 		return nil, err
 	}
-	return &listService{address: address, target: u.RequestURI(), wait: wait,
+	return &endpointService{address: address, target: u.RequestURI(), wait: wait,
 		client: &http1.Client{Limits: http1.Limits{Line: 8 << 10, Header: 32 << 10, Body: 64 << 20}}}, nil
 }
 
-// serviceOf reads the URL of a service that the steward calls: https where it has an identity, else http.
-func serviceOf(field, raw string, secure bool) (u *url.URL, address string, err error) {
+// parseServiceURL reads the URL of a service that the steward calls: https where it has an identity, else http.
+func parseServiceURL(field, raw string, secure bool) (u *url.URL, address string, err error) {
 	scheme, port := "http", ":80"
 	if secure {
 		scheme, port = "https", ":443"
@@ -68,25 +68,25 @@
 	return u, address, nil
 }
 
-// watch asks for the list and then for its changes until that fails.
-func (l *listService) watch() {
-	if !l.asking.CompareAndSwap(false, true) {
+// startWatch asks for the list and then for its changes until that fails.
+func (l *endpointService) startWatch() {
+	if !l.watching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		err := error(nil)
 		for err == nil {
-			err = l.ask()
+			err = l.poll()
 		}
-		l.asking.Store(false)
+		l.watching.Store(false)
 		if l.ctx.Err() == nil {
 			l.log.Warn().Err(err).Msg("host list not to be had, the last one stands")
-			l.failed()
+			l.reportFailure()
 		}
 	}()
 }
 
-func (l *listService) ask() error {
+func (l *endpointService) poll() error {
 	h := http1.Header("Accept", "application/json", "Prefer", "wait="+strconv.Itoa(int(l.wait.Seconds())))
 	h["A-IM"] = []string{"merge-patch"}
 	if l.tag != "" {
@@ -108,30 +108,30 @@
 			l.tag = ""
 			return fmt.Errorf("a delta onto %s came, not onto what is held", base)
 		}
-		if doc, err = jsonpatch.MergePatch(l.doc, r.Body); err != nil {
+		if doc, err = jsonpatch.MergePatch(l.document, r.Body); err != nil {
 			l.tag = ""
 			return fmt.Errorf("applying a delta: %w", err)
 		}
 	default:
 		return fmt.Errorf("the list service answered %d", r.Status)
 	}
-	entries, err := parseList(doc)
+	entries, err := parseEndpoints(doc)
 	if err == nil && len(entries) == 0 {
 		err = fmt.Errorf("no host is listed")
 	}
 	if err == nil {
-		err = l.take(entries)
+		err = l.publish(entries)
 	}
 	if err != nil {
 		l.tag = "" // ask for the whole next time
 		return err
 	}
-	l.doc, l.tag = doc, r.Header.Get("Etag")
+	l.document, l.tag = doc, r.Header.Get("Etag")
 	return nil
 }
 
-func parseList(doc []byte) ([]controller.Endpoint, error) {
-	var b listBody
+func parseEndpoints(doc []byte) ([]controller.Endpoint, error) {
+	var b endpointDocument
 	if err := json.Unmarshal(doc, &b); err != nil {
 		return nil, fmt.Errorf("reading the list: %w", err)
 	}
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -18,43 +18,43 @@
 
 // Operators is what operators may ask of a steward and tell it, whatever front they come by.
 type Operators struct {
-	core *core
+	loop *controllerLoop
 }
 
 // Hosts tells how the hosts stand.
 func (o *Operators) Hosts() []controller.HostInfo {
-	return look(o.core, (*controller.Controller).HostInfos)
+	return query(o.loop, (*controller.Controller).HostInfos)
 }
 
 // Host tells how one host stands.
 func (o *Operators) Host(name string) (h controller.HostInfo, ok bool) {
-	h = look(o.core, func(s *controller.Controller) (h controller.HostInfo) { h, ok = s.HostInfo(name); return h })
+	h = query(o.loop, func(s *controller.Controller) (h controller.HostInfo) { h, ok = s.HostInfo(name); return h })
 	return h, ok
 }
 
 // Proxies tells how the proxies stand.
 func (o *Operators) Proxies() []controller.ProxyInfo {
-	return look(o.core, (*controller.Controller).ProxyInfos)
+	return query(o.loop, (*controller.Controller).ProxyInfos)
 }
 
 // PublishedTables gives the tables that a proxy was last given.
 func (o *Operators) PublishedTables(proxy string) (a controller.Response, ok bool) {
-	a = look(o.core, func(s *controller.Controller) (a controller.Response) { a, ok = s.PublishedTables(proxy); return a })
+	a = query(o.loop, func(s *controller.Controller) (a controller.Response) { a, ok = s.PublishedTables(proxy); return a })
 	return a, ok
 }
 
 // Status tells how the steward stands.
-func (o *Operators) Status() controller.Status { return o.core.status() }
+func (o *Operators) Status() controller.Status { return o.loop.status() }
 
 // Order gives orders to the steward; several are carried out stepwise.
 func (o *Operators) Order(orders ...operator.Command) (waits bool, err error) {
-	return o.core.operate(orders)
+	return o.loop.applyOverrides(orders)
 }
 
 // Events gives those after a number; where there are none it calls later once, when one comes or the wait is over.
 func (o *Operators) Events(after int64, wait time.Duration, to func([]controller.Event)) (cancel func()) {
 	events := func() []controller.Event {
-		return look(o.core, func(s *controller.Controller) []controller.Event { return s.Events(after) })
+		return query(o.loop, func(s *controller.Controller) []controller.Event { return s.Events(after) })
 	}
 	if all := events(); len(all) > 0 || wait <= 0 {
 		to(all)
@@ -62,71 +62,71 @@
 	}
 	var once sync.Once
 	give := func() { once.Do(func() { to(events()) }) }
-	forget := o.core.follow(after, func() { go give() })
+	forget := o.loop.subscribeEvents(after, func() { go give() })
 	timer := time.AfterFunc(wait, give)
 	return func() { forget(); timer.Stop(); once.Do(func() {}) }
 }
 
-func (a *api) operators(m *http1.Mux) {
-	m.Handle("GET", "/v1/hosts", http1.Route{Serve: a.may(auth.See, func(*http1.Request) http1.Reply {
-		return jsonReply(map[string]any{"hosts": a.ops.Hosts()})
+func (a *api) addOperatorRoutes(m *http1.Mux) {
+	m.Handle("GET", "/v1/hosts", http1.Route{Serve: a.authorize(auth.See, func(*http1.Request) http1.Reply {
+		return jsonReply(map[string]any{"hosts": a.operators.Hosts()})
 	})})
-	m.Handle("GET", "/v1/hosts/{host}", http1.Route{Serve: a.may(auth.See, a.host)})
-	m.Handle("POST", "/v1/hosts/{host}/operator", http1.Route{Serve: a.may(auth.Set, a.operate), Media: []string{"application/json"}, MaxBody: 4096})
-	m.Handle("POST", "/v1/zones/{zone}/operator", http1.Route{Serve: a.may(auth.Set, a.operateZone), Media: []string{"application/json"}, MaxBody: 4096})
-	m.Handle("GET", "/v1/proxies", http1.Route{Serve: a.may(auth.See, func(*http1.Request) http1.Reply {
-		return jsonReply(map[string]any{"proxies": a.ops.Proxies()})
+	m.Handle("GET", "/v1/hosts/{host}", http1.Route{Serve: a.authorize(auth.See, a.getHost)})
+	m.Handle("POST", "/v1/hosts/{host}/operator", http1.Route{Serve: a.authorize(auth.Set, a.overrideHost), Media: []string{"application/json"}, MaxBody: 4096})
+	m.Handle("POST", "/v1/zones/{zone}/operator", http1.Route{Serve: a.authorize(auth.Set, a.overrideZone), Media: []string{"application/json"}, MaxBody: 4096})
+	m.Handle("GET", "/v1/proxies", http1.Route{Serve: a.authorize(auth.See, func(*http1.Request) http1.Reply {
+		return jsonReply(map[string]any{"proxies": a.operators.Proxies()})
 	})})
-	m.Handle("GET", "/v1/proxies/{proxy}/holds", http1.Route{Serve: a.may(auth.See, a.holds)})
-	m.Handle("GET", "/v1/guard", http1.Route{Serve: a.may(auth.See, func(*http1.Request) http1.Reply {
-		return jsonReply(look(a.core, (*controller.Controller).ValidationReport))
+	m.Handle("GET", "/v1/proxies/{proxy}/holds", http1.Route{Serve: a.authorize(auth.See, a.getPublishedTables)})
+	m.Handle("GET", "/v1/guard", http1.Route{Serve: a.authorize(auth.See, func(*http1.Request) http1.Reply {
+		return jsonReply(query(a.loop, (*controller.Controller).ValidationReport))
 	})})
-	m.Handle("POST", "/v1/guard/check", http1.Route{Serve: a.may(auth.See, a.guardCheck), Media: []string{"application/json"}})
-	m.Handle("GET", "/v1/events", http1.Route{Serve: a.may(auth.See, a.events)})
+	m.Handle("POST", "/v1/guard/check", http1.Route{Serve: a.authorize(auth.See, a.checkTables), Media: []string{"application/json"}})
+	m.Handle("GET", "/v1/events", http1.Route{Serve: a.authorize(auth.See, a.getEvents)})
 }
 
-func (a *api) host(q *http1.Request) http1.Reply {
-	if h, ok := a.ops.Host(q.Params["host"]); ok {
+func (a *api) getHost(q *http1.Request) http1.Reply {
+	if h, ok := a.operators.Host(q.Params["host"]); ok {
 		return jsonReply(h)
 	}
 	return http1.Problem{Status: 404, Detail: "no such host"}.Reply()
 }
 
-func (a *api) holds(q *http1.Request) http1.Reply {
-	x, ok := a.ops.PublishedTables(q.Params["proxy"])
+func (a *api) getPublishedTables(q *http1.Request) http1.Reply {
+	x, ok := a.operators.PublishedTables(q.Params["proxy"])
 	if !ok {
 		return http1.Problem{Status: 404, Detail: "the proxy has not joined, or holds nothing"}.Reply()
 	}
-	return reply(x, 0, false)
+	return tablesReply(x, 0, false)
 }
 
-// guardCheck looks at tables that an operator would have published: in the form of the document that proxies get.
-func (a *api) guardCheck(q *http1.Request) http1.Reply {
+// checkTables looks at tables that an operator would have published: in the form of the document that proxies get.
+func (a *api) checkTables(q *http1.Request) http1.Reply {
 	var b struct {
 		Zone   string               `json:"zone"`
 		Proxy  string               `json:"proxy"` // as in a proxy's document; not looked at, nor are shares and tries
 		Tables map[string]tableBody `json:"tables"`
 	}
 	if err := readJSON(q, &b); err != nil {
-		return malformed(err)
+		return malformedReply(err)
 	}
 	tables := map[string]map[string]float64{}
 	for class, t := range b.Tables {
 		tables[class] = t.Hosts
 	}
 	err := errStopping
-	answer := look(a.core, func(s *controller.Controller) (x *controller.ValidationResult) {
+	answer := query(a.loop, func(s *controller.Controller) (x *controller.ValidationResult) {
 		x, err = s.ValidateTables(b.Zone, tables)
 		return x
 	})
 	if err != nil {
-		return fail(err)
+		return errorReply(err)
 	}
 	return jsonReply(answer)
 }
 
-// orderBody is what an operator posts.
-type orderBody struct {
+// commandBody is what an operator posts.
+type commandBody struct {
 	State  string   `json:"state"`  // ready, drain or maint; "": as it is set
 	Weight *float64 `json:"weight"` // in place of the list's
 	Part   *float64 `json:"part"`   // of the list's weight
@@ -143,8 +143,8 @@
 	Remove bool `json:"remove"`
 }
 
-// order reads an order for a host.
-func (b *orderBody) order(host string) (operator.Command, error) {
+// command reads an order for a host.
+func (b *commandBody) command(host string) (operator.Command, error) {
 	state, ok := operator.ParseState(b.State)
 	if !ok && b.State != "" {
 		return operator.Command{}, &controller.FieldError{Field: "state", Reason: "ready, drain and maint are known"}
@@ -162,8 +162,8 @@
 	return o, nil
 }
 
-func readOrder(q *http1.Request) (*orderBody, error) {
-	b := &orderBody{}
+func readCommand(q *http1.Request) (*commandBody, error) {
+	b := &commandBody{}
 	return b, readJSON(q, b)
 }
 
@@ -180,32 +180,32 @@
 	return nil
 }
 
-func (a *api) operate(q *http1.Request) http1.Reply {
-	b, err := readOrder(q)
+func (a *api) overrideHost(q *http1.Request) http1.Reply {
+	b, err := readCommand(q)
 	if err != nil {
-		return malformed(err)
+		return malformedReply(err)
 	}
-	o, err := b.order(q.Params["host"])
+	o, err := b.command(q.Params["host"])
 	if err != nil {
-		return fail(err)
+		return errorReply(err)
 	}
-	return a.ordered(o)
+	return a.applyCommands(o)
 }
 
-// operateZone orders the same of all hosts of a zone, stepwise.
-func (a *api) operateZone(q *http1.Request) http1.Reply {
-	b, err := readOrder(q)
+// overrideZone orders the same of all hosts of a zone, stepwise.
+func (a *api) overrideZone(q *http1.Request) http1.Reply {
+	b, err := readCommand(q)
 	if err != nil {
-		return malformed(err)
+		return malformedReply(err)
 	}
 	var all []operator.Command
-	for _, h := range a.ops.Hosts() {
+	for _, h := range a.operators.Hosts() {
 		if h.Zone != q.Params["zone"] || h.Phase == "gone" {
 			continue
 		}
-		o, err := b.order(h.Host)
+		o, err := b.command(h.Host)
 		if err != nil {
-			return fail(err)
+			return errorReply(err)
 		}
 		o.Queue = true
 		all = append(all, o)
@@ -213,18 +213,18 @@
 	if len(all) == 0 {
 		return http1.Problem{Status: 404, Detail: "no host of that zone is listed"}.Reply()
 	}
-	return a.ordered(all...)
+	return a.applyCommands(all...)
 }
 
-func (a *api) ordered(orders ...operator.Command) http1.Reply {
-	waits, err := a.ops.Order(orders...)
+func (a *api) applyCommands(orders ...operator.Command) http1.Reply {
+	waits, err := a.operators.Order(orders...)
 	var refused *operator.RejectedError
 	if errors.As(err, &refused) && refused.UnknownHost {
 		return http1.Problem{Status: 404, Detail: err.Error()}.Reply()
 	} else if refused != nil {
 		return http1.Problem{Status: 409, Detail: err.Error()}.Reply()
 	} else if err != nil {
-		return fail(err)
+		return errorReply(err)
 	}
 	r := jsonReply(map[string]any{"hosts": len(orders), "waits": waits})
 	if waits {
@@ -233,22 +233,22 @@
 	return r
 }
 
-// eventsWait is how long a follower is held at most, in seconds.
-const eventsWait = 60
+// maxEventsWaitSeconds is how long a follower is held at most, in seconds.
+const maxEventsWaitSeconds = 60
 
-func (a *api) events(q *http1.Request) http1.Reply {
+func (a *api) getEvents(q *http1.Request) http1.Reply {
 	after, err := strconv.ParseInt(q.Query.Get("after"), 10, 64)
 	if err != nil && q.Query.Get("after") != "" {
-		return fail(&controller.FieldError{Field: "after", Reason: "is no number"})
+		return errorReply(&controller.FieldError{Field: "after", Reason: "is no number"})
 	}
-	seconds, _ := wait(q.Header)
+	seconds, _ := preferredWait(q.Header)
 	var cancel func()
 	held := q.Hold(func() {
 		if cancel != nil {
 			cancel()
 		}
 	})
-	cancel = a.ops.Events(after, time.Duration(math.Min(seconds, eventsWait)*float64(time.Second)), func(all []controller.Event) {
+	cancel = a.operators.Events(after, time.Duration(math.Min(seconds, maxEventsWaitSeconds)*float64(time.Second)), func(all []controller.Event) {
 		if all == nil {
 			all = []controller.Event{}
 		}
--- a/internal/daemon/probes.go
+++ b/internal/daemon/probes.go
@@ -11,18 +11,18 @@
 	"barleysail/routing"
 )
 
-// prober examines hosts by GET, a bounded number at once.
-type prober struct {
+// healthChecker examines hosts by GET, a bounded number at once.
+type healthChecker struct {
 	client  *http1.Client
 	path    string
 	timeout time.Duration
 	slots   chan struct{}
 	ctx     context.Context
-	done    func(host string, how routing.HealthCheckResult, load routing.HostLoad)
+	report  func(host string, how routing.HealthCheckResult, load routing.HostLoad)
 }
 
-// probe starts a probe; its time runs from when it has a connection's slot.
-func (p *prober) probe(host string) {
+// check starts a probe; its time runs from when it has a connection's slot.
+func (p *healthChecker) check(host string) {
 	go func() {
 		select {
 		case p.slots <- struct{}{}:
@@ -41,12 +41,12 @@
 		if err == nil {
 			load = orca.Parse(r.Header.Get(orca.Field))
 		}
-		p.done(host, outcome(r, err, timedOut), load)
+		p.report(host, classifyResult(r, err, timedOut), load)
 	}()
 }
 
-// outcome tells what a probe shows: an answer, a refusal, no answer in time, or nothing at all there.
-func outcome(r *http1.Response, err error, timedOut bool) routing.HealthCheckResult {
+// classifyResult tells what a probe shows: an answer, a refusal, no answer in time, or nothing at all there.
+func classifyResult(r *http1.Response, err error, timedOut bool) routing.HealthCheckResult {
 	var timeout net.Error
 	switch {
 	case err == nil && r.Status >= 200 && r.Status < 300:
--- a/internal/daemon/runtime_test.go
+++ b/internal/daemon/runtime_test.go
@@ -15,10 +15,10 @@
 	"barleysail/internal/runtimeapi"
 )
 
-// ask sends text to a runtime socket, as socat would, and gives all that comes until the connection closes.
-func (d *started) ask(i int, text string) string {
+// runtimeCommand sends text to a runtime socket, as socat would, and gives all that comes until the connection closes.
+func (d *testDaemon) runtimeCommand(i int, text string) string {
 	d.t.Helper()
-	c := d.socket(i)
+	c := d.dialRuntime(i)
 	defer c.Close()
 	if _, err := io.WriteString(c, text); err != nil {
 		d.t.Fatal(err)
@@ -30,7 +30,7 @@
 	return string(all)
 }
 
-func (d *started) socket(i int) net.Conn {
+func (d *testDaemon) dialRuntime(i int) net.Conn {
 	d.t.Helper()
 	address := d.RuntimeAddr(i)
 	network := "tcp"
@@ -45,17 +45,17 @@
 	return c
 }
 
-func withRuntime(t *testing.T) *started {
+func startWithRuntime(t *testing.T) *testDaemon {
 	path := filepath.Join(t.TempDir(), "s")
-	d := begin(t, fmt.Sprintf(`runtime { address: "unix:%s" level: "admin" } runtime { address: "127.0.0.1:0" level: "user" }`, path))
-	go d.do("GET", "/v1/proxies/p/tables?zone=a", "", "Prefer", "wait=0")
-	until(t, "the first tables", func() bool { return d.do("GET", "/v1/proxies/p/holds", "").status == 200 })
+	d := startDaemon(t, fmt.Sprintf(`runtime { address: "unix:%s" level: "admin" } runtime { address: "127.0.0.1:0" level: "user" }`, path))
+	go d.request("GET", "/v1/proxies/p/tables?zone=a", "", "Prefer", "wait=0")
+	eventually(t, "the first tables", func() bool { return d.request("GET", "/v1/proxies/p/holds", "").status == 200 })
 	return d
 }
 
 // The commands, one after the other over the unix socket, with what they answer.
 func TestRuntimeCommands(t *testing.T) {
-	d := withRuntime(t)
+	d := startWithRuntime(t)
 	var out strings.Builder
 	for _, line := range []string{"help", "nonsense", "show backend", "get weight sheet/10.0.0.1:80", "get weight sheet/10.0.0.2:80", "get weight none/10.0.0.1:80",
 		"get weight sheet/none", "get weight", "set weight sheet/10.0.0.2:80 80", "set weight sheet/10.0.0.2:80 300", "set weight finish/10.0.0.2:80 50%",
@@ -64,7 +64,7 @@
 		"add server sheet/10.0.0.9:80 10.0.0.9:80 weight 100 zone b", "add server sheet/10.0.0.9:80 10.0.0.9:80", "add server sheet/x 10.0.0.8:80",
 		"del server sheet/10.0.0.1:80", "del server sheet/10.0.0.9:80", "disable server sheet/10.0.0.1:80", "enable server sheet/10.0.0.1:80",
 		"show table none", "show servers state nothing", "show info xml", "show errors"} {
-		got := d.ask(0, line+"\n")
+		got := d.runtimeCommand(0, line+"\n")
 		if line == "show errors" {
 			got = strings.Join(strings.Split(got, "\n")[1:], "\n")
 		}
@@ -72,47 +72,47 @@
 	}
 	golden.Compare(t, "runtime", out.String())
 	for _, line := range []string{"set weight sheet/10.0.0.1:80 1", "show table", "disable server sheet/10.0.0.1:80"} {
-		if got := d.ask(1, line+"\n"); got != "Permission denied\n\n" {
+		if got := d.runtimeCommand(1, line+"\n"); got != "Permission denied\n\n" {
 			t.Errorf("by a user: %q", got)
 		}
 	}
 }
 
 // What tools read: show stat in its three forms, show servers state, several commands on a line, and the prompt.
-func TestRuntimeTools(t *testing.T) {
-	d := withRuntime(t)
-	until(t, "the tables", func() bool {
-		rows, err := haproxy.ParseCSV(d.ask(1, "show stat\n"))
+func TestRuntimeMonitoringCommands(t *testing.T) {
+	d := startWithRuntime(t)
+	eventually(t, "the tables", func() bool {
+		rows, err := haproxy.ParseCSV(d.runtimeCommand(1, "show stat\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return len(rows) == 6 && rows[0]["svname"] == "10.0.0.1:80" && rows[0]["weight"] == "100" && rows[1]["weight"] == "50" && rows[2]["svname"] == "BACKEND"
 	})
-	if rows, err := haproxy.ParseCSV(d.ask(1, "show stat finish 4 2\n")); err != nil || len(rows) != 1 || rows[0]["svname"] != "10.0.0.2:80" || rows[0]["iid"] != "3" {
+	if rows, err := haproxy.ParseCSV(d.runtimeCommand(1, "show stat finish 4 2\n")); err != nil || len(rows) != 1 || rows[0]["svname"] != "10.0.0.2:80" || rows[0]["iid"] != "3" {
 		t.Errorf("%v %v", rows, err)
 	}
-	state, err := haproxy.ParseState(d.ask(0, "show servers state sheet\n"))
+	state, err := haproxy.ParseState(d.runtimeCommand(0, "show servers state sheet\n"))
 	if err != nil || len(state) != 2 || state[1].Address != "10.0.0.2:80" || state[1].Weight != 50 || state[1].Op != haproxy.Running {
 		t.Errorf("%v %+v", err, state)
 	}
-	if got := d.ask(0, "show backend;show backend\n"); got != strings.Repeat("# name\nsheet\nfinish\n\n", 2) {
+	if got := d.runtimeCommand(0, "show backend;show backend\n"); got != strings.Repeat("# name\nsheet\nfinish\n\n", 2) {
 		t.Errorf("%q", got)
 	}
-	if got := d.ask(0, "prompt\n\nshow backend\nget weight sheet/10.0.0.2:80 <<\n\nquit\n"); got != "\n> > # name\nsheet\nfinish\n\n> 50 (initial 50)\n\n> " {
+	if got := d.runtimeCommand(0, "prompt\n\nshow backend\nget weight sheet/10.0.0.2:80 <<\n\nquit\n"); got != "\n> > # name\nsheet\nfinish\n\n> 50 (initial 50)\n\n> " {
 		t.Errorf("%q", got)
 	}
 	for _, want := range []string{"Name: barleysail\n", "CurrConns: 1\n"} {
-		if got := d.ask(1, "show info\n"); !strings.Contains(got, want) {
+		if got := d.runtimeCommand(1, "show info\n"); !strings.Contains(got, want) {
 			t.Errorf("%q", got)
 		}
 	}
 }
 
 // A command that is cut anywhere, comes byte by byte, or is far too long.
-func TestRuntimePieces(t *testing.T) {
-	d := withRuntime(t)
-	want := d.ask(0, "show backend\n")
-	c := d.socket(0)
+func TestRuntimeFragmentedInput(t *testing.T) {
+	d := startWithRuntime(t)
+	want := d.runtimeCommand(0, "show backend\n")
+	c := d.dialRuntime(0)
 	for _, b := range []byte("show backend\n") {
 		c.Write([]byte{b})
 		time.Sleep(time.Millisecond)
@@ -122,26 +122,26 @@
 	}
 	c.Close()
 	for cut := range len("show backend") {
-		c := d.socket(0)
+		c := d.dialRuntime(0)
 		c.Write([]byte("show backend"[:cut]))
 		c.Close()
 	}
-	c = d.socket(0)
+	c = d.dialRuntime(0)
 	go c.Write([]byte(strings.Repeat("a", 1<<20) + "\n"))
 	got, _ := io.ReadAll(c)
 	if !strings.HasPrefix(string(got), "The command is too long.") && len(got) > 0 {
 		t.Errorf("1 MB: %.60q", got)
 	}
 	c.Close()
-	if got := d.ask(0, "show backend\n"); got != want {
+	if got := d.runtimeCommand(0, "show backend\n"); got != want {
 		t.Errorf("after all that: %q", got)
 	}
 }
 
 // show events -w goes on as they come, and ends with whatever is sent.
 func TestRuntimeEvents(t *testing.T) {
-	d := withRuntime(t)
-	c := d.socket(0)
+	d := startWithRuntime(t)
+	c := d.dialRuntime(0)
 	defer c.Close()
 	io.WriteString(c, "show events -w\n")
 	r := bufio.NewReader(c)
@@ -156,7 +156,7 @@
 		}
 		if !ordered && strings.Contains(line, "joined p") {
 			ordered = true
-			go func() { d.ask(0, "disable server sheet/none;drain server sheet/10.0.0.2:80\n") }()
+			go func() { d.runtimeCommand(0, "disable server sheet/none;drain server sheet/10.0.0.2:80\n") }()
 		}
 	}
 	io.WriteString(c, "\n")
@@ -167,7 +167,7 @@
 
 // BenchmarkRuntimeCommands tells how many commands a second a socket takes in interactive mode.
 func BenchmarkRuntimeCommands(b *testing.B) {
-	d, _ := running(b, 400)
+	d, _ := startBenchDaemon(b, 400)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
