--- a/guard/guard.go
+++ b/guard/guard.go
@@ -72,59 +72,59 @@
 	TrafficJump             = "too much moves at once"
 )
 
-func good(w float64) bool { return w >= 0 && w <= math.MaxFloat64 }
+func isValidWeight(w float64) bool { return w >= 0 && w <= math.MaxFloat64 }
 
 // Check gives what is wrong with the next rows, by check and then by what it is on.
 func Check(v *View, l Limits) []Finding {
 	c := newChecker(v, l)
 	for i := range v.Routes {
-		c.numbers(&v.Routes[i])
-		c.empty(&v.Routes[i])
+		c.checkWeights(&v.Routes[i])
+		c.checkDemands(&v.Routes[i])
 	}
 	if l.CapacityMultiple > 0 {
-		load := c.loads(none)
-		c.load(OverCapacity, load, none)
-		c.cold(load)
+		load := c.hostLoads(noZone)
+		c.checkCapacity(OverCapacity, load, noZone)
+		c.checkSlowStart(load)
 		if l.SurviveZoneLoss {
-			c.spare(load)
+			c.checkZoneLoss(load)
 		}
 	}
 	for i := range v.Routes {
 		if r := &v.Routes[i]; l.MaxTrafficShift > 0 && r.Published != nil {
-			if moved := c.moved(r); moved > l.MaxTrafficShift+1e-9 {
-				c.find(TrafficJump, r.Demands[0].String(), moved, l.MaxTrafficShift)
+			if moved := c.trafficShift(r); moved > l.MaxTrafficShift+1e-9 {
+				c.report(TrafficJump, r.Demands[0].String(), moved, l.MaxTrafficShift)
 			}
 		}
 	}
-	sort.SliceStable(c.found, func(i, j int) bool {
-		a, b := c.found[i], c.found[j]
+	sort.SliceStable(c.findings, func(i, j int) bool {
+		a, b := c.findings[i], c.findings[j]
 		return a.Check < b.Check || a.Check == b.Check && a.Subject < b.Subject
 	})
-	return c.found
+	return c.findings
 }
 
 type checker struct {
-	v     *View
-	l     Limits
-	in    []int32 // the zone that a host stands in, by number; out where it may not stay
+	view     *View
+	limits     Limits
+	zoneOf    []int32 // the zone that a host stands in, by number; out where it may not stay
 	zones []string
-	found []Finding
+	findings []Finding
 }
 
 // In place of a zone's number: no zone, and that of a host that may not stay.
 const (
-	none = -1
-	out  = -2
+	noZone = -1
+	zoneNotReady  = -2
 )
 
 // newChecker numbers the zones. Rounds look at all hosts several times, so what that needs stands close together.
 func newChecker(v *View, l Limits) *checker {
-	c := &checker{v: v, l: l, in: make([]int32, len(v.Hosts))}
+	c := &checker{view: v, limits: l, zoneOf: make([]int32, len(v.Hosts))}
 	at := 0
 	for i := range v.Hosts {
 		h := &v.Hosts[i]
 		if !h.Ready {
-			c.in[i] = out
+			c.zoneOf[i] = zoneNotReady
 			continue
 		}
 		if at >= len(c.zones) || c.zones[at] != h.Zone {
@@ -133,80 +133,80 @@
 				c.zones = append(c.zones, h.Zone)
 			}
 		}
-		c.in[i] = int32(at)
+		c.zoneOf[i] = int32(at)
 	}
 	return c
 }
 
-func (c *checker) find(check, on string, is, limit float64) {
-	c.found = append(c.found, Finding{check, on, is, limit})
+func (c *checker) report(check, on string, is, limit float64) {
+	c.findings = append(c.findings, Finding{check, on, is, limit})
 }
 
-func (c *checker) numbers(r *Route) {
+func (c *checker) checkWeights(r *Route) {
 	for h, w := range r.Decided {
-		if !good(w) {
-			c.find(NotANumber, r.Demands[0].String()+" at "+c.v.Hosts[h].Name, w, 0)
+		if !isValidWeight(w) {
+			c.report(NotANumber, r.Demands[0].String()+" at "+c.view.Hosts[h].Name, w, 0)
 		}
 	}
 }
 
-// may tells whether a host may take a use.
-func (u Demand) may(h *Host) bool { return h.Ready && (!u.ZoneLocal || h.Zone == u.Zone) }
+// allows tells whether a host may take a use.
+func (u Demand) allows(h *Host) bool { return h.Ready && (!u.ZoneLocal || h.Zone == u.Zone) }
 
-// empty: a use without a host that may take it, where there is one that is warm.
-func (c *checker) empty(r *Route) {
+// checkDemands: a use without a host that may take it, where there is one that is warm.
+func (c *checker) checkDemands(r *Route) {
 	for _, u := range r.Demands {
-		if c.able(r, u) {
+		if c.hasHostFor(r, u) {
 			continue
 		}
 		could := 0.0
-		for i := range c.v.Hosts {
-			if h := &c.v.Hosts[i]; u.may(h) && h.SlowStartFactor >= 1 {
+		for i := range c.view.Hosts {
+			if h := &c.view.Hosts[i]; u.allows(h) && h.SlowStartFactor >= 1 {
 				could++
 			}
 		}
 		if could > 0 {
-			c.find(NoHost, u.String(), 0, could)
+			c.report(NoHost, u.String(), 0, could)
 		}
 	}
 }
 
-// able tells whether a row names a host that may take a use.
-func (c *checker) able(r *Route, u Demand) bool {
+// hasHostFor tells whether a row names a host that may take a use.
+func (c *checker) hasHostFor(r *Route, u Demand) bool {
 	for i, w := range r.Decided {
-		if w > 0 && good(w) && u.may(&c.v.Hosts[i]) {
+		if w > 0 && isValidWeight(w) && u.allows(&c.view.Hosts[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-// asked is all the work of a row.
-func (r *Route) asked() (sum float64) {
+// totalWork is all the work of a row.
+func (r *Route) totalWork() (sum float64) {
 	for _, u := range r.Demands {
 		sum += u.Work
 	}
 	return sum
 }
 
-// loads deals the work out by the next rows as it will be once the hosts that drain or are withdrawn are gone, and
+// hostLoads deals the work out by the next rows as it will be once the hosts that drain or are withdrawn are gone, and
 // without the hosts of a zone.
-func (c *checker) loads(without int32) []float64 {
-	load := make([]float64, len(c.in))
-	for i := range c.v.Routes {
-		r := &c.v.Routes[i]
+func (c *checker) hostLoads(without int32) []float64 {
+	load := make([]float64, len(c.zoneOf))
+	for i := range c.view.Routes {
+		r := &c.view.Routes[i]
 		sum := 0.0
 		for h, w := range r.Decided {
-			if z := c.in[h]; z >= 0 && z != without && w > 0 && w <= math.MaxFloat64 {
+			if z := c.zoneOf[h]; z >= 0 && z != without && w > 0 && w <= math.MaxFloat64 {
 				sum += w
 			}
 		}
 		if sum <= 0 {
 			continue
 		}
-		part := r.asked() / sum
+		part := r.totalWork() / sum
 		for h, w := range r.Decided {
-			if z := c.in[h]; z >= 0 && z != without && w > 0 && w <= math.MaxFloat64 {
+			if z := c.zoneOf[h]; z >= 0 && z != without && w > 0 && w <= math.MaxFloat64 {
 				load[h] += w * part
 			}
 		}
@@ -214,55 +214,55 @@
 	return load
 }
 
-// slack over what each host would get by its cap, where all together cannot take what is asked.
-const slack = 1.1
+// overloadSlack over what each host would get by its cap, where all together cannot take what is asked.
+const overloadSlack = 1.1
 
-// over is how often its cap a host may be given without the hosts of a zone: as the limits say, or where the hosts could
+// capacityMultiple is how often its cap a host may be given without the hosts of a zone: as the limits say, or where the hosts could
 // not take all that is asked, a little more than each would get if it were dealt out by their caps. Some are over then
 // whatever the rows are, and levels are what helps, but none has to be far over the others.
-func (c *checker) over(without int32) float64 {
+func (c *checker) capacityMultiple(without int32) float64 {
 	asked, all := 0.0, 0.0
-	for i := range c.v.Routes {
-		asked += c.v.Routes[i].asked()
+	for i := range c.view.Routes {
+		asked += c.view.Routes[i].totalWork()
 	}
-	for i, z := range c.in {
+	for i, z := range c.zoneOf {
 		if z >= 0 && z != without {
-			all += c.v.Hosts[i].Capacity * c.v.Hosts[i].SlowStartFactor
+			all += c.view.Hosts[i].Capacity * c.view.Hosts[i].SlowStartFactor
 		}
 	}
 	if all <= 0 {
 		return math.Inf(1)
 	}
-	return math.Max(c.l.CapacityMultiple, slack*asked/all)
+	return math.Max(c.limits.CapacityMultiple, overloadSlack*asked/all)
 }
 
-// load: hosts that are given more than their caps allow, without those of a zone.
-func (c *checker) load(check string, load []float64, without int32) {
-	over := c.over(without)
+// checkCapacity: hosts that are given more than their caps allow, without those of a zone.
+func (c *checker) checkCapacity(check string, load []float64, without int32) {
+	over := c.capacityMultiple(without)
 	for i, x := range load {
-		if limit := c.v.Hosts[i].Capacity * over; limit > 0 && x > limit && c.in[i] != without {
-			c.find(check, c.v.Hosts[i].Name, x, limit)
+		if limit := c.view.Hosts[i].Capacity * over; limit > 0 && x > limit && c.zoneOf[i] != without {
+			c.report(check, c.view.Hosts[i].Name, x, limit)
 		}
 	}
 }
 
-func (c *checker) cold(load []float64) {
-	for i := range c.v.Hosts {
-		if h := &c.v.Hosts[i]; h.SlowStartFactor < 1 && h.SlowStartLimit > 0 && load[i] > h.SlowStartLimit {
-			c.find(OverSlowStartBudget, h.Name, load[i], h.SlowStartLimit)
+func (c *checker) checkSlowStart(load []float64) {
+	for i := range c.view.Hosts {
+		if h := &c.view.Hosts[i]; h.SlowStartFactor < 1 && h.SlowStartLimit > 0 && load[i] > h.SlowStartLimit {
+			c.report(OverSlowStartBudget, h.Name, load[i], h.SlowStartLimit)
 		}
 	}
 }
 
-// heaviest is the zone whose hosts carry most; of two alike the first by name.
-func (c *checker) heaviest(load []float64) int32 {
+// heaviestZone is the zone whose hosts carry most; of two alike the first by name.
+func (c *checker) heaviestZone(load []float64) int32 {
 	by := make([]float64, len(c.zones))
-	for i, z := range c.in {
+	for i, z := range c.zoneOf {
 		if z >= 0 {
 			by[z] += load[i]
 		}
 	}
-	worst := int32(none)
+	worst := int32(noZone)
 	for z, x := range by {
 		if x > 0 && (worst < 0 || x > by[worst] || x == by[worst] && c.zones[z] < c.zones[worst]) {
 			worst = int32(z)
@@ -271,38 +271,38 @@
 	return worst
 }
 
-// spare: what the others get when the zone that carries most is lost.
-func (c *checker) spare(load []float64) {
-	if worst := c.heaviest(load); worst != none {
-		c.load(OverCapacityWithoutZone, c.loads(worst), worst)
+// checkZoneLoss: what the others get when the zone that carries most is lost.
+func (c *checker) checkZoneLoss(load []float64) {
+	if worst := c.heaviestZone(load); worst != noZone {
+		c.checkCapacity(OverCapacityWithoutZone, c.hostLoads(worst), worst)
 	}
 }
 
-// sum of a row's weights, over the hosts that may stay.
-func (v *View) sum(row []float64) (sum float64) {
+// readyWeight of a row's weights, over the hosts that may stay.
+func (v *View) readyWeight(row []float64) (sum float64) {
 	for h, w := range row {
-		if v.Hosts[h].Ready && good(w) {
+		if v.Hosts[h].Ready && isValidWeight(w) {
 			sum += w
 		}
 	}
 	return sum
 }
 
-// moved is half the distance between the shares before and after, over the hosts that may stay.
-func (c *checker) moved(r *Route) float64 {
-	was, is, up := c.v.sum(r.Published), c.v.sum(r.Decided), 0.0
+// trafficShift is half the distance between the shares before and after, over the hosts that may stay.
+func (c *checker) trafficShift(r *Route) float64 {
+	was, is, up := c.view.readyWeight(r.Published), c.view.readyWeight(r.Decided), 0.0
 	if was <= 0 || is <= 0 {
 		return 0
 	}
-	for h, z := range c.in {
-		if z == out {
+	for h, z := range c.zoneOf {
+		if z == zoneNotReady {
 			continue
 		}
 		a, b := r.Published[h], r.Decided[h]
-		if !good(a) {
+		if !isValidWeight(a) {
 			a = 0
 		}
-		if !good(b) {
+		if !isValidWeight(b) {
 			b = 0
 		}
 		up += math.Abs(b/is - a/was)
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -258,12 +258,12 @@
 		}
 		n++
 		next, left := Repair(v, l)
-		w := v.with(next)
+		w := v.withDecided(next)
 		if again := reckon(w, l); strings.Join(again, "\n") != strings.Join(listed(left), "\n") {
 			t.Fatalf("repaired: %v left, the reckoning finds %v", left, again)
 		}
 		if len(found) == 0 {
-			if !same(next, v.next()) {
+			if !same(next, v.decided()) {
 				t.Fatal("a sound view was changed")
 			}
 			return
@@ -316,11 +316,11 @@
 					t.Fatalf("after 40 steps it is at %v for %v", r.Published, r.Decided)
 				}
 				rows, left := Repair(v, l)
-				if moved := newChecker(v.with(rows), l).moved(&v.with(rows).Routes[0]); moved > l.MaxTrafficShift+1e-6 {
+				if moved := newChecker(v.withDecided(rows), l).trafficShift(&v.withDecided(rows).Routes[0]); moved > l.MaxTrafficShift+1e-6 {
 					t.Fatalf("moved %g", moved)
 				}
 				sound, r.Published = r.Published, rows[0]
-				if len(left) == 0 && newChecker(v.with([][]float64{sound}), l).moved(&v.with([][]float64{sound}).Routes[0]) < 1e-6 {
+				if len(left) == 0 && newChecker(v.withDecided([][]float64{sound}), l).trafficShift(&v.withDecided([][]float64{sound}).Routes[0]) < 1e-6 {
 					break
 				}
 			}
@@ -374,7 +374,7 @@
 			fmt.Fprintln(&out, "  "+f.String())
 		}
 		next, left := Repair(v, l)
-		if !same(next, v.next()) {
+		if !same(next, v.decided()) {
 			fmt.Fprintf(&out, "  instead %.3v\n", next)
 		}
 		for _, f := range left {
--- a/guard/list.go
+++ b/guard/list.go
@@ -10,8 +10,8 @@
 // again, its hold is over, or those lost are confirmed: then it is taken as it is.
 type EndpointLossGuard struct {
 	limits EndpointLossLimits
-	since  float64
-	holds  bool
+	heldSinceMs  float64
+	holding  bool
 }
 
 // NewEndpointLossGuard makes one.
@@ -23,14 +23,14 @@
 // or drain there, and of those confirmed ones did not answer probes, or are taken off by an operator.
 func (l *EndpointLossGuard) Observe(now float64, ready, lost, confirmed int) (held bool) {
 	if l.limits.MaxLossRatio <= 0 || ready == 0 || float64(lost-confirmed) <= l.limits.MaxLossRatio*float64(ready) {
-		l.holds = false
+		l.holding = false
 		return false
 	}
-	if !l.holds {
-		l.holds, l.since = true, now
+	if !l.holding {
+		l.holding, l.heldSinceMs = true, now
 	}
-	if now >= l.since+l.limits.HoldMs {
-		l.holds = false
+	if now >= l.heldSinceMs+l.limits.HoldMs {
+		l.holding = false
 		return false
 	}
 	return true
@@ -38,5 +38,5 @@
 
 // HeldUntil is when a hold is over, and whether there is one.
 func (l *EndpointLossGuard) HeldUntil() (at float64, holds bool) {
-	return l.since + l.limits.HoldMs, l.holds
+	return l.heldSinceMs + l.limits.HoldMs, l.holding
 }
--- a/guard/pace.go
+++ b/guard/pace.go
@@ -2,8 +2,8 @@
 
 // Parts of the channel's caps that the guard's own lines may fill: the rest is for removals and for what was decided.
 const (
-	linesTo    = 0.45
-	messagesTo = 0.5
+	maxBacklogFraction    = 0.45
+	maxMessagesFraction = 0.5
 )
 
 // ChannelBudget is what the channel has in hand when the guard has lines of its own for proxies.
@@ -14,8 +14,8 @@
 
 // Fits tells whether so many more lines, and a message more where it makes one, leave what removals need.
 func (p ChannelBudget) Fits(lines float64, message bool) bool {
-	return p.Backlog+lines <= linesTo*p.MaxBacklog &&
-		(!message || p.MaxMessages == 0 || float64(p.MessagesSent+1) <= messagesTo*float64(p.MaxMessages))
+	return p.Backlog+lines <= maxBacklogFraction*p.MaxBacklog &&
+		(!message || p.MaxMessages == 0 || float64(p.MessagesSent+1) <= maxMessagesFraction*float64(p.MaxMessages))
 }
 
 // MinimalUpdate gives the published row without what may not stay or was taken out of the decided one, cold hosts with no more
@@ -24,7 +24,7 @@
 func MinimalUpdate(hosts []Host, now, next []float64) (row []float64, left bool) {
 	row = make([]float64, len(next))
 	for h, w := range now {
-		if w > 0 && next[h] > 0 && good(next[h]) && hosts[h].Ready {
+		if w > 0 && next[h] > 0 && isValidWeight(next[h]) && hosts[h].Ready {
 			if row[h] = w; hosts[h].SlowStartFactor < 1 {
 				row[h] = min(w, next[h])
 			} else {
--- a/guard/repair.go
+++ b/guard/repair.go
@@ -6,12 +6,12 @@
 	"sort"
 )
 
-// grave weighs findings against each other, so that mending one never pays with a worse one.
-var grave = map[string]float64{NotANumber: 1e9, NoHost: 1e9, OverSlowStartBudget: 1e6, TrafficJump: 1e3, OverCapacity: 1, OverCapacityWithoutZone: 1e-3}
+// severities weighs findings against each other, so that mending one never pays with a worse one.
+var severities = map[string]float64{NotANumber: 1e9, NoHost: 1e9, OverSlowStartBudget: 1e6, TrafficJump: 1e3, OverCapacity: 1, OverCapacityWithoutZone: 1e-3}
 
-func gravity(found []Finding) (sum float64) {
+func totalSeverity(found []Finding) (sum float64) {
 	for _, f := range found {
-		sum += grave[f.Check]
+		sum += severities[f.Check]
 	}
 	return sum
 }
@@ -23,37 +23,37 @@
 // row leaves out has none, unless nobody in that row could take a use otherwise; and a cold host's share is no more than
 // decided. So no removal is held back, and no cold host gets more. left are the findings of what it gives.
 func Repair(v *View, l Limits) (rows [][]float64, left []Finding) {
-	rows = v.next()
+	rows = v.decided()
 	if left = Check(v, l); len(left) == 0 {
 		return rows, nil
 	}
-	m := &mender{v: v, l: l, best: rows, left: left, over: newChecker(v, l).over(none)}
+	m := &repairer{view: v, limits: l, best: rows, remaining: left, capacityMultiple: newChecker(v, l).capacityMultiple(noZone)}
 	first := m.cleaned()
-	m.fewer = math.Inf(1) // what may not stay is out of all that follow, be it no fewer findings
-	m.try(first)
-	within := v.with(first)
+	m.severity = math.Inf(1) // what may not stay is out of all that follow, be it no fewer findings
+	m.keepIfBetter(first)
+	within := v.withDecided(first)
 	m.relieve(within.Routes)
-	m.try(within.next())
-	if l.SurviveZoneLoss && m.has(OverCapacityWithoutZone) {
-		m.even(within)
+	m.keepIfBetter(within.decided())
+	if l.SurviveZoneLoss && m.hasRemaining(OverCapacityWithoutZone) {
+		m.evenOut(within)
 	}
-	if l.MaxTrafficShift > 0 && m.has(TrafficJump) {
+	if l.MaxTrafficShift > 0 && m.hasRemaining(TrafficJump) {
 		for _, part := range []float64{1, 0.75, 0.5, 0.25, 0.1} {
-			m.try(m.step(m.best, part*l.MaxTrafficShift))
+			m.keepIfBetter(m.limitShift(m.best, part*l.MaxTrafficShift))
 		}
 	}
-	return m.best, m.left
+	return m.best, m.remaining
 }
 
-func (v *View) next() (rows [][]float64) {
+func (v *View) decided() (rows [][]float64) {
 	for i := range v.Routes {
 		rows = append(rows, v.Routes[i].Decided)
 	}
 	return rows
 }
 
-// with is the view with other rows in place of those decided, which the caller may change.
-func (v *View) with(rows [][]float64) *View {
+// withDecided is the view with other rows in place of those decided, which the caller may change.
+func (v *View) withDecided(rows [][]float64) *View {
 	w := &View{Hosts: v.Hosts, Routes: slices.Clone(v.Routes)}
 	for i := range w.Routes {
 		if w.Routes[i].Decided = rows[i]; !w.Routes[i].ReadOnly {
@@ -63,54 +63,54 @@
 	return w
 }
 
-type mender struct {
-	v     *View
-	l     Limits
+type repairer struct {
+	view     *View
+	limits     Limits
 	best  [][]float64
-	left  []Finding
-	over  float64 // of its cap a host may be given
-	fewer float64 // gravity of what is left
+	remaining  []Finding
+	capacityMultiple  float64 // of its cap a host may be given
+	severity float64 // gravity of what is left
 }
 
-func (m *mender) has(check string) bool {
-	return slices.ContainsFunc(m.left, func(f Finding) bool { return f.Check == check })
+func (m *repairer) hasRemaining(check string) bool {
+	return slices.ContainsFunc(m.remaining, func(f Finding) bool { return f.Check == check })
 }
 
-// try keeps rows that have less wrong with them than the best so far.
-func (m *mender) try(rows [][]float64) {
-	found := Check(m.v.with(rows), m.l)
-	if g := gravity(found); g < m.fewer {
-		m.best, m.left, m.fewer = rows, found, g
+// keepIfBetter keeps rows that have less wrong with them than the best so far.
+func (m *repairer) keepIfBetter(rows [][]float64) {
+	found := Check(m.view.withDecided(rows), m.limits)
+	if g := totalSeverity(found); g < m.severity {
+		m.best, m.remaining, m.severity = rows, found, g
 	}
 }
 
 // cleaned are the decided rows without what is no number or may not stay, and with warm hosts by their caps where a
 // use would have none.
-func (m *mender) cleaned() [][]float64 {
-	w := m.v.with(m.v.next())
-	c := newChecker(w, m.l)
+func (m *repairer) cleaned() [][]float64 {
+	w := m.view.withDecided(m.view.decided())
+	c := newChecker(w, m.limits)
 	for i := range w.Routes {
 		r := &w.Routes[i]
 		if r.ReadOnly {
 			continue
 		}
 		for h, x := range r.Decided {
-			if !good(x) || !w.Hosts[h].Ready {
+			if !isValidWeight(x) || !w.Hosts[h].Ready {
 				r.Decided[h] = 0
 			}
 		}
 		for _, u := range r.Demands {
-			if c.able(r, u) {
+			if c.hasHostFor(r, u) {
 				continue
 			}
 			all, n := 0.0, 0.0
 			for h := range w.Hosts {
-				if u.may(&w.Hosts[h]) && w.Hosts[h].SlowStartFactor >= 1 {
+				if u.allows(&w.Hosts[h]) && w.Hosts[h].SlowStartFactor >= 1 {
 					all, n = all+w.Hosts[h].Capacity, n+1
 				}
 			}
 			for h := range w.Hosts {
-				if x := &w.Hosts[h]; u.may(x) && x.SlowStartFactor >= 1 {
+				if x := &w.Hosts[h]; u.allows(x) && x.SlowStartFactor >= 1 {
 					if r.Decided[h] = 1; all > 0 && x.Capacity > 0 {
 						r.Decided[h] = x.Capacity * n / all
 					}
@@ -118,14 +118,14 @@
 			}
 		}
 	}
-	return w.next()
+	return w.decided()
 }
 
-// limit is what a host may be given: its cap, or if it is cold its budget.
-func (m *mender) limit(h *Host) float64 {
+// loadLimit is what a host may be given: its cap, or if it is cold its budget.
+func (m *repairer) loadLimit(h *Host) float64 {
 	limit := math.Inf(1)
-	if h.Capacity > 0 && m.l.CapacityMultiple > 0 {
-		limit = h.Capacity * m.over
+	if h.Capacity > 0 && m.limits.CapacityMultiple > 0 {
+		limit = h.Capacity * m.capacityMultiple
 	}
 	if h.SlowStartFactor < 1 && h.SlowStartLimit > 0 {
 		limit = math.Min(limit, h.SlowStartLimit)
@@ -133,27 +133,27 @@
 	return limit
 }
 
-// under is how far under its limit a host is brought, so that what is asked can grow a little before the row is told anew.
-const under = 0.97
+// targetFill is how far under its limit a host is brought, so that what is asked can grow a little before the row is told anew.
+const targetFill = 0.97
 
-// passes over all hosts until what is moved on overloads nobody.
-const passes = 8
+// maxReliefPasses over all hosts until what is moved on overloads nobody.
+const maxReliefPasses = 8
 
 // relieve takes off each host what is over its limit and gives it to the roomiest warm hosts of the same row, those of
 // its zone first: few lines change. Where the rows have no room the rest stays.
-func (m *mender) relieve(rows []Route) {
-	c := newChecker(&View{Hosts: m.v.Hosts, Routes: rows}, m.l)
-	for range passes {
-		load, moved := c.loads(none), false
-		for h := range m.v.Hosts {
-			limit := m.limit(&m.v.Hosts[h])
+func (m *repairer) relieve(rows []Route) {
+	c := newChecker(&View{Hosts: m.view.Hosts, Routes: rows}, m.limits)
+	for range maxReliefPasses {
+		load, moved := c.hostLoads(noZone), false
+		for h := range m.view.Hosts {
+			limit := m.loadLimit(&m.view.Hosts[h])
 			if load[h] <= limit {
 				continue
 			}
-			part := 1 - limit*under/load[h]
+			part := 1 - limit*targetFill/load[h]
 			for i := range rows {
 				if r := &rows[i]; !r.ReadOnly && r.Decided[h] > 0 {
-					moved = m.unload(r, h, part, load) || moved
+					moved = m.shiftLoad(r, h, part, load) || moved
 				}
 			}
 		}
@@ -163,20 +163,20 @@
 	}
 }
 
-// unload takes a part of a host's weight in a row and deals it to others with room, whose loads it brings up to date.
-func (m *mender) unload(r *Route, from int, part float64, load []float64) bool {
-	sum, asked := m.v.sum(r.Decided), r.asked()
+// shiftLoad takes a part of a host's weight in a row and deals it to others with room, whose loads it brings up to date.
+func (m *repairer) shiftLoad(r *Route, from int, part float64, load []float64) bool {
+	sum, asked := m.view.readyWeight(r.Decided), r.totalWork()
 	if asked <= 0 || sum <= 0 {
 		return false
 	}
 	var to []int
 	for h, w := range r.Decided {
-		if x := &m.v.Hosts[h]; h != from && w > 0 && x.Ready && x.SlowStartFactor >= 1 && load[h] < m.limit(x)*under {
+		if x := &m.view.Hosts[h]; h != from && w > 0 && x.Ready && x.SlowStartFactor >= 1 && load[h] < m.loadLimit(x)*targetFill {
 			to = append(to, h)
 		}
 	}
-	near := func(h int) bool { return m.v.Hosts[h].Zone == m.v.Hosts[from].Zone }
-	room := func(h int) float64 { return math.Min(m.limit(&m.v.Hosts[h])*under, 1e9) - load[h] }
+	near := func(h int) bool { return m.view.Hosts[h].Zone == m.view.Hosts[from].Zone }
+	room := func(h int) float64 { return math.Min(m.loadLimit(&m.view.Hosts[h])*targetFill, 1e9) - load[h] }
 	sort.SliceStable(to, func(i, j int) bool {
 		if a, b := near(to[i]), near(to[j]); a != b {
 			return a
@@ -195,13 +195,13 @@
 	return moved
 }
 
-// evens are the parts of the way to equal busy parts that are tried.
-var evens = []float64{0.25, 0.5, 0.75, 1}
+// blendParts are the parts of the way to equal busy parts that are tried.
+var blendParts = []float64{0.25, 0.5, 0.75, 1}
 
-// even goes towards shares by the caps of the warm hosts, which leave most when a zone is lost.
-func (m *mender) even(v *View) {
-	for _, part := range evens {
-		w := v.with(v.next())
+// evenOut goes towards shares by the caps of the warm hosts, which leave most when a zone is lost.
+func (m *repairer) evenOut(v *View) {
+	for _, part := range blendParts {
+		w := v.withDecided(v.decided())
 		for i := range w.Routes {
 			r := &w.Routes[i]
 			if r.ReadOnly {
@@ -219,22 +219,22 @@
 				}
 			}
 		}
-		m.try(w.next())
+		m.keepIfBetter(w.decided())
 	}
 }
 
-// step goes from the published rows towards others until so much has moved. What those leave out is out, and a cold
+// limitShift goes from the published rows towards others until so much has moved. What those leave out is out, and a cold
 // host gets no more than they give it.
-func (m *mender) step(to [][]float64, most float64) [][]float64 {
-	w := m.v.with(to)
-	c := newChecker(w, m.l)
+func (m *repairer) limitShift(to [][]float64, most float64) [][]float64 {
+	w := m.view.withDecided(to)
+	c := newChecker(w, m.limits)
 	for i := range w.Routes {
 		r := &w.Routes[i]
 		if r.ReadOnly || r.Published == nil {
 			continue
 		}
-		moved := c.moved(r)
-		was, is := w.sum(r.Published), w.sum(r.Decided)
+		moved := c.trafficShift(r)
+		was, is := w.readyWeight(r.Published), w.readyWeight(r.Decided)
 		if moved <= most || was <= 0 || is <= 0 {
 			continue
 		}
@@ -245,7 +245,7 @@
 				continue
 			}
 			a, b := 0.0, x/is
-			if good(r.Published[h]) {
+			if isValidWeight(r.Published[h]) {
 				a = r.Published[h] / was
 			}
 			if row[h] = a + part*(b-a); w.Hosts[h].SlowStartFactor < 1 {
@@ -265,5 +265,5 @@
 			r.Decided = row
 		}
 	}
-	return w.next()
+	return w.decided()
 }
--- a/operator/operator.go
+++ b/operator/operator.go
@@ -23,16 +23,16 @@
 )
 
 // Names of the states, as they are told.
-var names = [...]string{"listed", "drain", "maint"}
+var stateNames = [...]string{"listed", "drain", "maint"}
 
-func (s State) String() string { return names[s] }
+func (s State) String() string { return stateNames[s] }
 
 // ParseState reads the name of a state; ready is another name for listed.
 func ParseState(name string) (State, bool) {
 	if name == "ready" {
 		return Listed, true
 	}
-	i := slices.Index(names[:], name)
+	i := slices.Index(stateNames[:], name)
 	return State(max(i, 0)), i >= 0
 }
 
@@ -71,8 +71,8 @@
 	ExpiresMs   float64 // 0: no end
 }
 
-// plain tells whether nothing is set any more.
-func (s Override) plain() bool {
+// isEmpty tells whether nothing is set any more.
+func (s Override) isEmpty() bool {
 	return s.State == Listed && s.Weight == 0 && s.WeightRatio == 0 && s.Added == nil
 }
 
@@ -107,35 +107,35 @@
 
 // OverrideStore keeps what is set, and what waits for its turn.
 type OverrideStore struct {
-	sets    map[string]Override
-	waiting []Command
-	stepped float64 // when a waiting order was last carried out
+	overrides    map[string]Override
+	pending []Command
+	lastPendingAppliedMs float64 // when a waiting order was last carried out
 }
 
 // New makes an empty book.
-func New() *OverrideStore { return &OverrideStore{sets: map[string]Override{}, stepped: math.Inf(-1)} }
+func New() *OverrideStore { return &OverrideStore{overrides: map[string]Override{}, lastPendingAppliedMs: math.Inf(-1)} }
 
 // Overrides gives what is set, by host.
-func (b *OverrideStore) Overrides() map[string]Override { return maps.Clone(b.sets) }
+func (b *OverrideStore) Overrides() map[string]Override { return maps.Clone(b.overrides) }
 
 // Restore puts back what was set in an earlier life.
 func (b *OverrideStore) Restore(host string, s Override) {
-	if !s.plain() {
-		b.sets[host] = s
+	if !s.isEmpty() {
+		b.overrides[host] = s
 	}
 }
 
 // Override gives what is set on a host.
-func (b *OverrideStore) Override(host string) (Override, bool) { s, ok := b.sets[host]; return s, ok }
+func (b *OverrideStore) Override(host string) (Override, bool) { s, ok := b.overrides[host]; return s, ok }
 
 // HasWeight tells whether a weight is set on a host.
 func (b *OverrideStore) HasWeight(host string) bool {
-	return b.sets[host].Weight > 0 || b.sets[host].WeightRatio > 0
+	return b.overrides[host].Weight > 0 || b.overrides[host].WeightRatio > 0
 }
 
 // Pending gives the order of a host that waits for its turn, the last one of several.
 func (b *OverrideStore) Pending(host string) (o Command, ok bool) {
-	for _, w := range b.waiting {
+	for _, w := range b.pending {
 		if w.Host == host {
 			o, ok = w, true
 		}
@@ -146,39 +146,39 @@
 // Apply takes an order. It is done at once, or waits where it may and cannot be done yet, or is refused and changes
 // nothing.
 func (b *OverrideStore) Apply(v View, o Command) (waits bool, err error) {
-	if err := b.sound(v, o); err != nil {
+	if err := b.validate(v, o); err != nil {
 		return false, err
 	}
 	if o.Remove || !o.KeepState && o.State == Listed && o.Weight < 0 && o.Add == nil { // taken back: what waits for it is too
-		b.waiting = slices.DeleteFunc(b.waiting, func(w Command) bool { return w.Host == o.Host })
+		b.pending = slices.DeleteFunc(b.pending, func(w Command) bool { return w.Host == o.Host })
 	}
-	err = b.breaks(v, o)
+	err = b.checkRules(v, o)
 	if err == nil {
-		b.apply(v.Now, o)
+		b.applyNow(v.Now, o)
 		return false, nil
 	}
-	if o.Queue && b.may(v, o) {
-		b.waiting = append(b.waiting, o)
+	if o.Queue && b.canSucceedLater(v, o) {
+		b.pending = append(b.pending, o)
 		return true, nil
 	}
 	return false, err
 }
 
-// sound tells what is wrong with an order in itself.
-func (b *OverrideStore) sound(v View, o Command) error {
+// validate tells what is wrong with an order in itself.
+func (b *OverrideStore) validate(v View, o Command) error {
 	refuse := func(format string, args ...any) error {
 		return &RejectedError{Host: o.Host, Reason: fmt.Sprintf(format, args...)}
 	}
-	_, listed := find(v.Hosts, o.Host)
+	_, listed := findHost(v.Hosts, o.Host)
 	listed = listed || v.Known != nil && v.Known(o.Host)
 	switch {
 	case o.Add != nil && listed:
 		return refuse("the host is there already")
 	case o.Add == nil && !listed:
 		return &RejectedError{Host: o.Host, Reason: "no such host", UnknownHost: true}
-	case o.Remove && b.sets[o.Host].Added == nil:
+	case o.Remove && b.overrides[o.Host].Added == nil:
 		return refuse("the list has it, and only the list can take it off; set it to maint")
-	case o.Remove && b.sets[o.Host].State != Maintenance:
+	case o.Remove && b.overrides[o.Host].State != Maintenance:
 		return refuse("it must be in maint first")
 	case math.IsNaN(o.Weight) || o.Weight > 1e6:
 		return refuse("a weight is a number up to 1000000")
@@ -188,14 +188,14 @@
 	return nil
 }
 
-// breaks tells which rule an order would break if it were done now.
-func (b *OverrideStore) breaks(v View, o Command) error {
-	h, ok := find(v.Hosts, o.Host)
+// checkRules tells which rule an order would break if it were done now.
+func (b *OverrideStore) checkRules(v View, o Command) error {
+	h, ok := findHost(v.Hosts, o.Host)
 	if !ok {
 		return nil
 	}
 	if o.State != Listed || o.Weight == 0 {
-		return b.last(v, h)
+		return b.checkLastWarmHost(v, h)
 	}
 	if o.Weight > 0 && h.SlowStartFactor < 1 {
 		want := o.Weight
@@ -210,8 +210,8 @@
 	return nil
 }
 
-// last tells whether a host is the last warm one that some class may go to.
-func (b *OverrideStore) last(v View, h Host) error {
+// checkLastWarmHost tells whether a host is the last warm one that some class may go to.
+func (b *OverrideStore) checkLastWarmHost(v View, h Host) error {
 	if !h.Ready || h.SlowStartFactor < 1 {
 		return nil
 	}
@@ -233,10 +233,10 @@
 	return nil
 }
 
-// may tells whether an order that cannot be done now can be done later: a cold host warms, and of hosts that must go one
+// canSucceedLater tells whether an order that cannot be done now can be done later: a cold host warms, and of hosts that must go one
 // by one all but the last may, once others are ready.
-func (b *OverrideStore) may(v View, o Command) bool {
-	h, _ := find(v.Hosts, o.Host)
+func (b *OverrideStore) canSucceedLater(v View, o Command) bool {
+	h, _ := findHost(v.Hosts, o.Host)
 	if o.Weight > 0 && o.State == Listed {
 		return h.SlowStartFactor < 1
 	}
@@ -245,7 +245,7 @@
 			return true
 		}
 	}
-	for name, s := range b.sets { // or one that is away for a time
+	for name, s := range b.overrides { // or one that is away for a time
 		if name != h.Name && s.State != Listed && s.ExpiresMs > 0 {
 			return true
 		}
@@ -256,33 +256,33 @@
 // ApplyDue carries out what waits and can be done: one host at a time, once the one before is out of the channel and its
 // grace is over. It tells what changed.
 func (b *OverrideStore) ApplyDue(v View) (done []Command) {
-	for host, s := range b.sets {
+	for host, s := range b.overrides {
 		if s.ExpiresMs > 0 && s.ExpiresMs <= v.Now {
 			back := Override{Added: s.Added}
-			if b.sets[host] = back; back.plain() {
-				delete(b.sets, host)
+			if b.overrides[host] = back; back.isEmpty() {
+				delete(b.overrides, host)
 			}
 			done = append(done, Command{Host: host, Weight: -1, Operator: "the end of its time"})
 		}
 	}
 	sort.Slice(done, func(i, j int) bool { return done[i].Host < done[j].Host })
-	if !v.NoUpdatePending || v.Now < b.stepped+v.DrainGraceMs {
+	if !v.NoUpdatePending || v.Now < b.lastPendingAppliedMs+v.DrainGraceMs {
 		return done
 	}
-	for i, o := range b.waiting {
-		if b.breaks(v, o) == nil {
-			b.waiting = slices.Delete(b.waiting, i, i+1)
-			b.apply(v.Now, o)
-			b.stepped = v.Now
+	for i, o := range b.pending {
+		if b.checkRules(v, o) == nil {
+			b.pending = slices.Delete(b.pending, i, i+1)
+			b.applyNow(v.Now, o)
+			b.lastPendingAppliedMs = v.Now
 			return append(done, o)
 		}
 	}
 	return done
 }
 
-// apply notes an order as set.
-func (b *OverrideStore) apply(now float64, o Command) {
-	s := b.sets[o.Host]
+// applyNow notes an order as set.
+func (b *OverrideStore) applyNow(now float64, o Command) {
+	s := b.overrides[o.Host]
 	if !o.KeepState {
 		s.State = o.State
 	}
@@ -292,7 +292,7 @@
 	}
 	switch {
 	case o.Remove:
-		delete(b.sets, o.Host)
+		delete(b.overrides, o.Host)
 		return
 	case o.ClearWeight:
 		s.Weight, s.WeightRatio = 0, 0
@@ -306,37 +306,37 @@
 	if o.Add != nil {
 		s.Added = o.Add
 	}
-	if s.plain() {
-		delete(b.sets, o.Host)
+	if s.isEmpty() {
+		delete(b.overrides, o.Host)
 		return
 	}
-	b.sets[o.Host] = s
+	b.overrides[o.Host] = s
 }
 
 // NextDeadline is when Step has something to do for the sake of time alone: an end, or a waiting order's turn.
 func (b *OverrideStore) NextDeadline(now, grace float64) float64 {
 	next := math.Inf(1)
-	for _, s := range b.sets {
+	for _, s := range b.overrides {
 		if s.ExpiresMs > 0 {
 			next = math.Min(next, s.ExpiresMs)
 		}
 	}
-	if len(b.waiting) > 0 {
-		next = math.Min(next, math.Max(b.stepped+grace, now+stepEvery))
+	if len(b.pending) > 0 {
+		next = math.Min(next, math.Max(b.lastPendingAppliedMs+grace, now+pendingCheckIntervalMs))
 	}
 	return next
 }
 
-// stepEvery ms it is looked whether a waiting order's turn has come.
-const stepEvery = 200.0
+// pendingCheckIntervalMs ms it is looked whether a waiting order's turn has come.
+const pendingCheckIntervalMs = 200.0
 
 // ApplyAll orders several hosts' drains, as a zone's, each to wait for its turn. It refuses all where the last of them
 // could never be done.
 func (b *OverrideStore) ApplyAll(v View, orders []Command) error {
-	left, after := 0, maps.Clone(b.sets)
+	left, after := 0, maps.Clone(b.overrides)
 	going := map[string]bool{}
 	for _, o := range orders {
-		if err := b.sound(v, o); err != nil {
+		if err := b.validate(v, o); err != nil {
 			return err
 		}
 		going[o.Host] = true
@@ -356,11 +356,11 @@
 			return &RejectedError{Host: orders[0].Host, Reason: fmt.Sprintf("with all of these zone %s, which class %s may not leave, would have no warm host", z, v.ZoneLocalClasses[0])}
 		}
 	}
-	b.waiting = append(b.waiting, orders...)
+	b.pending = append(b.pending, orders...)
 	return nil
 }
 
-func find(hosts []Host, name string) (Host, bool) {
+func findHost(hosts []Host, name string) (Host, bool) {
 	for _, h := range hosts {
 		if h.Name == name {
 			return h, true
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -29,13 +29,13 @@
 func (f *fleet) view() View {
 	v := View{Now: f.now, ZoneLocalClasses: f.local, Zones: []string{"a", "b"}, NoUpdatePending: true, DrainGraceMs: 3000,
 		Known: func(host string) bool {
-			return slices.ContainsFunc(f.hosts, func(h Host) bool { return h.Name == host }) || f.sets[host].Added != nil
+			return slices.ContainsFunc(f.hosts, func(h Host) bool { return h.Name == host }) || f.overrides[host].Added != nil
 		}}
 	for _, h := range f.hosts {
 		if f.now >= h.WarmAtMs {
 			h.SlowStartFactor = 1
 		}
-		switch f.sets[h.Name].State {
+		switch f.overrides[h.Name].State {
 		case Draining:
 			h.Ready = false
 		case Maintenance:
@@ -78,7 +78,7 @@
 
 func (f *fleet) show() {
 	for _, h := range f.hosts {
-		if s, ok := f.sets[h.Name]; ok {
+		if s, ok := f.overrides[h.Name]; ok {
 			f.say("  %s: %v weight %g part %g until %g", h.Name, s.State, s.Weight, s.WeightRatio, s.ExpiresMs)
 		}
 	}
@@ -170,7 +170,7 @@
 			f.now += rapid.SampledFrom([]float64{0, 300, 4000}).Draw(t, "pause")
 			f.ApplyDue(f.view())
 			if !slices.ContainsFunc(f.view().Hosts, func(h Host) bool { return h.Ready && h.SlowStartFactor >= 1 }) {
-				t.Fatalf("no warm host is ready: %+v", f.sets)
+				t.Fatalf("no warm host is ready: %+v", f.overrides)
 			}
 		}
 	})
