--- /dev/null
+++ b/operator/command.go
@@ -0,0 +1,65 @@
+package operator
+
+import "slices"
+
+// State is the state of a host as an operator sets it.
+type State int
+
+const (
+	// Listed leaves the host in the state that the endpoint list gives it.
+	Listed State = iota
+	// Draining gives the host no new traffic.
+	Draining
+	// Maintenance takes the host off the endpoint list.
+	Maintenance
+)
+
+// stateNames are the names of the states in the APIs and logs, indexed by State.
+var stateNames = [...]string{"listed", "drain", "maint"}
+
+// readyName is another name for Listed in the APIs.
+const readyName = "ready"
+
+// String returns the name of the state in the APIs.
+func (s State) String() string { return stateNames[s] }
+
+// ParseState returns the state of that name, and whether there is one.
+func ParseState(name string) (State, bool) {
+	if name == readyName {
+		return Listed, true
+	}
+	index := slices.Index(stateNames[:], name)
+	if index < 0 {
+		return Listed, false
+	}
+	return State(index), true
+}
+
+// Command is what an operator wants of a host.
+type Command struct {
+	Host        string
+	State       State
+	Weight      float64    // replaces the listed weight; 0 drains the host; negative leaves the weight as it is
+	ClearWeight bool       // drops the weight override, so the listed weight counts again
+	KeepState   bool       // ignores State: the host keeps the state that is set
+	Relative    bool       // Weight is a multiple of the listed weight
+	DurationMs  float64    // ms after which the override expires; 0: never
+	Queue       bool       // queues the command, instead of rejecting it, where it can be done later
+	Operator    string     // who gave the command
+	Add         *AddedHost // adds the host, which must not be on the endpoint list
+	Remove      bool       // removes a host that an operator added
+}
+
+// revertsToList reports whether the command takes back every override of its host.
+func (c *Command) revertsToList() bool {
+	return !c.KeepState && c.State == Listed && c.Weight < 0 && c.Add == nil
+}
+
+// AddedHost describes a host that an operator added to those of the endpoint list.
+type AddedHost struct {
+	Zone      string
+	Weight    float64
+	Cores     float64 // CPU cores; 0: unknown
+	Speed     float64 // of a core, relative to the reference core
+	StartedMs float64 // start of the current incarnation, for its slow start
+}
--- /dev/null
+++ b/operator/store.go
@@ -0,0 +1,104 @@
+package operator
+
+import (
+	"maps"
+	"math"
+	"slices"
+)
+
+// OverrideStore keeps the overrides by host, and the queue of commands that could not be applied yet. It is not safe
+// for concurrent use.
+type OverrideStore struct {
+	overrides            map[string]Override
+	pending              []Command // the queue, first in first out
+	lastPendingAppliedMs float64   // when a queued command was last applied
+}
+
+// New returns an empty store.
+func New() *OverrideStore {
+	return &OverrideStore{overrides: map[string]Override{}, lastPendingAppliedMs: math.Inf(-1)}
+}
+
+// Overrides returns a copy of the overrides, by host.
+func (s *OverrideStore) Overrides() map[string]Override { return maps.Clone(s.overrides) }
+
+// Restore puts back an override from the stored state of an earlier process.
+func (s *OverrideStore) Restore(host string, override Override) {
+	if !override.isEmpty() {
+		s.overrides[host] = override
+	}
+}
+
+// Override returns the override of a host, and whether it has one.
+func (s *OverrideStore) Override(host string) (Override, bool) {
+	override, found := s.overrides[host]
+	return override, found
+}
+
+// HasWeight reports whether a weight is set on a host.
+func (s *OverrideStore) HasWeight(host string) bool {
+	override := s.overrides[host]
+	return override.Weight > 0 || override.WeightRatio > 0
+}
+
+// Pending returns the queued command of a host, the last of several, and whether there is one.
+func (s *OverrideStore) Pending(host string) (Command, bool) {
+	for _, command := range slices.Backward(s.pending) {
+		if command.Host == host {
+			return command, true
+		}
+	}
+	return Command{}, false
+}
+
+// Apply applies a command at once. One that would break a rule is queued if it asks for that and can be done later;
+// Apply then returns true. Any other is rejected with a *RejectedError.
+func (s *OverrideStore) Apply(view View, command Command) (queued bool, err error) {
+	if err := s.validate(&view, &command); err != nil {
+		return false, err
+	}
+	if command.Remove || command.revertsToList() {
+		s.dropPending(command.Host)
+	}
+	err = checkRules(&view, &command)
+	if err == nil {
+		s.applyNow(view.Now, command)
+		return false, nil
+	}
+	if command.Queue && s.canSucceedLater(&view, &command) {
+		s.pending = append(s.pending, command)
+		return true, nil
+	}
+	return false, err
+}
+
+// ApplyAll queues commands that drain several hosts, as those of a zone, so that they are applied one by one. It
+// rejects all of them with a *RejectedError where one is invalid or the last of them could never be applied. There must
+// be at least one command.
+func (s *OverrideStore) ApplyAll(view View, commands []Command) error {
+	for i := range commands {
+		if err := s.validate(&view, &commands[i]); err != nil {
+			return err
+		}
+	}
+	if err := s.checkAll(&view, commands); err != nil {
+		return err
+	}
+	s.pending = append(s.pending, commands...)
+	return nil
+}
+
+// applyNow changes the override of the command's host, without a check.
+func (s *OverrideStore) applyNow(nowMs float64, command Command) {
+	override := s.overrides[command.Host].updatedBy(command, nowMs)
+	if command.Remove || override.isEmpty() {
+		delete(s.overrides, command.Host)
+		return
+	}
+	s.overrides[command.Host] = override
+}
+
+// dropPending removes the queued commands of a host.
+func (s *OverrideStore) dropPending(host string) {
+	s.pending = slices.DeleteFunc(s.pending, func(command Command) bool { return command.Host == host })
+}
