--- /dev/null
+++ b/guard/finding.go
@@ -0,0 +1,51 @@
+package guard
+
+import "fmt"
+
+// Finding is one thing that a check found wrong.
+type Finding struct {
+	Check   string  `json:"check"` // one of the names of the checks
+	Subject string  `json:"on"`    // the demand or host, by name
+	Value   float64 `json:"is"`
+	Limit   float64 `json:"limit"` // the limit that the value breaks
+}
+
+// String describes the finding in one line.
+func (f Finding) String() string {
+	return fmt.Sprintf("%s: %s, %.4g where %.4g is the limit", f.Check, f.Subject, f.Value, f.Limit)
+}
+
+// Names of the checks. They are part of the HTTP API.
+const (
+	// NotANumber is a weight that is negative, infinite or NaN.
+	NotANumber = "a weight is no number"
+	// NoHost is a demand without a host that may take it, where some warm host may.
+	NoHost = "no host may take it"
+	// OverCapacity is a host that is given more than its capacity allows.
+	OverCapacity = "over its cap"
+	// OverSlowStartBudget is a host that is warming up and is given more than it can take by now.
+	OverSlowStartBudget = "a cold host over its budget"
+	// OverCapacityWithoutZone is a host that would be given too much if the zone that carries most were lost.
+	OverCapacityWithoutZone = "over its cap without a zone"
+	// TrafficJump is an update that moves too much traffic at once.
+	TrafficJump = "too much moves at once"
+)
+
+// severities weigh findings against each other. The steps between them are wide, so that a repair of lesser findings is
+// not paid for with a graver one.
+var severities = map[string]float64{
+	NotANumber:              1e9,
+	NoHost:                  1e9,
+	OverSlowStartBudget:     1e6,
+	TrafficJump:             1e3,
+	OverCapacity:            1,
+	OverCapacityWithoutZone: 1e-3,
+}
+
+// totalSeverity returns the sum of the findings' severities.
+func totalSeverity(findings []Finding) (sum float64) {
+	for i := range findings {
+		sum += severities[findings[i].Check]
+	}
+	return sum
+}
--- a/guard/repair.go
+++ b/guard/repair.go
@@ -3,48 +3,45 @@
 import (
 	"math"
 	"slices"
-	"sort"
 )
 
-// severities weighs findings against each other, so that mending one never pays with a worse one.
-var severities = map[string]float64{NotANumber: 1e9, NoHost: 1e9, OverSlowStartBudget: 1e6, TrafficJump: 1e3, OverCapacity: 1, OverCapacityWithoutZone: 1e-3}
+// shiftParts are the fractions of the largest allowed traffic shift that Repair tries. A smaller one is taken only
+// where it leaves less severe findings.
+var shiftParts = []float64{1, 0.75, 0.5, 0.25, 0.1}
 
-func totalSeverity(found []Finding) (sum float64) {
-	for _, f := range found {
-		sum += severities[f.Check]
-	}
-	return sum
-}
-
-// Repair gives the nearest sound rows: those decided where they are; else those with the least taken off and added that
-// passes, as much of the way to them from the published ones as may move at once. Fixed rows stay as they are.
+// Repair returns the nearest valid rows of weights, one for each route, and the findings that they leave. Decided rows
+// that are valid are returned as they are. Otherwise Repair returns the candidate with the least severe findings, of
+// these: the decided rows without what may never stay; these with the excess over each limit moved to hosts with
+// headroom; these nearer to equal utilisation; and a step from the published rows towards the best of these. Read-only
+// routes keep their rows.
 //
-// Three things hold of whatever it gives: a host that drains, is gone or withdrawn has no weight; a host that the decided
-// row leaves out has none, unless nobody in that row could take a use otherwise; and a cold host's share is no more than
-// decided. So no removal is held back, and no cold host gets more. left are the findings of what it gives.
-func Repair(v *View, l Limits) (rows [][]float64, left []Finding) {
-	rows = v.decided()
-	if left = Check(v, l); len(left) == 0 {
+// Three things hold of every row that it repairs: a host that is not ready has no weight; a host without weight in the
+// decided row has none, unless a demand had no host otherwise; and the share of a host that is warming up is at most
+// the decided one. So Repair delays no removal, and gives no host more in its slow start.
+func Repair(view *View, limits Limits) (rows [][]float64, remaining []Finding) {
+	rows = view.decided()
+	remaining = Check(view, limits)
+	if len(remaining) == 0 {
 		return rows, nil
 	}
-	m := &repairer{view: v, limits: l, best: rows, remaining: left, capacityMultiple: newChecker(v, l).capacityMultiple(noZone)}
-	first := m.cleaned()
-	m.severity = math.Inf(1) // what may not stay is out of all that follow, be it no fewer findings
-	m.keepIfBetter(first)
-	within := v.withDecided(first)
-	m.relieve(within.Routes)
-	m.keepIfBetter(within.decided())
-	if l.SurviveZoneLoss && m.hasRemaining(OverCapacityWithoutZone) {
-		m.evenOut(within)
+	r := newRepairer(view, limits)
+	cleaned := r.cleaned()
+	r.keepIfBetter(cleaned)
+	within := view.withDecided(cleaned)
+	r.relieve(within)
+	r.keepIfBetter(within.decided())
+	if limits.SurviveZoneLoss && r.hasRemaining(OverCapacityWithoutZone) {
+		r.evenOut(within)
 	}
-	if l.MaxTrafficShift > 0 && m.hasRemaining(TrafficJump) {
-		for _, part := range []float64{1, 0.75, 0.5, 0.25, 0.1} {
-			m.keepIfBetter(m.limitShift(m.best, part*l.MaxTrafficShift))
+	if limits.MaxTrafficShift > 0 && r.hasRemaining(TrafficJump) {
+		for _, part := range shiftParts {
+			r.keepIfBetter(r.limitShift(r.best, part*limits.MaxTrafficShift))
 		}
 	}
-	return m.best, m.remaining
+	return r.best, r.remaining
 }
 
+// decided returns the decided rows of all routes.
 func (v *View) decided() (rows [][]float64) {
 	for i := range v.Routes {
 		rows = append(rows, v.Routes[i].Decided)
@@ -52,218 +49,111 @@
 	return rows
 }
 
-// withDecided is the view with other rows in place of those decided, which the caller may change.
+// withDecided returns the view with other rows in place of the decided ones. It copies those that may be repaired, so
+// the caller may change them.
 func (v *View) withDecided(rows [][]float64) *View {
-	w := &View{Hosts: v.Hosts, Routes: slices.Clone(v.Routes)}
-	for i := range w.Routes {
-		if w.Routes[i].Decided = rows[i]; !w.Routes[i].ReadOnly {
-			w.Routes[i].Decided = slices.Clone(rows[i])
+	view := &View{Hosts: v.Hosts, Routes: slices.Clone(v.Routes)}
+	for i := range view.Routes {
+		route := &view.Routes[i]
+		route.Decided = rows[i]
+		if !route.ReadOnly {
+			route.Decided = slices.Clone(rows[i])
 		}
 	}
-	return w
+	return view
 }
 
+// repairer keeps the best candidate of a repair.
 type repairer struct {
-	view     *View
-	limits     Limits
-	best  [][]float64
-	remaining  []Finding
-	capacityMultiple  float64 // of its cap a host may be given
-	severity float64 // gravity of what is left
+	view             *View
+	limits           Limits
+	capacityMultiple float64     // of its capacity that a host may be given
+	best             [][]float64 // rows with the least severe findings so far
+	remaining        []Finding   // findings of the best rows
+	severity         float64     // total severity of the remaining findings
 }
 
-func (m *repairer) hasRemaining(check string) bool {
-	return slices.ContainsFunc(m.remaining, func(f Finding) bool { return f.Check == check })
+// newRepairer returns a repairer without a candidate. The decided rows are none, since they may hold what may never
+// stay.
+func newRepairer(view *View, limits Limits) *repairer {
+	return &repairer{
+		view:             view,
+		limits:           limits,
+		capacityMultiple: newChecker(view, limits).capacityMultiple(noZone),
+		severity:         math.Inf(1),
+	}
 }
 
-// keepIfBetter keeps rows that have less wrong with them than the best so far.
-func (m *repairer) keepIfBetter(rows [][]float64) {
-	found := Check(m.view.withDecided(rows), m.limits)
-	if g := totalSeverity(found); g < m.severity {
-		m.best, m.remaining, m.severity = rows, found, g
-	}
+// hasRemaining reports whether the best rows have a finding of that check.
+func (r *repairer) hasRemaining(check string) bool {
+	return slices.ContainsFunc(r.remaining, func(finding Finding) bool { return finding.Check == check })
 }
 
-// cleaned are the decided rows without what is no number or may not stay, and with warm hosts by their caps where a
-// use would have none.
-func (m *repairer) cleaned() [][]float64 {
-	w := m.view.withDecided(m.view.decided())
-	c := newChecker(w, m.limits)
-	for i := range w.Routes {
-		r := &w.Routes[i]
-		if r.ReadOnly {
-			continue
-		}
-		for h, x := range r.Decided {
-			if !isValidWeight(x) || !w.Hosts[h].Ready {
-				r.Decided[h] = 0
-			}
-		}
-		for _, u := range r.Demands {
-			if c.hasHostFor(r, u) {
-				continue
-			}
-			all, n := 0.0, 0.0
-			for h := range w.Hosts {
-				if u.allows(&w.Hosts[h]) && w.Hosts[h].SlowStartFactor >= 1 {
-					all, n = all+w.Hosts[h].Capacity, n+1
-				}
-			}
-			for h := range w.Hosts {
-				if x := &w.Hosts[h]; u.allows(x) && x.SlowStartFactor >= 1 {
-					if r.Decided[h] = 1; all > 0 && x.Capacity > 0 {
-						r.Decided[h] = x.Capacity * n / all
-					}
-				}
-			}
-		}
+// keepIfBetter takes the rows for the best if their findings are less severe.
+func (r *repairer) keepIfBetter(rows [][]float64) {
+	findings := Check(r.view.withDecided(rows), r.limits)
+	severity := totalSeverity(findings)
+	if severity < r.severity {
+		r.best = rows
+		r.remaining = findings
+		r.severity = severity
 	}
-	return w.decided()
 }
 
-// loadLimit is what a host may be given: its cap, or if it is cold its budget.
-func (m *repairer) loadLimit(h *Host) float64 {
+// loadLimit returns the work in ms per ms that a host may be given: by its capacity, and while it is warming up by its
+// slow-start limit. It is infinite if both are unknown.
+func (r *repairer) loadLimit(host *Host) float64 {
 	limit := math.Inf(1)
-	if h.Capacity > 0 && m.limits.CapacityMultiple > 0 {
-		limit = h.Capacity * m.capacityMultiple
+	if host.Capacity > 0 && r.limits.CapacityMultiple > 0 {
+		limit = host.Capacity * r.capacityMultiple
 	}
-	if h.SlowStartFactor < 1 && h.SlowStartLimit > 0 {
-		limit = math.Min(limit, h.SlowStartLimit)
+	if host.isWarmingUp() && host.SlowStartLimit > 0 {
+		limit = math.Min(limit, host.SlowStartLimit)
 	}
 	return limit
 }
 
-// targetFill is how far under its limit a host is brought, so that what is asked can grow a little before the row is told anew.
-const targetFill = 0.97
-
-// maxReliefPasses over all hosts until what is moved on overloads nobody.
-const maxReliefPasses = 8
-
-// relieve takes off each host what is over its limit and gives it to the roomiest warm hosts of the same row, those of
-// its zone first: few lines change. Where the rows have no room the rest stays.
-func (m *repairer) relieve(rows []Route) {
-	c := newChecker(&View{Hosts: m.view.Hosts, Routes: rows}, m.limits)
-	for range maxReliefPasses {
-		load, moved := c.hostLoads(noZone), false
-		for h := range m.view.Hosts {
-			limit := m.loadLimit(&m.view.Hosts[h])
-			if load[h] <= limit {
-				continue
-			}
-			part := 1 - limit*targetFill/load[h]
-			for i := range rows {
-				if r := &rows[i]; !r.ReadOnly && r.Decided[h] > 0 {
-					moved = m.shiftLoad(r, h, part, load) || moved
-				}
-			}
+// cleaned returns the decided rows without invalid weights and hosts that are not ready, and with the warm hosts, by
+// their capacities, for a demand that has no host then.
+func (r *repairer) cleaned() [][]float64 {
+	view := r.view.withDecided(r.view.decided())
+	for i := range view.Routes {
+		route := &view.Routes[i]
+		if route.ReadOnly {
+			continue
 		}
-		if !moved {
-			return
+		view.dropInvalid(route)
+		for j := range route.Demands {
+			demand := &route.Demands[j]
+			if !view.hasHostFor(route, demand) {
+				view.addWarmHosts(route, demand)
+			}
 		}
 	}
+	return view.decided()
 }
 
-// shiftLoad takes a part of a host's weight in a row and deals it to others with room, whose loads it brings up to date.
-func (m *repairer) shiftLoad(r *Route, from int, part float64, load []float64) bool {
-	sum, asked := m.view.readyWeight(r.Decided), r.totalWork()
-	if asked <= 0 || sum <= 0 {
-		return false
-	}
-	var to []int
-	for h, w := range r.Decided {
-		if x := &m.view.Hosts[h]; h != from && w > 0 && x.Ready && x.SlowStartFactor >= 1 && load[h] < m.loadLimit(x)*targetFill {
-			to = append(to, h)
+// dropInvalid sets the weights to 0 that are invalid or of hosts that are not ready.
+func (v *View) dropInvalid(route *Route) {
+	for i, weight := range route.Decided {
+		if !isValidWeight(weight) || !v.Hosts[i].Ready {
+			route.Decided[i] = 0
 		}
 	}
-	near := func(h int) bool { return m.view.Hosts[h].Zone == m.view.Hosts[from].Zone }
-	room := func(h int) float64 { return math.Min(m.loadLimit(&m.view.Hosts[h])*targetFill, 1e9) - load[h] }
-	sort.SliceStable(to, func(i, j int) bool {
-		if a, b := near(to[i]), near(to[j]); a != b {
-			return a
-		}
-		return room(to[i]) > room(to[j])
-	})
-	rest, moved := r.Decided[from]*part*asked/sum, false // as work
-	for _, h := range to {
-		x := math.Min(rest, room(h))
-		if rest -= x; x > 0 {
-			moved = true
-			load[h], load[from] = load[h]+x, load[from]-x
-			r.Decided[h], r.Decided[from] = r.Decided[h]+x*sum/asked, r.Decided[from]-x*sum/asked
-		}
-	}
-	return moved
 }
 
-// blendParts are the parts of the way to equal busy parts that are tried.
-var blendParts = []float64{0.25, 0.5, 0.75, 1}
-
-// evenOut goes towards shares by the caps of the warm hosts, which leave most when a zone is lost.
-func (m *repairer) evenOut(v *View) {
-	for _, part := range blendParts {
-		w := v.withDecided(v.decided())
-		for i := range w.Routes {
-			r := &w.Routes[i]
-			if r.ReadOnly {
-				continue
-			}
-			sum, caps := 0.0, 0.0
-			for h, x := range r.Decided {
-				if k := &w.Hosts[h]; x > 0 && k.SlowStartFactor >= 1 && k.Capacity > 0 {
-					sum, caps = sum+x, caps+k.Capacity
-				}
-			}
-			for h, x := range r.Decided {
-				if k := &w.Hosts[h]; x > 0 && k.SlowStartFactor >= 1 && k.Capacity > 0 {
-					r.Decided[h] = x + part*(sum*k.Capacity/caps-x)
-				}
-			}
-		}
-		m.keepIfBetter(w.decided())
+// addWarmHosts gives weight to all warm hosts that may take a demand, by their capacities, 1 on average. A host of
+// unknown capacity gets a weight of 1.
+func (v *View) addWarmHosts(route *Route, demand *Demand) {
+	hosts := v.warmHostsFor(demand)
+	capacity := 0.0
+	for _, i := range hosts {
+		capacity += v.Hosts[i].Capacity
 	}
-}
-
-// limitShift goes from the published rows towards others until so much has moved. What those leave out is out, and a cold
-// host gets no more than they give it.
-func (m *repairer) limitShift(to [][]float64, most float64) [][]float64 {
-	w := m.view.withDecided(to)
-	c := newChecker(w, m.limits)
-	for i := range w.Routes {
-		r := &w.Routes[i]
-		if r.ReadOnly || r.Published == nil {
-			continue
-		}
-		moved := c.trafficShift(r)
-		was, is := w.readyWeight(r.Published), w.readyWeight(r.Decided)
-		if moved <= most || was <= 0 || is <= 0 {
-			continue
-		}
-		part, row := most/moved, make([]float64, len(r.Decided))
-		warm, cold := 0.0, 0.0
-		for h, x := range r.Decided {
-			if x <= 0 || !w.Hosts[h].Ready {
-				continue
-			}
-			a, b := 0.0, x/is
-			if isValidWeight(r.Published[h]) {
-				a = r.Published[h] / was
-			}
-			if row[h] = a + part*(b-a); w.Hosts[h].SlowStartFactor < 1 {
-				row[h] = math.Min(row[h], b)
-				cold += row[h]
-			} else {
-				warm += row[h]
-			}
-		}
-		for h := range row { // the weights' usual size, and the cold hosts' shares as they are
-			if w.Hosts[h].SlowStartFactor >= 1 && warm > 0 {
-				row[h] *= (1 - cold) / warm
-			}
-			row[h] *= is
-		}
-		if warm > 0 {
-			r.Decided = row
+	for _, i := range hosts {
+		route.Decided[i] = 1
+		if capacity > 0 && v.Hosts[i].Capacity > 0 {
+			route.Decided[i] = v.Hosts[i].Capacity * float64(len(hosts)) / capacity
 		}
 	}
-	return w.decided()
 }
--- /dev/null
+++ b/guard/update.go
@@ -0,0 +1,46 @@
+package guard
+
+// MinimalUpdate returns the smallest change of a published row that delays no removal, for when the channel has no room
+// for a better one: the published row without the hosts that are not ready or have no weight in the decided row, and
+// with no more weight for a host that is warming up than either row gives it. It reports whether a warm host is left.
+func MinimalUpdate(hosts []Host, published, decided []float64) (row []float64, warmHostLeft bool) {
+	row = make([]float64, len(decided))
+	for i, weight := range published {
+		stays := weight > 0 && isPositiveWeight(decided[i]) && hosts[i].Ready
+		if !stays {
+			continue
+		}
+		if hosts[i].isWarmingUp() {
+			row[i] = min(weight, decided[i])
+			continue
+		}
+		row[i] = weight
+		warmHostLeft = true
+	}
+	return row, warmHostLeft
+}
+
+// Changed returns the number of weight entries that differ between two rows, and whether one of them is a removal. A
+// host beyond the end of a row has no weight in it.
+func Changed(published, decided []float64) (entries int, removal bool) {
+	for i := range max(len(published), len(decided)) {
+		before := weightAt(published, i)
+		after := weightAt(decided, i)
+		if before == after {
+			continue
+		}
+		entries++
+		if after <= 0 {
+			removal = true
+		}
+	}
+	return entries, removal
+}
+
+// weightAt returns the weight of a host in a row, 0 beyond its end.
+func weightAt(row []float64, host int) float64 {
+	if host >= len(row) {
+		return 0
+	}
+	return row[host]
+}
