--- a/intake/trust.go
+++ b/intake/trust.go
@@ -1,7 +1,6 @@
 package intake
 
 import (
-	"fmt"
 	"math"
 
 	"barleysail/routing"
@@ -29,13 +28,6 @@
 	ProxyShare float64 // part of the proxies whose sums come here
 }
 
-// counts of what proxies met lately, faded.
-type counts struct {
-	over            float64 // ms it fades over
-	good, bad, time float64
-	at, from        float64 // from: since when it counts; 0: it has not begun
-}
-
 const (
 	metFor     = 5000.0 // ms that what proxies met fades over
 	quickFor   = 1500.0 // and the figures that follow a change sooner
@@ -54,28 +46,6 @@
 	intervals  = 5.0    // times its usual pause after which a host's reports have stopped
 )
 
-// fade brings counts up to a time.
-func (c *counts) fade(now float64) {
-	part := math.Exp((c.at - now) / c.over)
-	c.good, c.bad, c.time, c.at = c.good*part, c.bad*part, c.time*part, now
-}
-
-func (c *counts) add(now float64, l *Report) {
-	if c.from == 0 {
-		c.from = now - l.WindowMs
-	}
-	c.fade(now)
-	good := float64(l.Attempts - l.Failed)
-	c.good, c.bad, c.time = c.good+good, c.bad+float64(l.Failed), c.time+good*l.MeanLatencyMs
-}
-
-// rate of a faded count, a second.
-func (c *counts) rate(n float64) float64 {
-	return n / (c.over * (1 - math.Exp(-math.Max(c.at-c.from, 100)/c.over))) * 1000
-}
-
-func (c *counts) mean() float64 { return c.time / math.Max(c.good, 1e-9) }
-
 // host as the intake knows it.
 type host struct {
 	met       counts
@@ -175,41 +145,6 @@
 	}
 }
 
-// odd says why a report does not fit what the proxies met, if it does not.
-func (t *Trust) odd(now float64, h *host, load routing.HostLoad, c Capacity) string {
-	h.met.fade(now)
-	h.quick.fade(now)
-	t.fleet.fade(now)
-	if h.met.good < enough || now < h.met.from+knownFor {
-		return ""
-	}
-	// Where traffic falls a host tells so before our figures show it: the lower one counts.
-	ours := math.Min(h.met.rate(h.met.good), h.quick.rate(h.quick.good))
-	mean, usual := h.met.mean(), t.fleet.mean()
-	if odds := math.Pow(t.again/t.all, float64(h.run)); h.run >= runLeast && odds < t.limits.StuckProbability {
-		return fmt.Sprintf("the same %d times, by chance once in %.0f", h.run+1, 1/odds)
-	}
-	// Where traffic falls everywhere all hosts tell so before our figures show it: then the fleet's part counts.
-	part := 1.0
-	if load.RequestRate >= 0 {
-		fade := math.Exp((t.toldAt - now) / quickFor)
-		t.told, t.ours, t.toldAt = t.told*fade+load.RequestRate, t.ours*fade+ours, now
-		part = math.Min(1, t.told/math.Max(t.ours, 1e-9))
-	}
-	if load.RequestRate >= 0 && load.RequestRate+1 < lessThan*part*ours {
-		return fmt.Sprintf("it tells %.3g a second, our proxies alone had %.3g fulfilled", load.RequestRate, ours)
-	}
-	if c.Cores > 0 && c.MeanWorkMs > 0 && load.Utilization >= 0 {
-		if busy := part * ours * c.MeanWorkMs / 1000 / c.Cores; load.Utilization+0.1 < halfBusy*busy {
-			return fmt.Sprintf("it tells a busy part of %.2f, our proxies' work alone makes %.2f", load.Utilization, busy)
-		}
-	}
-	if load.Utilization >= 0 && load.Utilization < idleUnder && load.QueueLength <= 0 && mean > slowIdle*usual {
-		return fmt.Sprintf("it tells a busy part of %.2f, its answers take %.0f ms where %.0f are usual", load.Utilization, mean, usual)
-	}
-	return ""
-}
-
 // silent tells whether a host's reports have stopped.
 func (t *Trust) silent(now float64, h *host) bool {
 	return now-h.lastAt > math.Max(t.limits.SilentAfterMs, intervals*h.every)
@@ -258,45 +193,6 @@
 	return lines
 }
 
-// HostReport is how a host's reports stand.
-type HostReport struct {
-	Count             float64       `json:"count"`     // good tries that count now, faded
-	AgeMs             float64       `json:"age_ms"`    // of the newest load report; below 0: there was none
-	Trust             float64       `json:"trust"`     // in its load reports, 0 to 1
-	DistrustReason    string        `json:"doubted"`   // why they are not believed
-	Silent            bool          `json:"silent"`    // they have stopped
-	Estimate          float64       `json:"estimate"`  // of its busy part, where they are not believed or have stopped
-	Uncertainty       float64       `json:"unsure"`    // how unsure that is, 0 to 1
-	DuplicateReporter bool          `json:"two_names"` // two senders are at work under its name
-	Latencies         LatencyReport `json:"times"`
-}
-
-// Host tells how a host's reports stand; false where none came and no proxy met it.
-func (t *Trust) Host(now float64, name string, c Capacity) (r HostReport, ok bool) {
-	h := t.hosts[name]
-	if h == nil {
-		return r, false
-	}
-	h.met.fade(now)
-	r = HostReport{Count: h.met.good, AgeMs: -1, Trust: h.trust, DistrustReason: h.why, DuplicateReporter: h.senders.Duplicate(now), Latencies: h.spread.Report()}
-	if h.lastAt > 0 {
-		r.AgeMs, r.Silent = now-h.lastAt, t.silent(now, h)
-		if r.Silent || h.doubted {
-			r.Estimate = math.Min(t.estimate(now, h, c), 1)
-			r.Uncertainty = math.Min((now-h.believeAt)/math.Max(t.limits.UncertainAfterMs, 1), 1)
-		}
-	}
-	return r, true
-}
-
-// Confidence is how far a host's load reports are trusted, 1 where nothing is known.
-func (t *Trust) Confidence(name string) float64 {
-	if h := t.hosts[name]; h != nil {
-		return h.trust
-	}
-	return 1
-}
-
 // AcceptLoadReport tells whether a report that a host sent itself is news, and how old it is by the host's stamp, 0 where it has
 // none.
 func (t *Trust) AcceptLoadReport(now float64, name, sender string, number int64, stamp float64) (news bool, age float64) {
@@ -310,16 +206,3 @@
 	}
 	return news, age
 }
-
-// Count tells how many hosts are known, doubted and silent.
-func (t *Trust) Count(now float64) (known, doubted, silent int) {
-	for _, h := range t.hosts {
-		if h.doubted {
-			doubted++
-		}
-		if h.lastAt > 0 && t.silent(now, h) {
-			silent++
-		}
-	}
-	return len(t.hosts), doubted, silent
-}
