--- a/intake/ingest_pacer.go
+++ b/intake/ingest_pacer.go
@@ -5,37 +5,37 @@
 // IngestPacer decides how far a steward that falls behind sheds reports, and then lengthens its rounds. Polls and drains are not
 // its business: they go on as they come.
 type IngestPacer struct {
-	level  int
-	late   float64 // of the last rounds, faded
-	behind int     // rounds in a row that were late
-	inTime int     // and in time
+	level              int
+	smoothedLatenessMs float64 // of the last rounds, faded
+	lateRounds         int     // rounds in a row that were late
+	onTimeRounds       int     // and in time
 }
 
 const (
-	lateOver    = 100.0 // ms that a round may come late
-	inTimeUnder = 20.0
-	behindFor   = 3  // late rounds in a row raise the level
-	inTimeFor   = 25 // rounds in time lower it
-	mostLevel   = 3
+	lateThresholdMs     = 100.0 // ms that a round may come late
+	onTimeThresholdMs   = 20.0
+	lateRoundsToRaise   = 3  // late rounds in a row raise the level
+	onTimeRoundsToLower = 25 // rounds in time lower it
+	maxSheddingLevel    = 3
 )
 
 // ObserveRound notes that a round came so many ms later than it was due, and tells whether the level changed.
 func (p *IngestPacer) ObserveRound(late float64) (changed bool) {
-	p.late += 0.3 * (late - p.late)
+	p.smoothedLatenessMs += 0.3 * (late - p.smoothedLatenessMs)
 	switch {
-	case late > lateOver:
-		p.behind, p.inTime = p.behind+1, 0
-	case late < inTimeUnder:
-		p.behind, p.inTime = 0, p.inTime+1
+	case late > lateThresholdMs:
+		p.lateRounds, p.onTimeRounds = p.lateRounds+1, 0
+	case late < onTimeThresholdMs:
+		p.lateRounds, p.onTimeRounds = 0, p.onTimeRounds+1
 	default:
-		p.behind, p.inTime = 0, 0
+		p.lateRounds, p.onTimeRounds = 0, 0
 	}
-	if p.behind >= behindFor && p.level < mostLevel {
-		p.level, p.behind = p.level+1, 0
+	if p.lateRounds >= lateRoundsToRaise && p.level < maxSheddingLevel {
+		p.level, p.lateRounds = p.level+1, 0
 		return true
 	}
-	if p.inTime >= inTimeFor && p.level > 0 {
-		p.level, p.inTime = p.level-1, 0
+	if p.onTimeRounds >= onTimeRoundsToLower && p.level > 0 {
+		p.level, p.onTimeRounds = p.level-1, 0
 		return true
 	}
 	return false
@@ -45,7 +45,7 @@
 func (p *IngestPacer) SheddingLevel() int { return p.level }
 
 // LatenessMs is how late the last rounds came, ms.
-func (p *IngestPacer) LatenessMs() float64 { return p.late }
+func (p *IngestPacer) LatenessMs() float64 { return p.smoothedLatenessMs }
 
 // Ratio is what of the intake is let in: half as much with each level.
 func (p *IngestPacer) Ratio() float64 { return math.Exp2(-float64(p.level)) }
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -11,72 +11,72 @@
 // last, so a source that sends again and again takes no more room. When more wait than may, the source with the most lines loses the one that is
 // stalest and says least.
 type Queue struct {
-	limits  Limits
-	by      map[string]*waiting
-	most    longest // the sources, the one with the most lines first
-	lines   int
-	next    int64 // order of arrival
-	dropped map[string]int64
+	limits       Limits
+	bySource     map[string]*sourceQueue
+	bySize       sourceHeap // the sources, the one with the most lines first
+	length       int
+	lastSequence int64 // order of arrival
+	dropped      map[string]int64
 }
 
-// waiting are a source's lines, the least worth first.
-type waiting struct {
-	source string
-	lines  []*queued
-	of     map[key][]*queued
-	at     int // in longest
+// sourceQueue are a source's lines, the least worth first.
+type sourceQueue struct {
+	source    string
+	reports   []*queuedReport
+	bySubject map[subjectKey][]*queuedReport
+	heapIndex int // in longest
 }
 
-type key struct {
-	of    string
-	usage bool
+type subjectKey struct {
+	subject  string
+	isDemand bool
 }
 
-type queued struct {
+type queuedReport struct {
 	Report
-	worth float64
-	order int64
-	at    int // in the source's heap
+	priority  float64
+	sequence  int64
+	heapIndex int // in the source's heap
 }
 
-// alike is how many lines of one source on one thing wait apart.
-const alike = 4
+// maxPerSubject is how many lines of one source on one thing wait apart.
+const maxPerSubject = 4
 
 // NewQueue makes an empty one.
 func NewQueue(l Limits) *Queue {
-	return &Queue{limits: l, by: map[string]*waiting{}, dropped: map[string]int64{}}
+	return &Queue{limits: l, bySource: map[string]*sourceQueue{}, dropped: map[string]int64{}}
 }
 
-// worth orders lines by how much they still say: the tries, halved for each half-life of age. Since all age alike it does
+// priority orders lines by how much they still say: the tries, halved for each half-life of age. Since all age alike it does
 // not change while they wait.
-func (q *Queue) worth(l *Report) float64 {
+func (q *Queue) priority(l *Report) float64 {
 	return math.Log2(float64(l.Attempts)+1) + l.ObservedMs/math.Max(q.limits.HalfLifeMs, 1)
 }
 
 // Add puts a line into the queue.
 func (q *Queue) Add(l Report) {
-	w := q.by[l.Source]
+	w := q.bySource[l.Source]
 	if w == nil {
-		w = &waiting{source: l.Source, of: map[key][]*queued{}}
-		q.by[l.Source] = w
-		heap.Push(&q.most, w)
+		w = &sourceQueue{source: l.Source, bySubject: map[subjectKey][]*queuedReport{}}
+		q.bySource[l.Source] = w
+		heap.Push(&q.bySize, w)
 	}
-	k := key{l.Subject, l.IsDemand}
-	if all := w.of[k]; len(all) >= alike {
+	k := subjectKey{l.Subject, l.IsDemand}
+	if all := w.bySubject[k]; len(all) >= maxPerSubject {
 		x := all[len(all)-1]
 		x.merge(l)
-		x.worth = q.worth(&x.Report)
-		heap.Fix((*least)(&w.lines), x.at)
+		x.priority = q.priority(&x.Report)
+		heap.Fix((*reportHeap)(&w.reports), x.heapIndex)
 		return
 	}
-	q.next++
-	x := &queued{Report: l, worth: q.worth(&l), order: q.next}
-	w.of[k] = append(w.of[k], x)
-	heap.Push((*least)(&w.lines), x)
-	heap.Fix(&q.most, w.at)
-	if q.lines++; q.lines > q.limits.MaxQueued {
+	q.lastSequence++
+	x := &queuedReport{Report: l, priority: q.priority(&l), sequence: q.lastSequence}
+	w.bySubject[k] = append(w.bySubject[k], x)
+	heap.Push((*reportHeap)(&w.reports), x)
+	heap.Fix(&q.bySize, w.heapIndex)
+	if q.length++; q.length > q.limits.MaxQueued {
 		q.Drop(QueueFull, 1)
-		q.remove(q.most[0], 0)
+		q.remove(q.bySize[0], 0)
 	}
 }
 
@@ -87,28 +87,28 @@
 func (q *Queue) Drop(why string, lines int) { q.dropped[why] += int64(lines) }
 
 // remove takes a line of a source out.
-func (q *Queue) remove(w *waiting, i int) *queued {
-	x := heap.Remove((*least)(&w.lines), i).(*queued)
-	k := key{x.Subject, x.IsDemand}
-	if w.of[k] = slices.DeleteFunc(w.of[k], func(y *queued) bool { return y == x }); len(w.of[k]) == 0 {
-		delete(w.of, k)
+func (q *Queue) remove(w *sourceQueue, i int) *queuedReport {
+	x := heap.Remove((*reportHeap)(&w.reports), i).(*queuedReport)
+	k := subjectKey{x.Subject, x.IsDemand}
+	if w.bySubject[k] = slices.DeleteFunc(w.bySubject[k], func(y *queuedReport) bool { return y == x }); len(w.bySubject[k]) == 0 {
+		delete(w.bySubject, k)
 	}
-	if q.lines--; len(w.lines) == 0 {
-		heap.Remove(&q.most, w.at)
-		delete(q.by, w.source)
+	if q.length--; len(w.reports) == 0 {
+		heap.Remove(&q.bySize, w.heapIndex)
+		delete(q.bySource, w.source)
 	} else {
-		heap.Fix(&q.most, w.at)
+		heap.Fix(&q.bySize, w.heapIndex)
 	}
 	return x
 }
 
 // Forget drops what waits of a source.
 func (q *Queue) Forget(source string) {
-	if w := q.by[source]; w != nil {
-		q.Drop(SubjectGone, len(w.lines))
-		q.lines -= len(w.lines)
-		heap.Remove(&q.most, w.at)
-		delete(q.by, source)
+	if w := q.bySource[source]; w != nil {
+		q.Drop(SubjectGone, len(w.reports))
+		q.length -= len(w.reports)
+		heap.Remove(&q.bySize, w.heapIndex)
+		delete(q.bySource, source)
 	}
 }
 
@@ -116,32 +116,32 @@
 // they are more, one of each source in turn, those that say most first. Lines that are too old are dropped. Tries are
 // told by what they still weigh.
 func (q *Queue) Take(now float64, most int) (lines []Report) {
-	var taken []*queued
-	if q.lines <= most {
-		for _, w := range q.by {
-			taken = append(taken, w.lines...)
+	var taken []*queuedReport
+	if q.length <= most {
+		for _, w := range q.bySource {
+			taken = append(taken, w.reports...)
 		}
-		q.by, q.most, q.lines = map[string]*waiting{}, nil, 0
+		q.bySource, q.bySize, q.length = map[string]*sourceQueue{}, nil, 0
 	} else {
-		turn := slices.Clone(q.most)
-		slices.SortFunc(turn, func(a, b *waiting) int { return compare(a.first(), b.first()) })
+		turn := slices.Clone(q.bySize)
+		slices.SortFunc(turn, func(a, b *sourceQueue) int { return compare(a.firstSequence(), b.firstSequence()) })
 		for len(taken) < most {
 			left := turn[:0]
 			for _, w := range turn {
 				if len(taken) == most {
 					break
 				}
-				taken = append(taken, q.remove(w, w.best()))
-				if len(w.lines) > 0 {
+				taken = append(taken, q.remove(w, w.highestPriority()))
+				if len(w.reports) > 0 {
 					left = append(left, w)
 				}
 			}
 			turn = left
 		}
 	}
-	slices.SortFunc(taken, func(a, b *queued) int { return compare(a.order, b.order) })
+	slices.SortFunc(taken, func(a, b *queuedReport) int { return compare(a.sequence, b.sequence) })
 	for _, x := range taken {
-		weight := q.limits.weight(now - x.ObservedMs)
+		weight := q.limits.ageWeight(now - x.ObservedMs)
 		if weight == 0 {
 			q.Drop(TooOld, 1)
 			continue
@@ -154,8 +154,8 @@
 	return lines
 }
 
-// weight is what is left of a report of an age.
-func (l Limits) weight(age float64) float64 {
+// ageWeight is what is left of a report of an age.
+func (l Limits) ageWeight(age float64) float64 {
 	if age >= l.MaxAgeMs {
 		return 0
 	}
@@ -170,21 +170,21 @@
 }
 
 // Waiting is the number of lines that wait, and of their sources.
-func (q *Queue) Waiting() (lines, sources int) { return q.lines, len(q.by) }
+func (q *Queue) Waiting() (lines, sources int) { return q.length, len(q.bySource) }
 
-// first is when the oldest line of a source came.
-func (w *waiting) first() int64 {
+// firstSequence is when the oldest line of a source came.
+func (w *sourceQueue) firstSequence() int64 {
 	first := int64(math.MaxInt64)
-	for _, x := range w.lines {
-		first = min(first, x.order)
+	for _, x := range w.reports {
+		first = min(first, x.sequence)
 	}
 	return first
 }
 
-// best is where the line that says most stands.
-func (w *waiting) best() (best int) {
-	for i, x := range w.lines {
-		if b := w.lines[best]; x.worth > b.worth || x.worth == b.worth && x.order < b.order {
+// highestPriority is where the line that says most stands.
+func (w *sourceQueue) highestPriority() (best int) {
+	for i, x := range w.reports {
+		if b := w.reports[best]; x.priority > b.priority || x.priority == b.priority && x.sequence < b.sequence {
 			best = i
 		}
 	}
--- a/intake/queue_heaps.go
+++ b/intake/queue_heaps.go
@@ -1,15 +1,18 @@
 package intake
 
-// least is a heap of lines, those that say least first.
-type least []*queued
+// reportHeap is a heap of lines, those that say least first.
+type reportHeap []*queuedReport
 
-func (h least) Len() int { return len(h) }
-func (h least) Less(i, j int) bool {
-	return h[i].worth < h[j].worth || h[i].worth == h[j].worth && h[i].order < h[j].order
+func (h reportHeap) Len() int { return len(h) }
+func (h reportHeap) Less(i, j int) bool {
+	return h[i].priority < h[j].priority || h[i].priority == h[j].priority && h[i].sequence < h[j].sequence
 }
-func (h least) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].at, h[j].at = i, j }
-func (h *least) Push(x any)   { x.(*queued).at = len(*h); *h = append(*h, x.(*queued)) }
-func (h *least) Pop() any {
+func (h reportHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
+func (h *reportHeap) Push(x any) {
+	x.(*queuedReport).heapIndex = len(*h)
+	*h = append(*h, x.(*queuedReport))
+}
+func (h *reportHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -17,16 +20,19 @@
 	return x
 }
 
-// longest is a heap of sources, that with the most lines first.
-type longest []*waiting
+// sourceHeap is a heap of sources, that with the most lines first.
+type sourceHeap []*sourceQueue
 
-func (h longest) Len() int { return len(h) }
-func (h longest) Less(i, j int) bool {
-	return len(h[i].lines) > len(h[j].lines) || len(h[i].lines) == len(h[j].lines) && h[i].source < h[j].source
+func (h sourceHeap) Len() int { return len(h) }
+func (h sourceHeap) Less(i, j int) bool {
+	return len(h[i].reports) > len(h[j].reports) || len(h[i].reports) == len(h[j].reports) && h[i].source < h[j].source
+}
+func (h sourceHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
+func (h *sourceHeap) Push(x any) {
+	x.(*sourceQueue).heapIndex = len(*h)
+	*h = append(*h, x.(*sourceQueue))
 }
-func (h longest) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].at, h[j].at = i, j }
-func (h *longest) Push(x any)   { x.(*waiting).at = len(*h); *h = append(*h, x.(*waiting)) }
-func (h *longest) Pop() any {
+func (h *sourceHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/intake/queue_test.go
+++ b/intake/queue_test.go
@@ -73,8 +73,8 @@
 			before, _ := q.Waiting()
 			dropped := q.dropped[QueueFull]
 			was := 0
-			if w := q.by[l.Source]; w != nil {
-				was = len(w.lines)
+			if w := q.bySource[l.Source]; w != nil {
+				was = len(w.reports)
 			}
 			q.Add(l)
 			offered++
@@ -87,12 +87,12 @@
 			}
 			if q.dropped[QueueFull] > dropped { // somebody lost a line: the longest
 				most := 0
-				for _, w := range q.by {
-					most = max(most, len(w.lines))
+				for _, w := range q.bySource {
+					most = max(most, len(w.reports))
 				}
 				now := 0
-				if w := q.by[l.Source]; w != nil {
-					now = len(w.lines)
+				if w := q.bySource[l.Source]; w != nil {
+					now = len(w.reports)
 				}
 				if now < was && now+1 < most {
 					t.Fatalf("%s lost a line with %d where another has %d", l.Source, now, most)
--- a/intake/rate_limiter_test.go
+++ b/intake/rate_limiter_test.go
@@ -62,10 +62,10 @@
 // What is kept of sources is bounded, however many names come.
 func TestDoorIsBounded(t *testing.T) {
 	d := NewRateLimiter(DefaultRateLimits())
-	for i := range mostSources + 1000 {
+	for i := range maxSources + 1000 {
 		d.Allow(time.Unix(1000, 0), fmt.Sprint("p", i), 1)
 	}
-	if n := d.Report().Sources; n > mostSources+1 {
+	if n := d.Report().Sources; n > maxSources+1 {
 		t.Errorf("%d sources", n)
 	}
 }
--- a/intake/trust.go
+++ b/intake/trust.go
@@ -11,14 +11,14 @@
 // less surely. What is told in a report's place never gives room: it is the larger of what was reported and what is
 // estimated, and an estimate grows with its age towards the busy part at which a host has none.
 type Trust struct {
-	limits     Limits
-	hosts      map[string]*host
-	fleet      counts
-	told, ours float64 // faded: rates that all hosts reported, and what our proxies had fulfilled there
-	toldAt     float64
-	again      float64  // faded: reports that were the same as the one before
-	all        float64  // and all
-	lines      []string // of changes, to be told
+	limits                           Limits
+	hosts                            map[string]*hostState
+	fleet                            attemptStats
+	reportedRateSum, observedRateSum float64 // faded: rates that all hosts reported, and what our proxies had fulfilled there
+	rateSumsMs                       float64
+	repeatedReports                  float64  // faded: reports that were the same as the one before
+	sampledReports                   float64  // and all
+	changes                          []string // of changes, to be told
 }
 
 // Capacity is what is known of a host besides its reports.
@@ -29,53 +29,53 @@
 }
 
 const (
-	metFor     = 5000.0 // ms that what proxies met fades over
-	quickFor   = 1500.0 // and the figures that follow a change sooner
-	knownFor   = 3000.0 // ms after which they say something
-	sampled    = 500.0  // ms between two reports of a host that are looked at
-	enough     = 20.0   // good tries that say something about a host
-	lessThan   = 0.8    // of what our proxies alone had fulfilled a host may not report less
-	halfBusy   = 0.5    // of the busy part that our proxies' work alone would make, likewise
-	slowIdle   = 2.5    // times the fleet's mean time: a host that idles is not so slow
-	idleUnder  = 0.5    // busy part of a host that idles
-	loses      = 0.75   // of its trust a report that does not fit leaves
-	gains      = 0.1    // of what lacks a fitting one gives back
-	doubtUnder = 0.5    // trust under which reports are not believed
-	trustAgain = 0.75   // and over which they are
-	runLeast   = 5      // reports alike in a row that may be stuck
-	intervals  = 5.0    // times its usual pause after which a host's reports have stopped
+	attemptDecayMs      = 5000.0 // ms that what proxies met fades over
+	fastDecayMs         = 1500.0 // and the figures that follow a change sooner
+	minObservationMs    = 3000.0 // ms after which they say something
+	samplingIntervalMs  = 500.0  // ms between two reports of a host that are looked at
+	minGoodAttempts     = 20.0   // good tries that say something about a host
+	minRateRatio        = 0.8    // of what our proxies alone had fulfilled a host may not report less
+	minUtilizationRatio = 0.5    // of the busy part that our proxies' work alone would make, likewise
+	maxIdleLatencyRatio = 2.5    // times the fleet's mean time: a host that idles is not so slow
+	idleUtilization     = 0.5    // busy part of a host that idles
+	confidenceLoss      = 0.75   // of its trust a report that does not fit leaves
+	confidenceGain      = 0.1    // of what lacks a fitting one gives back
+	distrustThreshold   = 0.5    // trust under which reports are not believed
+	trustThreshold      = 0.75   // and over which they are
+	minStuckRepeats     = 5      // reports alike in a row that may be stuck
+	silentIntervals     = 5.0    // times its usual pause after which a host's reports have stopped
 )
 
-// host as the intake knows it.
-type host struct {
-	met       counts
-	quick     counts
-	spread    LatencyDistribution
-	senders   Reporters
-	clock     Clock
-	last      routing.HostLoad // as reported, newest
-	lastAt    float64
-	looked    float64
-	every     float64 // between two reports that differ in time
-	run       int
-	trust     float64
-	doubted   bool
-	why       string
-	believed  routing.HostLoad // when it was last believed, and what the proxies met then
-	believeAt float64
-	rateThen  float64
-	meanThen  float64
+// hostState as the intake knows it.
+type hostState struct {
+	attempts         attemptStats
+	recentAttempts   attemptStats
+	latencies        LatencyDistribution
+	reporters        Reporters
+	clock            Clock
+	lastLoad         routing.HostLoad // as reported, newest
+	lastLoadMs       float64
+	lastSampleMs     float64
+	intervalMs       float64 // between two reports that differ in time
+	repeats          int
+	confidence       float64
+	distrusted       bool
+	distrustReason   string
+	trustedLoad      routing.HostLoad // when it was last believed, and what the proxies met then
+	trustedMs        float64
+	trustedRate      float64
+	trustedLatencyMs float64
 }
 
 // NewTrust makes one that knows no host.
 func NewTrust(l Limits) *Trust {
-	return &Trust{limits: l, hosts: map[string]*host{}, fleet: counts{over: metFor}, again: 1, all: 2}
+	return &Trust{limits: l, hosts: map[string]*hostState{}, fleet: attemptStats{decayMs: attemptDecayMs}, repeatedReports: 1, sampledReports: 2}
 }
 
-func (t *Trust) host(name string) *host {
+func (t *Trust) hostState(name string) *hostState {
 	h := t.hosts[name]
 	if h == nil {
-		h = &host{met: counts{over: metFor}, quick: counts{over: quickFor}, last: routing.UnknownLoad, believed: routing.UnknownLoad, trust: 1}
+		h = &hostState{attempts: attemptStats{decayMs: attemptDecayMs}, recentAttempts: attemptStats{decayMs: fastDecayMs}, lastLoad: routing.UnknownLoad, trustedLoad: routing.UnknownLoad, confidence: 1}
 		t.hosts[name] = h
 	}
 	return h
@@ -83,9 +83,9 @@
 
 // Restore notes how far a host's reports were trusted in an earlier life.
 func (t *Trust) Restore(name string, trust float64) {
-	h := t.host(name)
-	if h.trust = trust; trust < doubtUnder {
-		h.doubted, h.why = true, "they were before the steward's start"
+	h := t.hostState(name)
+	if h.confidence = trust; trust < distrustThreshold {
+		h.distrusted, h.distrustReason = true, "they were before the steward's start"
 	}
 }
 
@@ -97,11 +97,11 @@
 	if l.Attempts == 0 {
 		return
 	}
-	h := t.host(l.Subject)
-	h.met.add(now, l)
-	h.quick.add(now, l)
+	h := t.hostState(l.Subject)
+	h.attempts.add(now, l)
+	h.recentAttempts.add(now, l)
 	t.fleet.add(now, l)
-	h.spread.Add(now, l.Latencies, l.MeanLatencyMs, int64(l.Attempts-l.Failed))
+	h.latencies.Add(now, l.Latencies, l.MeanLatencyMs, int64(l.Attempts-l.Failed))
 }
 
 // ObserveLoad notes a load report of a host; of several within half a second the first is looked at, the newest kept.
@@ -109,97 +109,97 @@
 	if load == routing.UnknownLoad {
 		return
 	}
-	h := t.host(name)
-	first := h.lastAt == 0
-	if !first && now-h.looked < sampled {
-		h.last, h.lastAt = load, now
+	h := t.hostState(name)
+	first := h.lastLoadMs == 0
+	if !first && now-h.lastSampleMs < samplingIntervalMs {
+		h.lastLoad, h.lastLoadMs = load, now
 		return
 	}
-	if pause := now - h.looked; !first {
-		h.every += 0.2 * (math.Min(pause, 10*t.limits.SilentAfterMs) - h.every)
+	if pause := now - h.lastSampleMs; !first {
+		h.intervalMs += 0.2 * (math.Min(pause, 10*t.limits.SilentAfterMs) - h.intervalMs)
 	}
-	same := !first && load == h.last
-	if t.again, t.all = t.again*0.999, t.all*0.999+1; same {
-		t.again++
-		h.run++
+	same := !first && load == h.lastLoad
+	if t.repeatedReports, t.sampledReports = t.repeatedReports*0.999, t.sampledReports*0.999+1; same {
+		t.repeatedReports++
+		h.repeats++
 	} else {
-		h.run = 0
+		h.repeats = 0
 	}
-	h.last, h.lastAt, h.looked = load, now, now
-	why := t.odd(now, h, load, c)
+	h.lastLoad, h.lastLoadMs, h.lastSampleMs = load, now, now
+	why := t.inconsistency(now, h, load, c)
 	if why != "" {
-		h.trust *= loses
+		h.confidence *= confidenceLoss
 	} else {
-		h.trust += gains * (1 - h.trust)
+		h.confidence += confidenceGain * (1 - h.confidence)
 	}
 	switch {
-	case !h.doubted && h.trust < doubtUnder:
-		h.doubted, h.why = true, why
-		t.lines = append(t.lines, "reports of "+name+" are doubted: "+why)
-	case h.doubted && h.trust > trustAgain:
-		h.doubted, h.why = false, ""
-		t.lines = append(t.lines, "reports of "+name+" fit again")
+	case !h.distrusted && h.confidence < distrustThreshold:
+		h.distrusted, h.distrustReason = true, why
+		t.changes = append(t.changes, "reports of "+name+" are doubted: "+why)
+	case h.distrusted && h.confidence > trustThreshold:
+		h.distrusted, h.distrustReason = false, ""
+		t.changes = append(t.changes, "reports of "+name+" fit again")
 	}
-	if !h.doubted && why == "" {
-		h.believed, h.believeAt, h.rateThen, h.meanThen = load, now, h.met.rate(h.met.good+h.met.bad), h.met.mean()
+	if !h.distrusted && why == "" {
+		h.trustedLoad, h.trustedMs, h.trustedRate, h.trustedLatencyMs = load, now, h.attempts.perSecond(h.attempts.good+h.attempts.failed), h.attempts.meanLatencyMs()
 	}
 }
 
-// silent tells whether a host's reports have stopped.
-func (t *Trust) silent(now float64, h *host) bool {
-	return now-h.lastAt > math.Max(t.limits.SilentAfterMs, intervals*h.every)
+// isSilent tells whether a host's reports have stopped.
+func (t *Trust) isSilent(now float64, h *hostState) bool {
+	return now-h.lastLoadMs > math.Max(t.limits.SilentAfterMs, silentIntervals*h.intervalMs)
 }
 
 // Load is what the module is told of a host's load beside a line that came with a report or none.
 func (t *Trust) Load(now float64, name string, with routing.HostLoad, c Capacity) routing.HostLoad {
 	h := t.hosts[name]
-	if t.limits.TrustAll || h == nil || h.lastAt == 0 {
+	if t.limits.TrustAll || h == nil || h.lastLoadMs == 0 {
 		return with
 	}
-	silent := t.silent(now, h)
-	if !h.doubted && !silent {
+	silent := t.isSilent(now, h)
+	if !h.distrusted && !silent {
 		if with == routing.UnknownLoad {
-			return h.last
+			return h.lastLoad
 		}
 		return with
 	}
 	// An estimate takes room away, but is no proof of overload: levels go by what is reported and by failed tries.
-	util := math.Min(t.estimate(now, h, c), t.limits.UnknownUtilization)
-	if h.doubted {
-		util = math.Max(util, h.last.Utilization)
+	util := math.Min(t.estimateUtilization(now, h, c), t.limits.UnknownUtilization)
+	if h.distrusted {
+		util = math.Max(util, h.lastLoad.Utilization)
 	}
 	return routing.HostLoad{Utilization: util, RequestRate: -1, QueueLength: -1}
 }
 
-// estimate of a host's busy part: by the rate that all proxies together bring it, over what it can do; or by what it told
+// estimateUtilization of a host's busy part: by the rate that all proxies together bring it, over what it can do; or by what it told
 // when it was last believed and how traffic and times have changed. The older that is, the nearer it comes to Blind.
-func (t *Trust) estimate(now float64, h *host, c Capacity) float64 {
-	h.met.fade(now)
-	rate, mean, busy := h.met.rate(h.met.good+h.met.bad), h.met.mean(), t.limits.UnknownUtilization
-	unsure := math.Min((now-h.believeAt)/math.Max(t.limits.UncertainAfterMs, 1), 1)
+func (t *Trust) estimateUtilization(now float64, h *hostState, c Capacity) float64 {
+	h.attempts.decay(now)
+	rate, mean, busy := h.attempts.perSecond(h.attempts.good+h.attempts.failed), h.attempts.meanLatencyMs(), t.limits.UnknownUtilization
+	unsure := math.Min((now-h.trustedMs)/math.Max(t.limits.UncertainAfterMs, 1), 1)
 	switch {
 	case c.Cores > 0 && c.MeanWorkMs > 0 && c.ProxyShare > 0:
 		busy = rate / c.ProxyShare * c.MeanWorkMs / 1000 / c.Cores
-	case h.believed.Utilization >= 0 && h.rateThen > 0 && h.meanThen > 0 && h.met.good >= 1:
-		busy = h.believed.Utilization * rate * mean / (h.rateThen * h.meanThen)
+	case h.trustedLoad.Utilization >= 0 && h.trustedRate > 0 && h.trustedLatencyMs > 0 && h.attempts.good >= 1:
+		busy = h.trustedLoad.Utilization * rate * mean / (h.trustedRate * h.trustedLatencyMs)
 	}
 	return math.Max(busy, busy+unsure*(t.limits.UnknownUtilization-busy))
 }
 
 // DrainChanges gives what changed of the trust in hosts since it was last asked, a line each.
 func (t *Trust) DrainChanges() []string {
-	lines := t.lines
-	t.lines = nil
+	lines := t.changes
+	t.changes = nil
 	return lines
 }
 
 // AcceptLoadReport tells whether a report that a host sent itself is news, and how old it is by the host's stamp, 0 where it has
 // none.
 func (t *Trust) AcceptLoadReport(now float64, name, sender string, number int64, stamp float64) (news bool, age float64) {
-	h := t.host(name)
-	news, twice := h.senders.Accept(now, sender, number)
-	if twice && h.why == "" {
-		h.trust = math.Min(h.trust, doubtUnder*0.9)
+	h := t.hostState(name)
+	news, twice := h.reporters.Accept(now, sender, number)
+	if twice && h.distrustReason == "" {
+		h.confidence = math.Min(h.confidence, distrustThreshold*0.9)
 	}
 	if stamp > 0 {
 		age = h.clock.Age(now, stamp)
--- a/intake/trust_report.go
+++ b/intake/trust_report.go
@@ -21,13 +21,13 @@
 	if h == nil {
 		return r, false
 	}
-	h.met.fade(now)
-	r = HostReport{Count: h.met.good, AgeMs: -1, Trust: h.trust, DistrustReason: h.why, DuplicateReporter: h.senders.Duplicate(now), Latencies: h.spread.Report()}
-	if h.lastAt > 0 {
-		r.AgeMs, r.Silent = now-h.lastAt, t.silent(now, h)
-		if r.Silent || h.doubted {
-			r.Estimate = math.Min(t.estimate(now, h, c), 1)
-			r.Uncertainty = math.Min((now-h.believeAt)/math.Max(t.limits.UncertainAfterMs, 1), 1)
+	h.attempts.decay(now)
+	r = HostReport{Count: h.attempts.good, AgeMs: -1, Trust: h.confidence, DistrustReason: h.distrustReason, DuplicateReporter: h.reporters.Duplicate(now), Latencies: h.latencies.Report()}
+	if h.lastLoadMs > 0 {
+		r.AgeMs, r.Silent = now-h.lastLoadMs, t.isSilent(now, h)
+		if r.Silent || h.distrusted {
+			r.Estimate = math.Min(t.estimateUtilization(now, h, c), 1)
+			r.Uncertainty = math.Min((now-h.trustedMs)/math.Max(t.limits.UncertainAfterMs, 1), 1)
 		}
 	}
 	return r, true
@@ -36,7 +36,7 @@
 // Confidence is how far a host's load reports are trusted, 1 where nothing is known.
 func (t *Trust) Confidence(name string) float64 {
 	if h := t.hosts[name]; h != nil {
-		return h.trust
+		return h.confidence
 	}
 	return 1
 }
@@ -44,10 +44,10 @@
 // Count tells how many hosts are known, doubted and silent.
 func (t *Trust) Count(now float64) (known, doubted, silent int) {
 	for _, h := range t.hosts {
-		if h.doubted {
+		if h.distrusted {
 			doubted++
 		}
-		if h.lastAt > 0 && t.silent(now, h) {
+		if h.lastLoadMs > 0 && t.isSilent(now, h) {
 			silent++
 		}
 	}
