--- a/intake/rate_limiter.go
+++ b/intake/rate_limiter.go
@@ -9,38 +9,50 @@
 	"golang.org/x/time/rate"
 )
 
-// RateLimits say how much may come in, in lines (about what is told of one host).
+// RateLimits bound how fast reports may arrive. Each report of one host or one request class counts as one.
 type RateLimits struct {
-	PerSource float64 // lines a second of one source; it may send a second's worth at once
-	Total     float64 // of all sources together
+	PerSource float64 // reports per second of one source, with a burst of one second's worth
+	Total     float64 // reports per second of all sources together
 }
 
-// DefaultRateLimits are the limits where none are set.
+// DefaultRateLimits returns the limits that hold where the settings give none.
 func DefaultRateLimits() RateLimits { return RateLimits{PerSource: 5000, Total: 50000} }
 
 const (
-	guaranteedFraction = 0.5              // of all that may come is dealt out to the sources evenly; the rest goes to who comes first
-	sourceIdleTimeout  = 10 * time.Second // after which a source is forgotten, and counts no more
-	maxSources         = 100000           // known at once; any others share what one may send
-	minBurst           = 100              // a source may send at once whatever its rate: the report of a table of that size
-	overflowSource     = "\x00others"
+	// guaranteedFraction of the total rate is split evenly among the sources; the rest is first come, first served.
+	guaranteedFraction = 0.5
+	// minGuaranteedRate keeps the wait for a guaranteed token finite, in reports per second.
+	minGuaranteedRate = 1e-3
+	// sourceIdleTimeout is the silence after which a source is forgotten and no longer has a guaranteed share.
+	sourceIdleTimeout = 10 * time.Second
+	// maxSources bounds the memory: further sources share the buckets of overflowSource.
+	maxSources = 100000
+	// overflowSource stands for all sources beyond maxSources. No real source has a name that begins with NUL.
+	overflowSource = "\x00others"
+	// minBurst lets any source send one request with this many reports at once, however low its rate.
+	minBurst = 100
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a rejected request, in seconds.
+	minRetryAfter = 0.1
+	maxRetryAfter = 60
 )
 
-// RateLimiter lets reports in before anything else is done for them, reading them among it: each source has a bucket of its own,
-// and of what may come in all, half is promised to the sources evenly. So a source that floods takes what it is due and
-// what nobody else wants, never what is due to another. It is safe for use by several goroutines.
+// RateLimiter admits requests with reports before their bodies are read. Each source has a token bucket of its own. Of
+// the total rate, [guaranteedFraction] is guaranteed to the sources in equal parts, and the rest goes to whoever comes
+// first, so a source that floods the controller never takes the share that is guaranteed to another one.
+// It is safe for concurrent use.
 type RateLimiter struct {
 	mu          sync.Mutex
 	limits      RateLimits
-	ratio       float64 // of the limits that are in force
-	sources     map[string]*list.Element
-	recent      *list.List // of *source, the one that came last first
-	shared      *rate.Limiter
-	balancedFor int // among so many the promised part was last dealt
-	rejected    int64
-	shed        int64
+	ratio       float64                  // of the limits that is in force, at most 1
+	sources     map[string]*list.Element // by name, elements of recent
+	recent      *list.List               // of *source, the most recently seen first
+	shared      *rate.Limiter            // the part of the total rate that is not guaranteed
+	balancedFor int                      // number of sources at the last rebalance
+	rejected    int64                    // requests of sources that exceeded their own limit
+	shed        int64                    // requests beyond the guaranteed and the shared rate
 }
 
+// source is one sender of reports with its token buckets.
 type source struct {
 	name       string
 	guaranteed *rate.Limiter
@@ -48,108 +60,140 @@
 	lastSeen   time.Time
 }
 
-// NewRateLimiter makes an open one.
-func NewRateLimiter(l RateLimits) *RateLimiter {
-	return &RateLimiter{limits: l, ratio: 1, sources: map[string]*list.Element{}, recent: list.New(),
-		shared: rate.NewLimiter(rate.Limit(l.Total*(1-guaranteedFraction)), burstFor(l.Total))}
+// NewRateLimiter returns a limiter with the whole limits in force.
+func NewRateLimiter(limits RateLimits) *RateLimiter {
+	return &RateLimiter{
+		limits:  limits,
+		ratio:   1,
+		sources: map[string]*list.Element{},
+		recent:  list.New(),
+		shared:  rate.NewLimiter(rate.Limit(limits.Total*(1-guaranteedFraction)), burstFor(limits.Total)),
+	}
 }
 
-func burstFor(lines float64) int { return int(math.Max(lines, minBurst)) }
-
-// Allow tells whether a report of so many lines of a source may come in now, and if not, after how long it may be tried
-// again.
-func (d *RateLimiter) Allow(now time.Time, name string, lines int) (ok bool, again time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.evictIdle(now)
-	s := d.sourceBucket(now, name)
-	lines = min(max(lines, 1), s.own.Burst())
-	if !s.own.AllowN(now, lines) {
-		d.rejected++
-		return false, d.retryAfter(s.own, now, lines)
+// burstFor returns the depth of a token bucket: one second's worth of its rate.
+func burstFor(perSecond float64) int { return int(math.Max(perSecond, minBurst)) }
+
+// Allow reports whether a source may send a request with this many reports now, and if not, after how long it may
+// retry.
+func (l *RateLimiter) Allow(now time.Time, sourceName string, reports int) (ok bool, retryAfter time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.evictIdle(now)
+	bucket := l.sourceBucket(now, sourceName)
+	reports = min(max(reports, 1), bucket.own.Burst())
+	if !bucket.own.AllowN(now, reports) {
+		l.rejected++
+		return false, timeUntilAvailable(bucket.own, now, reports)
 	}
-	if s.guaranteed.AllowN(now, lines) || d.shared.AllowN(now, lines) {
+	if bucket.guaranteed.AllowN(now, reports) || l.shared.AllowN(now, reports) {
 		return true, 0
 	}
-	d.shed++
-	return false, d.retryAfter(s.guaranteed, now, lines)
+	l.shed++
+	return false, timeUntilAvailable(bucket.guaranteed, now, reports)
 }
 
-// retryAfter is how long it takes until a bucket holds so many lines again.
-func (d *RateLimiter) retryAfter(l *rate.Limiter, now time.Time, lines int) time.Duration {
-	lack := float64(lines) - l.TokensAt(now)
-	return time.Duration(math.Min(math.Max(lack/float64(l.Limit()), 0.1), 60) * float64(time.Second))
+// timeUntilAvailable returns how long it takes until a token bucket holds the tokens.
+func timeUntilAvailable(bucket *rate.Limiter, now time.Time, tokens int) time.Duration {
+	missing := float64(tokens) - bucket.TokensAt(now)
+	seconds := math.Min(math.Max(missing/float64(bucket.Limit()), minRetryAfter), maxRetryAfter)
+	return time.Duration(seconds * float64(time.Second))
 }
 
-func (d *RateLimiter) sourceBucket(now time.Time, name string) *source {
-	e := d.sources[name]
-	if e == nil && len(d.sources) >= maxSources {
+// sourceBucket returns the source of this name, new if it is not known, and marks it as seen.
+func (l *RateLimiter) sourceBucket(now time.Time, name string) *source {
+	element := l.sources[name]
+	if element == nil && len(l.sources) >= maxSources {
 		name = overflowSource
-		e = d.sources[name]
+		element = l.sources[name]
 	}
-	if e == nil {
-		s := &source{name: name, own: rate.NewLimiter(rate.Limit(d.limits.PerSource*d.ratio), burstFor(d.limits.PerSource)),
-			guaranteed: rate.NewLimiter(d.guaranteedRate(len(d.sources)+1), minBurst)}
-		e = d.recent.PushFront(s)
-		d.sources[name] = e
+	if element == nil {
+		element = l.recent.PushFront(l.newSource(name))
+		l.sources[name] = element
 	}
-	s := e.Value.(*source)
-	s.lastSeen = now
-	d.recent.MoveToFront(e)
-	if n := len(d.sources); n > d.balancedFor*5/4 || n < d.balancedFor*3/4 || d.balancedFor == 0 {
-		d.rebalance(now)
+	found := sourceOf(element)
+	found.lastSeen = now
+	l.recent.MoveToFront(element)
+	if l.needsRebalance() {
+		l.rebalance(now)
 	}
-	return s
+	return found
 }
 
-// evictIdle gives up sources that have not come for long.
-func (d *RateLimiter) evictIdle(now time.Time) {
-	for e := d.recent.Back(); e != nil && now.Sub(e.Value.(*source).lastSeen) > sourceIdleTimeout; e = d.recent.Back() {
-		delete(d.sources, e.Value.(*source).name)
-		d.recent.Remove(e)
+func (l *RateLimiter) newSource(name string) *source {
+	return &source{
+		name:       name,
+		own:        rate.NewLimiter(l.sourceRate(), burstFor(l.limits.PerSource)),
+		guaranteed: rate.NewLimiter(l.guaranteedRate(len(l.sources)+1), minBurst),
 	}
 }
 
-// guaranteedRate is what is promised to each of so many sources.
-func (d *RateLimiter) guaranteedRate(sources int) rate.Limit {
-	return rate.Limit(math.Max(d.limits.Total*d.ratio*guaranteedFraction/float64(sources), 1e-3))
+// sourceOf returns the source that an element of RateLimiter.recent holds.
+func sourceOf(element *list.Element) *source { return element.Value.(*source) }
+
+// evictIdle forgets the sources that have not sent anything for sourceIdleTimeout.
+func (l *RateLimiter) evictIdle(now time.Time) {
+	for {
+		oldest := l.recent.Back()
+		if oldest == nil || now.Sub(sourceOf(oldest).lastSeen) <= sourceIdleTimeout {
+			return
+		}
+		delete(l.sources, sourceOf(oldest).name)
+		l.recent.Remove(oldest)
+	}
 }
 
-// rebalance sets the buckets by the number of sources and the part that is in force.
-func (d *RateLimiter) rebalance(now time.Time) {
-	d.balancedFor = len(d.sources)
-	each := d.guaranteedRate(d.balancedFor)
-	for e := d.recent.Front(); e != nil; e = e.Next() {
-		s := e.Value.(*source)
-		s.guaranteed.SetLimitAt(now, each)
-		s.own.SetLimitAt(now, rate.Limit(d.limits.PerSource*d.ratio))
+// sourceRate returns the rate of one source's own bucket, in reports per second.
+func (l *RateLimiter) sourceRate() rate.Limit { return rate.Limit(l.limits.PerSource * l.ratio) }
+
+// guaranteedRate returns the rate that is guaranteed to each of so many sources, in reports per second.
+func (l *RateLimiter) guaranteedRate(sources int) rate.Limit {
+	return rate.Limit(math.Max(l.limits.Total*l.ratio*guaranteedFraction/float64(sources), minGuaranteedRate))
+}
+
+// needsRebalance reports whether the number of sources has moved by more than a quarter since the last rebalance. A
+// rebalance at each new source would cost time linear in their number.
+func (l *RateLimiter) needsRebalance() bool {
+	count := len(l.sources)
+	return l.balancedFor == 0 || count > l.balancedFor*5/4 || count < l.balancedFor*3/4
+}
+
+// rebalance sets the rates of all buckets by the number of sources and the ratio in force.
+func (l *RateLimiter) rebalance(now time.Time) {
+	l.balancedFor = len(l.sources)
+	guaranteed := l.guaranteedRate(l.balancedFor)
+	for element := l.recent.Front(); element != nil; element = element.Next() {
+		bucket := sourceOf(element)
+		bucket.guaranteed.SetLimitAt(now, guaranteed)
+		bucket.own.SetLimitAt(now, l.sourceRate())
 	}
-	d.shared.SetLimitAt(now, rate.Limit(d.limits.Total*d.ratio*(1-guaranteedFraction)))
+	l.shared.SetLimitAt(now, rate.Limit(l.limits.Total*l.ratio*(1-guaranteedFraction)))
 }
 
-// SetRatio lets only a part of the limits in, 1 for all of them.
-func (d *RateLimiter) SetRatio(now time.Time, part float64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if part != d.ratio {
-		d.ratio = part
-		if len(d.sources) > 0 {
-			d.rebalance(now)
-		}
+// SetRatio puts a part of the limits in force: 1 for the whole limits, 0.5 for half of them.
+func (l *RateLimiter) SetRatio(now time.Time, ratio float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if ratio == l.ratio {
+		return
+	}
+	l.ratio = ratio
+	if len(l.sources) > 0 {
+		l.rebalance(now)
 	}
 }
 
-// RateLimiterReport is how the door stands.
+// RateLimiterReport is the state of a RateLimiter in the status API.
 type RateLimiterReport struct {
-	Sources  int     `json:"sources"` // that came lately
+	Sources  int     `json:"sources"` // that sent something within sourceIdleTimeout
 	Ratio    float64 `json:"part"`    // of the limits that is in force
-	Rejected int64   `json:"refused"` // reports of sources that sent more than one may
-	Shed     int64   `json:"shed"`    // reports beyond what all may send and their source is promised
+	Rejected int64   `json:"refused"` // requests of sources that exceeded RateLimits.PerSource
+	Shed     int64   `json:"shed"`    // requests beyond RateLimits.Total and the source's guaranteed rate
 }
 
-// Report tells how the door stands.
-func (d *RateLimiter) Report() RateLimiterReport {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return RateLimiterReport{len(d.sources), d.ratio, d.rejected, d.shed}
+// Report returns the state for the status API.
+func (l *RateLimiter) Report() RateLimiterReport {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return RateLimiterReport{Sources: len(l.sources), Ratio: l.ratio, Rejected: l.rejected, Shed: l.shed}
 }
--- a/intake/report.go
+++ b/intake/report.go
@@ -2,36 +2,43 @@
 
 import "barleysail/routing"
 
-// Report is what one source told of one host, or of one class that came to it.
+// Report holds what one source counted of one host, or of the demand for one request class.
 type Report struct {
-	Source        string
-	Subject       string // the host; of usage the class
-	IsDemand      bool
-	Attempts      int // of usage: what came
-	Failed        int
-	MeanLatencyMs float64 // ms, of the good tries
-	WindowMs      float64 // ms in which it was counted
-	Load          routing.HostLoad
-	Latencies     []LatencyBucket // how the good tries' times spread; nil: not told
-	ReceivedMs    float64         // when it came in
-	ObservedMs    float64         // when it was true, on the steward's clock
+	Source        string           // the proxy, or the host itself, that sent it
+	Subject       string           // the host; for demand the request class
+	IsDemand      bool             // Subject is a request class, and Attempts are arrivals
+	Attempts      int              // attempts sent to the host; for demand the requests that arrived
+	Failed        int              // attempts that failed
+	MeanLatencyMs float64          // mean latency of the successful attempts
+	WindowMs      float64          // time span in which the attempts were counted
+	Load          routing.HostLoad // load that the host reported, or routing.UnknownLoad
+	Latencies     []LatencyBucket  // latency histogram of the successful attempts; nil if the source sent none
+	ReceivedMs    float64          // instant of arrival
+	ObservedMs    float64          // instant at which the report was true, on the controller's clock
 }
 
-// merge adds a later line of the same source on the same thing.
-func (l *Report) merge(m Report) {
-	good, more := float64(l.Attempts-l.Failed), float64(m.Attempts-m.Failed)
-	if good+more > 0 {
-		l.MeanLatencyMs = (l.MeanLatencyMs*good + m.MeanLatencyMs*more) / (good + more)
+// succeeded returns the number of attempts that did not fail.
+func (r *Report) succeeded() int { return r.Attempts - r.Failed }
+
+// merge adds a later report of the same source on the same subject.
+func (r *Report) merge(later Report) {
+	ownSucceeded := float64(r.succeeded())
+	laterSucceeded := float64(later.succeeded())
+	if ownSucceeded+laterSucceeded > 0 {
+		latencySumMs := r.MeanLatencyMs*ownSucceeded + later.MeanLatencyMs*laterSucceeded
+		r.MeanLatencyMs = latencySumMs / (ownSucceeded + laterSucceeded)
 	}
-	l.Attempts, l.Failed, l.WindowMs = l.Attempts+m.Attempts, l.Failed+m.Failed, l.WindowMs+m.WindowMs
-	l.Latencies = append(l.Latencies, m.Latencies...)
-	if m.Load != routing.UnknownLoad {
-		l.Load = m.Load
+	r.Attempts += later.Attempts
+	r.Failed += later.Failed
+	r.WindowMs += later.WindowMs
+	r.Latencies = append(r.Latencies, later.Latencies...)
+	if later.Load != routing.UnknownLoad {
+		r.Load = later.Load
 	}
-	l.ObservedMs = max(l.ObservedMs, m.ObservedMs)
+	r.ObservedMs = max(r.ObservedMs, later.ObservedMs)
 }
 
-// Why a line was not taken in.
+// Reasons for which a report is dropped. The status API shows these texts.
 const (
 	QueueFull   = "more waited than may"
 	TooOld      = "it was too old"
