--- a/intake/queue.go
+++ b/intake/queue.go
@@ -1,30 +1,31 @@
 package intake
 
 import (
+	"cmp"
 	"container/heap"
 	"maps"
 	"math"
 	"slices"
 )
 
-// Queue holds lines until a round takes them in. Of one source on one thing a few wait, and what comes beyond joins the
-// last, so a source that sends again and again takes no more room. When more wait than may, the source with the most lines loses the one that is
-// stalest and says least.
+// Queue holds reports until a round ingests them. Of one source on one subject at most maxPerSubject reports are
+// queued, further ones are merged into the last, so a source that sends again and again takes no more memory. When
+// the queue is full, the source with the most reports loses the one of the lowest priority.
 type Queue struct {
 	limits       Limits
 	bySource     map[string]*sourceQueue
-	bySize       sourceHeap // the sources, the one with the most lines first
-	length       int
-	lastSequence int64 // order of arrival
+	bySize       sourceHeap // the same queues, that with the most reports first
+	length       int        // reports in all queues
+	lastSequence int64      // of the newest report
 	dropped      map[string]int64
 }
 
-// sourceQueue are a source's lines, the least worth first.
+// sourceQueue holds the queued reports of one source.
 type sourceQueue struct {
 	source    string
-	reports   []*queuedReport
+	reports   reportHeap // lowest priority first
 	bySubject map[subjectKey][]*queuedReport
-	heapIndex int // in longest
+	heapIndex int // in Queue.bySize
 }
 
 type subjectKey struct {
@@ -35,158 +36,197 @@
 type queuedReport struct {
 	Report
 	priority  float64
-	sequence  int64
-	heapIndex int // in the source's heap
+	sequence  int64 // position in the order of arrival
+	heapIndex int   // in sourceQueue.reports
 }
 
-// maxPerSubject is how many lines of one source on one thing wait apart.
+// key returns what the report is about.
+func (r *Report) key() subjectKey { return subjectKey{subject: r.Subject, isDemand: r.IsDemand} }
+
+// maxPerSubject is how many reports of one source on one subject are queued apart.
 const maxPerSubject = 4
 
-// NewQueue makes an empty one.
-func NewQueue(l Limits) *Queue {
-	return &Queue{limits: l, bySource: map[string]*sourceQueue{}, dropped: map[string]int64{}}
+// NewQueue returns an empty queue.
+func NewQueue(limits Limits) *Queue {
+	return &Queue{limits: limits, bySource: map[string]*sourceQueue{}, dropped: map[string]int64{}}
 }
 
-// priority orders lines by how much they still say: the tries, halved for each half-life of age. Since all age alike it does
-// not change while they wait.
-func (q *Queue) priority(l *Report) float64 {
-	return math.Log2(float64(l.Attempts)+1) + l.ObservedMs/math.Max(q.limits.HalfLifeMs, 1)
+// priority is the logarithm of the report's attempts, halved with each half-life of its age: log2(attempts + 1) + t /
+// h. Because all reports age alike, their order does not change while they are queued.
+func (q *Queue) priority(report *Report) float64 {
+	return math.Log2(float64(report.Attempts)+1) + report.ObservedMs/math.Max(q.limits.HalfLifeMs, 1)
 }
 
-// Add puts a line into the queue.
-func (q *Queue) Add(l Report) {
-	w := q.bySource[l.Source]
-	if w == nil {
-		w = &sourceQueue{source: l.Source, bySubject: map[subjectKey][]*queuedReport{}}
-		q.bySource[l.Source] = w
-		heap.Push(&q.bySize, w)
-	}
-	k := subjectKey{l.Subject, l.IsDemand}
-	if all := w.bySubject[k]; len(all) >= maxPerSubject {
-		x := all[len(all)-1]
-		x.merge(l)
-		x.priority = q.priority(&x.Report)
-		heap.Fix((*reportHeap)(&w.reports), x.heapIndex)
+// Add queues a report, and drops one where the queue is full.
+func (q *Queue) Add(report Report) {
+	queue := q.sourceQueue(report.Source)
+	key := report.key()
+	sameSubject := queue.bySubject[key]
+	if len(sameSubject) >= maxPerSubject {
+		last := sameSubject[len(sameSubject)-1]
+		last.merge(report)
+		last.priority = q.priority(&last.Report)
+		heap.Fix(&queue.reports, last.heapIndex)
 		return
 	}
 	q.lastSequence++
-	x := &queuedReport{Report: l, priority: q.priority(&l), sequence: q.lastSequence}
-	w.bySubject[k] = append(w.bySubject[k], x)
-	heap.Push((*reportHeap)(&w.reports), x)
-	heap.Fix(&q.bySize, w.heapIndex)
-	if q.length++; q.length > q.limits.MaxQueued {
+	queued := &queuedReport{Report: report, priority: q.priority(&report), sequence: q.lastSequence}
+	queue.bySubject[key] = append(sameSubject, queued)
+	heap.Push(&queue.reports, queued)
+	heap.Fix(&q.bySize, queue.heapIndex)
+	q.length++
+	if q.length > q.limits.MaxQueued {
 		q.Drop(QueueFull, 1)
 		q.remove(q.bySize[0], 0)
 	}
 }
 
-// Dropped counts the lines that were not taken in, by why.
-func (q *Queue) Dropped() map[string]int64 { return maps.Clone(q.dropped) }
+// sourceQueue returns the queue of a source, a new one if it has none.
+func (q *Queue) sourceQueue(source string) *sourceQueue {
+	queue := q.bySource[source]
+	if queue == nil {
+		queue = &sourceQueue{source: source, bySubject: map[subjectKey][]*queuedReport{}}
+		q.bySource[source] = queue
+		heap.Push(&q.bySize, queue)
+	}
+	return queue
+}
 
-// Drop counts lines that were not taken in.
-func (q *Queue) Drop(why string, lines int) { q.dropped[why] += int64(lines) }
+// Dropped returns the number of reports that were dropped, by reason.
+func (q *Queue) Dropped() map[string]int64 { return maps.Clone(q.dropped) }
 
-// remove takes a line of a source out.
-func (q *Queue) remove(w *sourceQueue, i int) *queuedReport {
-	x := heap.Remove((*reportHeap)(&w.reports), i).(*queuedReport)
-	k := subjectKey{x.Subject, x.IsDemand}
-	if w.bySubject[k] = slices.DeleteFunc(w.bySubject[k], func(y *queuedReport) bool { return y == x }); len(w.bySubject[k]) == 0 {
-		delete(w.bySubject, k)
+// Drop counts reports that are dropped for a reason.
+func (q *Queue) Drop(reason string, reports int) { q.dropped[reason] += int64(reports) }
+
+// remove takes the report at an index of a source's heap out of the queue.
+func (q *Queue) remove(queue *sourceQueue, index int) *queuedReport {
+	removed := heap.Remove(&queue.reports, index).(*queuedReport)
+	key := removed.key()
+	isRemoved := func(other *queuedReport) bool { return other == removed }
+	queue.bySubject[key] = slices.DeleteFunc(queue.bySubject[key], isRemoved)
+	if len(queue.bySubject[key]) == 0 {
+		delete(queue.bySubject, key)
 	}
-	if q.length--; len(w.reports) == 0 {
-		heap.Remove(&q.bySize, w.heapIndex)
-		delete(q.bySource, w.source)
+	q.length--
+	if len(queue.reports) == 0 {
+		q.removeSource(queue)
 	} else {
-		heap.Fix(&q.bySize, w.heapIndex)
+		heap.Fix(&q.bySize, queue.heapIndex)
 	}
-	return x
+	return removed
 }
 
-// Forget drops what waits of a source.
+func (q *Queue) removeSource(queue *sourceQueue) {
+	heap.Remove(&q.bySize, queue.heapIndex)
+	delete(q.bySource, queue.source)
+}
+
+// Forget drops the queued reports of a source that is gone.
 func (q *Queue) Forget(source string) {
-	if w := q.bySource[source]; w != nil {
-		q.Drop(SubjectGone, len(w.reports))
-		q.length -= len(w.reports)
-		heap.Remove(&q.bySize, w.heapIndex)
-		delete(q.bySource, source)
+	queue := q.bySource[source]
+	if queue == nil {
+		return
 	}
+	q.Drop(SubjectGone, len(queue.reports))
+	q.length -= len(queue.reports)
+	q.removeSource(queue)
 }
 
-// Take gives the lines that a round takes in, at most so many: all of them in the order in which they came, or, where
-// they are more, one of each source in turn, those that say most first. Lines that are too old are dropped. Tries are
-// told by what they still weigh.
-func (q *Queue) Take(now float64, most int) (lines []Report) {
+// Take removes and returns the reports that a round ingests, at most maxReports, in the order of their arrival. Where
+// more are queued, the sources are served in turn, each with its report of the highest priority. Reports that are too
+// old are dropped. The attempts of the others are scaled down by their age.
+func (q *Queue) Take(nowMs float64, maxReports int) []Report {
 	var taken []*queuedReport
-	if q.length <= most {
-		for _, w := range q.bySource {
-			taken = append(taken, w.reports...)
-		}
-		q.bySource, q.bySize, q.length = map[string]*sourceQueue{}, nil, 0
+	if q.length <= maxReports {
+		taken = q.takeAll()
 	} else {
-		turn := slices.Clone(q.bySize)
-		slices.SortFunc(turn, func(a, b *sourceQueue) int { return compare(a.firstSequence(), b.firstSequence()) })
-		for len(taken) < most {
-			left := turn[:0]
-			for _, w := range turn {
-				if len(taken) == most {
-					break
-				}
-				taken = append(taken, q.remove(w, w.highestPriority()))
-				if len(w.reports) > 0 {
-					left = append(left, w)
-				}
+		taken = q.takeInTurns(maxReports)
+	}
+	slices.SortFunc(taken, func(a, b *queuedReport) int { return cmp.Compare(a.sequence, b.sequence) })
+	return q.weighted(nowMs, taken)
+}
+
+func (q *Queue) takeAll() []*queuedReport {
+	var taken []*queuedReport
+	for _, queue := range q.bySource {
+		taken = append(taken, queue.reports...)
+	}
+	q.bySource = map[string]*sourceQueue{}
+	q.bySize = nil
+	q.length = 0
+	return taken
+}
+
+// takeInTurns takes one report of each source in turn. The source with the oldest report is served first.
+func (q *Queue) takeInTurns(maxReports int) []*queuedReport {
+	var taken []*queuedReport
+	turn := slices.Clone(q.bySize)
+	slices.SortFunc(turn, func(a, b *sourceQueue) int { return cmp.Compare(a.firstSequence(), b.firstSequence()) })
+	for len(taken) < maxReports {
+		nextTurn := turn[:0]
+		for _, queue := range turn {
+			if len(taken) == maxReports {
+				break
+			}
+			taken = append(taken, q.remove(queue, queue.highestPriority()))
+			if len(queue.reports) > 0 {
+				nextTurn = append(nextTurn, queue)
 			}
-			turn = left
 		}
+		turn = nextTurn
 	}
-	slices.SortFunc(taken, func(a, b *queuedReport) int { return compare(a.sequence, b.sequence) })
-	for _, x := range taken {
-		weight := q.limits.ageWeight(now - x.ObservedMs)
+	return taken
+}
+
+// weighted drops the reports that are too old and scales the attempts of the others by the weight of their age. Demand
+// is not scaled: it is a rate over the report's window.
+func (q *Queue) weighted(nowMs float64, queued []*queuedReport) []Report {
+	var reports []Report
+	for _, report := range queued {
+		weight := q.limits.ageWeight(nowMs - report.ObservedMs)
 		if weight == 0 {
 			q.Drop(TooOld, 1)
 			continue
 		}
-		if weight < 1 && !x.IsDemand { // usage is a rate by its span
-			x.Attempts, x.Failed = int(math.Round(float64(x.Attempts)*weight)), int(math.Round(float64(x.Failed)*weight))
+		if weight < 1 && !report.IsDemand {
+			report.Attempts = scaled(report.Attempts, weight)
+			report.Failed = scaled(report.Failed, weight)
 		}
-		lines = append(lines, x.Report)
+		reports = append(reports, report.Report)
 	}
-	return lines
+	return reports
 }
 
-// ageWeight is what is left of a report of an age.
-func (l Limits) ageWeight(age float64) float64 {
-	if age >= l.MaxAgeMs {
-		return 0
-	}
-	return math.Exp2(-math.Max(age-l.FullWeightMs, 0) / math.Max(l.HalfLifeMs, 1))
-}
+func scaled(count int, weight float64) int { return int(math.Round(float64(count) * weight)) }
 
-func compare(a, b int64) int {
-	if a < b {
-		return -1
+// ageWeight returns the weight of a report of an age, from 1 down to 0.
+func (l Limits) ageWeight(ageMs float64) float64 {
+	if ageMs >= l.MaxAgeMs {
+		return 0
 	}
-	return 1
+	return math.Exp2(-math.Max(ageMs-l.FullWeightMs, 0) / math.Max(l.HalfLifeMs, 1))
 }
 
-// Waiting is the number of lines that wait, and of their sources.
-func (q *Queue) Waiting() (lines, sources int) { return q.length, len(q.bySource) }
+// Waiting returns the number of queued reports, and of the sources that sent them.
+func (q *Queue) Waiting() (reports, sources int) { return q.length, len(q.bySource) }
 
-// firstSequence is when the oldest line of a source came.
-func (w *sourceQueue) firstSequence() int64 {
+// firstSequence returns the sequence number of the oldest report.
+func (s *sourceQueue) firstSequence() int64 {
 	first := int64(math.MaxInt64)
-	for _, x := range w.reports {
-		first = min(first, x.sequence)
+	for _, report := range s.reports {
+		first = min(first, report.sequence)
 	}
 	return first
 }
 
-// highestPriority is where the line that says most stands.
-func (w *sourceQueue) highestPriority() (best int) {
-	for i, x := range w.reports {
-		if b := w.reports[best]; x.priority > b.priority || x.priority == b.priority && x.sequence < b.sequence {
-			best = i
+// highestPriority returns the heap index of the report with the highest priority, the older one of two equal ones.
+func (s *sourceQueue) highestPriority() (index int) {
+	for i, report := range s.reports {
+		highest := s.reports[index]
+		if report.priority > highest.priority ||
+			report.priority == highest.priority && report.sequence < highest.sequence {
+			index = i
 		}
 	}
-	return best
+	return index
 }
--- a/intake/queue_heaps.go
+++ b/intake/queue_heaps.go
@@ -1,41 +1,59 @@
 package intake
 
-// reportHeap is a heap of lines, those that say least first.
+// reportHeap is a container/heap of a source's reports: the lowest priority first, the older one of two equal ones.
 type reportHeap []*queuedReport
 
 func (h reportHeap) Len() int { return len(h) }
+
 func (h reportHeap) Less(i, j int) bool {
 	return h[i].priority < h[j].priority || h[i].priority == h[j].priority && h[i].sequence < h[j].sequence
 }
-func (h reportHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
-func (h *reportHeap) Push(x any) {
-	x.(*queuedReport).heapIndex = len(*h)
-	*h = append(*h, x.(*queuedReport))
+
+func (h reportHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
-func (h *reportHeap) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return x
+
+func (h *reportHeap) Push(x any) {
+	report := x.(*queuedReport)
+	report.heapIndex = len(*h)
+	*h = append(*h, report)
 }
 
-// sourceHeap is a heap of sources, that with the most lines first.
+func (h *reportHeap) Pop() any { return removeLast((*[]*queuedReport)(h)) }
+
+// sourceHeap is a container/heap of sources: that with the most reports first, of equal ones in the order of names.
 type sourceHeap []*sourceQueue
 
 func (h sourceHeap) Len() int { return len(h) }
+
 func (h sourceHeap) Less(i, j int) bool {
-	return len(h[i].reports) > len(h[j].reports) || len(h[i].reports) == len(h[j].reports) && h[i].source < h[j].source
+	if len(h[i].reports) != len(h[j].reports) {
+		return len(h[i].reports) > len(h[j].reports)
+	}
+	return h[i].source < h[j].source
+}
+
+func (h sourceHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
-func (h sourceHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
+
 func (h *sourceHeap) Push(x any) {
-	x.(*sourceQueue).heapIndex = len(*h)
-	*h = append(*h, x.(*sourceQueue))
+	queue := x.(*sourceQueue)
+	queue.heapIndex = len(*h)
+	*h = append(*h, queue)
 }
-func (h *sourceHeap) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return x
+
+func (h *sourceHeap) Pop() any { return removeLast((*[]*sourceQueue)(h)) }
+
+// removeLast removes and returns the last element, and clears its slot for the garbage collector.
+func removeLast[T any](elements *[]*T) *T {
+	last := len(*elements) - 1
+	removed := (*elements)[last]
+	(*elements)[last] = nil
+	*elements = (*elements)[:last]
+	return removed
 }
