--- a/intake/latency.go
+++ b/intake/latency.go
@@ -6,95 +6,117 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// LatencyBucket of a spread: so many tries took about so many ms.
-type LatencyBucket struct {
-	Ms    float64
-	Count int64
-}
-
-// LatencyDistribution is how the times at a host lately spread, merged from what all proxies told: the present span and the one
-// before, in histograms of one digit, which take about 3 KB each.
-type LatencyDistribution struct {
-	current, previous *hdrhistogram.Histogram
-	windowStartMs     float64
-}
-
 const (
-	latencyWindowMs = 10000.0 // ms
-	unitsPerMs      = 10.0    // parts of a ms
-	maxLatencyMs    = 60000.0
+	latencyWindowMs   = 10000.0 // LatencyDistribution covers one to two windows
+	unitsPerMs        = 10.0    // histograms count tenths of a millisecond
+	maxLatencyMs      = 60000.0 // longer latencies count as this
+	significantDigits = 1       // of a latency in a histogram, which takes about 3 KB then
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, int64(maxLatencyMs*unitsPerMs), 1)
+	return hdrhistogram.New(1, int64(maxLatencyMs*unitsPerMs), significantDigits)
+}
+
+// histogramValue returns a latency in the histogram's unit, limited to its range.
+func histogramValue(latencyMs float64) int64 {
+	return int64(math.Min(math.Max(latencyMs, 0), maxLatencyMs)*unitsPerMs + 0.5)
 }
 
-// NewLatencyHistogram makes an empty spread for a sender's own counting.
-func NewLatencyHistogram() *LatencyHistogram { return &LatencyHistogram{newHistogram()} }
+// LatencyBucket is one bucket of a latency histogram as it is sent in reports.
+type LatencyBucket struct {
+	Ms    float64 // middle of the bucket
+	Count int64   // attempts in it
+}
 
-// LatencyHistogram are counted by a sender, to be told as bars.
+// LatencyHistogram counts latencies on the side of the reporter. Use [NewLatencyHistogram] to make one.
 type LatencyHistogram struct{ histogram *hdrhistogram.Histogram }
 
-// Observe counts a time.
-func (t *LatencyHistogram) Observe(ms float64) { t.histogram.RecordValue(histogramValue(ms)) }
+// NewLatencyHistogram returns an empty histogram.
+func NewLatencyHistogram() *LatencyHistogram { return &LatencyHistogram{histogram: newHistogram()} }
+
+// Observe counts one latency.
+func (h *LatencyHistogram) Observe(latencyMs float64) {
+	// RecordValue fails only for a value out of the histogram's range, to which histogramValue limits it.
+	_ = h.histogram.RecordValue(histogramValue(latencyMs))
+}
 
-// Buckets give what was counted, and begin anew.
-func (t *LatencyHistogram) Buckets() (bars []LatencyBucket) {
-	for _, b := range t.histogram.Distribution() {
-		if b.Count > 0 {
-			bars = append(bars, LatencyBucket{float64(b.From+b.To) / 2 / unitsPerMs, b.Count})
+// Buckets returns the buckets that are not empty, and resets the histogram.
+func (h *LatencyHistogram) Buckets() []LatencyBucket {
+	var buckets []LatencyBucket
+	for _, bar := range h.histogram.Distribution() {
+		if bar.Count > 0 {
+			buckets = append(buckets, LatencyBucket{Ms: float64(bar.From+bar.To) / 2 / unitsPerMs, Count: bar.Count})
 		}
 	}
-	t.histogram.Reset()
-	return bars
+	h.histogram.Reset()
+	return buckets
 }
 
-func histogramValue(ms float64) int64 {
-	return int64(math.Min(math.Max(ms, 0), maxLatencyMs)*unitsPerMs + 0.5)
+// LatencyDistribution merges the latency histograms that all proxies sent of one host, over the present window and the
+// one before. The zero value is empty.
+type LatencyDistribution struct {
+	current       *hdrhistogram.Histogram // nil before the first report
+	previous      *hdrhistogram.Histogram // nil in the first window
+	windowStartMs float64
 }
 
-// Add merges what a line tells; one without bars counts as all at its mean.
-func (s *LatencyDistribution) Add(now float64, bars []LatencyBucket, mean float64, count int64) {
-	if s.current == nil {
-		s.current, s.windowStartMs = newHistogram(), now
+// Add merges the histogram of a report. A report without buckets counts as so many attempts of the mean latency.
+func (d *LatencyDistribution) Add(nowMs float64, buckets []LatencyBucket, meanLatencyMs float64, count int64) {
+	d.advance(nowMs)
+	if len(buckets) == 0 && count > 0 {
+		buckets = []LatencyBucket{{Ms: meanLatencyMs, Count: count}}
 	}
-	if now >= s.windowStartMs+latencyWindowMs {
-		if now >= s.windowStartMs+2*latencyWindowMs || s.previous == nil {
-			s.previous = newHistogram()
-		}
-		s.current, s.previous, s.windowStartMs = s.previous, s.current, now
-		s.current.Reset()
+	for _, bucket := range buckets {
+		// RecordValues fails only for a value out of the histogram's range, to which histogramValue limits it.
+		_ = d.current.RecordValues(histogramValue(bucket.Ms), bucket.Count)
 	}
-	if len(bars) == 0 && count > 0 {
-		bars = []LatencyBucket{{mean, count}}
+}
+
+// advance begins a new window where the present one is over.
+func (d *LatencyDistribution) advance(nowMs float64) {
+	if d.current == nil {
+		d.current = newHistogram()
+		d.windowStartMs = nowMs
 	}
-	for _, b := range bars {
-		s.current.RecordValues(histogramValue(b.Ms), b.Count)
+	if nowMs < d.windowStartMs+latencyWindowMs {
+		return
 	}
+	if d.previous == nil || nowMs >= d.windowStartMs+2*latencyWindowMs {
+		d.previous = newHistogram()
+	}
+	d.current, d.previous = d.previous, d.current
+	d.windowStartMs = nowMs
+	d.current.Reset()
 }
 
-// LatencyReport is what is told of a spread.
+// LatencyReport is the summary of a latency distribution in the status API, in milliseconds.
 type LatencyReport struct {
-	Count int64   `json:"count"`
-	P50   float64 `json:"p50"` // ms
+	Count int64   `json:"count"` // attempts
+	P50   float64 `json:"p50"`
 	P95   float64 `json:"p95"`
 	P99   float64 `json:"p99"`
-	Dev   float64 `json:"dev"` // standard deviation, ms
+	Dev   float64 `json:"dev"` // standard deviation
 }
 
-// Report reads a spread.
-func (s *LatencyDistribution) Report() (r LatencyReport) {
-	if s.current == nil {
-		return r
+// Report returns the summary of the attempts in the present and the previous window.
+func (d *LatencyDistribution) Report() LatencyReport {
+	if d.current == nil {
+		return LatencyReport{}
+	}
+	merged := newHistogram()
+	merged.Merge(d.current)
+	if d.previous != nil {
+		merged.Merge(d.previous)
 	}
-	all := newHistogram()
-	all.Merge(s.current)
-	if s.previous != nil {
-		all.Merge(s.previous)
+	if merged.TotalCount() == 0 {
+		return LatencyReport{}
 	}
-	if r.Count = all.TotalCount(); r.Count == 0 {
-		return r
+	quantileMs := func(percent float64) float64 { return float64(merged.ValueAtQuantile(percent)) / unitsPerMs }
+	return LatencyReport{
+		Count: merged.TotalCount(),
+		P50:   quantileMs(50),
+		P95:   quantileMs(95),
+		P99:   quantileMs(99),
+		Dev:   merged.StdDev() / unitsPerMs,
 	}
-	at := func(q float64) float64 { return float64(all.ValueAtQuantile(q)) / unitsPerMs }
-	return LatencyReport{r.Count, at(50), at(95), at(99), all.StdDev() / unitsPerMs}
 }
--- a/intake/reporters.go
+++ b/intake/reporters.go
@@ -1,45 +1,55 @@
 package intake
 
-// Reporters tells repeats from news by the numbers that senders count up, for each source apart. A sender that starts over
-// names itself anew; one that comes back after another took its place is a second one under the same name.
+import "slices"
+
+// Reporters tells new reports of one source from repeated ones, by the sequence number that each incarnation of the
+// source counts up. A source that restarts sends a new incarnation id. An incarnation that returns after another one
+// took its place shows that two processes report under one name. The zero value knows no reporter.
 type Reporters struct {
 	recent          []reporter // the newest last
-	duplicateSeenMs float64    // when two were last seen to alternate
+	duplicateSeenMs float64    // when two reporters were last seen to alternate; 0: never
 }
 
+// reporter is one incarnation of a source.
 type reporter struct {
 	id         string
-	sequence   int64
+	sequence   int64 // of its newest report
 	lastSeenMs float64
 }
 
 const (
-	maxReporters      = 4       // of a source
-	duplicateWindowMs = 10000.0 // ms that two senders of one source count as such
+	maxReporters      = 4       // incarnations that are remembered of one source
+	duplicateWindowMs = 10000.0 // for which a second reporter under one name is known as such
 )
 
-// Accept tells whether a number is news, and whether another sender is at work under the same name.
-func (s *Reporters) Accept(now float64, name string, number int64) (news, twice bool) {
-	for i, x := range s.recent {
-		if x.id != name {
-			continue
-		}
-		if number <= x.sequence {
-			return false, s.Duplicate(now)
+// Accept reports whether a report's sequence number is new, and whether two reporters use the same name.
+func (r *Reporters) Accept(nowMs float64, id string, sequence int64) (isNew, duplicate bool) {
+	isNew = r.observe(nowMs, id, sequence)
+	return isNew, r.Duplicate(nowMs)
+}
+
+// observe records a report and reports whether it is new.
+func (r *Reporters) observe(nowMs float64, id string, sequence int64) (isNew bool) {
+	index := slices.IndexFunc(r.recent, func(known reporter) bool { return known.id == id })
+	if index >= 0 {
+		known := r.recent[index]
+		if sequence <= known.sequence {
+			return false
 		}
-		if i < len(s.recent)-1 && now-x.lastSeenMs < duplicateWindowMs {
-			s.duplicateSeenMs = now
+		isNewest := index == len(r.recent)-1
+		if !isNewest && nowMs-known.lastSeenMs < duplicateWindowMs {
+			r.duplicateSeenMs = nowMs
 		}
-		s.recent = append(append(s.recent[:i:i], s.recent[i+1:]...), reporter{name, number, now})
-		return true, s.Duplicate(now)
+		r.recent = slices.Delete(r.recent, index, index+1)
 	}
-	if s.recent = append(s.recent, reporter{name, number, now}); len(s.recent) > maxReporters {
-		s.recent = s.recent[1:]
+	r.recent = append(r.recent, reporter{id: id, sequence: sequence, lastSeenMs: nowMs})
+	if len(r.recent) > maxReporters {
+		r.recent = r.recent[1:]
 	}
-	return true, s.Duplicate(now)
+	return true
 }
 
-// Duplicate tells whether two senders are at work under one name.
-func (s *Reporters) Duplicate(now float64) bool {
-	return s.duplicateSeenMs > 0 && now-s.duplicateSeenMs < duplicateWindowMs
+// Duplicate reports whether two reporters lately used the same name.
+func (r *Reporters) Duplicate(nowMs float64) bool {
+	return r.duplicateSeenMs > 0 && nowMs-r.duplicateSeenMs < duplicateWindowMs
 }
