--- a/intake/attempt_stats.go
+++ b/intake/attempt_stats.go
@@ -2,31 +2,56 @@
 
 import "math"
 
-// attemptStats of what proxies met lately, faded.
+// attemptStats are exponentially decaying sums of the attempts that proxies made: after decayMs without attempts a sum
+// has fallen to 1/e.
 type attemptStats struct {
-	decayMs                    float64 // ms it fades over
-	good, failed, latencySumMs float64
-	updatedMs, startMs         float64 // from: since when it counts; 0: it has not begun
+	decayMs      float64
+	good         float64 // attempts that succeeded
+	failed       float64
+	latencySumMs float64 // of the attempts that succeeded
+	updatedMs    float64 // instant to which the sums have decayed
+	startMs      float64 // begin of the first report's window; 0: there was no report
 }
 
-// decay brings counts up to a time.
-func (c *attemptStats) decay(now float64) {
-	part := math.Exp((c.updatedMs - now) / c.decayMs)
-	c.good, c.failed, c.latencySumMs, c.updatedMs = c.good*part, c.failed*part, c.latencySumMs*part, now
+const (
+	minStatsAgeMs = 100.0 // the sums are taken as at least this old, so that a rate stays finite
+	msPerSecond   = 1000
+	minDivisor    = 1e-9 // in place of a sum that may be 0
+)
+
+// decay brings the sums up to an instant.
+func (s *attemptStats) decay(nowMs float64) {
+	factor := math.Exp((s.updatedMs - nowMs) / s.decayMs)
+	s.good *= factor
+	s.failed *= factor
+	s.latencySumMs *= factor
+	s.updatedMs = nowMs
 }
 
-func (c *attemptStats) add(now float64, l *Report) {
-	if c.startMs == 0 {
-		c.startMs = now - l.WindowMs
+// add counts the attempts of a report.
+func (s *attemptStats) add(nowMs float64, report *Report) {
+	if s.startMs == 0 {
+		s.startMs = nowMs - report.WindowMs
 	}
-	c.decay(now)
-	good := float64(l.Attempts - l.Failed)
-	c.good, c.failed, c.latencySumMs = c.good+good, c.failed+float64(l.Failed), c.latencySumMs+good*l.MeanLatencyMs
+	s.decay(nowMs)
+	good := float64(report.succeeded())
+	s.good += good
+	s.failed += float64(report.Failed)
+	s.latencySumMs += good * report.MeanLatencyMs
 }
 
-// perSecond of a faded count, a second.
-func (c *attemptStats) perSecond(n float64) float64 {
-	return n / (c.decayMs * (1 - math.Exp(-math.Max(c.updatedMs-c.startMs, 100)/c.decayMs))) * 1000
+// goodPerSecond returns the rate of attempts that succeeded.
+func (s *attemptStats) goodPerSecond() float64 { return s.perSecond(s.good) }
+
+// totalPerSecond returns the rate of all attempts.
+func (s *attemptStats) totalPerSecond() float64 { return s.perSecond(s.good + s.failed) }
+
+// perSecond returns the rate behind a decaying sum. A constant rate r sums up to r d (1 - exp(-t/d)) within t, where d
+// is decayMs.
+func (s *attemptStats) perSecond(sum float64) float64 {
+	ageMs := math.Max(s.updatedMs-s.startMs, minStatsAgeMs)
+	return sum / (s.decayMs * (1 - math.Exp(-ageMs/s.decayMs))) * msPerSecond
 }
 
-func (c *attemptStats) meanLatencyMs() float64 { return c.latencySumMs / math.Max(c.good, 1e-9) }
+// meanLatencyMs returns the mean latency of the attempts that succeeded.
+func (s *attemptStats) meanLatencyMs() float64 { return s.latencySumMs / math.Max(s.good, minDivisor) }
--- a/intake/trust_report.go
+++ b/intake/trust_report.go
@@ -2,54 +2,66 @@
 
 import "math"
 
-// HostReport is how a host's reports stand.
+// noReportAgeMs is the age that HostReport shows where the host never reported its load.
+const noReportAgeMs = -1
+
+// HostReport is the state of one host's reports in the status API.
 type HostReport struct {
-	Count             float64       `json:"count"`     // good tries that count now, faded
-	AgeMs             float64       `json:"age_ms"`    // of the newest load report; below 0: there was none
-	Trust             float64       `json:"trust"`     // in its load reports, 0 to 1
-	DistrustReason    string        `json:"doubted"`   // why they are not believed
-	Silent            bool          `json:"silent"`    // they have stopped
-	Estimate          float64       `json:"estimate"`  // of its busy part, where they are not believed or have stopped
-	Uncertainty       float64       `json:"unsure"`    // how unsure that is, 0 to 1
-	DuplicateReporter bool          `json:"two_names"` // two senders are at work under its name
+	Count             float64       `json:"count"`     // successful attempts, decayed
+	AgeMs             float64       `json:"age_ms"`    // of the newest load report; -1: there was none
+	Trust             float64       `json:"trust"`     // confidence in the load reports, 0 to 1
+	DistrustReason    string        `json:"doubted"`   // why they are distrusted; "" if they are not
+	Silent            bool          `json:"silent"`    // the load reports have stopped
+	Estimate          float64       `json:"estimate"`  // of the utilization, where distrusted or silent
+	Uncertainty       float64       `json:"unsure"`    // of the estimate, 0 to 1
+	DuplicateReporter bool          `json:"two_names"` // two processes report under the host's name
 	Latencies         LatencyReport `json:"times"`
 }
 
-// Host tells how a host's reports stand; false where none came and no proxy met it.
-func (t *Trust) Host(now float64, name string, c Capacity) (r HostReport, ok bool) {
-	h := t.hosts[name]
-	if h == nil {
-		return r, false
+// Host returns the state of a host's reports; ok is false where there are none.
+func (t *Trust) Host(nowMs float64, name string, capacity Capacity) (report HostReport, ok bool) {
+	host := t.hosts[name]
+	if host == nil {
+		return HostReport{}, false
 	}
-	h.attempts.decay(now)
-	r = HostReport{Count: h.attempts.good, AgeMs: -1, Trust: h.confidence, DistrustReason: h.distrustReason, DuplicateReporter: h.reporters.Duplicate(now), Latencies: h.latencies.Report()}
-	if h.lastLoadMs > 0 {
-		r.AgeMs, r.Silent = now-h.lastLoadMs, t.isSilent(now, h)
-		if r.Silent || h.distrusted {
-			r.Estimate = math.Min(t.estimateUtilization(now, h, c), 1)
-			r.Uncertainty = math.Min((now-h.trustedMs)/math.Max(t.limits.UncertainAfterMs, 1), 1)
-		}
+	host.attempts.decay(nowMs)
+	report = HostReport{
+		Count:             host.attempts.good,
+		AgeMs:             noReportAgeMs,
+		Trust:             host.confidence,
+		DistrustReason:    host.distrustReason,
+		DuplicateReporter: host.reporters.Duplicate(nowMs),
+		Latencies:         host.latencies.Report(),
+	}
+	if !host.hasReported() {
+		return report, true
+	}
+	report.AgeMs = nowMs - host.lastLoadMs
+	report.Silent = host.isSilent(nowMs, &t.limits)
+	if report.Silent || host.distrusted {
+		report.Estimate = math.Min(host.estimateUtilization(nowMs, &t.limits, capacity), 1)
+		report.Uncertainty = host.uncertainty(nowMs, &t.limits)
 	}
-	return r, true
+	return report, true
 }
 
-// Confidence is how far a host's load reports are trusted, 1 where nothing is known.
+// Confidence returns the confidence in a host's load reports, 1 where nothing is known of it.
 func (t *Trust) Confidence(name string) float64 {
-	if h := t.hosts[name]; h != nil {
-		return h.confidence
+	if host := t.hosts[name]; host != nil {
+		return host.confidence
 	}
-	return 1
+	return fullConfidence
 }
 
-// Count tells how many hosts are known, doubted and silent.
-func (t *Trust) Count(now float64) (known, doubted, silent int) {
-	for _, h := range t.hosts {
-		if h.distrusted {
-			doubted++
+// Count returns how many hosts are known, how many of them are distrusted, and how many no longer report their load.
+func (t *Trust) Count(nowMs float64) (known, distrusted, silent int) {
+	for _, host := range t.hosts {
+		if host.distrusted {
+			distrusted++
 		}
-		if h.lastLoadMs > 0 && t.isSilent(now, h) {
+		if host.hasReported() && host.isSilent(nowMs, &t.limits) {
 			silent++
 		}
 	}
-	return len(t.hosts), doubted, silent
+	return len(t.hosts), distrusted, silent
 }
