--- a/intake/clock_test.go
+++ b/intake/clock_test.go
@@ -5,26 +5,44 @@
 	"testing"
 )
 
-// Age by a stamp does not hang on the sender's clock being right, and one that runs ahead makes nothing younger.
-func TestClock(t *testing.T) {
-	for _, ahead := range []float64{0, 3600e3, -3600e3} {
-		var c Clock
-		for i := range 100 {
-			now := 1e12 + float64(i)*1000
-			way, want := 20.0, 0.0
-			if i%10 == 5 { // a report that waited two seconds
-				way, want = 2020, 2000
+// The age of a stamped report does not depend on the sender's clock being right, and a clock that is set does not make
+// a report look younger or older.
+func TestClockAge(t *testing.T) {
+	const (
+		startMs = 1e12
+		hourMs  = 3600e3
+		delayMs = 20.0
+		queueMs = 2000.0 // that each tenth report waits before it is sent
+	)
+	for _, test := range []struct {
+		name    string
+		aheadMs float64
+	}{
+		{"exact", 0},
+		{"an hour ahead", hourMs},
+		{"an hour behind", -hourMs},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var clock Clock
+			for i := range 100 {
+				nowMs := startMs + float64(i)*1000
+				totalDelayMs, wantMs := delayMs, 0.0
+				if i%10 == 5 {
+					totalDelayMs, wantMs = delayMs+queueMs, queueMs
+				}
+				ageMs := clock.Age(nowMs, nowMs+test.aheadMs-totalDelayMs)
+				if math.Abs(ageMs-wantMs) > 1e-3 && i > 0 {
+					t.Fatalf("age %g of report %d with a delay of %g", ageMs, i, totalDelayMs)
+				}
 			}
-			if age := c.Age(now, now+ahead-way); math.Abs(age-want) > 1e-3 && i > 0 {
-				t.Fatalf("ahead by %g: age %g at %d, %g lay between", ahead, age, i, way)
+			nowMs := startMs + 101e3
+			if ageMs := clock.Age(nowMs, nowMs+test.aheadMs+60e3); ageMs != 0 {
+				t.Errorf("age %g after the clock was set ahead by a minute", ageMs)
 			}
-		}
-		// the clock is set forth by a minute, and later back by an hour
-		if age := c.Age(1e12+101e3, 1e12+101e3+ahead+60e3); age != 0 {
-			t.Errorf("set forth: age %g", age)
-		}
-		if age := c.Age(1e12+102e3, 1e12+102e3+ahead-3600e3); age != 0 {
-			t.Errorf("set back: age %g", age)
-		}
+			nowMs = startMs + 102e3
+			if ageMs := clock.Age(nowMs, nowMs+test.aheadMs-hourMs); ageMs != 0 {
+				t.Errorf("age %g after the clock was set back by an hour", ageMs)
+			}
+		})
 	}
 }
--- a/intake/ingest_pacer_test.go
+++ b/intake/ingest_pacer_test.go
@@ -8,18 +8,20 @@
 	"barleysail/internal/golden"
 )
 
-// A steward that falls behind sheds half of the reports, then more, and then lengthens its rounds; it comes back by steps.
-func TestPace(t *testing.T) {
+// A controller that falls behind sheds half of the reports, then more, then slows its rounds, and recovers by steps.
+func TestIngestPacer(t *testing.T) {
 	var out strings.Builder
-	var p IngestPacer
-	for i := range 200 {
-		late := 0.0
-		if i >= 10 && i < 25 {
-			late = 180
+	var pacer IngestPacer
+	for round := range 200 {
+		latenessMs := 0.0
+		if round >= 10 && round < 25 {
+			latenessMs = 180
 		}
-		if p.ObserveRound(late) {
-			fmt.Fprintf(&out, "round %3d: level %d, %.3f of the intake, %d of 20000 lines, rounds %.0f times as long\n", i, p.SheddingLevel(), p.Ratio(), p.MaxReports(20000), p.IntervalFactor())
+		if !pacer.ObserveRound(latenessMs) {
+			continue
 		}
+		fmt.Fprintf(&out, "round %3d: level %d, %.3f of the intake, %d of 20000 lines, rounds %.0f times as long\n",
+			round, pacer.SheddingLevel(), pacer.Ratio(), pacer.MaxReports(20000), pacer.IntervalFactor())
 	}
-	golden.Compare(t, "pace", out.String())
+	golden.Compare(t, "ingest_pacer", out.String())
 }
--- a/intake/latency_test.go
+++ b/intake/latency_test.go
@@ -5,28 +5,32 @@
 	"testing"
 )
 
-// Spreads of many proxies merge, and old ones are left behind.
-func TestSpread(t *testing.T) {
-	var s LatencyDistribution
-	times := NewLatencyHistogram()
+// Latency histograms of several proxies are merged, and old windows no longer count.
+func TestLatencyDistribution(t *testing.T) {
+	var distribution LatencyDistribution
+	histogram := NewLatencyHistogram()
 	for i := range 100 {
-		times.Observe(float64(10 + i))
+		histogram.Observe(float64(10 + i))
 	}
-	bars := times.Buckets()
-	if len(times.Buckets()) != 0 {
-		t.Error("counted again")
+	buckets := histogram.Buckets()
+	if len(histogram.Buckets()) != 0 {
+		t.Error("Buckets did not reset the histogram")
 	}
-	for p := range 5 {
-		s.Add(float64(p), bars, 0, 0)
+	for proxy := range 5 {
+		distribution.Add(float64(proxy), buckets, 0, 0)
 	}
-	s.Add(6, nil, 500, 25) // a proxy that tells no spread
-	if r := s.Report(); r.Count != 525 || math.Abs(r.P50-62) > 6 || math.Abs(r.P95-109) > 8 || math.Abs(r.P99-500) > 40 {
-		t.Errorf("%+v", r)
+	distribution.Add(6, nil, 500, 25) // of a proxy that sends no histogram
+	report := distribution.Report()
+	if report.Count != 525 || !isWithin(report.P50, 62, 6) || !isWithin(report.P95, 109, 8) ||
+		!isWithin(report.P99, 500, 40) {
+		t.Errorf("%+v", report)
 	}
-	for at := 5000.0; at < 40000; at += 1000 {
-		s.Add(at, nil, 20, 1)
+	for nowMs := 5000.0; nowMs < 40000; nowMs += 1000 {
+		distribution.Add(nowMs, nil, 20, 1)
 	}
-	if r := s.Report(); r.Count > 21 || r.P95 > 22 {
-		t.Errorf("old ones still count: %+v", r)
+	if report := distribution.Report(); report.Count > 21 || report.P95 > 22 {
+		t.Errorf("old windows still count: %+v", report)
 	}
 }
+
+func isWithin(got, want, tolerance float64) bool { return math.Abs(got-want) <= tolerance }
--- a/intake/queue_test.go
+++ b/intake/queue_test.go
@@ -11,97 +11,137 @@
 	"barleysail/routing"
 )
 
-func line(source, of string, tries int, at float64) Report {
-	return Report{Source: source, Subject: of, Attempts: tries, MeanLatencyMs: 20, WindowMs: 1000, Load: routing.UnknownLoad, ObservedMs: at}
+// hostReport returns a report of a proxy on its attempts at a host.
+func hostReport(source, host string, attempts int, observedMs float64) Report {
+	return Report{
+		Source:        source,
+		Subject:       host,
+		Attempts:      attempts,
+		MeanLatencyMs: 20,
+		WindowMs:      1000,
+		Load:          routing.UnknownLoad,
+		ObservedMs:    observedMs,
+	}
 }
 
-func print(out *strings.Builder, lines []Report) {
-	for _, l := range lines {
-		fmt.Fprintf(out, "  %s of %s: %d tries, %d failed, mean %.1f, span %.0f\n", l.Source, l.Subject, l.Attempts, l.Failed, l.MeanLatencyMs, l.WindowMs)
+// queueTrace writes what a queue does into a text that is compared with a golden file.
+type queueTrace struct{ out strings.Builder }
+
+func (q *queueTrace) printf(format string, args ...any) { fmt.Fprintf(&q.out, format+"\n", args...) }
+
+func (q *queueTrace) reports(reports []Report) {
+	for _, report := range reports {
+		q.printf("  %s of %s: %d tries, %d failed, mean %.1f, span %.0f",
+			report.Source, report.Subject, report.Attempts, report.Failed, report.MeanLatencyMs, report.WindowMs)
 	}
 }
 
-// Lines come out as they came while there is room; else by turns, those that say most first; of too many the source with
-// the most loses the stalest; old ones weigh less.
+// Reports are taken in the order of arrival while the round has room, else in turns of the sources by priority. A full
+// queue drops the lowest priority of the source with the most reports. Old reports have less weight.
 func TestQueue(t *testing.T) {
-	var out strings.Builder
-	say := func(format string, args ...any) { fmt.Fprintf(&out, format+"\n", args...) }
-	limits := Limits{MaxQueued: 6, FullWeightMs: 1000, HalfLifeMs: 1000, MaxAgeMs: 5000}
-	q := NewQueue(limits)
-	for _, l := range []Report{line("p", "x", 10, 0), line("q", "x", 5, 0), line("p", "y", 3, 0), line("p", "x", 30, 0), line("p", "x", 1, 0), line("p", "x", 1, 0), line("p", "x", 1, 0), line("p", "x", 2, 0)} {
-		q.Add(l)
+	var trace queueTrace
+	queue := NewQueue(Limits{MaxQueued: 6, FullWeightMs: 1000, HalfLifeMs: 1000, MaxAgeMs: 5000})
+
+	queue.Add(hostReport("p", "x", 10, 0))
+	queue.Add(hostReport("q", "x", 5, 0))
+	queue.Add(hostReport("p", "y", 3, 0))
+	queue.Add(hostReport("p", "x", 30, 0))
+	for range 3 {
+		queue.Add(hostReport("p", "x", 1, 0))
 	}
-	say("all, those of one source on one host beyond the fourth as one")
-	print(&out, q.Take(500, 100))
+	queue.Add(hostReport("p", "x", 2, 0))
+	trace.printf("all, those of one source on one host beyond the fourth as one")
+	trace.reports(queue.Take(500, 100))
+
 	for i := range 8 {
-		q.Add(line("flood", fmt.Sprint("h", i), 1+i, float64(i*100)))
+		queue.Add(hostReport("flood", fmt.Sprint("h", i), 1+i, float64(i*100)))
+	}
+	queue.Add(hostReport("p", "x", 1, 0))
+	queue.Add(hostReport("q", "x", 1, 0))
+	waiting, sources := queue.Waiting()
+	trace.printf("%d of %d sources wait, dropped %v", waiting, sources, queue.Dropped())
+	trace.printf("three of them")
+	trace.reports(queue.Take(800, 3))
+
+	queue.Forget("flood")
+	waiting, _ = queue.Waiting()
+	trace.printf("the flood's source leaves: %d wait, dropped %v", waiting, queue.Dropped())
+
+	queue.Add(hostReport("p", "old", 100, 1000))
+	queue.Add(hostReport("p", "older", 100, 0))
+	queue.Add(Report{Source: "p", Subject: "sheet", IsDemand: true, Attempts: 100, WindowMs: 1000, ObservedMs: 1000})
+	queue.Add(hostReport("p", "too old", 100, -3000))
+	trace.printf("of two and three seconds, one of usage, and one that is too old")
+	trace.reports(queue.Take(3000, 100))
+	trace.printf("dropped %v", queue.Dropped())
+	golden.Compare(t, "queue", trace.out.String())
+}
+
+// queueModel counts what happens to the reports that are offered to a queue.
+type queueModel struct {
+	queue                  *Queue
+	offered, taken, merged int
+}
+
+// reportsOf returns how many reports of a source are queued.
+func (m *queueModel) reportsOf(source string) int {
+	if queue := m.queue.bySource[source]; queue != nil {
+		return len(queue.reports)
 	}
-	q.Add(line("p", "x", 1, 0))
-	q.Add(line("q", "x", 1, 0))
-	n, sources := q.Waiting()
-	say("%d of %d sources wait, dropped %v", n, sources, q.Dropped())
-	say("three of them")
-	print(&out, q.Take(800, 3))
-	q.Forget("flood")
-	n, _ = q.Waiting()
-	say("the flood's source leaves: %d wait, dropped %v", n, q.Dropped())
-	q.Add(line("p", "old", 100, 1000))
-	q.Add(line("p", "older", 100, 0))
-	q.Add(Report{Source: "p", Subject: "sheet", IsDemand: true, Attempts: 100, WindowMs: 1000, ObservedMs: 1000})
-	q.Add(line("p", "too old", 100, -3000))
-	say("of two and three seconds, one of usage, and one that is too old")
-	print(&out, q.Take(3000, 100))
-	say("dropped %v", q.Dropped())
-	golden.Compare(t, "queue", out.String())
+	return 0
 }
 
-// Whatever is offered: no more wait than may, nothing is lost without being counted, and no source with fewer lines than
-// another loses one for it.
-func TestQueueCounts(t *testing.T) {
+// mostReports returns how many reports are queued of the source with the most.
+func (m *queueModel) mostReports() int {
+	most := 0
+	for _, queue := range m.queue.bySource {
+		most = max(most, len(queue.reports))
+	}
+	return most
+}
+
+// add offers a report, and checks that only a source with the most reports loses one.
+func (m *queueModel) add(t *rapid.T, report Report) {
+	waitingBefore, _ := m.queue.Waiting()
+	droppedBefore := m.queue.dropped[QueueFull]
+	ownBefore := m.reportsOf(report.Source)
+	m.queue.Add(report)
+	m.offered++
+	waiting, _ := m.queue.Waiting()
+	hasDropped := m.queue.dropped[QueueFull] > droppedBefore
+	if waiting == waitingBefore && !hasDropped {
+		m.merged++
+	}
+	if waiting > m.queue.limits.MaxQueued {
+		t.Fatalf("%d reports are queued", waiting)
+	}
+	own := m.reportsOf(report.Source)
+	if most := m.mostReports(); hasDropped && own < ownBefore && own+1 < most {
+		t.Fatalf("%s lost a report with %d where another source has %d", report.Source, own, most)
+	}
+}
+
+// Whatever is offered, the queue stays within its limit, each report that is lost is counted, and no source loses a
+// report while another has more.
+func TestQueueAccountsForAllReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := NewQueue(Limits{MaxQueued: 10, FullWeightMs: 1e9, HalfLifeMs: 1000, MaxAgeMs: 1e9})
-		offered, taken, merged := 0, 0, 0
-		alone := map[string]bool{}
+		model := queueModel{queue: NewQueue(Limits{MaxQueued: 10, FullWeightMs: 1e9, HalfLifeMs: 1000, MaxAgeMs: 1e9})}
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			if rapid.IntRange(0, 9).Draw(t, "take") == 0 {
-				got := q.Take(float64(i), rapid.IntRange(1, 12).Draw(t, "most"))
-				taken += len(got)
-				clear(alone)
+				maxReports := rapid.IntRange(1, 12).Draw(t, "maxReports")
+				model.taken += len(model.queue.Take(float64(i), maxReports))
 				continue
 			}
-			l := line(rapid.SampledFrom([]string{"a", "a", "a", "b", "c"}).Draw(t, "source"), fmt.Sprint(rapid.IntRange(0, 12).Draw(t, "of")), rapid.IntRange(0, 9).Draw(t, "tries"), float64(i))
-			before, _ := q.Waiting()
-			dropped := q.dropped[QueueFull]
-			was := 0
-			if w := q.bySource[l.Source]; w != nil {
-				was = len(w.reports)
-			}
-			q.Add(l)
-			offered++
-			after, _ := q.Waiting()
-			if after == before && q.dropped[QueueFull] == dropped {
-				merged++
-			}
-			if after > 10 {
-				t.Fatalf("%d wait", after)
-			}
-			if q.dropped[QueueFull] > dropped { // somebody lost a line: the longest
-				most := 0
-				for _, w := range q.bySource {
-					most = max(most, len(w.reports))
-				}
-				now := 0
-				if w := q.bySource[l.Source]; w != nil {
-					now = len(w.reports)
-				}
-				if now < was && now+1 < most {
-					t.Fatalf("%s lost a line with %d where another has %d", l.Source, now, most)
-				}
-			}
+			source := rapid.SampledFrom([]string{"a", "a", "a", "b", "c"}).Draw(t, "source")
+			host := fmt.Sprint(rapid.IntRange(0, 12).Draw(t, "host"))
+			attempts := rapid.IntRange(0, 9).Draw(t, "attempts")
+			model.add(t, hostReport(source, host, attempts, float64(i)))
 		}
-		n, _ := q.Waiting()
-		if lost := int(q.dropped[QueueFull]); offered != taken+merged+lost+n {
-			t.Fatalf("%d offered, %d taken, %d merged, %d dropped, %d wait", offered, taken, merged, lost, n)
+		waiting, _ := model.queue.Waiting()
+		dropped := int(model.queue.dropped[QueueFull])
+		if model.offered != model.taken+model.merged+dropped+waiting {
+			t.Fatalf("%d offered, %d taken, %d merged, %d dropped, %d queued",
+				model.offered, model.taken, model.merged, dropped, waiting)
 		}
 	})
 }
--- a/intake/rate_limiter_test.go
+++ b/intake/rate_limiter_test.go
@@ -6,66 +6,95 @@
 	"time"
 )
 
-// A source that floods takes what it is due and what nobody wants; the others' reports all come in.
-func TestDoor(t *testing.T) {
-	d := NewRateLimiter(RateLimits{PerSource: 2000, Total: 1000})
-	now := time.Unix(1000, 0)
-	in, refused := map[string]int{}, map[string]int{}
-	let := func(name string, lines int) {
-		if ok, again := d.Allow(now, name, lines); ok {
-			in[name] += lines
-		} else if refused[name] += lines; again <= 0 {
-			t.Errorf("%s may come again after %v", name, again)
-		}
+// limiterTest sends requests to a RateLimiter and counts their reports by source.
+type limiterTest struct {
+	*RateLimiter
+	now      time.Time
+	admitted map[string]int
+	rejected map[string]int
+}
+
+func newLimiterTest(limits RateLimits) *limiterTest {
+	return &limiterTest{
+		RateLimiter: NewRateLimiter(limits),
+		now:         time.Unix(1000, 0),
+		admitted:    map[string]int{},
+		rejected:    map[string]int{},
+	}
+}
+
+func (l *limiterTest) send(t *testing.T, source string, reports int) {
+	t.Helper()
+	ok, retryAfter := l.Allow(l.now, source, reports)
+	if ok {
+		l.admitted[source] += reports
+		return
+	}
+	l.rejected[source] += reports
+	if retryAfter <= 0 {
+		t.Errorf("%s may retry after %v", source, retryAfter)
 	}
-	for tick := range 200 { // 20 s in tenths
-		now = now.Add(100 * time.Millisecond)
+}
+
+// runFlood lets a source send 5000 reports a second for 20 s, ahead of 20 others with 20 a second each.
+func (l *limiterTest) runFlood(t *testing.T) {
+	t.Helper()
+	for tick := range 200 {
+		l.now = l.now.Add(100 * time.Millisecond)
 		for range 100 {
-			let("flood", 5) // 5000 a second, and before the others
+			l.send(t, "flood", 5)
 		}
 		for i := range 20 {
 			if tick%10 == i%10 {
-				let(fmt.Sprint("p", i), 20) // 20 a second each, 400 in all
+				l.send(t, fmt.Sprint("p", i), 20)
 			}
 		}
 	}
+}
+
+// A source that floods gets its guaranteed rate and what nobody else needs; all reports of the others are admitted.
+func TestRateLimiterIsolatesFlood(t *testing.T) {
+	limiter := newLimiterTest(RateLimits{PerSource: 2000, Total: 1000})
+	limiter.runFlood(t)
 	for i := range 20 {
-		if name := fmt.Sprint("p", i); refused[name] > 0 || in[name] != 400 {
-			t.Errorf("%s: %d in, %d refused", name, in[name], refused[name])
+		source := fmt.Sprint("p", i)
+		if limiter.rejected[source] > 0 || limiter.admitted[source] != 400 {
+			t.Errorf("%s: %d admitted, %d rejected", source, limiter.admitted[source], limiter.rejected[source])
 		}
 	}
-	if n := in["flood"]; n < 20*500 || n > 20*560+2000 {
-		t.Errorf("the flood got %d lines in 20 s", n)
+	if admitted := limiter.admitted["flood"]; admitted < 20*500 || admitted > 20*560+2000 {
+		t.Errorf("%d reports of the flood were admitted in 20 s", admitted)
 	}
-	r := d.Report()
-	if r.Sources != 21 || r.Shed+r.Rejected == 0 {
-		t.Errorf("%+v", r)
+	if report := limiter.Report(); report.Sources != 21 || report.Shed+report.Rejected == 0 {
+		t.Errorf("%+v", report)
 	}
-	d.SetRatio(now, 0.25)
-	clear(in)
+
+	limiter.SetRatio(limiter.now, 0.25)
+	clear(limiter.admitted)
 	for range 100 {
-		now = now.Add(100 * time.Millisecond)
+		limiter.now = limiter.now.Add(100 * time.Millisecond)
 		for range 20 {
-			let("flood", 5)
+			limiter.send(t, "flood", 5)
 		}
 	}
-	if n := in["flood"]; n > 10*140+700 {
-		t.Errorf("at a quarter the flood got %d lines in 10 s", n)
+	if admitted := limiter.admitted["flood"]; admitted > 10*140+700 {
+		t.Errorf("at a quarter %d reports of the flood were admitted in 10 s", admitted)
 	}
-	now = now.Add(time.Minute)
-	let("p1", 1)
-	if n := d.Report().Sources; n != 1 {
-		t.Errorf("%d sources are remembered", n)
+
+	limiter.now = limiter.now.Add(time.Minute)
+	limiter.send(t, "p1", 1)
+	if sources := limiter.Report().Sources; sources != 1 {
+		t.Errorf("%d sources are known after all but one were idle", sources)
 	}
 }
 
-// What is kept of sources is bounded, however many names come.
-func TestDoorIsBounded(t *testing.T) {
-	d := NewRateLimiter(DefaultRateLimits())
+// The number of sources that are known is bounded, however many names are used.
+func TestRateLimiterBoundsSources(t *testing.T) {
+	limiter := NewRateLimiter(DefaultRateLimits())
 	for i := range maxSources + 1000 {
-		d.Allow(time.Unix(1000, 0), fmt.Sprint("p", i), 1)
+		limiter.Allow(time.Unix(1000, 0), fmt.Sprint("p", i), 1)
 	}
-	if n := d.Report().Sources; n > maxSources+1 {
-		t.Errorf("%d sources", n)
+	if sources := limiter.Report().Sources; sources > maxSources+1 {
+		t.Errorf("%d sources are known", sources)
 	}
 }
--- a/intake/trust_test.go
+++ b/intake/trust_test.go
@@ -12,89 +12,140 @@
 	"barleysail/routing"
 )
 
-// fleet is hosts that serve, each at a rate and a mean time, reporting as told.
-type fleet struct {
+// trustTest drives a Trust by reports of simulated hosts, one of each host a second.
+type trustTest struct {
 	*Trust
-	at  float64
-	out strings.Builder
+	nowMs float64
+	out   strings.Builder
 }
 
-func (f *fleet) second(name string, rate, mean float64, load routing.HostLoad, c Capacity) routing.HostLoad {
-	l := Report{Source: "p", Subject: name, Attempts: int(rate), MeanLatencyMs: mean, WindowMs: 1000, Load: load, ObservedMs: f.at}
-	f.ObserveAttempts(f.at, &l)
-	f.ObserveLoad(f.at, name, load, c)
-	return f.Load(f.at, name, load, c)
+func newTrustTest() *trustTest { return &trustTest{Trust: NewTrust(DefaultLimits())} }
+
+// second reports a second's attempts at a host together with its load, and returns the load that routing gets.
+func (f *trustTest) second(
+	host string, attempts, meanLatencyMs float64, load routing.HostLoad, capacity Capacity,
+) routing.HostLoad {
+	report := Report{
+		Source:        "p",
+		Subject:       host,
+		Attempts:      int(attempts),
+		MeanLatencyMs: meanLatencyMs,
+		WindowMs:      1000,
+		Load:          load,
+		ObservedMs:    f.nowMs,
+	}
+	f.ObserveAttempts(f.nowMs, &report)
+	f.ObserveLoad(f.nowMs, host, load, capacity)
+	return f.Load(f.nowMs, host, load, capacity)
 }
 
-// Reports that are false, stuck or missing are told, and what stands in their place gives no room; those of a host that
-// is merely slow, idle or at a steady load are believed.
-func TestTrust(t *testing.T) {
-	f := &fleet{Trust: NewTrust(DefaultLimits())}
-	c := Capacity{Cores: 4, MeanWorkMs: 50, ProxyShare: 1}
-	load := func(util, rate, queue float64) routing.HostLoad {
-		return routing.HostLoad{Utilization: util, RequestRate: rate, QueueLength: queue}
+func hostLoad(utilization, requestRate float64) routing.HostLoad {
+	return routing.HostLoad{Utilization: utilization, RequestRate: requestRate, QueueLength: 0}
+}
+
+var testCapacity = Capacity{Cores: 4, MeanWorkMs: 50, ProxyShare: 1}
+
+// specialHosts are the hosts of TestTrust that differ from the rest of the fleet, in the order of its output.
+var specialHosts = []string{"idle", "slow", "lies", "lies-no-cores", "stuck", "stops"}
+
+// reportFleet reports a second of 20 ordinary hosts. trafficDivisor is 4 while only a quarter of the traffic is left.
+func (f *trustTest) reportFleet(wobble, trafficDivisor float64) {
+	for i := range 20 {
+		utilization := (0.5 + wobble*float64(i+1)/10) / trafficDivisor
+		requestRate := (40 + float64(i%3) + wobble) / trafficDivisor
+		f.second(fmt.Sprint("plain-", i), 40/trafficDivisor, 55, hostLoad(utilization, requestRate), testCapacity)
 	}
-	quarter := 1.0
+}
+
+// reportSpecialHosts reports a second of the special hosts and returns the loads that routing gets.
+func (f *trustTest) reportSpecialHosts(wobble float64, isFaulty bool) map[string]routing.HostLoad {
+	loads := map[string]routing.HostLoad{}
+	loads["idle"] = f.second("idle", 0, 0, hostLoad(0, 0), testCapacity)
+	loads["slow"] = f.second("slow", 20, 110, hostLoad(0.5+wobble, 20+wobble), testCapacity)
+	loads["lies"] = f.second("lies", 70, 300, hostLoad(0.1+wobble, 7+wobble), testCapacity)
+	loads["lies-no-cores"] = f.second("lies-no-cores", 70, 300, hostLoad(0.1+wobble, -1), Capacity{ProxyShare: 1})
+	stuckLoad := hostLoad(0.5+wobble, 40+wobble)
+	stoppedLoad := stuckLoad
+	if isFaulty {
+		stuckLoad = hostLoad(0.5, 41)
+		stoppedLoad = routing.UnknownLoad
+	}
+	loads["stuck"] = f.second("stuck", 40, 55, stuckLoad, testCapacity)
+	loads["stops"] = f.second("stops", 40, 55, stoppedLoad, testCapacity)
+	return loads
+}
+
+// printSecond writes the loads each eighth second, and all changes of trust.
+func (f *trustTest) printSecond(second int, loads map[string]routing.HostLoad) {
+	if second%8 == 0 {
+		fmt.Fprintf(&f.out, "%2d s:", second)
+		for _, host := range specialHosts {
+			fmt.Fprintf(&f.out, " %s %.2f", host, loads[host].Utilization)
+		}
+		fmt.Fprintln(&f.out)
+	}
+	for _, change := range f.DrainChanges() {
+		fmt.Fprintf(&f.out, "%2d s: %s\n", second, change)
+	}
+}
+
+// Load reports that are false, stuck or missing are found out and replaced by estimates without free capacity; those of
+// a host that is merely slow, idle or at a steady load are trusted, also while the traffic of the fleet falls.
+func TestTrust(t *testing.T) {
+	test := newTrustTest()
 	for i := range 80 {
-		f.at += 1000
+		test.nowMs += 1000
 		wobble := 0.02 * math.Sin(float64(i)*1.7)
-		told := map[string]routing.HostLoad{}
-		for h := range 20 {
-			f.second(fmt.Sprint("plain-", h), 40/quarter, 55, load((0.5+wobble*float64(h+1)/10)/quarter, (40+float64(h%3)+wobble)/quarter, 0), c)
-		}
-		told["idle"] = f.second("idle", 0, 0, load(0, 0, 0), c)
-		told["slow"] = f.second("slow", 20, 110, load(0.5+wobble, 20+wobble, 0), c)
-		told["lies"] = f.second("lies", 70, 300, load(0.1+wobble, 7+wobble, 0), c)
-		told["lies-no-cores"] = f.second("lies-no-cores", 70, 300, load(0.1+wobble, -1, 0), Capacity{ProxyShare: 1})
-		if i < 40 {
-			told["stuck"] = f.second("stuck", 40, 55, load(0.5+wobble, 40+wobble, 0), c)
-			told["stops"] = f.second("stops", 40, 55, load(0.5+wobble, 40+wobble, 0), c)
-		} else {
-			told["stuck"] = f.second("stuck", 40, 55, load(0.5, 41, 0), c)
-			told["stops"] = f.second("stops", 40, 55, routing.UnknownLoad, c)
-		}
-		if i%8 == 7 {
-			fmt.Fprintf(&f.out, "%2d s:", i+1)
-			for _, name := range []string{"idle", "slow", "lies", "lies-no-cores", "stuck", "stops"} {
-				fmt.Fprintf(&f.out, " %s %.2f", name, told[name].Utilization)
-			}
-			fmt.Fprintln(&f.out)
-		}
-		if i == 20 { // a quarter of the traffic is left for a while
-			quarter = 4
-		} else if i == 30 {
-			quarter = 1
-		}
-		for _, text := range f.DrainChanges() {
-			fmt.Fprintf(&f.out, "%2d s: %s\n", i+1, text)
+		trafficDivisor := 1.0
+		if i > 20 && i <= 30 {
+			trafficDivisor = 4
 		}
+		test.reportFleet(wobble, trafficDivisor)
+		loads := test.reportSpecialHosts(wobble, i >= 40)
+		test.printSecond(i+1, loads)
 	}
-	r, _ := f.Host(f.at, "stops", c)
-	fmt.Fprintf(&f.out, "stops: silent %v, estimate %.2f, unsure %.2f, age %.0f ms, %.0f good tries\n", r.Silent, r.Estimate, r.Uncertainty, r.AgeMs, r.Count)
-	known, doubted, silent := f.Count(f.at)
-	fmt.Fprintf(&f.out, "%d known, %d doubted, %d silent\n", known, doubted, silent)
-	golden.Compare(t, "trust", f.out.String())
+	report, _ := test.Host(test.nowMs, "stops", testCapacity)
+	fmt.Fprintf(&test.out, "stops: silent %v, estimate %.2f, unsure %.2f, age %.0f ms, %.0f good tries\n",
+		report.Silent, report.Estimate, report.Uncertainty, report.AgeMs, report.Count)
+	known, distrusted, silent := test.Count(test.nowMs)
+	fmt.Fprintf(&test.out, "%d known, %d doubted, %d silent\n", known, distrusted, silent)
+	golden.Compare(t, "trust", test.out.String())
 }
 
-// Whatever a host reports and the proxies meet: in place of a report stands one that gives no more room.
-func TestNoRoomInvented(t *testing.T) {
+// Whatever a host reports and proxies observe, the load in place of a report never has more free capacity.
+func TestEstimateAddsNoCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleet{Trust: NewTrust(DefaultLimits())}
-		c := Capacity{Cores: rapid.SampledFrom([]float64{0, 4}).Draw(t, "able"), MeanWorkMs: 50, ProxyShare: 0.5}
+		test := newTrustTest()
+		capacity := Capacity{
+			Cores:      rapid.SampledFrom([]float64{0, 4}).Draw(t, "cores"),
+			MeanWorkMs: 50,
+			ProxyShare: 0.5,
+		}
 		for range rapid.IntRange(5, 60).Draw(t, "seconds") {
-			f.at += 1000
-			f.second("other", 40, 50, routing.HostLoad{Utilization: 0.5 + math.Mod(f.at, 7)/100, RequestRate: 40, QueueLength: 0}, c)
-			load := routing.HostLoad{Utilization: rapid.SampledFrom([]float64{0, 0.1, 0.5, 1}).Draw(t, "util"), RequestRate: rapid.SampledFrom([]float64{-1, 1, 40}).Draw(t, "rate"), QueueLength: 0}
-			told := f.second("h", rapid.SampledFrom([]float64{0, 10, 40, 80}).Draw(t, "came"), rapid.SampledFrom([]float64{20, 50, 400}).Draw(t, "mean"), load, c)
-			if told != load && (told.Utilization < load.Utilization || told.RequestRate >= 0 || told.QueueLength >= 0 || told.Utilization > 1) {
-				t.Fatalf("%+v became %+v", load, told)
+			test.nowMs += 1000
+			test.second("other", 40, 50, hostLoad(0.5+math.Mod(test.nowMs, 7)/100, 40), capacity)
+			reported := hostLoad(
+				rapid.SampledFrom([]float64{0, 0.1, 0.5, 1}).Draw(t, "utilization"),
+				rapid.SampledFrom([]float64{-1, 1, 40}).Draw(t, "requestRate"),
+			)
+			attempts := rapid.SampledFrom([]float64{0, 10, 40, 80}).Draw(t, "attempts")
+			meanLatencyMs := rapid.SampledFrom([]float64{20, 50, 400}).Draw(t, "meanLatencyMs")
+			load := test.second("h", attempts, meanLatencyMs, reported, capacity)
+			isEstimate := load != reported
+			if isEstimate && (load.Utilization < reported.Utilization || load.Utilization > 1) {
+				t.Fatalf("%+v became %+v", reported, load)
+			}
+			if isEstimate && (load.RequestRate >= 0 || load.QueueLength >= 0) {
+				t.Fatalf("%+v became %+v", reported, load)
 			}
 		}
-		f.at += 30000
+		test.nowMs += 30000
 		for range 3 {
-			f.at += 1000
-			if told := f.Load(f.at, "h", routing.UnknownLoad, c); told != routing.UnknownLoad && told.Utilization < DefaultLimits().UnknownUtilization-1e-9 {
-				t.Fatalf("after half a minute of silence %+v", told)
+			test.nowMs += 1000
+			load := test.Load(test.nowMs, "h", routing.UnknownLoad, capacity)
+			minUtilization := DefaultLimits().UnknownUtilization - 1e-9
+			if load != routing.UnknownLoad && load.Utilization < minUtilization {
+				t.Fatalf("%+v after half a minute without reports", load)
 			}
 		}
 	})
