--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -3,9 +3,7 @@
 import (
 	"fmt"
 	"maps"
-	"math"
 	"slices"
-	"strconv"
 	"strings"
 	"testing"
 
@@ -16,67 +14,6 @@
 	"barleysail/internal/haproxy"
 )
 
-// proxy is a small model of one that is driven by a socket: it does what it is told, refuses what the guide says it
-// refuses, and can be changed by others.
-type proxy struct {
-	servers map[string]haproxy.ServerState // by backend/server
-	refuses bool
-	sent    []string
-}
-
-func (x *proxy) state() (all []haproxy.ServerState) {
-	for _, k := range slices.Sorted(maps.Keys(x.servers)) {
-		all = append(all, x.servers[k])
-	}
-	return all
-}
-
-func (x *proxy) do(command string) string {
-	x.sent = append(x.sent, command)
-	w := strings.Fields(command)
-	if x.refuses && strings.HasPrefix(command, "add") {
-		return "backend is full.\n"
-	}
-	if strings.HasPrefix(command, "set var") {
-		return ""
-	}
-	at := 1
-	if w[1] == "server" || w[1] == "weight" {
-		at = 2
-	}
-	backend, name, _ := strings.Cut(w[at], "/")
-	s, ok := x.servers[w[at]]
-	switch {
-	case w[0] == "add":
-		n, _ := strconv.Atoi(w[5])
-		x.servers[w[at]] = haproxy.ServerState{Backend: backend, Server: name, Weight: n, Admin: haproxy.ForcedMaint}
-		return "New server registered.\n"
-	case !ok:
-		return "No such server.\n"
-	case w[0] == "del" && s.Admin&haproxy.ForcedMaint == 0:
-		return "Only servers in maintenance mode can be deleted.\n"
-	case w[0] == "del":
-		delete(x.servers, w[at])
-		return "Server deleted.\n"
-	case w[1] == "weight":
-		s.Weight, _ = strconv.Atoi(w[3])
-	default:
-		s.Admin = map[string]int{"ready": 0, "drain": haproxy.ForcedDrain, "maint": haproxy.ForcedMaint}[w[4]]
-	}
-	x.servers[w[at]] = s
-	return ""
-}
-
-// takes tells whether a backend has a server that takes traffic.
-func (x *proxy) takes(backend string) bool {
-	for _, s := range x.servers {
-		if s.Backend == backend && s.Admin == 0 && s.Weight > 0 {
-			return true
-		}
-	}
-	return false
-}
-
 // drive sends what is due, up to so many commands.
 func drive(p *ProxyUpdater, x *proxy, now float64, most int) (n int) {
 	for ; n < most; n++ {
@@ -201,90 +138,3 @@
 		}
 	})
 }
-
-// A host's share by quantised weights is off by less than one part in their sum, and none that has a weight falls to 0.
-func TestQuantise(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		weights := rapid.SliceOfN(rapid.Float64Range(1e-6, 1e6), 1, 500).Draw(t, "weights")
-		scale := rapid.Float64Range(0, 1000).Draw(t, "scale")
-		all, by := Quantise(weights, scale)
-		sum, total, raised := 0.0, 0.0, 0.0
-		for i, w := range weights {
-			sum, total = sum+w, total+float64(all[i])
-			if w*by < 0.5 {
-				raised++
-			}
-		}
-		for i, w := range weights {
-			if all[i] < 1 || all[i] > 256 {
-				t.Fatalf("%g is %d", w, all[i])
-			}
-			// off by rounding of its own, and by what the rounding of the others moves the sum
-			bound := (0.5 + raised + float64(len(weights))*0.5*w/sum) / total * 1.0001
-			if off := math.Abs(float64(all[i])/total - w/sum); raised == 0 && off > bound {
-				t.Fatalf("share of %g: %g off, bound %g", w, off, bound)
-			}
-		}
-	})
-}
-
-// Sums are what counters grew by; after a restart of the proxy they begin anew.
-func TestCounters(t *testing.T) {
-	c := NewCounters("s")
-	known := func(h string) bool { return h == "a:80" }
-	rows := func(total, failed int) []haproxy.Row {
-		return []haproxy.Row{{"pxname": "sheet", "svname": "a:80", "type": "2", "stot": fmt.Sprint(total), "eresp": fmt.Sprint(failed), "ttime": "50"},
-			{"pxname": "finish", "svname": "a:80", "type": "2", "stot": fmt.Sprint(total), "eresp": "0", "ttime": "20"},
-			{"pxname": "sheet", "svname": "gone:80", "type": "2", "stot": fmt.Sprint(total)},
-			{"pxname": "sheet", "svname": "BACKEND", "type": "1", "stot": fmt.Sprint(2 * total), "eresp": fmt.Sprint(failed)}}
-	}
-	if _, ok := c.Read(1000, rows(100, 5), known); ok {
-		t.Error("sums of a first reading")
-	}
-	u, ok := c.Read(2000, rows(110, 7), known)
-	if v := u.Hosts["a:80"]; !ok || v.Attempts != 20 || v.Failed != 2 || math.Abs(v.MeanLatencyMs-(8*50+10*20)/18.0) > 1e-9 || v.WindowMs != 1000 || len(u.Hosts) != 1 ||
-		u.Demand["sheet"].Arrivals != 20 || u.Demand["sheet"].Unanswered != 2 {
-		t.Errorf("%v %+v", ok, u)
-	}
-	if u, _ = c.Read(3000, rows(4, 1), known); u.Hosts["a:80"].Attempts != 8 || u.Demand["sheet"].Arrivals != 8 || u.Sequence != 3 {
-		t.Errorf("after a restart: %+v", u)
-	}
-}
-
-// Of two stewards one drives a proxy; when it is gone the other does, and if both take over at once one gives up.
-func TestOwner(t *testing.T) {
-	mark := ""
-	a, b := NewSocketOwner("A"), NewSocketOwner("B")
-	var out strings.Builder
-	turn := func(name string, o *SocketOwner) {
-		mine, set := o.Read(mark)
-		if set != "" {
-			mark = set
-		}
-		fmt.Fprintf(&out, "%s drives %v, the mark is %s\n", name, mine, mark)
-	}
-	for range 3 {
-		turn("a", a)
-		turn("b", b)
-	}
-	fmt.Fprintln(&out, "a is gone")
-	for range 6 {
-		turn("b", b)
-	}
-	fmt.Fprintln(&out, "a is back")
-	for range 3 {
-		turn("a", a)
-		turn("b", b)
-	}
-	fmt.Fprintln(&out, "both read an empty mark, and both set theirs")
-	mark = ""
-	_, x := a.Read(mark)
-	_, y := b.Read(mark)
-	mark = x
-	mark = y
-	for range 3 {
-		turn("a", a)
-		turn("b", b)
-	}
-	golden.Compare(t, "owner", out.String())
-}
