--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -14,37 +14,37 @@
 
 // server as the proxy has it.
 type server struct {
-	weight int
-	ready  bool
-	maint  bool
-	since  float64 // when it was drained, as far as that is known
+	weight    int
+	ready     bool
+	maint     bool
+	drainedMs float64 // when it was drained, as far as that is known
 }
 
 // ProxyUpdater is what is known of one, and what it should have.
 type ProxyUpdater struct {
-	grace  float64 // a drained server is taken off after so long
-	have   map[string]map[string]server
-	want   map[string]map[string]int
-	scale  map[string]float64
-	shares map[string]float64
-	told   map[string]float64 // shares that the proxy has
-	failed map[string]int     // commands that were refused, by server: after some it is left alone until the next reading
-	out    *command           // sent, not answered
-	plan   []*command         // of the most urgent kind, in order
-	read   bool
+	drainGraceMs  float64 // a drained server is taken off after so long
+	servers       map[string]map[string]server
+	target        map[string]map[string]int
+	scales        map[string]float64
+	targetRatios  map[string]float64
+	appliedRatios map[string]float64 // shares that the proxy has
+	rejections    map[string]int     // commands that were refused, by server: after some it is left alone until the next reading
+	inFlight      *command           // sent, not answered
+	plan          []*command         // of the most urgent kind, in order
+	observed      bool
 }
 
 // command is one that is out, and what it changes.
 type command struct {
 	text            string
 	backend, server string
-	done            func(p *ProxyUpdater, now float64)
+	apply           func(p *ProxyUpdater, now float64)
 }
 
 // New makes the publisher of a proxy of which nothing is known.
 func New(grace float64) *ProxyUpdater {
-	return &ProxyUpdater{grace: grace, have: map[string]map[string]server{}, want: map[string]map[string]int{}, scale: map[string]float64{},
-		shares: map[string]float64{}, told: map[string]float64{}, failed: map[string]int{}}
+	return &ProxyUpdater{drainGraceMs: grace, servers: map[string]map[string]server{}, target: map[string]map[string]int{}, scales: map[string]float64{},
+		targetRatios: map[string]float64{}, appliedRatios: map[string]float64{}, rejections: map[string]int{}}
 }
 
 // ObserveServers takes in the proxy's state, as show servers state tells it: after connecting, and now and then, since others
@@ -55,83 +55,83 @@
 		if fresh[s.Backend] == nil {
 			fresh[s.Backend] = map[string]server{}
 		}
-		x := server{weight: s.Weight, maint: s.Admin&haproxy.ForcedMaint != 0, since: now}
+		x := server{weight: s.Weight, maint: s.Admin&haproxy.ForcedMaint != 0, drainedMs: now}
 		x.ready = !x.maint && s.Admin&haproxy.ForcedDrain == 0
-		if old, ok := p.have[s.Backend][s.Server]; ok {
-			x.since = old.since
+		if old, ok := p.servers[s.Backend][s.Server]; ok {
+			x.drainedMs = old.drainedMs
 			if old.weight != x.weight || old.ready != x.ready || old.maint != x.maint {
 				foreign++
 			}
-		} else if p.read {
+		} else if p.observed {
 			foreign++
 		}
 		fresh[s.Backend][s.Server] = x
 	}
-	for backend, servers := range p.have {
+	for backend, servers := range p.servers {
 		for name := range servers {
 			if _, ok := fresh[backend][name]; !ok {
 				foreign++
 			}
 		}
 	}
-	if !p.read {
+	if !p.observed {
 		foreign = 0
 	}
-	p.have, p.read, p.out, p.plan = fresh, true, nil, nil
-	clear(p.failed)
+	p.servers, p.observed, p.inFlight, p.plan = fresh, true, nil, nil
+	clear(p.rejections)
 	return foreign
 }
 
 // ConnectionLost notes that the connection is gone: nothing is known of the proxy any more but when servers were drained.
 func (p *ProxyUpdater) ConnectionLost() {
-	p.read, p.out, p.plan = false, nil, nil
-	clear(p.told)
+	p.observed, p.inFlight, p.plan = false, nil, nil
+	clear(p.appliedRatios)
 }
 
 // SetTarget takes in the tables decided. A class whose hosts are not ordered keeps what it has.
 func (p *ProxyUpdater) SetTarget(tables []controller.Table) {
 	p.plan = nil
 	for _, t := range tables {
-		p.shares[t.Class] = math.Min(t.AdmissionRatio, 1)
+		p.targetRatios[t.Class] = math.Min(t.AdmissionRatio, 1)
 		if !t.Ordered {
 			continue
 		}
-		weights, by := Quantise(t.Weights, p.scale[t.Class])
-		p.scale[t.Class] = by
+		weights, by := quantizeWeights(t.Weights, p.scales[t.Class])
+		p.scales[t.Class] = by
 		w := map[string]int{}
 		for i, host := range t.Hosts {
 			w[host] = weights[i]
 		}
-		p.want[t.Class] = w
+		p.target[t.Class] = w
 	}
 }
 
 // Settled tells whether the proxy has what it should: what is drained and not yet taken off does not count.
 func (p *ProxyUpdater) Settled(now float64) bool {
-	if !p.read || p.out != nil {
+	if !p.observed || p.inFlight != nil {
 		return false
 	}
-	c := p.first(now)
-	return c == nil || c.backend != "" && p.want[c.backend][c.server] == 0 && !p.have[c.backend][c.server].ready
+	c := p.peek(now)
+	return c == nil || c.backend != "" && p.target[c.backend][c.server] == 0 && !p.servers[c.backend][c.server].ready
 }
 
 // NextCommand gives the command to be sent now; false where none is, or one is out.
 func (p *ProxyUpdater) NextCommand(now float64) (text string, ok bool) {
-	if !p.read || p.out != nil {
+	if !p.observed || p.inFlight != nil {
 		return "", false
 	}
-	c := p.first(now)
+	c := p.peek(now)
 	if c == nil {
 		return "", false
 	}
-	p.out, p.plan = c, p.plan[1:]
+	p.inFlight, p.plan = c, p.plan[1:]
 	return c.text, true
 }
 
-// first gives the plan's first command, of a new plan where the old one is done; nil where nothing is to be done.
-func (p *ProxyUpdater) first(now float64) *command {
+// peek gives the plan's first command, of a new plan where the old one is done; nil where nothing is to be done.
+func (p *ProxyUpdater) peek(now float64) *command {
 	if len(p.plan) == 0 {
-		p.plan = p.next(now)
+		p.plan = p.buildPlan(now)
 	}
 	if len(p.plan) == 0 {
 		return nil
@@ -139,39 +139,39 @@
 	return p.plan[0]
 }
 
-// said are the answers of commands that were done; all others but an empty one are refusals.
-var said = []string{"new server registered", "server deleted"}
+// successPrefixes are the answers of commands that were done; all others but an empty one are refusals.
+var successPrefixes = []string{"new server registered", "server deleted"}
 
 // ObserveResponse takes in the answer to the command that is out. A refusal is given as an error: the command is tried again a
 // few times, and then the server is left until the state is read anew.
 func (p *ProxyUpdater) ObserveResponse(now float64, answer string) error {
-	c := p.out
-	if p.out = nil; c == nil {
+	c := p.inFlight
+	if p.inFlight = nil; c == nil {
 		return nil
 	}
 	text := strings.ToLower(strings.TrimSpace(answer))
 	done := text == ""
-	for _, s := range said {
+	for _, s := range successPrefixes {
 		done = done || strings.HasPrefix(text, s)
 	}
 	if !done {
-		p.failed[c.backend+"/"+c.server]++
+		p.rejections[c.backend+"/"+c.server]++
 		if c.backend == "" { // a share that the proxy cannot hold
-			c.done(p, now)
+			c.apply(p, now)
 		}
 		return fmt.Errorf("%s: %s", c.text, strings.TrimSpace(answer))
 	}
-	c.done(p, now)
+	c.apply(p, now)
 	return nil
 }
 
 // NextDeadlineMs is when Next has something for the sake of time alone: a drained server's end. +Inf: never.
 func (p *ProxyUpdater) NextDeadlineMs() float64 {
 	due := math.Inf(1)
-	for backend, servers := range p.have {
+	for backend, servers := range p.servers {
 		for name, h := range servers {
-			if w, ok := p.want[backend]; ok && w[name] == 0 && !h.ready && p.failed[backend+"/"+name] < refusedMost {
-				due = math.Min(due, h.since+p.grace)
+			if w, ok := p.target[backend]; ok && w[name] == 0 && !h.ready && p.rejections[backend+"/"+name] < maxRejections {
+				due = math.Min(due, h.drainedMs+p.drainGraceMs)
 			}
 		}
 	}
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -121,7 +121,7 @@
 		if last == nil {
 			return
 		}
-		want, _ := Quantise(last[0].Weights, p.scale["sheet"])
+		want, _ := quantizeWeights(last[0].Weights, p.scales["sheet"])
 		got := map[string]int{}
 		for _, s := range x.state() {
 			if s.Admin == 0 {
--- a/publisher/socket_owner.go
+++ b/publisher/socket_owner.go
@@ -15,41 +15,41 @@
 // watch and take over once it stands still. Two that take over at once read different marks in the next cycle, and
 // the one that finds another's gives up.
 type SocketOwner struct {
-	life  string
-	beat  int64
-	last  string // mark as read last
-	still int
-	mine  bool
+	incarnation     string
+	heartbeat       int64
+	lastMark        string // mark as read last
+	unchangedCycles int
+	isOwner         bool
 }
 
 // NewSocketOwner makes one for a steward's life.
-func NewSocketOwner(life string) *SocketOwner { return &SocketOwner{life: life} }
+func NewSocketOwner(life string) *SocketOwner { return &SocketOwner{incarnation: life} }
 
 // Read takes in the mark that stands, "" for none, and tells whether this steward drives the proxy and what mark to
 // set, "" for none.
 func (o *SocketOwner) Read(mark string) (mine bool, set string) {
 	life, _, ok := strings.Cut(mark, ":")
 	switch {
-	case ok && life == o.life:
-		o.mine, o.still = true, 0
-	case mark == "" || mark == o.last:
-		if o.still++; mark == "" || o.still >= staleCycles {
-			o.still = 0
-			o.beat++
-			o.mine = false // until the mark is read back
-			o.last = mark
+	case ok && life == o.incarnation:
+		o.isOwner, o.unchangedCycles = true, 0
+	case mark == "" || mark == o.lastMark:
+		if o.unchangedCycles++; mark == "" || o.unchangedCycles >= staleCycles {
+			o.unchangedCycles = 0
+			o.heartbeat++
+			o.isOwner = false // until the mark is read back
+			o.lastMark = mark
 			return false, o.mark()
 		}
-		o.mine = false
+		o.isOwner = false
 	default:
-		o.mine, o.still = false, 0
+		o.isOwner, o.unchangedCycles = false, 0
 	}
-	o.last = mark
-	if !o.mine {
+	o.lastMark = mark
+	if !o.isOwner {
 		return false, ""
 	}
-	o.beat++
+	o.heartbeat++
 	return true, o.mark()
 }
 
-func (o *SocketOwner) mark() string { return o.life + ":" + strconv.FormatInt(o.beat, 10) }
+func (o *SocketOwner) mark() string { return o.incarnation + ":" + strconv.FormatInt(o.heartbeat, 10) }
--- a/publisher/weights_test.go
+++ b/publisher/weights_test.go
@@ -12,7 +12,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(1e-6, 1e6), 1, 500).Draw(t, "weights")
 		scale := rapid.Float64Range(0, 1000).Draw(t, "scale")
-		all, by := Quantise(weights, scale)
+		all, by := quantizeWeights(weights, scale)
 		sum, total, raised := 0.0, 0.0, 0.0
 		for i, w := range weights {
 			sum, total = sum+w, total+float64(all[i])
