--- a/publisher/counters.go
+++ b/publisher/counters.go
@@ -9,79 +9,148 @@
 	"barleysail/routing"
 )
 
-// Counters makes sums of a proxy's show stat: what its counters grew by since the last reading. A counter that is
-// lower than before began anew.
+// maxCounter is the largest counter value that is accepted; a larger one is taken as 0.
+const maxCounter = 1e15
+
+// Counters turns the cumulative counters of a proxy's "show stat" into request stats: their growth since the last
+// reading. A counter that is lower than before was reset. Use [NewCounters] to make one.
 type Counters struct {
-	previous    map[string]serverCounters
-	readMs      float64
-	hasBaseline bool
-	sequence    int64
+	previous    map[string]serverCounters // by backend/server
+	readMs      float64                   // instant of the last reading
+	hasBaseline bool                      // there was a reading
+	sequence    int64                     // of the last reading
 	sender      string
 }
 
-// serverCounters of a server or a backend.
-type serverCounters struct{ sessions, connectErrors, responseErrors, retries float64 }
+// serverCounters are the counters of a server or of a whole backend.
+type serverCounters struct {
+	sessions       float64
+	connectErrors  float64
+	responseErrors float64
+}
 
-// NewCounters makes counters whose sums bear a sender's name.
+// NewCounters returns counters whose request stats name this sender.
 func NewCounters(sender string) *Counters {
 	return &Counters{previous: map[string]serverCounters{}, sender: sender}
 }
 
-// Read takes show stat in and gives the sums since the last reading; false at the first. Tries are the sessions and
-// the failed connections, failed ones those whose connection or response failed, the mean is the published average of
-// the last ones.
-func (c *Counters) Read(now float64, rows []haproxy.Row, known func(host string) bool) (u controller.ProxyStats, ok bool) {
-	span := math.Max(now-c.readMs, 1)
-	u = controller.ProxyStats{Sender: c.sender, Hosts: map[string]controller.HostStats{}, Demand: map[string]controller.ClassDemand{}}
-	sums := map[string]float64{}
-	for _, r := range rows {
-		name := r["pxname"] + "/" + r["svname"]
-		x := serverCounters{numericField(r, "stot"), numericField(r, "econ"), numericField(r, "eresp"), numericField(r, "wretr")}
-		d := x.increaseSince(c.previous[name])
-		c.previous[name] = x
+// Read takes the rows of "show stat" and returns the request stats since the last reading; ok is false at the first
+// one. Attempts are the sessions and the failed connections of a server, failed ones are those whose connection or
+// response failed, and the mean latency is the average that the proxy publishes over its latest sessions. Servers that
+// isKnownHost does not know are left out.
+func (c *Counters) Read(
+	nowMs float64, rows []haproxy.Row, isKnownHost func(host string) bool,
+) (stats controller.ProxyStats, ok bool) {
+	c.sequence++
+	interval := newIntervalStats(math.Max(nowMs-c.readMs, 1))
+	for _, row := range rows {
+		increase := c.advance(row)
 		if !c.hasBaseline {
 			continue
 		}
-		if r["type"] == strconv.Itoa(haproxy.Backend) {
-			came := int(d.sessions)
-			u.Demand[r["pxname"]] = controller.ClassDemand{Arrivals: came, Unanswered: min(int(d.connectErrors+d.responseErrors), came), WindowMs: span}
-			continue
-		}
-		tries := d.sessions + d.connectErrors
-		host := r["svname"]
-		if tries == 0 || r["type"] != strconv.Itoa(haproxy.Server) || !known(host) {
-			continue
-		}
-		v := u.Hosts[host]
-		failed := math.Min(d.connectErrors+d.responseErrors, tries)
-		v.Attempts, v.Failed = v.Attempts+int(tries), v.Failed+int(failed)
-		sums[host] += numericField(r, "ttime") * (tries - failed)
-		v.WindowMs, v.Load = span, routing.UnknownLoad
-		v.MeanLatencyMs = 0
-		if good := float64(v.Attempts - v.Failed); good > 0 {
-			v.MeanLatencyMs = sums[host] / good
+		switch row["type"] {
+		case strconv.Itoa(haproxy.Backend):
+			interval.addBackend(row["pxname"], increase)
+		case strconv.Itoa(haproxy.Server):
+			if increase.attempts() > 0 && isKnownHost(row["svname"]) {
+				interval.addServer(row["svname"], increase, numericField(row, "ttime"))
+			}
 		}
-		u.Hosts[host] = v
 	}
 	ok = c.hasBaseline
-	c.readMs, c.hasBaseline = now, true
-	c.sequence++
-	u.Sequence = c.sequence
-	return u, ok
+	c.readMs = nowMs
+	c.hasBaseline = true
+	stats = controller.ProxyStats{
+		Sender:   c.sender,
+		Sequence: c.sequence,
+		Hosts:    interval.hosts,
+		Demand:   interval.demand,
+	}
+	return stats, ok
+}
+
+// advance takes the counters of a row and returns their increase since the last reading.
+func (c *Counters) advance(row haproxy.Row) serverCounters {
+	key := row["pxname"] + "/" + row["svname"]
+	counters := serverCounters{
+		sessions:       numericField(row, "stot"),
+		connectErrors:  numericField(row, "econ"),
+		responseErrors: numericField(row, "eresp"),
+	}
+	increase := counters.increaseSince(c.previous[key])
+	c.previous[key] = counters
+	return increase
+}
+
+// increaseSince returns the growth since an earlier reading, from 0 where the counters were reset in between.
+func (s serverCounters) increaseSince(earlier serverCounters) serverCounters {
+	wasReset := s.sessions < earlier.sessions ||
+		s.connectErrors < earlier.connectErrors ||
+		s.responseErrors < earlier.responseErrors
+	if wasReset {
+		return s
+	}
+	return serverCounters{
+		sessions:       s.sessions - earlier.sessions,
+		connectErrors:  s.connectErrors - earlier.connectErrors,
+		responseErrors: s.responseErrors - earlier.responseErrors,
+	}
 }
 
-// increaseSince gives the growth, from 0 where a counter began anew.
-func (x serverCounters) increaseSince(old serverCounters) serverCounters {
-	if x.sessions < old.sessions || x.connectErrors < old.connectErrors || x.responseErrors < old.responseErrors {
-		old = serverCounters{}
+// attempts returns the number of attempts at a server: a connection that failed is no session.
+func (s serverCounters) attempts() float64 { return s.sessions + s.connectErrors }
+
+// intervalStats collects the request stats of one interval between two readings.
+type intervalStats struct {
+	lengthMs      float64
+	hosts         map[string]controller.HostStats
+	demand        map[string]controller.ClassDemand
+	latencySumsMs map[string]float64 // by host, of the attempts that succeeded
+}
+
+func newIntervalStats(lengthMs float64) *intervalStats {
+	return &intervalStats{
+		lengthMs:      lengthMs,
+		hosts:         map[string]controller.HostStats{},
+		demand:        map[string]controller.ClassDemand{},
+		latencySumsMs: map[string]float64{},
+	}
+}
+
+// addBackend adds the demand for a request class.
+func (i *intervalStats) addBackend(class string, increase serverCounters) {
+	arrivals := int(increase.sessions)
+	i.demand[class] = controller.ClassDemand{
+		Arrivals:   arrivals,
+		Unanswered: min(int(increase.connectErrors+increase.responseErrors), arrivals),
+		WindowMs:   i.lengthMs,
+	}
+}
+
+// addServer adds the attempts at a host for one request class; those of several classes are summed up.
+func (i *intervalStats) addServer(host string, increase serverCounters, meanLatencyMs float64) {
+	attempts := increase.attempts()
+	failed := math.Min(increase.connectErrors+increase.responseErrors, attempts)
+	i.latencySumsMs[host] += meanLatencyMs * (attempts - failed)
+
+	stats := i.hosts[host]
+	stats.Attempts += int(attempts)
+	stats.Failed += int(failed)
+	stats.WindowMs = i.lengthMs
+	stats.Load = routing.UnknownLoad
+	stats.MeanLatencyMs = 0
+	if succeeded := float64(stats.Attempts - stats.Failed); succeeded > 0 {
+		stats.MeanLatencyMs = i.latencySumsMs[host] / succeeded
 	}
-	return serverCounters{x.sessions - old.sessions, x.connectErrors - old.connectErrors, x.responseErrors - old.responseErrors, x.retries - old.retries}
+	i.hosts[host] = stats
 }
 
-func numericField(r haproxy.Row, field string) float64 {
-	x, err := strconv.ParseFloat(r[field], 64)
-	if err != nil || !(x >= 0) || x > 1e15 {
+// numericField returns the number in a field, 0 where it is missing, malformed or out of range.
+func numericField(row haproxy.Row, field string) float64 {
+	value, err := strconv.ParseFloat(row[field], 64)
+	isValid := err == nil && value >= 0 && value <= maxCounter
+	if !isValid {
 		return 0
 	}
-	return x
+	return value
 }
--- a/publisher/plan.go
+++ b/publisher/plan.go
@@ -1,131 +1,151 @@
 package publisher
 
 import (
-	"fmt"
 	"maps"
 	"math"
 	"slices"
 )
 
-// maxRejections commands for a server are tried before it is left alone until the next reading.
-const maxRejections = 3
+const (
+	// maxRejections is the number of rejected commands after which a server is left alone until the proxy's state is
+	// read again.
+	maxRejections = 3
+	// minRatioChange is the smallest change of an admission ratio that is published: half of its unit.
+	minRatioChange = 0.5 / ratioUnits
+	// unpublishedRatio stands for an admission ratio that the proxy does not have yet.
+	unpublishedRatio = -1
+)
 
-// buildPlan finds what is most urgent: servers to go to first, then weights, then drains, and last what is taken off. All
-// of one kind are one plan. A backend is never left without a ready server: drains wait for the others.
-func (p *ProxyUpdater) buildPlan(now float64) (plan []*command) {
-	names := map[string][]string{}
-	for backend, want := range p.target {
-		all := maps.Clone(want)
-		for name := range p.servers[backend] {
-			all[name] = 0
-		}
-		names[backend] = slices.Sorted(maps.Keys(all))
-	}
-	for _, step := range []func(backend, name string, h server, has bool, want int) *command{p.addCommand, p.weightCommand, p.drainCommand,
-		func(backend, name string, h server, has bool, want int) *command {
-			return p.removeCommand(now, backend, name, h, has, want)
-		}} {
-		for _, backend := range slices.Sorted(maps.Keys(names)) {
-			for _, name := range names[backend] {
-				if p.rejections[backend+"/"+name] >= maxRejections {
-					continue
-				}
-				h, has := p.servers[backend][name]
-				if c := step(backend, name, h, has, p.target[backend][name]); c != nil {
-					c.backend, c.server = backend, name
-					plan = append(plan, c)
-				}
+// serverDiff compares a server of the proxy with its target.
+type serverDiff struct {
+	key          serverKey
+	exists       bool
+	current      server
+	targetWeight int // 0: it should be removed
+}
+
+// planStep returns the command that a server needs of one kind, or nil.
+type planStep func(nowMs float64, diff serverDiff) *command
+
+// buildPlan returns the most urgent commands, all of one kind, in the order of backends and servers. Servers that get
+// traffic come first, then weights, then drains, then removals, and last the admission ratios. So a backend is never
+// left without a ready server: drains wait for the others.
+func (p *ProxyUpdater) buildPlan(nowMs float64) []*command {
+	diffs := p.diffServers()
+	for _, step := range []planStep{p.startServer, p.updateWeight, p.drainServer, p.removeServer} {
+		var plan []*command
+		for _, diff := range diffs {
+			if next := step(nowMs, diff); next != nil {
+				plan = append(plan, next)
 			}
 		}
 		if len(plan) > 0 {
 			return plan
 		}
 	}
-	for _, class := range slices.Sorted(maps.Keys(p.targetRatios)) {
-		if share := p.targetRatios[class]; math.Abs(share-appliedRatio(p.appliedRatios, class)) >= 0.0005 {
-			plan = append(plan, &command{text: fmt.Sprintf("set var proc.%s%s int(%d)", ShareVariable, class, int(math.Round(share*1000))),
-				apply: func(p *ProxyUpdater, _ float64) { p.appliedRatios[class] = share }})
-		}
-	}
-	return plan
-}
-
-// ShareVariable and a class name the process variable that holds the share to be let in, in thousandths, for the
-// proxy's own rules.
-const ShareVariable = "share_"
-
-func appliedRatio(told map[string]float64, class string) float64 {
-	if x, ok := told[class]; ok {
-		return x
-	}
-	return -1
+	return p.changedRatios()
 }
 
-func (p *ProxyUpdater) update(backend, name string, change func(*server)) {
-	if p.servers[backend] == nil {
-		p.servers[backend] = map[string]server{}
+// diffServers returns the servers of all backends that have a target, in the order of their names, without those whose
+// commands the proxy keeps rejecting.
+func (p *ProxyUpdater) diffServers() []serverDiff {
+	var diffs []serverDiff
+	for _, backend := range slices.Sorted(maps.Keys(p.target)) {
+		targetWeights := p.target[backend]
+		names := maps.Clone(targetWeights)
+		for name := range p.servers[backend] {
+			names[name] = 0
+		}
+		for _, name := range slices.Sorted(maps.Keys(names)) {
+			key := serverKey{backend: backend, name: name}
+			if p.rejections[key] >= maxRejections {
+				continue
+			}
+			current, exists := p.servers[backend][name]
+			diffs = append(diffs, serverDiff{
+				key:          key,
+				exists:       exists,
+				current:      current,
+				targetWeight: targetWeights[name],
+			})
+		}
 	}
-	h := p.servers[backend][name]
-	change(&h)
-	p.servers[backend][name] = h
+	return diffs
 }
 
-// addCommand adds servers, and makes those ready that should be.
-func (p *ProxyUpdater) addCommand(backend, name string, h server, has bool, want int) *command {
+// startServer adds a server that should have traffic, or makes it ready. The proxy adds servers in maintenance, and a
+// server gets its weight before it is ready, so that it never takes traffic by an old one.
+func (p *ProxyUpdater) startServer(_ float64, diff serverDiff) *command {
 	switch {
-	case want == 0 || h.ready && !h.maint:
+	case diff.targetWeight == 0 || diff.current.ready && !diff.current.maintenance:
 		return nil
-	case !has: // an added server begins in maintenance
-		return &command{text: fmt.Sprintf("add server %s/%s %s weight %d", backend, name, name, want),
-			apply: func(p *ProxyUpdater, now float64) {
-				p.update(backend, name, func(s *server) { *s = server{weight: want, maint: true, drainedMs: now} })
-			}}
-	case h.weight != want: // not first to all its old weight
-		return p.weightCommand(backend, name, server{weight: h.weight, ready: true}, true, want)
+	case !diff.exists:
+		return &command{operation: addServer, server: diff.key, weight: diff.targetWeight}
+	case diff.current.weight != diff.targetWeight:
+		return &command{operation: setWeight, server: diff.key, weight: diff.targetWeight}
+	default:
+		return &command{operation: setReady, server: diff.key}
 	}
-	return &command{text: fmt.Sprintf("set server %s/%s state ready", backend, name),
-		apply: func(p *ProxyUpdater, _ float64) {
-			p.update(backend, name, func(s *server) { s.ready, s.maint = true, false })
-		}}
 }
 
-func (p *ProxyUpdater) weightCommand(backend, name string, h server, has bool, want int) *command {
-	if !has || want == 0 || h.weight == want || !h.ready {
+// updateWeight changes the weight of a ready server.
+func (p *ProxyUpdater) updateWeight(_ float64, diff serverDiff) *command {
+	hasTraffic := diff.exists && diff.current.ready && diff.targetWeight > 0
+	if !hasTraffic || diff.current.weight == diff.targetWeight {
 		return nil
 	}
-	return &command{text: fmt.Sprintf("set weight %s/%s %d", backend, name, want),
-		apply: func(p *ProxyUpdater, _ float64) { p.update(backend, name, func(s *server) { s.weight = want }) }}
+	return &command{operation: setWeight, server: diff.key, weight: diff.targetWeight}
 }
 
-func (p *ProxyUpdater) drainCommand(backend, name string, h server, has bool, want int) *command {
-	if !has || want > 0 || !h.ready || len(p.target[backend]) > 0 && !p.hasReadyServer(backend) {
+// drainServer drains a server that should have no traffic, once another one of its backend is ready to take it.
+func (p *ProxyUpdater) drainServer(_ float64, diff serverDiff) *command {
+	if !diff.exists || diff.targetWeight > 0 || !diff.current.ready {
+		return nil
+	}
+	backend := diff.key.backend
+	if len(p.target[backend]) > 0 && !p.hasReadyTarget(backend) {
 		return nil
 	}
-	return &command{text: fmt.Sprintf("set server %s/%s state drain", backend, name),
-		apply: func(p *ProxyUpdater, now float64) {
-			p.update(backend, name, func(s *server) { s.ready, s.drainedMs = false, now })
-		}}
+	return &command{operation: setDrain, server: diff.key}
 }
 
-// hasReadyServer tells whether a server that should have traffic is ready: one whose adding was refused is not.
-func (p *ProxyUpdater) hasReadyServer(backend string) bool {
-	for name, w := range p.target[backend] {
-		if h := p.servers[backend][name]; w > 0 && h.ready && h.weight > 0 {
+// hasReadyTarget reports whether a server that should have traffic takes it. One that the proxy refused to add does
+// not.
+func (p *ProxyUpdater) hasReadyTarget(backend string) bool {
+	for name, targetWeight := range p.target[backend] {
+		current := p.servers[backend][name]
+		if targetWeight > 0 && current.ready && current.weight > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// removeCommand takes drained servers off once the grace is over.
-func (p *ProxyUpdater) removeCommand(now float64, backend, name string, h server, has bool, want int) *command {
-	if !has || want > 0 || h.ready || now < h.drainedMs+p.drainGraceMs {
+// removeServer takes a drained server out of the proxy after the drain grace. The proxy deletes only servers that are
+// in maintenance.
+func (p *ProxyUpdater) removeServer(nowMs float64, diff serverDiff) *command {
+	isDrained := diff.exists && diff.targetWeight == 0 && !diff.current.ready
+	if !isDrained || nowMs < diff.current.drainedMs+p.drainGraceMs {
 		return nil
 	}
-	if !h.maint {
-		return &command{text: fmt.Sprintf("set server %s/%s state maint", backend, name),
-			apply: func(p *ProxyUpdater, _ float64) { p.update(backend, name, func(s *server) { s.maint = true }) }}
+	if !diff.current.maintenance {
+		return &command{operation: setMaintenance, server: diff.key}
 	}
-	return &command{text: fmt.Sprintf("del server %s/%s", backend, name),
-		apply: func(p *ProxyUpdater, _ float64) { delete(p.servers[backend], name) }}
+	return &command{operation: deleteServer, server: diff.key}
+}
+
+// changedRatios returns the commands for the admission ratios that differ from the published ones.
+func (p *ProxyUpdater) changedRatios() []*command {
+	var plan []*command
+	for _, class := range slices.Sorted(maps.Keys(p.targetRatios)) {
+		ratio := p.targetRatios[class]
+		published, ok := p.publishedRatios[class]
+		if !ok {
+			published = unpublishedRatio
+		}
+		if math.Abs(ratio-published) >= minRatioChange {
+			plan = append(plan, &command{operation: setAdmissionRatio, class: class, ratio: ratio})
+		}
+	}
+	return plan
 }
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -1,10 +1,14 @@
-// Package publisher decides what a proxy that is driven by a runtime socket is told: it keeps the proxy's servers at
-// the tables decided, by commands one after the other, and takes each answer as the acknowledgement. It does no I/O
-// and reads no clock; times are ms. A class is a backend, a host a server named by its address.
+// Package publisher decides which commands a proxy gets that is driven by its runtime socket. It keeps the proxy's
+// servers and weights at the routing tables by one command after the other, and takes each response as the
+// acknowledgement ([ProxyUpdater]); it turns the proxy's counters into request stats ([Counters]); and it elects the
+// one controller that drives the proxy ([SocketOwner]).
+//
+// A backend of the proxy is a request class, a server is a host named by its address. The package does no I/O, reads no
+// clock and starts no goroutine; instants and durations are float64 milliseconds. Its types are not safe for concurrent
+// use.
 package publisher
 
 import (
-	"fmt"
 	"math"
 	"strings"
 
@@ -12,126 +16,156 @@
 	"barleysail/internal/haproxy"
 )
 
-// server as the proxy has it.
-type server struct {
-	weight    int
-	ready     bool
-	maint     bool
-	drainedMs float64 // when it was drained, as far as that is known
-}
-
-// ProxyUpdater is what is known of one, and what it should have.
+// ProxyUpdater brings one proxy to the target state: it knows the state of the proxy's servers, as far as it was read
+// and changed since, and plans the commands that are missing.
 type ProxyUpdater struct {
-	drainGraceMs  float64 // a drained server is taken off after so long
-	servers       map[string]map[string]server
-	target        map[string]map[string]int
-	scales        map[string]float64
-	targetRatios  map[string]float64
-	appliedRatios map[string]float64 // shares that the proxy has
-	rejections    map[string]int     // commands that were refused, by server: after some it is left alone until the next reading
-	inFlight      *command           // sent, not answered
-	plan          []*command         // of the most urgent kind, in order
-	observed      bool
+	drainGraceMs    float64                      // from the drain of a server to its removal
+	servers         map[string]map[string]server // current state by backend and server name
+	target          map[string]map[string]int    // weights by backend and server name
+	scales          map[string]float64           // of the target's quantized weights, by request class
+	targetRatios    map[string]float64           // admission ratios by request class
+	publishedRatios map[string]float64           // those that the proxy has
+	rejections      map[serverKey]int            // rejected commands since the state was last read
+	inFlight        *command                     // sent, without a response yet
+	plan            []*command                   // to be sent next, in order
+	observed        bool                         // the state was read since the connection was made
 }
 
-// command is one that is out, and what it changes.
-type command struct {
-	text            string
-	backend, server string
-	apply           func(p *ProxyUpdater, now float64)
+// server is the state of a server in the proxy.
+type server struct {
+	weight      int
+	ready       bool    // takes traffic
+	maintenance bool    // in maintenance mode
+	drainedMs   float64 // instant of the drain; if that is unknown, the instant at which the server was first observed
 }
 
-// New makes the publisher of a proxy of which nothing is known.
-func New(grace float64) *ProxyUpdater {
-	return &ProxyUpdater{drainGraceMs: grace, servers: map[string]map[string]server{}, target: map[string]map[string]int{}, scales: map[string]float64{},
-		targetRatios: map[string]float64{}, appliedRatios: map[string]float64{}, rejections: map[string]int{}}
+// New returns an updater for a proxy of which nothing is known. drainGraceMs is the time from the drain of a server to
+// its removal.
+func New(drainGraceMs float64) *ProxyUpdater {
+	return &ProxyUpdater{
+		drainGraceMs:    drainGraceMs,
+		servers:         map[string]map[string]server{},
+		target:          map[string]map[string]int{},
+		scales:          map[string]float64{},
+		targetRatios:    map[string]float64{},
+		publishedRatios: map[string]float64{},
+		rejections:      map[serverKey]int{},
+	}
 }
 
-// ObserveServers takes in the proxy's state, as show servers state tells it: after connecting, and now and then, since others
-// may change it too. It tells how many servers were not as they were left.
-func (p *ProxyUpdater) ObserveServers(now float64, all []haproxy.ServerState) (foreign int) {
+// ObserveServers takes the proxy's state as "show servers state" returns it: after connecting, and from time to time,
+// as others may change it too. It returns how many servers differ from the state that this updater left.
+func (p *ProxyUpdater) ObserveServers(nowMs float64, states []haproxy.ServerState) (foreignChanges int) {
 	fresh := map[string]map[string]server{}
-	for _, s := range all {
-		if fresh[s.Backend] == nil {
-			fresh[s.Backend] = map[string]server{}
+	for i := range states {
+		state := &states[i]
+		observed := newServer(nowMs, state)
+		known, isKnown := p.servers[state.Backend][state.Server]
+		if isKnown {
+			observed.drainedMs = known.drainedMs
 		}
-		x := server{weight: s.Weight, maint: s.Admin&haproxy.ForcedMaint != 0, drainedMs: now}
-		x.ready = !x.maint && s.Admin&haproxy.ForcedDrain == 0
-		if old, ok := p.servers[s.Backend][s.Server]; ok {
-			x.drainedMs = old.drainedMs
-			if old.weight != x.weight || old.ready != x.ready || old.maint != x.maint {
-				foreign++
-			}
-		} else if p.observed {
-			foreign++
+		if observed != known || !isKnown {
+			foreignChanges++
+		}
+		if fresh[state.Backend] == nil {
+			fresh[state.Backend] = map[string]server{}
 		}
-		fresh[s.Backend][s.Server] = x
+		fresh[state.Backend][state.Server] = observed
 	}
-	for backend, servers := range p.servers {
+	foreignChanges += countMissing(p.servers, fresh)
+	if !p.observed {
+		foreignChanges = 0
+	}
+	p.servers = fresh
+	p.observed = true
+	p.inFlight = nil
+	p.plan = nil
+	clear(p.rejections)
+	return foreignChanges
+}
+
+func newServer(nowMs float64, state *haproxy.ServerState) server {
+	inMaintenance := state.Admin&haproxy.ForcedMaint != 0
+	isDrained := state.Admin&haproxy.ForcedDrain != 0
+	return server{
+		weight:      state.Weight,
+		ready:       !inMaintenance && !isDrained,
+		maintenance: inMaintenance,
+		drainedMs:   nowMs,
+	}
+}
+
+// countMissing returns the number of known servers that are not among the fresh ones.
+func countMissing(known, fresh map[string]map[string]server) int {
+	missing := 0
+	for backend, servers := range known {
 		for name := range servers {
 			if _, ok := fresh[backend][name]; !ok {
-				foreign++
+				missing++
 			}
 		}
 	}
-	if !p.observed {
-		foreign = 0
-	}
-	p.servers, p.observed, p.inFlight, p.plan = fresh, true, nil, nil
-	clear(p.rejections)
-	return foreign
+	return missing
 }
 
-// ConnectionLost notes that the connection is gone: nothing is known of the proxy any more but when servers were drained.
+// ConnectionLost records that the connection is gone. Until the state is read again, only the instants of drains count.
 func (p *ProxyUpdater) ConnectionLost() {
-	p.observed, p.inFlight, p.plan = false, nil, nil
-	clear(p.appliedRatios)
+	p.observed = false
+	p.inFlight = nil
+	p.plan = nil
+	clear(p.publishedRatios)
 }
 
-// SetTarget takes in the tables decided. A class whose hosts are not ordered keeps what it has.
+// SetTarget takes the routing tables that the proxy should have. Of a request class whose hosts are not ordered, only
+// the admission ratio is taken; its servers keep their weights.
 func (p *ProxyUpdater) SetTarget(tables []controller.Table) {
 	p.plan = nil
-	for _, t := range tables {
-		p.targetRatios[t.Class] = math.Min(t.AdmissionRatio, 1)
-		if !t.Ordered {
-			continue
-		}
-		weights, by := quantizeWeights(t.Weights, p.scales[t.Class])
-		p.scales[t.Class] = by
-		w := map[string]int{}
-		for i, host := range t.Hosts {
-			w[host] = weights[i]
+	for i := range tables {
+		table := &tables[i]
+		p.targetRatios[table.Class] = math.Min(table.AdmissionRatio, 1)
+		if table.Ordered {
+			p.setTargetWeights(table)
 		}
-		p.target[t.Class] = w
 	}
 }
 
-// Settled tells whether the proxy has what it should: what is drained and not yet taken off does not count.
-func (p *ProxyUpdater) Settled(now float64) bool {
+func (p *ProxyUpdater) setTargetWeights(table *controller.Table) {
+	quantized, scale := quantizeWeights(table.Weights, p.scales[table.Class])
+	p.scales[table.Class] = scale
+	weights := map[string]int{}
+	for i, host := range table.Hosts {
+		weights[host] = quantized[i]
+	}
+	p.target[table.Class] = weights
+}
+
+// Settled reports whether the proxy has reached its target, apart from drained servers that are not removed yet.
+func (p *ProxyUpdater) Settled(nowMs float64) bool {
 	if !p.observed || p.inFlight != nil {
 		return false
 	}
-	c := p.peek(now)
-	return c == nil || c.backend != "" && p.target[c.backend][c.server] == 0 && !p.servers[c.backend][c.server].ready
+	next := p.peek(nowMs)
+	return next == nil || next.removesServer()
 }
 
-// NextCommand gives the command to be sent now; false where none is, or one is out.
-func (p *ProxyUpdater) NextCommand(now float64) (text string, ok bool) {
+// NextCommand returns the command to be sent now; ok is false where there is none, or one is in flight.
+func (p *ProxyUpdater) NextCommand(nowMs float64) (text string, ok bool) {
 	if !p.observed || p.inFlight != nil {
 		return "", false
 	}
-	c := p.peek(now)
-	if c == nil {
+	next := p.peek(nowMs)
+	if next == nil {
 		return "", false
 	}
-	p.inFlight, p.plan = c, p.plan[1:]
-	return c.text, true
+	p.inFlight = next
+	p.plan = p.plan[1:]
+	return next.text(), true
 }
 
-// peek gives the plan's first command, of a new plan where the old one is done; nil where nothing is to be done.
-func (p *ProxyUpdater) peek(now float64) *command {
+// peek returns the first command of the plan, of a new plan where the last one is done; nil if there is nothing to do.
+func (p *ProxyUpdater) peek(nowMs float64) *command {
 	if len(p.plan) == 0 {
-		p.plan = p.buildPlan(now)
+		p.plan = p.buildPlan(nowMs)
 	}
 	if len(p.plan) == 0 {
 		return nil
@@ -139,41 +173,73 @@
 	return p.plan[0]
 }
 
-// successPrefixes are the answers of commands that were done; all others but an empty one are refusals.
-var successPrefixes = []string{"new server registered", "server deleted"}
-
-// ObserveResponse takes in the answer to the command that is out. A refusal is given as an error: the command is tried again a
-// few times, and then the server is left until the state is read anew.
-func (p *ProxyUpdater) ObserveResponse(now float64, answer string) error {
-	c := p.inFlight
-	if p.inFlight = nil; c == nil {
+// ObserveResponse takes the response to the command in flight. It returns a *RejectedError where the proxy rejected the
+// command. The command is then tried again up to maxRejections times, after which its server is left alone until the
+// state is read again.
+func (p *ProxyUpdater) ObserveResponse(nowMs float64, response string) error {
+	sent := p.inFlight
+	p.inFlight = nil
+	if sent == nil {
 		return nil
 	}
-	text := strings.ToLower(strings.TrimSpace(answer))
-	done := text == ""
-	for _, s := range successPrefixes {
-		done = done || strings.HasPrefix(text, s)
+	if isSuccess(response) {
+		p.apply(nowMs, sent)
+		return nil
 	}
-	if !done {
-		p.rejections[c.backend+"/"+c.server]++
-		if c.backend == "" { // a share that the proxy cannot hold
-			c.apply(p, now)
-		}
-		return fmt.Errorf("%s: %s", c.text, strings.TrimSpace(answer))
+	if sent.operation == setAdmissionRatio {
+		p.apply(nowMs, sent) // not tried again: the proxy cannot hold the variable
+	} else {
+		p.rejections[sent.server]++
 	}
-	c.apply(p, now)
-	return nil
+	return &RejectedError{Command: sent.text(), Response: strings.TrimSpace(response)}
 }
 
-// NextDeadlineMs is when Next has something for the sake of time alone: a drained server's end. +Inf: never.
+// apply records what a command has changed in the proxy.
+func (p *ProxyUpdater) apply(nowMs float64, done *command) {
+	switch done.operation {
+	case setAdmissionRatio:
+		p.publishedRatios[done.class] = done.ratio
+		return
+	case deleteServer:
+		delete(p.servers[done.server.backend], done.server.name)
+		return
+	}
+	changed := p.servers[done.server.backend][done.server.name]
+	switch done.operation {
+	case addServer:
+		changed = server{weight: done.weight, maintenance: true, drainedMs: nowMs}
+	case setWeight:
+		changed.weight = done.weight
+	case setReady:
+		changed.ready = true
+		changed.maintenance = false
+	case setDrain:
+		changed.ready = false
+		changed.drainedMs = nowMs
+	case setMaintenance:
+		changed.maintenance = true
+	}
+	if p.servers[done.server.backend] == nil {
+		p.servers[done.server.backend] = map[string]server{}
+	}
+	p.servers[done.server.backend][done.server.name] = changed
+}
+
+// NextDeadlineMs returns the instant at which NextCommand will have a command only because time passes: the earliest
+// end of a drain grace. It is +Inf where there is none.
 func (p *ProxyUpdater) NextDeadlineMs() float64 {
-	due := math.Inf(1)
+	deadlineMs := math.Inf(1)
 	for backend, servers := range p.servers {
-		for name, h := range servers {
-			if w, ok := p.target[backend]; ok && w[name] == 0 && !h.ready && p.rejections[backend+"/"+name] < maxRejections {
-				due = math.Min(due, h.drainedMs+p.drainGraceMs)
+		weights, hasTarget := p.target[backend]
+		if !hasTarget {
+			continue
+		}
+		for name, current := range servers {
+			isDrained := weights[name] == 0 && !current.ready
+			if isDrained && p.rejections[serverKey{backend: backend, name: name}] < maxRejections {
+				deadlineMs = math.Min(deadlineMs, current.drainedMs+p.drainGraceMs)
 			}
 		}
 	}
-	return due
+	return deadlineMs
 }
--- a/publisher/socket_owner.go
+++ b/publisher/socket_owner.go
@@ -5,51 +5,60 @@
 	"strings"
 )
 
-// OwnerVariable holds who drives a proxy and a figure that it raises each cycle, as life:figure.
+// OwnerVariable is the proxy's process variable that names the controller which drives the proxy, as
+// "INCARNATION:HEARTBEAT". The owner counts the heartbeat up each cycle.
 const OwnerVariable = "barleysail_owner"
 
-// staleCycles without a raised figure show that an owner is gone.
-const staleCycles = 3
+// maxMissedHeartbeats is the number of cycles with an unchanged heartbeat after which the owner counts as gone.
+const maxMissedHeartbeats = 3
 
-// SocketOwner settles which of several stewards drives a proxy: the one whose mark stands and is raised goes on, the others
-// watch and take over once it stands still. Two that take over at once read different marks in the next cycle, and
-// the one that finds another's gives up.
+// SocketOwner elects one of several controllers to drive a proxy, by a heartbeat in a variable of the proxy. The
+// owner goes on while its heartbeat moves; the others watch, and take over once it stands still. Controllers that
+// take over in the same cycle overwrite each other's mark, and all but the last find another one's in the next cycle
+// and give up.
 type SocketOwner struct {
-	incarnation     string
-	heartbeat       int64
-	lastMark        string // mark as read last
-	unchangedCycles int
-	isOwner         bool
+	incarnation      string // of this controller
+	heartbeat        int64
+	lastMark         string // value of OwnerVariable in the last cycle
+	missedHeartbeats int    // cycles since the mark last changed
 }
 
-// NewSocketOwner makes one for a steward's life.
-func NewSocketOwner(life string) *SocketOwner { return &SocketOwner{incarnation: life} }
-
-// Read takes in the mark that stands, "" for none, and tells whether this steward drives the proxy and what mark to
-// set, "" for none.
-func (o *SocketOwner) Read(mark string) (mine bool, set string) {
-	life, _, ok := strings.Cut(mark, ":")
-	switch {
-	case ok && life == o.incarnation:
-		o.isOwner, o.unchangedCycles = true, 0
-	case mark == "" || mark == o.lastMark:
-		if o.unchangedCycles++; mark == "" || o.unchangedCycles >= staleCycles {
-			o.unchangedCycles = 0
-			o.heartbeat++
-			o.isOwner = false // until the mark is read back
-			o.lastMark = mark
-			return false, o.mark()
-		}
-		o.isOwner = false
-	default:
-		o.isOwner, o.unchangedCycles = false, 0
+// NewSocketOwner returns the election for one controller process. The incarnation must be unique and without a colon.
+func NewSocketOwner(incarnation string) *SocketOwner { return &SocketOwner{incarnation: incarnation} }
+
+// Read takes the value of OwnerVariable, "" if it is not set, once a cycle. It reports whether this controller drives
+// the proxy, and the value to set the variable to, "" to leave it.
+func (o *SocketOwner) Read(mark string) (isOwner bool, newMark string) {
+	incarnation, _, isMark := strings.Cut(mark, ":")
+	if isMark && incarnation == o.incarnation {
+		o.missedHeartbeats = 0
+		o.lastMark = mark
+		return true, o.nextMark()
+	}
+	if mark == "" {
+		return false, o.takeOver()
+	}
+	if mark == o.lastMark {
+		o.missedHeartbeats++
+	} else {
+		o.missedHeartbeats = 0
 	}
 	o.lastMark = mark
-	if !o.isOwner {
-		return false, ""
+	if o.missedHeartbeats >= maxMissedHeartbeats {
+		return false, o.takeOver()
 	}
-	o.heartbeat++
-	return true, o.mark()
+	return false, ""
 }
 
-func (o *SocketOwner) mark() string { return o.incarnation + ":" + strconv.FormatInt(o.heartbeat, 10) }
+// takeOver returns this controller's mark. Ownership begins only when the mark is read back in the next cycle.
+func (o *SocketOwner) takeOver() string {
+	o.missedHeartbeats = 0
+	o.lastMark = o.nextMark()
+	return o.lastMark
+}
+
+// nextMark counts the heartbeat up and returns the mark with it.
+func (o *SocketOwner) nextMark() string {
+	o.heartbeat++
+	return o.incarnation + ":" + strconv.FormatInt(o.heartbeat, 10)
+}
--- a/publisher/weights.go
+++ b/publisher/weights.go
@@ -2,29 +2,35 @@
 
 import "math"
 
-// maxWeight is the largest weight of the socket.
+// maxWeight is the largest weight that the runtime API accepts.
 const maxWeight = 256
 
-// quantizeWeights gives weights from 1 to 256 for a table's, the greatest at 256 or, where an earlier scale still fits, by
-// that: then an unchanged line costs no command. None that is above 0 falls to 0. The share of each host is off by less
-// than 1 part in the sum of the weights.
-func quantizeWeights(weights []float64, scale float64) (all []int, by float64) {
-	most := 0.0
-	for _, w := range weights {
-		most = math.Max(most, w)
+// quantizeWeights maps the weights of a table to integers from 1 to maxWeight, and to 0 for a weight of 0. The previous
+// scale is kept where it brings the largest weight into the upper half of the range, so that an unchanged weight costs
+// no command; else the largest weight becomes maxWeight. The error of each host's share is less than one part in the
+// sum of the quantized weights.
+func quantizeWeights(weights []float64, previousScale float64) (quantized []int, scale float64) {
+	largest := 0.0
+	for _, weight := range weights {
+		largest = math.Max(largest, weight)
 	}
-	if most <= 0 {
-		return make([]int, len(weights)), scale
+	if largest <= 0 {
+		return make([]int, len(weights)), previousScale
 	}
-	if by = scale; !(most*by <= maxWeight && most*by >= maxWeight/2) {
-		by = maxWeight / most
+	scale = previousScale
+	scaleFits := largest*scale <= maxWeight && largest*scale >= maxWeight/2
+	if !scaleFits {
+		scale = maxWeight / largest
 	}
-	for _, w := range weights {
-		q := 0
-		if w > 0 {
-			q = min(max(int(math.Round(w*by)), 1), maxWeight)
-		}
-		all = append(all, q)
+	for _, weight := range weights {
+		quantized = append(quantized, quantizeWeight(weight, scale))
 	}
-	return all, by
+	return quantized, scale
+}
+
+func quantizeWeight(weight, scale float64) int {
+	if weight > 0 {
+		return min(max(int(math.Round(weight*scale)), 1), maxWeight)
+	}
+	return 0
 }
