--- a/publisher/counters_test.go
+++ b/publisher/counters_test.go
@@ -5,28 +5,52 @@
 	"math"
 	"testing"
 
+	"barleysail/controller"
 	"barleysail/internal/haproxy"
 )
 
-// Sums are what counters grew by; after a restart of the proxy they begin anew.
+// statRows returns a "show stat" with one known host in two backends and one unknown host.
+func statRows(sessions, errors int) []haproxy.Row {
+	total := fmt.Sprint(sessions)
+	failed := fmt.Sprint(errors)
+	return []haproxy.Row{
+		{"pxname": "sheet", "svname": "a:80", "type": "2", "stot": total, "eresp": failed, "ttime": "50"},
+		{"pxname": "finish", "svname": "a:80", "type": "2", "stot": total, "eresp": "0", "ttime": "20"},
+		{"pxname": "sheet", "svname": "gone:80", "type": "2", "stot": total},
+		{"pxname": "sheet", "svname": "BACKEND", "type": "1", "stot": fmt.Sprint(2 * sessions), "eresp": failed},
+	}
+}
+
+func checkHostStats(t *testing.T, stats controller.HostStats, attempts, failed int, meanLatencyMs, windowMs float64) {
+	t.Helper()
+	if stats.Attempts != attempts || stats.Failed != failed {
+		t.Errorf("%d attempts, %d failed, want %d and %d", stats.Attempts, stats.Failed, attempts, failed)
+	}
+	if math.Abs(stats.MeanLatencyMs-meanLatencyMs) > 1e-9 || stats.WindowMs != windowMs {
+		t.Errorf("mean latency %g ms within %g ms, want %g within %g",
+			stats.MeanLatencyMs, stats.WindowMs, meanLatencyMs, windowMs)
+	}
+}
+
+// Request stats are the growth of the counters; after a restart of the proxy they begin at 0.
 func TestCounters(t *testing.T) {
-	c := NewCounters("s")
-	known := func(h string) bool { return h == "a:80" }
-	rows := func(total, failed int) []haproxy.Row {
-		return []haproxy.Row{{"pxname": "sheet", "svname": "a:80", "type": "2", "stot": fmt.Sprint(total), "eresp": fmt.Sprint(failed), "ttime": "50"},
-			{"pxname": "finish", "svname": "a:80", "type": "2", "stot": fmt.Sprint(total), "eresp": "0", "ttime": "20"},
-			{"pxname": "sheet", "svname": "gone:80", "type": "2", "stot": fmt.Sprint(total)},
-			{"pxname": "sheet", "svname": "BACKEND", "type": "1", "stot": fmt.Sprint(2 * total), "eresp": fmt.Sprint(failed)}}
+	counters := NewCounters("s")
+	isKnownHost := func(host string) bool { return host == "a:80" }
+	if _, ok := counters.Read(1000, statRows(100, 5), isKnownHost); ok {
+		t.Error("request stats of a first reading")
 	}
-	if _, ok := c.Read(1000, rows(100, 5), known); ok {
-		t.Error("sums of a first reading")
+
+	stats, ok := counters.Read(2000, statRows(110, 7), isKnownHost)
+	if !ok || len(stats.Hosts) != 1 {
+		t.Errorf("ok %v, %+v", ok, stats)
 	}
-	u, ok := c.Read(2000, rows(110, 7), known)
-	if v := u.Hosts["a:80"]; !ok || v.Attempts != 20 || v.Failed != 2 || math.Abs(v.MeanLatencyMs-(8*50+10*20)/18.0) > 1e-9 || v.WindowMs != 1000 || len(u.Hosts) != 1 ||
-		u.Demand["sheet"].Arrivals != 20 || u.Demand["sheet"].Unanswered != 2 {
-		t.Errorf("%v %+v", ok, u)
+	checkHostStats(t, stats.Hosts["a:80"], 20, 2, (8*50+10*20)/18.0, 1000)
+	if demand := stats.Demand["sheet"]; demand.Arrivals != 20 || demand.Unanswered != 2 {
+		t.Errorf("%+v", demand)
 	}
-	if u, _ = c.Read(3000, rows(4, 1), known); u.Hosts["a:80"].Attempts != 8 || u.Demand["sheet"].Arrivals != 8 || u.Sequence != 3 {
-		t.Errorf("after a restart: %+v", u)
+
+	stats, _ = counters.Read(3000, statRows(4, 1), isKnownHost)
+	if stats.Hosts["a:80"].Attempts != 8 || stats.Demand["sheet"].Arrivals != 8 || stats.Sequence != 3 {
+		t.Errorf("after a restart: %+v", stats)
 	}
 }
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -1,8 +1,10 @@
 package publisher
 
 import (
+	"errors"
 	"fmt"
 	"maps"
+	"math"
 	"slices"
 	"strings"
 	"testing"
@@ -11,130 +13,217 @@
 
 	"barleysail/controller"
 	"barleysail/internal/golden"
-	"barleysail/internal/haproxy"
 )
 
-// drive sends what is due, up to so many commands.
-func drive(p *ProxyUpdater, x *proxy, now float64, most int) (n int) {
-	for ; n < most; n++ {
-		c, ok := p.NextCommand(now)
-		if !ok {
-			return n
-		}
-		p.ObserveResponse(now, x.do(c))
-	}
-	return n
+// weightedHost is a host with its weight in a routing table.
+type weightedHost struct {
+	name   string
+	weight float64
 }
 
-func table(share float64, hosts ...any) []controller.Table {
-	t := controller.Table{Class: "sheet", Ordered: true, AdmissionRatio: share, RetryPolicy: 1}
-	for i := 0; i < len(hosts); i += 2 {
-		t.Hosts, t.Weights = append(t.Hosts, hosts[i].(string)), append(t.Weights, hosts[i+1].(float64))
+// routingTables returns the table of the request class "sheet".
+func routingTables(admissionRatio float64, hosts ...weightedHost) []controller.Table {
+	table := controller.Table{Class: "sheet", Ordered: true, AdmissionRatio: admissionRatio, RetryPolicy: 1}
+	for _, host := range hosts {
+		table.Hosts = append(table.Hosts, host.name)
+		table.Weights = append(table.Weights, host.weight)
 	}
-	return []controller.Table{t}
+	return []controller.Table{table}
 }
 
-// A proxy that comes with its old file is brought to its tables: to servers first, weights, drains, and once the grace
-// is over what is drained goes. What differs alone is sent.
+// A proxy with an old configuration is brought to its tables by the commands that are missing: servers with traffic
+// first, weights, drains, and after the drain grace the removals.
 func TestReconcile(t *testing.T) {
-	x := &proxy{servers: map[string]haproxy.ServerState{"sheet/old:80": {Backend: "sheet", Server: "old:80", Weight: 256}, "sheet/a:80": {Backend: "sheet", Server: "a:80", Weight: 256}}}
-	p := New(3000)
+	proxy := newFakeProxy(t, "old:80", "a:80")
+	updater := New(3000)
 	var out strings.Builder
-	step := func(what string, now float64) {
-		x.sent = nil
-		drive(p, x, now, 100)
-		fmt.Fprintf(&out, "%s at %.0f, settled %v\n", what, now, p.Settled(now))
-		for _, c := range x.sent {
-			fmt.Fprintln(&out, "  "+c)
+	step := func(title string, nowMs float64) {
+		proxy.commands = nil
+		proxy.drive(updater, nowMs, 100)
+		fmt.Fprintf(&out, "%s at %.0f, settled %v\n", title, nowMs, updater.Settled(nowMs))
+		for _, command := range proxy.commands {
+			fmt.Fprintln(&out, "  "+command)
 		}
 	}
-	p.SetTarget(table(1, "a:80", 1.0, "b:80", 0.5))
+	updater.SetTarget(routingTables(1, weightedHost{"a:80", 1}, weightedHost{"b:80", 0.5}))
 	step("before anything is known", 0)
-	p.ObserveServers(0, x.state())
+	updater.ObserveServers(0, proxy.states())
 	step("its old file", 0)
 	step("before the grace is over", 2999)
 	step("after it", 3000)
-	p.SetTarget(table(0.25, "a:80", 1.0, "b:80", 0.5))
+	updater.SetTarget(routingTables(0.25, weightedHost{"a:80", 1}, weightedHost{"b:80", 0.5}))
 	step("a level", 4000)
-	p.SetTarget(table(0.25, "a:80", 1.0, "b:80", 0.001))
+	updater.SetTarget(routingTables(0.25, weightedHost{"a:80", 1}, weightedHost{"b:80", 0.001}))
 	step("a small weight", 5000)
-	delete(x.servers, "sheet/b:80")
-	a := x.servers["sheet/a:80"]
-	a.Weight = 3
-	x.servers["sheet/a:80"] = a
-	fmt.Fprintf(&out, "others changed %d\n", p.ObserveServers(6000, x.state()))
+	delete(proxy.servers, "sheet/b:80")
+	proxy.setWeight("sheet/a:80", 3)
+	fmt.Fprintf(&out, "others changed %d\n", updater.ObserveServers(6000, proxy.states()))
 	step("behind its back", 6000)
-	x.refuses = true
-	p.SetTarget(table(0.25, "c:80", 1.0))
+	proxy.rejectsAdding = true
+	updater.SetTarget(routingTables(0.25, weightedHost{"c:80", 1}))
 	step("a proxy that takes no further server keeps those it has", 7000)
-	x.refuses = false
-	p.ObserveServers(8000, x.state())
+	proxy.rejectsAdding = false
+	updater.ObserveServers(8000, proxy.states())
 	step("once it does", 8000)
-	p.ConnectionLost()
+	updater.ConnectionLost()
 	step("without a connection", 9000)
 	golden.Compare(t, "reconcile", out.String())
 }
 
-// Whatever is wanted, whatever others change and whenever the connection breaks: no backend is left without a server
-// that takes traffic while one is wanted, and in the end the proxy has what it should.
-func TestNeverBare(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		x, p, now := &proxy{servers: map[string]haproxy.ServerState{"sheet/h0:80": {Backend: "sheet", Server: "h0:80", Weight: 256}}}, New(1000), 0.0
-		p.ObserveServers(now, x.state())
-		var last []controller.Table
-		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			now += rapid.SampledFrom([]float64{1, 400, 1500}).Draw(t, "pause")
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
-			case 0:
-				var hosts []any
-				for h := range 5 {
-					if w := rapid.SampledFrom([]float64{0, 0.001, 0.5, 1}).Draw(t, "weight"); w > 0 {
-						hosts = append(hosts, fmt.Sprintf("h%d:80", h), w)
-					}
-				}
-				if len(hosts) > 0 {
-					last = table(1, hosts...)
-					p.SetTarget(last)
-				}
-			case 1:
-				p.ConnectionLost()
-				p.ObserveServers(now, x.state())
-			case 2: // by someone else, who leaves one that takes traffic
-				for _, k := range slices.Sorted(maps.Keys(x.servers)) {
-					s := x.servers[k]
-					s.Weight = 7
-					x.servers[k] = s
-				}
-			}
-			for range rapid.IntRange(0, 12).Draw(t, "commands") {
-				drive(p, x, now, 1)
-				if !x.takes("sheet") {
-					t.Fatalf("no server takes traffic after %v", x.sent)
-				}
-			}
+// A rejection names the command and the response. An admission ratio that is rejected is not sent again.
+func TestRejectedRatio(t *testing.T) {
+	proxy := newFakeProxy(t, "a:80")
+	proxy.rejectsRatios = true
+	updater := New(3000)
+	if err := updater.ObserveResponse(0, "without a command"); err != nil {
+		t.Errorf("a response without a command: %v", err)
+	}
+	updater.SetTarget(routingTables(0.5, weightedHost{"a:80", 1}))
+	updater.ObserveServers(0, proxy.states())
+	command, ok := updater.NextCommand(0)
+	if !ok {
+		t.Fatal("no command")
+	}
+	if _, ok := updater.NextCommand(0); ok || updater.Settled(0) {
+		t.Error("a second command, or settled, while one is in flight")
+	}
+	err := updater.ObserveResponse(0, proxy.execute(command))
+	var rejected *RejectedError
+	if !errors.As(err, &rejected) {
+		t.Fatalf("%v is no RejectedError", err)
+	}
+	if want := "set var proc.share_sheet int(500): unknown command."; err.Error() != want {
+		t.Errorf("%q, want %q", err, want)
+	}
+	if command, ok := updater.NextCommand(0); ok || !updater.Settled(0) {
+		t.Errorf("%q is sent after the ratio was rejected", command)
+	}
+}
+
+// The deadline is the end of the drain grace of a server that is drained, and none after its removal.
+func TestNextDeadline(t *testing.T) {
+	proxy := newFakeProxy(t, "old:80", "a:80")
+	updater := New(3000)
+	updater.ObserveServers(0, proxy.states())
+	expect := func(wantMs float64) {
+		t.Helper()
+		if deadlineMs := updater.NextDeadlineMs(); deadlineMs != wantMs {
+			t.Errorf("the deadline is %g, want %g", deadlineMs, wantMs)
+		}
+	}
+	expect(math.Inf(1))
+	updater.SetTarget(routingTables(1, weightedHost{"a:80", 1}))
+	proxy.drive(updater, 1000, 100)
+	expect(4000)
+	if !updater.Settled(4000) {
+		t.Error("a drained server counts as unsettled")
+	}
+	proxy.drive(updater, 4000, 100)
+	expect(math.Inf(1))
+}
+
+// A backend without any server gets its first one.
+func TestFirstServerOfBackend(t *testing.T) {
+	proxy := newFakeProxy(t)
+	updater := New(3000)
+	updater.ObserveServers(0, proxy.states())
+	updater.SetTarget(routingTables(1, weightedHost{"a:80", 1}))
+	proxy.drive(updater, 0, 100)
+	if !proxy.takesTraffic("sheet") || !updater.Settled(0) {
+		t.Errorf("%v after %v", proxy.servers, proxy.commands)
+	}
+}
+
+// updaterTest drives a proxy with drawn targets, changes by others and lost connections.
+type updaterTest struct {
+	t       *rapid.T
+	proxy   *fakeProxy
+	updater *ProxyUpdater
+	nowMs   float64
+	target  *controller.Table // nil before the first one
+}
+
+// drawChange draws what happens in a step: a new target, a lost connection, a change by others, or nothing.
+func (u *updaterTest) drawChange() {
+	switch rapid.IntRange(0, 3).Draw(u.t, "change") {
+	case 0:
+		u.drawTarget()
+	case 1:
+		u.updater.ConnectionLost()
+		u.updater.ObserveServers(u.nowMs, u.proxy.states())
+	case 2: // somebody else changes weights, and leaves a server that takes traffic
+		for _, key := range slices.Sorted(maps.Keys(u.proxy.servers)) {
+			u.proxy.setWeight(key, 7)
 		}
-		for range 3 {
-			now += 2000
-			p.ObserveServers(now, x.state())
-			drive(p, x, now, 1000)
+	}
+}
+
+func (u *updaterTest) drawTarget() {
+	var hosts []weightedHost
+	for i := range 5 {
+		weight := rapid.SampledFrom([]float64{0, 0.001, 0.5, 1}).Draw(u.t, "weight")
+		if weight > 0 {
+			hosts = append(hosts, weightedHost{fmt.Sprintf("h%d:80", i), weight})
 		}
-		if last == nil {
-			return
+	}
+	if len(hosts) > 0 {
+		tables := routingTables(1, hosts...)
+		u.target = &tables[0]
+		u.updater.SetTarget(tables)
+	}
+}
+
+// settle gives the updater the time and the readings to reach its target.
+func (u *updaterTest) settle() {
+	for range 3 {
+		u.nowMs += 2000
+		u.updater.ObserveServers(u.nowMs, u.proxy.states())
+		u.proxy.drive(u.updater, u.nowMs, 1000)
+	}
+}
+
+// checkTarget checks that the proxy has exactly the servers and weights of the target.
+func (u *updaterTest) checkTarget() {
+	u.t.Helper()
+	want, _ := quantizeWeights(u.target.Weights, u.updater.scales["sheet"])
+	got := map[string]int{}
+	for _, state := range u.proxy.states() {
+		if state.Admin == 0 {
+			got[state.Server] = state.Weight
 		}
-		want, _ := quantizeWeights(last[0].Weights, p.scales["sheet"])
-		got := map[string]int{}
-		for _, s := range x.state() {
-			if s.Admin == 0 {
-				got[s.Server] = s.Weight
-			}
+	}
+	for i, host := range u.target.Hosts {
+		if got[host] != want[i] {
+			u.t.Fatalf("%s has the weight %d, want %d: %v", host, got[host], want[i], got)
 		}
-		for i, h := range last[0].Hosts {
-			if got[h] != want[i] {
-				t.Fatalf("%s has %d, should have %d: %v", h, got[h], want[i], got)
+	}
+	if len(got) != len(want) || len(u.proxy.servers) != len(want) {
+		u.t.Fatalf("the proxy has %v, want %v of %v", u.proxy.servers, want, u.target.Hosts)
+	}
+	if !u.updater.Settled(u.nowMs) {
+		u.t.Fatalf("not settled with %v", u.proxy.servers)
+	}
+}
+
+// Whatever the targets are, whatever others change and whenever the connection breaks, no backend is left without a
+// server that takes traffic, and in the end the proxy has what it should.
+func TestBackendIsNeverEmpty(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		test := &updaterTest{t: t, proxy: newFakeProxy(t, "h0:80"), updater: New(1000)}
+		test.updater.ObserveServers(test.nowMs, test.proxy.states())
+		for range rapid.IntRange(1, 30).Draw(t, "steps") {
+			test.nowMs += rapid.SampledFrom([]float64{1, 400, 1500}).Draw(t, "pauseMs")
+			test.drawChange()
+			for range rapid.IntRange(0, 12).Draw(t, "commands") {
+				test.proxy.drive(test.updater, test.nowMs, 1)
+				if !test.proxy.takesTraffic("sheet") {
+					t.Fatalf("no server takes traffic after %v", test.proxy.commands)
+				}
 			}
 		}
-		if len(got) != len(want) || !p.Settled(now) || len(x.servers) != len(want) {
-			t.Fatalf("%v, should be %v of %v", x.servers, want, last[0].Hosts)
+		test.settle()
+		if test.target != nil {
+			test.checkTarget()
 		}
 	})
 }
--- a/publisher/socket_owner_test.go
+++ b/publisher/socket_owner_test.go
@@ -8,40 +8,44 @@
 	"barleysail/internal/golden"
 )
 
-// Of two stewards one drives a proxy; when it is gone the other does, and if both take over at once one gives up.
-func TestOwner(t *testing.T) {
-	mark := ""
-	a, b := NewSocketOwner("A"), NewSocketOwner("B")
-	var out strings.Builder
-	turn := func(name string, o *SocketOwner) {
-		mine, set := o.Read(mark)
-		if set != "" {
-			mark = set
-		}
-		fmt.Fprintf(&out, "%s drives %v, the mark is %s\n", name, mine, mark)
+// ownerTest lets the owners a and b read and set the mark of one proxy.
+type ownerTest struct {
+	mark string
+	a, b *SocketOwner
+	out  strings.Builder
+}
+
+func (o *ownerTest) cycle(name string, owner *SocketOwner) {
+	isOwner, newMark := owner.Read(o.mark)
+	if newMark != "" {
+		o.mark = newMark
 	}
-	for range 3 {
-		turn("a", a)
-		turn("b", b)
+	fmt.Fprintf(&o.out, "%s drives %v, the mark is %s\n", name, isOwner, o.mark)
+}
+
+func (o *ownerTest) cycleBoth(cycles int) {
+	for range cycles {
+		o.cycle("a", o.a)
+		o.cycle("b", o.b)
 	}
-	fmt.Fprintln(&out, "a is gone")
+}
+
+// One of two controllers drives a proxy. The other takes over when it is gone, and if both take over at once one gives
+// up.
+func TestSocketOwner(t *testing.T) {
+	test := &ownerTest{a: NewSocketOwner("A"), b: NewSocketOwner("B")}
+	test.cycleBoth(3)
+	fmt.Fprintln(&test.out, "a is gone")
 	for range 6 {
-		turn("b", b)
-	}
-	fmt.Fprintln(&out, "a is back")
-	for range 3 {
-		turn("a", a)
-		turn("b", b)
+		test.cycle("b", test.b)
 	}
-	fmt.Fprintln(&out, "both read an empty mark, and both set theirs")
-	mark = ""
-	_, x := a.Read(mark)
-	_, y := b.Read(mark)
-	mark = x
-	mark = y
-	for range 3 {
-		turn("a", a)
-		turn("b", b)
+	fmt.Fprintln(&test.out, "a is back")
+	test.cycleBoth(3)
+	fmt.Fprintln(&test.out, "both read an empty mark, and both set theirs")
+	if _, newMark := test.a.Read(""); newMark == "" {
+		t.Error("a sets no mark where there is none")
 	}
-	golden.Compare(t, "owner", out.String())
+	_, test.mark = test.b.Read("")
+	test.cycleBoth(3)
+	golden.Compare(t, "socket_owner", test.out.String())
 }
--- a/publisher/weights_test.go
+++ b/publisher/weights_test.go
@@ -2,33 +2,59 @@
 
 import (
 	"math"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 )
 
-// A host's share by quantised weights is off by less than one part in their sum, and none that has a weight falls to 0.
-func TestQuantise(t *testing.T) {
+// A host's share by quantized weights is off by less than one part in their sum, and no positive weight becomes 0.
+func TestQuantizeWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(1e-6, 1e6), 1, 500).Draw(t, "weights")
-		scale := rapid.Float64Range(0, 1000).Draw(t, "scale")
-		all, by := quantizeWeights(weights, scale)
-		sum, total, raised := 0.0, 0.0, 0.0
-		for i, w := range weights {
-			sum, total = sum+w, total+float64(all[i])
-			if w*by < 0.5 {
+		previousScale := rapid.Float64Range(0, 1000).Draw(t, "previousScale")
+		quantized, scale := quantizeWeights(weights, previousScale)
+		sum := 0.0
+		quantizedSum := 0.0
+		raised := 0.0 // weights that were raised to 1
+		for i, weight := range weights {
+			sum += weight
+			quantizedSum += float64(quantized[i])
+			if weight*scale < 0.5 {
 				raised++
 			}
 		}
-		for i, w := range weights {
-			if all[i] < 1 || all[i] > 256 {
-				t.Fatalf("%g is %d", w, all[i])
+		for i, weight := range weights {
+			if quantized[i] < 1 || quantized[i] > 256 {
+				t.Fatalf("%g became %d", weight, quantized[i])
 			}
-			// off by rounding of its own, and by what the rounding of the others moves the sum
-			bound := (0.5 + raised + float64(len(weights))*0.5*w/sum) / total * 1.0001
-			if off := math.Abs(float64(all[i])/total - w/sum); raised == 0 && off > bound {
-				t.Fatalf("share of %g: %g off, bound %g", w, off, bound)
+			// The share is off by the rounding of this weight, and by how the rounding of the others moves the sum.
+			bound := (0.5 + raised + float64(len(weights))*0.5*weight/sum) / quantizedSum * 1.0001
+			difference := math.Abs(float64(quantized[i])/quantizedSum - weight/sum)
+			if raised == 0 && difference > bound {
+				t.Fatalf("the share of %g is off by %g, bound %g", weight, difference, bound)
 			}
 		}
 	})
 }
+
+func TestQuantizeZeroWeights(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		weights   []float64
+		scale     float64
+		want      []int
+		wantScale float64
+	}{
+		{"all are zero", []float64{0, 0}, 3, []int{0, 0}, 3},
+		{"one is zero", []float64{0, 2}, 0, []int{0, 256}, 128},
+		{"the previous scale fits", []float64{0, 2}, 100, []int{0, 200}, 100},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			got, scale := quantizeWeights(test.weights, test.scale)
+			if !slices.Equal(got, test.want) || scale != test.wantScale {
+				t.Errorf("%v by %g, want %v by %g", got, scale, test.want, test.wantScale)
+			}
+		})
+	}
+}
