--- /dev/null
+++ b/intake/ingest_pacer_test.go
@@ -0,0 +1,27 @@
+package intake
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"barleysail/internal/golden"
+)
+
+// A controller that falls behind sheds half of the reports, then more, then slows its rounds, and recovers by steps.
+func TestIngestPacer(t *testing.T) {
+	var out strings.Builder
+	var pacer IngestPacer
+	for round := range 200 {
+		latenessMs := 0.0
+		if round >= 10 && round < 25 {
+			latenessMs = 180
+		}
+		if !pacer.ObserveRound(latenessMs) {
+			continue
+		}
+		fmt.Fprintf(&out, "round %3d: level %d, %.3f of the intake, %d of 20000 lines, rounds %.0f times as long\n",
+			round, pacer.SheddingLevel(), pacer.Ratio(), pacer.MaxReports(20000), pacer.IntervalFactor())
+	}
+	golden.Compare(t, "ingest_pacer", out.String())
+}
--- /dev/null
+++ b/intake/reporters.go
@@ -0,0 +1,55 @@
+package intake
+
+import "slices"
+
+// Reporters tells new reports of one source from repeated ones, by the sequence number that each incarnation of the
+// source counts up. A source that restarts sends a new incarnation id. An incarnation that returns after another one
+// took its place shows that two processes report under one name. The zero value knows no reporter.
+type Reporters struct {
+	recent          []reporter // the newest last
+	duplicateSeenMs float64    // when two reporters were last seen to alternate; 0: never
+}
+
+// reporter is one incarnation of a source.
+type reporter struct {
+	id         string
+	sequence   int64 // of its newest report
+	lastSeenMs float64
+}
+
+const (
+	maxReporters      = 4       // incarnations that are remembered of one source
+	duplicateWindowMs = 10000.0 // for which a second reporter under one name is known as such
+)
+
+// Accept reports whether a report's sequence number is new, and whether two reporters use the same name.
+func (r *Reporters) Accept(nowMs float64, id string, sequence int64) (isNew, duplicate bool) {
+	isNew = r.observe(nowMs, id, sequence)
+	return isNew, r.Duplicate(nowMs)
+}
+
+// observe records a report and reports whether it is new.
+func (r *Reporters) observe(nowMs float64, id string, sequence int64) (isNew bool) {
+	index := slices.IndexFunc(r.recent, func(known reporter) bool { return known.id == id })
+	if index >= 0 {
+		known := r.recent[index]
+		if sequence <= known.sequence {
+			return false
+		}
+		isNewest := index == len(r.recent)-1
+		if !isNewest && nowMs-known.lastSeenMs < duplicateWindowMs {
+			r.duplicateSeenMs = nowMs
+		}
+		r.recent = slices.Delete(r.recent, index, index+1)
+	}
+	r.recent = append(r.recent, reporter{id: id, sequence: sequence, lastSeenMs: nowMs})
+	if len(r.recent) > maxReporters {
+		r.recent = r.recent[1:]
+	}
+	return true
+}
+
+// Duplicate reports whether two reporters lately used the same name.
+func (r *Reporters) Duplicate(nowMs float64) bool {
+	return r.duplicateSeenMs > 0 && nowMs-r.duplicateSeenMs < duplicateWindowMs
+}
--- /dev/null
+++ b/publisher/socket_owner_test.go
@@ -0,0 +1,51 @@
+package publisher
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"barleysail/internal/golden"
+)
+
+// ownerTest lets the owners a and b read and set the mark of one proxy.
+type ownerTest struct {
+	mark string
+	a, b *SocketOwner
+	out  strings.Builder
+}
+
+func (o *ownerTest) cycle(name string, owner *SocketOwner) {
+	isOwner, newMark := owner.Read(o.mark)
+	if newMark != "" {
+		o.mark = newMark
+	}
+	fmt.Fprintf(&o.out, "%s drives %v, the mark is %s\n", name, isOwner, o.mark)
+}
+
+func (o *ownerTest) cycleBoth(cycles int) {
+	for range cycles {
+		o.cycle("a", o.a)
+		o.cycle("b", o.b)
+	}
+}
+
+// One of two controllers drives a proxy. The other takes over when it is gone, and if both take over at once one gives
+// up.
+func TestSocketOwner(t *testing.T) {
+	test := &ownerTest{a: NewSocketOwner("A"), b: NewSocketOwner("B")}
+	test.cycleBoth(3)
+	fmt.Fprintln(&test.out, "a is gone")
+	for range 6 {
+		test.cycle("b", test.b)
+	}
+	fmt.Fprintln(&test.out, "a is back")
+	test.cycleBoth(3)
+	fmt.Fprintln(&test.out, "both read an empty mark, and both set theirs")
+	if _, newMark := test.a.Read(""); newMark == "" {
+		t.Error("a sets no mark where there is none")
+	}
+	_, test.mark = test.b.Read("")
+	test.cycleBoth(3)
+	golden.Compare(t, "socket_owner", test.out.String())
+}
--- /dev/null
+++ b/publisher/weights.go
@@ -0,0 +1,36 @@
+package publisher
+
+import "math"
+
+// maxWeight is the largest weight that the runtime API accepts.
+const maxWeight = 256
+
+// quantizeWeights maps the weights of a table to integers from 1 to maxWeight, and to 0 for a weight of 0. The previous
+// scale is kept where it brings the largest weight into the upper half of the range, so that an unchanged weight costs
+// no command; else the largest weight becomes maxWeight. The error of each host's share is less than one part in the
+// sum of the quantized weights.
+func quantizeWeights(weights []float64, previousScale float64) (quantized []int, scale float64) {
+	largest := 0.0
+	for _, weight := range weights {
+		largest = math.Max(largest, weight)
+	}
+	if largest <= 0 {
+		return make([]int, len(weights)), previousScale
+	}
+	scale = previousScale
+	scaleFits := largest*scale <= maxWeight && largest*scale >= maxWeight/2
+	if !scaleFits {
+		scale = maxWeight / largest
+	}
+	for _, weight := range weights {
+		quantized = append(quantized, quantizeWeight(weight, scale))
+	}
+	return quantized, scale
+}
+
+func quantizeWeight(weight, scale float64) int {
+	if weight > 0 {
+		return min(max(int(math.Round(weight*scale)), 1), maxWeight)
+	}
+	return 0
+}
