--- a/cmd/barleysail/offline_test.go
+++ b/cmd/barleysail/offline_test.go
@@ -47,7 +47,7 @@
 	})
 }
 
-func writeFile(t *testing.T, name, text string) string {
+func writeTextFile(t *testing.T, name, text string) string {
 	t.Helper()
 	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 func recordController(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	list := writeFile(t, filepath.Join(dir, "hosts.textproto"),
+	list := writeTextFile(t, filepath.Join(dir, "hosts.textproto"),
 		`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "a" }`)
 	settings, err := config.Parse("test", []byte(`zones: ["a"] listen: "127.0.0.1:0" identity { plain_loopback: true }
 		classes { name: "sheet" due_ms: 1000 patience_ms: 2500 } probes { on: false } list { file: "`+list+`" }`))
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeFile(t, torn, string(text[:len(text)-20]))
+	writeTextFile(t, torn, string(text[:len(text)-20]))
 	part, plot := filepath.Join(dir, "part.day"), filepath.Join(dir, "plot.svg")
 	cut := []string{"days", "cut", controller, "--from", "0", "--to", "100"}
 	comparison := []string{"replay", dir, "--set", "guard.grace_ms=2000"}
@@ -230,10 +230,10 @@
 
 func TestConfigAndAuth(t *testing.T) {
 	dir := t.TempDir()
-	list := writeFile(t, filepath.Join(dir, "hosts.textproto"), `hosts { address: "10.0.0.1:80" zone: "a" }`)
-	wrongList := writeFile(t, filepath.Join(dir, "wrong.textproto"), `hosts { address: "10.0.0.1:80" zone: "odd" }`)
+	list := writeTextFile(t, filepath.Join(dir, "hosts.textproto"), `hosts { address: "10.0.0.1:80" zone: "a" }`)
+	wrongList := writeTextFile(t, filepath.Join(dir, "wrong.textproto"), `hosts { address: "10.0.0.1:80" zone: "odd" }`)
 	settings := func(name, list, identity string) string {
-		return writeFile(t, filepath.Join(dir, name), fmt.Sprintf(`zones: ["a"] classes { name: "sheet" due_ms: 1000
+		return writeTextFile(t, filepath.Join(dir, name), fmt.Sprintf(`zones: ["a"] classes { name: "sheet" due_ms: 1000
 			patience_ms: 2500 } listen: "127.0.0.1:0" %s identity { %s }`, list, identity))
 	}
 	allow := `workload_api: "unix:///nowhere" allow { id: "spiffe://race.example/operator/*" actions: "see" }`
