--- /dev/null
+++ b/guard/check_test.go
@@ -0,0 +1,173 @@
+package guard
+
+import (
+	"fmt"
+	"math"
+	"sort"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"barleysail/internal/golden"
+)
+
+// randomViews is the least number of random views that Check and Repair are tested on.
+const randomViews = 10000
+
+// viewCounts counts the random views by what Check and Repair make of them.
+type viewCounts struct{ all, invalid, repaired int }
+
+// TestAgainstReference checks on random views that Check finds what the reference finds, and that Repair returns valid
+// rows unchanged, leaves the findings that it says, and keeps the promises of its documentation.
+func TestAgainstReference(t *testing.T) {
+	var counts viewCounts
+	for counts.all < randomViews { // one rapid.Check draws about a hundred views
+		rapid.Check(t, func(t *rapid.T) {
+			view, limits := drawView(t)
+			checkAgainstReference(t, view, limits, &counts)
+		})
+		if t.Failed() {
+			return
+		}
+	}
+	t.Logf("%d views, %d invalid, %d of them repaired", counts.all, counts.invalid, counts.repaired)
+}
+
+func checkAgainstReference(t *rapid.T, view *View, limits Limits, counts *viewCounts) {
+	t.Helper()
+	findings := Check(view, limits)
+	got := strings.Join(describe(findings), "\n")
+	want := strings.Join(referenceFindings(view, limits), "\n")
+	if got != want {
+		t.Fatalf("Check finds\n%s\nthe reference\n%s\n%+v %+v", got, want, view, limits)
+	}
+	counts.all++
+
+	rows, remaining := Repair(view, limits)
+	got = strings.Join(describe(remaining), "\n")
+	want = strings.Join(referenceFindings(view.withDecided(rows), limits), "\n")
+	if got != want {
+		t.Fatalf("Repair leaves\n%s\nthe reference finds in its rows\n%s", got, want)
+	}
+	if len(findings) == 0 {
+		if !sameRows(rows, view.decided()) {
+			t.Fatal("a valid view was changed")
+		}
+		return
+	}
+	counts.invalid++
+	if len(remaining) == 0 {
+		counts.repaired++
+	}
+	for i, row := range rows {
+		checkRepairedRow(t, view, i, row)
+	}
+}
+
+// describe lists findings in the form of the reference.
+func describe(findings []Finding) (lines []string) {
+	for _, finding := range findings {
+		lines = append(lines, finding.Check+": "+finding.Subject)
+	}
+	sort.Strings(lines)
+	return lines
+}
+
+// sameRows reports whether rows are the same, with NaN equal to itself.
+func sameRows(a, b [][]float64) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
+
+// TestEachCheck compares the findings of views that each break one check, and what Repair returns for them, with the
+// golden file.
+func TestEachCheck(t *testing.T) {
+	tests := []struct {
+		name   string // in the golden file
+		change func(view *View, limits *Limits)
+	}{
+		{"a good table", func(*View, *Limits) {}},
+		{"a weight that is no number", func(view *View, _ *Limits) {
+			view.Routes[0].Decided[0] = math.NaN()
+		}},
+		{"sound for one class and empty for the other, which stays in its zone", func(view *View, _ *Limits) {
+			view.Routes[1].Demands[1].ZoneLocal = true
+			view.Routes[1].Decided = []float64{1, 1, 0}
+			view.Routes[1].Published = nil
+		}},
+		{"only a host that drains", func(view *View, limits *Limits) {
+			view.Hosts[0].Ready = false
+			view.Routes[0].Decided = []float64{1, 0, 0}
+			limits.MaxTrafficShift = 0
+		}},
+		{"a host over its cap", func(view *View, limits *Limits) {
+			view.Hosts[2].Capacity = 0.5
+			limits.MaxTrafficShift = 0
+		}},
+		{"over its cap once the host that drains is gone", func(view *View, limits *Limits) {
+			view.Hosts[0].Ready = false
+			view.Hosts[2].Capacity = 1.2
+			limits.MaxTrafficShift = 0
+		}},
+		{"a cold host over its budget", func(view *View, _ *Limits) {
+			view.Hosts[1].SlowStartFactor = 0.2
+			view.Hosts[1].SlowStartLimit = 0.7
+		}},
+		{"without the zone that carries most", func(view *View, limits *Limits) {
+			view.Hosts[1].Capacity = 2.9
+			view.Hosts[2].Capacity = 3.1
+			limits.SurviveZoneLoss = true
+		}},
+		{"a zone whose loss leaves one small host with too much", func(view *View, limits *Limits) {
+			view.Hosts = append(view.Hosts, warmHost("v", "b", 1))
+			for i := range view.Routes {
+				view.Routes[i].Decided = []float64{1, 1, 1, 1}
+				view.Routes[i].Published = nil
+			}
+			limits.SurviveZoneLoss = true
+		}},
+		{"a jump", func(view *View, _ *Limits) {
+			view.Routes[0].Decided = []float64{9, 0.5, 0.5}
+		}},
+		{"more than there is room for: levels help, no table does", func(view *View, _ *Limits) {
+			view.Routes[0].Demands[0].Work = 100
+		}},
+	}
+	var out strings.Builder
+	for _, test := range tests {
+		view, limits := validView()
+		test.change(view, &limits)
+		fmt.Fprintln(&out, test.name)
+		writeCheckAndRepair(&out, view, limits)
+	}
+	golden.Compare(t, "checks", out.String())
+}
+
+// validView returns a view without findings, of two routes over three hosts.
+func validView() (*View, Limits) {
+	view := &View{Hosts: []Host{warmHost("x", "a", 4), warmHost("y", "a", 4), warmHost("z", "b", 4)}}
+	for _, zone := range []string{"a", "b"} {
+		view.Routes = append(view.Routes, Route{
+			Demands:   []Demand{{Class: "sheet", Zone: zone, Work: 1}, {Class: "finish", Zone: zone, Work: 0.5}},
+			Published: []float64{1, 1, 1},
+			Decided:   []float64{1, 1, 1},
+		})
+	}
+	return view, Limits{CapacityMultiple: 1, MaxTrafficShift: 0.4}
+}
+
+// warmHost returns a host that is ready and has all of its capacity.
+func warmHost(name, zone string, capacity float64) Host {
+	return Host{Name: name, Zone: zone, Ready: true, SlowStartFactor: 1, Capacity: capacity}
+}
+
+func writeCheckAndRepair(out *strings.Builder, view *View, limits Limits) {
+	for _, finding := range Check(view, limits) {
+		fmt.Fprintln(out, "  "+finding.String())
+	}
+	rows, remaining := Repair(view, limits)
+	if !sameRows(rows, view.decided()) {
+		fmt.Fprintf(out, "  instead %.3v\n", rows)
+	}
+	for _, finding := range remaining {
+		fmt.Fprintln(out, "  left: "+finding.String())
+	}
+}
