--- a/guard/check.go
+++ b/guard/check.go
@@ -141,12 +141,13 @@
 	}
 }
 
-// checkCapacity reports hosts whose load is more than their capacity allows, once a zone is lost.
+// checkCapacity reports hosts whose load is more than their capacity allows, once a zone is lost. The hosts of that
+// zone have no load then.
 func (c *checker) checkCapacity(check string, loads []float64, lost zoneNumber) {
 	multiple := c.capacityMultiple(lost)
 	for i, load := range loads {
 		limit := c.view.Hosts[i].Capacity * multiple
-		if limit > 0 && load > limit && c.zoneOf[i] != lost {
+		if limit > 0 && load > limit {
 			c.report(check, c.view.Hosts[i].Name, load, limit)
 		}
 	}
