--- /dev/null
+++ b/auth/action.go
@@ -0,0 +1,46 @@
+package auth
+
+import "slices"
+
+// Action is what a request does. Its text is the action's name in the configuration.
+type Action string
+
+const (
+	// Poll reads the routing tables of a proxy of a zone, and removes the proxy when it shuts down.
+	Poll Action = "poll"
+	// Sums posts the request statistics of a proxy.
+	Sums Action = "sums"
+	// Report posts the load of a host.
+	Report Action = "report"
+	// See reads hosts, proxies, tables, events and status.
+	See Action = "see"
+	// Set changes operators' overrides.
+	Set Action = "set"
+	// Follow reads the state, as a standby does.
+	Follow Action = "follow"
+)
+
+// actions are all actions, in the order of the documentation.
+var actions = []Action{Poll, Sums, Report, See, Set, Follow}
+
+// ParseAction returns the action of that name, or an *UnknownActionError.
+func ParseAction(name string) (Action, error) {
+	action := Action(name)
+	if !slices.Contains(actions, action) {
+		return "", &UnknownActionError{Name: name}
+	}
+	return action, nil
+}
+
+// requiredCapture returns the segment that a rule's path must have to allow the action, or empty if it needs none: who
+// acts for a proxy or a host must be named by its identity.
+func (a Action) requiredCapture() string {
+	switch a {
+	case Poll, Sums:
+		return captureProxy
+	case Report:
+		return captureHost
+	default:
+		return ""
+	}
+}
--- a/auth/auth_test.go
+++ b/auth/auth_test.go
@@ -112,7 +112,7 @@
 			t.Errorf("%+v: %v", x, got)
 		}
 	}
-	if k.Known() != 0 {
-		t.Errorf("%d are remembered", k.Known())
+	if len(k.byDigest) != 0 {
+		t.Errorf("%d are remembered", len(k.byDigest))
 	}
 }
--- /dev/null
+++ b/auth/errors.go
@@ -0,0 +1,64 @@
+package auth
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Causes of a RuleError that have no details of their own.
+var (
+	// ErrNoScheme means that a rule's ID is no SPIFFE ID.
+	ErrNoScheme = errors.New("does not begin with spiffe://")
+	// ErrNoPath means that a rule's ID has a trust domain only.
+	ErrNoPath = errors.New("a path is needed, a trust domain alone names nobody")
+	// ErrNoAction means that a rule lists no action.
+	ErrNoAction = errors.New("no action is allowed")
+)
+
+// UnknownActionError means that there is no action of that name.
+type UnknownActionError struct{ Name string }
+
+// Error implements error.
+func (e *UnknownActionError) Error() string {
+	return fmt.Sprintf("%q is no action: %v are", e.Name, actions)
+}
+
+// RuleError says what is wrong with a rule.
+type RuleError struct {
+	ID  string // of the rule, as configured
+	Err error  // a sentinel of this package, a *SegmentError, a *MissingCaptureError, or an error of the spiffeid package
+}
+
+// Error implements error.
+func (e *RuleError) Error() string {
+	if errors.Is(e.Err, ErrNoScheme) {
+		return fmt.Sprintf("%q %v", e.ID, e.Err)
+	}
+	return fmt.Sprintf("%q: %v", e.ID, e.Err)
+}
+
+// Unwrap returns the cause.
+func (e *RuleError) Unwrap() error { return e.Err }
+
+// SegmentError means that a segment of a rule's path can be in no SPIFFE ID.
+type SegmentError struct {
+	Segment string
+	Err     error
+}
+
+// Error implements error.
+func (e *SegmentError) Error() string { return fmt.Sprintf("segment %q: %v", e.Segment, e.Err) }
+
+// Unwrap returns the cause.
+func (e *SegmentError) Unwrap() error { return e.Err }
+
+// MissingCaptureError means that a rule's path does not name whom its identities may act for.
+type MissingCaptureError struct {
+	Action  Action
+	Capture string // the segment that the path needs, as {proxy}
+}
+
+// Error implements error.
+func (e *MissingCaptureError) Error() string {
+	return fmt.Sprintf("%s needs %s in the path, or * for any", e.Action, e.Capture)
+}
--- /dev/null
+++ b/auth/policy.go
@@ -0,0 +1,48 @@
+package auth
+
+import (
+	"fmt"
+
+	"github.com/spiffe/go-spiffe/v2/spiffeid"
+)
+
+// Policy is a list of rules. A request is allowed if one of them allows it.
+type Policy struct{ rules []Rule }
+
+// NewPolicy returns the policy of these rules.
+func NewPolicy(rules ...Rule) *Policy { return &Policy{rules: rules} }
+
+// noRule is the index of the rule in the verdict on a request that no rule allows.
+const noRule = -1
+
+// Verdict is a decision of the policy, and its reasons.
+type Verdict struct {
+	Allowed bool
+	Rule    int      // index of the rule that allows the request; negative: none does
+	Why     []string // a line for each rule that was evaluated
+}
+
+// Decide evaluates the rules in their order, up to the first that allows the request to the identity.
+func (p *Policy) Decide(id spiffeid.ID, request Request) Verdict {
+	var why []string
+	for i := range p.rules {
+		rule := &p.rules[i]
+		reason := rule.denialReason(id, request)
+		if reason == "" {
+			why = append(why, fmt.Sprintf("rule %d, %s: allows it", i, rule.id))
+			return Verdict{Allowed: true, Rule: i, Why: why}
+		}
+		why = append(why, fmt.Sprintf("rule %d, %s: %s", i, rule.id, reason))
+	}
+	why = append(why, "no rule allows it")
+	return Verdict{Rule: noRule, Why: why}
+}
+
+// Rules describes the policy, one rule a line.
+func (p *Policy) Rules() (lines []string) {
+	for i := range p.rules {
+		rule := &p.rules[i]
+		lines = append(lines, fmt.Sprintf("rule %d: %s may %v", i, rule.id, rule.actions))
+	}
+	return append(lines, "what no rule allows is denied")
+}
--- a/auth/tokens.go
+++ b/auth/tokens.go
@@ -5,60 +5,72 @@
 	"crypto/sha256"
 )
 
-// Tokens tells a bearer's token that is used again from one that was copied: a token belongs to the connection that it was
-// first seen on, until it ends. Who shows it on another is refused, be it the owner after a break: he fetches a fresh one.
+// digest identifies a token without keeping its text.
+type digest [sha256.Size]byte
+
+// Tokens detects copied bearer tokens: a token belongs to the connection on which it was first used, until it expires.
+// On any other connection it is rejected, even if its owner reconnected: the owner needs a fresh token. Tokens is not
+// safe for concurrent use.
 type Tokens struct {
-	most int
-	of   map[[sha256.Size]byte]*token
-	ends byEnd
+	maxTokens int
+	byDigest  map[digest]*token
+	byExpiry  expiryHeap
 }
 
+// token is a bearer token in use.
 type token struct {
-	sum  [sha256.Size]byte
-	conn int64
-	ends float64
+	digest     digest
+	connection int64
+	expiresMs  float64
 }
 
-// NewTokens remembers so many at the most.
-func NewTokens(most int) *Tokens {
-	return &Tokens{most: most, of: map[[sha256.Size]byte]*token{}}
+// NewTokens returns a record of at most maxTokens tokens.
+func NewTokens(maxTokens int) *Tokens {
+	return &Tokens{maxTokens: maxTokens, byDigest: map[digest]*token{}}
 }
 
-// Use tells whether a token that ends at a time may be used on a connection now. Where too many are remembered a new one is
-// refused: forgetting one before its end would let it be copied.
-func (t *Tokens) Use(now float64, text string, ends float64, conn int64) bool {
-	for len(t.ends) > 0 && t.ends[0].ends <= now {
-		delete(t.of, heap.Pop(&t.ends).(*token).sum)
-	}
-	if ends <= now {
+// Use reports whether a token may be used on a connection now; instants are in ms. When the record is full, a new token
+// is rejected: forgetting one before it expires would let a copy of it be used.
+func (t *Tokens) Use(nowMs float64, text string, expiresMs float64, connection int64) bool {
+	t.dropExpired(nowMs)
+	if expiresMs <= nowMs {
 		return false
 	}
-	sum := sha256.Sum256([]byte(text))
-	if x := t.of[sum]; x != nil {
-		return x.conn == conn
+	sum := digest(sha256.Sum256([]byte(text)))
+	if known := t.byDigest[sum]; known != nil {
+		return known.connection == connection
 	}
-	if len(t.of) >= t.most {
+	if len(t.byDigest) >= t.maxTokens {
 		return false
 	}
-	x := &token{sum: sum, conn: conn, ends: ends}
-	t.of[sum] = x
-	heap.Push(&t.ends, x)
+	added := &token{digest: sum, connection: connection, expiresMs: expiresMs}
+	t.byDigest[sum] = added
+	heap.Push(&t.byExpiry, added)
 	return true
 }
 
-// Known is how many are remembered.
-func (t *Tokens) Known() int { return len(t.of) }
+// dropExpired forgets the tokens that have expired.
+func (t *Tokens) dropExpired(nowMs float64) {
+	for len(t.byExpiry) > 0 && t.byExpiry[0].expiresMs <= nowMs {
+		delete(t.byDigest, t.byExpiry[0].digest)
+		heap.Pop(&t.byExpiry)
+	}
+}
+
+// expiryHeap is a heap of tokens, the first to expire on top. It implements heap.Interface.
+type expiryHeap []*token
+
+func (h expiryHeap) Len() int           { return len(h) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].expiresMs < h[j].expiresMs }
+func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
-// byEnd is a heap of tokens, the one that ends first first.
-type byEnd []*token
+// Push appends a *token. Use heap.Push.
+func (h *expiryHeap) Push(x any) { *h = append(*h, x.(*token)) }
 
-func (h byEnd) Len() int           { return len(h) }
-func (h byEnd) Less(i, j int) bool { return h[i].ends < h[j].ends }
-func (h byEnd) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *byEnd) Push(x any)        { *h = append(*h, x.(*token)) }
-func (h *byEnd) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return x
+// Pop removes the last token. Use heap.Pop.
+func (h *expiryHeap) Pop() any {
+	last := len(*h) - 1
+	popped := (*h)[last]
+	*h = (*h)[:last]
+	return popped
 }
