--- a/operator/simulation_test.go
+++ b/operator/simulation_test.go
@@ -77,14 +77,14 @@
 // apply applies a command and logs what became of it.
 func (s *simulation) apply(command Command) {
 	queued, err := s.Apply(s.view(), command)
-	outcome := "done"
+	outcome := "applied"
 	if queued {
-		outcome = "waits"
+		outcome = "queued"
 	}
 	if err != nil {
-		outcome = "refused: " + err.Error()
+		outcome = "rejected: " + err.Error()
 	}
-	s.logf("%s %v weight %g part %v: %s", command.Host, command.State, command.Weight, command.Relative, outcome)
+	s.logf("%s %v weight %g relative %v: %s", command.Host, command.State, command.Weight, command.Relative, outcome)
 }
 
 // advance lets time pass, and logs the commands that are applied as they fall due.
@@ -94,7 +94,7 @@
 		deadlineMs := min(s.NextDeadline(s.nowMs, drainGraceMs), endMs)
 		s.nowMs = max(deadlineMs, s.nowMs)
 		for _, command := range s.ApplyDue(s.view()) {
-			s.logf("then %s %v by %s", command.Host, command.State, command.Operator)
+			s.logf("due: %s %v by %s", command.Host, command.State, command.Operator)
 		}
 		if s.nowMs >= endMs {
 			return
@@ -110,7 +110,7 @@
 		if !found {
 			continue
 		}
-		s.logf("  %s: %v weight %g part %g until %g", host.Name, override.State, override.Weight,
+		s.logf("  %s: %v weight %g ratio %g expires %g", host.Name, override.State, override.Weight,
 			override.WeightRatio, override.ExpiresMs)
 	}
 }
--- a/operator/store_test.go
+++ b/operator/store_test.go
@@ -24,7 +24,7 @@
 	logWeights(s)
 	logWeightOfWarmingHost(s)
 	logLastWarmHost(s)
-	s.logf("of a class that stays in its zone")
+	s.logf("the last warm host of a zone that a class may not leave")
 	zoneLocal := newSimulation()
 	zoneLocal.zoneLocalClasses = []string{"finish"}
 	zoneLocal.log = s.log
@@ -34,7 +34,7 @@
 }
 
 func logDrainWithExpiry(s *simulation) {
-	s.logf("a drain, and its end")
+	s.logf("a drain that expires")
 	s.apply(Command{Host: "a1", State: Draining, Weight: keepWeight, DurationMs: 5000, Operator: "x"})
 	s.logOverrides()
 	s.advance(6000)
@@ -42,7 +42,7 @@
 }
 
 func logWeights(s *simulation) {
-	s.logf("weights: in place of the list's, a part of it, the list's again, 0 as a drain")
+	s.logf("weights: absolute, relative, cleared, and 0 as a drain")
 	s.apply(Command{Host: "a1", Weight: 3, KeepState: true})
 	s.apply(Command{Host: "a2", Weight: 0.5, Relative: true, KeepState: true})
 	s.logOverrides()
@@ -55,7 +55,7 @@
 }
 
 func logWeightOfWarmingHost(s *simulation) {
-	s.logf("a cold host takes its weight once it is warm")
+	s.logf("a host that is warming up gets its weight once it is warm")
 	s.apply(Command{Host: "a3", Weight: 2, KeepState: true})
 	s.apply(Command{Host: "a3", Weight: 0.2, Relative: true, KeepState: true})
 	s.apply(Command{Host: "a3", Weight: 2, KeepState: true, Queue: true, Operator: "y"})
@@ -76,7 +76,7 @@
 }
 
 func logUnknownAndAddedHosts(s *simulation) {
-	s.logf("hosts that are not, or are already")
+	s.logf("unknown, listed and added hosts")
 	s.apply(drain("c1"))
 	s.apply(Command{Host: "a1", Weight: keepWeight, Add: &AddedHost{Zone: "a"}})
 	s.apply(Command{Host: "a1", Weight: keepWeight, Remove: true})
