--- a/guard/check_test.go
+++ b/guard/check_test.go
@@ -84,39 +84,39 @@
 		name   string // in the golden file
 		change func(view *View, limits *Limits)
 	}{
-		{"a good table", func(*View, *Limits) {}},
+		{"valid", func(*View, *Limits) {}},
 		{"a weight that is no number", func(view *View, _ *Limits) {
 			view.Routes[0].Decided[0] = math.NaN()
 		}},
-		{"sound for one class and empty for the other, which stays in its zone", func(view *View, _ *Limits) {
+		{"a host for one class and none for the other, which is zone-local", func(view *View, _ *Limits) {
 			view.Routes[1].Demands[1].ZoneLocal = true
 			view.Routes[1].Decided = []float64{1, 1, 0}
 			view.Routes[1].Published = nil
 		}},
-		{"only a host that drains", func(view *View, limits *Limits) {
+		{"only a draining host", func(view *View, limits *Limits) {
 			view.Hosts[0].Ready = false
 			view.Routes[0].Decided = []float64{1, 0, 0}
 			limits.MaxTrafficShift = 0
 		}},
-		{"a host over its cap", func(view *View, limits *Limits) {
+		{"a host over its capacity", func(view *View, limits *Limits) {
 			view.Hosts[2].Capacity = 0.5
 			limits.MaxTrafficShift = 0
 		}},
-		{"over its cap once the host that drains is gone", func(view *View, limits *Limits) {
+		{"a host over its capacity once the draining one is gone", func(view *View, limits *Limits) {
 			view.Hosts[0].Ready = false
 			view.Hosts[2].Capacity = 1.2
 			limits.MaxTrafficShift = 0
 		}},
-		{"a cold host over its budget", func(view *View, _ *Limits) {
+		{"a host over its slow-start limit", func(view *View, _ *Limits) {
 			view.Hosts[1].SlowStartFactor = 0.2
 			view.Hosts[1].SlowStartLimit = 0.7
 		}},
-		{"without the zone that carries most", func(view *View, limits *Limits) {
+		{"valid without the zone that carries most", func(view *View, limits *Limits) {
 			view.Hosts[1].Capacity = 2.9
 			view.Hosts[2].Capacity = 3.1
 			limits.SurviveZoneLoss = true
 		}},
-		{"a zone whose loss leaves one small host with too much", func(view *View, limits *Limits) {
+		{"a host over its capacity without the zone that carries most", func(view *View, limits *Limits) {
 			view.Hosts = append(view.Hosts, warmHost("v", "b", 1))
 			for i := range view.Routes {
 				view.Routes[i].Decided = []float64{1, 1, 1, 1}
@@ -124,10 +124,10 @@
 			}
 			limits.SurviveZoneLoss = true
 		}},
-		{"a jump", func(view *View, _ *Limits) {
+		{"too large a traffic shift", func(view *View, _ *Limits) {
 			view.Routes[0].Decided = []float64{9, 0.5, 0.5}
 		}},
-		{"more than there is room for: levels help, no table does", func(view *View, _ *Limits) {
+		{"more demand than capacity: load shedding helps, no table does", func(view *View, _ *Limits) {
 			view.Routes[0].Demands[0].Work = 100
 		}},
 	}
@@ -165,9 +165,9 @@
 	}
 	rows, remaining := Repair(view, limits)
 	if !sameRows(rows, view.decided()) {
-		fmt.Fprintf(out, "  instead %.3v\n", rows)
+		fmt.Fprintf(out, "  repaired: %.3v\n", rows)
 	}
 	for _, finding := range remaining {
-		fmt.Fprintln(out, "  left: "+finding.String())
+		fmt.Fprintln(out, "  remaining: "+finding.String())
 	}
 }
