--- /dev/null
+++ b/intake/clock_test.go
@@ -0,0 +1,48 @@
+package intake
+
+import (
+	"math"
+	"testing"
+)
+
+// The age of a stamped report does not depend on the sender's clock being right, and a clock that is set does not make
+// a report look younger or older.
+func TestClockAge(t *testing.T) {
+	const (
+		startMs = 1e12
+		hourMs  = 3600e3
+		delayMs = 20.0
+		queueMs = 2000.0 // that each tenth report waits before it is sent
+	)
+	for _, test := range []struct {
+		name    string
+		aheadMs float64
+	}{
+		{"exact", 0},
+		{"an hour ahead", hourMs},
+		{"an hour behind", -hourMs},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var clock Clock
+			for i := range 100 {
+				nowMs := startMs + float64(i)*1000
+				totalDelayMs, wantMs := delayMs, 0.0
+				if i%10 == 5 {
+					totalDelayMs, wantMs = delayMs+queueMs, queueMs
+				}
+				ageMs := clock.Age(nowMs, nowMs+test.aheadMs-totalDelayMs)
+				if math.Abs(ageMs-wantMs) > 1e-3 && i > 0 {
+					t.Fatalf("age %g of report %d with a delay of %g", ageMs, i, totalDelayMs)
+				}
+			}
+			nowMs := startMs + 101e3
+			if ageMs := clock.Age(nowMs, nowMs+test.aheadMs+60e3); ageMs != 0 {
+				t.Errorf("age %g after the clock was set ahead by a minute", ageMs)
+			}
+			nowMs = startMs + 102e3
+			if ageMs := clock.Age(nowMs, nowMs+test.aheadMs-hourMs); ageMs != 0 {
+				t.Errorf("age %g after the clock was set back by an hour", ageMs)
+			}
+		})
+	}
+}
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -1,226 +1,232 @@
 package intake
 
 import (
+	"cmp"
 	"container/heap"
 	"maps"
 	"math"
 	"slices"
 )
 
-// Queue holds lines until a round takes them in. Of one source on one thing a few wait, and what comes beyond joins the
-// last, so a source that sends again and again takes no more room. When more wait than may, the source with the most lines loses the one that is
-// stalest and says least.
+// Queue holds reports until a round ingests them. Of one source on one subject at most maxPerSubject reports are
+// queued, further ones are merged into the last, so a source that sends again and again takes no more memory. When
+// the queue is full, the source with the most reports loses the one of the lowest priority.
 type Queue struct {
-	limits  Limits
-	by      map[string]*waiting
-	most    longest // the sources, the one with the most lines first
-	lines   int
-	next    int64 // order of arrival
-	dropped map[string]int64
+	limits       Limits
+	bySource     map[string]*sourceQueue
+	bySize       sourceHeap // the same queues, that with the most reports first
+	length       int        // reports in all queues
+	lastSequence int64      // of the newest report
+	dropped      map[string]int64
 }
 
-// waiting are a source's lines, the least worth first.
-type waiting struct {
-	source string
-	lines  []*queued
-	of     map[key][]*queued
-	at     int // in longest
+// sourceQueue holds the queued reports of one source.
+type sourceQueue struct {
+	source    string
+	reports   reportHeap // lowest priority first
+	bySubject map[subjectKey][]*queuedReport
+	heapIndex int // in Queue.bySize
 }
 
-type key struct {
-	of    string
-	usage bool
+type subjectKey struct {
+	subject  string
+	isDemand bool
 }
 
-type queued struct {
+type queuedReport struct {
 	Report
-	worth float64
-	order int64
-	at    int // in the source's heap
+	priority  float64
+	sequence  int64 // position in the order of arrival
+	heapIndex int   // in sourceQueue.reports
 }
 
-// alike is how many lines of one source on one thing wait apart.
-const alike = 4
+// key returns what the report is about.
+func (r *Report) key() subjectKey { return subjectKey{subject: r.Subject, isDemand: r.IsDemand} }
 
-// NewQueue makes an empty one.
-func NewQueue(l Limits) *Queue {
-	return &Queue{limits: l, by: map[string]*waiting{}, dropped: map[string]int64{}}
+// maxPerSubject is how many reports of one source on one subject are queued apart.
+const maxPerSubject = 4
+
+// NewQueue returns an empty queue.
+func NewQueue(limits Limits) *Queue {
+	return &Queue{limits: limits, bySource: map[string]*sourceQueue{}, dropped: map[string]int64{}}
 }
 
-// worth orders lines by how much they still say: the tries, halved for each half-life of age. Since all age alike it does
-// not change while they wait.
-func (q *Queue) worth(l *Report) float64 {
-	return math.Log2(float64(l.Attempts)+1) + l.ObservedMs/math.Max(q.limits.HalfLifeMs, 1)
+// priority is the logarithm of the report's attempts, halved with each half-life of its age: log2(attempts + 1) + t /
+// h. Because all reports age alike, their order does not change while they are queued.
+func (q *Queue) priority(report *Report) float64 {
+	return math.Log2(float64(report.Attempts)+1) + report.ObservedMs/math.Max(q.limits.HalfLifeMs, 1)
 }
 
-// Add puts a line into the queue.
-func (q *Queue) Add(l Report) {
-	w := q.by[l.Source]
-	if w == nil {
-		w = &waiting{source: l.Source, of: map[key][]*queued{}}
-		q.by[l.Source] = w
-		heap.Push(&q.most, w)
-	}
-	k := key{l.Subject, l.IsDemand}
-	if all := w.of[k]; len(all) >= alike {
-		x := all[len(all)-1]
-		x.merge(l)
-		x.worth = q.worth(&x.Report)
-		heap.Fix((*least)(&w.lines), x.at)
+// Add queues a report, and drops one where the queue is full.
+func (q *Queue) Add(report Report) {
+	queue := q.sourceQueue(report.Source)
+	key := report.key()
+	sameSubject := queue.bySubject[key]
+	if len(sameSubject) >= maxPerSubject {
+		last := sameSubject[len(sameSubject)-1]
+		last.merge(report)
+		last.priority = q.priority(&last.Report)
+		heap.Fix(&queue.reports, last.heapIndex)
 		return
 	}
-	q.next++
-	x := &queued{Report: l, worth: q.worth(&l), order: q.next}
-	w.of[k] = append(w.of[k], x)
-	heap.Push((*least)(&w.lines), x)
-	heap.Fix(&q.most, w.at)
-	if q.lines++; q.lines > q.limits.MaxQueued {
+	q.lastSequence++
+	queued := &queuedReport{Report: report, priority: q.priority(&report), sequence: q.lastSequence}
+	queue.bySubject[key] = append(sameSubject, queued)
+	heap.Push(&queue.reports, queued)
+	heap.Fix(&q.bySize, queue.heapIndex)
+	q.length++
+	if q.length > q.limits.MaxQueued {
 		q.Drop(QueueFull, 1)
-		q.remove(q.most[0], 0)
+		q.remove(q.bySize[0], 0)
 	}
 }
 
-// Dropped counts the lines that were not taken in, by why.
-func (q *Queue) Dropped() map[string]int64 { return maps.Clone(q.dropped) }
+// sourceQueue returns the queue of a source, a new one if it has none.
+func (q *Queue) sourceQueue(source string) *sourceQueue {
+	queue := q.bySource[source]
+	if queue == nil {
+		queue = &sourceQueue{source: source, bySubject: map[subjectKey][]*queuedReport{}}
+		q.bySource[source] = queue
+		heap.Push(&q.bySize, queue)
+	}
+	return queue
+}
 
-// Drop counts lines that were not taken in.
-func (q *Queue) Drop(why string, lines int) { q.dropped[why] += int64(lines) }
+// Dropped returns the number of reports that were dropped, by reason.
+func (q *Queue) Dropped() map[string]int64 { return maps.Clone(q.dropped) }
 
-// remove takes a line of a source out.
-func (q *Queue) remove(w *waiting, i int) *queued {
-	x := heap.Remove((*least)(&w.lines), i).(*queued)
-	k := key{x.Subject, x.IsDemand}
-	if w.of[k] = slices.DeleteFunc(w.of[k], func(y *queued) bool { return y == x }); len(w.of[k]) == 0 {
-		delete(w.of, k)
+// Drop counts reports that are dropped for a reason.
+func (q *Queue) Drop(reason string, reports int) { q.dropped[reason] += int64(reports) }
+
+// remove takes the report at an index of a source's heap out of the queue.
+func (q *Queue) remove(queue *sourceQueue, index int) *queuedReport {
+	removed := heap.Remove(&queue.reports, index).(*queuedReport)
+	key := removed.key()
+	isRemoved := func(other *queuedReport) bool { return other == removed }
+	queue.bySubject[key] = slices.DeleteFunc(queue.bySubject[key], isRemoved)
+	if len(queue.bySubject[key]) == 0 {
+		delete(queue.bySubject, key)
 	}
-	if q.lines--; len(w.lines) == 0 {
-		heap.Remove(&q.most, w.at)
-		delete(q.by, w.source)
+	q.length--
+	if len(queue.reports) == 0 {
+		q.removeSource(queue)
 	} else {
-		heap.Fix(&q.most, w.at)
+		heap.Fix(&q.bySize, queue.heapIndex)
 	}
-	return x
+	return removed
+}
+
+func (q *Queue) removeSource(queue *sourceQueue) {
+	heap.Remove(&q.bySize, queue.heapIndex)
+	delete(q.bySource, queue.source)
 }
 
-// Forget drops what waits of a source.
+// Forget drops the queued reports of a source that is gone.
 func (q *Queue) Forget(source string) {
-	if w := q.by[source]; w != nil {
-		q.Drop(SubjectGone, len(w.lines))
-		q.lines -= len(w.lines)
-		heap.Remove(&q.most, w.at)
-		delete(q.by, source)
+	queue := q.bySource[source]
+	if queue == nil {
+		return
+	}
+	q.Drop(SubjectGone, len(queue.reports))
+	q.length -= len(queue.reports)
+	q.removeSource(queue)
+}
+
+// Take removes and returns the reports that a round ingests, at most maxReports, in the order of their arrival. Where
+// more are queued, the sources are served in turn, each with its report of the highest priority. Reports that are too
+// old are dropped. The attempts of the others are scaled down by their age.
+func (q *Queue) Take(nowMs float64, maxReports int) []Report {
+	var taken []*queuedReport
+	if q.length <= maxReports {
+		taken = q.takeAll()
+	} else {
+		taken = q.takeInTurns(maxReports)
 	}
+	slices.SortFunc(taken, func(a, b *queuedReport) int { return cmp.Compare(a.sequence, b.sequence) })
+	return q.weighted(nowMs, taken)
 }
 
-// Take gives the lines that a round takes in, at most so many: all of them in the order in which they came, or, where
-// they are more, one of each source in turn, those that say most first. Lines that are too old are dropped. Tries are
-// told by what they still weigh.
-func (q *Queue) Take(now float64, most int) (lines []Report) {
-	var taken []*queued
-	if q.lines <= most {
-		for _, w := range q.by {
-			taken = append(taken, w.lines...)
-		}
-		q.by, q.most, q.lines = map[string]*waiting{}, nil, 0
-	} else {
-		turn := slices.Clone(q.most)
-		slices.SortFunc(turn, func(a, b *waiting) int { return compare(a.first(), b.first()) })
-		for len(taken) < most {
-			left := turn[:0]
-			for _, w := range turn {
-				if len(taken) == most {
-					break
-				}
-				taken = append(taken, q.remove(w, w.best()))
-				if len(w.lines) > 0 {
-					left = append(left, w)
-				}
+func (q *Queue) takeAll() []*queuedReport {
+	var taken []*queuedReport
+	for _, queue := range q.bySource {
+		taken = append(taken, queue.reports...)
+	}
+	q.bySource = map[string]*sourceQueue{}
+	q.bySize = nil
+	q.length = 0
+	return taken
+}
+
+// takeInTurns takes one report of each source in turn. The source with the oldest report is served first.
+func (q *Queue) takeInTurns(maxReports int) []*queuedReport {
+	var taken []*queuedReport
+	turn := slices.Clone(q.bySize)
+	slices.SortFunc(turn, func(a, b *sourceQueue) int { return cmp.Compare(a.firstSequence(), b.firstSequence()) })
+	for len(taken) < maxReports {
+		nextTurn := turn[:0]
+		for _, queue := range turn {
+			if len(taken) == maxReports {
+				break
+			}
+			taken = append(taken, q.remove(queue, queue.highestPriority()))
+			if len(queue.reports) > 0 {
+				nextTurn = append(nextTurn, queue)
 			}
-			turn = left
 		}
+		turn = nextTurn
 	}
-	slices.SortFunc(taken, func(a, b *queued) int { return compare(a.order, b.order) })
-	for _, x := range taken {
-		weight := q.limits.weight(now - x.ObservedMs)
+	return taken
+}
+
+// weighted drops the reports that are too old and scales the attempts of the others by the weight of their age. Demand
+// is not scaled: it is a rate over the report's window.
+func (q *Queue) weighted(nowMs float64, queued []*queuedReport) []Report {
+	var reports []Report
+	for _, report := range queued {
+		weight := q.limits.ageWeight(nowMs - report.ObservedMs)
 		if weight == 0 {
 			q.Drop(TooOld, 1)
 			continue
 		}
-		if weight < 1 && !x.IsDemand { // usage is a rate by its span
-			x.Attempts, x.Failed = int(math.Round(float64(x.Attempts)*weight)), int(math.Round(float64(x.Failed)*weight))
+		if weight < 1 && !report.IsDemand {
+			report.Attempts = scaled(report.Attempts, weight)
+			report.Failed = scaled(report.Failed, weight)
 		}
-		lines = append(lines, x.Report)
+		reports = append(reports, report.Report)
 	}
-	return lines
+	return reports
 }
 
-// weight is what is left of a report of an age.
-func (l Limits) weight(age float64) float64 {
-	if age >= l.MaxAgeMs {
-		return 0
-	}
-	return math.Exp2(-math.Max(age-l.FullWeightMs, 0) / math.Max(l.HalfLifeMs, 1))
-}
+func scaled(count int, weight float64) int { return int(math.Round(float64(count) * weight)) }
 
-func compare(a, b int64) int {
-	if a < b {
-		return -1
+// ageWeight returns the weight of a report of an age, from 1 down to 0.
+func (l Limits) ageWeight(ageMs float64) float64 {
+	if ageMs >= l.MaxAgeMs {
+		return 0
 	}
-	return 1
+	return math.Exp2(-math.Max(ageMs-l.FullWeightMs, 0) / math.Max(l.HalfLifeMs, 1))
 }
 
-// Waiting is the number of lines that wait, and of their sources.
-func (q *Queue) Waiting() (lines, sources int) { return q.lines, len(q.by) }
+// Waiting returns the number of queued reports, and of the sources that sent them.
+func (q *Queue) Waiting() (reports, sources int) { return q.length, len(q.bySource) }
 
-// first is when the oldest line of a source came.
-func (w *waiting) first() int64 {
+// firstSequence returns the sequence number of the oldest report.
+func (s *sourceQueue) firstSequence() int64 {
 	first := int64(math.MaxInt64)
-	for _, x := range w.lines {
-		first = min(first, x.order)
+	for _, report := range s.reports {
+		first = min(first, report.sequence)
 	}
 	return first
 }
 
-// best is where the line that says most stands.
-func (w *waiting) best() (best int) {
-	for i, x := range w.lines {
-		if b := w.lines[best]; x.worth > b.worth || x.worth == b.worth && x.order < b.order {
-			best = i
+// highestPriority returns the heap index of the report with the highest priority, the older one of two equal ones.
+func (s *sourceQueue) highestPriority() (index int) {
+	for i, report := range s.reports {
+		highest := s.reports[index]
+		if report.priority > highest.priority ||
+			report.priority == highest.priority && report.sequence < highest.sequence {
+			index = i
 		}
 	}
-	return best
-}
-
-// least is a heap of lines, those that say least first.
-type least []*queued
-
-func (h least) Len() int { return len(h) }
-func (h least) Less(i, j int) bool {
-	return h[i].worth < h[j].worth || h[i].worth == h[j].worth && h[i].order < h[j].order
-}
-func (h least) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].at, h[j].at = i, j }
-func (h *least) Push(x any)   { x.(*queued).at = len(*h); *h = append(*h, x.(*queued)) }
-func (h *least) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return x
-}
-
-// longest is a heap of sources, that with the most lines first.
-type longest []*waiting
-
-func (h longest) Len() int { return len(h) }
-func (h longest) Less(i, j int) bool {
-	return len(h[i].lines) > len(h[j].lines) || len(h[i].lines) == len(h[j].lines) && h[i].source < h[j].source
-}
-func (h longest) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].at, h[j].at = i, j }
-func (h *longest) Push(x any)   { x.(*waiting).at = len(*h); *h = append(*h, x.(*waiting)) }
-func (h *longest) Pop() any {
-	old := *h
-	x := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return x
+	return index
 }
--- /dev/null
+++ b/routing/capacity.go
@@ -0,0 +1,33 @@
+package routing
+
+import "math"
+
+const (
+	// missProbability is eps of the capacity formula: the part of the requests that may miss the deadline d.
+	missProbability = 0.05
+
+	// deadlineMedians is d of the capacity formula as a multiple of the fleet's median latency. At -ln(missProbability),
+	// about 3, or less, a fleet of equal hosts has no headroom at all; slightly more gives each a little.
+	deadlineMedians = 3.2
+
+	// minCapacityRatio is the part of the service rate that the capacity is never under.
+	minCapacityRatio = 0.5
+)
+
+// serviceRate is mu of an M/M/1 queue, in requests a second: mu = lambda + 1/R.
+func serviceRate(arrivalRate, meanLatencyMs float64) float64 {
+	return arrivalRate + msPerSecond/meanLatencyMs
+}
+
+// latencyMargin is K = |ln eps / d|, in requests a second: an M/M/1 queue whose arrival rate stays so far under its
+// service rate answers all but the part eps of the requests within d.
+func latencyMargin(medianLatencyMs float64) float64 {
+	return math.Abs(math.Log(missProbability) / (deadlineMedians * medianLatencyMs) * msPerSecond)
+}
+
+// deadlineCapacity is the arrival rate, in requests a second, up to which a host meets the deadline: mu - K, by section
+// 3 of the paper that the package comment names. Latencies are in ms and above 0.
+func deadlineCapacity(arrivalRate, meanLatencyMs, medianLatencyMs float64) float64 {
+	mu := serviceRate(arrivalRate, meanLatencyMs)
+	return math.Max(mu-latencyMargin(medianLatencyMs), mu*minCapacityRatio)
+}
--- /dev/null
+++ b/routing/rebalance.go
@@ -0,0 +1,137 @@
+package routing
+
+import (
+	"math"
+	"sort"
+)
+
+const (
+	// minWeightRatio is the part of its base weight that a host keeps, so that its latency goes on being measured.
+	minWeightRatio = 0.1
+
+	// relaxRatio is the part of the way back to its base weight that a host's weight goes in each report round.
+	relaxRatio = 0.05
+
+	// minWeightChange is the relative change of a weight that is worth a transfer or an entry. A smaller one would only
+	// hold up the next.
+	minWeightChange = 0.06
+)
+
+// balanceRecord is what rebalancing keeps of a host.
+type balanceRecord struct {
+	weight          float64 // where transfers have put it, on the scale of the base weight
+	cooldownUntilMs float64 // no transfer before
+}
+
+// transferParty is a host that takes part in weight transfers. Rates are in requests a second.
+type transferParty struct {
+	host          *hostRecord
+	overload      float64 // arrival rate over the capacity; below 0 it is headroom
+	sheddableRate float64 // what the host can give away and still keep its least weight
+}
+
+// fleetTotals are sums over the hosts that take part in rebalancing.
+type fleetTotals struct {
+	arrivalRate float64
+	weight      float64
+}
+
+// participates tells whether a host takes part in rebalancing: it is ready, and neither ejected, recovering nor
+// warming up.
+func (b *Balancer) participates(host *hostRecord) bool {
+	return host.endpoint.state == Ready && !host.outlier.ejected &&
+		b.recoveryFactor(host) >= 1 && b.slowStartFactor(host) >= 1
+}
+
+// rebalance transfers weight, by section 4.3 of the paper that the package comment names: from the most overloaded host
+// min{overload, headroom, sheddable rate} goes to the host with the most headroom, hosts of the same zone first. With
+// no host over its capacity all weights relax toward their base weights.
+func (b *Balancer) rebalance() {
+	parties, overloaded, totals := b.transferParties()
+	sort.SliceStable(overloaded, func(i, j int) bool { return overloaded[i].overload > overloaded[j].overload })
+	for _, sender := range overloaded {
+		b.shedWeight(sender, parties, totals)
+	}
+	if len(overloaded) == 0 {
+		b.relaxWeights()
+	}
+}
+
+// transferParties gives the hosts that may send or receive weight now, and those of them that must send some.
+func (b *Balancer) transferParties() (parties, overloaded []transferParty, totals fleetTotals) {
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		if !b.participates(host) {
+			continue
+		}
+		totals.arrivalRate += host.stats.arrivalRate
+		totals.weight += host.balance.weight
+		measured := host.stats.attempts() >= 1 && host.stats.meanLatencyMs > 0 && b.fleet.medianLatencyMs > 0
+		if b.nowMs < host.balance.cooldownUntilMs || !measured {
+			continue
+		}
+		party := newTransferParty(host, b.fleet.medianLatencyMs)
+		parties = append(parties, party)
+		if math.Min(party.overload, party.sheddableRate) > minWeightChange*host.stats.arrivalRate {
+			overloaded = append(overloaded, party)
+		}
+	}
+	return parties, overloaded, totals
+}
+
+// newTransferParty measures a host's overload. A host with several cores answers fast until nearly all are busy, so its
+// mean latency overstates its headroom: it is given no more than brings the utilization that it reports to
+// targetUtilization. A load report can take headroom away and never gives any; by itself it moves no weight.
+func newTransferParty(host *hostRecord, medianLatencyMs float64) transferParty {
+	rate := host.stats.arrivalRate
+	party := transferParty{
+		host:          host,
+		overload:      rate - deadlineCapacity(rate, host.stats.meanLatencyMs, medianLatencyMs),
+		sheddableRate: rate * (1 - minWeightRatio*host.endpoint.baseWeight/host.balance.weight),
+	}
+	if utilization := host.load.effectiveUtilization(); utilization > 0 {
+		headroomByLoad := math.Min(0, rate*(1-targetUtilization/utilization))
+		party.overload = math.Max(party.overload, headroomByLoad)
+	}
+	return party
+}
+
+// shedWeight transfers weight from one overloaded host to those with headroom. Both sides of a transfer are left alone
+// until it shows in the reports.
+func (b *Balancer) shedWeight(sender transferParty, parties []transferParty, totals fleetTotals) {
+	if totals.arrivalRate <= 0 {
+		return
+	}
+	senderZone := sender.host.endpoint.zone
+	sort.SliceStable(parties, func(i, j int) bool {
+		near := parties[i].host.endpoint.zone == senderZone
+		otherNear := parties[j].host.endpoint.zone == senderZone
+		return near && !otherNear || near == otherNear && parties[i].overload < parties[j].overload
+	})
+	for i := range parties {
+		receiver := &parties[i]
+		movedRate := math.Min(math.Min(sender.overload, -receiver.overload), sender.sheddableRate)
+		if movedRate <= 0 {
+			continue
+		}
+		movedWeight := movedRate / totals.arrivalRate * totals.weight
+		sender.host.balance.weight -= movedWeight
+		receiver.host.balance.weight += movedWeight
+		sender.overload -= movedRate
+		sender.sheddableRate -= movedRate
+		receiver.overload += movedRate
+		cooldownUntilMs := b.nowMs + b.reports.settlingMs + b.reports.delayMs
+		sender.host.balance.cooldownUntilMs = cooldownUntilMs
+		receiver.host.balance.cooldownUntilMs = cooldownUntilMs
+	}
+}
+
+// relaxWeights brings the weights of all hosts without a cooldown a step nearer to their base weights.
+func (b *Balancer) relaxWeights() {
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		if b.nowMs >= host.balance.cooldownUntilMs {
+			host.balance.weight += relaxRatio * (host.endpoint.baseWeight - host.balance.weight)
+		}
+	}
+}
--- /dev/null
+++ b/state/apply.go
@@ -0,0 +1,45 @@
+package state
+
+import (
+	"math"
+	"slices"
+	"strings"
+
+	"barleysail/state/statepb"
+)
+
+// Apply brings a state up to date by a change from Diff, in place, and drops the tables that no proxy refers to any
+// more.
+func Apply(s *statepb.State, change *statepb.Change) {
+	part := change.GetPart()
+	s.At = math.Max(s.At, change.At)
+	s.Hosts = merge(s.Hosts, part.GetHosts(), change.GoneHosts, (*statepb.Host).GetName)
+	s.Proxies = merge(s.Proxies, part.GetProxies(), change.GoneProxies, (*statepb.Proxy).GetName)
+	s.Settings = merge(s.Settings, part.GetSettings(), change.GoneSettings, (*statepb.Setting).GetHost)
+	s.Tables = merge(s.Tables, part.GetTables(), nil, (*statepb.Table).GetId)
+	if change.Fleet {
+		s.Fleet = part.GetFleet()
+	}
+	referenced := referencedTables(s.Proxies)
+	s.Tables = slices.DeleteFunc(s.Tables, func(table *statepb.Table) bool { return !referenced[table.Id] })
+}
+
+// merge returns the entries of a list sorted by name, less those that were removed, with the updated ones in place
+// of those of the same name.
+func merge[T any](entries, updates []*T, removed []string, name func(*T) string) (merged []*T) {
+	isRemoved := map[string]bool{}
+	for _, removedName := range removed {
+		isRemoved[removedName] = true
+	}
+	updates = slices.Clone(updates)
+	slices.SortFunc(updates, func(a, b *T) int { return strings.Compare(name(a), name(b)) })
+	forEachPair(entries, updates, name, func(entry, update *T) {
+		switch {
+		case update != nil:
+			merged = append(merged, update)
+		case !isRemoved[name(entry)]:
+			merged = append(merged, entry)
+		}
+	})
+	return merged
+}
--- /dev/null
+++ b/state/times.go
@@ -0,0 +1,19 @@
+package state
+
+import "barleysail/state/statepb"
+
+// ShiftTimes adds an offset to the instants at which figures were measured, to convert them from a monotonic clock
+// to the wall clock. Instants that come from outside, such as starts of hosts and ends of overrides, are wall clock
+// times already and stay.
+func ShiftTimes(s *statepb.State, offsetMs float64) {
+	s.At += offsetMs
+	for _, host := range s.Hosts {
+		host.At += offsetMs
+	}
+	for _, proxy := range s.Proxies {
+		proxy.At += offsetMs
+	}
+	if s.Fleet != nil {
+		s.Fleet.At += offsetMs
+	}
+}
