--- a/cmd/barleysail/controller_client.go
+++ b/cmd/barleysail/controller_client.go
@@ -19,7 +19,8 @@
 )
 
 const (
-	controllerFlag       = "steward"            // the flag that names the controller
+	controllerFlag       = "controller"         // the flag that names the controller
+	oldControllerFlag    = "steward"            // its name up to version 0.1
 	controllerEnv        = "BARLEYSAIL_STEWARD" // names the controller where the flag is not given
 	defaultControllerURL = "http://127.0.0.1:7070"
 
@@ -40,6 +41,7 @@
 		address = defaultControllerURL
 	}
 	cmd.Flags().String(controllerFlag, address, "the controller's URL, by default from the environment's "+controllerEnv)
+	addOldFlagName(cmd, controllerFlag, oldControllerFlag)
 }
 
 // clientFromFlag returns a client of the controller that the command's flag names.
--- a/cmd/barleysail/helpers_test.go
+++ b/cmd/barleysail/helpers_test.go
@@ -24,7 +24,7 @@
 	var out bytes.Buffer
 	root.SetOut(&out)
 	if url != "" && args[0] != "diff" {
-		args = append(args, "--steward", url)
+		args = append(args, "--controller", url)
 	}
 	root.SetArgs(args)
 	if err := root.ExecuteContext(context.Background()); err != nil {
--- a/cmd/barleysail/main_test.go
+++ b/cmd/barleysail/main_test.go
@@ -45,19 +45,35 @@
 	}
 }
 
-// --apart is the old name of --separate-processes.
-func TestScenarioSeparateProcesses(t *testing.T) {
-	for _, name := range []string{"apart", "separate-processes"} {
-		t.Run(name, func(t *testing.T) {
-			cmd := scenarioCommand()
-			if err := cmd.ParseFlags([]string{"--" + name}); err != nil {
-				t.Fatal(err)
-			}
-			value, err := cmd.Flags().GetBool("separate-processes")
-			if err != nil || !value {
-				t.Errorf("separate processes: %v, %v", value, err)
-			}
-		})
+// The names that flags had up to version 0.1 set the same value as the present ones.
+func TestOldFlagNames(t *testing.T) {
+	for _, c := range []struct {
+		command            []string
+		name, old, setting string
+	}{
+		{[]string{"scenario"}, "separate-processes", "apart", "true"},
+		{[]string{"replay"}, "collapse-ms", "fall-ms", "1234"},
+		{[]string{"state", "show"}, "slow-start-ms", "cold-ms", "1234"},
+		{[]string{"state", "forget"}, "overrides", "settings", "true"},
+		{[]string{"get"}, "controller", "steward", "http://10.0.0.1:70"},
+		{[]string{"drain"}, "controller", "steward", "http://10.0.0.1:70"},
+		{[]string{"top"}, "controller", "steward", "http://10.0.0.1:70"},
+		{[]string{"guard", "check"}, "controller", "steward", "http://10.0.0.1:70"},
+	} {
+		for _, given := range []string{c.name, c.old} {
+			t.Run(fmt.Sprint(c.command, " --", given), func(t *testing.T) {
+				cmd, _, err := newRootCommand().Find(c.command)
+				if err != nil {
+					t.Fatal(err)
+				}
+				if err := cmd.ParseFlags([]string{"--" + given + "=" + c.setting}); err != nil {
+					t.Fatal(err)
+				}
+				if got := cmd.Flags().Lookup(c.name).Value.String(); got != c.setting {
+					t.Errorf("--%s is %q after --%s=%s", c.name, got, given, c.setting)
+				}
+			})
+		}
 	}
 }
 
--- a/cmd/barleysail/replay.go
+++ b/cmd/barleysail/replay.go
@@ -10,7 +10,7 @@
 	"barleysail/replay"
 )
 
-const defaultCollapseMs = 3000 // of the flag --fall-ms
+const defaultCollapseMs = 3000 // of the flag --collapse-ms
 
 func replayCommand() *cobra.Command {
 	var comparison settingsComparison
@@ -38,8 +38,9 @@
 	flags.StringVar(&comparison.configFile, "config", "", "compare with this configuration")
 	flags.StringVar(&comparison.plotFile, "plot", "", "draw the service of both to this file, .svg or .png")
 	flags.BoolVar(&asJSON, "json", false, "print JSON")
-	flags.Float64Var(&comparison.collapseMs, "fall-ms", defaultCollapseMs,
+	flags.Float64Var(&comparison.collapseMs, "collapse-ms", defaultCollapseMs,
 		"ms of overload after which a host in slow start counts as collapsed")
+	addOldFlagName(cmd, "collapse-ms", "fall-ms")
 	return cmd
 }
 
--- a/cmd/barleysail/scenario.go
+++ b/cmd/barleysail/scenario.go
@@ -36,8 +36,8 @@
 	set := cmd.Flags()
 	set.BoolVarP(&flags.verbose, "verbose", "v", false, "log controllers and forwarders on standard error")
 	set.BoolVar(&flags.separateProcesses, "separate-processes", false, "run each controller in a process of its own")
-	set.BoolVar(&flags.separateProcesses, "apart", false, "same as --separate-processes")
 	set.StringVar(&flags.recordingsFolder, "record", "", "record each controller and proxy into this existing folder")
+	addOldFlagName(cmd, "separate-processes", "apart")
 	return cmd
 }
 
--- a/cmd/barleysail/state_forget.go
+++ b/cmd/barleysail/state_forget.go
@@ -40,7 +40,8 @@
 		},
 	}
 	cmd.Flags().StringSliceVar(&flags.hosts, "host", nil, "remove what is known of these hosts alone")
-	cmd.Flags().BoolVar(&flags.overrides, "settings", false, "remove operators' overrides too")
+	cmd.Flags().BoolVar(&flags.overrides, "overrides", false, "remove operators' overrides too")
+	addOldFlagName(cmd, "overrides", "settings")
 	return cmd
 }
 
--- a/cmd/barleysail/state_show.go
+++ b/cmd/barleysail/state_show.go
@@ -15,7 +15,7 @@
 	"barleysail/state/statepb"
 )
 
-const defaultSlowStartMs = 18_000 // of the flag --cold-ms, as the configuration's guard.cold_ms
+const defaultSlowStartMs = 18_000 // of the flag --slow-start-ms, as the configuration's guard.cold_ms
 
 func stateShowCommand() *cobra.Command {
 	var slowStartMs float64
@@ -27,8 +27,9 @@
 			return showState(cmd.OutOrStdout(), args[0], slowStartMs)
 		},
 	}
-	cmd.Flags().Float64Var(&slowStartMs, "cold-ms", defaultSlowStartMs,
+	cmd.Flags().Float64Var(&slowStartMs, "slow-start-ms", defaultSlowStartMs,
 		"ms of slow start after a host's start, as guard.cold_ms of the configuration")
+	addOldFlagName(cmd, "slow-start-ms", "cold-ms")
 	return cmd
 }
 
--- a/cmd/barleysail/state_test.go
+++ b/cmd/barleysail/state_test.go
@@ -56,7 +56,7 @@
 		{"after forgetting a host", []string{"state", "check", path}, 0, []string{"1 hosts, 1 proxies, 1 settings"}},
 		{"forget", []string{"state", "forget", path}, 0, []string{"forgotten"}},
 		{"after forgetting", []string{"state", "check", path}, 0, []string{"0 hosts, 0 proxies, 1 settings"}},
-		{"forget settings", []string{"state", "forget", path, "--settings"}, 0, []string{"forgotten"}},
+		{"forget settings", []string{"state", "forget", path, "--overrides"}, 0, []string{"forgotten"}},
 		{"after forgetting settings", []string{"state", "check", path}, 0, []string{"0 hosts, 0 proxies, 0 settings"}},
 		{"forget in a missing folder", []string{"state", "forget", path + "x"}, 1, []string{"no such file"}},
 	})
