--- /dev/null
+++ b/internal/simwire/event.go
@@ -0,0 +1,85 @@
+// Package simwire is the codec of the simulator's protocol, JSON objects in lines: it decodes events and settings,
+// checks their form, and encodes messages. It owns the protocol's names and takes no decision.
+package simwire
+
+import (
+	"encoding/json"
+	"math"
+	"strconv"
+)
+
+// Event types of the protocol.
+const (
+	Turn         = "Turn" // begins a batch
+	End          = "End"  // ends a batch
+	Start        = "Start"
+	Endpoints    = "Endpoints"
+	CheckedIn    = "CheckedIn" // a proxy connected
+	Disconnected = "Disconnected"
+	Installed    = "Installed" // a proxy acknowledged a version
+	Stats        = "Stats"     // a host's request counts
+	Arrivals     = "Arrivals"  // a proxy's request counts
+	Health       = "Health"    // a health check ended
+	Alarm        = "Alarm"
+	CrashNow     = "CrashNow"
+	Tenure       = "Tenure"
+	StoredLine   = "StoredLine"
+	SliceLoad    = "SliceLoad"
+	Neighbour    = "NeighbourSays"
+)
+
+// Values of Event.How: how an endpoint list event came.
+const (
+	ListFailed = 0 // the list could not be had
+	ListFull   = 1 // a snapshot
+	ListDelta  = 3
+	ListCached = 4 // a snapshot from a cache, which may be outdated
+)
+
+// Record is an entry of the endpoint list. Host and Phase are always there, Area and W unless Phase is 0.
+type Record struct {
+	Host       *string
+	Area       *string // zone
+	Phase      *int64  // host state: 0 removed, 1 ready, 2 draining
+	W          *float64
+	LaunchedUs *int64 // simulated time of the process's start
+}
+
+// Event is an event of any type; its type says which fields are set. Units are in the names: Us is microseconds of
+// simulated time. A field of the protocol that the type does not require may be nil.
+type Event struct {
+	Type       string `json:"event_type"`
+	SimTimeUs  *int64
+	Turn       *int64 `json:"n"` // number of the batch
+	I          *int64 // number of the instance
+	Prng       *uint64
+	Settings   json.RawMessage // for ReadSettings
+	How        *int64
+	Number     *int64
+	Records    []Record
+	Px         *int64  // number of the proxy
+	Area       *string // zone
+	W          *float64
+	Flag       *bool
+	Kind       *string // request class
+	Count      *int64
+	Errors     *int64
+	WindowUs   *int64
+	Host       *string
+	CostTimeUs *int64
+	Report     map[string]json.RawMessage // load report, for Value
+	Ending     *string                    // of a health check
+	Handle     *int64
+	By         *int64
+	Content    *string
+	Tbl        *int64 // number of the table
+}
+
+// Value returns a value of the load report, or -1 where it is absent or no number from 0 on.
+func (e *Event) Value(name string) float64 {
+	value, err := strconv.ParseFloat(string(e.Report[name]), 64)
+	if err != nil || value < 0 || math.IsNaN(value) || math.IsInf(value, 0) {
+		return -1
+	}
+	return value
+}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -7,128 +7,219 @@
 	"slices"
 )
 
-// Service is a class of transactions as the settings spell it.
+// Service is a request class. Pointers are required; the other fields have a fallback.
 type Service struct {
-	AimUs, HardLimitUs, Value *float64
-	Effect, KeyScope, Name    string
-	WindowUs                  float64
+	AimUs       *float64 // latency objective
+	HardLimitUs *float64 // deadline
+	Value       *float64 // priority weight
+	Effect      string   // idempotency: Idempotent, Deduplicated or AtMostOnce
+	KeyScope    string
+	Name        string
+	WindowUs    float64
 }
 
-// Settings is what Start carries. Pointers are promised by the wire; plain fields have a fallback.
+// Settings are what a start carries: the deployment, its limits and its request classes. Pointers are required; the
+// other fields have a fallback, which is 0 unless stated.
 type Settings struct {
-	Discovery      string
-	FailureDomains []string
+	Discovery      string   // Subscribed, or any other word for a list that comes unasked
+	FailureDomains []string // zones; ReadSettings puts the instance's own in place of none
 	FamilyInfo     struct {
-		Admission                                                string
-		BareUs, ChannelRate, MostWaiting, IntervalUs, PerMessage *float64
-		DataPlaneSize                                            *int
-		LateUs, UpdateWindowUs, OrderPrice                       float64
-		Ejects, MessagesMost, RetryDefault, Shards               int
-		StaysLocal                                               []bool
+		Admission      string   // AdmitNone or AdmitShare
+		BareUs         *float64 // longest time that a proxy may be without a host
+		ChannelRate    *float64 // table entries that the control channel carries in a second
+		MostWaiting    *float64 // entries that may wait for it
+		IntervalUs     *float64 // between two reports of a proxy
+		PerMessage     *float64 // entries that a message costs besides its own
+		DataPlaneSize  *int     // number of proxies
+		LateUs         float64  // propagation delay of the channel
+		UpdateWindowUs float64  // in which MessagesMost are allowed
+		OrderPrice     float64  // cost of a message
+		Ejects         int      // failures in a row after which proxies eject a host themselves
+		MessagesMost   int      // to one proxy; 0: no limit
+		RetryDefault   int      // retry policy of proxies that no table says another for
+		Shards         int
+		StaysLocal     []bool // by class: requests stay in their zone
 	}
-	Index, Instances *int
-	Limits           struct {
-		MayProbe      bool
+	Index     *int // of this instance
+	Instances *int
+	Limits    struct {
+		MayProbe      bool // health checks are allowed
 		DialTimeoutUs float64
 	}
-	Prices struct{ Probe float64 }
-	Rules  struct {
-		ColdFrom, ColdUs, StopSendingWithinUs, FallMultiple, FallUs *float64
+	Prices struct {
+		Probe float64 // cost of a health check
 	}
-	ScoreParts struct{ Whole, WorstClass, WorstWindow float64 }
-	Services   []Service
-	StepUs     float64
-	Zone       string
+	Rules struct {
+		ColdFrom            *float64 // part of its capacity that a host has at its start
+		ColdUs              *float64 // length of the slow start
+		StopSendingWithinUs *float64 // grace of a drain
+		FallMultiple        *float64 // of its capacity, under which a host in slow start collapses
+		FallUs              *float64 // after this time
+	}
+	ScoreParts struct {
+		Whole       float64 // weight of all requests
+		WorstClass  float64 // weight of the class served worst
+		WorstWindow float64 // weight of the time window served worst
+	}
+	Services []Service // request classes
+	StepUs   float64
+	Zone     string // of this instance
 }
 
-// What a string setting may hold.
+// Values of text settings.
 const (
-	Subscribed   = "subscribe"
-	AdmitNone    = "none"
-	AdmitShare   = "share"
+	Subscribed   = "subscribe" // Discovery: the list has to be subscribed to
+	AdmitNone    = "none"      // Admission: proxies admit all requests
+	AdmitShare   = "share"     // Admission: proxies admit a share of each class
 	Idempotent   = "idempotent"
-	Deduplicated = "deduplicated"
+	Deduplicated = "deduplicated" // idempotent by a key that hosts remember
 	AtMostOnce   = "at_most_once"
 	EveryHost    = "all"
 )
 
 const (
-	unbounded   = math.MaxFloat64
-	proxiesMost = 65535 // the wire's numbers of proxies and tables stay below 65536
+	unbounded  = math.MaxFloat64
+	positive   = 1e-9  // least value of a setting that must be above 0
+	maxProxies = 65535 // the protocol numbers proxies and tables below 65536
+	maxClasses = 60    // a bit mask holds a set of classes
+	maxRetries = 3     // numbers of retry policies
 )
 
-// ReadSettings decodes and checks the settings; the error names the setting that is absent or out of its
-// range.
+// ReadSettings decodes the settings of a start and checks them. Its errors are a *SettingError for the first setting
+// that is absent or out of range, and an *EventError for settings that cannot be decoded.
 func ReadSettings(raw []byte) (*Settings, error) {
-	s := new(Settings)
-	if err := json.Unmarshal(raw, s); err != nil {
-		return nil, fmt.Errorf("Start: Settings: %v", err)
+	settings := new(Settings)
+	if err := json.Unmarshal(raw, settings); err != nil {
+		return nil, &EventError{Event: Start, Reason: fmt.Sprintf("Settings: %v", err), Err: err}
+	}
+	for _, check := range []func(*Settings) error{
+		checkRequiredNumbers, checkOptionalNumbers, checkDeployment, checkZones, checkClasses,
+	} {
+		if err := check(settings); err != nil {
+			return nil, err
+		}
 	}
-	f, r := &s.FamilyInfo, &s.Rules
-	for _, p := range []struct {
+	return settings, nil
+}
+
+// checkRequiredNumbers checks that required numbers are there and not below their least value.
+func checkRequiredNumbers(settings *Settings) error {
+	family := &settings.FamilyInfo
+	rules := &settings.Rules
+	for _, required := range []struct {
 		name  string
 		value *float64
 		least float64
 	}{
-		{"FamilyInfo.BareUs", f.BareUs, 0}, {"FamilyInfo.ChannelRate", f.ChannelRate, 1e-9},
-		{"FamilyInfo.MostWaiting", f.MostWaiting, 0}, {"FamilyInfo.IntervalUs", f.IntervalUs, 1},
-		{"FamilyInfo.PerMessage", f.PerMessage, 0}, {"Rules.ColdFrom", r.ColdFrom, 0}, {"Rules.ColdUs", r.ColdUs, 0},
-		{"Rules.StopSendingWithinUs", r.StopSendingWithinUs, 0}, {"Rules.FallMultiple", r.FallMultiple, 1e-9},
-		{"Rules.FallUs", r.FallUs, 0},
+		{"FamilyInfo.BareUs", family.BareUs, 0},
+		{"FamilyInfo.ChannelRate", family.ChannelRate, positive},
+		{"FamilyInfo.MostWaiting", family.MostWaiting, 0},
+		{"FamilyInfo.IntervalUs", family.IntervalUs, 1},
+		{"FamilyInfo.PerMessage", family.PerMessage, 0},
+		{"Rules.ColdFrom", rules.ColdFrom, 0},
+		{"Rules.ColdUs", rules.ColdUs, 0},
+		{"Rules.StopSendingWithinUs", rules.StopSendingWithinUs, 0},
+		{"Rules.FallMultiple", rules.FallMultiple, positive},
+		{"Rules.FallUs", rules.FallUs, 0},
 	} {
-		if p.value == nil {
-			return nil, fmt.Errorf("Start: setting %s is missing", p.name)
+		if required.value == nil {
+			return &SettingError{required.name, " is missing"}
 		}
-		if *p.value < p.least {
-			return nil, fmt.Errorf("Start: setting %s is out of range: %g", p.name, *p.value)
+		if *required.value < required.least {
+			return outOfRange(required.name, *required.value)
 		}
 	}
-	for _, p := range []struct {
+	return nil
+}
+
+// checkOptionalNumbers checks that numbers with a fallback, and those with an upper bound, are from 0 to that.
+func checkOptionalNumbers(settings *Settings) error {
+	family := &settings.FamilyInfo
+	parts := &settings.ScoreParts
+	for _, optional := range []struct {
 		name        string
 		value, most float64
 	}{
-		{"FamilyInfo.LateUs", f.LateUs, unbounded}, {"FamilyInfo.UpdateWindowUs", f.UpdateWindowUs, unbounded},
-		{"FamilyInfo.OrderPrice", f.OrderPrice, unbounded}, {"FamilyInfo.Ejects", float64(f.Ejects), unbounded},
-		{"FamilyInfo.MessagesMost", float64(f.MessagesMost), unbounded}, {"FamilyInfo.RetryDefault", float64(f.RetryDefault), 3},
-		{"FamilyInfo.Shards", float64(f.Shards), unbounded}, {"Limits.DialTimeoutUs", s.Limits.DialTimeoutUs, unbounded},
-		{"Prices.Probe", s.Prices.Probe, unbounded}, {"Rules.ColdFrom", *r.ColdFrom, 1}, {"ScoreParts.Whole", s.ScoreParts.Whole, unbounded},
-		{"ScoreParts.WorstClass", s.ScoreParts.WorstClass, unbounded}, {"ScoreParts.WorstWindow", s.ScoreParts.WorstWindow, unbounded},
-		{"StepUs", s.StepUs, unbounded},
+		{"FamilyInfo.LateUs", family.LateUs, unbounded},
+		{"FamilyInfo.UpdateWindowUs", family.UpdateWindowUs, unbounded},
+		{"FamilyInfo.OrderPrice", family.OrderPrice, unbounded},
+		{"FamilyInfo.Ejects", float64(family.Ejects), unbounded},
+		{"FamilyInfo.MessagesMost", float64(family.MessagesMost), unbounded},
+		{"FamilyInfo.RetryDefault", float64(family.RetryDefault), maxRetries},
+		{"FamilyInfo.Shards", float64(family.Shards), unbounded},
+		{"Limits.DialTimeoutUs", settings.Limits.DialTimeoutUs, unbounded},
+		{"Prices.Probe", settings.Prices.Probe, unbounded},
+		{"Rules.ColdFrom", *settings.Rules.ColdFrom, 1},
+		{"ScoreParts.Whole", parts.Whole, unbounded},
+		{"ScoreParts.WorstClass", parts.WorstClass, unbounded},
+		{"ScoreParts.WorstWindow", parts.WorstWindow, unbounded},
+		{"StepUs", settings.StepUs, unbounded},
 	} {
-		if p.value < 0 || p.value > p.most {
-			return nil, fmt.Errorf("Start: setting %s is out of range: %g", p.name, p.value)
+		if optional.value < 0 || optional.value > optional.most {
+			return outOfRange(optional.name, optional.value)
 		}
 	}
-	if len(s.FailureDomains) == 0 { // a deployment that has no zones is all one
-		s.FailureDomains = []string{s.Zone}
-	}
+	return nil
+}
+
+func outOfRange(setting string, value float64) *SettingError {
+	return &SettingError{setting, fmt.Sprintf(" is out of range: %g", value)}
+}
+
+// checkDeployment checks the numbers of instances, proxies and request classes.
+func checkDeployment(settings *Settings) error {
+	proxies := settings.FamilyInfo.DataPlaneSize
+	classes := len(settings.Services)
 	switch {
-	case s.Index == nil || *s.Index < 0:
-		return nil, fmt.Errorf("Start: setting Index is missing or below 0")
-	case s.Instances == nil || *s.Instances < 1:
-		return nil, fmt.Errorf("Start: setting Instances is missing or below 1")
-	case f.DataPlaneSize == nil || *f.DataPlaneSize < 1 || *f.DataPlaneSize > proxiesMost:
-		return nil, fmt.Errorf("Start: setting FamilyInfo.DataPlaneSize is missing or not from 1 to %d", proxiesMost)
-	case len(s.Services) == 0 || len(s.Services) > 60:
-		return nil, fmt.Errorf("Start: setting Services holds %d classes, from 1 to 60 can be served", len(s.Services))
+	case settings.Index == nil || *settings.Index < 0:
+		return &SettingError{"Index", " is missing or below 0"}
+	case settings.Instances == nil || *settings.Instances < 1:
+		return &SettingError{"Instances", " is missing or below 1"}
+	case proxies == nil || *proxies < 1 || *proxies > maxProxies:
+		return &SettingError{"FamilyInfo.DataPlaneSize", fmt.Sprintf(" is missing or not from 1 to %d", maxProxies)}
+	case classes == 0 || classes > maxClasses:
+		return &SettingError{"Services",
+			fmt.Sprintf(" holds %d classes, from 1 to %d can be served", classes, maxClasses)}
+	}
+	return nil
+}
+
+// checkZones checks that zones have different names. A deployment without zones gets one, the instance's own.
+func checkZones(settings *Settings) error {
+	if len(settings.FailureDomains) == 0 {
+		settings.FailureDomains = []string{settings.Zone}
 	}
-	for i, z := range s.FailureDomains {
-		if slices.Contains(s.FailureDomains[:i], z) {
-			return nil, fmt.Errorf("Start: setting FailureDomains names %q twice", z)
+	for i, zone := range settings.FailureDomains {
+		if slices.Contains(settings.FailureDomains[:i], zone) {
+			return &SettingError{"FailureDomains", fmt.Sprintf(" names %q twice", zone)}
 		}
 	}
-	names := map[string]bool{}
-	for _, c := range s.Services {
-		if names[c.Name] {
-			return nil, fmt.Errorf("Start: setting Services names class %q twice", c.Name)
+	return nil
+}
+
+// checkClasses checks that request classes have different names and good values.
+func checkClasses(settings *Settings) error {
+	known := map[string]bool{}
+	for i := range settings.Services {
+		class := &settings.Services[i]
+		if known[class.Name] {
+			return &SettingError{"Services", fmt.Sprintf(" names class %q twice", class.Name)}
 		}
-		names[c.Name] = true
-		if c.AimUs == nil || c.HardLimitUs == nil || c.Value == nil || *c.AimUs <= 0 || *c.HardLimitUs <= 0 || *c.Value < 0 {
-			return nil, fmt.Errorf("Start: setting Services: class %q lacks a good AimUs, HardLimitUs or Value", c.Name)
+		known[class.Name] = true
+		if !class.hasGoodNumbers() {
+			return &SettingError{"Services",
+				fmt.Sprintf(": class %q lacks a good AimUs, HardLimitUs or Value", class.Name)}
 		}
-		if c.Effect != Idempotent && c.Effect != Deduplicated && c.Effect != AtMostOnce {
-			return nil, fmt.Errorf("Start: setting Services: class %q has unknown Effect %q", c.Name, c.Effect)
+		if !slices.Contains([]string{Idempotent, Deduplicated, AtMostOnce}, class.Effect) {
+			return &SettingError{"Services", fmt.Sprintf(": class %q has unknown Effect %q", class.Name, class.Effect)}
 		}
 	}
-	return s, nil
+	return nil
+}
+
+func (s *Service) hasGoodNumbers() bool {
+	if s.AimUs == nil || s.HardLimitUs == nil || s.Value == nil {
+		return false
+	}
+	return *s.AimUs > 0 && *s.HardLimitUs > 0 && *s.Value >= 0
 }
