--- /dev/null
+++ b/internal/rules/compact_test.go
@@ -0,0 +1,114 @@
+package rules
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// journalPair logs random events in two logs, one of which is compacted now and then.
+type journalPair struct {
+	whole     *Journal
+	compacted *Journal
+	hosts     map[string]Listed // the present list
+	nowMs     float64
+}
+
+// both logs an event in both.
+func (p *journalPair) both(add func(journal *Journal)) {
+	add(p.whole)
+	add(p.compacted)
+}
+
+// step logs a random event.
+func (p *journalPair) step(t *rapid.T, number int) {
+	p.nowMs += rapid.SampledFrom([]float64{1, 1, 5, 40, 300, 1500, 9000}).Draw(t, "pause")
+	proxy := rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "proxy")
+	host := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "host")
+	what := rapid.IntRange(0, 11).Draw(t, "what")
+	switch {
+	case what == 0 || number == 0:
+		p.changeList(t, host)
+	case what == 1:
+		p.both(func(journal *Journal) { journal.Answered(p.nowMs, proxy, "s", 0, "", "", "", nil) })
+	case what == 2:
+		empty := []byte(`{"tables":{"finish":{"hosts":{}}}}`)
+		p.both(func(journal *Journal) { journal.Answered(p.nowMs, proxy, "s", 200, "1", "", "", empty) })
+	case what <= 4:
+		controller := rapid.SampledFrom([]string{"s", "t"}).Draw(t, "steward")
+		p.both(func(journal *Journal) {
+			journal.Answered(p.nowMs, proxy, controller, 200, "1", "", "", []byte(twoHosts))
+		})
+	case what == 5:
+		p.compacted.Fold(testFigures, p.nowMs)
+	default:
+		work := rapid.SampledFrom([]float64{50, 4000}).Draw(t, "work")
+		p.both(func(journal *Journal) {
+			journal.Arrived(p.nowMs, host, proxy, "sheet", fmt.Sprint("t", number), work, true)
+		})
+	}
+}
+
+// changeList removes, drains, restarts or readies a host on the list.
+func (p *journalPair) changeList(t *rapid.T, host string) {
+	next := maps.Clone(p.hosts)
+	switch rapid.IntRange(0, 3).Draw(t, "change") {
+	case 0:
+		delete(next, host)
+	case 1:
+		next[host] = Listed{Started: next[host].Started}
+	case 2:
+		next[host] = Listed{Ready: true, Started: p.nowMs - 100}
+	default:
+		next[host] = Listed{Ready: true, Started: next[host].Started}
+	}
+	p.hosts = next
+	p.both(func(journal *Journal) { journal.Gave(p.nowMs, next) })
+}
+
+// Checks of a log that is compacted again and again come to the same as those of one that keeps all.
+func TestFold(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		pair := &journalPair{whole: NewJournal(), compacted: NewJournal(), hosts: map[string]Listed{}, nowMs: 1000}
+		for _, host := range []string{"x", "y", "z"} {
+			pair.both(func(journal *Journal) { journal.Capacity(host, 4) })
+		}
+		for number := range rapid.IntRange(20, 400).Draw(t, "steps") {
+			pair.step(t, number)
+		}
+		pair.compacted.Fold(testFigures, pair.nowMs)
+		got := map[string]Verdict{}
+		for _, verdict := range pair.compacted.Check(testFigures, pair.nowMs+10) {
+			got[verdict.Rule] = verdict
+		}
+		for _, want := range pair.whole.Check(testFigures, pair.nowMs+10) {
+			verdict, found := got[want.Rule]
+			if !found {
+				t.Fatalf("no verdict on %s", want.Rule)
+			}
+			if math.Abs(want.Margin-verdict.Margin) > 1e-9 {
+				t.Fatalf("%s: margin %g of a whole log (%s), %g of a compacted one (%s)", want.Rule, want.Margin,
+					want.Seen, verdict.Margin, verdict.Seen)
+			}
+		}
+	})
+}
+
+// What a compacted log keeps does not grow with time.
+func TestFoldedStaysSmall(t *testing.T) {
+	journal := newTestJournal()
+	for i := range 100000 {
+		atMs := 1000 + 100*float64(i)
+		journal.Answered(atMs, "p", "s", 226, "2", "1", "1", []byte(twoHosts))
+		journal.Arrived(atMs, "x", "p", "sheet", fmt.Sprint("t", i), 50, true)
+		if i%500 == 0 {
+			journal.Fold(testFigures, atMs)
+		}
+	}
+	if len(journal.updates) > 2000 || len(journal.requests) > 2000 {
+		t.Errorf("%d updates and %d requests are kept", len(journal.updates), len(journal.requests))
+	}
+}
