--- a/cmd/barleysail/recordings.go
+++ b/cmd/barleysail/recordings.go
@@ -136,7 +136,7 @@
 	count, end := countRecords(recording)
 	p.printf("%s: %d records, %s\n", name, count, recording.condition())
 	recording.printFaults(p)
-	if !errors.Is(end, io.EOF) && endedEarly(end) {
+	if isReadError(end) {
 		p.printf("%v\n", end)
 	}
 	return !recording.isDamaged(end), nil
--- a/cmd/barleysail/recordings_cut.go
+++ b/cmd/barleysail/recordings_cut.go
@@ -13,8 +13,6 @@
 	"barleysail/replay"
 )
 
-const recordingSuffix = ".day"
-
 var errCutFlags = errors.New("a part has --from and --to in seconds of the recording, " +
 	"and an --output that ends in " + recordingSuffix)
 
--- a/cmd/barleysail/replay.go
+++ b/cmd/barleysail/replay.go
@@ -84,7 +84,7 @@
 	p.printf("%s: %.1f s of the day in %.2f s: %d inputs, %d answers as recorded\n", name,
 		seconds(result.To-result.From), elapsed.Seconds(), result.Inputs, result.Answers)
 	recording.printFaults(p)
-	if endedEarly(result.End) {
+	if isReadError(result.End) {
 		p.printf("the recording ends early: %v\n", result.End)
 	}
 	if result.First != nil {
--- a/internal/rules/slow_start.go
+++ b/internal/rules/slow_start.go
@@ -8,7 +8,7 @@
 
 // checkSlowStarts checks the work that came to hosts in slow start against the load under which they collapse, over
 // each stretch of time after which they do. It counts where enough of it came by proxies that could know: they got an
-// update after the list told of the start, or the list had told of it for the grace.
+// update after the list had the start, or the list had had it for the grace.
 func (j *Journal) checkSlowStarts(figures Figures) Verdict {
 	worst := worstCase{seen: "no host started"}
 	for i, list := range j.lists {
@@ -75,7 +75,7 @@
 	return during
 }
 
-// isInformed tells whether the proxy of a request could know of a start that the list told of at a time.
+// isInformed tells whether the proxy of a request could know of a start that the list had from a time on.
 func (j *Journal) isInformed(figures Figures, r request, noticeMs float64) bool {
 	if r.atMs >= noticeMs+figures.Grace {
 		return true
