--- a/routing/assignment.go
+++ b/routing/assignment.go
@@ -2,103 +2,201 @@
 
 import "sort"
 
-// assignTables binds proxies to the shared table: those without a table of ours first, then by their traffic. One
-// that cannot have the whole table in time first gets a few hosts, since it must not go on by an old one;
-// so does every proxy under strain. A hand that lost servers is filled up.
-func (s *Balancer) assignTables(w UpdateWriter, c ControlChannel, b *updateBatch, unbound int, lines []int, fair float64, behind bool) {
-	whole := func(p *proxyRecord) float64 { return float64(lines[s.sharedTable(p.zone)]) + 2 }
-	short := func(p *proxyRecord) bool {
-		return p.ownsTable && !s.retryStorm.quiescing && (len(p.subset) < minSubsetSize || p.subsetWeight*fair < subsetRefillRatio*p.requestRate)
+const (
+	// tableAssignmentEntries is what the assignment of a shared table costs besides an entry for each host.
+	tableAssignmentEntries = 2
+
+	// reassignmentBudgetSeconds is the update budget, in seconds of the channel's pace, that must have gathered before a
+	// proxy that has a table is assigned a shared one, so that weights come first.
+	reassignmentBudgetSeconds = 0.5
+)
+
+// assignmentCounts sums up which proxies route by which tables.
+type assignmentCounts struct {
+	assigned      int     // connected proxies with a table
+	unassigned    int     // connected proxies without
+	mostMessages  int     // messages sent within the message window to the proxy that was sent most
+	ratePerWeight float64 // requests a second that are due for each unit of published weight
+}
+
+// sharedTable is the number of the table that a zone's proxies share: one for all zones, or the zone's own where a
+// request class must stay in its zone.
+func (b *Balancer) sharedTable(zone int) int {
+	if b.zoneLocal {
+		return 1 + zone
 	}
-	var due []int
-	for i := range s.proxies {
-		if p := &s.proxies[i]; p.connected && (!p.assigned || p.ownsTable != s.subsetMode.active && !s.retryStorm.quiescing || short(p)) {
-			due = append(due, i)
+	return 0
+}
+
+// subsetTable is the number of a proxy's own table.
+func (b *Balancer) subsetTable(proxy int) int { return 1 + b.deployment.Zones + proxy }
+
+// SubsetTable is the number of the table that a proxy may be given for itself.
+func (b *Balancer) SubsetTable(proxy int) int { return b.subsetTable(proxy) }
+
+// countAssignments counts the proxies with and without tables, those of each shared table, and for each host the
+// proxies that route by a table with it and the traffic that subsets bring it. It drops messages that are too old.
+func (b *Balancer) countAssignments(tables []sharedTableState) assignmentCounts {
+	var counts assignmentCounts
+	requestRate := 0.0
+	maxTransitMs := b.channel.maxTransitMs()
+	for i := range b.proxies {
+		proxy := &b.proxies[i]
+		if !proxy.connected {
+			continue
 		}
-	}
-	sort.SliceStable(due, func(i, j int) bool {
-		a, b := &s.proxies[due[i]], &s.proxies[due[j]]
-		return !a.assigned && b.assigned || a.assigned == b.assigned && a.requestRate > b.requestRate
-	})
-	for _, i := range due {
-		p := &s.proxies[i]
-		if !c.allowsMessage(len(p.messageTimesMs), protectiveFill) && (p.assigned || !c.allowsMessage(len(p.messageTimesMs), removalFill)) {
+		b.expireMessages(proxy, maxTransitMs)
+		counts.mostMessages = max(counts.mostMessages, len(proxy.messageTimesMs))
+		requestRate += proxy.requestRate
+		if !proxy.assigned {
+			counts.unassigned++
 			continue
 		}
-		cost := whole(p) + b.messageOverhead
-		late := !s.zoneLocal && s.exceedsDrainGrace(float64(unbound)*cost+b.initialBacklog, c)
-		few := s.subsetMode.active || s.retryStorm.quiescing || (late || behind) && !p.assigned
-		room := b.backlog+cost <= assignmentFill*c.MaxBacklog || b.backlog == 0
-		if !few && !behind && room && (!p.assigned || s.publishing.budget > c.EntriesPerSecond/2) {
-			if b.account(i, cost-b.messageOverhead); p.assigned {
-				s.publishing.budget -= cost
-			}
-			w.AssignTable(i, s.sharedTable(p.zone), 0)
-			p.assigned, p.ownsTable = true, false
-		} else if !s.zoneLocal && (few && !p.ownsTable || short(p) && !behind) &&
-			b.backlog+b.messageOverhead+minSubsetSize <= protectiveFill*c.MaxBacklog {
-			for !p.ownsTable && len(p.subset) > 0 {
-				w.SetWeight(s.subsetTable(i), p.subset[0], 0)
-				p.subset = p.subset[1:]
-			}
-			if n := s.fillSubset(w, i, fair); n > 0 {
-				if b.account(i, float64(n)); !p.ownsTable {
-					b.account(i, 1)
-					w.AssignTable(i, s.subsetTable(i), 0)
-				}
-				p.assigned, p.ownsTable = true, true
-			}
+		counts.assigned++
+		if !proxy.ownsTable {
+			tables[b.sharedTable(proxy.zone)].proxies++
 		}
 	}
+	weight := minDivisor
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		host.publication.holders = tables[b.sharedTable(host.endpoint.zone)].proxies
+		host.publication.subsetRate = 0
+		weight += host.publication.weight
+	}
+	b.countSubsets()
+	counts.ratePerWeight = requestRate / weight
+	return counts
 }
 
-// sharedTable is the table that a zone's proxies share: one for all, or the zone's where a class may not leave it.
-func (s *Balancer) sharedTable(zone int) int {
-	if s.zoneLocal {
-		return 1 + zone
+// countSubsets adds the proxies with their own tables to the counts of their hosts.
+func (b *Balancer) countSubsets() {
+	for i := range b.proxies {
+		proxy := &b.proxies[i]
+		proxy.subsetWeight = 0
+		if !proxy.connected || !proxy.ownsTable {
+			continue
+		}
+		ratePerHost := proxy.requestRate / float64(len(proxy.subset))
+		for _, index := range proxy.subset {
+			publication := &b.hosts[index].publication
+			publication.holders++
+			publication.subsetRate += ratePerHost
+			proxy.subsetWeight += publication.weight
+		}
 	}
-	return 0
 }
 
-// subsetTable is the number of a proxy's own table.
-func (s *Balancer) subsetTable(p int) int { return 1 + s.deployment.Zones + p }
-
-// SubsetTable is the number of the table that a proxy may be given for itself.
-func (s *Balancer) SubsetTable(p int) int { return s.subsetTable(p) }
-
-// countAssignments counts the proxies that are bound and those that wait, and for each server the proxies that hold it
-// and the traffic that hands bring it. It gives the most messages that one proxy was sent lately, and the
-// traffic for each part of weight, too. Messages older than so much have left the channel without an answer.
-func (s *Balancer) countAssignments(over, oldest float64) (bound, unbound, most int, fair float64) {
-	shared, traffic, weight := make([]int, s.deployment.Zones+1), 0.0, 1e-9
-	for i := range s.proxies {
-		if p := &s.proxies[i]; p.connected {
-			for len(p.messageTimesMs) > 0 && p.messageTimesMs[0] < s.nowMs-over {
-				p.messageTimesMs = p.messageTimesMs[1:]
-			}
-			for len(p.unacknowledged) > 0 && p.unacknowledged[0].sentAtMs < s.nowMs-oldest {
-				s.releaseMessages(p, 1)
-			}
-			most = max(most, len(p.messageTimesMs))
-			traffic += p.requestRate
-			if !p.assigned {
-				unbound++
-			} else if bound++; !p.ownsTable {
-				shared[s.sharedTable(p.zone)]++
-			}
+// assignTables gives proxies a shared table or a subset of the hosts: those without a table first, then by their
+// traffic. A proxy that cannot have the shared table in time first gets a subset, since it must not go on routing by an
+// old table; in subset mode and while a retry storm is quiesced every proxy does. A subset that lost hosts is filled up.
+func (b *Balancer) assignTables(round *publishRound) {
+	for _, index := range b.proxiesDue(round.assignments.ratePerWeight) {
+		proxy := &b.proxies[index]
+		if !b.mayMessage(proxy) {
+			continue
+		}
+		hosts := round.tables[b.sharedTable(proxy.zone)].entries
+		cost := float64(hosts) + tableAssignmentEntries + round.batch.messageOverhead
+		subsetFirst := b.needsSubset(round, proxy, cost)
+		switch {
+		case !subsetFirst && b.maySendSharedTable(round, proxy, cost):
+			b.assignSharedTable(round, index, cost)
+		case subsetFirst && !proxy.ownsTable || !round.urgentPending && b.lacksHosts(proxy, round.assignments.ratePerWeight):
+			b.assignSubset(round, index)
 		}
 	}
-	for _, h := range s.hostOrder {
-		v := &s.hosts[h]
-		v.publication.holders, v.publication.subsetRate, weight = shared[s.sharedTable(v.endpoint.zone)], 0, weight+v.publication.weight
+}
+
+// proxiesDue gives the proxies that should be assigned another table, or more hosts in their own.
+func (b *Balancer) proxiesDue(ratePerWeight float64) []int {
+	var due []int
+	for i := range b.proxies {
+		proxy := &b.proxies[i]
+		wrongTable := proxy.ownsTable != b.subsetMode.active && !b.retryStorm.quiescing
+		if proxy.connected && (!proxy.assigned || wrongTable || b.lacksHosts(proxy, ratePerWeight)) {
+			due = append(due, i)
+		}
 	}
-	for i := range s.proxies {
-		p := &s.proxies[i]
-		p.subsetWeight = 0
-		for k := 0; p.connected && p.ownsTable && k < len(p.subset); k++ {
-			v := &s.hosts[p.subset[k]]
-			v.publication.holders, v.publication.subsetRate, p.subsetWeight = v.publication.holders+1, v.publication.subsetRate+p.requestRate/float64(len(p.subset)), p.subsetWeight+v.publication.weight
+	sort.SliceStable(due, func(i, j int) bool {
+		first, second := &b.proxies[due[i]], &b.proxies[due[j]]
+		if first.assigned != second.assigned {
+			return !first.assigned
 		}
+		return first.requestRate > second.requestRate
+	})
+	return due
+}
+
+// mayMessage tells whether a proxy may be sent one more message for its table. A proxy without a table is more urgent.
+func (b *Balancer) mayMessage(proxy *proxyRecord) bool {
+	sent := len(proxy.messageTimesMs)
+	return b.channel.allowsMessage(sent, protectiveFill) ||
+		!proxy.assigned && b.channel.allowsMessage(sent, removalFill)
+}
+
+// needsSubset tells whether a proxy should have a subset of the hosts and not a shared table, which costs so many
+// entries.
+func (b *Balancer) needsSubset(round *publishRound, proxy *proxyRecord, cost float64) bool {
+	if b.subsetMode.active || b.retryStorm.quiescing {
+		return true
+	}
+	entries := float64(round.assignments.unassigned)*cost + round.batch.initialBacklog
+	late := !b.zoneLocal && b.exceedsDrainGrace(entries)
+	return !proxy.assigned && (late || round.urgentPending)
+}
+
+// maySendSharedTable tells whether the channel has room for a shared table, and the update budget where the proxy has a
+// table already.
+func (b *Balancer) maySendSharedTable(round *publishRound, proxy *proxyRecord, cost float64) bool {
+	backlog := round.batch.backlog
+	fits := backlog == 0 || backlog+cost <= assignmentFill*b.channel.MaxBacklog
+	affordable := !proxy.assigned || b.publishing.budget > b.channel.EntriesPerSecond*reassignmentBudgetSeconds
+	return fits && affordable && !round.urgentPending
+}
+
+// assignSharedTable has a proxy route by its zone's shared table. cost is in entries, with the message overhead.
+func (b *Balancer) assignSharedTable(round *publishRound, index int, cost float64) {
+	proxy := &b.proxies[index]
+	round.batch.account(index, cost-round.batch.messageOverhead)
+	if proxy.assigned {
+		b.publishing.budget -= cost
+	}
+	round.writer.AssignTable(index, b.sharedTable(proxy.zone), 0)
+	proxy.assigned = true
+	proxy.ownsTable = false
+}
+
+// assignSubset has a proxy route by its own table with a subset of the hosts, or fills that table up, where the channel
+// has room and there are hosts to add.
+func (b *Balancer) assignSubset(round *publishRound, index int) {
+	batch := &round.batch
+	fits := batch.backlog+batch.messageOverhead+minSubsetSize <= protectiveFill*b.channel.MaxBacklog
+	if b.zoneLocal || !fits {
+		return
+	}
+	proxy := &b.proxies[index]
+	if !proxy.ownsTable {
+		b.clearSubset(round.writer, index)
+	}
+	added := b.fillSubset(round, index)
+	if added == 0 {
+		return
+	}
+	batch.account(index, float64(added))
+	if !proxy.ownsTable {
+		batch.account(index, 1)
+		round.writer.AssignTable(index, b.subsetTable(index), 0)
+	}
+	proxy.assigned = true
+	proxy.ownsTable = true
+}
+
+// clearSubset takes all hosts out of a proxy's own table.
+func (b *Balancer) clearSubset(writer UpdateWriter, index int) {
+	proxy := &b.proxies[index]
+	for _, host := range proxy.subset {
+		writer.SetWeight(b.subsetTable(index), host, 0)
 	}
-	return bound, unbound, most, traffic / weight
+	proxy.subset = proxy.subset[len(proxy.subset):]
 }
--- a/routing/publish.go
+++ b/routing/publish.go
@@ -7,196 +7,318 @@
 )
 
 const (
-	unlimitedQuota = 1e6 // a level where shares are not heeded
+	// maxVersion is the last version stamp before they start again at 1.
+	maxVersion = 60000
+
+	// ackQuorum is the part of the proxies that must have acknowledged the last weights before the next are published.
+	ackQuorum = 0.8
+
+	// ackTimeoutMs is the time after which the next weights are published whatever was acknowledged.
+	ackTimeoutMs = 2000.0
+
+	// urgentGatherMs is the time in which urgent updates gather into one message.
+	urgentGatherMs = 350.0
+
+	// weightGraceShare is the part of the drain grace within which all that is in the channel must have left it before
+	// weights are added: a host that drains next must still be out of the tables in time.
+	weightGraceShare = 0.4
+
+	// minQuotaChange is the change of an admission quota that is worth an entry.
+	minQuotaChange = 0.02
+
+	// unlimitedQuota is published where admission quotas are not heeded.
+	unlimitedQuota = 1e6
+)
+
+// updateUrgency ranks the weight updates of a round.
+type updateUrgency int
+
+// The urgencies, most urgent first. While an update of the first two is left unwritten no other is written, since a
+// proxy's acknowledgement of a later update would count as knowing it.
+const (
+	removalUrgency   updateUrgency = iota // the host is draining or removed
+	slowStartUrgency                      // the host is warming up, and published with far more than it may get
+	ordinaryUrgency
 )
 
+// urgencyFill gives the fill of the channel for each urgency.
+var urgencyFill = [...]float64{
+	removalUrgency:   removalFill,
+	slowStartUrgency: removalFill,
+	ordinaryUrgency:  protectiveFill,
+}
+
 // publicationRecord is what the published tables hold of a host.
 type publicationRecord struct {
 	weight     float64
-	holders    int     // proxies whose table would have to be told of a change
-	subsetRate float64 // requests a second that proxies with a subset send there
+	holders    int     // proxies whose table must be sent a change of the weight
+	subsetRate float64 // requests a second that proxies with their own tables send there
 }
 
 // publishingState is what publish keeps from round to round.
 type publishingState struct {
-	version        int       // of the last update batch; 0: none yet
-	lastAtMs       float64   // when publish last ran
-	urgentSentAtMs float64   // when an urgent entry was last written
-	urgentPending  bool      // removals or starts wait for the control channel
-	costs          []float64 // entries of the present round, by proxy
-	budget         float64   // entries that weights may cost
-}
-
-// publish writes what changed, as much as the channel takes: removals, then what guards cold and withdrawn
-// servers, joins, and weights, the largest changes first, once most proxies have the last ones and the
-// price of orders allows. Each may fill a part of the caps; what does not fit waits. In the channel is all
-// that joined proxies have not answered, less as much as they answered within the last way of a message:
-// that is taken to be on its way now. What is older than a full channel at the least pace has left it.
-func (s *Balancer) publish(w UpdateWriter) {
-	c := s.channel
-	passed := s.nowMs - s.publishing.lastAtMs
-	s.publishing.lastAtMs = s.nowMs
-	s.publishing.budget = math.Min(c.EntriesPerSecond, s.publishing.budget+passed/1000*c.EntriesPerSecond*updateCostShare/math.Max(c.Cost, updateCostShare))
-	s.backlog.arriving *= math.Exp(-passed / math.Max(c.PropagationDelayMs, 1))
-	lines := make([]int, s.deployment.Zones+1)
-	bound, unbound, most, fair := s.countAssignments(c.MessageWindowMs, c.PropagationDelayMs+c.MaxBacklog/(c.EntriesPerSecond*minPaceRatio)*1000)
-	s.publishing.costs = grow(s.publishing.costs, len(s.proxies), 0)
-	clear(s.publishing.costs)
-	b := &updateBatch{initialBacklog: math.Max(0, s.backlog.unacknowledged-s.backlog.arriving), messageOverhead: c.MessageOverhead + 1 + float64(len(s.admission.quotas)),
-		costs: s.publishing.costs}
-	b.backlog = b.initialBacklog
-	if s.publishing.version == 0 && unbound == 0 {
+	version        int     // of the last update batch; 0: none yet
+	lastAtMs       float64 // when publish last ran
+	urgentSentAtMs float64 // when an urgent update was last written
+	urgentPending  bool    // removals or slow starts wait for the control channel
+	budget         float64 // entries that weights and reassignments may cost
+
+	costs  []float64          // kept from round to round to spare an allocation
+	tables []sharedTableState // the same
+}
+
+// weightRollout tells how many proxies have acknowledged the last batch with ordinary weights.
+type weightRollout struct {
+	version  int
+	proxies  int // that were sent it
+	acks     int
+	sentAtMs float64
+}
+
+// sharedTableState is what a round knows of a shared table.
+type sharedTableState struct {
+	proxies           int  // that route by it
+	entries           int  // hosts that it should hold
+	withoutWarmTarget bool // it should hold no warm host: ejections are passed over
+	withoutWarmEntry  bool // it holds no warm host: additions are as urgent as removals
+}
+
+// weightUpdate is a weight that is not published yet.
+type weightUpdate struct {
+	host   int
+	weight float64
+	change float64 // by how much the weight differs from the published one
+}
+
+// publishRound is what the steps of one call of publish share.
+type publishRound struct {
+	writer        UpdateWriter
+	batch         updateBatch
+	assignments   assignmentCounts
+	tables        []sharedTableState // by table number
+	urgentDue     bool               // urgent updates have gathered for long enough
+	urgentPending bool               // a removal or slow start was left unwritten in this round
+	ordinary      []weightUpdate     // updates to be written last
+}
+
+// publish writes the updates that the control channel has room for: removals first, then what protects hosts that are
+// warming up or ejected, admission quotas, tables for proxies, and ordinary weights, the largest changes first, once
+// most proxies have the last ones. Each kind may fill a part of the channel's limits; what does not fit waits.
+func (b *Balancer) publish(writer UpdateWriter) {
+	b.refillChannel()
+	b.publishing.tables = grow(b.publishing.tables, b.deployment.Zones+1, sharedTableState{})
+	clear(b.publishing.tables)
+	assignments := b.countAssignments(b.publishing.tables)
+	round := &publishRound{
+		writer:      writer,
+		batch:       b.newUpdateBatch(assignments),
+		assignments: assignments,
+		tables:      b.publishing.tables,
+		urgentDue:   b.nowMs >= b.publishing.urgentSentAtMs+urgentGatherMs,
+	}
+	if b.publishing.version == 0 && assignments.unassigned == 0 {
 		return
 	}
-	fits := func(n int, part float64) bool {
-		cost := b.backlog + float64(n) + float64(min(n, bound-b.proxies))*b.messageOverhead
-		return cost <= part*c.MaxBacklog && cost+s.backlog.unacknowledged-b.initialBacklog <= removalFill*c.MaxBacklog &&
-			(b.proxies >= bound || c.allowsMessage(most, part))
-	}
-	s.updateSlowStart(w)
-	bare, thin := make([]bool, len(lines)), make([]bool, len(lines))
-	for z := range s.deployment.Zones {
-		bare[s.sharedTable(z)], thin[s.sharedTable(z)] = !s.hasWarmEntry(s.sharedTable(z), false), !s.hasWarmEntry(s.sharedTable(z), true)
-	}
-	var later []weightUpdate
-	soon := s.nowMs >= s.publishing.urgentSentAtMs+urgentGatherMs
-	order := slices.Clone(s.hostOrder)
-	if s.publishing.urgentPending { // the channel is short: first what has waited longest
-		sort.SliceStable(order, func(i, j int) bool {
-			return s.hosts[order[i]].endpoint.changedAtMs < s.hosts[order[j]].endpoint.changedAtMs
-		})
-	}
-	behind := false // a removal or start is not told yet: what else a proxy gets would count as knowing it
-	for rank, part := range []float64{removalFill, removalFill, protectiveFill} {
-		for _, h := range order {
-			v := &s.hosts[h]
-			want, scant := s.targetWeight(v, bare[s.sharedTable(v.endpoint.zone)]), thin[s.sharedTable(v.endpoint.zone)]
-			started := v.endpoint.state == Ready && s.exceedsSlowStart(v)
-			if first := rank < 2; first != (v.endpoint.state != Ready || started) || first && started != (rank == 1) {
-				continue
-			}
-			if want > 0 {
-				lines[s.sharedTable(v.endpoint.zone)]++
-			}
-			size, guards := math.Abs(want-v.publication.weight), started || want == 0 || scant && v.publication.weight == 0
-			if size > 0 && (v.publication.holders == 0 || guards && !behind && (soon || scant) && fits(v.publication.holders, part)) {
-				if v.publication.holders > 0 {
-					s.publishing.urgentSentAtMs = s.nowMs
-				}
-				s.publishWeight(w, h, want, b)
-			} else if behind = behind || rank < 2 && size > 0; size > minWeightChange*math.Max(v.publication.weight, minWeightRatio*v.endpoint.baseWeight) {
-				later = append(later, weightUpdate{h, want, size})
-			}
-		}
+	b.updateSlowStart(writer)
+	b.publishUrgent(round)
+	b.publishing.urgentPending = round.urgentPending
+	weightsAllowed := b.rolloutAcknowledged() && !round.urgentPending
+	if weightsAllowed && round.batch.fits(assignments.assigned, protectiveFill) {
+		b.publishAdmission(round)
+	}
+	b.assignTables(round)
+	if weightsAllowed {
+		b.publishWeights(round)
 	}
-	s.publishing.urgentPending = behind
-	if s.rolloutAcknowledged() && !behind && fits(bound, protectiveFill) {
-		s.publishAdmission(w, b)
-	}
-	s.assignTables(w, c, b, unbound, lines, fair, behind)
-	b.version = s.publishing.version%60000 + 1
-	// A drain that comes next must still leave in time, unless no line to all proxies does.
-	spare, line := c.EntriesPerSecond*s.limits.DrainGraceMs/1000*weightGraceShare, float64(bound)*(b.messageOverhead+1)
-	if start := b.backlog; s.rolloutAcknowledged() && !behind {
-		sort.SliceStable(later, func(i, j int) bool { return later[i].change > later[j].change })
-		for _, l := range later {
-			if was := b.backlog; (s.publishing.budget > 0 || was > start) && fits(s.hosts[l.host].publication.holders, weightFill) &&
-				(was <= spare || line > spare) {
-				s.publishWeight(w, l.host, l.weight, b)
-				s.publishing.budget -= b.backlog - was
+	b.sendBatch(writer, &round.batch)
+}
+
+// rolloutAcknowledged tells whether most proxies that were sent the last weights have acknowledged them, or ackTimeoutMs
+// have passed.
+func (b *Balancer) rolloutAcknowledged() bool {
+	acknowledged := float64(b.rollout.acks) >= ackQuorum*float64(b.rollout.proxies)
+	return acknowledged || b.nowMs >= b.rollout.sentAtMs+ackTimeoutMs
+}
+
+// publishUrgent goes through all hosts by urgency. It writes the urgent updates, and leaves the others in the round.
+func (b *Balancer) publishUrgent(round *publishRound) {
+	for zone := range b.deployment.Zones {
+		number := b.sharedTable(zone)
+		round.tables[number].withoutWarmTarget = !b.hasWarmTarget(number)
+		round.tables[number].withoutWarmEntry = !b.hasWarmEntry(number)
+	}
+	order := b.publishOrder()
+	for urgency := range updateUrgency(len(urgencyFill)) {
+		for _, index := range order {
+			// A host's urgency is judged anew each time: one whose slow start was just published counts as ordinary, too.
+			if b.urgency(&b.hosts[index]) == urgency {
+				b.publishHost(round, index, urgency)
 			}
 		}
-		if b.backlog > start {
-			s.rollout.version, s.rollout.sentAtMs, s.rollout.proxies, s.rollout.acks = b.version, s.nowMs, b.proxies, 0
-		}
 	}
-	if b.backlog > b.initialBacklog {
-		w.StampVersion(b.version)
-		s.publishing.version = b.version
+}
+
+// publishOrder gives the hosts in the order of discovery or, where urgent updates have been waiting for the channel,
+// with those that changed first before the others.
+func (b *Balancer) publishOrder() []int {
+	if !b.publishing.urgentPending {
+		return b.hostOrder
 	}
-	for i, cost := range b.costs {
-		if p := &s.proxies[i]; cost > 0 {
-			p.messageTimesMs = append(p.messageTimesMs, s.nowMs)
-			p.unacknowledged = append(p.unacknowledged, updateMessage{b.version, cost, s.nowMs})
-			s.backlog.unacknowledged += cost
-		}
+	order := slices.Clone(b.hostOrder)
+	sort.SliceStable(order, func(i, j int) bool {
+		return b.hosts[order[i]].endpoint.changedAtMs < b.hosts[order[j]].endpoint.changedAtMs
+	})
+	return order
+}
+
+// urgency ranks a host's weight update.
+func (b *Balancer) urgency(host *hostRecord) updateUrgency {
+	switch {
+	case host.endpoint.state != Ready:
+		return removalUrgency
+	case b.exceedsSlowStart(host):
+		return slowStartUrgency
+	default:
+		return ordinaryUrgency
 	}
 }
 
-// publishWeight sets the line of a server in every table that holds it.
-func (s *Balancer) publishWeight(w UpdateWriter, h int, want float64, b *updateBatch) {
-	v := &s.hosts[h]
-	v.publication.weight = want
-	w.SetWeight(s.sharedTable(v.endpoint.zone), h, want)
-	for i := 0; v.publication.holders > 0 && i < len(s.proxies); i++ {
-		p := &s.proxies[i]
-		if at := slices.Index(p.subset, h); p.connected && p.assigned && p.ownsTable && at >= 0 {
-			b.account(i, 1)
-			if s.slowStartFactor(v) < 1 { // a cold one might be all that is left of a hand
-				want = 0
-			}
-			if w.SetWeight(s.subsetTable(i), h, want); want == 0 {
-				p.subset = slices.Delete(p.subset, at, at+1)
-			}
-		} else if p.connected && p.assigned && !p.ownsTable && s.sharedTable(p.zone) == s.sharedTable(v.endpoint.zone) {
-			b.account(i, 1)
+// publishHost writes a host's weight where it is urgent and fits the channel, and else leaves it in the round.
+func (b *Balancer) publishHost(round *publishRound, index int, urgency updateUrgency) {
+	host := &b.hosts[index]
+	table := &round.tables[b.sharedTable(host.endpoint.zone)]
+	weight := b.targetWeight(host, table.withoutWarmTarget)
+	if weight > 0 {
+		table.entries++
+	}
+	published := host.publication.weight
+	change := math.Abs(weight - published)
+	if change > 0 && round.maySend(host, weight, urgency, table.withoutWarmEntry) {
+		if host.publication.holders > 0 {
+			b.publishing.urgentSentAtMs = b.nowMs
 		}
+		b.publishWeight(round, index, weight)
+		return
+	}
+	if change > 0 && urgency < ordinaryUrgency {
+		round.urgentPending = true
+	}
+	if change > minWeightChange*math.Max(published, minWeightRatio*host.endpoint.baseWeight) {
+		round.ordinary = append(round.ordinary, weightUpdate{index, weight, change})
 	}
 }
 
-// publishAdmission writes what changed of levels and ways of trying again, for all joined proxies. A further try
-// follows only proof that the first never ran, so it is safe for every class.
-func (s *Balancer) publishAdmission(w UpdateWriter, b *updateBatch) {
-	changed := s.admission.retryPolicy != s.admission.publishedRetryPolicy
-	s.admission.publishedRetryPolicy = s.admission.retryPolicy
-	for k, share := range s.admission.quotas {
-		if math.Abs(share-s.admission.publishedQuotas[k]) <= 0.02 && !changed {
-			continue
-		}
-		s.admission.publishedQuotas[k] = share
-		if !s.deployment.AdmissionControl {
-			share = unlimitedQuota
-		}
-		w.SetAdmission(AllTables, 1<<k, share, s.admission.retryPolicy)
-		for i := range s.proxies {
-			if s.proxies[i].connected {
-				b.account(i, 1)
-			}
-		}
+// maySend tells whether a host's weight may be written before the ordinary ones: no proxy has to be sent it, or it
+// protects the host or the proxies and fits the channel.
+func (r *publishRound) maySend(host *hostRecord, weight float64, urgency updateUrgency, withoutWarmEntry bool) bool {
+	if host.publication.holders == 0 {
+		return true
 	}
+	protective := urgency == slowStartUrgency || weight == 0 || withoutWarmEntry && host.publication.weight == 0
+	return protective && !r.urgentPending && (r.urgentDue || withoutWarmEntry) &&
+		r.batch.fits(host.publication.holders, urgencyFill[urgency])
 }
 
-// weightUpdate is a weight that is not yet told.
-type weightUpdate struct {
-	host           int
-	weight, change float64
+// hasWarmTarget tells whether a shared table should hold a warm host.
+func (b *Balancer) hasWarmTarget(table int) bool {
+	return slices.ContainsFunc(b.hostOrder, func(index int) bool {
+		return b.isWarmTarget(&b.hosts[index], table)
+	})
+}
+
+// hasWarmEntry tells whether a shared table holds a warm host that it should hold.
+func (b *Balancer) hasWarmEntry(table int) bool {
+	return slices.ContainsFunc(b.hostOrder, func(index int) bool {
+		host := &b.hosts[index]
+		return host.publication.weight > 0 && b.isWarmTarget(host, table)
+	})
 }
 
-// updateBatch is what one round orders: lines that wait before and after it, and what each proxy costs, a head for
-// each that it reaches.
-type updateBatch struct {
-	version, proxies                         int
-	initialBacklog, backlog, messageOverhead float64
-	costs                                    []float64
+// isWarmTarget tells whether a host is warm and should be in a shared table.
+func (b *Balancer) isWarmTarget(host *hostRecord, table int) bool {
+	return b.sharedTable(host.endpoint.zone) == table && b.slowStartFactor(host) >= 1 && b.targetWeight(host, false) > 0
 }
 
-// account counts lines to a proxy.
-func (b *updateBatch) account(p int, lines float64) {
-	if b.costs[p] == 0 {
-		b.proxies, lines = b.proxies+1, lines+b.messageOverhead
+// publishWeight sets a host's weight in every table that holds it.
+func (b *Balancer) publishWeight(round *publishRound, index int, weight float64) {
+	host := &b.hosts[index]
+	host.publication.weight = weight
+	table := b.sharedTable(host.endpoint.zone)
+	round.writer.SetWeight(table, index, weight)
+	if host.publication.holders == 0 {
+		return
+	}
+	subsetWeight := weight
+	if b.slowStartFactor(host) < 1 { // it might be all that is left of a subset
+		subsetWeight = 0
+	}
+	for i := range b.proxies {
+		proxy := &b.proxies[i]
+		switch {
+		case !proxy.connected || !proxy.assigned:
+		case proxy.ownsTable:
+			b.publishSubsetWeight(round, i, index, subsetWeight)
+		case b.sharedTable(proxy.zone) == table:
+			round.batch.account(i, 1)
+		}
+	}
+}
+
+// publishSubsetWeight sets a host's weight in a proxy's own table, where the host is in it.
+func (b *Balancer) publishSubsetWeight(round *publishRound, proxyIndex, hostIndex int, weight float64) {
+	proxy := &b.proxies[proxyIndex]
+	position := slices.Index(proxy.subset, hostIndex)
+	if position < 0 {
+		return
+	}
+	round.batch.account(proxyIndex, 1)
+	round.writer.SetWeight(b.subsetTable(proxyIndex), hostIndex, weight)
+	if weight == 0 {
+		proxy.subset = slices.Delete(proxy.subset, position, position+1)
 	}
-	b.costs[p] += lines
-	b.backlog += lines
 }
 
-// hasWarmEntry tells whether a base table should hold, or (held) holds already, a warm line. Where none should be,
-// withdrawals are passed over; where none is held, additions go as early as removals.
-func (s *Balancer) hasWarmEntry(base int, held bool) bool {
-	for _, h := range s.hostOrder {
-		v := &s.hosts[h]
-		if s.sharedTable(v.endpoint.zone) == base && (!held || v.publication.weight > 0) && s.slowStartFactor(v) >= 1 && s.targetWeight(v, false) > 0 {
-			return true
+// publishAdmission writes what changed of the admission quotas and the retry policy, for all connected proxies.
+func (b *Balancer) publishAdmission(round *publishRound) {
+	policyChanged := b.admission.retryPolicy != b.admission.publishedRetryPolicy
+	b.admission.publishedRetryPolicy = b.admission.retryPolicy
+	for class, quota := range b.admission.quotas {
+		quotaChanged := math.Abs(quota-b.admission.publishedQuotas[class]) > minQuotaChange
+		if !quotaChanged && !policyChanged {
+			continue
+		}
+		b.admission.publishedQuotas[class] = quota
+		if !b.deployment.AdmissionControl {
+			quota = unlimitedQuota
 		}
+		round.writer.SetAdmission(AllTables, 1<<class, quota, b.admission.retryPolicy)
+		for i := range b.proxies {
+			if b.proxies[i].connected {
+				round.batch.account(i, 1)
+			}
+		}
+	}
+}
+
+// publishWeights writes the ordinary weight updates, the largest changes first, as far as the budget and the channel
+// allow. Once one is written the others may go with it, whatever is left of the budget: the messages go out anyway.
+func (b *Balancer) publishWeights(round *publishRound) {
+	updates, batch := round.ordinary, &round.batch
+	sort.SliceStable(updates, func(i, j int) bool { return updates[i].change > updates[j].change })
+	initialBacklog := batch.backlog
+	// In a fleet so large that one entry for all proxies takes longer than the grace, waiting would help nothing.
+	graceEntries := b.channel.EntriesPerSecond * b.limits.DrainGraceMs / msPerSecond * weightGraceShare
+	entriesForAll := float64(batch.assigned) * (batch.messageOverhead + 1)
+	for _, update := range updates {
+		before := batch.backlog
+		affordable := b.publishing.budget > 0 || before > initialBacklog
+		leavesInTime := before <= graceEntries || entriesForAll > graceEntries
+		if affordable && leavesInTime && batch.fits(b.hosts[update.host].publication.holders, weightFill) {
+			b.publishWeight(round, update.host, update.weight)
+			b.publishing.budget -= batch.backlog - before
+		}
+	}
+	if batch.backlog > initialBacklog {
+		b.rollout = weightRollout{version: batch.version, proxies: batch.proxies, sentAtMs: b.nowMs}
 	}
-	return false
 }
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -6,13 +6,26 @@
 )
 
 const (
-	minSubsetSize         = 4       // hosts in a proxy's own table
-	pressureFailureRatio  = 0.15    // of a host's tries fail
-	pressureHostShare     = 0.6     // of the hosts are such in a strain
-	pressureIdleShare     = 0.4     // are such though not busy
-	pressureMaxUnanswered = 0.35    // at most leave a probe unanswered
-	subsetRefillRatio     = 0.7     // of its due weight, under which a hand is filled up
-	subsetModeInitialMs   = 30000.0 // ms that tables of a few hosts are kept under strain
+	// minSubsetSize is the number of hosts that a proxy's own table should have.
+	minSubsetSize = 4
+
+	// subsetRefillRatio is the part of the weight that a proxy's traffic is due under which its subset is filled up.
+	subsetRefillRatio = 0.7
+
+	// pressureFailureRatio is the part of its attempts that a host fails under connection pressure.
+	pressureFailureRatio = 0.15
+
+	// Under connection pressure at least pressureHostShare of the hosts fail, pressureIdleShare fail though they are
+	// not busy, and at most pressureMaxUnanswered leave a health check unanswered.
+	pressureHostShare     = 0.6
+	pressureIdleShare     = 0.4
+	pressureMaxUnanswered = 0.35
+
+	// pressureRoundsNeeded is the number of report rounds in a row that prove connection pressure.
+	pressureRoundsNeeded = 2
+
+	// subsetModeInitialMs is the time that subset mode lasts. It doubles when the pressure soon returns.
+	subsetModeInitialMs = 30000.0
 )
 
 // subsetModeState tells whether each proxy is given a subset of the hosts.
@@ -23,73 +36,145 @@
 	pressureRounds int     // report rounds in a row with connection pressure
 }
 
-// updateSubsetMode tells connections that fail or are dear from a lack of capacity: many servers fail tries although
-// they answer probes and report idle cores. Then every proxy gets a table of its own with a few hosts, to
-// which it keeps its connections. The strain no longer shows then, so the one table comes back by trial,
-// after a time that doubles when it soon returns. Also guards against links that lose tries everywhere;
-// harms where hosts fail tries for reasons of their own, by a coarser balance.
-func (s *Balancer) updateSubsetMode(w UpdateWriter) {
-	n, failing, idle, silent := 1.0, 0.0, 0.0, 0.0
-	for _, h := range s.hostOrder {
-		if v := &s.hosts[h]; v.stats.recentSuccesses+v.stats.recentFailures >= 1 && v.endpoint.state == Ready {
-			n++
-			silent += float64(min(v.health.consecutiveFailures, 1))
-			if v.stats.recentFailures > pressureFailureRatio*(v.stats.recentSuccesses+v.stats.recentFailures) {
-				failing++
-				if b := v.load.effectiveUtilization(); b >= 0 && b < recoverUtilization {
-					idle++
-				}
-			}
+// pressureSymptoms counts the ready hosts with recent attempts.
+type pressureSymptoms struct {
+	hosts       int
+	failing     int // they fail more than pressureFailureRatio of their attempts
+	failingIdle int // of these, the ones that report idle cores
+	unanswered  int // they left the last health check unanswered
+}
+
+// updateSubsetMode tells connections that fail or are costly from a lack of capacity: many hosts fail attempts although
+// they answer health checks and report idle cores. Then every proxy is given its own table with a subset of the hosts,
+// to which it keeps its connections. The pressure no longer shows then, so the shared table comes back by trial, after
+// a time that doubles when the pressure soon returns. This also guards against links that lose attempts everywhere; it
+// harms where hosts fail attempts for reasons of their own, by a coarser balance.
+func (b *Balancer) updateSubsetMode(writer UpdateWriter) {
+	symptoms := b.measurePressure()
+	if symptoms.showPressure() && b.nowMs >= b.retryStorm.nextQuiesceAtMs {
+		b.subsetMode.pressureRounds++
+	} else {
+		b.subsetMode.pressureRounds = 0
+	}
+	if b.subsetMode.active {
+		if b.nowMs >= b.subsetMode.untilMs {
+			b.subsetMode.active = false
+			writer.Log(Event{SubsetModeLeft, NoHost, []Field{{"success_ratio", b.fleet.successRatio, 2}}})
 		}
+		return
 	}
-	s.subsetMode.pressureRounds++
-	if failing < pressureHostShare*n || idle < pressureIdleShare*n || silent > pressureMaxUnanswered*n || s.nowMs < s.retryStorm.nextQuiesceAtMs {
-		s.subsetMode.pressureRounds = 0
+	if b.subsetMode.pressureRounds >= pressureRoundsNeeded && !b.zoneLocal {
+		b.enterSubsetMode(writer, symptoms)
 	}
-	if s.subsetMode.active && s.nowMs >= s.subsetMode.untilMs {
-		s.subsetMode.active = false
-		w.Log(Event{SubsetModeLeft, NoHost, []Field{{"success_ratio", s.fleet.successRatio, 2}}})
-	} else if !s.subsetMode.active && s.subsetMode.pressureRounds > 1 && !s.zoneLocal {
-		if s.subsetMode.durationMs *= 2; s.nowMs > s.subsetMode.untilMs+s.subsetMode.durationMs || s.subsetMode.durationMs == 0 {
-			s.subsetMode.durationMs = subsetModeInitialMs
+}
+
+// measurePressure counts the hosts with the symptoms of connection pressure.
+func (b *Balancer) measurePressure() pressureSymptoms {
+	var symptoms pressureSymptoms
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		attempts := host.stats.recentAttempts()
+		if attempts < 1 || host.endpoint.state != Ready {
+			continue
+		}
+		symptoms.hosts++
+		symptoms.unanswered += min(host.health.consecutiveFailures, 1)
+		if host.stats.recentFailures <= pressureFailureRatio*attempts {
+			continue
 		}
-		s.subsetMode.active, s.subsetMode.untilMs = true, s.nowMs+s.subsetMode.durationMs
-		w.Log(Event{SubsetModeEntered, NoHost, []Field{{"for_s", s.subsetMode.durationMs / 1000, 0}, {"failing_hosts", failing, 0},
-			{"hosts", n - 1, 0}, {"failing_idle_hosts", idle, 0}, {"success_ratio", s.fleet.successRatio, 2}}})
+		symptoms.failing++
+		utilization := host.load.effectiveUtilization()
+		if utilization >= 0 && utilization < recoverUtilization {
+			symptoms.failingIdle++
+		}
+	}
+	return symptoms
+}
+
+// showPressure tells whether the symptoms are those of connection pressure. One host without any is counted besides, so
+// that a fleet of few hosts proves less.
+func (p pressureSymptoms) showPressure() bool {
+	hosts := float64(p.hosts + 1)
+	return float64(p.failing) >= pressureHostShare*hosts &&
+		float64(p.failingIdle) >= pressureIdleShare*hosts &&
+		float64(p.unanswered) <= pressureMaxUnanswered*hosts
+}
+
+// enterSubsetMode starts subset mode, for twice as long as the last time where that ended not long ago.
+func (b *Balancer) enterSubsetMode(writer UpdateWriter, symptoms pressureSymptoms) {
+	mode := &b.subsetMode
+	mode.durationMs *= 2
+	if mode.durationMs == 0 || b.nowMs > mode.untilMs+mode.durationMs {
+		mode.durationMs = subsetModeInitialMs
 	}
+	mode.active = true
+	mode.untilMs = b.nowMs + mode.durationMs
+	writer.Log(Event{SubsetModeEntered, NoHost, []Field{
+		{"for_s", mode.durationMs / msPerSecond, 0},
+		{"failing_hosts", float64(symptoms.failing), 0},
+		{"hosts", float64(symptoms.hosts), 0},
+		{"failing_idle_hosts", float64(symptoms.failingIdle), 0},
+		{"success_ratio", b.fleet.successRatio, 2},
+	}})
 }
 
-// fillSubset fills up the hand of a proxy to the weight its traffic is due, with servers that carry least for
-// their weight so far, of its own zone while they are under their fair share.
-func (s *Balancer) fillSubset(w UpdateWriter, i int, fair float64) int {
-	p, got, free := &s.proxies[i], 0.0, []int(nil)
-	near := func(v *hostRecord) bool {
-		return v.endpoint.zone == p.zone && v.publication.subsetRate < fair*v.publication.weight
+// lacksHosts tells whether a proxy's own table has too few hosts, or too little weight for the proxy's traffic.
+func (b *Balancer) lacksHosts(proxy *proxyRecord, ratePerWeight float64) bool {
+	if !proxy.ownsTable || b.retryStorm.quiescing {
+		return false
 	}
-	for _, h := range s.hostOrder {
-		if v := &s.hosts[h]; slices.Contains(p.subset, h) {
-			got += v.publication.weight
-		} else if v.publication.weight > 0 && s.targetWeight(v, false) > 0 && s.slowStartFactor(v) >= 1 {
-			free = append(free, h)
+	return len(proxy.subset) < minSubsetSize || proxy.subsetWeight*ratePerWeight < subsetRefillRatio*proxy.requestRate
+}
+
+// fillSubset adds hosts to a proxy's own table, up to the weight that its traffic is due and at least minSubsetSize. It
+// gives the number of hosts added.
+func (b *Balancer) fillSubset(round *publishRound, index int) int {
+	proxy := &b.proxies[index]
+	ratePerWeight := round.assignments.ratePerWeight
+	weight, candidates := b.subsetCandidates(proxy, ratePerWeight)
+	if b.retryStorm.quiescing {
+		candidates = []int{b.retryStorm.host}
+	}
+	added := 0
+	for _, candidate := range candidates {
+		if len(proxy.subset) >= minSubsetSize && weight*ratePerWeight >= proxy.requestRate {
+			break
 		}
+		published := b.hosts[candidate].publication.weight
+		proxy.subset = append(proxy.subset, candidate)
+		weight += published
+		round.writer.SetWeight(b.subsetTable(index), candidate, published)
+		added++
 	}
-	sort.SliceStable(free, func(i, j int) bool {
-		a, b := &s.hosts[free[i]], &s.hosts[free[j]]
-		return near(a) && !near(b) || near(a) == near(b) && a.publication.subsetRate*b.publication.weight < b.publication.subsetRate*a.publication.weight
-	})
-	had := len(p.subset)
-	if s.retryStorm.quiescing {
-		free, got = []int{s.retryStorm.host}, 1e9
+	for _, host := range proxy.subset {
+		b.hosts[host].publication.subsetRate += proxy.requestRate / float64(len(proxy.subset))
 	}
-	for _, h := range free {
-		if len(p.subset) >= minSubsetSize && got*fair >= p.requestRate {
-			break
+	return added
+}
+
+// subsetCandidates gives the published weight of a proxy's subset, and the warm hosts that may be added: those first
+// that carry least for their weight, of the proxy's own zone while they are under their fair share.
+func (b *Balancer) subsetCandidates(proxy *proxyRecord, ratePerWeight float64) (weight float64, candidates []int) {
+	for _, index := range b.hostOrder {
+		host := &b.hosts[index]
+		if slices.Contains(proxy.subset, index) {
+			weight += host.publication.weight
+			continue
+		}
+		if host.publication.weight > 0 && b.targetWeight(host, false) > 0 && b.slowStartFactor(host) >= 1 {
+			candidates = append(candidates, index)
 		}
-		p.subset, got = append(p.subset, h), got+s.hosts[h].publication.weight
-		w.SetWeight(s.subsetTable(i), h, s.hosts[h].publication.weight)
 	}
-	for _, h := range p.subset {
-		s.hosts[h].publication.subsetRate += p.requestRate / float64(len(p.subset))
+	preferred := func(host *hostRecord) bool {
+		return host.endpoint.zone == proxy.zone && host.publication.subsetRate < ratePerWeight*host.publication.weight
 	}
-	return len(p.subset) - had
+	sort.SliceStable(candidates, func(i, j int) bool {
+		first, second := &b.hosts[candidates[i]], &b.hosts[candidates[j]]
+		if preferred(first) != preferred(second) {
+			return preferred(first)
+		}
+		firstPublication, secondPublication := &first.publication, &second.publication
+		return firstPublication.subsetRate*secondPublication.weight < secondPublication.subsetRate*firstPublication.weight
+	})
+	return weight, candidates
 }
