--- a/routing/config.go
+++ b/routing/config.go
@@ -1,40 +1,51 @@
 package routing
 
-// RequestClass of transactions.
+// RequestClass describes a class of requests.
 type RequestClass struct {
-	LatencyObjectiveMs, DeadlineMs, PriorityWeight float64
-	ZoneLocal                                      bool // only hosts in the proxy's own zone may take it
+	LatencyObjectiveMs float64
+	DeadlineMs         float64 // after it clients give up
+	PriorityWeight     float64 // value of a request that meets its objective
+	ZoneLocal          bool    // only hosts in the proxy's own zone may take it
 }
 
-// ControlChannel is the way of a steward's orders to its proxies.
+// ControlChannel describes the channel that carries a controller's updates to its proxies. An entry is a weight, a
+// table assignment, an admission quota or a version stamp.
 type ControlChannel struct {
-	EntriesPerSecond, MessageOverhead, MaxBacklog float64 // pace; lines that a message costs besides its own; lines that may wait
-	PropagationDelayMs                            float64 // mean way of a message
-	Cost                                          float64 // of the usual pace, used all day
-	MaxMessages                                   int     // messages to a proxy within MessagesOver; 0: no limit
-	MessageWindowMs                               float64
+	EntriesPerSecond   float64 // its pace
+	MessageOverhead    float64 // entries that a message costs besides its own
+	MaxBacklog         float64 // entries that may wait in it
+	PropagationDelayMs float64 // mean time that a message takes to a proxy
+	Cost               float64 // what the whole pace, used all the time, takes of the deployment's result
+	MaxMessages        int     // messages to one proxy within MessageWindowMs; 0: no limit
+	MessageWindowMs    float64
 }
 
-// SafetyLimits holds the figures of the rules that the decisions need.
+// SafetyLimits holds the bounds that every update has to keep.
 type SafetyLimits struct {
-	EmptyTableMs                        float64 // a proxy may have no line for so long
-	DrainGraceMs                        float64 // after it a host known to drain or be gone is sent nothing
-	SlowStartInitialFactor, SlowStartMs float64 // the part of its capacity a host starts with; the time until it is warm
-	CollapseMultiple                    float64 // sent so many times its capacity, a cold host falls over
+	EmptyTableMs           float64 // a proxy may have no host in its table for so long
+	DrainGraceMs           float64 // after it a host known as draining or removed must be sent nothing
+	SlowStartInitialFactor float64 // the part of its capacity that a host has when it starts
+	SlowStartMs            float64 // the time from the start until the host is warm
+	CollapseMultiple       float64 // sent so many times its capacity, a host that is warming up collapses
 }
 
-// Objective weighs what the deployment counts, and what a probe costs.
+// Objective weighs what the deployment's result counts, and what a health check takes of it.
 type Objective struct {
-	TotalWeight, WorstClassWeight, HealthCheckCost float64
+	TotalWeight      float64 // of all requests that meet their objectives, by priority weight
+	WorstClassWeight float64 // of the worst-served class
+	HealthCheckCost  float64 // of one health check, as a part of what one request brings
 }
 
-// Deployment is what an instance is told of its surroundings.
+// Deployment describes the surroundings of a controller instance.
 type Deployment struct {
-	Controllers, Zones, Proxies    int
-	Seed                           uint64
-	ReportIntervalMs               float64 // the sums come this often
-	ProxyEjectAfter                int     // a proxy shuns a host after so many failures of its own in a row; 0: never
-	DefaultRetryPolicy             int     // the proxies' way of trying again where none is set
-	AdmissionControl               bool    // levels, as shares, are heeded
-	HealthChecks, WatchesEndpoints bool    // probes are allowed; the list must be asked
+	Controllers        int
+	Zones              int
+	Proxies            int
+	Seed               uint64  // of the jitter
+	ReportIntervalMs   float64 // proxies report their statistics so often
+	ProxyEjectAfter    int     // a proxy ejects a host by itself after so many failures in a row; 0: never
+	DefaultRetryPolicy int     // the proxies' retry policy where none is set
+	AdmissionControl   bool    // proxies heed admission quotas
+	HealthChecks       bool    // health checks are allowed
+	WatchesEndpoints   bool    // the endpoint list comes by a watch that the balancer has to ask for
 }
--- a/routing/event.go
+++ b/routing/event.go
@@ -12,7 +12,7 @@
 const (
 	// WatchRetryScheduled: a call for the endpoint list failed and is repeated after a backoff.
 	WatchRetryScheduled EventKind = iota
-	// AdmissionRatioChanged: admission control lets in more or less than before.
+	// AdmissionRatioChanged: admission control admits more or less than before.
 	AdmissionRatioChanged
 	// RetryStormQuiesced: nearly all proxies are kept from sending, so that queues empty.
 	RetryStormQuiesced
@@ -38,7 +38,8 @@
 	Decimals int // digits after the point in a log line
 }
 
-// Event is a change of mode, with its figures. The log line is made of it where it is written.
+// Event is a change of mode, with its figures. Its log line is made where it is written, since the balancer knows no
+// names of hosts.
 type Event struct {
 	Kind   EventKind
 	Host   int // NoHost where none is concerned
@@ -69,8 +70,8 @@
 	}
 }
 
-// Text gives the log line, such as "host ejected: host 10.0.0.3:80, consecutive_failures 3, unreachable 0"; hostName gives
-// the name of a host's index.
+// Text gives the log line, such as "host ejected: host 10.0.0.3:80, consecutive_failures 3, unreachable 0". hostName
+// gives the name of a host index.
 func (e Event) Text(hostName func(host int) string) string {
 	var figures []string
 	if e.Host != NoHost {
@@ -82,10 +83,10 @@
 	return e.Kind.String() + ": " + strings.Join(figures, ", ")
 }
 
-// HostIndex spells a host's index, for log lines of programs that know no names.
+// HostIndex spells a host index, for the log lines of programs that know no names.
 func HostIndex(host int) string { return strconv.Itoa(host) }
 
-// indicator gives 1 for true, as a figure of an event.
+// indicator gives 1 for true and 0 for false, as a figure of an event.
 func indicator(yes bool) float64 {
 	if yes {
 		return 1
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -5,61 +5,99 @@
 	"slices"
 )
 
-// Explanation tells why a host's weight is what it is. It is read out and decides nothing; rates are transactions a
-// second, times ms.
+// Explanation tells why a host's weight is what it is. It is for operators and decides nothing. Rates are in requests
+// a second, latencies and instants in ms, factors from 0 to 1. The JSON names are part of the API.
 type Explanation struct {
-	State                HostState `json:"Phase"`
-	Ejected              bool      `json:"Out"`     // withdrawn
-	Balanced             bool      `json:"Serving"` // takes part in moves
-	BaseWeight           float64   `json:"Listed"`
-	Weight               float64   `json:"Weight"` // where the moves have put it
-	TargetWeight         float64   `json:"Want"`   // what the tables should hold of it
-	PublishedWeight      float64   `json:"Told"`   // what they hold
-	ArrivalRate          float64   `json:"Rate"`   // λ, and the mean time of a try
-	MeanLatencyMs        float64   `json:"R"`      // λ, and the mean time of a try
-	MedianLatencyMs      float64   `json:"Median"` // of R over all hosts
-	ServiceRate          float64   `json:"Mu"`
-	LatencyMargin        float64   `json:"K"`
-	Capacity             float64   `json:"Cap"`     // mu - K, or the least part of mu; room is Cap - Rate
-	SlowStartFactor      float64   `json:"Warmth"`  // part of its capacity that it has, after its start
-	RecoveryFactor       float64   `json:"Trial"`   // part of its weight that it has, after its return
-	CooldownUntilMs      float64   `json:"Hold"`    // no move before this time
-	StartedMs            float64   `json:"Started"` // -1: long ago
-	ConsecutiveFailures  int       `json:"Strikes"` // probes in a row unanswered
-	Unreachable          bool      `json:"Absent"`  // the last unanswered one found nothing there
-	ConsecutiveSuccesses int       `json:"Fine"`    // and answered
-	Successes            float64   `json:"Won"`     // tries fulfilled and failed lately, faded
-	Failures             float64   `json:"Lost"`
-	Load                 HostLoad  `json:"Load"`
+	State      HostState `json:"Phase"`
+	Ejected    bool      `json:"Out"`
+	Balanced   bool      `json:"Serving"` // it takes part in rebalancing
+	BaseWeight float64   `json:"Listed"`  // as discovered
+
+	Weight          float64 `json:"Weight"` // where rebalancing has put it
+	TargetWeight    float64 `json:"Want"`   // what the published tables should hold
+	PublishedWeight float64 `json:"Told"`   // what they hold
+
+	ArrivalRate     float64 `json:"Rate"`   // lambda
+	MeanLatencyMs   float64 `json:"R"`      // of an attempt
+	MedianLatencyMs float64 `json:"Median"` // of the mean latencies of all hosts
+	ServiceRate     float64 `json:"Mu"`     // lambda + 1/R; 0 where no latency is known yet
+	LatencyMargin   float64 `json:"K"`      // what the capacity leaves of the service rate
+	Capacity        float64 `json:"Cap"`    // mu - K; the headroom is Capacity - ArrivalRate
+
+	SlowStartFactor float64 `json:"Warmth"`  // part of its capacity that it has after its start
+	RecoveryFactor  float64 `json:"Trial"`   // part of its weight on the recovery ramp after an ejection
+	CooldownUntilMs float64 `json:"Hold"`    // no weight transfer before
+	StartedMs       float64 `json:"Started"` // -1: not seen to start
+
+	ConsecutiveFailures  int  `json:"Strikes"` // health checks in a row without an answer
+	Unreachable          bool `json:"Absent"`  // the last of them found nothing listening
+	ConsecutiveSuccesses int  `json:"Fine"`    // health checks in a row with a healthy answer
+
+	Successes float64  `json:"Won"` // recent attempts that succeeded, decaying
+	Failures  float64  `json:"Lost"`
+	Load      HostLoad `json:"Load"` // as last reported
 }
 
-// Admission tells the level, each class's share, and the median of mean times, 0 where none is known.
-func (s *Balancer) Admission() (level float64, shares []float64, median float64) {
-	return s.admission.ratio, slices.Clone(s.admission.quotas), s.fleet.medianLatencyMs
+// Admission gives the admission ratio, each class's quota, and the median latency in ms, 0 where none is known.
+func (b *Balancer) Admission() (ratio float64, quotas []float64, medianLatencyMs float64) {
+	return b.admission.ratio, slices.Clone(b.admission.quotas), b.fleet.medianLatencyMs
 }
 
-// Explain tells how a host stands; false where the module does not know it.
-func (s *Balancer) Explain(host int) (Explanation, bool) {
-	if host >= len(s.hosts) || !s.hosts[host].endpoint.discovered {
+// Explain tells why a host's weight is what it is, and false where the host is unknown.
+func (b *Balancer) Explain(host int) (Explanation, bool) {
+	record := b.discoveredHost(host)
+	if record == nil {
 		return Explanation{}, false
 	}
-	v := &s.hosts[host]
-	e := Explanation{State: v.endpoint.state, Ejected: v.outlier.ejected, Balanced: s.participates(v), BaseWeight: v.endpoint.baseWeight, Weight: v.balance.weight, TargetWeight: s.targetWeight(v, false),
-		PublishedWeight: v.publication.weight, ArrivalRate: v.stats.arrivalRate, MeanLatencyMs: v.stats.meanLatencyMs, MedianLatencyMs: s.fleet.medianLatencyMs, SlowStartFactor: s.slowStartFactor(v), RecoveryFactor: s.recoveryFactor(v), CooldownUntilMs: v.balance.cooldownUntilMs,
-		StartedMs: v.endpoint.startedAtMs, ConsecutiveFailures: v.health.consecutiveFailures, Unreachable: v.health.unreachable, ConsecutiveSuccesses: v.health.consecutiveSuccesses, Successes: v.stats.recentSuccesses, Failures: v.stats.recentFailures, Load: v.load}
-	if v.stats.meanLatencyMs > 0 && s.fleet.medianLatencyMs > 0 {
-		e.ServiceRate, e.Capacity = v.stats.arrivalRate+1000/v.stats.meanLatencyMs, deadlineCapacity(v.stats.arrivalRate, v.stats.meanLatencyMs, s.fleet.medianLatencyMs)
-		e.LatencyMargin = math.Min(e.ServiceRate-e.Capacity, e.ServiceRate)
+	explanation := Explanation{
+		State:                record.endpoint.state,
+		Ejected:              record.outlier.ejected,
+		Balanced:             b.participates(record),
+		BaseWeight:           record.endpoint.baseWeight,
+		Weight:               record.balance.weight,
+		TargetWeight:         b.targetWeight(record, false),
+		PublishedWeight:      record.publication.weight,
+		ArrivalRate:          record.stats.arrivalRate,
+		MeanLatencyMs:        record.stats.meanLatencyMs,
+		MedianLatencyMs:      b.fleet.medianLatencyMs,
+		SlowStartFactor:      b.slowStartFactor(record),
+		RecoveryFactor:       b.recoveryFactor(record),
+		CooldownUntilMs:      record.balance.cooldownUntilMs,
+		StartedMs:            record.endpoint.startedAtMs,
+		ConsecutiveFailures:  record.health.consecutiveFailures,
+		Unreachable:          record.health.unreachable,
+		ConsecutiveSuccesses: record.health.consecutiveSuccesses,
+		Successes:            record.stats.recentSuccesses,
+		Failures:             record.stats.recentFailures,
+		Load:                 record.load,
 	}
-	return e, true
+	explanation.addCapacity()
+	return explanation, true
 }
 
-// HostStatus tells whether a host is listed as ready and not withdrawn, and the part of its capacity that it has after its
-// start: what a table guard looks at each round.
-func (s *Balancer) HostStatus(host int) (ready bool, warmth float64) {
-	if host >= len(s.hosts) || !s.hosts[host].endpoint.discovered {
+// addCapacity sets the figures of the capacity formula where the latencies are known.
+func (e *Explanation) addCapacity() {
+	if e.MeanLatencyMs <= 0 || e.MedianLatencyMs <= 0 {
+		return
+	}
+	e.ServiceRate = serviceRate(e.ArrivalRate, e.MeanLatencyMs)
+	e.Capacity = deadlineCapacity(e.ArrivalRate, e.MeanLatencyMs, e.MedianLatencyMs)
+	e.LatencyMargin = math.Min(e.ServiceRate-e.Capacity, e.ServiceRate)
+}
+
+// HostStatus tells whether a host is ready and not ejected, and which part of its capacity it has after its start.
+func (b *Balancer) HostStatus(host int) (ready bool, slowStartFactor float64) {
+	record := b.discoveredHost(host)
+	if record == nil {
 		return false, 0
 	}
-	v := &s.hosts[host]
-	return v.endpoint.state == Ready && !v.outlier.ejected, s.slowStartFactor(v)
+	return record.endpoint.state == Ready && !record.outlier.ejected, b.slowStartFactor(record)
+}
+
+// discoveredHost gives the record of a host that has been on an endpoint list, or nil.
+func (b *Balancer) discoveredHost(host int) *hostRecord {
+	if host >= len(b.hosts) || !b.hosts[host].endpoint.discovered {
+		return nil
+	}
+	return &b.hosts[host]
 }
--- a/routing/observation.go
+++ b/routing/observation.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-const (
-	queueUtilization = 0.5 // busy cores of a server that reports no waiting transaction
-)
+// queueUtilization is the utilization that a host is taken to have which reports only a queue, and that as empty.
+const queueUtilization = 0.5
 
-// HostState is what the list says of a host.
+// HostState is what service discovery says of a host.
 type HostState int
 
-// As on the list: removed, in service, finishing its work.
+// The host states: not listed any more, in service, and finishing the requests that it has.
 const (
 	Removed HostState = iota
 	Ready
 	Draining
 )
 
-// HealthCheckResult of a probe.
+// HealthCheckResult is the outcome of a health check.
 type HealthCheckResult int
 
-// A probe was answered, answered with an error or refusal, had no answer in time, or found nothing there.
+// The outcomes of a health check: answered, answered with an error or a rejection, not answered in time, and nothing
+// listening there.
 const (
 	Healthy HealthCheckResult = iota
 	Rejected
@@ -27,17 +27,18 @@
 	Unreachable
 )
 
-// HostLoad is what a host reports of itself; a value below 0 was not reported.
+// HostLoad is what a host reports of its load; a value below 0 was not reported.
 type HostLoad struct {
-	Utilization float64 `json:"Util"`
-	RequestRate float64 `json:"Rate"`
-	QueueLength float64 `json:"Queue"`
+	Utilization float64 `json:"Util"`  // the part of its cores that is busy, 0 to 1
+	RequestRate float64 `json:"Rate"`  // requests a second that come to it
+	QueueLength float64 `json:"Queue"` // requests that wait for a core
 }
 
 // UnknownLoad reports nothing.
 var UnknownLoad = HostLoad{-1, -1, -1}
 
-// effectiveUtilization is the part of a server's cores that a report shows as busy, below 0 if it shows nothing.
+// effectiveUtilization is the utilization, or what the queue says of it where only that was reported; below 0 where
+// neither was.
 func (l HostLoad) effectiveUtilization() float64 {
 	if l.Utilization < 0 && l.QueueLength >= 0 {
 		return math.Min(1, queueUtilization+l.QueueLength)
@@ -45,61 +46,76 @@
 	return l.Utilization
 }
 
-func (s *Balancer) ObserveHostStats(host, tries, failed int, mean, span float64, load HostLoad) {
-	v := s.host(host)
-	good := float64(max(tries-failed, 0))
-	f := &v.stats.pending
-	f.successes, f.failures, f.latencyMs = f.successes+good, f.failures+float64(failed), f.latencyMs+mean*good
-	s.reports.spanSumMs, s.reports.count = s.reports.spanSumMs+span, s.reports.count+1
-	v.observeLoad(load)
-	s.reports.pending = true
+// ObserveHostStats records the attempts that proxies made at a host within spanMs: their number, how many failed, and
+// the mean latency of the others in ms. load is what the host said of itself to the proxies.
+func (b *Balancer) ObserveHostStats(host, attempts, failed int, meanLatencyMs, spanMs float64, load HostLoad) {
+	record := b.host(host)
+	successes := float64(max(attempts-failed, 0))
+	pending := &record.stats.pending
+	pending.successes += successes
+	pending.failures += float64(failed)
+	pending.latencyMs += meanLatencyMs * successes
+	record.observeLoad(load)
+	b.reports.spanSumMs += spanMs
+	b.reports.count++
+	b.reports.pending = true
 }
 
-func (v *hostRecord) observeLoad(load HostLoad) {
+// observeLoad keeps the old load where nothing was reported.
+func (h *hostRecord) observeLoad(load HostLoad) {
 	if load != UnknownLoad {
-		v.load = load
+		h.load = load
 	}
 }
 
-func (s *Balancer) ObserveDemand(p, class, came int, span float64) {
-	s.admission.classDemand[class] += float64(came)
-	if p < len(s.proxies) {
-		q := &s.proxies[p]
-		q.pendingRequests, q.pendingSpanMs = q.pendingRequests+float64(came), math.Max(q.pendingSpanMs, span)
+// ObserveDemand records that requests of a class came to a proxy within spanMs.
+func (b *Balancer) ObserveDemand(proxy, class, requests int, spanMs float64) {
+	b.admission.classDemand[class] += float64(requests)
+	if proxy >= len(b.proxies) {
+		return
 	}
+	record := &b.proxies[proxy]
+	record.pendingRequests += float64(requests)
+	record.pendingSpanMs = math.Max(record.pendingSpanMs, spanMs)
 }
 
-func (s *Balancer) ObserveHealthCheck(host int, how HealthCheckResult, load HostLoad) {
-	v := s.host(host)
-	v.health.checkInFlight = false
-	switch how {
+// ObserveHealthCheck records the result of a health check, and the load that the host said it has in its answer. A
+// rejection proves neither health nor a fault.
+func (b *Balancer) ObserveHealthCheck(host int, result HealthCheckResult, load HostLoad) {
+	record := b.host(host)
+	health := &record.health
+	health.checkInFlight = false
+	switch result {
 	case Healthy:
-		v.health.consecutiveFailures, v.health.consecutiveSuccesses = 0, v.health.consecutiveSuccesses+1
-		v.observeLoad(load)
+		health.consecutiveFailures = 0
+		health.consecutiveSuccesses++
+		record.observeLoad(load)
 	case TimedOut, Unreachable:
-		v.health.consecutiveFailures, v.health.consecutiveSuccesses, v.health.unreachable = v.health.consecutiveFailures+1, 0, how == Unreachable
+		health.consecutiveFailures++
+		health.consecutiveSuccesses = 0
+		health.unreachable = result == Unreachable
+	case Rejected:
 	}
 }
 
-// RestoreHost notes what an earlier life knew of a host, as far as the caller still trusts it: where the moves had put its
-// weight, as a part of the listed one; its mean time, 0 for unknown; and tries fulfilled and failed. It is evidence like
-// any other: moves, drift and sums go on from there, and it proves no withdrawal.
-func (s *Balancer) RestoreHost(host int, weight, r, won, lost float64) {
-	v := s.host(host)
-	v.balance.weight = v.endpoint.baseWeight * weight
-	v.stats.recentSuccesses, v.stats.recentFailures = won, lost
-	if r > 0 {
-		v.stats.meanLatencyMs = r
+// RestoreHost records what an earlier incarnation of the controller knew of a host, as far as the caller still trusts
+// it: its weight as a multiple of the base weight; its mean latency in ms, 0 where unknown; and its recent successes and
+// failures. It counts as any other evidence, goes on decaying, and ejects no host.
+func (b *Balancer) RestoreHost(host int, relativeWeight, meanLatencyMs, successes, failures float64) {
+	record := b.host(host)
+	record.balance.weight = record.endpoint.baseWeight * relativeWeight
+	record.stats.recentSuccesses = successes
+	record.stats.recentFailures = failures
+	if meanLatencyMs > 0 {
+		record.stats.meanLatencyMs = meanLatencyMs
 	}
 }
 
-// RestoreAdmission notes the level, each class's share and the median of mean times that an earlier life had; 0 for a median
-// that is not known.
-func (s *Balancer) RestoreAdmission(level float64, shares []float64, median float64) {
-	s.admission.ratio = level
-	copy(s.admission.quotas, shares)
-	if s.admission.retryPolicy = 1; level < 1 {
-		s.admission.retryPolicy = 0
-	}
-	s.fleet.medianLatencyMs = median
+// RestoreAdmission records the admission ratio, the classes' quotas and the median latency in ms that an earlier
+// incarnation of the controller had; a median of 0 is unknown.
+func (b *Balancer) RestoreAdmission(ratio float64, quotas []float64, medianLatencyMs float64) {
+	b.admission.ratio = ratio
+	copy(b.admission.quotas, quotas)
+	b.admission.retryPolicy = retryPolicyAt(ratio)
+	b.fleet.medianLatencyMs = medianLatencyMs
 }
