--- /dev/null
+++ b/routing/assignment_test.go
@@ -0,0 +1,44 @@
+package routing
+
+import "testing"
+
+// A proxy that connects, or disconnects and connects between two rounds, is assigned its table in the same round.
+func TestProxyConnects(t *testing.T) {
+	h := newHarness(defaultSettings(), 2)
+	h.quiet = false
+	h.DisconnectProxy(1)
+	h.ConnectProxy(1, 0, 1)
+	h.Round(1010, h)
+	h.ConnectProxy(0, 0, 1)
+	h.DisconnectProxy(0)
+	h.Round(1020, h)
+	h.check(t)
+}
+
+// All proxies connect at once on a slow channel: the entries that wait stay under the limit, and all are assigned their
+// tables in the end.
+func TestManyProxiesConnect(t *testing.T) {
+	set := defaultSettings()
+	set.deployment.Proxies = 30
+	set.channel.EntriesPerSecond = 200
+	set.channel.MaxBacklog = 150
+	set.limits.DrainGraceMs = 60000
+	h := newHarness(set, 8)
+	h.run(12000, nil)
+	h.check(t)
+}
+
+// The shared table would come too late for three proxies: each first gets a subset, the busiest proxies the largest; a
+// host that drains leaves the subsets at once; the shared table follows as the channel allows.
+func TestSubsetBeforeLateTable(t *testing.T) {
+	set := defaultSettings()
+	set.deployment.Proxies = 3
+	set.channel.EntriesPerSecond = 30
+	set.channel.MaxBacklog = 90
+	h := newHarness(set, 14)
+	h.run(400, nil)
+	h.ObserveDelta()
+	h.ObserveEndpoint(3, 1, Draining, 1, 0)
+	h.run(12000, nil)
+	h.check(t)
+}
--- /dev/null
+++ b/routing/controlchannel_test.go
@@ -0,0 +1,237 @@
+package routing
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// slowChannel takes a balancer's updates as proxies on a channel that runs at a part of its pace: first come first
+// served, each message costs its overhead and an entry for each weight, assignment, quota and version stamp. An
+// acknowledgement comes once the message has left the channel and arrived.
+type slowChannel struct {
+	*Balancer
+	config    ControlChannel
+	paceRatio float64
+	failures  int // of twenty attempts, at each host
+
+	tables       map[int]map[int]float64 // weights by table and host
+	assigned     map[int]int             // table by proxy
+	roundEntries map[int]float64         // entries of the present round, by proxy
+
+	queue             []queuedMessage
+	inFlight          []queuedMessage // they have left the channel
+	queuedEntries     float64
+	mostQueuedEntries float64
+
+	removed     []int         // hosts taken out of a table in the present round
+	removedBy   map[int][]int // the same by version
+	unarrived   map[int]int   // messages that have not arrived, by version
+	removedAtMs map[int]float64
+}
+
+// queuedMessage is a message to one proxy.
+type queuedMessage struct {
+	proxy       int
+	version     int
+	entries     float64
+	arrivesAtMs float64
+}
+
+const (
+	channelStepMs = 50
+	channelPasses = float64(channelStepMs) / msPerSecond // seconds in a step
+)
+
+func newSlowChannel(set settings, paceRatio float64, hosts int) *slowChannel {
+	return &slowChannel{
+		Balancer:     set.newBalancer(hosts),
+		config:       set.channel,
+		paceRatio:    paceRatio,
+		tables:       map[int]map[int]float64{},
+		assigned:     map[int]int{},
+		roundEntries: map[int]float64{},
+		removedBy:    map[int][]int{},
+		unarrived:    map[int]int{},
+		removedAtMs:  map[int]float64{},
+	}
+}
+
+func (c *slowChannel) SetWeight(table, host int, weight float64) {
+	if c.tables[table] == nil {
+		c.tables[table] = map[int]float64{}
+	}
+	if weight == 0 {
+		delete(c.tables[table], host)
+		c.removed = append(c.removed, host)
+	} else {
+		c.tables[table][host] = weight
+	}
+	for proxy, assigned := range c.assigned {
+		if assigned == table {
+			c.roundEntries[proxy]++
+		}
+	}
+}
+
+func (c *slowChannel) AssignTable(proxy, table, _ int) {
+	c.assigned[proxy] = table
+	c.roundEntries[proxy] = 1 + float64(len(c.tables[table]))
+}
+
+func (c *slowChannel) SetAdmission(int, int, float64, int) {
+	for proxy := range c.assigned {
+		c.roundEntries[proxy]++
+	}
+}
+
+func (c *slowChannel) StampVersion(version int) {
+	for proxy := range c.proxies {
+		entries := c.roundEntries[proxy]
+		if entries <= 0 {
+			continue
+		}
+		entries += c.config.MessageOverhead + 1
+		c.queue = append(c.queue, queuedMessage{proxy: proxy, version: version, entries: entries})
+		c.queuedEntries += entries
+		c.unarrived[version]++
+	}
+	c.removedBy[version] = c.removed
+	c.removed = nil
+	clear(c.roundEntries)
+	c.mostQueuedEntries = max(c.mostQueuedEntries, c.queuedEntries)
+}
+
+func (c *slowChannel) CheckHealth(int)       {}
+func (c *slowChannel) ScheduleRound(float64) {}
+func (c *slowChannel) WatchEndpoints()       {}
+func (c *slowChannel) Log(Event)             {}
+
+// run lets time pass from an instant on, and gives the instant after it: the channel sends, and proxies acknowledge.
+func (c *slowChannel) run(fromMs, durationMs float64) float64 {
+	capacity := 0.0 // entries that the channel can still take in this step
+	for nowMs := fromMs; nowMs < fromMs+durationMs; nowMs += channelStepMs {
+		capacity += c.config.EntriesPerSecond * c.paceRatio * channelPasses
+		capacity = c.send(nowMs, capacity)
+		c.deliver(nowMs)
+		if int(nowMs)%reportIntervalMs == 0 {
+			c.report()
+		}
+		c.Round(nowMs, c)
+	}
+	return fromMs + durationMs
+}
+
+// send takes out of the queue what the channel has the capacity for, and gives the capacity that is left.
+func (c *slowChannel) send(nowMs, capacity float64) float64 {
+	for len(c.queue) > 0 && c.queue[0].entries <= capacity {
+		message := c.queue[0]
+		c.queue = c.queue[1:]
+		c.queuedEntries -= message.entries
+		capacity -= message.entries
+		message.arrivesAtMs = nowMs + c.config.PropagationDelayMs
+		c.inFlight = append(c.inFlight, message)
+	}
+	if len(c.queue) == 0 {
+		return 0
+	}
+	return capacity
+}
+
+// deliver has the proxies acknowledge the messages that have arrived.
+func (c *slowChannel) deliver(nowMs float64) {
+	c.inFlight = slices.DeleteFunc(c.inFlight, func(message queuedMessage) bool {
+		if message.arrivesAtMs > nowMs {
+			return false
+		}
+		c.Ack(message.proxy, message.version)
+		c.unarrived[message.version]--
+		if c.unarrived[message.version] == 0 {
+			for _, host := range c.removedBy[message.version] {
+				c.removedAtMs[host] = nowMs
+			}
+		}
+		return true
+	})
+}
+
+// report has the proxies report the attempts at all ready hosts.
+func (c *slowChannel) report() {
+	for host := range c.hosts {
+		if c.hosts[host].endpoint.state == Ready {
+			c.ObserveHostStats(host, 20, c.failures, 100, reportIntervalMs, UnknownLoad)
+		}
+	}
+}
+
+// The channel runs far slower than its pace while hosts are replaced by the dozen: no more entries may wait than the
+// settings allow.
+func TestBacklogOnSlowChannel(t *testing.T) {
+	for _, paceRatio := range []float64{1, 0.5, 0.25, 0.12} {
+		t.Run(fmt.Sprintf("pace %.2f", paceRatio), func(t *testing.T) {
+			set := defaultSettings()
+			set.deployment.HealthChecks = false
+			set.deployment.Proxies = 30
+			set.channel.EntriesPerSecond = 1500
+			set.channel.MaxBacklog = 3000
+			c := newSlowChannel(set, paceRatio, 60)
+			nowMs := c.run(1000, 20000)
+			for first := 0; first < 120; first += 30 {
+				c.ObserveDelta()
+				for host := first; host < first+30; host++ {
+					c.ObserveEndpoint(host, host%2, Draining, 1, 0)
+					c.ObserveEndpoint(host+60, host%2, Ready, 1, nowMs)
+				}
+				nowMs = c.run(nowMs, 3000)
+			}
+			c.run(nowMs, 10000)
+			if c.mostQueuedEntries > set.channel.MaxBacklog {
+				t.Errorf("%.0f entries wait where %.0f may", c.mostQueuedEntries, set.channel.MaxBacklog)
+			}
+			if c.publishing.version < 10 {
+				t.Errorf("only %d rounds had updates", c.publishing.version)
+			}
+		})
+	}
+}
+
+// Half of the fleet is warming up while more and more attempts fail, so that the weights of these hosts fall step by
+// step; then the other half drains. What the weights of warming hosts cost must not keep the removals out of the
+// channel.
+func TestDrainGraceBesideWarmingHosts(t *testing.T) {
+	set := defaultSettings()
+	set.deployment.HealthChecks = false
+	set.deployment.Proxies = 45
+	set.limits.DrainGraceMs = 2000
+	set.limits.CollapseMultiple = 4
+	set.channel = ControlChannel{
+		EntriesPerSecond:   2600,
+		MessageOverhead:    4,
+		MaxBacklog:         8200,
+		PropagationDelayMs: 285,
+		Cost:               0.04,
+	}
+	c := newSlowChannel(set, 1, 200)
+	nowMs := c.run(1000, 30000)
+	c.ObserveDelta()
+	for host := 200; host < 320; host++ {
+		c.ObserveEndpoint(host, host%2, Ready, 1, nowMs)
+	}
+	nowMs = c.run(nowMs, 4000)
+	for c.failures = 2; c.failures < 14; c.failures += 2 {
+		nowMs = c.run(nowMs, 700)
+	}
+	c.ObserveDelta()
+	for host := range 60 {
+		c.ObserveEndpoint(host, host%2, Draining, 1, 0)
+	}
+	drainedAtMs := nowMs
+	c.run(nowMs, 6000)
+	for host := range 60 {
+		tookMs := c.removedAtMs[host] - drainedAtMs
+		if tookMs < 0 || tookMs > set.limits.DrainGraceMs+300 {
+			t.Errorf("host %d is in a table %.0f ms after it was listed as draining", host, tookMs)
+			break
+		}
+	}
+}
--- /dev/null
+++ b/routing/healthcheck_test.go
@@ -0,0 +1,62 @@
+package routing
+
+import "testing"
+
+// Two hosts leave health checks unanswered. The one that reports busy cores has grown slow, and loses weight with each
+// health check, long before its stats could show it; the one that reports idle cores is out of this controller's reach,
+// and keeps its weight. Answered health checks bring the slow one back by steps.
+func TestSuspicionOfSlowHost(t *testing.T) {
+	const slowHost, unreachedHost = 2, 3
+	h := newHarness(defaultSettings(), 8)
+	run := func(durationMs float64, result HealthCheckResult) {
+		for endMs := h.clockMs + durationMs; h.clockMs < endMs; {
+			h.run(stepMs, nil)
+			for host := range 8 {
+				load := HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}
+				if host == slowHost {
+					load.Utilization = 0.97
+				}
+				h.reportLoad(host, load)
+				if host == slowHost || host == unreachedHost {
+					h.answerHealthCheck(host, result, UnknownLoad)
+				} else {
+					h.answerHealthCheck(host, Healthy, load)
+				}
+			}
+		}
+	}
+	run(2000, Healthy)
+	h.tracef("two hosts let probes wait")
+	run(6000, TimedOut)
+	h.tracef("and answer again")
+	run(16000, Healthy)
+	h.check(t)
+}
+
+// A busy fleet leaves health checks unanswered here and there, one host after the other. Suspicion of many must not
+// pile up on the few that are left: the more hosts are suspect, the less it counts; and it must not reduce what a
+// host that is warming up gets.
+func TestSuspicionInBusyFleet(t *testing.T) {
+	const busyHosts, warmingHost = 8, 8
+	h := newHarness(defaultSettings(), busyHosts)
+	h.run(3000, nil)
+	h.ObserveEndpoint(warmingHost, 0, Ready, 1, h.clockMs)
+	load := HostLoad{Utilization: 0.97, RequestRate: -1, QueueLength: -1}
+	for second := range 12 {
+		for range reportIntervalMs / stepMs {
+			h.run(stepMs, nil)
+			for host := range busyHosts + 1 {
+				result := Healthy
+				if host%4 == second%4 && host != warmingHost {
+					result = TimedOut
+				}
+				h.reportLoad(host, load)
+				h.answerHealthCheck(host, result, load)
+			}
+		}
+	}
+	for host := range busyHosts + 1 {
+		h.tracef("host %d doubt %.1f told %.3f", host, h.hosts[host].health.suspicion, h.hosts[host].publication.weight)
+	}
+	h.check(t)
+}
--- /dev/null
+++ b/routing/publish_test.go
@@ -0,0 +1,40 @@
+package routing
+
+import "testing"
+
+// A change that does not fit the channel at once goes in pieces, removals first.
+func TestUpdatesInPieces(t *testing.T) {
+	set := defaultSettings()
+	set.deployment.Proxies = 8
+	set.channel.EntriesPerSecond = 400
+	set.channel.MaxBacklog = 150
+	set.limits.DrainGraceMs = 60000
+	h := newHarness(set, 10)
+	h.run(6000, uniformReports(10, healthyReport))
+	h.ObserveDelta()
+	for host := range 8 {
+		h.ObserveEndpoint(host, host%2, Draining, 1, 0)
+	}
+	h.ObserveEndpoint(8, 0, Ready, 3, 0)
+	for range 6 {
+		h.clockMs += stepMs
+		h.round()
+	}
+	h.check(t)
+}
+
+// A proxy that was sent all the messages it may get waits, whatever the others were sent.
+func TestMessageLimit(t *testing.T) {
+	set := defaultSettings()
+	set.channel.MaxMessages = 20
+	h := newHarness(set, 3)
+	for range 18 {
+		h.proxies[1].messageTimesMs = append(h.proxies[1].messageTimesMs, h.clockMs)
+	}
+	h.ObserveDelta()
+	h.ObserveEndpoint(2, 0, Draining, 1, 0)
+	h.run(400, nil)
+	h.tracef("the first messages are ten seconds old")
+	h.run(11000, nil)
+	h.check(t)
+}
--- /dev/null
+++ b/routing/slowstart_test.go
@@ -0,0 +1,95 @@
+package routing
+
+import "testing"
+
+// A host that restarts gets the least share that it can surely bear, and more only as it warms up.
+func TestSlowStart(t *testing.T) {
+	h := newHarness(defaultSettings(), 3)
+	reports := uniformReports(3, healthyReport)
+	h.run(3000, reports)
+	h.restartHost(2, 0)
+	h.round()
+	h.run(12000, reports)
+	h.check(t)
+}
+
+// restartHost records that a host started a moment ago.
+func (h *harness) restartHost(host, zone int) {
+	h.ObserveDelta()
+	h.ObserveEndpoint(host, zone, Ready, 1, h.clockMs-100)
+}
+
+// Where proxies eject hosts by themselves, a host that is warming up gets nothing in a fleet that rejects most
+// attempts.
+func TestSlowStartInRejectingFleet(t *testing.T) {
+	set := defaultSettings()
+	set.deployment.ProxyEjectAfter = 3
+	h := newHarness(set, 3)
+	rejecting := uniformReports(3, hostReport{attempts: 50, failures: 45, latencyMs: 900})
+	h.run(3000, rejecting)
+	h.restartHost(2, 0)
+	h.round()
+	h.run(3000, rejecting)
+	h.check(t)
+}
+
+// Nearly all hosts restart at once: their updates go out before all others, in pieces, what has waited longest first.
+func TestManyHostsRestart(t *testing.T) {
+	set := defaultSettings()
+	set.deployment.Proxies = 4
+	set.channel.EntriesPerSecond = 60
+	set.channel.MaxBacklog = 200
+	set.limits.DrainGraceMs = 3000
+	h := newHarness(set, 14)
+	h.run(12000, uniformReports(14, healthyReport))
+	h.tracef("hosts 4 to 13 start anew")
+	for host := 4; host < 14; host++ {
+		h.restartHost(host, host%2)
+	}
+	h.run(200, nil)
+	h.check(t)
+}
+
+// A controller that has just started hears of a host that is warming up before it has any reports: the host waits for
+// them.
+func TestSlowStartBeforeReports(t *testing.T) {
+	h := newHarness(defaultSettings(), 3)
+	h.restartHost(2, 0)
+	h.run(1400, nil)
+	h.run(6000, uniformReports(3, healthyReport))
+	h.check(t)
+}
+
+// All hosts restart at once: none gets traffic until together they can bear that of the fleet.
+func TestAllHostsWarmingUp(t *testing.T) {
+	h := newHarness(defaultSettings(), 2)
+	reports := uniformReports(2, healthyReport)
+	h.run(5000, reports)
+	h.restartHost(0, 0)
+	h.restartHost(1, 1)
+	h.run(5000, reports)
+	h.check(t)
+}
+
+// A fleet is replaced host by host under new ids: what is gone must not reduce what a host that is warming up gets.
+func TestFleetReplaced(t *testing.T) {
+	set := defaultSettings()
+	set.deployment.HealthChecks = false
+	h := newHarness(set, 4)
+	busy := hostReport{attempts: 20, latencyMs: 100}
+	reports := uniformReports(4, busy)
+	h.run(12000, reports)
+	for host := range 4 {
+		replacement := host + 4
+		delete(reports, host)
+		h.ObserveDelta()
+		h.ObserveEndpoint(host, host%2, Draining, 1, 0)
+		h.ObserveEndpoint(replacement, host%2, Ready, 1, h.clockMs)
+		h.run(2000, reports)
+		h.ObserveDelta()
+		h.ObserveEndpoint(host, host%2, Removed, 1, 0)
+		reports[replacement] = busy
+		h.run(12000, reports)
+	}
+	h.check(t)
+}
