--- a/routing/assignment.go
+++ b/routing/assignment.go
@@ -6,8 +6,8 @@
 	// tableAssignmentEntries is what the assignment of a shared table costs besides an entry for each host.
 	tableAssignmentEntries = 2
 
-	// reassignmentBudgetSeconds is the update budget, in seconds of the channel's pace, that must have gathered before a
-	// proxy that has a table is assigned a shared one, so that weights come first.
+	// reassignmentBudgetSeconds is the update budget, in seconds of the channel's pace, that must have gathered
+	// before a proxy that has a table is assigned a shared one, so that weights come first.
 	reassignmentBudgetSeconds = 0.5
 )
 
@@ -88,8 +88,9 @@
 }
 
 // assignTables gives proxies a shared table or a subset of the hosts: those without a table first, then by their
-// traffic. A proxy that cannot have the shared table in time first gets a subset, since it must not go on routing by an
-// old table; in subset mode and while a retry storm is quiesced every proxy does. A subset that lost hosts is filled up.
+// traffic. A proxy that cannot have the shared table in time first gets a subset, since it must not go on routing by
+// an old table; in subset mode and while a retry storm is quiesced every proxy does. A subset that lost hosts is
+// filled up.
 func (b *Balancer) assignTables(round *publishRound) {
 	for _, index := range b.proxiesDue(round.assignments.ratePerWeight) {
 		proxy := &b.proxies[index]
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -6,8 +6,9 @@
 	// missProbability is eps of the capacity formula: the part of the requests that may miss the deadline d.
 	missProbability = 0.05
 
-	// deadlineMedians is d of the capacity formula as a multiple of the fleet's median latency. At -ln(missProbability),
-	// about 3, or less, a fleet of equal hosts has no headroom at all; slightly more gives each a little.
+	// deadlineMedians is d of the capacity formula as a multiple of the fleet's median latency. At
+	// -ln(missProbability), about 3, or less, a fleet of equal hosts has no headroom at all; slightly more gives each
+	// a little.
 	deadlineMedians = 3.2
 
 	// minCapacityRatio is the part of the service rate that the capacity is never under.
--- a/routing/observation.go
+++ b/routing/observation.go
@@ -99,8 +99,8 @@
 }
 
 // RestoreHost records what an earlier incarnation of the controller knew of a host, as far as the caller still trusts
-// it: its weight as a multiple of the base weight; its mean latency in ms, 0 where unknown; and its recent successes and
-// failures. It counts as any other evidence, goes on decaying, and ejects no host.
+// it: its weight as a multiple of the base weight; its mean latency in ms, 0 where unknown; and its recent successes
+// and failures. It counts as any other evidence, goes on decaying, and ejects no host.
 func (b *Balancer) RestoreHost(host int, relativeWeight, meanLatencyMs, successes, failures float64) {
 	record := b.host(host)
 	record.balance.weight = record.endpoint.baseWeight * relativeWeight
--- a/routing/publish.go
+++ b/routing/publish.go
@@ -133,8 +133,8 @@
 	b.sendBatch(writer, &round.batch)
 }
 
-// rolloutAcknowledged tells whether most proxies that were sent the last weights have acknowledged them, or ackTimeoutMs
-// have passed.
+// rolloutAcknowledged tells whether most proxies that were sent the last weights have acknowledged them, or
+// ackTimeoutMs have passed.
 func (b *Balancer) rolloutAcknowledged() bool {
 	acknowledged := float64(b.rollout.acks) >= ackQuorum*float64(b.rollout.proxies)
 	return acknowledged || b.nowMs >= b.rollout.sentAtMs+ackTimeoutMs
@@ -150,7 +150,8 @@
 	order := b.publishOrder()
 	for urgency := range updateUrgency(len(urgencyFill)) {
 		for _, index := range order {
-			// A host's urgency is judged anew each time: one whose slow start was just published counts as ordinary, too.
+			// A host's urgency is judged anew each time: one whose slow start was just published counts as ordinary,
+			// too.
 			if b.urgency(&b.hosts[index]) == urgency {
 				b.publishHost(round, index, urgency)
 			}
--- a/routing/report.go
+++ b/routing/report.go
@@ -12,8 +12,8 @@
 	// recentDecay is the same for the success ratios, which must follow a fault sooner than the mean latency does.
 	recentDecay = 0.5
 
-	// priorSamples is the number of requests of median latency that each host is taken to have answered besides its own,
-	// so that a host with few requests counts as average and a noisy mean latency fakes no overload.
+	// priorSamples is the number of requests of median latency that each host is taken to have answered besides its
+	// own, so that a host with few requests counts as average and a noisy mean latency fakes no overload.
 	priorSamples = 4.0
 
 	// demandSmoothing is the part of a proxy's request rate that follows its last report.
@@ -26,7 +26,8 @@
 	// believed.
 	loadReportTrust = 0.5
 
-	// settlingCycles is the number of report cycles, besides the propagation delay, until a new weight shows in reports.
+	// settlingCycles is the number of report cycles, besides the propagation delay, until a new weight shows in
+	// reports.
 	settlingCycles = 2
 
 	// noReportYet is reportTiming.lastAtMs before the first reports.
@@ -178,9 +179,9 @@
 	window.spanMs = window.spanMs*windowKept + passedMs
 }
 
-// estimateHost derives a host's arrival rate and mean latency from its window. The arrival rate is the one that the host
-// reports, else this instance's own sums over its share of all proxies. A failed attempt counts as one that took the
-// latency d of the capacity formula, so that errors never read as headroom; it stays out of the fleet's median.
+// estimateHost derives a host's arrival rate and mean latency from its window. The arrival rate is the one that the
+// host reports, else this instance's own sums over its share of all proxies. A failed attempt counts as one that took
+// the latency d of the capacity formula, so that errors never read as headroom; it stays out of the fleet's median.
 func (b *Balancer) estimateHost(host *hostRecord, connectedShare float64) {
 	window := &host.stats.window
 	priorMs := (window.failures*deadlineMedians + priorSamples) * b.fleet.medianLatencyMs
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// slowStartOnlyMargin is what hosts that are warming up must be able to bear where no host is warm, as a multiple of
-	// the fleet's base weight.
+	// slowStartOnlyMargin is what hosts that are warming up must be able to bear where no host is warm, as a multiple
+	// of the fleet's base weight.
 	slowStartOnlyMargin = 2.0
 
 	// slowStartBudgetShare is the part used of the load at which a host that is warming up collapses: it may be half as
--- a/routing/weight.go
+++ b/routing/weight.go
@@ -9,7 +9,8 @@
 	// minSuccessPenalty is the least factor that failures bring: old failures count on after their cause is gone.
 	minSuccessPenalty = 0.5
 
-	// priorSuccesses are added to a host's recent successes, so that one failure of a host with few attempts says little.
+	// priorSuccesses are added to a host's recent successes, so that one failure of a host with few attempts says
+	// little.
 	priorSuccesses = 2
 
 	// suspicionPenalty is the factor for each unit of suspicion.
