--- a/routing/capacity_test.go
+++ b/routing/capacity_test.go
@@ -9,7 +9,7 @@
 	const medianLatencyMs = 250
 	for _, host := range []struct{ arrivalRate, meanLatencyMs float64 }{{10, 250}, {10, 1000}, {1, 2000}} {
 		capacity := deadlineCapacity(host.arrivalRate, host.meanLatencyMs, medianLatencyMs)
-		h.tracef("rate %.0f R %.0f: cap %.3f excess %.3f",
+		h.tracef("arrival rate %.0f mean latency %.0f: capacity %.3f overload %.3f",
 			host.arrivalRate, host.meanLatencyMs, capacity, host.arrivalRate-capacity)
 	}
 	h.check(t)
--- a/routing/healthcheck_test.go
+++ b/routing/healthcheck_test.go
@@ -26,7 +26,7 @@
 		}
 	}
 	run(2000, Healthy)
-	h.tracef("two hosts let probes wait")
+	h.tracef("two hosts leave health checks unanswered")
 	run(6000, TimedOut)
 	h.tracef("and answer again")
 	run(16000, Healthy)
@@ -56,7 +56,8 @@
 		}
 	}
 	for host := range busyHosts + 1 {
-		h.tracef("host %d doubt %.1f told %.3f", host, h.hosts[host].health.suspicion, h.hosts[host].publication.weight)
+		record := &h.hosts[host]
+		h.tracef("host %d suspicion %.1f published %.3f", host, record.health.suspicion, record.publication.weight)
 	}
 	h.check(t)
 }
--- a/routing/helper_test.go
+++ b/routing/helper_test.go
@@ -38,30 +38,30 @@
 }
 
 func (h *harness) AssignTable(proxy, table, classes int) {
-	h.tracef("bind proxy %d to table %d classes %d", proxy, table, classes)
+	h.tracef("assign proxy %d to table %d classes %d", proxy, table, classes)
 }
 
 func (h *harness) SetAdmission(_, classes int, quota float64, retryPolicy int) {
-	h.tracef("level %.2f classes %b tries %d", quota, classes, retryPolicy)
+	h.tracef("admission quota %.2f classes %b retry policy %d", quota, classes, retryPolicy)
 }
 
 func (h *harness) StampVersion(version int) {
 	h.version = version
 	if !h.quiet {
-		h.tracef("mark %d", version)
+		h.tracef("version %d", version)
 	}
 }
 
 func (h *harness) CheckHealth(host int) {
 	if !h.quiet {
-		h.tracef("probe host %d", host)
+		h.tracef("check health of host %d", host)
 	}
 }
 
 // ScheduleRound is not needed: a harness makes a round each stepMs.
 func (h *harness) ScheduleRound(float64) {}
 
-func (h *harness) WatchEndpoints() { h.tracef("watch the list") }
+func (h *harness) WatchEndpoints() { h.tracef("watch endpoints") }
 
 func (h *harness) Log(event Event) { h.tracef("log: %s", event.Text(HostIndex)) }
 
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -8,7 +8,7 @@
 	reports := uniformReports(6, healthyReport)
 	h.runWithHealthChecks(6000, reports, allHosts(Healthy))
 	delete(reports, 3)
-	h.tracef("host 3 falls silent")
+	h.tracef("host 3 becomes unresponsive")
 	h.runWithHealthChecks(6000, reports, onlyHost(3, TimedOut))
 	h.tracef("host 3 answers again")
 	h.runWithHealthChecks(8000, reports, allHosts(Healthy))
@@ -35,7 +35,7 @@
 	h := newHarness(defaultSettings(), 6)
 	reports := uniformReports(6, healthyReport)
 	h.runWithHealthChecks(3000, reports, allHosts(Healthy))
-	h.tracef("zone 1 is cut off")
+	h.tracef("zone 1 is partitioned")
 	h.runWithHealthChecks(4000, reports, func(host int) HealthCheckResult {
 		if host%2 == 1 {
 			return TimedOut
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -42,7 +42,7 @@
 	set.limits.DrainGraceMs = 3000
 	h := newHarness(set, 14)
 	h.run(12000, uniformReports(14, healthyReport))
-	h.tracef("hosts 4 to 13 start anew")
+	h.tracef("hosts 4 to 13 restart")
 	for host := 4; host < 14; host++ {
 		h.restartHost(host, host%2)
 	}
