--- a/routing/assignment_test.go
+++ b/routing/assignment_test.go
@@ -42,3 +42,26 @@
 	h.run(12000, nil)
 	h.check(t)
 }
+
+// Where a request class must stay in its zone, each zone's proxies share a table of their zone's hosts.
+func TestZoneLocalTables(t *testing.T) {
+	set := defaultSettings()
+	set.classes[1].ZoneLocal = true
+	h := newHarness(set, 4)
+	h.run(2000, uniformReports(4, healthyReport))
+	h.ObserveDelta()
+	h.ObserveEndpoint(1, 1, Draining, 1, 0)
+	h.run(400, nil)
+	h.check(t)
+}
+
+// Each proxy's own table has a number of its own, after those of the shared tables.
+func TestSubsetTableNumbers(t *testing.T) {
+	h := newHarness(defaultSettings(), 2)
+	shared := []int{0, 1, 2} // one for all zones, or one for each of two zones
+	for proxy := range 3 {
+		if got, want := h.SubsetTable(proxy), len(shared)+proxy; got != want {
+			t.Errorf("proxy %d has table %d, not %d", proxy, got, want)
+		}
+	}
+}
--- a/routing/controlchannel_test.go
+++ b/routing/controlchannel_test.go
@@ -235,3 +235,78 @@
 		}
 	}
 }
+
+// A proxy that never acknowledges does not hold the channel for ever: what is older than a full channel at its least
+// pace has left it.
+func TestUnacknowledgedMessagesExpire(t *testing.T) {
+	set := defaultSettings()
+	set.deployment.HealthChecks = false
+	h := &harness{Balancer: set.newBalancer(3), clockMs: 1000, quiet: true}
+	h.round()
+	entries := h.backlog.unacknowledged
+	if entries <= 0 {
+		t.Fatal("nothing was sent")
+	}
+	transitMs := 200 + 10000/(10000*0.1)*1000.0
+	h.clockMs += transitMs
+	h.round()
+	if got := h.backlog.unacknowledged; got != entries {
+		t.Errorf("after %.0f ms %v entries are unacknowledged, not %v", transitMs, got, entries)
+	}
+	h.clockMs++
+	h.round()
+	if got := h.backlog.unacknowledged; got != 0 {
+		t.Errorf("after %.0f ms %v entries are unacknowledged, not 0", transitMs+1, got)
+	}
+}
+
+func TestAckReleasesEarlierMessages(t *testing.T) {
+	messages := []updateMessage{{version: 4, entries: 10}, {version: 5, entries: 20}, {version: 7, entries: 40}}
+	for _, test := range []struct {
+		name    string
+		version int
+		want    float64 // unacknowledged entries
+	}{
+		{"oldest", 4, 60},
+		{"one in the middle", 5, 40},
+		{"newest", 7, 0},
+		{"unknown", 6, 70},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(defaultSettings(), 1)
+			h.proxies[0].unacknowledged = slices.Clone(messages)
+			h.backlog = controlBacklog{unacknowledged: 70}
+			h.Ack(0, test.version)
+			if got := h.backlog.unacknowledged; got != test.want {
+				t.Errorf("%v entries are unacknowledged, not %v", got, test.want)
+			}
+			if got, want := h.backlog.arriving, 70-test.want; got != want {
+				t.Errorf("%v entries are arriving, not %v", got, want)
+			}
+		})
+	}
+}
+
+func TestBatchFits(t *testing.T) {
+	channel := ControlChannel{MaxBacklog: 100, MaxMessages: 20}
+	for _, test := range []struct {
+		name    string
+		batch   updateBatch
+		proxies int
+		want    bool
+	}{
+		{"just", updateBatch{backlog: 20, messageOverhead: 5, assigned: 5}, 5, true},
+		{"overhead too large", updateBatch{backlog: 21, messageOverhead: 5, assigned: 5}, 5, false},
+		{"no overhead for one that goes anyway", updateBatch{backlog: 45, messageOverhead: 5, assigned: 5, proxies: 5}, 5, true},
+		{"too much unacknowledged", updateBatch{backlog: 10, unacknowledged: 91, assigned: 5}, 5, false},
+		{"too many messages", updateBatch{assigned: 5, mostMessages: 9}, 5, false},
+		{"messages go anyway", updateBatch{assigned: 5, proxies: 5, mostMessages: 9}, 5, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			test.batch.channel = channel
+			if got := test.batch.fits(test.proxies, 0.5); got != test.want {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
+	}
+}
--- a/routing/rebalance_test.go
+++ b/routing/rebalance_test.go
@@ -1,6 +1,9 @@
 package routing
 
-import "testing"
+import (
+	"math"
+	"testing"
+)
 
 // By hand, K = 3.745/s as in TestDeadlineCapacity, 10/s at each host. Host 0 (zone 0, 500 ms) has mu 12, capacity
 // 8.255, overload 1.745. Host 1 (zone 0, 250 ms) has mu 14, capacity 10.255, headroom 0.255 and comes first; host 2
@@ -49,3 +52,34 @@
 	h.runWithHealthChecks(4000, reports, allHosts(Healthy))
 	h.check(t)
 }
+
+// By hand, K = 3.745/s as in TestDeadlineCapacity: at 10/s and 200 ms, mu = 15 and the capacity 11.255. A utilization
+// of 80% leaves headroom up to 85%: 10 x (1 - 0.85/0.8) = -0.625.
+func TestTransferPartyByLoad(t *testing.T) {
+	for _, test := range []struct {
+		name        string
+		utilization float64
+		want        float64 // overload
+	}{
+		{"no load report", -1, -1.255},
+		{"idle cores give no headroom", 0.1, -1.255},
+		{"busy cores take headroom", 0.8, -0.625},
+		{"full cores leave none", 0.95, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			host := newHostRecord()
+			host.endpoint.baseWeight = 1
+			host.balance.weight = 2
+			host.load.Utilization = test.utilization
+			host.stats.arrivalRate = 10
+			host.stats.meanLatencyMs = 200
+			party := newTransferParty(&host, 250)
+			if math.Abs(party.overload-test.want) > 0.001 {
+				t.Errorf("overload %.4f, not %.4f", party.overload, test.want)
+			}
+			if party.sheddableRate != 9.5 { // all but the part 0.1 of the base weight, out of a weight of 2
+				t.Errorf("sheddable rate %v, not 9.5", party.sheddableRate)
+			}
+		})
+	}
+}
