--- a/routing/controlchannel_test.go
+++ b/routing/controlchannel_test.go
@@ -297,7 +297,7 @@
 	}{
 		{"just", updateBatch{backlog: 20, messageOverhead: 5, assigned: 5}, 5, true},
 		{"overhead too large", updateBatch{backlog: 21, messageOverhead: 5, assigned: 5}, 5, false},
-		{"no overhead for one that goes anyway", updateBatch{backlog: 45, messageOverhead: 5, assigned: 5, proxies: 5}, 5, true},
+		{"overhead paid already", updateBatch{backlog: 45, messageOverhead: 5, assigned: 5, proxies: 5}, 5, true},
 		{"too much unacknowledged", updateBatch{backlog: 10, unacknowledged: 91, assigned: 5}, 5, false},
 		{"too many messages", updateBatch{assigned: 5, mostMessages: 9}, 5, false},
 		{"messages go anyway", updateBatch{assigned: 5, proxies: 5, mostMessages: 9}, 5, true},
