--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -7,6 +7,10 @@
 // come a little early must not wait for another round.
 const reportRoundSlack = 0.9
 
+// observableSettlings is the number of settling times after the first round from which on reports are taken to show
+// this instance's own first weights.
+const observableSettlings = 2
+
 // noRoundYet is Balancer.nextRoundAtMs before the first round.
 const noRoundYet = -1
 
@@ -68,22 +72,22 @@
 	return b
 }
 
-// Round decides on all that was recorded since the last round. now is the present instant in ms and never goes back.
-func (b *Balancer) Round(now float64, writer UpdateWriter) {
-	b.nowMs = now
+// Round decides on all that was recorded since the last round. nowMs is the present instant and never goes back.
+func (b *Balancer) Round(nowMs float64, writer UpdateWriter) {
+	b.nowMs = nowMs
 	if b.deployment.WatchesEndpoints {
 		b.watchEndpoints(writer)
 	}
 	if b.deployment.HealthChecks {
 		b.scheduleHealthChecks()
 	}
-	if b.nextRoundAtMs < 0 {
-		b.reports.observableAtMs = now + 2*b.reports.settlingMs
+	if b.isFirstRound() {
+		b.reports.observableAtMs = nowMs + observableSettlings*b.reports.settlingMs
 	}
-	if now >= b.nextRoundAtMs {
-		b.nextRoundAtMs = now + roundIntervalMs
+	if nowMs >= b.nextRoundAtMs {
+		b.nextRoundAtMs = nowMs + roundIntervalMs
 		writer.ScheduleRound(b.nextRoundAtMs)
-		if b.reports.pending && now-b.reports.lastAtMs >= b.deployment.ReportIntervalMs*reportRoundSlack {
+		if b.reports.pending && nowMs-b.reports.lastAtMs >= b.deployment.ReportIntervalMs*reportRoundSlack {
 			b.processReports(writer)
 		}
 	}
@@ -92,6 +96,9 @@
 	b.publish(writer)
 }
 
+// isFirstRound tells whether no round before this one has asked for the timer.
+func (b *Balancer) isFirstRound() bool { return b.nextRoundAtMs == noRoundYet }
+
 // connectedShare is the part of all proxies that are connected to this instance; at least one is taken to be.
 func (b *Balancer) connectedShare() float64 {
 	return float64(max(b.connectedProxies, 1)) / float64(b.deployment.Proxies)
--- a/routing/discovery.go
+++ b/routing/discovery.go
@@ -52,10 +52,10 @@
 // ObserveWatchFailure records that a call for the endpoint list failed, or that its changes have ceased to come.
 func (b *Balancer) ObserveWatchFailure() { b.discovery.watchFailed = true }
 
-// ObserveEndpoint records one endpoint of a snapshot or delta. baseWeight is the weight as discovered; 0 or less stands
-// for none. started is the instant in ms at which the host started; 0 or less stands for none. A new start resets what
-// was known of the host. A host that appears after the first snapshot from the source has just started.
-func (b *Balancer) ObserveEndpoint(host, zone int, state HostState, baseWeight, started float64) {
+// ObserveEndpoint records one endpoint of a snapshot or delta. baseWeight is the weight as discovered; 0 or less
+// stands for none. startedAtMs is the instant at which the host started; 0 or less stands for none. A new start
+// resets what was known of the host. A host that appears after the first snapshot from the source has just started.
+func (b *Balancer) ObserveEndpoint(host, zone int, state HostState, baseWeight, startedAtMs float64) {
 	record := b.host(host)
 	if baseWeight <= 0 {
 		baseWeight = defaultBaseWeight
@@ -65,11 +65,11 @@
 		record.endpoint.baseWeight = baseWeight
 		record.balance.weight = baseWeight
 		record.stats.meanLatencyMs = b.fleet.medianLatencyMs
-		if b.discovery.snapshotReceived && started <= 0 {
-			started = b.nowMs
+		if b.discovery.snapshotReceived && startedAtMs <= 0 {
+			startedAtMs = b.nowMs
 		}
 	}
-	restarted := started > 0 && started != record.endpoint.startedAtMs
+	restarted := startedAtMs > 0 && startedAtMs != record.endpoint.startedAtMs
 	if restarted || state != record.endpoint.state {
 		record.endpoint.changedAtMs = b.nowMs
 	}
@@ -79,7 +79,7 @@
 	record.endpoint.discovered = true
 	record.endpoint.baseWeight = baseWeight
 	if restarted {
-		record.restart(started, b.nowMs, b.fleet.medianLatencyMs)
+		record.restart(startedAtMs, b.nowMs, b.fleet.medianLatencyMs)
 	}
 }
 
@@ -103,7 +103,7 @@
 // watchEndpoints starts the watch of the endpoint list in the first round, and retries it after a failure with a
 // backoff that doubles up to a bound.
 func (b *Balancer) watchEndpoints(writer UpdateWriter) {
-	if b.nextRoundAtMs < 0 {
+	if b.isFirstRound() {
 		writer.WatchEndpoints()
 	}
 	if !b.discovery.watchFailed {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -72,7 +72,7 @@
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
 		switch {
-		case host.endpoint.state != Ready:
+		case host.endpoint.state != Ready: // it is on its way out in any case
 		case host.outlier.ejected:
 			if b.mayRecover(host) {
 				b.recoverHost(writer, index)
--- a/routing/publish.go
+++ b/routing/publish.go
@@ -150,8 +150,7 @@
 	order := b.publishOrder()
 	for urgency := range updateUrgency(len(urgencyFill)) {
 		for _, index := range order {
-			// A host's urgency is judged anew each time: one whose slow start was just published counts as ordinary,
-			// too.
+			// The urgency is judged anew: a host whose slow start was just published counts as ordinary, too.
 			if b.urgency(&b.hosts[index]) == urgency {
 				b.publishHost(round, index, urgency)
 			}
@@ -256,7 +255,7 @@
 	for i := range b.proxies {
 		proxy := &b.proxies[i]
 		switch {
-		case !proxy.connected || !proxy.assigned:
+		case !proxy.connected || !proxy.assigned: // it has no table
 		case proxy.ownsTable:
 			b.publishSubsetWeight(round, i, index, subsetWeight)
 		case b.sharedTable(proxy.zone) == table:
--- a/routing/report.go
+++ b/routing/report.go
@@ -82,7 +82,7 @@
 func (b *Balancer) processReports(writer UpdateWriter) {
 	intervalMs := b.deployment.ReportIntervalMs
 	passedMs := intervalMs
-	if b.reports.lastAtMs >= 0 {
+	if b.reports.lastAtMs != noReportYet {
 		passedMs = b.nowMs - b.reports.lastAtMs
 		b.reports.delayMs = math.Max(passedMs-intervalMs, b.reports.delayMs*windowDecay)
 	}
--- a/routing/writer.go
+++ b/routing/writer.go
@@ -22,8 +22,8 @@
 	StampVersion(version int)
 	// CheckHealth starts a health check of a host; its result comes back by ObserveHealthCheck.
 	CheckHealth(host int)
-	// ScheduleRound asks for a round at the instant at, in ms.
-	ScheduleRound(at float64)
+	// ScheduleRound asks for a round at an instant.
+	ScheduleRound(atMs float64)
 	// WatchEndpoints starts or restarts the watch of the endpoint list.
 	WatchEndpoints()
 	// Log takes an event that operators may want to see.
