--- /dev/null
+++ b/routing/publishurgent.go
@@ -0,0 +1,127 @@
+package routing
+
+import (
+	"math"
+	"slices"
+	"sort"
+)
+
+// urgentGatherMs is the time in which urgent updates gather into one message.
+const urgentGatherMs = 350.0
+
+// updateUrgency ranks the weight updates of a round.
+type updateUrgency int
+
+// The urgencies, most urgent first. While an update of the first two is left unwritten no other is written, since a
+// proxy's acknowledgement of a later update would count as knowing it.
+const (
+	removalUrgency   updateUrgency = iota // the host is draining or removed
+	slowStartUrgency                      // the host is warming up, and published with far more than it may get
+	ordinaryUrgency
+)
+
+// urgencyFill gives the fill of the channel for each urgency.
+var urgencyFill = [...]float64{
+	removalUrgency:   removalFill,
+	slowStartUrgency: removalFill,
+	ordinaryUrgency:  protectiveFill,
+}
+
+// publishUrgent goes through all hosts by urgency. It writes the urgent updates, and leaves the others in the round.
+func (b *Balancer) publishUrgent(round *publishRound) {
+	for zone := range b.deployment.Zones {
+		number := b.sharedTable(zone)
+		round.tables[number].withoutWarmTarget = !b.hasWarmTarget(number)
+		round.tables[number].withoutWarmEntry = !b.hasWarmEntry(number)
+	}
+	order := b.publishOrder()
+	for urgency := range updateUrgency(len(urgencyFill)) {
+		for _, index := range order {
+			// The urgency is judged anew: a host whose slow start was just published counts as ordinary, too.
+			if b.urgency(&b.hosts[index]) == urgency {
+				b.publishHost(round, index, urgency)
+			}
+		}
+	}
+}
+
+// publishOrder gives the hosts in the order of discovery or, where urgent updates have been waiting for the channel,
+// with those that changed first before the others.
+func (b *Balancer) publishOrder() []int {
+	if !b.publishing.urgentPending {
+		return b.hostOrder
+	}
+	order := slices.Clone(b.hostOrder)
+	sort.SliceStable(order, func(i, j int) bool {
+		return b.hosts[order[i]].endpoint.changedAtMs < b.hosts[order[j]].endpoint.changedAtMs
+	})
+	return order
+}
+
+// urgency ranks a host's weight update.
+func (b *Balancer) urgency(host *hostRecord) updateUrgency {
+	switch {
+	case host.endpoint.state != Ready:
+		return removalUrgency
+	case b.exceedsSlowStart(host):
+		return slowStartUrgency
+	default:
+		return ordinaryUrgency
+	}
+}
+
+// publishHost writes a host's weight where it is urgent and fits the channel, and else leaves it in the round.
+func (b *Balancer) publishHost(round *publishRound, index int, urgency updateUrgency) {
+	host := &b.hosts[index]
+	table := &round.tables[b.sharedTable(host.endpoint.zone)]
+	weight := b.targetWeight(host, table.withoutWarmTarget)
+	if weight > 0 {
+		table.entries++
+	}
+	published := host.publication.weight
+	change := math.Abs(weight - published)
+	if change > 0 && round.maySend(host, weight, urgency, table.withoutWarmEntry) {
+		if host.publication.holders > 0 {
+			b.publishing.urgentSentAtMs = b.nowMs
+		}
+		b.publishWeight(round, index, weight)
+		return
+	}
+	if change > 0 && urgency < ordinaryUrgency {
+		round.urgentPending = true
+	}
+	if change > minWeightChange*math.Max(published, minWeightRatio*host.endpoint.baseWeight) {
+		round.ordinary = append(round.ordinary, weightUpdate{index, weight, change})
+	}
+}
+
+// maySend tells whether a host's weight may be written before the ordinary ones: no proxy has to be sent it, or it
+// protects the host or the proxies and fits the channel.
+func (r *publishRound) maySend(host *hostRecord, weight float64, urgency updateUrgency, withoutWarmEntry bool) bool {
+	if host.publication.holders == 0 {
+		return true
+	}
+	protective := urgency == slowStartUrgency || weight == 0 || withoutWarmEntry && host.publication.weight == 0
+	return protective && !r.urgentPending && (r.urgentDue || withoutWarmEntry) &&
+		r.batch.fits(host.publication.holders, urgencyFill[urgency])
+}
+
+// hasWarmTarget tells whether a shared table should hold a warm host.
+func (b *Balancer) hasWarmTarget(table int) bool {
+	return slices.ContainsFunc(b.hostOrder, func(index int) bool {
+		return b.isWarmTarget(&b.hosts[index], table)
+	})
+}
+
+// hasWarmEntry tells whether a shared table holds a warm host that it should hold.
+func (b *Balancer) hasWarmEntry(table int) bool {
+	return slices.ContainsFunc(b.hostOrder, func(index int) bool {
+		host := &b.hosts[index]
+		return host.publication.weight > 0 && b.isWarmTarget(host, table)
+	})
+}
+
+// isWarmTarget tells whether a host is warm and should be in a shared table.
+func (b *Balancer) isWarmTarget(host *hostRecord, table int) bool {
+	return b.sharedTable(host.endpoint.zone) == table && b.slowStartFactor(host) >= 1 && b.targetWeight(host, false) > 0
+}
--- /dev/null
+++ b/routing/publishweights.go
@@ -0,0 +1,102 @@
+package routing
+
+import (
+	"slices"
+	"sort"
+)
+
+const (
+	// ackQuorum is the part of the proxies that must have acknowledged the last weights before the next are published.
+	ackQuorum = 0.8
+
+	// ackTimeoutMs is the time after which the next weights are published whatever was acknowledged.
+	ackTimeoutMs = 2000.0
+
+	// weightGraceShare is the part of the drain grace within which all that is in the channel must have left it before
+	// weights are added: a host that drains next must still be out of the tables in time.
+	weightGraceShare = 0.4
+)
+
+// weightRollout tells how many proxies have acknowledged the last batch with ordinary weights.
+type weightRollout struct {
+	version  int
+	proxies  int // that were sent it
+	acks     int
+	sentAtMs float64
+}
+
+// weightUpdate is a weight that is not published yet.
+type weightUpdate struct {
+	host   int
+	weight float64
+	change float64 // by how much the weight differs from the published one
+}
+
+// rolloutAcknowledged tells whether most proxies that were sent the last weights have acknowledged them, or
+// ackTimeoutMs have passed.
+func (b *Balancer) rolloutAcknowledged() bool {
+	acknowledged := float64(b.rollout.acks) >= ackQuorum*float64(b.rollout.proxies)
+	return acknowledged || b.nowMs >= b.rollout.sentAtMs+ackTimeoutMs
+}
+
+// publishWeight sets a host's weight in every table that holds it.
+func (b *Balancer) publishWeight(round *publishRound, index int, weight float64) {
+	host := &b.hosts[index]
+	host.publication.weight = weight
+	table := b.sharedTable(host.endpoint.zone)
+	round.writer.SetWeight(table, index, weight)
+	if host.publication.holders == 0 {
+		return
+	}
+	subsetWeight := weight
+	if b.slowStartFactor(host) < 1 { // it might be all that is left of a subset
+		subsetWeight = 0
+	}
+	for i := range b.proxies {
+		proxy := &b.proxies[i]
+		switch {
+		case !proxy.connected || !proxy.assigned: // it has no table
+		case proxy.ownsTable:
+			b.publishSubsetWeight(round, i, index, subsetWeight)
+		case b.sharedTable(proxy.zone) == table:
+			round.batch.account(i, 1)
+		}
+	}
+}
+
+// publishSubsetWeight sets a host's weight in a proxy's own table, where the host is in it.
+func (b *Balancer) publishSubsetWeight(round *publishRound, proxyIndex, hostIndex int, weight float64) {
+	proxy := &b.proxies[proxyIndex]
+	position := slices.Index(proxy.subset, hostIndex)
+	if position < 0 {
+		return
+	}
+	round.batch.account(proxyIndex, 1)
+	round.writer.SetWeight(b.subsetTable(proxyIndex), hostIndex, weight)
+	if weight == 0 {
+		proxy.subset = slices.Delete(proxy.subset, position, position+1)
+	}
+}
+
+// publishWeights writes the ordinary weight updates, the largest changes first, as far as the budget and the channel
+// allow. Once one is written the others may go with it, whatever is left of the budget: the messages go out anyway.
+func (b *Balancer) publishWeights(round *publishRound) {
+	updates, batch := round.ordinary, &round.batch
+	sort.SliceStable(updates, func(i, j int) bool { return updates[i].change > updates[j].change })
+	initialBacklog := batch.backlog
+	// In a fleet so large that one entry for all proxies takes longer than the grace, waiting would help nothing.
+	graceEntries := b.channel.EntriesPerSecond * b.limits.DrainGraceMs / msPerSecond * weightGraceShare
+	entriesForAll := float64(batch.assigned) * (batch.messageOverhead + 1)
+	for _, update := range updates {
+		before := batch.backlog
+		affordable := b.publishing.budget > 0 || before > initialBacklog
+		leavesInTime := before <= graceEntries || entriesForAll > graceEntries
+		if affordable && leavesInTime && batch.fits(b.hosts[update.host].publication.holders, weightFill) {
+			b.publishWeight(round, update.host, update.weight)
+			b.publishing.budget -= batch.backlog - before
+		}
+	}
+	if batch.backlog > initialBacklog {
+		b.rollout = weightRollout{version: batch.version, proxies: batch.proxies, sentAtMs: b.nowMs}
+	}
+}
--- /dev/null
+++ b/routing/updatebatch.go
@@ -0,0 +1,72 @@
+package routing
+
+// updateBatch counts what the updates of one round cost.
+type updateBatch struct {
+	channel         ControlChannel
+	version         int
+	costs           []float64 // entries by proxy, with the message overhead
+	messageOverhead float64   // entries that a message costs besides its own
+	proxies         int       // number of proxies that the batch reaches
+	initialBacklog  float64   // entries in the channel before the batch
+	backlog         float64   // entries in the channel with the batch
+	unacknowledged  float64   // unacknowledged entries before the batch
+	assigned        int       // number of proxies that have a table
+	mostMessages    int       // messages sent within the message window to the proxy that was sent most
+}
+
+// newUpdateBatch starts the batch of a round.
+func (b *Balancer) newUpdateBatch(assignments assignmentCounts) updateBatch {
+	b.publishing.costs = grow(b.publishing.costs, len(b.proxies), 0)
+	clear(b.publishing.costs)
+	inChannel := b.backlog.inChannel()
+	return updateBatch{
+		channel:         b.channel,
+		version:         b.publishing.version%maxVersion + 1,
+		costs:           b.publishing.costs,
+		messageOverhead: b.channel.MessageOverhead + 1 + float64(len(b.admission.quotas)), // 1: the version
+		initialBacklog:  inChannel,
+		backlog:         inChannel,
+		unacknowledged:  b.backlog.unacknowledged,
+		assigned:        assignments.assigned,
+		mostMessages:    assignments.mostMessages,
+	}
+}
+
+// account adds entries to a proxy's message, and the message overhead where it has none yet.
+func (u *updateBatch) account(proxy int, entries float64) {
+	if u.costs[proxy] == 0 {
+		u.proxies++
+		entries += u.messageOverhead
+	}
+	u.costs[proxy] += entries
+	u.backlog += entries
+}
+
+// fits tells whether one more entry for each of so many proxies leaves the channel filled up to a part of its limits.
+// The unacknowledged entries, on their way or not, stay under removalFill in any case.
+func (u *updateBatch) fits(proxies int, fill float64) bool {
+	newMessages := min(proxies, u.assigned-u.proxies)
+	backlog := u.backlog + float64(proxies) + float64(newMessages)*u.messageOverhead
+	limit := u.channel.MaxBacklog
+	if backlog > fill*limit || backlog+u.unacknowledged-u.initialBacklog > removalFill*limit {
+		return false
+	}
+	return u.proxies >= u.assigned || u.channel.allowsMessage(u.mostMessages, fill)
+}
+
+// sendBatch stamps the round's updates with their version, and counts each proxy's message as unacknowledged.
+func (b *Balancer) sendBatch(writer UpdateWriter, batch *updateBatch) {
+	if batch.backlog > batch.initialBacklog {
+		writer.StampVersion(batch.version)
+		b.publishing.version = batch.version
+	}
+	for i, entries := range batch.costs {
+		if entries <= 0 {
+			continue
+		}
+		proxy := &b.proxies[i]
+		proxy.messageTimesMs = append(proxy.messageTimesMs, b.nowMs)
+		proxy.unacknowledged = append(proxy.unacknowledged, updateMessage{batch.version, entries, b.nowMs})
+		b.backlog.unacknowledged += entries
+	}
+}
--- /dev/null
+++ b/routing/updatebatch_test.go
@@ -0,0 +1,27 @@
+package routing
+
+import "testing"
+
+func TestBatchFits(t *testing.T) {
+	channel := ControlChannel{MaxBacklog: 100, MaxMessages: 20}
+	for _, test := range []struct {
+		name    string
+		batch   updateBatch
+		proxies int
+		want    bool
+	}{
+		{"just", updateBatch{backlog: 20, messageOverhead: 5, assigned: 5}, 5, true},
+		{"overhead too large", updateBatch{backlog: 21, messageOverhead: 5, assigned: 5}, 5, false},
+		{"overhead paid already", updateBatch{backlog: 45, messageOverhead: 5, assigned: 5, proxies: 5}, 5, true},
+		{"too much unacknowledged", updateBatch{backlog: 10, unacknowledged: 91, assigned: 5}, 5, false},
+		{"too many messages", updateBatch{assigned: 5, mostMessages: 9}, 5, false},
+		{"messages go anyway", updateBatch{assigned: 5, proxies: 5, mostMessages: 9}, 5, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			test.batch.channel = channel
+			if got := test.batch.fits(test.proxies, 0.5); got != test.want {
+				t.Errorf("got %v, want %v", got, test.want)
+			}
+		})
+	}
+}
