--- a/client/client.go
+++ b/client/client.go
@@ -56,21 +56,21 @@
 
 // Client keeps a proxy's tables. Its methods may be called from any goroutine.
 type Client struct {
-	o        Options
-	own      bool // the HTTP client is its own
-	sender   string
-	seed     uint64
-	standing []Host
+	options       Options
+	ownsHTTP      bool // the HTTP client is its own
+	sender        string
+	seed          uint64
+	fallbackHosts []Host
 
-	mu      sync.Mutex
-	held    held
-	newest  string // tag of what was taken last
-	steward int    // index of the one that is polled
-	joined  bool
-	counter uint64
-	repeats map[string]bool
-	shunned map[string]*shun
-	sums    sums
+	mu         sync.Mutex
+	tables     appliedTables
+	newestTag  string // tag of what was taken last
+	current    int    // index of the one that is polled
+	joined     bool
+	draws      uint64
+	idempotent map[string]bool
+	ejections  map[string]*ejection
+	stats      requestStats
 }
 
 // New checks the options and makes a client. Run starts its work.
@@ -89,28 +89,28 @@
 			*d = to
 		}
 	}
-	c := &Client{o: o, repeats: map[string]bool{}, shunned: map[string]*shun{}}
-	if c.o.HTTP == nil {
-		c.own, c.o.HTTP = true, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
+	c := &Client{options: o, idempotent: map[string]bool{}, ejections: map[string]*ejection{}}
+	if c.options.HTTP == nil {
+		c.ownsHTTP, c.options.HTTP = true, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
 	}
-	if c.o.Now == nil {
-		c.o.Now = time.Now
+	if c.options.Now == nil {
+		c.options.Now = time.Now
 	}
-	if c.o.Log == nil {
-		c.o.Log = func(string) {}
+	if c.options.Log == nil {
+		c.options.Log = func(string) {}
 	}
 	for _, host := range o.Standing {
-		c.standing = append(c.standing, Host{host, 1})
+		c.fallbackHosts = append(c.fallbackHosts, Host{host, 1})
 	}
 	for _, class := range o.Repeats {
-		c.repeats[class] = true
+		c.idempotent[class] = true
 	}
 	var random [14]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, fmt.Errorf("drawing a name for the sums: %w", err)
 	}
 	c.sender, c.seed = hex.EncodeToString(random[:6]), binary.LittleEndian.Uint64(random[6:])
-	c.sums.begin(c.o.Now())
+	c.stats.reset(c.options.Now())
 	return c, nil
 }
 
@@ -119,7 +119,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := map[string]Table{}
-	for class, t := range c.held.tables {
+	for class, t := range c.tables.tables {
 		all[class] = t
 	}
 	return all
@@ -129,7 +129,7 @@
 func (c *Client) Load(tag string, doc []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.held.whole("", tag, doc, func([]byte) error { return nil })
+	return c.tables.setSnapshot("", tag, doc, func([]byte) error { return nil })
 }
 
 // Steward is the base URL of the steward whose poll was last answered, empty while none answers.
@@ -139,5 +139,5 @@
 	if !c.joined {
 		return ""
 	}
-	return strings.TrimRight(c.o.Stewards[c.steward], "/")
+	return strings.TrimRight(c.options.Stewards[c.current], "/")
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -11,7 +11,7 @@
 	}
 	c.seed = 5
 	if body != "" {
-		if err := c.held.whole("s", "1", []byte(body), unchecked); err != nil {
+		if err := c.tables.setSnapshot("s", "1", []byte(body), unchecked); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/client/picker_test.go
+++ b/client/picker_test.go
@@ -24,7 +24,7 @@
 	now := time.Unix(0, 0)
 	c = made(t, Options{Standing: []string{"x:1", "y:1"}, Ejects: 2, Shuns: time.Second, Now: func() time.Time { return now }}, "")
 	for range 2 {
-		c.met("x:1", Try{Result: Failed}, 0)
+		c.observeAttempt("x:1", Try{Result: Failed}, 0)
 	}
 	for range 50 {
 		if host, ok := c.Pick("sheet"); !ok || host != "y:1" {
--- a/client/request_stats_test.go
+++ b/client/request_stats_test.go
@@ -29,13 +29,13 @@
 	if refused < 430 || refused > 570 {
 		t.Errorf("%d of 1000 were kept out at a share of 0.5", refused)
 	}
-	hosts, usage := c.sums.take(now, func(string) bool { return true })
+	hosts, usage := c.stats.take(now, func(string) bool { return true })
 	h := hosts["a:1"]
 	if h.Tries != 1000-refused || h.Failed != usage["finish"].Unanswered || usage["finish"].Came != 1000 || math.Abs(h.Mean-1) > 0.001 || *h.Load.Queue != 3 || h.Load.Rate != nil {
 		text, _ := json.Marshal(hosts)
 		t.Errorf("%s, %+v", text, usage["finish"])
 	}
-	if hosts, usage = c.sums.take(now, func(string) bool { return true }); len(hosts)+len(usage) != 0 {
+	if hosts, usage = c.stats.take(now, func(string) bool { return true }); len(hosts)+len(usage) != 0 {
 		t.Errorf("counted again: %v %v", hosts, usage)
 	}
 }
--- a/client/run.go
+++ b/client/run.go
@@ -12,29 +12,29 @@
 
 // Run polls and sends sums until the context ends, and then leaves the steward.
 func (c *Client) Run(ctx context.Context) error {
-	if len(c.o.Stewards) == 0 {
+	if len(c.options.Stewards) == 0 {
 		return errors.New("running a client: it has no steward")
 	}
 	var both sync.WaitGroup
 	both.Add(2)
-	go func() { defer both.Done(); c.pollAll(ctx) }()
-	go func() { defer both.Done(); c.sendSums(ctx) }()
+	go func() { defer both.Done(); c.pollControllers(ctx) }()
+	go func() { defer both.Done(); c.sendStats(ctx) }()
 	both.Wait()
 	c.leave()
-	if c.own {
-		c.o.HTTP.CloseIdleConnections()
+	if c.ownsHTTP {
+		c.options.HTTP.CloseIdleConnections()
 	}
 	return ctx.Err()
 }
 
-func (c *Client) base() string {
-	return strings.TrimRight(c.o.Stewards[c.steward], "/") + "/v1/proxies/" + url.PathEscape(c.o.Proxy)
+func (c *Client) proxyURL() string {
+	return strings.TrimRight(c.options.Stewards[c.current], "/") + "/v1/proxies/" + url.PathEscape(c.options.Proxy)
 }
 
 // leave tells the steward that the proxy ends.
 func (c *Client) leave() {
 	c.mu.Lock()
-	target, joined := c.base(), c.joined
+	target, joined := c.proxyURL(), c.joined
 	c.mu.Unlock()
 	if !joined {
 		return
@@ -45,7 +45,7 @@
 	if err != nil {
 		return
 	}
-	if r, err := c.o.HTTP.Do(q); err == nil {
+	if r, err := c.options.HTTP.Do(q); err == nil {
 		r.Body.Close()
 	}
 }
--- a/client/stats_sender.go
+++ b/client/stats_sender.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// sendSums sends what was met, each period. A report that got no answer is sent again, under its number, before
+// sendStats sends what was met, each period. A report that got no answer is sent again, under its number, before
 // the next one; what was met meanwhile adds up.
-func (c *Client) sendSums(ctx context.Context) {
-	tick := time.NewTicker(c.o.Period)
+func (c *Client) sendStats(ctx context.Context) {
+	tick := time.NewTicker(c.options.Period)
 	defer tick.Stop()
 	number, body, again := int64(0), []byte(nil), 0
 	for {
@@ -24,16 +24,16 @@
 		}
 		c.mu.Lock()
 		if !c.joined {
-			c.sums.begin(c.o.Now()) // nobody to tell: old figures would mislead the next steward
+			c.stats.reset(c.options.Now()) // nobody to tell: old figures would mislead the next steward
 			body = nil
 			c.mu.Unlock()
 			continue
 		}
-		target := c.base() + "/sums"
+		target := c.proxyURL() + "/sums"
 		if body == nil {
 			number++
-			hosts, usage := c.sums.take(c.o.Now(), c.knows)
-			body, _ = json.Marshal(report{c.sender, number, float64(c.o.Now().UnixMicro()) / 1000, hosts, usage})
+			hosts, usage := c.stats.take(c.options.Now(), c.isKnownHost)
+			body, _ = json.Marshal(statsReport{c.sender, number, float64(c.options.Now().UnixMicro()) / 1000, hosts, usage})
 			again = 0
 		}
 		c.mu.Unlock()
@@ -45,9 +45,9 @@
 	}
 }
 
-// knows tells whether the steward named a host to us; it refuses sums of others. The caller holds the lock.
-func (c *Client) knows(host string) bool {
-	for _, t := range c.held.tables {
+// isKnownHost tells whether the steward named a host to us; it refuses sums of others. The caller holds the lock.
+func (c *Client) isKnownHost(host string) bool {
+	for _, t := range c.tables.tables {
 		for _, h := range t.Hosts {
 			if h.Address == host {
 				return true
@@ -66,7 +66,7 @@
 		return true
 	}
 	q.Header.Set("Content-Type", "application/json")
-	r, err := c.o.HTTP.Do(q)
+	r, err := c.options.HTTP.Do(q)
 	if err != nil {
 		return false
 	}
@@ -76,7 +76,7 @@
 		return false
 	}
 	if r.StatusCode >= 400 && r.StatusCode < 500 {
-		c.o.Log(fmt.Sprintf("the steward refused sums: %s: %s", r.Status, bytes.TrimSpace(answer)))
+		c.options.Log(fmt.Sprintf("the steward refused sums: %s: %s", r.Status, bytes.TrimSpace(answer)))
 	}
 	return r.StatusCode < 500
 }
--- a/client/tables.go
+++ b/client/tables.go
@@ -23,16 +23,16 @@
 	Weight  float64
 }
 
-// held is what the proxy goes by: the document of one steward, its tag, and the tables taken from it.
-type held struct {
-	steward string // whose document it is
-	tag     string // with quotes
-	doc     []byte
-	tables  map[string]Table
+// appliedTables is what the proxy goes by: the document of one steward, its tag, and the tables taken from it.
+type appliedTables struct {
+	source   string // whose document it is
+	tag      string // with quotes
+	document []byte
+	tables   map[string]Table
 }
 
-// document is the steward's answer. A class without hosts was not ordered: what is held for it stays.
-type document struct {
+// tablesDocument is the steward's answer. A class without hosts was not ordered: what is held for it stays.
+type tablesDocument struct {
 	Tables map[string]struct {
 		Hosts map[string]float64 `json:"hosts"`
 		Share *float64           `json:"share"`
@@ -40,42 +40,42 @@
 	} `json:"tables"`
 }
 
-// whole takes a whole document in. On an error nothing changes.
-func (h *held) whole(steward, tag string, body []byte, check func(doc []byte) error) error {
+// setSnapshot takes a whole document in. On an error nothing changes.
+func (h *appliedTables) setSnapshot(steward, tag string, body []byte, check func(doc []byte) error) error {
 	if err := check(body); err != nil {
 		return err
 	}
-	tables, err := h.read(body)
+	tables, err := h.parse(body)
 	if err != nil {
 		return err
 	}
-	*h = held{steward, tag, append([]byte(nil), body...), tables}
+	*h = appliedTables{steward, tag, append([]byte(nil), body...), tables}
 	return nil
 }
 
-// delta takes a merge patch in, if it is for the document that is held: one that arrives after a newer one is
+// applyDelta takes a merge patch in, if it is for the document that is held: one that arrives after a newer one is
 // not. On an error nothing changes.
-func (h *held) delta(steward, base, tag string, patch []byte, check func(doc []byte) error) error {
-	if h.doc == nil || steward != h.steward || base != h.tag {
+func (h *appliedTables) applyDelta(steward, base, tag string, patch []byte, check func(doc []byte) error) error {
+	if h.document == nil || steward != h.source || base != h.tag {
 		return fmt.Errorf("a delta onto %s came, held is %s", base, h.tag)
 	}
-	doc, err := jsonpatch.MergePatch(h.doc, patch)
+	doc, err := jsonpatch.MergePatch(h.document, patch)
 	if err != nil {
 		return fmt.Errorf("applying a delta: %w", err)
 	}
 	if err := check(doc); err != nil {
 		return err
 	}
-	tables, err := h.read(doc)
+	tables, err := h.parse(doc)
 	if err != nil {
 		return err
 	}
-	*h = held{steward, tag, doc, tables}
+	*h = appliedTables{steward, tag, doc, tables}
 	return nil
 }
 
-func (h *held) read(doc []byte) (map[string]Table, error) {
-	var d document
+func (h *appliedTables) parse(doc []byte) (map[string]Table, error) {
+	var d tablesDocument
 	if err := json.Unmarshal(doc, &d); err != nil {
 		return nil, fmt.Errorf("reading tables: %w", err)
 	}
--- a/client/tables_test.go
+++ b/client/tables_test.go
@@ -13,22 +13,22 @@
 // A delta is taken only onto the document it names: one that arrives after a newer one is left, and so is
 // anything malformed; the tables stay.
 func TestDeltas(t *testing.T) {
-	var h held
+	var h appliedTables
 	var now strings.Builder
 	say := func(what string, err error) {
 		fmt.Fprintf(&now, "%s: %v; held %s, sheet %v, finish %v\n", what, err, h.tag, h.tables["sheet"], h.tables["finish"])
 	}
-	say("a delta first", h.delta("s", `"1"`, `"2"`, []byte(`{"tables":{}}`), unchecked))
-	say("the whole", h.whole("s", `"1"`, []byte(doc), unchecked))
-	say("a delta", h.delta("s", `"1"`, `"2"`, []byte(`{"tables":{"sheet":{"hosts":{"b:1":null,"c:1":2}},"finish":{"tries":1}}}`), unchecked))
-	say("late, onto an older base", h.delta("s", `"1"`, `"3"`, []byte(`{"tables":{"sheet":{"hosts":{"a:1":null}}}}`), unchecked))
-	say("of another steward", h.delta("u", `"2"`, `"3"`, []byte(`{"tables":{"sheet":{"hosts":{"a:1":null}}}}`), unchecked))
-	say("no JSON", h.delta("s", `"2"`, `"3"`, []byte(`{"tables":`), unchecked))
-	say("a weight below 0", h.delta("s", `"2"`, `"3"`, []byte(`{"tables":{"sheet":{"hosts":{"a:1":-1}}}}`), unchecked))
-	say("a way of trying that is none", h.whole("s", `"4"`, []byte(`{"tables":{"sheet":{"tries":7}}}`), unchecked))
-	say("no tables", h.whole("s", `"4"`, []byte(`{"proxy":"p"}`), unchecked))
-	say("a new steward that has ordered nothing yet", h.whole("u", `"9"`, []byte(`{"tables":{"sheet":{"share":1,"tries":1}}}`), unchecked))
-	say("a host with no host", h.whole("u", `"10"`, []byte(`{"tables":{"sheet":{"hosts":{}}}}`), unchecked))
+	say("a delta first", h.applyDelta("s", `"1"`, `"2"`, []byte(`{"tables":{}}`), unchecked))
+	say("the whole", h.setSnapshot("s", `"1"`, []byte(doc), unchecked))
+	say("a delta", h.applyDelta("s", `"1"`, `"2"`, []byte(`{"tables":{"sheet":{"hosts":{"b:1":null,"c:1":2}},"finish":{"tries":1}}}`), unchecked))
+	say("late, onto an older base", h.applyDelta("s", `"1"`, `"3"`, []byte(`{"tables":{"sheet":{"hosts":{"a:1":null}}}}`), unchecked))
+	say("of another steward", h.applyDelta("u", `"2"`, `"3"`, []byte(`{"tables":{"sheet":{"hosts":{"a:1":null}}}}`), unchecked))
+	say("no JSON", h.applyDelta("s", `"2"`, `"3"`, []byte(`{"tables":`), unchecked))
+	say("a weight below 0", h.applyDelta("s", `"2"`, `"3"`, []byte(`{"tables":{"sheet":{"hosts":{"a:1":-1}}}}`), unchecked))
+	say("a way of trying that is none", h.setSnapshot("s", `"4"`, []byte(`{"tables":{"sheet":{"tries":7}}}`), unchecked))
+	say("no tables", h.setSnapshot("s", `"4"`, []byte(`{"proxy":"p"}`), unchecked))
+	say("a new steward that has ordered nothing yet", h.setSnapshot("u", `"9"`, []byte(`{"tables":{"sheet":{"share":1,"tries":1}}}`), unchecked))
+	say("a host with no host", h.setSnapshot("u", `"10"`, []byte(`{"tables":{"sheet":{"hosts":{}}}}`), unchecked))
 	want := `a delta first: a delta onto "1" came, held is ; held , sheet {[] false 0 0}, finish {[] false 0 0}
 the whole: <nil>; held "1", sheet {[{a:1 1} {b:1 3}] true 1 1}, finish {[{a:1 1}] true 0.5 0}
 a delta: <nil>; held "2", sheet {[{a:1 1} {c:1 2}] true 1 1}, finish {[{a:1 1}] true 0.5 1}
--- a/client/transaction.go
+++ b/client/transaction.go
@@ -53,23 +53,23 @@
 func (c *Client) Do(ctx context.Context, class string, try func(ctx context.Context, host string) Try) error {
 	c.mu.Lock()
 	t := c.table(class)
-	letIn := t.Share >= 1 || c.chance() < t.Share
-	c.sums.came(class)
+	letIn := t.Share >= 1 || c.random() < t.Share
+	c.stats.countArrival(class)
 	c.mu.Unlock()
-	x := Transaction{Class: class, Came: c.o.Now(), LetIn: letIn}
+	x := Transaction{Class: class, Came: c.options.Now(), LetIn: letIn}
 	err := error(ErrNotLetIn)
 	if letIn {
-		err = c.carry(ctx, class, t.Tries, &x, try)
+		err = c.attempt(ctx, class, t.Tries, &x, try)
 	}
 	x.Fulfilled = err == nil
-	if c.o.Ended != nil {
-		c.o.Ended(x)
+	if c.options.Ended != nil {
+		c.options.Ended(x)
 	}
 	return err
 }
 
-// carry makes the tries of a transaction that was let in.
-func (c *Client) carry(ctx context.Context, class string, tries int, x *Transaction,
+// attempt makes the tries of a transaction that was let in.
+func (c *Client) attempt(ctx context.Context, class string, tries int, x *Transaction,
 	try func(ctx context.Context, host string) Try) error {
 	var tried []string
 	for {
@@ -77,20 +77,20 @@
 		host, ok := c.pick(class, tried)
 		c.mu.Unlock()
 		if !ok {
-			c.lost(class)
+			c.countUnanswered(class)
 			return ErrNoHost
 		}
-		began := c.o.Now()
+		began := c.options.Now()
 		r := try(ctx, host)
-		took := c.o.Now().Sub(began)
+		took := c.options.Now().Sub(began)
 		x.Tries = append(x.Tries, Attempt{host, began, took, r.Result})
-		c.met(host, r, took)
+		c.observeAttempt(host, r, took)
 		if r.Result == Fulfilled {
 			return nil
 		}
 		tried = append(tried, host)
-		if ctx.Err() != nil || !c.again(class, tries, len(tried), r.Result) {
-			c.lost(class)
+		if ctx.Err() != nil || !c.mayRetry(class, tries, len(tried), r.Result) {
+			c.countUnanswered(class)
 			if r.Err == nil {
 				r.Err = errors.New("no good answer")
 			}
@@ -99,9 +99,9 @@
 	}
 }
 
-// again tells whether a further try may follow so many: as the table says, and for classes that must not run
+// mayRetry tells whether a further try may follow so many: as the table says, and for classes that must not run
 // twice only after proof that the try before never ran.
-func (c *Client) again(class string, tries, made int, last Result) bool {
+func (c *Client) mayRetry(class string, tries, made int, last Result) bool {
 	most := tries
 	if tries > 1 {
 		most = tries - 1
@@ -109,32 +109,32 @@
 	if made > most {
 		return false
 	}
-	return last == NeverRan || tries > 1 && c.repeats[class]
+	return last == NeverRan || tries > 1 && c.idempotent[class]
 }
 
-// met counts a try.
-func (c *Client) met(host string, r Try, took time.Duration) {
+// observeAttempt counts a try.
+func (c *Client) observeAttempt(host string, r Try, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sums.met(host, r, took)
-	if c.o.Ejects == 0 {
+	c.stats.countAttempt(host, r, took)
+	if c.options.Ejects == 0 {
 		return
 	}
-	s := c.shunned[host]
+	s := c.ejections[host]
 	if r.Result == Fulfilled {
-		delete(c.shunned, host)
+		delete(c.ejections, host)
 		return
 	} else if s == nil {
-		s = &shun{}
-		c.shunned[host] = s
+		s = &ejection{}
+		c.ejections[host] = s
 	}
-	if s.failures++; s.failures >= c.o.Ejects {
-		s.failures, s.until = 0, c.o.Now().Add(c.o.Shuns)
+	if s.consecutiveFailures++; s.consecutiveFailures >= c.options.Ejects {
+		s.consecutiveFailures, s.until = 0, c.options.Now().Add(c.options.Shuns)
 	}
 }
 
-func (c *Client) lost(class string) {
+func (c *Client) countUnanswered(class string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sums.lost(class)
+	c.stats.countUnanswered(class)
 }
