--- a/client/client.go
+++ b/client/client.go
@@ -1,12 +1,12 @@
-// Package client is the proxy's side of a steward: it keeps the proxy's tables by long polls with deltas,
-// picks hosts by weight, tries again as the tables say, and sends the steward sums of what it met. It sends
-// no transaction itself; the proxy gives Do a function that makes a try at a host.
+// Package client is the proxy's side of the control plane. A [Client] keeps the proxy's routing tables by long polls
+// with deltas, picks hosts by weight, retries as the tables say, and sends the controller request stats. It sends no
+// request to a host itself: the proxy gives [Client.Do] a function that makes one attempt.
 //
-// The function must make one try and no more. Go's net/http repeats a GET by itself when a kept connection
-// breaks, so a transaction that must not run twice is not sent by GET through it.
+// That function must make one attempt and no more. Go's net/http repeats a GET by itself when a reused connection
+// breaks, so a request that is not idempotent must not be sent by GET through it.
 //
-// When no steward answers the proxy goes on by its last tables, and before the first ones by the standing
-// hosts it was given.
+// While no controller answers, the proxy goes on by its last tables, and before the first ones by the fallback hosts of
+// [Options.Standing].
 package client
 
 import (
@@ -23,116 +23,173 @@
 	"time"
 )
 
-// Options of a Client. Proxy and Zone are needed.
+// Options of a Client. Proxy and Zone are required.
 type Options struct {
-	Stewards []string // base URLs; the first is tried first, the next ones where it does not answer; none: tables come by Load
+	// Stewards are the base URLs of the controllers. The first one is polled, the next ones if it does not answer. With
+	// none, tables come by Client.Load only.
+	Stewards []string
 	Proxy    string   // name of this proxy, the same at each start
-	Zone     string
-	Rate     float64  // transactions a second that it usually gets; 0: not told
-	Standing []string // hosts to go by until tables come
+	Zone     string   // zone of this proxy
+	Rate     float64  // requests per second that the proxy usually gets; 0: unknown
+	Standing []string // hosts to use until the first tables arrive
 
-	Offer  bool                                  // a steward that is new to it is told what it holds, so that it can go on from there with deltas
-	Signed func(chain []*x509.Certificate) error // not nil: only tables signed by one whom it accepts are taken, none older than the last
+	// Offer sends a controller that takes over the tables that this proxy holds, so that it can go on with deltas.
+	Offer bool
+	// Signed judges the certificate chain that signed a table. If it is not nil, only tables with a signature that it
+	// accepts are applied, and none that is older than the last.
+	Signed func(chain []*x509.Certificate) error
 
-	HTTP   *http.Client  // nil: one of its own
-	Wait   time.Duration // polls ask to be held so long: 30 s
-	Period time.Duration // between sums: 1 s
-	Least  time.Duration // wait before dialling again, doubling with each failure up to Most: 100 ms
-	Most   time.Duration // 4 s
+	HTTP   *http.Client  // nil: one of the client's own
+	Wait   time.Duration // that a controller may hold a poll; 0: 30 s
+	Period time.Duration // between two reports of request stats; 0: 1 s
+	Least  time.Duration // first backoff after a failed poll, doubled up to Most; 0: 100 ms
+	Most   time.Duration // longest backoff; 0: 4 s
 
-	Ejects  int           // after so many failures of its own in a row at a host; 0: never
-	Shuns   time.Duration // the host is not picked for so long: 5 s
-	Repeats []string      // classes that may run twice; others are tried again only after proof of NeverRan
+	Ejects  int           // failures in a row after which this proxy ejects a host; 0: never
+	Shuns   time.Duration // that an ejected host is not picked; 0: UsualShuns
+	Repeats []string      // request classes that are idempotent; others are retried only after NeverRan
 
-	Ended   func(Transaction) // told of each transaction as it ends, for a recording; nil: nobody
-	Applied func(tag string)  // told of each version of the tables that the proxy goes by from then on
+	Ended   func(Transaction) // called at the end of each request, to record it; nil: not called
+	Applied func(tag string)  // called with the tag of each version of the tables that is applied; nil: not called
 
-	Log func(text string) // a line for each change: tables lost, steward changed; nil: none
+	Log func(text string) // called with a line for each change of the connection; nil: not called
 	Now func() time.Time  // nil: time.Now
 }
 
-// UsualShuns is how long a proxy shuns a host where its options do not say.
+// UsualShuns is how long an ejected host is not picked where Options.Shuns is 0.
 const UsualShuns = 5 * time.Second
 
-// Client keeps a proxy's tables. Its methods may be called from any goroutine.
+// Defaults of Options.
+const (
+	defaultWait        = 30 * time.Second
+	defaultPeriod      = time.Second
+	defaultMinBackoff  = 100 * time.Millisecond
+	defaultMaxBackoff  = 4 * time.Second
+	maxIdleConnections = 2 // of the client's own HTTP client: one for polls, one for request stats
+)
+
+const (
+	senderBytes = 6 // random bytes of the sender's name in request stats
+	seedBytes   = 8 // random bytes of the seed of random draws
+)
+
+// Client keeps a proxy's routing tables. Use [New] to make one and [Client.Run] to start its work. It is safe for
+// concurrent use.
 type Client struct {
 	options       Options
-	ownsHTTP      bool // the HTTP client is its own
-	sender        string
+	ownsHTTP      bool   // options.HTTP was made by New
+	sender        string // random name of this incarnation in request stats
 	seed          uint64
 	fallbackHosts []Host
+	idempotent    map[string]bool // by request class
 
-	mu         sync.Mutex
-	tables     appliedTables
-	newestTag  string // tag of what was taken last
-	current    int    // index of the one that is polled
-	joined     bool
-	draws      uint64
-	idempotent map[string]bool
-	ejections  map[string]*ejection
-	stats      requestStats
+	mu        sync.Mutex // guards the fields below
+	tables    appliedTables
+	newestTag string // of the tables that were last received
+	current   int    // index of the controller that is polled
+	joined    bool   // that controller answered the last poll
+	draws     uint64 // number of random draws so far
+	ejections map[string]*ejection
+	stats     requestStats
 }
 
-// New checks the options and makes a client. Run starts its work.
+// New checks the options and returns a client that does nothing until Run.
 func New(o Options) (*Client, error) {
-	if o.Proxy == "" || o.Zone == "" {
-		return nil, errors.New("a client needs the proxy's name and its zone")
+	if err := checkOptions(&o); err != nil {
+		return nil, err
 	}
-	for _, s := range o.Stewards {
-		if u, err := url.Parse(s); err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			return nil, fmt.Errorf("%q is no URL of a steward", s)
-		}
+	ownsHTTP := o.HTTP == nil
+	setDefaults(&o)
+	var random [senderBytes + seedBytes]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		return nil, fmt.Errorf("drawing a name for the sums: %w", err)
+	}
+	client := &Client{
+		options:    o,
+		ownsHTTP:   ownsHTTP,
+		sender:     hex.EncodeToString(random[:senderBytes]),
+		seed:       binary.LittleEndian.Uint64(random[senderBytes:]),
+		idempotent: map[string]bool{},
+		ejections:  map[string]*ejection{},
+	}
+	for _, address := range o.Standing {
+		client.fallbackHosts = append(client.fallbackHosts, Host{Address: address, Weight: 1})
 	}
-	for d, to := range map[*time.Duration]time.Duration{&o.Wait: 30 * time.Second, &o.Period: time.Second,
-		&o.Least: 100 * time.Millisecond, &o.Most: 4 * time.Second, &o.Shuns: UsualShuns} {
-		if *d == 0 {
-			*d = to
+	for _, class := range o.Repeats {
+		client.idempotent[class] = true
+	}
+	client.stats.reset(o.Now())
+	return client, nil
+}
+
+func checkOptions(o *Options) error {
+	if o.Proxy == "" || o.Zone == "" {
+		return errors.New("a client needs the proxy's name and its zone")
+	}
+	for _, controllerURL := range o.Stewards {
+		parsed, err := url.Parse(controllerURL)
+		isHTTP := err == nil && (parsed.Scheme == "http" || parsed.Scheme == "https")
+		if !isHTTP || parsed.Host == "" {
+			return fmt.Errorf("%q is no URL of a steward", controllerURL)
 		}
 	}
-	c := &Client{options: o, idempotent: map[string]bool{}, ejections: map[string]*ejection{}}
-	if c.options.HTTP == nil {
-		c.ownsHTTP, c.options.HTTP = true, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2}}
+	return nil
+}
+
+func setDefaults(o *Options) {
+	setDefault(&o.Wait, defaultWait)
+	setDefault(&o.Period, defaultPeriod)
+	setDefault(&o.Least, defaultMinBackoff)
+	setDefault(&o.Most, defaultMaxBackoff)
+	setDefault(&o.Shuns, UsualShuns)
+	if o.HTTP == nil {
+		o.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}}
 	}
-	if c.options.Now == nil {
-		c.options.Now = time.Now
+	if o.Now == nil {
+		o.Now = time.Now
 	}
-	if c.options.Log == nil {
-		c.options.Log = func(string) {}
+	if o.Log == nil {
+		o.Log = func(string) {}
 	}
-	for _, host := range o.Standing {
-		c.fallbackHosts = append(c.fallbackHosts, Host{host, 1})
+}
+
+func setDefault(option *time.Duration, value time.Duration) {
+	if *option == 0 {
+		*option = value
 	}
-	for _, class := range o.Repeats {
-		c.idempotent[class] = true
+}
+
+// table returns the routing table of a request class. The caller holds the lock.
+func (c *Client) table(class string) Table {
+	table, ok := c.tables.byClass[class]
+	if !ok {
+		table = Table{Share: 1, Tries: retryNeverRan}
 	}
-	var random [14]byte
-	if _, err := rand.Read(random[:]); err != nil {
-		return nil, fmt.Errorf("drawing a name for the sums: %w", err)
+	if !table.Ordered {
+		table.Hosts = c.fallbackHosts
 	}
-	c.sender, c.seed = hex.EncodeToString(random[:6]), binary.LittleEndian.Uint64(random[6:])
-	c.stats.reset(c.options.Now())
-	return c, nil
+	return table
 }
 
-// Tables gives what is held now, by class.
+// Tables returns a copy of the tables that are applied, by request class.
 func (c *Client) Tables() map[string]Table {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := map[string]Table{}
-	for class, t := range c.tables.tables {
-		all[class] = t
+	for class, table := range c.tables.byClass {
+		all[class] = table
 	}
 	return all
 }
 
-// Load takes in a whole document of tables, for a proxy that gets them by another way than polls.
+// Load applies a snapshot of the tables that the proxy got by another way than polls.
 func (c *Client) Load(tag string, doc []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tables.setSnapshot("", tag, doc, func([]byte) error { return nil })
 }
 
-// Steward is the base URL of the steward whose poll was last answered, empty while none answers.
+// Steward returns the base URL of the controller that answered the last poll, "" while none answers.
 func (c *Client) Steward() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/client/picker.go
+++ b/client/picker.go
@@ -3,60 +3,88 @@
 import (
 	"encoding/binary"
 	"hash/crc32"
+	"slices"
 	"time"
 )
 
+// spreadFactor is 2^64 divided by the golden ratio, made odd: Fibonacci hashing spreads a counter over all bits.
+const spreadFactor = 0x9e3779b97f4a7c15
+
+// ejection is the state of a host with failed attempts of this proxy.
 type ejection struct {
 	consecutiveFailures int
-	until               time.Time
+	until               time.Time // the host is not picked before
 }
 
-// random gives a figure from 0 to 1. The counter is spread over all bits first: the checksum is linear, so every
-// other figure of plain counters, as levels draw them, would not be even. The caller holds the lock.
+// random draws a number from 0 up to 1. The counter is spread before the checksum because CRC-32 is linear: every
+// second draw of plain counters would not be uniform. The caller holds the lock.
 func (c *Client) random() float64 {
 	c.draws++
-	var b [16]byte
-	binary.LittleEndian.PutUint64(b[:], c.seed)
-	binary.LittleEndian.PutUint64(b[8:], c.draws*0x9e3779b97f4a7c15)
-	return float64(crc32.ChecksumIEEE(b[:])) / (1 << 32)
-}
-
-// table gives what holds for a class.
-func (c *Client) table(class string) Table {
-	t, ok := c.tables.tables[class]
-	if !ok {
-		t = Table{Share: 1, Tries: 1}
-	}
-	if !t.Ordered {
-		t.Hosts = c.fallbackHosts
-	}
-	return t
+	var input [16]byte
+	binary.LittleEndian.PutUint64(input[:8], c.seed)
+	binary.LittleEndian.PutUint64(input[8:], c.draws*spreadFactor)
+	return float64(crc32.ChecksumIEEE(input[:])) / (1 << 32)
 }
 
-// Pick draws a host for a class by weight, none of those named and none that is shunned, unless only shunned
-// ones are left.
+// Pick draws a host for a request class by weight, without the excluded hosts. Ejected hosts are picked only if no
+// others are left; ok is false if there is no host at all.
 func (c *Client) Pick(class string, not ...string) (host string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pick(class, not)
+	table := c.table(class)
+	now := c.options.Now()
+	draw := c.random()
+	isExcluded := func(address string) bool { return slices.Contains(not, address) }
+	host, ok = table.pick(draw, func(address string) bool {
+		return isExcluded(address) || c.isEjected(address, now)
+	})
+	if ok {
+		return host, true
+	}
+	return table.pick(draw, isExcluded)
+}
+
+func (c *Client) isEjected(address string, now time.Time) bool {
+	state := c.ejections[address]
+	return state != nil && now.Before(state.until)
 }
 
-func (c *Client) pick(class string, not []string) (string, bool) {
-	t, now, x := c.table(class), c.options.Now(), c.random()
-	named := func(address string) bool {
-		for _, n := range not {
-			if n == address {
-				return true
-			}
+// updateEjection counts a host's failures in a row, and ejects it after Options.Ejects. The caller holds the lock.
+func (c *Client) updateEjection(host string, result Result) {
+	if result == Fulfilled {
+		delete(c.ejections, host)
+		return
+	}
+	state := c.ejections[host]
+	if state == nil {
+		state = &ejection{}
+		c.ejections[host] = state
+	}
+	state.consecutiveFailures++
+	if state.consecutiveFailures >= c.options.Ejects {
+		state.consecutiveFailures = 0
+		state.until = c.options.Now().Add(c.options.Shuns)
+	}
+}
+
+// pick draws a host by weight, without the excluded ones. The draw is a number from 0 up to 1.
+func (t Table) pick(draw float64, isExcluded func(address string) bool) (address string, ok bool) {
+	total := 0.0
+	for _, host := range t.Hosts {
+		if !isExcluded(host.Address) {
+			total += host.Weight
 		}
-		return false
 	}
-	host, ok := t.pick(x, func(address string) bool {
-		s := c.ejections[address]
-		return named(address) || s != nil && now.Before(s.until)
-	})
-	if !ok {
-		host, ok = t.pick(x, named)
+	for _, host := range t.Hosts {
+		if isExcluded(host.Address) {
+			continue
+		}
+		address = host.Address
+		ok = true
+		if draw*total < host.Weight {
+			break
+		}
+		draw -= host.Weight / total
 	}
-	return host, ok
+	return address, ok
 }
--- a/client/poll.go
+++ b/client/poll.go
@@ -15,14 +15,20 @@
 	"barleysail/internal/tablesig"
 )
 
-// maxResponseBytes bounds an answer.
-const maxResponseBytes = 64 << 20
+const (
+	maxResponseBytes = 64 << 20
+	pollGrace        = 10 * time.Second // that a poll may take beyond the time for which it is held
+	maxBackoffShift  = 20               // doublings of the backoff, so that it does not overflow
+	minJitter        = 0.5              // the backoff is multiplied by a random number from this to this + 1
+	deltaFormat      = "merge-patch"    // instance manipulation (RFC 3229) that the client asks for
+)
 
-// pollControllers polls one steward after the other. After a failure it goes to the next, after a wait that doubles
-// with each round of failures, with some chance in it so that proxies that lost a steward at once do not
-// come back at once.
+// pollControllers polls one controller after the other until the context ends. After a failure it polls the next one,
+// after a backoff that doubles each time all have failed. The jitter keeps proxies that lost a controller at once from
+// returning at once.
 func (c *Client) pollControllers(ctx context.Context) {
-	for failures := 0; ctx.Err() == nil; {
+	failures := 0
+	for ctx.Err() == nil {
 		err := c.poll(ctx)
 		if err == nil {
 			failures = 0
@@ -31,127 +37,180 @@
 		if ctx.Err() != nil {
 			return
 		}
-		c.mu.Lock()
-		if c.joined || failures == 0 {
-			c.options.Log(fmt.Sprintf("steward %s lost, going on by the last tables: %v", c.options.Stewards[c.current], err))
-		}
-		c.joined = false
-		c.current = (c.current + 1) % len(c.options.Stewards)
-		wait := c.options.Least << min(failures/len(c.options.Stewards), 20)
-		wait = time.Duration(float64(min(wait, c.options.Most)) * (0.5 + c.random()))
-		c.mu.Unlock()
+		backoff := c.failOver(err, failures)
 		failures++
 		select {
-		case <-time.After(wait):
+		case <-time.After(backoff):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// poll asks the steward once, and takes in what it answers.
-func (c *Client) poll(ctx context.Context) error {
+// failOver makes the next controller the current one and returns the backoff before it is polled.
+func (c *Client) failOver(cause error, failures int) (backoff time.Duration) {
 	c.mu.Lock()
-	base, steward, tag := c.proxyURL(), c.options.Stewards[c.current], ""
-	if c.tables.source == steward {
-		tag = c.tables.tag
-	}
-	offer, err := c.tableOffer(steward)
-	c.mu.Unlock()
+	defer c.mu.Unlock()
+	controllers := c.options.Stewards
+	if c.joined || failures == 0 {
+		c.options.Log(fmt.Sprintf("steward %s lost, going on by the last tables: %v", controllers[c.current], cause))
+	}
+	c.joined = false
+	c.current = (c.current + 1) % len(controllers)
+	backoff = c.options.Least << min(failures/len(controllers), maxBackoffShift)
+	backoff = min(backoff, c.options.Most)
+	return time.Duration(float64(backoff) * (minJitter + c.random()))
+}
+
+// pollRequest is what a poll sends.
+type pollRequest struct {
+	controller string // base URL
+	proxyURL   string
+	tag        string // of the tables that the controller sent last; "" for a snapshot
+	offer      []byte // tables of another controller that this one may go on from; nil for none
+}
+
+// poll sends one poll to the current controller and applies the response.
+func (c *Client) poll(ctx context.Context) error {
+	poll, err := c.newPollRequest()
 	if err != nil {
 		return err
 	}
-	target := base + "/tables?zone=" + url.QueryEscape(c.options.Zone)
-	if c.options.Rate > 0 {
-		target += "&rate=" + strconv.FormatFloat(c.options.Rate, 'g', -1, 64)
-	}
-	limit, cancel := context.WithTimeout(ctx, c.options.Wait+10*time.Second)
+	timeout, cancel := context.WithTimeout(ctx, c.options.Wait+pollGrace)
 	defer cancel()
-	method, sent := http.MethodGet, io.Reader(nil)
-	if offer != nil {
-		method, sent = http.MethodPost, bytes.NewReader(offer)
+	request, err := c.httpRequest(timeout, poll)
+	if err != nil {
+		return err
 	}
-	q, err := http.NewRequestWithContext(limit, method, target, sent)
+	response, err := c.options.HTTP.Do(request)
 	if err != nil {
 		return err
 	}
-	if offer != nil {
-		q.Header.Set("Content-Type", "application/json")
+	defer closeBody(response)
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	if err != nil {
+		return fmt.Errorf("reading the answer: %w", err)
+	}
+	return c.takeResponse(poll, response, body)
+}
+
+func (c *Client) newPollRequest() (*pollRequest, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	poll := &pollRequest{controller: c.options.Stewards[c.current], proxyURL: c.proxyURL()}
+	if c.tables.source == poll.controller {
+		poll.tag = c.tables.tag
 	}
-	q.Header.Set("Prefer", "wait="+strconv.Itoa(int(c.options.Wait.Seconds())))
-	q.Header.Set("A-IM", "merge-patch")
-	if tag != "" {
-		q.Header.Set("If-None-Match", tag)
+	var err error
+	poll.offer, err = c.tableOffer(poll.controller)
+	return poll, err
+}
+
+// tableOffer returns the applied tables for a controller that did not send them, nil if there is nothing to offer. The
+// caller holds the lock.
+func (c *Client) tableOffer(controller string) ([]byte, error) {
+	hasTables := c.tables.document != nil && c.tables.tag != ""
+	if !c.options.Offer || !hasTables || c.tables.source == controller {
+		return nil, nil
 	}
-	r, err := c.options.HTTP.Do(q)
+	var document map[string]json.RawMessage
+	if err := json.Unmarshal(c.tables.document, &document); err != nil {
+		return nil, fmt.Errorf("offering what is held: %w", err)
+	}
+	tag, err := json.Marshal(unquoted(c.tables.tag))
 	if err != nil {
-		return err
+		return nil, fmt.Errorf("offering what is held: %w", err)
 	}
-	defer r.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxResponseBytes))
+	document["tag"] = tag
+	return json.Marshal(document)
+}
+
+// unquoted returns an entity tag without its quotes.
+func unquoted(tag string) string { return strings.Trim(tag, `"`) }
+
+func (c *Client) httpRequest(ctx context.Context, poll *pollRequest) (*http.Request, error) {
+	target := poll.proxyURL + "/tables?zone=" + url.QueryEscape(c.options.Zone)
+	if c.options.Rate > 0 {
+		target += "&rate=" + strconv.FormatFloat(c.options.Rate, 'g', -1, 64)
+	}
+	method := http.MethodGet
+	var body io.Reader
+	if poll.offer != nil {
+		method = http.MethodPost
+		body = bytes.NewReader(poll.offer)
+	}
+	request, err := http.NewRequestWithContext(ctx, method, target, body)
 	if err != nil {
-		return fmt.Errorf("reading the answer: %w", err)
+		return nil, err
+	}
+	if poll.offer != nil {
+		request.Header.Set("Content-Type", "application/json")
 	}
+	request.Header.Set("Prefer", "wait="+strconv.Itoa(int(c.options.Wait.Seconds())))
+	request.Header.Set("A-IM", deltaFormat)
+	if poll.tag != "" {
+		request.Header.Set("If-None-Match", poll.tag)
+	}
+	return request, nil
+}
+
+// takeResponse applies the response to a poll.
+func (c *Client) takeResponse(poll *pollRequest, response *http.Response, body []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	check := c.signatureCheck(r.Header.Get("ETag"), r.Header.Get(tablesig.Field))
-	switch r.StatusCode {
-	case http.StatusOK:
-		err = c.tables.setSnapshot(steward, r.Header.Get("ETag"), body, check)
-	case http.StatusIMUsed:
-		if im := r.Header.Get("IM"); !strings.EqualFold(im, "merge-patch") {
-			err = fmt.Errorf("the manipulation %q is not known", im)
-		} else {
-			if offer != nil {
-				c.tables.source = steward // it goes on from what was offered, or the base does not fit
-			}
-			err = c.tables.applyDelta(steward, r.Header.Get("Delta-Base"), r.Header.Get("ETag"), body, check)
-		}
-	case http.StatusNotModified:
-		if offer != nil {
-			c.tables.source = steward
-		}
+	switch response.StatusCode {
+	case http.StatusOK, http.StatusIMUsed, http.StatusNotModified:
 	default:
-		return fmt.Errorf("the steward answered %s: %.200s", r.Status, body)
+		return fmt.Errorf("the steward answered %s: %.200s", response.Status, body)
 	}
-	if err != nil {
-		c.tables.tag = "" // ask for the whole
+	if err := c.applyTables(poll, response, body); err != nil {
+		c.tables.tag = "" // the next poll asks for a snapshot
 		return err
 	}
-	c.newestTag = strings.Trim(c.tables.tag, `"`)
-	if c.options.Applied != nil && c.tables.tag != tag {
-		c.options.Applied(strings.Trim(c.tables.tag, `"`))
+	c.newestTag = unquoted(c.tables.tag)
+	if c.options.Applied != nil && c.tables.tag != poll.tag {
+		c.options.Applied(c.newestTag)
 	}
 	if !c.joined {
 		c.joined = true
-		c.options.Log("joined steward " + steward)
+		c.options.Log("joined steward " + poll.controller)
+	}
+	return nil
+}
+
+// applyTables applies the snapshot or the delta of a response. The caller holds the lock.
+func (c *Client) applyTables(poll *pollRequest, response *http.Response, body []byte) error {
+	header := response.Header
+	tag := header.Get("ETag")
+	check := c.signatureCheck(tag, header.Get(tablesig.Field))
+	if response.StatusCode == http.StatusOK {
+		return c.tables.setSnapshot(poll.controller, tag, body, check)
+	}
+	manipulation := header.Get("IM")
+	if response.StatusCode == http.StatusIMUsed && !strings.EqualFold(manipulation, deltaFormat) {
+		return fmt.Errorf("the manipulation %q is not known", manipulation)
+	}
+	if poll.offer != nil {
+		// The controller goes on from the tables that were offered; if it does not, the delta's base does not match.
+		c.tables.source = poll.controller
+	}
+	if response.StatusCode == http.StatusIMUsed {
+		return c.tables.applyDelta(poll.controller, header.Get("Delta-Base"), tag, body, check)
 	}
 	return nil
 }
 
-// signatureCheck refuses tables that are not signed by one's own steward, or older than what was taken before.
-func (c *Client) signatureCheck(tag, field string) func(doc []byte) error {
-	return func(doc []byte) error {
+// signatureCheck returns a check that rejects tables without an accepted signature, and tables that are older than the
+// last ones.
+func (c *Client) signatureCheck(tag, signature string) documentCheck {
+	return func(document []byte) error {
 		if c.options.Signed == nil {
 			return nil
 		}
-		tag := strings.Trim(tag, `"`)
-		if newer, same := tablesig.Newer(tag, c.newestTag); same && !newer && tag != c.newestTag {
-			return fmt.Errorf("the table %s is older than %s", tag, c.newestTag)
+		version := unquoted(tag)
+		isNewer, sameIncarnation := tablesig.Newer(version, c.newestTag)
+		if sameIncarnation && !isNewer && version != c.newestTag {
+			return fmt.Errorf("the table %s is older than %s", version, c.newestTag)
 		}
-		return tablesig.Check(field, c.options.Proxy, tag, doc, c.options.Now(), c.options.Signed)
-	}
-}
-
-// tableOffer is what is held, for a steward that did not give it; nil where there is nothing to offer. The caller holds the lock.
-func (c *Client) tableOffer(steward string) ([]byte, error) {
-	if !c.options.Offer || c.tables.document == nil || c.tables.tag == "" || c.tables.source == steward {
-		return nil, nil
-	}
-	var doc map[string]json.RawMessage
-	if err := json.Unmarshal(c.tables.document, &doc); err != nil {
-		return nil, fmt.Errorf("offering what is held: %w", err)
+		return tablesig.Check(signature, c.options.Proxy, version, document, c.options.Now(), c.options.Signed)
 	}
-	tag, _ := json.Marshal(strings.Trim(c.tables.tag, `"`))
-	doc["tag"] = tag
-	return json.Marshal(doc)
 }
--- a/client/request_stats.go
+++ b/client/request_stats.go
@@ -8,131 +8,150 @@
 	"barleysail/routing"
 )
 
-// requestStats are what a proxy met since it last sent them.
+// requestStats counts attempts and demand since the last report.
 type requestStats struct {
 	windowStart     time.Time
 	hosts           map[string]*hostStats
 	demand          map[string]*classDemand
-	spareHistograms []*intake.LatencyHistogram // empty ones, to be used again
-}
-
-// histogram gives an empty one.
-func (s *requestStats) histogram() *intake.LatencyHistogram {
-	if n := len(s.spareHistograms); n > 0 {
-		t := s.spareHistograms[n-1]
-		s.spareHistograms = s.spareHistograms[:n-1]
-		return t
-	}
-	return intake.NewLatencyHistogram()
+	spareHistograms []*intake.LatencyHistogram // empty ones, to be reused
 }
 
+// hostStats are the attempts at one host. The exported fields are the wire format; those of a mean or a window are set
+// when the report is made.
 type hostStats struct {
-	Tries      int          `json:"tries"`
-	Failed     int          `json:"failed"`
-	Mean       float64      `json:"mean"`
-	Span       float64      `json:"span"`
-	Load       *loadStats   `json:"load,omitempty"`
-	Times      [][2]float64 `json:"times,omitempty"` // ms and count
-	latencySum time.Duration
+	Tries  int          `json:"tries"`
+	Failed int          `json:"failed"`
+	Mean   float64      `json:"mean"` // latency of the successful attempts, ms
+	Span   float64      `json:"span"` // length of the window, ms
+	Load   *loadStats   `json:"load,omitempty"`
+	Times  [][2]float64 `json:"times,omitempty"` // latency histogram: ms and count of each bucket
+
+	latencySum time.Duration // of the successful attempts
 	histogram  *intake.LatencyHistogram
-	lastLoad   routing.HostLoad
+	lastLoad   routing.HostLoad // that the host reported last
 }
 
+// loadStats is the wire format of a host's load; a missing metric was not reported.
 type loadStats struct {
-	Util  *float64 `json:"util,omitempty"`
-	Rate  *float64 `json:"rate,omitempty"`
-	Queue *float64 `json:"queue,omitempty"`
+	Util  *float64 `json:"util,omitempty"`  // utilization
+	Rate  *float64 `json:"rate,omitempty"`  // requests per second
+	Queue *float64 `json:"queue,omitempty"` // queued requests
 }
 
+// classDemand is the demand for one request class, and its wire format.
 type classDemand struct {
-	Came       int     `json:"came"`
-	Unanswered int     `json:"unanswered"`
-	Span       float64 `json:"span"`
+	Came       int     `json:"came"`       // requests that arrived
+	Unanswered int     `json:"unanswered"` // requests that got no good answer
+	Span       float64 `json:"span"`       // length of the window, ms
 }
 
-// statsReport is the document that is sent, numbered so that a repeat is counted once.
-type statsReport struct {
-	Sender string                  `json:"sender"`
-	Number int64                   `json:"number"`
-	At     float64                 `json:"at"` // ms on our clock
-	Hosts  map[string]*hostStats   `json:"hosts"`
-	Usage  map[string]*classDemand `json:"usage"`
-}
+// milliseconds returns a duration in ms with its fraction.
+func milliseconds(duration time.Duration) float64 { return duration.Seconds() * 1000 }
 
+// reset begins a new window.
 func (s *requestStats) reset(now time.Time) {
-	*s = requestStats{windowStart: now, hosts: map[string]*hostStats{}, demand: map[string]*classDemand{}, spareHistograms: s.spareHistograms}
+	s.windowStart = now
+	s.hosts = map[string]*hostStats{}
+	s.demand = map[string]*classDemand{}
 }
 
 func (s *requestStats) classDemand(class string) *classDemand {
-	u := s.demand[class]
-	if u == nil {
-		u = &classDemand{}
-		s.demand[class] = u
+	demand := s.demand[class]
+	if demand == nil {
+		demand = &classDemand{}
+		s.demand[class] = demand
+	}
+	return demand
+}
+
+func (s *requestStats) hostStats(host string) *hostStats {
+	stats := s.hosts[host]
+	if stats == nil {
+		stats = &hostStats{lastLoad: routing.UnknownLoad, histogram: s.emptyHistogram()}
+		s.hosts[host] = stats
+	}
+	return stats
+}
+
+func (s *requestStats) emptyHistogram() *intake.LatencyHistogram {
+	count := len(s.spareHistograms)
+	if count == 0 {
+		return intake.NewLatencyHistogram()
 	}
-	return u
+	spare := s.spareHistograms[count-1]
+	s.spareHistograms = s.spareHistograms[:count-1]
+	return spare
 }
 
 func (s *requestStats) countArrival(class string) { s.classDemand(class).Came++ }
 
-// countUnanswered counts a transaction without an answer, which came in this span or in the one before.
+// countUnanswered counts a request without a good answer. One that arrived in the window before is counted in this
+// window, unless that would make more unanswered requests than arrived.
 func (s *requestStats) countUnanswered(class string) {
-	if u := s.classDemand(class); u.Unanswered < u.Came {
-		u.Unanswered++
+	demand := s.classDemand(class)
+	if demand.Unanswered < demand.Came {
+		demand.Unanswered++
 	}
 }
 
-func (s *requestStats) countAttempt(host string, r Try, took time.Duration) {
-	h := s.hosts[host]
-	if h == nil {
-		h = &hostStats{lastLoad: routing.UnknownLoad, histogram: s.histogram()}
-		s.hosts[host] = h
-	}
-	h.Tries++
-	if r.Result == Fulfilled {
-		h.latencySum += took
-		h.histogram.Observe(took.Seconds() * 1000)
+func (s *requestStats) countAttempt(host string, outcome Try, latency time.Duration) {
+	stats := s.hostStats(host)
+	stats.Tries++
+	if outcome.Result == Fulfilled {
+		stats.latencySum += latency
+		stats.histogram.Observe(milliseconds(latency))
 	} else {
-		h.Failed++
+		stats.Failed++
 	}
-	if load := orca.Parse(r.Metrics); load != routing.UnknownLoad {
-		h.lastLoad = load
+	if load := orca.Parse(outcome.Metrics); load != routing.UnknownLoad {
+		stats.lastLoad = load
 	}
 }
 
-// take gives the sums of the hosts that known tells the steward knows, and begins new ones.
-func (s *requestStats) take(now time.Time, known func(host string) bool) (map[string]*hostStats, map[string]*classDemand) {
-	span := max(now.Sub(s.windowStart).Seconds()*1000, 1)
+// take returns the stats of the window, without hosts that isKnownHost does not know, and begins a new window.
+func (s *requestStats) take(
+	now time.Time, isKnownHost func(host string) bool,
+) (map[string]*hostStats, map[string]*classDemand) {
+	windowMs := max(milliseconds(now.Sub(s.windowStart)), 1)
 	hosts := map[string]*hostStats{}
-	for host, h := range s.hosts {
-		if !known(host) {
-			h.histogram.Buckets()
-			s.spareHistograms = append(s.spareHistograms, h.histogram)
-			continue
-		}
-		h.Span = span
-		if good := h.Tries - h.Failed; good > 0 {
-			h.Mean = h.latencySum.Seconds() * 1000 / float64(good)
-		}
-		for _, b := range h.histogram.Buckets() {
-			h.Times = append(h.Times, [2]float64{b.Ms, float64(b.Count)})
+	for host, stats := range s.hosts {
+		buckets := stats.histogram.Buckets()
+		s.spareHistograms = append(s.spareHistograms, stats.histogram)
+		if isKnownHost(host) {
+			stats.finish(windowMs, buckets)
+			hosts[host] = stats
 		}
-		if l := h.lastLoad; l != routing.UnknownLoad {
-			h.Load = &loadStats{optionalMetric(l.Utilization), optionalMetric(l.RequestRate), optionalMetric(l.QueueLength)}
-		}
-		hosts[host] = h
-		s.spareHistograms = append(s.spareHistograms, h.histogram)
 	}
-	usage := s.demand
-	for _, u := range usage {
-		u.Span = span
+	demand := s.demand
+	for _, class := range demand {
+		class.Span = windowMs
 	}
 	s.reset(now)
-	return hosts, usage
+	return hosts, demand
+}
+
+// finish sets the fields of the wire format that depend on the whole window.
+func (h *hostStats) finish(windowMs float64, buckets []intake.LatencyBucket) {
+	h.Span = windowMs
+	if succeeded := h.Tries - h.Failed; succeeded > 0 {
+		h.Mean = milliseconds(h.latencySum) / float64(succeeded)
+	}
+	for _, bucket := range buckets {
+		h.Times = append(h.Times, [2]float64{bucket.Ms, float64(bucket.Count)})
+	}
+	if h.lastLoad != routing.UnknownLoad {
+		h.Load = &loadStats{
+			Util:  optionalMetric(h.lastLoad.Utilization),
+			Rate:  optionalMetric(h.lastLoad.RequestRate),
+			Queue: optionalMetric(h.lastLoad.QueueLength),
+		}
+	}
 }
 
-func optionalMetric(x float64) *float64 {
-	if x < 0 {
+// optionalMetric returns nil for a metric that was not reported.
+func optionalMetric(value float64) *float64 {
+	if value < 0 {
 		return nil
 	}
-	return &x
+	return &value
 }
--- a/client/run.go
+++ b/client/run.go
@@ -10,16 +10,29 @@
 	"time"
 )
 
-// Run polls and sends sums until the context ends, and then leaves the steward.
+// leaveTimeout bounds the request that tells the controller that the proxy leaves.
+const leaveTimeout = time.Second
+
+// errNoController is returned by Run without controllers in the options.
+var errNoController = errors.New("running a client: it has no steward")
+
+// Run polls the controllers and sends request stats until the context ends, and then tells the controller that the
+// proxy leaves. It returns the context's error.
 func (c *Client) Run(ctx context.Context) error {
 	if len(c.options.Stewards) == 0 {
-		return errors.New("running a client: it has no steward")
+		return errNoController
 	}
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); c.pollControllers(ctx) }()
-	go func() { defer both.Done(); c.sendStats(ctx) }()
-	both.Wait()
+	var workers sync.WaitGroup
+	workers.Add(2)
+	go func() {
+		defer workers.Done()
+		c.pollControllers(ctx)
+	}()
+	go func() {
+		defer workers.Done()
+		c.sendStats(ctx)
+	}()
+	workers.Wait()
 	c.leave()
 	if c.ownsHTTP {
 		c.options.HTTP.CloseIdleConnections()
@@ -27,25 +40,34 @@
 	return ctx.Err()
 }
 
+// proxyURL returns the URL of this proxy at the controller that is polled. The caller holds the lock.
 func (c *Client) proxyURL() string {
-	return strings.TrimRight(c.options.Stewards[c.current], "/") + "/v1/proxies/" + url.PathEscape(c.options.Proxy)
+	controllerURL := strings.TrimRight(c.options.Stewards[c.current], "/")
+	return controllerURL + "/v1/proxies/" + url.PathEscape(c.options.Proxy)
 }
 
-// leave tells the steward that the proxy ends.
+// leave tells the controller that the proxy ends. A failure is no error: the controller then forgets the proxy later,
+// as it no longer polls.
 func (c *Client) leave() {
 	c.mu.Lock()
-	target, joined := c.proxyURL(), c.joined
+	target := c.proxyURL()
+	joined := c.joined
 	c.mu.Unlock()
 	if !joined {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(ctx, http.MethodDelete, target, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, target, nil)
 	if err != nil {
 		return
 	}
-	if r, err := c.options.HTTP.Do(q); err == nil {
-		r.Body.Close()
+	response, err := c.options.HTTP.Do(request)
+	if err != nil {
+		return
 	}
+	closeBody(response)
 }
+
+// closeBody closes a response body. The error is dropped: what was needed of the body has been read.
+func closeBody(response *http.Response) { _ = response.Body.Close() }
--- a/client/stats_sender.go
+++ b/client/stats_sender.go
@@ -10,46 +10,102 @@
 	"time"
 )
 
-// sendStats sends what was met, each period. A report that got no answer is sent again, under its number, before
-// the next one; what was met meanwhile adds up.
+const (
+	statsTimeout      = 5 * time.Second // of one report of request stats
+	maxStatsRetries   = 3               // of one report; then it is dropped
+	maxRejectionBytes = 4096            // of the response to a rejected report, which is logged
+)
+
+// statsReport is the wire format of the request stats. The sequence number lets the controller count a report once that
+// arrives twice.
+type statsReport struct {
+	Sender string                  `json:"sender"`
+	Number int64                   `json:"number"`
+	At     float64                 `json:"at"` // instant in ms of the proxy's clock
+	Hosts  map[string]*hostStats   `json:"hosts"`
+	Usage  map[string]*classDemand `json:"usage"`
+}
+
+// statsSender sends the request stats of a client, one report after the other.
+type statsSender struct {
+	client   *Client
+	sequence int64  // of the newest report
+	pending  []byte // report without a response yet; nil for none
+	retries  int    // of the pending report
+}
+
+// sendStats sends request stats each period until the context ends.
 func (c *Client) sendStats(ctx context.Context) {
-	tick := time.NewTicker(c.options.Period)
-	defer tick.Stop()
-	number, body, again := int64(0), []byte(nil), 0
+	sender := &statsSender{client: c}
+	ticker := time.NewTicker(c.options.Period)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
-		}
-		c.mu.Lock()
-		if !c.joined {
-			c.stats.reset(c.options.Now()) // nobody to tell: old figures would mislead the next steward
-			body = nil
-			c.mu.Unlock()
-			continue
-		}
-		target := c.proxyURL() + "/sums"
-		if body == nil {
-			number++
-			hosts, usage := c.stats.take(c.options.Now(), c.isKnownHost)
-			body, _ = json.Marshal(statsReport{c.sender, number, float64(c.options.Now().UnixMicro()) / 1000, hosts, usage})
-			again = 0
+		case <-ticker.C:
+			sender.send(ctx)
 		}
-		c.mu.Unlock()
-		if done := c.post(ctx, target, body); done || again >= 3 {
-			body = nil
-		} else {
-			again++
+	}
+}
+
+// send sends the pending report again, or else a new one. What is counted meanwhile goes into the next report.
+func (s *statsSender) send(ctx context.Context) {
+	target, ok := s.prepare()
+	if !ok {
+		return
+	}
+	if s.client.post(ctx, target, s.pending) || s.retries >= maxStatsRetries {
+		s.pending = nil
+		return
+	}
+	s.retries++
+}
+
+// prepare makes a report where none is pending, and returns the URL to send it to. Without a controller it drops all
+// stats: old ones would mislead the next controller.
+func (s *statsSender) prepare() (target string, ok bool) {
+	c := s.client
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.joined {
+		c.stats.reset(c.options.Now())
+		s.pending = nil
+		return "", false
+	}
+	if s.pending == nil {
+		if err := s.newReport(); err != nil {
+			c.options.Log(fmt.Sprintf("request stats are dropped: %v", err))
+			return "", false
 		}
 	}
+	return c.proxyURL() + "/sums", true
+}
+
+// newReport makes the pending report of the client's request stats. The caller holds the client's lock.
+func (s *statsSender) newReport() error {
+	c := s.client
+	s.sequence++
+	s.retries = 0
+	hosts, demand := c.stats.take(c.options.Now(), c.isKnownHost)
+	report := statsReport{
+		Sender: c.sender,
+		Number: s.sequence,
+		At:     float64(c.options.Now().UnixMicro()) / 1000,
+		Hosts:  hosts,
+		Usage:  demand,
+	}
+	var err error
+	s.pending, err = json.Marshal(report)
+	return err
 }
 
-// isKnownHost tells whether the steward named a host to us; it refuses sums of others. The caller holds the lock.
-func (c *Client) isKnownHost(host string) bool {
-	for _, t := range c.tables.tables {
-		for _, h := range t.Hosts {
-			if h.Address == host {
+// isKnownHost reports whether a table names the host; the controller rejects stats of others. The caller holds the
+// lock.
+func (c *Client) isKnownHost(address string) bool {
+	for _, table := range c.tables.byClass {
+		for _, host := range table.Hosts {
+			if host.Address == address {
 				return true
 			}
 		}
@@ -57,26 +113,28 @@
 	return false
 }
 
-// post tells whether the steward answered, be it with a refusal; one that says it is too much now asks for it again.
-func (c *Client) post(ctx context.Context, target string, body []byte) bool {
-	limit, cancel := context.WithTimeout(ctx, 5*time.Second)
+// post sends a report and reports whether it is settled: taken, or rejected for good. It is not after a network
+// error, a server error, or a 429 of a controller that sheds load.
+func (c *Client) post(ctx context.Context, target string, body []byte) (settled bool) {
+	timeout, cancel := context.WithTimeout(ctx, statsTimeout)
 	defer cancel()
-	q, err := http.NewRequestWithContext(limit, http.MethodPost, target, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(timeout, http.MethodPost, target, bytes.NewReader(body))
 	if err != nil {
-		return true
+		return true // the URL is wrong, which another attempt does not change
 	}
-	q.Header.Set("Content-Type", "application/json")
-	r, err := c.options.HTTP.Do(q)
+	request.Header.Set("Content-Type", "application/json")
+	response, err := c.options.HTTP.Do(request)
 	if err != nil {
 		return false
 	}
-	answer, _ := io.ReadAll(io.LimitReader(r.Body, 4096))
-	r.Body.Close()
-	if r.StatusCode == http.StatusTooManyRequests {
+	defer closeBody(response)
+	// An error is dropped: the text is only logged, and the status decides.
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxRejectionBytes))
+	if response.StatusCode == http.StatusTooManyRequests {
 		return false
 	}
-	if r.StatusCode >= 400 && r.StatusCode < 500 {
-		c.options.Log(fmt.Sprintf("the steward refused sums: %s: %s", r.Status, bytes.TrimSpace(answer)))
+	if response.StatusCode >= http.StatusBadRequest && response.StatusCode < http.StatusInternalServerError {
+		c.options.Log(fmt.Sprintf("the steward refused sums: %s: %s", response.Status, bytes.TrimSpace(text)))
 	}
-	return r.StatusCode < 500
+	return response.StatusCode < http.StatusInternalServerError
 }
--- a/client/tables.go
+++ b/client/tables.go
@@ -2,133 +2,139 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"maps"
 	"math"
 	"sort"
 
 	jsonpatch "github.com/evanphx/json-patch/v5"
 )
 
-// Table is what a steward ordered for a class of transactions.
+// Table is the routing table of a request class.
 type Table struct {
-	Hosts   []Host  // with a weight above 0, by address
-	Ordered bool    // the steward has told hosts, be it none
-	Share   float64 // of the transactions that may be let in; 1 or more: all
-	Tries   int     // 0: no further try; 1: one, after proof that the first never ran; 2, 3: one, two after any failure
+	Hosts   []Host  // with a weight above 0, sorted by address
+	Ordered bool    // the controller has sent hosts, be it none
+	Share   float64 // part of the requests that may be admitted; 1 or more: all
+	Tries   int     // retries. 0: none; 1: one, after NeverRan; 2, 3: one, two after any failure
 }
 
-// Host is a line of a table.
+// Host is an entry of a Table.
 type Host struct {
 	Address string
 	Weight  float64
 }
 
-// appliedTables is what the proxy goes by: the document of one steward, its tag, and the tables taken from it.
+// appliedTables are the tables by which the proxy routes, with the document they come from.
 type appliedTables struct {
-	source   string // whose document it is
-	tag      string // with quotes
-	document []byte
-	tables   map[string]Table
+	source   string // base URL of the controller that sent the document
+	tag      string // entity tag of the document, with quotes; "" if the next poll is to get a snapshot
+	document []byte // JSON
+	byClass  map[string]Table
 }
 
-// tablesDocument is the steward's answer. A class without hosts was not ordered: what is held for it stays.
+// tablesDocument is the wire format of a snapshot.
 type tablesDocument struct {
-	Tables map[string]struct {
-		Hosts map[string]float64 `json:"hosts"`
-		Share *float64           `json:"share"`
-		Tries *int               `json:"tries"`
-	} `json:"tables"`
+	Tables map[string]classDocument `json:"tables"`
 }
 
-// setSnapshot takes a whole document in. On an error nothing changes.
-func (h *appliedTables) setSnapshot(steward, tag string, body []byte, check func(doc []byte) error) error {
-	if err := check(body); err != nil {
-		return err
-	}
-	tables, err := h.parse(body)
-	if err != nil {
-		return err
-	}
-	*h = appliedTables{steward, tag, append([]byte(nil), body...), tables}
-	return nil
+// classDocument is the wire format of one table. Without hosts, the ones that are applied stay.
+type classDocument struct {
+	Hosts map[string]float64 `json:"hosts"`
+	Share *float64           `json:"share"`
+	Tries *int               `json:"tries"`
 }
 
-// applyDelta takes a merge patch in, if it is for the document that is held: one that arrives after a newer one is
-// not. On an error nothing changes.
-func (h *appliedTables) applyDelta(steward, base, tag string, patch []byte, check func(doc []byte) error) error {
-	if h.document == nil || steward != h.source || base != h.tag {
-		return fmt.Errorf("a delta onto %s came, held is %s", base, h.tag)
+// documentCheck accepts a document before it is applied, or returns why not.
+type documentCheck func(document []byte) error
+
+// setSnapshot applies a whole document. On an error nothing changes.
+func (a *appliedTables) setSnapshot(source, tag string, document []byte, check documentCheck) error {
+	return a.apply(source, tag, append([]byte(nil), document...), check)
+}
+
+// applyDelta applies a merge patch (RFC 7396) onto the document with the tag base. A patch onto another document, as of
+// a response that was overtaken, is an error. On an error nothing changes.
+func (a *appliedTables) applyDelta(source, base, tag string, patch []byte, check documentCheck) error {
+	if a.document == nil || source != a.source || base != a.tag {
+		return fmt.Errorf("a delta onto %s came, held is %s", base, a.tag)
 	}
-	doc, err := jsonpatch.MergePatch(h.document, patch)
+	document, err := jsonpatch.MergePatch(a.document, patch)
 	if err != nil {
 		return fmt.Errorf("applying a delta: %w", err)
 	}
-	if err := check(doc); err != nil {
+	return a.apply(source, tag, document, check)
+}
+
+func (a *appliedTables) apply(source, tag string, document []byte, check documentCheck) error {
+	if err := check(document); err != nil {
 		return err
 	}
-	tables, err := h.parse(doc)
+	byClass, err := a.parse(document)
 	if err != nil {
 		return err
 	}
-	*h = appliedTables{steward, tag, doc, tables}
+	*a = appliedTables{source: source, tag: tag, document: document, byClass: byClass}
 	return nil
 }
 
-func (h *appliedTables) parse(doc []byte) (map[string]Table, error) {
-	var d tablesDocument
-	if err := json.Unmarshal(doc, &d); err != nil {
+// parse returns the tables of a document, over those that are applied. Classes that the document lacks stay.
+func (a *appliedTables) parse(document []byte) (map[string]Table, error) {
+	var parsed tablesDocument
+	if err := json.Unmarshal(document, &parsed); err != nil {
 		return nil, fmt.Errorf("reading tables: %w", err)
 	}
-	if d.Tables == nil {
-		return nil, fmt.Errorf(`reading tables: "tables" is missing`)
+	if parsed.Tables == nil {
+		return nil, errors.New(`reading tables: "tables" is missing`)
 	}
-	tables := map[string]Table{}
-	for class, t := range h.tables {
-		tables[class] = t
+	byClass := maps.Clone(a.byClass)
+	if byClass == nil {
+		byClass = map[string]Table{}
 	}
-	for class, t := range d.Tables {
-		now := Table{Hosts: tables[class].Hosts, Ordered: tables[class].Ordered, Share: 1, Tries: 1}
-		if t.Share != nil {
-			now.Share = *t.Share
-		}
-		if t.Tries != nil {
-			now.Tries = *t.Tries
-		}
-		if t.Hosts != nil {
-			now.Hosts, now.Ordered = nil, true
-			for address, weight := range t.Hosts {
-				if !(weight > 0) || math.IsInf(weight, 0) {
-					return nil, fmt.Errorf("reading tables: %s has the weight %g", address, weight)
-				}
-				now.Hosts = append(now.Hosts, Host{address, weight})
-			}
-			sort.Slice(now.Hosts, func(i, j int) bool { return now.Hosts[i].Address < now.Hosts[j].Address })
+	for class, received := range parsed.Tables {
+		table, err := received.table(class, byClass[class])
+		if err != nil {
+			return nil, fmt.Errorf("reading tables: %w", err)
 		}
-		if !(now.Share >= 0) || now.Tries < 0 || now.Tries > 3 {
-			return nil, fmt.Errorf("reading tables: %s has the share %g and tries %d", class, now.Share, now.Tries)
-		}
-		tables[class] = now
+		byClass[class] = table
 	}
-	return tables, nil
+	return byClass, nil
 }
 
-// pick draws a host by weight, x from 0 to 1 giving the draw, none for which out tells so.
-func (t Table) pick(x float64, out func(address string) bool) (string, bool) {
-	total := 0.0
-	for _, h := range t.Hosts {
-		if !out(h.Address) {
-			total += h.Weight
-		}
+// table returns the table of a class, given the one that is applied.
+func (d *classDocument) table(class string, applied Table) (Table, error) {
+	table := Table{Hosts: applied.Hosts, Ordered: applied.Ordered, Share: 1, Tries: retryNeverRan}
+	if d.Share != nil {
+		table.Share = *d.Share
 	}
-	last, found := "", false
-	for _, h := range t.Hosts {
-		if out(h.Address) {
-			continue
+	if d.Tries != nil {
+		table.Tries = *d.Tries
+	}
+	if d.Hosts != nil {
+		hosts, err := sortedHosts(d.Hosts)
+		if err != nil {
+			return Table{}, err
 		}
-		if last, found = h.Address, true; x*total < h.Weight {
-			break
+		table.Hosts = hosts
+		table.Ordered = true
+	}
+	isValid := table.Share >= 0 && table.Tries >= noRetry && table.Tries <= retryTwice
+	if !isValid {
+		return Table{}, fmt.Errorf("%s has the share %g and tries %d", class, table.Share, table.Tries)
+	}
+	return table, nil
+}
+
+// sortedHosts returns hosts in the order of their addresses. All weights must be positive and finite.
+func sortedHosts(weights map[string]float64) ([]Host, error) {
+	var hosts []Host
+	for address, weight := range weights {
+		isValid := weight > 0 && !math.IsInf(weight, 0)
+		if !isValid {
+			return nil, fmt.Errorf("%s has the weight %g", address, weight)
 		}
-		x -= h.Weight / total
+		hosts = append(hosts, Host{Address: address, Weight: weight})
 	}
-	return last, found
+	sort.Slice(hosts, func(i, j int) bool { return hosts[i].Address < hosts[j].Address })
+	return hosts, nil
 }
--- a/client/tables_test.go
+++ b/client/tables_test.go
@@ -16,7 +16,7 @@
 	var h appliedTables
 	var now strings.Builder
 	say := func(what string, err error) {
-		fmt.Fprintf(&now, "%s: %v; held %s, sheet %v, finish %v\n", what, err, h.tag, h.tables["sheet"], h.tables["finish"])
+		fmt.Fprintf(&now, "%s: %v; held %s, sheet %v, finish %v\n", what, err, h.tag, h.byClass["sheet"], h.byClass["finish"])
 	}
 	say("a delta first", h.applyDelta("s", `"1"`, `"2"`, []byte(`{"tables":{}}`), unchecked))
 	say("the whole", h.setSnapshot("s", `"1"`, []byte(doc), unchecked))
--- a/client/transaction.go
+++ b/client/transaction.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// Result of a try.
+// Result of an attempt.
 type Result int
 
-// A try was fulfilled; it failed and may have run; or it failed with proof that it never ran, such as a
-// connection refused or an answer that says so.
 const (
+	// Fulfilled is an attempt with a good answer.
 	Fulfilled Result = iota
+	// Failed is an attempt that failed and may have been executed.
 	Failed
+	// NeverRan is an attempt that provably was not executed: the connection was refused, or the answer says so.
 	NeverRan
 )
 
-// Try is what became of a try. Metrics is the value of the answer's field endpoint-load-metrics, if it had one.
+// Try is the outcome of one attempt.
 type Try struct {
 	Result  Result
-	Metrics string
-	Err     error
+	Metrics string // value of the response header endpoint-load-metrics (ORCA); "" without one
+	Err     error  // why the attempt failed; may be nil
 }
 
-// Transaction is what became of one, with its tries in order.
+// Transaction is the outcome of one request.
 type Transaction struct {
-	Class     string
-	Came      time.Time
-	LetIn     bool
-	Tries     []Attempt
+	Class     string    // request class
+	Came      time.Time // instant of arrival
+	LetIn     bool      // admitted by the table's share
+	Tries     []Attempt // in order
 	Fulfilled bool
 }
 
-// Attempt is a try with its host and times.
+// Attempt is one attempt of a Transaction.
 type Attempt struct {
 	Host   string
 	Began  time.Time
@@ -42,94 +43,103 @@
 	Result Result
 }
 
-// ErrNotLetIn tells that the level of the class kept a transaction out, ErrNoHost that no host is left to try.
+// Values of Table.Tries: the retry policy of a request class.
+const (
+	noRetry       = 0
+	retryNeverRan = 1 // one retry, after NeverRan
+	retryOnce     = 2 // one retry, after any failure
+	retryTwice    = 3 // two retries, after any failure
+)
+
 var (
+	// ErrNotLetIn is returned for a request that the table's share did not admit.
 	ErrNotLetIn = errors.New("not let in")
-	ErrNoHost   = errors.New("no host to pick")
+	// ErrNoHost is returned for a request for which no host is left.
+	ErrNoHost = errors.New("no host to pick")
+
+	errNoAnswer = errors.New("no good answer") // of an attempt that failed without an error
 )
 
-// Do carries a transaction out: it is let in or not by the class's level, sent to a host, and tried again at
-// another as the table says, while the context lasts. try makes one try and tells what became of it.
+// Do carries out a request of a class: it is admitted by the table's share, sent to a host by try, and retried at other
+// hosts as the table says, until the context ends. It returns ErrNotLetIn, ErrNoHost, or an error that wraps the one of
+// the last attempt.
 func (c *Client) Do(ctx context.Context, class string, try func(ctx context.Context, host string) Try) error {
 	c.mu.Lock()
-	t := c.table(class)
-	letIn := t.Share >= 1 || c.random() < t.Share
+	table := c.table(class)
+	admitted := table.Share >= 1 || c.random() < table.Share
 	c.stats.countArrival(class)
 	c.mu.Unlock()
-	x := Transaction{Class: class, Came: c.options.Now(), LetIn: letIn}
-	err := error(ErrNotLetIn)
-	if letIn {
-		err = c.attempt(ctx, class, t.Tries, &x, try)
+
+	transaction := Transaction{Class: class, Came: c.options.Now(), LetIn: admitted}
+	err := ErrNotLetIn
+	if admitted {
+		err = c.attempt(ctx, &transaction, table.Tries, try)
 	}
-	x.Fulfilled = err == nil
+	transaction.Fulfilled = err == nil
 	if c.options.Ended != nil {
-		c.options.Ended(x)
+		c.options.Ended(transaction)
 	}
 	return err
 }
 
-// attempt makes the tries of a transaction that was let in.
-func (c *Client) attempt(ctx context.Context, class string, tries int, x *Transaction,
+// attempt makes the attempts of an admitted request and appends them to the transaction.
+func (c *Client) attempt(ctx context.Context, transaction *Transaction, retryPolicy int,
 	try func(ctx context.Context, host string) Try) error {
+	class := transaction.Class
 	var tried []string
 	for {
-		c.mu.Lock()
-		host, ok := c.pick(class, tried)
-		c.mu.Unlock()
+		host, ok := c.Pick(class, tried...)
 		if !ok {
 			c.countUnanswered(class)
 			return ErrNoHost
 		}
 		began := c.options.Now()
-		r := try(ctx, host)
+		outcome := try(ctx, host)
 		took := c.options.Now().Sub(began)
-		x.Tries = append(x.Tries, Attempt{host, began, took, r.Result})
-		c.observeAttempt(host, r, took)
-		if r.Result == Fulfilled {
+		attempt := Attempt{Host: host, Began: began, Took: took, Result: outcome.Result}
+		transaction.Tries = append(transaction.Tries, attempt)
+		c.observeAttempt(host, outcome, took)
+		if outcome.Result == Fulfilled {
 			return nil
 		}
 		tried = append(tried, host)
-		if ctx.Err() != nil || !c.mayRetry(class, tries, len(tried), r.Result) {
+		if ctx.Err() != nil || !c.mayRetry(class, retryPolicy, len(tried), outcome.Result) {
 			c.countUnanswered(class)
-			if r.Err == nil {
-				r.Err = errors.New("no good answer")
+			if outcome.Err == nil {
+				outcome.Err = errNoAnswer
 			}
-			return fmt.Errorf("try %d at %s: %w", len(tried), host, r.Err)
+			return fmt.Errorf("try %d at %s: %w", len(tried), host, outcome.Err)
 		}
 	}
 }
 
-// mayRetry tells whether a further try may follow so many: as the table says, and for classes that must not run
-// twice only after proof that the try before never ran.
-func (c *Client) mayRetry(class string, tries, made int, last Result) bool {
-	most := tries
-	if tries > 1 {
-		most = tries - 1
-	}
-	if made > most {
+// mayRetry reports whether a request may be retried after so many attempts: as the retry policy says, and for a class
+// that is not idempotent only after NeverRan.
+func (c *Client) mayRetry(class string, retryPolicy, attempts int, last Result) bool {
+	if attempts > maxRetries(retryPolicy) {
 		return false
 	}
-	return last == NeverRan || tries > 1 && c.idempotent[class]
+	return last == NeverRan || retryPolicy >= retryOnce && c.idempotent[class]
 }
 
-// observeAttempt counts a try.
-func (c *Client) observeAttempt(host string, r Try, took time.Duration) {
+func maxRetries(retryPolicy int) int {
+	switch retryPolicy {
+	case noRetry:
+		return 0
+	case retryTwice:
+		return 2
+	default:
+		return 1
+	}
+}
+
+// observeAttempt counts an attempt in the request stats, and ejects a host after too many failures in a row.
+func (c *Client) observeAttempt(host string, outcome Try, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stats.countAttempt(host, r, took)
-	if c.options.Ejects == 0 {
-		return
-	}
-	s := c.ejections[host]
-	if r.Result == Fulfilled {
-		delete(c.ejections, host)
-		return
-	} else if s == nil {
-		s = &ejection{}
-		c.ejections[host] = s
-	}
-	if s.consecutiveFailures++; s.consecutiveFailures >= c.options.Ejects {
-		s.consecutiveFailures, s.until = 0, c.options.Now().Add(c.options.Shuns)
+	c.stats.countAttempt(host, outcome, took)
+	if c.options.Ejects != 0 {
+		c.updateEjection(host, outcome.Result)
 	}
 }
 
