--- a/client/picker_test.go
+++ b/client/picker_test.go
@@ -6,41 +6,62 @@
 	"time"
 )
 
-// Hosts are picked by weight; before the first tables by the standing ones; a host that fails too often in a
-// row is shunned while others are left.
-func TestPick(t *testing.T) {
-	c := made(t, Options{}, doc)
-	n := map[string]int{}
-	for range 4000 {
-		host, _ := c.Pick("sheet")
-		n[host]++
+// countPicks returns how often each host is picked.
+func countPicks(client *Client, class string, picks int) map[string]int {
+	counts := map[string]int{}
+	for range picks {
+		host, _ := client.Pick(class)
+		counts[host]++
 	}
-	if math.Abs(float64(n["b:1"])-3000) > 120 || len(n) != 2 {
-		t.Errorf("picked %v", n)
+	return counts
+}
+
+// Hosts are picked by weight, and an excluded one never.
+func TestPick(t *testing.T) {
+	client := newTestClient(t, Options{}, testDocument)
+	counts := countPicks(client, "sheet", 4000)
+	if math.Abs(float64(counts["b:1"])-3000) > 120 || len(counts) != 2 {
+		t.Errorf("picked %v", counts)
 	}
-	if _, ok := c.Pick("finish", "a:1"); ok {
-		t.Error("a host that was excluded")
+	if _, ok := client.Pick("finish", "a:1"); ok {
+		t.Error("an excluded host was picked")
 	}
+}
+
+// Before the first tables the fallback hosts are picked. A host that fails too often in a row is ejected for a while,
+// and picked only if no other one is left.
+func TestEjection(t *testing.T) {
 	now := time.Unix(0, 0)
-	c = made(t, Options{Standing: []string{"x:1", "y:1"}, Ejects: 2, Shuns: time.Second, Now: func() time.Time { return now }}, "")
+	client := newTestClient(t, Options{
+		Standing: []string{"x:1", "y:1"},
+		Ejects:   2,
+		Shuns:    time.Second,
+		Now:      func() time.Time { return now },
+	}, "")
 	for range 2 {
-		c.observeAttempt("x:1", Try{Result: Failed}, 0)
+		client.observeAttempt("x:1", Try{Result: Failed}, 0)
 	}
 	for range 50 {
-		if host, ok := c.Pick("sheet"); !ok || host != "y:1" {
-			t.Fatalf("%q picked while x:1 is shunned", host)
+		if host, ok := client.Pick("sheet"); !ok || host != "y:1" {
+			t.Fatalf("%q picked while x:1 is ejected", host)
 		}
 	}
-	if host, ok := c.Pick("sheet", "y:1"); !ok || host != "x:1" {
-		t.Errorf("%q picked where only a shunned host is left", host)
+	if host, ok := client.Pick("sheet", "y:1"); !ok || host != "x:1" {
+		t.Errorf("%q picked where only an ejected host is left", host)
 	}
 	now = now.Add(2 * time.Second)
-	n = map[string]int{}
-	for range 100 {
-		host, _ := c.Pick("sheet")
-		n[host]++
+	if counts := countPicks(client, "sheet", 100); len(counts) != 2 {
+		t.Errorf("still ejected: %v", counts)
+	}
+}
+
+// A success between failures restarts the count of failures in a row.
+func TestEjectionNeedsFailuresInARow(t *testing.T) {
+	client := newTestClient(t, Options{Standing: []string{"x:1", "y:1"}, Ejects: 2}, "")
+	for _, result := range []Result{Failed, Fulfilled, Failed} {
+		client.observeAttempt("x:1", Try{Result: result}, 0)
 	}
-	if len(n) != 2 {
-		t.Errorf("still shunned: %v", n)
+	if counts := countPicks(client, "sheet", 100); len(counts) != 2 {
+		t.Errorf("ejected: %v", counts)
 	}
 }
--- /dev/null
+++ b/client/run_test.go
@@ -0,0 +1,247 @@
+package client
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+)
+
+// testTimeout bounds a wait for the client, which takes milliseconds.
+const testTimeout = 10 * time.Second
+
+// fakeController answers a client's requests by functions and passes on what it got.
+type fakeController struct {
+	*httptest.Server
+	polls  chan *http.Request
+	offers chan string
+	stats  chan statsReport
+	left   chan struct{}
+}
+
+// newFakeController starts a controller. answerPoll answers a poll, answerStats returns the status for a report.
+func newFakeController(
+	t *testing.T, answerPoll http.HandlerFunc, answerStats func() int,
+) *fakeController {
+	t.Helper()
+	controller := &fakeController{
+		polls:  make(chan *http.Request, 100),
+		offers: make(chan string, 100),
+		stats:  make(chan statsReport, 1000),
+		left:   make(chan struct{}, 1),
+	}
+	mux := http.NewServeMux()
+	mux.HandleFunc("/v1/proxies/p/tables", func(w http.ResponseWriter, r *http.Request) {
+		offer, err := io.ReadAll(r.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		controller.offers <- string(offer)
+		controller.polls <- r
+		answerPoll(w, r)
+	})
+	mux.HandleFunc("POST /v1/proxies/p/sums", func(w http.ResponseWriter, r *http.Request) {
+		var report statsReport
+		if err := json.NewDecoder(r.Body).Decode(&report); err != nil {
+			t.Error(err)
+		}
+		controller.stats <- report
+		w.WriteHeader(answerStats())
+	})
+	mux.HandleFunc("DELETE /v1/proxies/p", func(http.ResponseWriter, *http.Request) {
+		controller.left <- struct{}{}
+	})
+	controller.Server = httptest.NewServer(mux)
+	t.Cleanup(controller.Close)
+	return controller
+}
+
+func acceptStats() int { return http.StatusNoContent }
+
+// receive waits for the next value.
+func receive[T any](t *testing.T, values <-chan T) T {
+	t.Helper()
+	select {
+	case value := <-values:
+		return value
+	case <-time.After(testTimeout):
+		t.Fatal("nothing came in time")
+		panic("unreachable")
+	}
+}
+
+// respond sends a snapshot, a delta or nothing new, with an entity tag.
+func respond(t *testing.T, w http.ResponseWriter, status int, tag, body string) {
+	w.Header().Set("ETag", tag)
+	w.WriteHeader(status)
+	if body == "" {
+		return
+	}
+	if _, err := io.WriteString(w, body); err != nil {
+		t.Error(err)
+	}
+}
+
+// holdPoll holds a poll until the client gives it up.
+func holdPoll(r *http.Request) { <-r.Context().Done() }
+
+// start runs a client and returns the tags of the tables that it applies, and a function that stops it.
+func start(t *testing.T, options Options) (client *Client, applied <-chan string, stop func()) {
+	t.Helper()
+	tags := make(chan string, 100)
+	options.Proxy = "p"
+	options.Zone = "a"
+	options.Least = time.Millisecond
+	options.Applied = func(tag string) { tags <- tag }
+	client, err := New(options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel) // before the controllers close, which wait for the polls that they hold
+	ended := make(chan error, 1)
+	go func() { ended <- client.Run(ctx) }()
+	stop = func() {
+		t.Helper()
+		cancel()
+		if err := receive(t, ended); !errors.Is(err, context.Canceled) {
+			t.Errorf("Run returned %v", err)
+		}
+	}
+	return client, tags, stop
+}
+
+// A client takes a snapshot and deltas, sends request stats again until they are accepted, and leaves at its end.
+func TestRun(t *testing.T) {
+	answerPoll := func(w http.ResponseWriter, r *http.Request) {
+		switch r.Header.Get("If-None-Match") {
+		case "":
+			respond(t, w, http.StatusOK, `"1"`, testDocument)
+		case `"1"`:
+			w.Header().Set("IM", "merge-patch")
+			w.Header().Set("Delta-Base", `"1"`)
+			respond(t, w, http.StatusIMUsed, `"2"`, `{"tables":{"sheet":{"hosts":{"b:1":null}}}}`)
+		default:
+			holdPoll(r)
+		}
+	}
+	answers := []int{http.StatusTooManyRequests, http.StatusInternalServerError}
+	answerStats := func() int {
+		if len(answers) == 0 {
+			return http.StatusNoContent
+		}
+		status := answers[0]
+		answers = answers[1:]
+		return status
+	}
+	controller := newFakeController(t, answerPoll, answerStats)
+	client, applied, stop := start(t, Options{
+		Stewards: []string{controller.URL + "/"},
+		Rate:     7.5,
+		Period:   time.Millisecond,
+		Wait:     time.Minute,
+	})
+	poll := receive(t, controller.polls)
+	if query := poll.URL.RawQuery; query != "zone=a&rate=7.5" {
+		t.Errorf("the poll has the query %q", query)
+	}
+	if prefer := poll.Header.Get("Prefer"); prefer != "wait=60" {
+		t.Errorf("the poll prefers %q", prefer)
+	}
+	for _, want := range []string{"1", "2"} {
+		if tag := receive(t, applied); tag != want {
+			t.Errorf("the tables %q were applied, want %q", tag, want)
+		}
+	}
+	if hosts := client.Tables()["sheet"].Hosts; len(hosts) != 1 || client.Steward() != controller.URL {
+		t.Errorf("hosts %v of %s", hosts, client.Steward())
+	}
+	for _, want := range []int64{1, 1, 1, 2} { // a 429, a 500, accepted, and the next one
+		if report := receive(t, controller.stats); report.Number != want || report.Sender != client.sender {
+			t.Errorf("report %d of %s, want %d", report.Number, report.Sender, want)
+		}
+	}
+	stop()
+	receive(t, controller.left)
+}
+
+// A client whose controller fails polls the next one, and offers it the tables so that it goes on with deltas.
+func TestFailOver(t *testing.T) {
+	first := newFakeController(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.Header.Get("If-None-Match") == "" {
+			respond(t, w, http.StatusOK, `"1"`, testDocument)
+			return
+		}
+		respond(t, w, http.StatusServiceUnavailable, "", "going down")
+	}, acceptStats)
+	second := newFakeController(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.Method == http.MethodPost {
+			respond(t, w, http.StatusNotModified, `"1"`, "")
+			return
+		}
+		holdPoll(r)
+	}, acceptStats)
+	logs := make(chan string, 100)
+	client, applied, stop := start(t, Options{
+		Stewards: []string{first.URL, second.URL},
+		Offer:    true,
+		Log:      func(text string) { logs <- text },
+	})
+	if tag := receive(t, applied); tag != "1" {
+		t.Errorf("the tables %q were applied", tag)
+	}
+	var offered struct {
+		Tag    string
+		Tables map[string]any
+	}
+	if err := json.Unmarshal([]byte(receive(t, second.offers)), &offered); err != nil {
+		t.Fatal(err)
+	}
+	if offered.Tag != "1" || len(offered.Tables) != 2 {
+		t.Errorf("offered %+v", offered)
+	}
+	receive(t, second.offers) // the next poll, after the response was taken
+	if client.Steward() != second.URL {
+		t.Errorf("%q is polled", client.Steward())
+	}
+	stop()
+	for _, want := range []string{"joined ", "going down", "joined "} {
+		if text := receive(t, logs); !strings.Contains(text, want) {
+			t.Errorf("logged %q, want %q", text, want)
+		}
+	}
+}
+
+// After a response that cannot be applied the next poll asks for a snapshot.
+func TestUnknownManipulation(t *testing.T) {
+	controller := newFakeController(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.Header.Get("If-None-Match") == "" {
+			respond(t, w, http.StatusOK, `"1"`, testDocument)
+			return
+		}
+		w.Header().Set("IM", "zip")
+		respond(t, w, http.StatusIMUsed, `"2"`, "{}")
+	}, acceptStats)
+	_, applied, stop := start(t, Options{Stewards: []string{controller.URL}})
+	for range 2 {
+		if tag := receive(t, applied); tag != "1" {
+			t.Errorf("the tables %q were applied", tag)
+		}
+	}
+	stop()
+}
+
+func TestRunWithoutController(t *testing.T) {
+	client, err := New(Options{Proxy: "p", Zone: "a"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := client.Run(context.Background()); !errors.Is(err, errNoController) {
+		t.Errorf("Run returned %v", err)
+	}
+}
--- a/client/transaction_test.go
+++ b/client/transaction_test.go
@@ -2,30 +2,91 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"testing"
 )
 
-// Further tries follow the table's way, and for a class that must not run twice only proof that a try never ran.
-func TestTries(t *testing.T) {
-	table := func(tries int) string {
-		return fmt.Sprintf(`{"tables":{"once":{"hosts":{"a:1":1,"b:1":1,"c:1":1,"d:1":1},"tries":%d},"safe":{"hosts":{"a:1":1,"b:1":1,"c:1":1,"d:1":1},"tries":%[1]d}}}`, tries)
-	}
-	for _, x := range []struct {
-		tries int
-		class string
-		how   Result
-		want  int
-	}{{0, "safe", NeverRan, 1}, {1, "safe", Failed, 1}, {1, "safe", NeverRan, 2}, {1, "once", NeverRan, 2}, {1, "once", Failed, 1},
-		{2, "safe", Failed, 2}, {3, "safe", Failed, 3}, {3, "once", Failed, 1}, {3, "once", NeverRan, 3}, {2, "once", Failed, 1}} {
-		c := made(t, Options{Repeats: []string{"safe"}}, table(x.tries))
-		seen := map[string]bool{}
-		err := c.Do(context.Background(), x.class, func(_ context.Context, host string) Try {
-			seen[host] = true
-			return Try{Result: x.how}
+// retryDocument has the classes "once" and "safe" with four hosts and a retry policy.
+func retryDocument(retryPolicy int) string {
+	table := fmt.Sprintf(`{"hosts":{"a:1":1,"b:1":1,"c:1":1,"d:1":1},"tries":%d}`, retryPolicy)
+	return fmt.Sprintf(`{"tables":{"once":%s,"safe":%[1]s}}`, table)
+}
+
+// Retries follow the table's policy, and a class that is not idempotent is retried only after NeverRan.
+func TestRetries(t *testing.T) {
+	for _, test := range []struct {
+		retryPolicy int
+		class       string
+		result      Result
+		want        int // attempts, each at another host
+	}{
+		{noRetry, "safe", NeverRan, 1},
+		{retryNeverRan, "safe", Failed, 1},
+		{retryNeverRan, "safe", NeverRan, 2},
+		{retryNeverRan, "once", NeverRan, 2},
+		{retryNeverRan, "once", Failed, 1},
+		{retryOnce, "safe", Failed, 2},
+		{retryTwice, "safe", Failed, 3},
+		{retryTwice, "once", Failed, 1},
+		{retryTwice, "once", NeverRan, 3},
+		{retryOnce, "once", Failed, 1},
+	} {
+		t.Run(fmt.Sprintf("policy %d of %s after result %d", test.retryPolicy, test.class, test.result), func(t *testing.T) {
+			client := newTestClient(t, Options{Repeats: []string{"safe"}}, retryDocument(test.retryPolicy))
+			hosts := map[string]bool{}
+			err := client.Do(context.Background(), test.class, func(_ context.Context, host string) Try {
+				hosts[host] = true
+				return Try{Result: test.result}
+			})
+			if len(hosts) != test.want || !errors.Is(err, errNoAnswer) {
+				t.Errorf("%d hosts, want %d, and the error %v", len(hosts), test.want, err)
+			}
 		})
-		if len(seen) != x.want || err == nil {
-			t.Errorf("tries %d of %s after %d: %d hosts, %v", x.tries, x.class, x.how, len(seen), err)
-		}
+	}
+}
+
+// The error of the last attempt is wrapped, and the recorded transaction has all attempts.
+func TestDoRecordsTransaction(t *testing.T) {
+	var recorded Transaction
+	options := Options{
+		Repeats: []string{"safe"},
+		Ended:   func(transaction Transaction) { recorded = transaction },
+	}
+	client := newTestClient(t, options, retryDocument(retryOnce))
+	errBroken := errors.New("broken")
+	err := client.Do(context.Background(), "safe", func(context.Context, string) Try {
+		return Try{Result: Failed, Err: errBroken}
+	})
+	if !errors.Is(err, errBroken) {
+		t.Errorf("the error is %v", err)
+	}
+	if !recorded.LetIn || recorded.Fulfilled || len(recorded.Tries) != 2 {
+		t.Errorf("recorded %+v", recorded)
+	}
+	err = client.Do(context.Background(), "safe", func(context.Context, string) Try { return Try{} })
+	if err != nil || !recorded.Fulfilled || len(recorded.Tries) != 1 {
+		t.Errorf("the error is %v, recorded %+v", err, recorded)
+	}
+}
+
+// A request without any host, or after whose first attempt the context has ended, is not retried.
+func TestDoWithoutHostOrContext(t *testing.T) {
+	client := newTestClient(t, Options{}, "")
+	err := client.Do(context.Background(), "safe", func(context.Context, string) Try { return Try{} })
+	if !errors.Is(err, ErrNoHost) {
+		t.Errorf("the error is %v, want ErrNoHost", err)
+	}
+
+	client = newTestClient(t, Options{Repeats: []string{"safe"}}, retryDocument(retryTwice))
+	ctx, cancel := context.WithCancel(context.Background())
+	attempts := 0
+	err = client.Do(ctx, "safe", func(context.Context, string) Try {
+		attempts++
+		cancel()
+		return Try{Result: NeverRan}
+	})
+	if err == nil || attempts != 1 {
+		t.Errorf("%d attempts, the error is %v", attempts, err)
 	}
 }
