--- a/client/client.go
+++ b/client/client.go
@@ -102,7 +102,7 @@
 	setDefaults(&o)
 	var random [senderBytes + seedBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return nil, fmt.Errorf("drawing a name for the sums: %w", err)
+		return nil, fmt.Errorf("drawing a name for request stats: %w", err)
 	}
 	client := &Client{
 		options:    o,
@@ -130,7 +130,7 @@
 		parsed, err := url.Parse(controllerURL)
 		isHTTP := err == nil && (parsed.Scheme == "http" || parsed.Scheme == "https")
 		if !isHTTP || parsed.Host == "" {
-			return fmt.Errorf("%q is no URL of a steward", controllerURL)
+			return fmt.Errorf("%q is no URL of a controller", controllerURL)
 		}
 	}
 	return nil
--- a/client/poll.go
+++ b/client/poll.go
@@ -52,7 +52,7 @@
 	defer c.mu.Unlock()
 	controllers := c.options.Stewards
 	if c.joined || failures == 0 {
-		c.options.Log(fmt.Sprintf("steward %s lost, going on by the last tables: %v", controllers[c.current], cause))
+		c.options.Log(fmt.Sprintf("controller %s lost, continuing with the last tables: %v", controllers[c.current], cause))
 	}
 	c.joined = false
 	c.current = (c.current + 1) % len(controllers)
@@ -88,7 +88,7 @@
 	defer closeBody(response)
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("reading the answer: %w", err)
+		return fmt.Errorf("reading the response: %w", err)
 	}
 	return c.takeResponse(poll, response, body)
 }
@@ -114,11 +114,11 @@
 	}
 	var document map[string]json.RawMessage
 	if err := json.Unmarshal(c.tables.document, &document); err != nil {
-		return nil, fmt.Errorf("offering what is held: %w", err)
+		return nil, fmt.Errorf("offering the applied tables: %w", err)
 	}
 	tag, err := json.Marshal(unquoted(c.tables.tag))
 	if err != nil {
-		return nil, fmt.Errorf("offering what is held: %w", err)
+		return nil, fmt.Errorf("offering the applied tables: %w", err)
 	}
 	document["tag"] = tag
 	return json.Marshal(document)
@@ -160,7 +160,7 @@
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusIMUsed, http.StatusNotModified:
 	default:
-		return fmt.Errorf("the steward answered %s: %.200s", response.Status, body)
+		return fmt.Errorf("the controller answered %s: %.200s", response.Status, body)
 	}
 	if err := c.applyTables(poll, response, body); err != nil {
 		c.tables.tag = "" // the next poll asks for a snapshot
@@ -172,7 +172,7 @@
 	}
 	if !c.joined {
 		c.joined = true
-		c.options.Log("joined steward " + poll.controller)
+		c.options.Log("joined controller " + poll.controller)
 	}
 	return nil
 }
--- a/client/run.go
+++ b/client/run.go
@@ -14,7 +14,7 @@
 const leaveTimeout = time.Second
 
 // errNoController is returned by Run without controllers in the options.
-var errNoController = errors.New("running a client: it has no steward")
+var errNoController = errors.New("running a client: it has no controller")
 
 // Run polls the controllers and sends request stats until the context ends, and then tells the controller that the
 // proxy leaves. It returns the context's error.
--- a/client/stats_sender.go
+++ b/client/stats_sender.go
@@ -75,7 +75,7 @@
 	}
 	if s.pending == nil {
 		if err := s.newReport(); err != nil {
-			c.options.Log(fmt.Sprintf("request stats are dropped: %v", err))
+			c.options.Log(fmt.Sprintf("dropped request stats: %v", err))
 			return "", false
 		}
 	}
@@ -134,7 +134,7 @@
 		return false
 	}
 	if response.StatusCode >= http.StatusBadRequest && response.StatusCode < http.StatusInternalServerError {
-		c.options.Log(fmt.Sprintf("the steward refused sums: %s: %s", response.Status, bytes.TrimSpace(text)))
+		c.options.Log(fmt.Sprintf("the controller rejected request stats: %s: %s", response.Status, bytes.TrimSpace(text)))
 	}
 	return response.StatusCode < http.StatusInternalServerError
 }
