--- a/publisher/socket_owner.go
+++ b/publisher/socket_owner.go
@@ -19,7 +19,7 @@
 type SocketOwner struct {
 	incarnation      string // of this controller
 	heartbeat        int64
-	lastMark         string // value of OwnerVariable in the last cycle
+	lastMark         string // value of OwnerVariable that was read in the last cycle
 	missedHeartbeats int    // cycles since the mark last changed
 }
 
@@ -29,21 +29,20 @@
 // Read takes the value of OwnerVariable, "" if it is not set, once a cycle. It reports whether this controller drives
 // the proxy, and the value to set the variable to, "" to leave it.
 func (o *SocketOwner) Read(mark string) (isOwner bool, newMark string) {
+	isUnchanged := mark == o.lastMark
+	o.lastMark = mark
 	incarnation, _, isMark := strings.Cut(mark, ":")
-	if isMark && incarnation == o.incarnation {
+	switch {
+	case isMark && incarnation == o.incarnation:
 		o.missedHeartbeats = 0
-		o.lastMark = mark
 		return true, o.nextMark()
-	}
-	if mark == "" {
+	case mark == "":
 		return false, o.takeOver()
-	}
-	if mark == o.lastMark {
+	case isUnchanged:
 		o.missedHeartbeats++
-	} else {
+	default:
 		o.missedHeartbeats = 0
 	}
-	o.lastMark = mark
 	if o.missedHeartbeats >= maxMissedHeartbeats {
 		return false, o.takeOver()
 	}
@@ -53,8 +52,7 @@
 // takeOver returns this controller's mark. Ownership begins only when the mark is read back in the next cycle.
 func (o *SocketOwner) takeOver() string {
 	o.missedHeartbeats = 0
-	o.lastMark = o.nextMark()
-	return o.lastMark
+	return o.nextMark()
 }
 
 // nextMark counts the heartbeat up and returns the mark with it.
--- a/publisher/socket_owner_test.go
+++ b/publisher/socket_owner_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -49,3 +50,22 @@
 	test.cycleBoth(3)
 	golden.Compare(t, "socket_owner", test.out.String())
 }
+
+// A controller whose mark was not stored counts on from the mark that still stands, and takes over once more after as
+// many cycles as before.
+func TestSocketOwnerRepeatsTakeOver(t *testing.T) {
+	owner := NewSocketOwner("A")
+	var takeOvers []int
+	for cycle := range 8 {
+		isOwner, newMark := owner.Read("B:7")
+		if isOwner {
+			t.Fatalf("cycle %d: owner by the mark of another", cycle)
+		}
+		if newMark != "" {
+			takeOvers = append(takeOvers, cycle)
+		}
+	}
+	if want := []int{3, 6}; !slices.Equal(takeOvers, want) {
+		t.Errorf("takes over in the cycles %v, want %v", takeOvers, want)
+	}
+}
