--- a/client/stats_sender.go
+++ b/client/stats_sender.go
@@ -55,7 +55,8 @@
 	if !ok {
 		return
 	}
-	if s.client.post(ctx, target, s.pending) || s.retries >= maxStatsRetries {
+	settled := s.client.post(ctx, target, s.pending)
+	if settled || s.retries >= maxStatsRetries {
 		s.pending = nil
 		return
 	}
--- a/intake/host_state.go
+++ b/intake/host_state.go
@@ -75,7 +75,7 @@
 
 // uncertainty returns how uncertain an estimate of the host's utilization is, from 0 to 1.
 func (h *hostState) uncertainty(nowMs float64, limits *Limits) float64 {
-	return math.Min((nowMs-h.trusted.atMs)/math.Max(limits.UncertainAfterMs, 1), 1)
+	return math.Min((nowMs-h.trusted.atMs)/math.Max(limits.UncertainAfterMs, minPeriodMs), 1)
 }
 
 // updateConfidence lowers the confidence after an inconsistent report and raises it after a consistent one.
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -22,6 +22,9 @@
 	StuckProbability   float64 // unchanged reports in a row less probable than this are taken as stuck
 }
 
+// minPeriodMs replaces a half-life or an uncertainty period of 0 in the limits, by which ages are divided.
+const minPeriodMs = 1
+
 // DefaultLimits returns the limits that hold where the settings give none.
 func DefaultLimits() Limits {
 	return Limits{
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -54,7 +54,7 @@
 // priority is the logarithm of the report's attempts, halved with each half-life of its age: log2(attempts + 1) + t /
 // h. Because all reports age alike, their order does not change while they are queued.
 func (q *Queue) priority(report *Report) float64 {
-	return math.Log2(float64(report.Attempts)+1) + report.ObservedMs/math.Max(q.limits.HalfLifeMs, 1)
+	return math.Log2(float64(report.Attempts)+1) + report.ObservedMs/math.Max(q.limits.HalfLifeMs, minPeriodMs)
 }
 
 // Add queues a report, and drops one where the queue is full.
@@ -204,7 +204,7 @@
 	if ageMs >= l.MaxAgeMs {
 		return 0
 	}
-	return math.Exp2(-math.Max(ageMs-l.FullWeightMs, 0) / math.Max(l.HalfLifeMs, 1))
+	return math.Exp2(-math.Max(ageMs-l.FullWeightMs, 0) / math.Max(l.HalfLifeMs, minPeriodMs))
 }
 
 // Waiting returns the number of queued reports, and of the sources that sent them.
