--- /dev/null
+++ b/client/request_stats.go
@@ -0,0 +1,157 @@
+package client
+
+import (
+	"time"
+
+	"barleysail/intake"
+	"barleysail/internal/orca"
+	"barleysail/routing"
+)
+
+// requestStats counts attempts and demand since the last report.
+type requestStats struct {
+	windowStart     time.Time
+	hosts           map[string]*hostStats
+	demand          map[string]*classDemand
+	spareHistograms []*intake.LatencyHistogram // empty ones, to be reused
+}
+
+// hostStats are the attempts at one host. The exported fields are the wire format; those of a mean or a window are set
+// when the report is made.
+type hostStats struct {
+	Tries  int          `json:"tries"`
+	Failed int          `json:"failed"`
+	Mean   float64      `json:"mean"` // latency of the successful attempts, ms
+	Span   float64      `json:"span"` // length of the window, ms
+	Load   *loadStats   `json:"load,omitempty"`
+	Times  [][2]float64 `json:"times,omitempty"` // latency histogram: ms and count of each bucket
+
+	latencySum time.Duration // of the successful attempts
+	histogram  *intake.LatencyHistogram
+	lastLoad   routing.HostLoad // that the host reported last
+}
+
+// loadStats is the wire format of a host's load; a missing metric was not reported.
+type loadStats struct {
+	Util  *float64 `json:"util,omitempty"`  // utilization
+	Rate  *float64 `json:"rate,omitempty"`  // requests per second
+	Queue *float64 `json:"queue,omitempty"` // queued requests
+}
+
+// classDemand is the demand for one request class, and its wire format.
+type classDemand struct {
+	Came       int     `json:"came"`       // requests that arrived
+	Unanswered int     `json:"unanswered"` // requests that got no good answer
+	Span       float64 `json:"span"`       // length of the window, ms
+}
+
+// milliseconds returns a duration in ms with its fraction.
+func milliseconds(duration time.Duration) float64 { return duration.Seconds() * 1000 }
+
+// reset begins a new window.
+func (s *requestStats) reset(now time.Time) {
+	s.windowStart = now
+	s.hosts = map[string]*hostStats{}
+	s.demand = map[string]*classDemand{}
+}
+
+func (s *requestStats) classDemand(class string) *classDemand {
+	demand := s.demand[class]
+	if demand == nil {
+		demand = &classDemand{}
+		s.demand[class] = demand
+	}
+	return demand
+}
+
+func (s *requestStats) hostStats(host string) *hostStats {
+	stats := s.hosts[host]
+	if stats == nil {
+		stats = &hostStats{lastLoad: routing.UnknownLoad, histogram: s.emptyHistogram()}
+		s.hosts[host] = stats
+	}
+	return stats
+}
+
+func (s *requestStats) emptyHistogram() *intake.LatencyHistogram {
+	count := len(s.spareHistograms)
+	if count == 0 {
+		return intake.NewLatencyHistogram()
+	}
+	spare := s.spareHistograms[count-1]
+	s.spareHistograms = s.spareHistograms[:count-1]
+	return spare
+}
+
+func (s *requestStats) countArrival(class string) { s.classDemand(class).Came++ }
+
+// countUnanswered counts a request without a good answer. One that arrived in the window before is counted in this
+// window, unless that would make more unanswered requests than arrived.
+func (s *requestStats) countUnanswered(class string) {
+	demand := s.classDemand(class)
+	if demand.Unanswered < demand.Came {
+		demand.Unanswered++
+	}
+}
+
+func (s *requestStats) countAttempt(host string, outcome Try, latency time.Duration) {
+	stats := s.hostStats(host)
+	stats.Tries++
+	if outcome.Result == Fulfilled {
+		stats.latencySum += latency
+		stats.histogram.Observe(milliseconds(latency))
+	} else {
+		stats.Failed++
+	}
+	if load := orca.Parse(outcome.Metrics); load != routing.UnknownLoad {
+		stats.lastLoad = load
+	}
+}
+
+// take returns the stats of the window, without hosts that isKnownHost does not know, and begins a new window.
+func (s *requestStats) take(
+	now time.Time, isKnownHost func(host string) bool,
+) (map[string]*hostStats, map[string]*classDemand) {
+	windowMs := max(milliseconds(now.Sub(s.windowStart)), 1)
+	hosts := map[string]*hostStats{}
+	for host, stats := range s.hosts {
+		buckets := stats.histogram.Buckets()
+		s.spareHistograms = append(s.spareHistograms, stats.histogram)
+		if isKnownHost(host) {
+			stats.finish(windowMs, buckets)
+			hosts[host] = stats
+		}
+	}
+	demand := s.demand
+	for _, class := range demand {
+		class.Span = windowMs
+	}
+	s.reset(now)
+	return hosts, demand
+}
+
+// finish sets the fields of the wire format that depend on the whole window.
+func (h *hostStats) finish(windowMs float64, buckets []intake.LatencyBucket) {
+	h.Span = windowMs
+	if succeeded := h.Tries - h.Failed; succeeded > 0 {
+		h.Mean = milliseconds(h.latencySum) / float64(succeeded)
+	}
+	for _, bucket := range buckets {
+		h.Times = append(h.Times, [2]float64{bucket.Ms, float64(bucket.Count)})
+	}
+	if h.lastLoad != routing.UnknownLoad {
+		h.Load = &loadStats{
+			Util:  optionalMetric(h.lastLoad.Utilization),
+			Rate:  optionalMetric(h.lastLoad.RequestRate),
+			Queue: optionalMetric(h.lastLoad.QueueLength),
+		}
+	}
+}
+
+// optionalMetric returns nil for a metric that was not reported.
+func optionalMetric(value float64) *float64 {
+	if value < 0 {
+		return nil
+	}
+	return &value
+}
