--- a/internal/statefile/bench_test.go
+++ b/internal/statefile/bench_test.go
@@ -8,72 +8,99 @@
 	"barleysail/state/statepb"
 )
 
-// full is a state of the largest deployment: 506 hosts, and 607 proxies that hold the whole table or one of two before it.
-func full(n int) *statepb.State {
-	s := &statepb.State{Life: "abcdef012345", At: float64(n * 1000), Fleet: &statepb.Fleet{Level: 1, Classes: []string{"sheet", "finish"}, Shares: []float64{1, 1}, Median: 80}}
-	for i := range 506 {
-		s.Hosts = append(s.Hosts, &statepb.Host{Name: fmt.Sprintf("10.0.%d.%03d:9000", i/250, i%250), Zone: "addis", Weight: 1 + float64((i+n)%20)/100, Rate: 4, R: 80, Won: 20, Lost: float64((i + n) % 3), Trust: 1, At: float64(n * 1000)})
+// The size of the largest deployment.
+const (
+	benchmarkHosts   = 506
+	benchmarkProxies = 607
+
+	benchmarkSnapshotBytes = 64 << 20
+	benchmarkZone          = "addis"
+)
+
+// benchmarkState is the n-th state of the largest deployment, whose proxies hold one of the last three tables.
+func benchmarkState(n int) *statepb.State {
+	atMs := float64(n * 1000)
+	s := &statepb.State{
+		Life:  "abcdef012345",
+		At:    atMs,
+		Fleet: &statepb.Fleet{Level: 1, Classes: []string{"sheet", "finish"}, Shares: []float64{1, 1}, Median: 80},
+	}
+	for i := range benchmarkHosts {
+		s.Hosts = append(s.Hosts, &statepb.Host{
+			Name:   fmt.Sprintf("10.0.%d.%03d:9000", i/250, i%250),
+			Zone:   benchmarkZone,
+			Weight: 1 + float64((i+n)%20)/100,
+			Rate:   4,
+			R:      80,
+			Won:    20,
+			Lost:   float64((i + n) % 3),
+			Trust:  1,
+			At:     atMs,
+		})
 	}
 	for k := range 3 {
-		t := &statepb.Table{Id: fmt.Sprint("t", n/5+k)}
-		for _, class := range []string{"sheet", "finish"} {
-			c := &statepb.Class{Name: class, Ordered: true, Share: 1, Tries: 1}
-			for _, h := range s.Hosts {
-				c.Hosts, c.Weights = append(c.Hosts, h.Name), append(c.Weights, h.Weight)
-			}
-			t.Classes = append(t.Classes, c)
-		}
-		s.Tables = append(s.Tables, t)
+		s.Tables = append(s.Tables, benchmarkTable(fmt.Sprint("t", n/5+k), s.Hosts, s.Fleet.Classes))
 	}
-	for i := range 607 {
-		s.Proxies = append(s.Proxies, &statepb.Proxy{Name: fmt.Sprintf("forwarder-%03d", i), Zone: "addis", Tag: fmt.Sprintf("abcdef012345-%d", 100000+i+n/5*607), Table: s.Tables[i%3].Id, Rates: []float64{2, 1}, At: float64(n * 1000)})
+	for i := range benchmarkProxies {
+		s.Proxies = append(s.Proxies, &statepb.Proxy{
+			Name:  fmt.Sprintf("forwarder-%03d", i),
+			Zone:  benchmarkZone,
+			Tag:   fmt.Sprintf("abcdef012345-%d", 100000+i+n/5*benchmarkProxies),
+			Table: s.Tables[i%3].Id,
+			Rates: []float64{2, 1},
+			At:    atMs,
+		})
 	}
 	return s
 }
 
-// BenchmarkSave writes a full-size state that changes each second to the disk, and BenchmarkLoad reads one.
-func BenchmarkSave(b *testing.B) {
-	folder, err := OpenFolder(b.TempDir())
-	if err != nil {
-		b.Fatal(err)
+func benchmarkTable(id string, hosts []*statepb.Host, classes []string) *statepb.Table {
+	table := &statepb.Table{Id: id}
+	for _, name := range classes {
+		class := &statepb.Class{Name: name, Ordered: true, Share: 1, Tries: 1}
+		for _, host := range hosts {
+			class.Hosts = append(class.Hosts, host.Name)
+			class.Weights = append(class.Weights, host.Weight)
+		}
+		table.Classes = append(table.Classes, class)
 	}
-	defer folder.Close()
-	s := NewStore(folder, &LoadResult{}, 64<<20)
-	bytes := 0
-	states := []*statepb.State{}
-	for n := range 20 {
-		states = append(states, full(n))
+	return table
+}
+
+// BenchmarkSave saves a state that changes each second to the disk.
+func BenchmarkSave(b *testing.B) {
+	folder := openTestFolder(b, b.TempDir())
+	b.Cleanup(func() { closeFolder(b, folder) })
+	store := NewStore(folder, &LoadResult{}, benchmarkSnapshotBytes)
+	states := make([]*statepb.State, 20)
+	for n := range states {
+		states[n] = benchmarkState(n)
 	}
+	mostBytes := 0
 	b.ResetTimer()
 	for n := range b.N {
-		x := states[n%20]
-		x.At = float64(n * 1000)
-		if err := s.Save(x); err != nil {
-			b.Fatal(err)
-		}
-		bytes = max(bytes, s.snapshot+s.logBytes)
+		s := states[n%len(states)]
+		s.At = float64(n * 1000)
+		mustSave(b, store, s)
+		mostBytes = max(mostBytes, store.snapshotBytes+store.logBytes)
 	}
-	b.ReportMetric(float64(bytes), "B-most")
+	b.ReportMetric(float64(mostBytes), "B-most")
 }
 
+// BenchmarkLoad loads a state from the disk and applies decay to it.
 func BenchmarkLoad(b *testing.B) {
-	folder, err := OpenFolder(b.TempDir())
-	if err != nil {
-		b.Fatal(err)
-	}
-	defer folder.Close()
-	s := NewStore(folder, &LoadResult{}, 64<<20)
+	folder := openTestFolder(b, b.TempDir())
+	b.Cleanup(func() { closeFolder(b, folder) })
+	store := NewStore(folder, &LoadResult{}, benchmarkSnapshotBytes)
 	for n := range 10 {
-		if err := s.Save(full(n)); err != nil {
-			b.Fatal(err)
-		}
+		mustSave(b, store, benchmarkState(n))
 	}
 	b.ResetTimer()
 	for range b.N {
-		f, err := Load(folder)
-		if err != nil || f.State == nil {
-			b.Fatal(err)
+		loaded := mustLoad(b, folder)
+		if loaded.State == nil {
+			b.Fatalf("no state: %+v", loaded)
 		}
-		state.ApplyDecay(f.State, 20000, state.DefaultLimits(18000))
+		state.ApplyDecay(loaded.State, 20000, state.DefaultLimits(18000))
 	}
 }
--- a/internal/statefile/crash_test.go
+++ b/internal/statefile/crash_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"slices"
 	"testing"
 
 	"google.golang.org/protobuf/proto"
@@ -10,149 +11,188 @@
 	"barleysail/state/statepb"
 )
 
-const saves = 13
+const (
+	scriptSaves          = 13 // saves in the whole script
+	scriptSavesPerLog    = 4  // after which a generation begins
+	leastCrashSteps      = 50 // that the exploration has to reach
+	leastCrashOutcomes   = 300
+	stateAfterRecoveryNo = 9 // the test state that is saved after a recovery
+)
 
-// script saves states one after the other, a snapshot again in between, and gives what stood in the folder after each, and
-// how many were saved for sure.
-func script(m *memory, most int) (stood []*statepb.State, sure int) {
-	found, err := Load(m)
+// runScript saves the test states one after the other, and begins a generation in between. It returns what was
+// stored after each save, and the number of the last save that was confirmed.
+func runScript(fsys *crashFS, saves int) (stored []*statepb.State, confirmed int) {
+	loaded, err := Load(fsys)
 	if err != nil {
 		return nil, 0
 	}
-	s := NewStore(m, found, most)
+	store := NewStore(fsys, loaded, maxTestSnapshotBytes)
 	for n := 1; n <= saves; n++ {
-		if n%4 == 0 {
-			s.logBytes = 1 << 30 // the log is long: a snapshot is next
+		if n%scriptSavesPerLog == 0 {
+			store.outgrowLog()
 		}
-		if err := s.Save(told(n)); err != nil {
-			if errors.Is(err, errCut) {
-				return stood, sure
-			}
+		err := store.Save(testState(n))
+		if errors.Is(err, errPowerCut) {
+			return stored, confirmed
+		}
+		if err != nil {
 			continue
 		}
-		stood, sure = append(stood, proto.CloneOf(s.state)), n
+		stored = append(stored, proto.CloneOf(store.saved))
+		confirmed = n
 	}
-	return stood, sure
+	return stored, confirmed
 }
 
-// plain gives what stands after each save when nothing goes wrong.
-func plain(t *testing.T) []*statepb.State {
-	all, sure := script(newMemory(), 1<<20)
-	if sure != saves {
-		t.Fatalf("%d of %d saved", sure, saves)
+// scriptStates returns what is stored after each save of the script if nothing fails.
+func scriptStates(t *testing.T) []*statepb.State {
+	t.Helper()
+	stored, confirmed := runScript(newCrashFS(), scriptSaves)
+	if confirmed != scriptSaves {
+		t.Fatalf("%d of %d saves were confirmed", confirmed, scriptSaves)
 	}
-	return all
+	return stored
 }
 
-// sound tells what is wrong with what was found after a cut: it has to be a state that was saved, the last one that was sure
-// or a later one; and the folder has to take a state again.
-func sound(m *memory, all []*statepb.State, sure int) error {
-	f, err := Load(m)
+// checkRecovery checks the folder that is found after a crash: it has to hold the state of the last confirmed save
+// or of a later one, and has to take another state.
+func checkRecovery(fsys *crashFS, stored []*statepb.State, confirmed int) error {
+	loaded, err := Load(fsys)
 	if err != nil {
 		return err
 	}
-	is := 0
-	for n, s := range all {
-		if f.State != nil && proto.Equal(s, f.State) {
-			is = n + 1
-		}
+	if err := checkLoadedState(loaded, stored, confirmed); err != nil {
+		return err
+	}
+	next := testState(stateAfterRecoveryNo)
+	if err := NewStore(fsys, loaded, maxTestSnapshotBytes).Save(next); err != nil {
+		return fmt.Errorf("saving after recovery: %w", err)
 	}
-	switch {
-	case f.State != nil && is == 0:
-		return fmt.Errorf("a state that never was: %v", f.State)
-	case is < sure:
-		return fmt.Errorf("state %d of %d that were sure, notes %v", is, sure, f.Warnings)
+	reloaded, err := Load(fsys)
+	if err != nil {
+		return fmt.Errorf("loading after recovery: %w", err)
+	}
+	if reloaded.State == nil || reloaded.State.At != next.At {
+		return fmt.Errorf("loaded %v after recovery, saved %v", reloaded.State, next)
+	}
+	return nil
+}
+
+func checkLoadedState(loaded *LoadResult, stored []*statepb.State, confirmed int) error {
+	number := 0 // of the save that stored the loaded state
+	for i, s := range stored {
+		if loaded.State != nil && proto.Equal(s, loaded.State) {
+			number = i + 1
+		}
 	}
-	s := NewStore(m, f, 1<<20)
-	if err := s.Save(told(9)); err != nil {
-		return fmt.Errorf("saving again: %w", err)
+	if loaded.State != nil && number == 0 {
+		return fmt.Errorf("loaded a state that was never saved: %v", loaded.State)
 	}
-	again, err := Load(m)
-	if err != nil || again.State == nil || again.State.At != 9000 {
-		return fmt.Errorf("saved again, and found %v, %v", again.State, err)
+	if number < confirmed {
+		return fmt.Errorf("loaded state %d, %d were confirmed, warnings %v", number, confirmed, loaded.Warnings)
 	}
 	return nil
 }
 
-// cuts cuts the power at every step, and looks at every folder that may be left. It gives the number of both.
-func cuts(all []*statepb.State, mutate func(*memory)) (steps, folders int, err error) {
-	for cut := 0; ; cut++ {
-		m := newMemory()
-		mutate(m)
-		m.cut = cut
-		_, sure := script(m, 1<<20)
-		if m.steps <= cut {
-			return cut, folders, nil
+// cutPowerEverywhere runs the script with a power cut at each step, and checks each folder that may be found then. It
+// returns the numbers of steps and of folders.
+func cutPowerEverywhere(stored []*statepb.State, mutate func(*crashFS)) (steps, outcomes int, err error) {
+	for step := 0; ; step++ {
+		fsys := newCrashFS()
+		mutate(fsys)
+		fsys.crashAtStep = step
+		_, confirmed := runScript(fsys, scriptSaves)
+		if fsys.steps <= step {
+			return step, outcomes, nil // the script ended before the cut
 		}
-		if err := m.after(func(left *memory) error { folders++; return sound(left, all, sure) }); err != nil {
-			return cut, folders, fmt.Errorf("cut at step %d: %w", cut, err)
+		err := fsys.forEachCrashOutcome(func(outcome *crashFS) error {
+			outcomes++
+			return checkRecovery(outcome, stored, confirmed)
+		})
+		if err != nil {
+			return step, outcomes, fmt.Errorf("power cut at step %d: %w", step, err)
 		}
 	}
 }
 
-// The power is cut at every step of a run of saves, and each write that was not synced is whole, torn, wrong or lost, each
-// name that was not synced old or new, in every combination: what is found is always a state that was saved, and none that
-// was sure is lost. A protocol without its syncs is caught.
+// The power is cut at each step of the script; each write that was not synced is complete, torn, corrupt or lost,
+// and each name that was not synced is the old or the new one, in all combinations. The loaded state is always one
+// that was saved, and no confirmed one is lost. A protocol without its syncs fails.
 func TestPowerCuts(t *testing.T) {
-	all := plain(t)
-	steps, folders, err := cuts(all, func(*memory) {})
+	stored := scriptStates(t)
+	steps, outcomes, err := cutPowerEverywhere(stored, func(*crashFS) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if steps < 50 || folders < 300 {
-		t.Errorf("only %d steps and %d folders were looked at", steps, folders)
+	if steps < leastCrashSteps || outcomes < leastCrashOutcomes {
+		t.Errorf("only %d steps and %d folders were checked", steps, outcomes)
 	}
-	t.Logf("%d steps, %d folders", steps, folders)
-	for name, mutant := range map[string]func(*memory){"without syncing files": func(m *memory) { m.noSync = true },
-		"without syncing the folder": func(m *memory) { m.noFolder = true }} {
-		if _, _, err := cuts(all, mutant); err == nil {
-			t.Errorf("a protocol %s was not caught", name)
-		}
+	t.Logf("%d steps, %d folders", steps, outcomes)
+
+	mutants := []struct {
+		name   string
+		mutate func(*crashFS)
+	}{
+		{"without syncing files", func(fsys *crashFS) { fsys.skipFileSync = true }},
+		{"without syncing the folder", func(fsys *crashFS) { fsys.skipFolderSync = true }},
+	}
+	for _, mutant := range mutants {
+		t.Run(mutant.name, func(t *testing.T) {
+			if _, _, err := cutPowerEverywhere(stored, mutant.mutate); err == nil {
+				t.Error("no state was lost: the test does not detect this mutant")
+			}
+		})
 	}
 }
 
-// A disk that is full for some saves, at any of them, costs these and nothing else.
+// A disk that is full for any range of saves fails these saves and no others.
 func TestDiskFull(t *testing.T) {
-	for from := 1; from <= saves; from++ {
-		for to := from; to <= saves; to++ {
-			m := newMemory()
-			found, _ := Load(m)
-			s := NewStore(m, found, 1<<20)
-			last := 0.0
-			for n := 1; n <= saves; n++ {
-				if n%4 == 0 {
-					s.logBytes = 1 << 30
-				}
-				m.full = n >= from && n <= to
-				err := s.Save(told(n))
-				if m.full != (err != nil) {
-					t.Fatalf("save %d, full %v: %v", n, m.full, err)
-				}
-				if err == nil {
-					last = told(n).At
-				}
-				f, err := Load(m)
-				if at := f.State.GetAt(); err != nil || at != last {
-					t.Fatalf("full from %d to %d, after %d: found %v, not %v; %v %v", from, to, n, at, last, f.Warnings, err)
-				}
-			}
+	for first := 1; first <= scriptSaves; first++ {
+		for last := first; last <= scriptSaves; last++ {
+			t.Run(fmt.Sprintf("saves %d to %d", first, last), func(t *testing.T) {
+				runScriptWithFullDisk(t, first, last)
+			})
+		}
+	}
+}
+
+func runScriptWithFullDisk(t *testing.T, first, last int) {
+	t.Helper()
+	fsys := newCrashFS()
+	store := NewStore(fsys, mustLoad(t, fsys), maxTestSnapshotBytes)
+	savedAtMs := 0.0
+	for n := 1; n <= scriptSaves; n++ {
+		if n%scriptSavesPerLog == 0 {
+			store.outgrowLog()
+		}
+		fsys.diskFull = n >= first && n <= last
+		err := store.Save(testState(n))
+		if fsys.diskFull != (err != nil) {
+			t.Fatalf("save %d, disk full %v: %v", n, fsys.diskFull, err)
+		}
+		if err == nil {
+			savedAtMs = testState(n).At
+		}
+		loaded := mustLoad(t, fsys)
+		if atMs := loaded.State.GetAt(); atMs != savedAtMs {
+			t.Fatalf("after save %d: loaded state of %g, saved %g; warnings %v", n, atMs, savedAtMs, loaded.Warnings)
 		}
 	}
 }
 
-// Each byte of each file wrong in turn: what is found is a state that was saved, or none.
-func TestWrongBytes(t *testing.T) {
-	all := plain(t)
-	m := newMemory()
-	script(m, 1<<20)
-	for name, f := range m.now {
-		for i := range f.bytes() {
-			left := newMemory()
-			for n, x := range m.now {
-				left.now[n] = &inode{synced: x.bytes()}
+// Each byte of each file is corrupt in turn: the loaded state is one that was saved, or none.
+func TestCorruptBytes(t *testing.T) {
+	stored := scriptStates(t)
+	fsys := newCrashFS()
+	runScript(fsys, scriptSaves)
+	for name, file := range fsys.current {
+		for i := range file.content() {
+			corrupt := newCrashFS()
+			for otherName, otherFile := range fsys.current {
+				corrupt.put(otherName, slices.Clone(otherFile.content()))
 			}
-			left.now[name].synced[i] ^= 1 << (i % 8)
-			if err := sound(left, all, 0); err != nil {
+			corrupt.current[name].synced[i] ^= 1 << (i % 8)
+			if err := checkRecovery(corrupt, stored, 0); err != nil {
 				t.Fatalf("byte %d of %s: %v", i, name, err)
 			}
 		}
--- a/internal/statefile/crashfs_test.go
+++ b/internal/statefile/crashfs_test.go
@@ -7,201 +7,249 @@
 	"slices"
 )
 
-// errCut ends everything at the moment of a power cut.
-var errCut = errors.New("the power is cut")
+var (
+	errPowerCut = errors.New("the power is cut")
+	errDiskFull = errors.New("no space left")
+)
+
+const neverCrash = -1
 
-// memory is a folder that remembers what would last: file contents by Sync of the file, names by Sync of the folder.
-// Before the step numbered cut, or while full, it fails.
-type memory struct {
-	steps, cut int  // cut at this step; below 0: never
-	full       bool // no room for another byte
-	noSync     bool // mutants: a file's Sync, or the folder's, does nothing
-	noFolder   bool
+// crashFS is a folder in memory that knows which changes are durable: the content of a file after a sync of the
+// file, names after a sync of the folder. It fails from a step on, or while the disk is full, and derives the
+// folders that may be found after a power cut.
+type crashFS struct {
+	steps       int // operations so far
+	crashAtStep int // every operation after this many fails; or neverCrash
+	diskFull    bool
 
-	now     map[string]*inode
-	lasting map[string]*inode
-	pending []change
+	skipFileSync   bool // a mutant: syncing files has no effect
+	skipFolderSync bool // a mutant: syncing the folder has no effect
+
+	current            map[string]*crashFile
+	durable            map[string]*crashFile
+	pendingNameChanges []nameChange
 }
 
-// change of a name that does not last yet: to, where not nil, gets the name, and from goes.
-type change struct {
-	from, to string
-	file     *inode
+// nameChange is a change of names that is not durable yet: the file, where not nil, gets the new name, and the old
+// name, where not empty, is removed.
+type nameChange struct {
+	oldName, newName string
+	file             *crashFile
 }
 
-type inode struct {
-	synced  []byte
-	pending [][]byte // writes that do not last yet
+type crashFile struct {
+	synced        []byte
+	pendingWrites [][]byte // that are not durable yet
 }
 
-func newMemory() *memory {
-	return &memory{cut: -1, now: map[string]*inode{}, lasting: map[string]*inode{}}
+func newCrashFS() *crashFS {
+	return &crashFS{crashAtStep: neverCrash, current: map[string]*crashFile{}, durable: map[string]*crashFile{}}
 }
 
-func (m *memory) step() error {
-	if m.steps++; m.cut >= 0 && m.steps > m.cut {
-		return errCut
+func (c *crashFS) step() error {
+	c.steps++
+	if c.crashAtStep != neverCrash && c.steps > c.crashAtStep {
+		return errPowerCut
 	}
 	return nil
 }
 
-func (i *inode) bytes() []byte {
-	all := slices.Clone(i.synced)
-	for _, w := range i.pending {
-		all = append(all, w...)
+func (f *crashFile) content() []byte {
+	content := slices.Clone(f.synced)
+	for _, write := range f.pendingWrites {
+		content = append(content, write...)
 	}
-	return all
+	return content
 }
 
-func (m *memory) Names() ([]string, error) { return slices.Sorted(maps.Keys(m.now)), nil }
+func (c *crashFS) Names() ([]string, error) { return slices.Sorted(maps.Keys(c.current)), nil }
 
-func (m *memory) Read(name string) ([]byte, error) {
-	if f := m.now[name]; f != nil {
-		return f.bytes(), nil
+func (c *crashFS) ReadFile(name string) ([]byte, error) {
+	file := c.current[name]
+	if file == nil {
+		return nil, fs.ErrNotExist
 	}
-	return nil, fs.ErrNotExist
+	return file.content(), nil
 }
 
-func (m *memory) Create(name string) (File, error) {
-	if err := m.step(); err != nil {
+func (c *crashFS) Create(name string) (File, error) {
+	if err := c.step(); err != nil {
 		return nil, err
 	}
-	f := &inode{}
-	m.now[name] = f
-	m.pending = append(m.pending, change{to: name, file: f})
-	return &memoryFile{m, f}, nil
+	file := &crashFile{}
+	c.current[name] = file
+	c.pendingNameChanges = append(c.pendingNameChanges, nameChange{newName: name, file: file})
+	return &openCrashFile{fsys: c, file: file}, nil
 }
 
-func (m *memory) Rename(from, to string) error {
-	if err := m.step(); err != nil {
+func (c *crashFS) Rename(oldName, newName string) error {
+	if err := c.step(); err != nil {
 		return err
 	}
-	f := m.now[from]
-	if f == nil {
+	file := c.current[oldName]
+	if file == nil {
 		return fs.ErrNotExist
 	}
-	delete(m.now, from)
-	m.now[to] = f
-	m.pending = append(m.pending, change{from, to, f})
+	delete(c.current, oldName)
+	c.current[newName] = file
+	c.pendingNameChanges = append(c.pendingNameChanges, nameChange{oldName: oldName, newName: newName, file: file})
 	return nil
 }
 
-func (m *memory) Remove(name string) error {
-	if err := m.step(); err != nil {
+func (c *crashFS) Remove(name string) error {
+	if err := c.step(); err != nil {
 		return err
 	}
-	delete(m.now, name)
-	m.pending = append(m.pending, change{from: name})
+	delete(c.current, name)
+	c.pendingNameChanges = append(c.pendingNameChanges, nameChange{oldName: name})
 	return nil
 }
 
-func (m *memory) Sync() error {
-	if err := m.step(); err != nil {
+func (c *crashFS) SyncDir() error {
+	if err := c.step(); err != nil {
 		return err
 	}
-	if !m.noFolder {
-		m.lasting, m.pending = maps.Clone(m.now), nil
+	if !c.skipFolderSync {
+		c.durable = maps.Clone(c.current)
+		c.pendingNameChanges = nil
 	}
 	return nil
 }
 
-type memoryFile struct {
-	m *memory
-	f *inode
+// put adds a durable file.
+func (c *crashFS) put(name string, content []byte) {
+	file := &crashFile{synced: content}
+	c.current[name] = file
+	c.durable[name] = file
+}
+
+// openCrashFile is a crashFile that is being written.
+type openCrashFile struct {
+	fsys *crashFS
+	file *crashFile
 }
 
-func (x *memoryFile) Write(b []byte) (int, error) {
-	if err := x.m.step(); err != nil {
+func (o *openCrashFile) Write(content []byte) (int, error) {
+	if err := o.fsys.step(); err != nil {
 		return 0, err
 	}
-	if x.m.full {
-		half := b[:len(b)/2]
-		x.f.pending = append(x.f.pending, slices.Clone(half))
-		return len(half), errors.New("no space left")
+	if o.fsys.diskFull {
+		half := content[:len(content)/2]
+		o.file.pendingWrites = append(o.file.pendingWrites, slices.Clone(half))
+		return len(half), errDiskFull
 	}
-	x.f.pending = append(x.f.pending, slices.Clone(b))
-	return len(b), nil
+	o.file.pendingWrites = append(o.file.pendingWrites, slices.Clone(content))
+	return len(content), nil
 }
 
-func (x *memoryFile) Sync() error {
-	if err := x.m.step(); err != nil {
+func (o *openCrashFile) Sync() error {
+	if err := o.fsys.step(); err != nil {
 		return err
 	}
-	if !x.m.noSync {
-		x.f.synced, x.f.pending = x.f.bytes(), nil
+	if !o.fsys.skipFileSync {
+		o.file.synced = o.file.content()
+		o.file.pendingWrites = nil
 	}
 	return nil
 }
 
-func (x *memoryFile) Close() error { return nil }
+func (o *openCrashFile) Close() error { return nil }
 
-// fates of a write that did not last: it may be there whole, in part, with a wrong bit, or not at all.
-const fates = 4
+// writeOutcome is what a power cut makes of a write that was not durable.
+type writeOutcome int
 
-// after gives the folders that may be found after the power was cut, each to look; names change in part, in any subset, and
-// each write that does not last has one of its fates. It stops at an error.
-func (m *memory) after(look func(*memory) error) error {
-	var writes []*inode
-	seen := map[*inode]bool{}
-	for _, all := range []map[string]*inode{m.now, m.lasting} {
-		for _, n := range slices.Sorted(maps.Keys(all)) {
-			if f := all[n]; !seen[f] && len(f.pending) > 0 {
-				seen[f] = true
-				writes = append(writes, f)
-			}
-		}
+const (
+	writeComplete writeOutcome = iota
+	writeTorn                  // only its first half is there
+	writeCorrupt               // one bit is wrong
+	writeLost
+	writeOutcomes // their number
+)
+
+func (o writeOutcome) apply(write []byte) []byte {
+	switch o {
+	case writeComplete:
+		return write
+	case writeTorn:
+		return write[:len(write)/2]
+	case writeCorrupt:
+		corrupt := slices.Clone(write)
+		corrupt[len(corrupt)/3] ^= 0x10
+		return corrupt
+	default:
+		return nil
 	}
-	ways := 1
-	for _, f := range writes {
-		for range f.pending {
-			ways *= fates
+}
+
+// forEachCrashOutcome visits all folders that may be found after a power cut now: each subset of the pending name
+// changes together with each combination of outcomes of the pending writes. It stops at an error.
+func (c *crashFS) forEachCrashOutcome(visit func(*crashFS) error) error {
+	files := c.filesWithPendingWrites()
+	combinations := 1
+	for _, file := range files {
+		for range file.pendingWrites {
+			combinations *= int(writeOutcomes)
 		}
 	}
-	for names := range 1 << len(m.pending) {
-		for way := range ways {
-			left, way := newMemory(), way
-			fresh := map[*inode]*inode{}
-			get := func(f *inode) *inode {
-				if fresh[f] == nil {
-					fresh[f] = &inode{synced: slices.Clone(f.synced)}
-				}
-				return fresh[f]
-			}
-			for _, f := range writes {
-				to := get(f)
-				for _, w := range f.pending {
-					switch way % fates {
-					case 0:
-						to.synced = append(to.synced, w...)
-					case 1:
-						to.synced = append(to.synced, w[:len(w)/2]...)
-					case 2:
-						w = slices.Clone(w)
-						w[len(w)/3] ^= 0x10
-						to.synced = append(to.synced, w...)
-					}
-					way /= fates
-				}
-			}
-			for n, f := range m.lasting {
-				left.now[n] = get(f)
-			}
-			for i, c := range m.pending {
-				if names>>i&1 == 0 {
-					continue
-				}
-				if c.from != "" {
-					delete(left.now, c.from)
-				}
-				if c.to != "" {
-					left.now[c.to] = get(c.file)
-				}
-			}
-			left.lasting = maps.Clone(left.now)
-			if err := look(left); err != nil {
+	for nameChanges := range 1 << len(c.pendingNameChanges) {
+		for combination := range combinations {
+			if err := visit(c.crashOutcome(files, combination, nameChanges)); err != nil {
 				return err
 			}
 		}
 	}
 	return nil
 }
+
+// filesWithPendingWrites are in the order of their names, each once.
+func (c *crashFS) filesWithPendingWrites() (files []*crashFile) {
+	seen := map[*crashFile]bool{}
+	for _, names := range []map[string]*crashFile{c.current, c.durable} {
+		for _, name := range slices.Sorted(maps.Keys(names)) {
+			file := names[name]
+			if !seen[file] && len(file.pendingWrites) > 0 {
+				seen[file] = true
+				files = append(files, file)
+			}
+		}
+	}
+	return files
+}
+
+// crashOutcome is one folder that may be found. The digits of combination, to the base of the number of outcomes,
+// are the outcomes of the files' pending writes; bit i of nameChanges says whether name change i took place.
+func (c *crashFS) crashOutcome(files []*crashFile, combination, nameChanges int) *crashFS {
+	recovered := map[*crashFile]*crashFile{}
+	recoverFile := func(file *crashFile) *crashFile {
+		if recovered[file] == nil {
+			recovered[file] = &crashFile{synced: slices.Clone(file.synced)}
+		}
+		return recovered[file]
+	}
+	for _, file := range files {
+		found := recoverFile(file)
+		for _, write := range file.pendingWrites {
+			outcome := writeOutcome(combination % int(writeOutcomes))
+			combination /= int(writeOutcomes)
+			found.synced = append(found.synced, outcome.apply(write)...)
+		}
+	}
+
+	outcome := newCrashFS()
+	for name, file := range c.durable {
+		outcome.current[name] = recoverFile(file)
+	}
+	for i, change := range c.pendingNameChanges {
+		if nameChanges>>i&1 == 0 {
+			continue
+		}
+		if change.oldName != "" {
+			delete(outcome.current, change.oldName)
+		}
+		if change.newName != "" {
+			outcome.current[change.newName] = recoverFile(change.file)
+		}
+	}
+	outcome.durable = maps.Clone(outcome.current)
+	return outcome
+}
--- a/internal/statefile/folder.go
+++ b/internal/statefile/folder.go
@@ -8,50 +8,62 @@
 	"syscall"
 )
 
-// Folder is a folder of the disk that one process has for itself.
+const (
+	lockFileName = "lock"
+
+	folderMode = 0o700 // only the controller's user: the state names its hosts and operators
+	fileMode   = 0o600
+)
+
+// ErrLocked says that another process has locked the folder.
+var ErrLocked = errors.New("another steward keeps its state there")
+
+// Folder is a directory on disk. It implements FS.
 type Folder struct {
 	path string
 	dir  *os.File
-	lock *os.File
+	lock *os.File // nil: opened for reading only
 }
 
-// ErrLocked says that another process has the folder.
-var ErrLocked = errors.New("another steward keeps its state there")
-
-// OpenFolder makes the folder where it is missing, and takes it for this process.
+// OpenFolder opens a folder for reading and writing, creates it if it is missing, and locks it against other
+// processes until Close. If another process holds the lock, the error wraps ErrLocked.
 func OpenFolder(path string) (*Folder, error) {
-	if err := os.MkdirAll(path, 0o700); err != nil {
+	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("making the state folder: %w", err)
 	}
-	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
 		return nil, fmt.Errorf("locking the state folder: %w", err)
 	}
-	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
-		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = ErrLocked
-		}
-		return nil, fmt.Errorf("locking the state folder %s: %w", path, err)
+	if err := lockExclusively(lock); err != nil {
+		return nil, errors.Join(fmt.Errorf("locking the state folder %s: %w", path, err), lock.Close())
 	}
 	dir, err := os.Open(path)
 	if err != nil {
-		lock.Close()
-		return nil, fmt.Errorf("opening the state folder: %w", err)
+		return nil, errors.Join(fmt.Errorf("opening the state folder: %w", err), lock.Close())
+	}
+	return &Folder{path: path, dir: dir, lock: lock}, nil
+}
+
+// lockExclusively does not wait. The kernel releases the lock when the file is closed or the process ends.
+func lockExclusively(file *os.File) error {
+	err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+	if errors.Is(err, syscall.EWOULDBLOCK) {
+		return ErrLocked
 	}
-	return &Folder{path, dir, lock}, nil
+	return err
 }
 
-// OpenReadOnly opens a folder to be read only, be it another process's.
+// OpenReadOnly opens a folder for reading only. It takes no lock, so the folder may be that of a running controller.
 func OpenReadOnly(path string) (*Folder, error) {
 	dir, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("opening the state folder: %w", err)
 	}
-	return &Folder{path, dir, nil}, nil
+	return &Folder{path: path, dir: dir}, nil
 }
 
-// Close gives the folder up.
+// Close closes the folder and releases its lock.
 func (f *Folder) Close() error {
 	err := f.dir.Close()
 	if f.lock != nil {
@@ -60,32 +72,38 @@
 	return err
 }
 
-func (f *Folder) name(name string) string { return filepath.Join(f.path, name) }
+func (f *Folder) join(name string) string { return filepath.Join(f.path, name) }
 
-// Names of the files.
+// Names returns the names of all files, without directories.
 func (f *Folder) Names() (names []string, err error) {
-	all, err := os.ReadDir(f.path)
-	for _, e := range all {
-		if !e.IsDir() {
-			names = append(names, e.Name())
+	entries, err := os.ReadDir(f.path)
+	for _, entry := range entries {
+		if !entry.IsDir() {
+			names = append(names, entry.Name())
 		}
 	}
 	return names, err
 }
 
-// Read gives a file whole.
-func (f *Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.name(name)) }
+// ReadFile returns the content of a file.
+func (f *Folder) ReadFile(name string) ([]byte, error) { return os.ReadFile(f.join(name)) }
 
-// Create makes a file empty.
+// Create opens an empty file for writing, in place of any file of that name.
 func (f *Folder) Create(name string) (File, error) {
-	return os.OpenFile(f.name(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(f.join(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
+	if err != nil {
+		return nil, err // not file, which would be a File that holds a nil pointer
+	}
+	return file, nil
 }
 
-// Rename a file.
-func (f *Folder) Rename(from, to string) error { return os.Rename(f.name(from), f.name(to)) }
+// Rename renames a file and replaces any file of the new name.
+func (f *Folder) Rename(oldName, newName string) error {
+	return os.Rename(f.join(oldName), f.join(newName))
+}
 
-// Remove a file.
-func (f *Folder) Remove(name string) error { return os.Remove(f.name(name)) }
+// Remove deletes a file.
+func (f *Folder) Remove(name string) error { return os.Remove(f.join(name)) }
 
-// Sync makes the names last.
-func (f *Folder) Sync() error { return f.dir.Sync() }
+// SyncDir makes the names of all files durable.
+func (f *Folder) SyncDir() error { return f.dir.Sync() }
--- a/internal/statefile/format_test.go
+++ b/internal/statefile/format_test.go
@@ -1,88 +1,130 @@
 package statefile
 
 import (
+	"bytes"
 	"fmt"
-	"os"
+	"maps"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 
 	"google.golang.org/protobuf/encoding/prototext"
 	"google.golang.org/protobuf/encoding/protowire"
+	"google.golang.org/protobuf/reflect/protoreflect"
 
 	"barleysail/internal/golden"
 	"barleysail/state"
 )
 
-// A file of an older format is read; what a newer minor format adds is kept through a round; one of a newer major format is
-// refused, told and left where it is.
-func TestFormats(t *testing.T) {
-	// Written by this program's format 1.0, by KEEP=1 when it was new.
-	name := filepath.Join("testdata", "format-1.0")
-	if _, err := os.Stat(name); err != nil && os.Getenv("KEEP") != "" {
-		m := newMemory()
-		script(m, 1<<20)
-		os.MkdirAll(name, 0o755)
-		for n := range m.now {
-			text, _ := m.Read(n)
-			if err := os.WriteFile(filepath.Join(name, n), text, 0o644); err != nil {
-				t.Fatal(err)
-			}
+// format10Saves is how many saves of the script wrote the files in testdata/format-1.0.
+const format10Saves = 7
+
+// The files in testdata/format-1.0 were written when the format was new and are never written again.
+func TestReadFormat10(t *testing.T) {
+	loaded := loadTestdata(t, "format-1.0")
+	golden.Compare(t, "format-1.0", loadedText(t, loaded))
+}
+
+// The script still writes the same files, byte for byte.
+func TestWriteFormat10(t *testing.T) {
+	want := openTestdata(t, "format-1.0")
+	names, err := want.Names()
+	if err != nil {
+		t.Fatal(err)
+	}
+	fsys := newCrashFS()
+	runScript(fsys, format10Saves)
+	if written := slices.Sorted(maps.Keys(fsys.current)); !slices.Equal(written, names) {
+		t.Fatalf("files %v, want %v", written, names)
+	}
+	for _, name := range names {
+		if !bytes.Equal(mustReadFile(t, fsys, name), mustReadFile(t, want, name)) {
+			t.Errorf("%s differs", name)
 		}
 	}
-	folder, err := OpenReadOnly(name)
+}
+
+func openTestdata(t *testing.T, name string) *Folder {
+	t.Helper()
+	folder, err := OpenReadOnly(filepath.Join("testdata", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer folder.Close()
-	f, err := Load(folder)
-	if err != nil || f.State == nil {
-		t.Fatalf("%+v, %v", f, err)
+	t.Cleanup(func() { closeFolder(t, folder) })
+	return folder
+}
+
+func loadTestdata(t *testing.T, name string) *LoadResult {
+	t.Helper()
+	loaded := mustLoad(t, openTestdata(t, name))
+	if loaded.State == nil {
+		t.Fatalf("no state: %+v", loaded)
 	}
-	text, _ := prototext.MarshalOptions{Multiline: true}.Marshal(f.State)
-	golden.Compare(t, "format-1.0", strings.ReplaceAll(string(text), ":  ", ": ")+fmt.Sprint(f.Changes, " changes\n"))
+	return loaded
+}
 
-	// A field that is not known, at the top and in a host.
-	odd := protowire.AppendString(protowire.AppendTag(nil, 999, protowire.BytesType), "from later")
-	s := told(1)
-	s.ProtoReflect().SetUnknown(odd)
-	s.Hosts[0].ProtoReflect().SetUnknown(odd)
-	s.Minor = 7
-	m := newMemory()
-	store := NewStore(m, &LoadResult{}, 1<<20)
-	if err := store.Save(s); err != nil {
+// loadedText is the state as protobuf text, whose encoder varies the spaces after a colon on purpose.
+func loadedText(t *testing.T, loaded *LoadResult) string {
+	t.Helper()
+	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(loaded.State)
+	if err != nil {
 		t.Fatal(err)
 	}
-	f, _ = Load(m)
-	again := newMemory()
-	if err := NewStore(again, &LoadResult{}, 1<<20).Save(f.State); err != nil {
-		t.Fatal(err)
+	return strings.ReplaceAll(string(text), ":  ", ": ") + fmt.Sprint(loaded.Changes, " changes\n")
+}
+
+// Fields that a newer minor version added, to the state and to a host, are kept when the state is loaded and saved
+// again.
+func TestKeepUnknownFields(t *testing.T) {
+	const unknownField = 999
+	unknown := protowire.AppendTag(nil, unknownField, protowire.BytesType)
+	unknown = protowire.AppendString(unknown, "from later")
+	s := testState(1)
+	s.Minor = 7
+	s.ProtoReflect().SetUnknown(unknown)
+	s.Hosts[0].ProtoReflect().SetUnknown(unknown)
+	for range 2 {
+		fsys := newCrashFS()
+		mustSave(t, NewStore(fsys, &LoadResult{}, maxTestSnapshotBytes), s)
+		s = mustLoad(t, fsys).State
 	}
-	f, _ = Load(again)
-	if string(f.State.ProtoReflect().GetUnknown()) != string(odd) || string(f.State.Hosts[0].ProtoReflect().GetUnknown()) != string(odd) {
-		t.Errorf("what was not known is gone: %v", f.State)
+	for _, message := range []protoreflect.ProtoMessage{s, s.Hosts[0]} {
+		if got := message.ProtoReflect().GetUnknown(); string(got) != string(unknown) {
+			t.Errorf("unknown fields %q, want %q, in %v", got, unknown, message)
+		}
 	}
+}
 
-	// A newer major format in a generation of its own, with one of ours before it.
-	text, _ = m.Read(file('S', 1))
-	text[8] = state.FormatMajor + 1
-	m.now[file('S', 5)] = &inode{synced: text}
-	f, _ = Load(m)
-	if f.State == nil || f.Generation != 1 || len(f.Warnings) != 1 {
-		t.Errorf("%+v", f)
+// A file of a newer major version is refused with a warning and stays, while older generations are read and removed.
+func TestNewerMajorVersion(t *testing.T) {
+	const ours, newer = 1, 5 // generations
+	fsys := newCrashFS()
+	mustSave(t, NewStore(fsys, &LoadResult{}, maxTestSnapshotBytes), testState(1))
+	content := mustReadFile(t, fsys, fileName(snapshotFile, ours))
+	content[len(magic)+1] = state.FormatMajor + 1
+	fsys.put(fileName(snapshotFile, newer), content)
+
+	loaded := mustLoad(t, fsys)
+	if loaded.State == nil || loaded.Generation != ours || len(loaded.Warnings) != 1 {
+		t.Errorf("loaded %+v", loaded)
 	}
-	store = NewStore(m, f, 1<<20)
+	store := NewStore(fsys, loaded, maxTestSnapshotBytes)
 	for n := range 4 {
-		store.logBytes = 1 << 30
-		if err := store.Save(told(n)); err != nil {
-			t.Fatal(err)
-		}
+		store.outgrowLog()
+		mustSave(t, store, testState(n))
+	}
+	names, err := fsys.Names()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if fsys.current[fileName(snapshotFile, newer)] == nil {
+		t.Errorf("the newer snapshot was removed, left are %v", names)
 	}
-	if m.now[file('S', 5)] == nil || m.now[file('S', 1)] != nil {
-		names, _ := m.Names()
-		t.Errorf("left are %v", names)
+	if fsys.current[fileName(snapshotFile, ours)] != nil {
+		t.Errorf("the old snapshot was not removed, left are %v", names)
 	}
-	if f, _ = Load(m); f.Generation < 6 {
-		t.Errorf("%+v", f)
+	if loaded := mustLoad(t, fsys); loaded.Generation <= newer {
+		t.Errorf("loaded %+v", loaded)
 	}
 }
--- a/internal/statefile/framing.go
+++ b/internal/statefile/framing.go
@@ -5,84 +5,88 @@
 	"errors"
 	"fmt"
 	"hash/crc32"
-	"strconv"
-	"strings"
 
 	"barleysail/state"
 )
 
 const (
-	magic     = "BSTATE\x00"
-	headBytes = 16 // of a file
-	markBytes = 8  // of a record
-	stay      = 2  // generations
-	leastLog  = 64 << 10
-	mostBytes = 256 << 20 // a record that claims more is damage
+	magic             = "BSTATE\x00" // followed by the kind of the file
+	headerBytes       = 16           // of a file: magic, kind, major and minor version
+	recordHeaderBytes = 8            // length and checksum of the body
+
+	// maxRecordBytes is far above the size limit of any state: a record that claims to be longer is damaged.
+	maxRecordBytes = 256 << 20
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+// Reasons why a file, or the rest of it, cannot be used.
+var (
+	ErrNewer           = errors.New("it is of a newer program") // its major format version is not known here
+	ErrTruncatedHeader = errors.New("it ends in its first bytes")
+	ErrWrongMagic      = errors.New("it is no such file") // not a state file, or one of another kind than its name says
+	ErrTruncatedRecord = errors.New("it ends inside a record")
+	ErrChecksum        = errors.New("a checksum does not fit")
+	ErrTrailingData    = errors.New("something follows the record")
+)
 
-func file(kind byte, gen uint64) string {
-	if kind == 'S' {
-		return fmt.Sprintf("snapshot-%08d", gen)
-	}
-	return fmt.Sprintf("log-%08d", gen)
-}
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func parse(name string) (kind byte, gen uint64, ok bool) {
-	word, number, _ := strings.Cut(name, "-")
-	gen, err := strconv.ParseUint(number, 10, 64)
-	switch {
-	case err != nil:
-	case word == "snapshot":
-		return 'S', gen, true
-	case word == "log":
-		return 'L', gen, true
-	}
-	return 0, 0, false
+func encodeHeader(kind fileKind) []byte {
+	header := append([]byte(magic), byte(kind))
+	header = binary.LittleEndian.AppendUint32(header, state.FormatMajor)
+	return binary.LittleEndian.AppendUint32(header, state.FormatMinor)
 }
 
-// ErrNewer says that a file is of a newer major format.
-var ErrNewer = errors.New("it is of a newer program")
-
-// head checks the first bytes of a file.
-func head(text []byte, kind byte) (rest []byte, err error) {
-	if len(text) < headBytes {
-		return nil, errors.New("it ends in its first bytes")
+// decodeHeader checks the header of a file and returns the records that follow it.
+func decodeHeader(content []byte, kind fileKind) (records []byte, err error) {
+	if len(content) < headerBytes {
+		return nil, ErrTruncatedHeader
 	}
-	if string(text[:7]) != magic || text[7] != kind {
-		return nil, errors.New("it is no such file")
+	kindAt := len(magic)
+	if string(content[:kindAt]) != magic || content[kindAt] != byte(kind) {
+		return nil, ErrWrongMagic
 	}
-	if major := binary.LittleEndian.Uint32(text[8:]); major > state.FormatMajor {
-		return nil, fmt.Errorf("format %d, %d is the newest known here: %w", major, state.FormatMajor, ErrNewer)
+	major := binary.LittleEndian.Uint32(content[kindAt+1:])
+	if err := checkMajorVersion(int64(major)); err != nil {
+		return nil, err
 	}
-	return text[headBytes:], nil
+	return content[headerBytes:], nil
 }
 
-// sum is a body's checksum in a generation: a record of another file's is none here.
-func sum(body []byte, gen uint64) uint32 {
-	return crc32.Update(crc32.Checksum(binary.LittleEndian.AppendUint64(nil, gen), castagnoli), castagnoli, body)
+func checkMajorVersion(major int64) error {
+	if major > state.FormatMajor {
+		return fmt.Errorf("format %d, %d is the newest known here: %w", major, state.FormatMajor, ErrNewer)
+	}
+	return nil
 }
 
-func record(text []byte, gen uint64) (body, rest []byte, err error) {
-	if len(text) < markBytes {
-		return nil, nil, errors.New("it ends inside a record")
-	}
-	n, want := binary.LittleEndian.Uint32(text), binary.LittleEndian.Uint32(text[4:])
-	if n > mostBytes || int(n) > len(text)-markBytes {
-		return nil, nil, errors.New("it ends inside a record")
-	}
-	if body = text[markBytes : markBytes+int(n)]; sum(body, gen) != want {
-		return nil, nil, errors.New("a checksum does not fit")
-	}
-	return body, text[markBytes+int(n):], nil
+// checksum is the CRC-32C of the generation (uint64, little endian) and the body, so that a record that a disk
+// returns from a file of another generation is rejected.
+func checksum(body []byte, generation uint64) uint32 {
+	generationSum := crc32.Checksum(binary.LittleEndian.AppendUint64(nil, generation), castagnoli)
+	return crc32.Update(generationSum, castagnoli, body)
 }
 
-func mark(body []byte, gen uint64) []byte {
-	return binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(nil, uint32(len(body))), sum(body, gen))
+func encodeRecord(body []byte, generation uint64) []byte {
+	record := make([]byte, 0, recordHeaderBytes+len(body))
+	record = binary.LittleEndian.AppendUint32(record, uint32(len(body)))
+	record = binary.LittleEndian.AppendUint32(record, checksum(body, generation))
+	return append(record, body...)
 }
 
-func first(kind byte) []byte {
-	b := append([]byte(magic), kind)
-	return binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(b, state.FormatMajor), state.FormatMinor)
+// decodeRecord returns the body of the first record and what follows the record.
+func decodeRecord(records []byte, generation uint64) (body, rest []byte, err error) {
+	if len(records) < recordHeaderBytes {
+		return nil, nil, ErrTruncatedRecord
+	}
+	length := binary.LittleEndian.Uint32(records)
+	wantChecksum := binary.LittleEndian.Uint32(records[4:])
+	content := records[recordHeaderBytes:]
+	if length > maxRecordBytes || int(length) > len(content) {
+		return nil, nil, ErrTruncatedRecord
+	}
+	body = content[:length]
+	if checksum(body, generation) != wantChecksum {
+		return nil, nil, ErrChecksum
+	}
+	return body, content[length:], nil
 }
--- a/internal/statefile/fs.go
+++ b/internal/statefile/fs.go
@@ -1,21 +1,27 @@
 package statefile
 
-import (
-	"io"
-)
+import "io"
 
-// FS is the folder as the store sees it. Names have no separators.
+// FS is the directory of a store. File names have no separators. A change is durable, that is it survives a power
+// cut, only after the sync that its method names.
 type FS interface {
+	// Names returns the names of all files.
 	Names() ([]string, error)
-	Read(name string) ([]byte, error)
-	Create(name string) (File, error) // empty, whatever was there
-	Rename(from, to string) error
+	// ReadFile returns the content of a file.
+	ReadFile(name string) ([]byte, error)
+	// Create opens an empty file for writing, in place of any file of that name. SyncDir makes the name durable.
+	Create(name string) (File, error)
+	// Rename replaces any file of the new name. SyncDir makes the names durable.
+	Rename(oldName, newName string) error
+	// Remove deletes a file. SyncDir makes that durable.
 	Remove(name string) error
-	Sync() error // makes the names last
+	// SyncDir makes the names of all files durable, but not their contents.
+	SyncDir() error
 }
 
-// File is one that is being written.
+// File is a file that is being written.
 type File interface {
 	io.WriteCloser
-	Sync() error // makes what was written last
+	// Sync makes everything written so far durable.
+	Sync() error
 }
--- a/internal/statefile/load.go
+++ b/internal/statefile/load.go
@@ -1,7 +1,6 @@
 package statefile
 
 import (
-	"errors"
 	"fmt"
 	"slices"
 
@@ -11,90 +10,125 @@
 	"barleysail/state/statepb"
 )
 
-// LoadResult is what a folder held.
+// LoadResult is what was read from a folder.
 type LoadResult struct {
-	State      *statepb.State // nil: nothing that may be gone by
-	Generation uint64         // it is from; 0: none
-	Changes    int            // of the log that were applied
-	Warnings   []string       // what was damaged, refused or left out
-	newest     uint64         // generation of any file
+	State      *statepb.State // nil: the folder has no readable state
+	Generation uint64         // of the state; 0: none
+	Changes    int            // of the log that were applied to the snapshot
+	Warnings   []string       // a line for each file, or end of a log, that was left out, with the reason
+
+	newestGeneration uint64 // of any file, readable or not
+}
+
+// DamageError says why a file could not be used, or from which change on.
+type DamageError struct {
+	FileName string
+	Changes  int // of a log, that could be applied
+	Err      error
+}
+
+func (e *DamageError) Error() string {
+	if kind, _, _ := parseFileName(e.FileName); kind == logFile {
+		return fmt.Sprintf("%s after %d changes: %v", e.FileName, e.Changes, e.Err)
+	}
+	return fmt.Sprintf("%s: %v", e.FileName, e.Err)
 }
 
-// Load reads the newest state that is whole: a snapshot and as many of the changes after it as are whole. What is damaged
-// is told, and the generation before serves then.
-func Load(fs FS) (*LoadResult, error) {
-	names, err := fs.Names()
+// Unwrap returns the reason.
+func (e *DamageError) Unwrap() error { return e.Err }
+
+// Load reads the newest readable snapshot, and applies the changes of its log up to the first that is damaged.
+// Damage is not an error: it is listed in the warnings, and the state before it is returned. The error is that of
+// listing the folder.
+func Load(fsys FS) (*LoadResult, error) {
+	names, err := fsys.Names()
 	if err != nil {
 		return nil, fmt.Errorf("looking into the state folder: %w", err)
 	}
-	f, gens := &LoadResult{}, []uint64(nil)
-	for _, n := range names {
-		if kind, gen, ok := parse(n); ok {
-			if f.newest = max(f.newest, gen); kind == 'S' {
-				gens = append(gens, gen)
-			}
+	result := &LoadResult{}
+	var snapshots []uint64
+	for _, name := range names {
+		kind, generation, ok := parseFileName(name)
+		if !ok {
+			continue
+		}
+		result.newestGeneration = max(result.newestGeneration, generation)
+		if kind == snapshotFile {
+			snapshots = append(snapshots, generation)
 		}
 	}
-	slices.Sort(gens)
-	slices.Reverse(gens)
-	for _, gen := range gens {
-		s, err := readSnapshot(fs, gen)
+	slices.Sort(snapshots)
+	for _, generation := range slices.Backward(snapshots) {
+		snapshot, err := readSnapshot(fsys, generation)
 		if err != nil {
-			f.Warnings = append(f.Warnings, fmt.Sprintf("%s: %v", file('S', gen), err))
+			result.warn(&DamageError{FileName: fileName(snapshotFile, generation), Err: err})
 			continue
 		}
-		f.State, f.Generation = s, gen
-		f.replay(fs, gen)
-		return f, nil
+		result.State = snapshot
+		result.Generation = generation
+		result.replayLog(fsys)
+		break
 	}
-	return f, nil
+	return result, nil
 }
 
-// replay applies a generation's log as far as it is whole.
-func (f *LoadResult) replay(fs FS, gen uint64) {
-	text, err := fs.Read(file('L', gen))
+func (r *LoadResult) warn(damage *DamageError) { r.Warnings = append(r.Warnings, damage.Error()) }
+
+// replayLog applies the log of the snapshot's generation as far as it is undamaged.
+func (r *LoadResult) replayLog(fsys FS) {
+	name := fileName(logFile, r.Generation)
+	content, err := fsys.ReadFile(name)
 	if err != nil {
-		return // not begun
+		return // there is no log if the power was cut while the generation was begun
 	}
-	rest, err := head(text, 'L')
-	for err == nil && len(rest) > 0 {
-		var body []byte
-		if body, rest, err = record(rest, gen); err != nil {
-			break
-		}
-		c := &statepb.Change{}
-		if err = proto.Unmarshal(body, c); err == nil {
-			state.Apply(f.State, c)
-			f.Changes++
-		}
+	if err := r.applyChanges(content); err != nil {
+		r.warn(&DamageError{FileName: name, Changes: r.Changes, Err: err})
 	}
+}
+
+func (r *LoadResult) applyChanges(log []byte) error {
+	records, err := decodeHeader(log, logFile)
 	if err != nil {
-		f.Warnings = append(f.Warnings, fmt.Sprintf("%s after %d changes: %v", file('L', gen), f.Changes, err))
+		return err
 	}
+	for len(records) > 0 {
+		body, rest, err := decodeRecord(records, r.Generation)
+		if err != nil {
+			return err
+		}
+		change := &statepb.Change{}
+		if err := proto.Unmarshal(body, change); err != nil {
+			return err
+		}
+		state.Apply(r.State, change)
+		r.Changes++
+		records = rest
+	}
+	return nil
 }
 
-func readSnapshot(fs FS, gen uint64) (*statepb.State, error) {
-	text, err := fs.Read(file('S', gen))
+func readSnapshot(fsys FS, generation uint64) (*statepb.State, error) {
+	content, err := fsys.ReadFile(fileName(snapshotFile, generation))
 	if err != nil {
 		return nil, err
 	}
-	rest, err := head(text, 'S')
+	records, err := decodeHeader(content, snapshotFile)
 	if err != nil {
 		return nil, err
 	}
-	body, rest, err := record(rest, gen)
+	body, rest, err := decodeRecord(records, generation)
 	if err != nil {
 		return nil, err
 	}
 	if len(rest) > 0 {
-		return nil, errors.New("something follows the record")
+		return nil, ErrTrailingData
 	}
-	s := &statepb.State{}
-	if err := proto.Unmarshal(body, s); err != nil {
+	snapshot := &statepb.State{}
+	if err := proto.Unmarshal(body, snapshot); err != nil {
 		return nil, fmt.Errorf("reading it: %w", err)
 	}
-	if s.Major > state.FormatMajor {
-		return nil, fmt.Errorf("format %d, %d is the newest known here: %w", s.Major, state.FormatMajor, ErrNewer)
+	if err := checkMajorVersion(int64(snapshot.Major)); err != nil {
+		return nil, err
 	}
-	return s, nil
+	return snapshot, nil
 }
--- a/internal/statefile/store.go
+++ b/internal/statefile/store.go
@@ -1,10 +1,15 @@
-// Package statefile keeps a steward's state in a folder: a snapshot and a log of changes since, in generations, each part
-// with a checksum, written so that a reader finds either what was last synced, or more, but never a mixture.
+// Package statefile stores a controller's state in a folder so that it survives crashes and power cuts.
 //
-// A file begins with the eight bytes "BSTATE\x00" and 'S' for a snapshot or 'L' for a log, and the major and minor of its
-// format (uint32 each). Then come records: the length of the body (uint32), its CRC-32C together with the file's generation
-// (uint32), and the body, a statepb.State in a snapshot (one record) and a statepb.Change in a log. All figures are little
-// endian. The files of generation 17 are snapshot-00000017 and log-00000017.
+// It owns the files of the folder: a snapshot of the state and a log of the changes since, in numbered generations.
+// Each record has a checksum. A reader finds the state that was last synced, or a later one that was saved, but
+// never a mixture. The package decides neither what is stored nor how much a stored state still counts; package
+// state does.
+//
+// A file begins with the seven bytes "BSTATE\x00", the byte 'S' for a snapshot or 'L' for a log, and the major and
+// minor version of its format (uint32 each). Records follow: the length of the body (uint32), the CRC-32C of the
+// file's generation and the body (uint32), and the body, which is a statepb.State in a snapshot (one record) and a
+// statepb.Change in a log. All integers are little endian. The files of generation 17 are snapshot-00000017 and
+// log-00000017.
 package statefile
 
 import (
@@ -17,135 +22,172 @@
 	"barleysail/state/statepb"
 )
 
-// Store writes a folder's state.
+const (
+	// retainedGenerations is how many generations stay: the current one, and the one before in case of damage.
+	retainedGenerations = 2
+
+	// minCompactBytes is the size up to which a log grows also where its snapshot is smaller, so that small states are
+	// not written as snapshots all the time.
+	minCompactBytes = 64 << 10
+)
+
+// Store writes a state into a folder. It is not safe for concurrent use.
 type Store struct {
-	fs             FS
-	most           int // bytes of a snapshot
-	gen            uint64
-	state          *statepb.State // as it stands in the folder; nil: to be written anew
-	log            File
-	logBytes       int
-	snapshot       int
-	DroppedEntries int // entries that did not fit
+	fsys             FS
+	maxSnapshotBytes int
+	generation       uint64         // last begun
+	saved            *statepb.State // as it can be read back; nil: the next save begins a generation
+	log              File           // nil: no generation is open
+	logBytes         int            // records in the log
+	snapshotBytes    int
+
+	// DroppedEntries counts the steps of state.Shrink that were needed for snapshots to fit.
+	DroppedEntries int
 }
 
-// NewStore writes on from what was found: the first state goes into a snapshot of a new generation.
-func NewStore(fs FS, found *LoadResult, mostBytes int) *Store {
-	return &Store{fs: fs, most: mostBytes, gen: found.newest}
+// NewStore returns a store for a folder that was loaded. Its first save begins a generation after all that were
+// found. Snapshots shrink to maxSnapshotBytes, see state.Shrink.
+func NewStore(fsys FS, loaded *LoadResult, maxSnapshotBytes int) *Store {
+	return &Store{fsys: fsys, maxSnapshotBytes: maxSnapshotBytes, generation: loaded.newestGeneration}
 }
 
-// Save makes a state last: what is other than before goes into the log, or all into a snapshot when the log has grown
-// longer than one. After an error the next call begins a new generation; what lasted before lasts.
-func (s *Store) Save(now *statepb.State) (err error) {
-	defer func() {
-		if err != nil {
-			s.abandon()
-		}
-	}()
-	if s.state == nil || s.logBytes > max(s.snapshot, leastLog) {
-		return s.whole(now)
+// Save makes a state durable: it appends the change since the last save to the log, or begins a generation with a
+// snapshot if none is open or the log has outgrown its snapshot. After an error the next save begins a generation;
+// what was saved before remains readable.
+func (s *Store) Save(current *statepb.State) error {
+	var err error
+	if s.saved == nil || s.logBytes > max(s.snapshotBytes, minCompactBytes) {
+		err = s.beginGeneration(current)
+	} else {
+		err = s.appendChange(current)
+	}
+	if err != nil {
+		s.closeGeneration()
 	}
-	c := state.Diff(s.state, now)
-	if c == nil {
+	return err
+}
+
+// SaveSnapshot makes a state durable as the snapshot of a new generation.
+func (s *Store) SaveSnapshot(current *statepb.State) error {
+	s.closeGeneration()
+	return s.Save(current)
+}
+
+// Close closes the log. A later save begins a generation.
+func (s *Store) Close() { s.closeGeneration() }
+
+func (s *Store) closeGeneration() {
+	if s.log != nil {
+		// Each record was synced when it was saved, so an error loses nothing.
+		_ = s.log.Close()
+	}
+	s.log = nil
+	s.saved = nil
+}
+
+func (s *Store) appendChange(current *statepb.State) error {
+	change := state.Diff(s.saved, current)
+	if change == nil {
 		return nil
 	}
-	body, err := proto.Marshal(c)
+	body, err := proto.Marshal(change)
 	if err != nil {
 		return fmt.Errorf("encoding a change: %w", err)
 	}
-	text := append(mark(body, s.gen), body...)
-	if _, err := s.log.Write(text); err != nil {
+	record := encodeRecord(body, s.generation)
+	if _, err := s.log.Write(record); err != nil {
 		return fmt.Errorf("writing the log: %w", err)
 	}
 	if err := s.log.Sync(); err != nil {
 		return fmt.Errorf("syncing the log: %w", err)
 	}
-	s.logBytes += len(text)
-	state.Apply(s.state, proto.CloneOf(c))
+	s.logBytes += len(record)
+	state.Apply(s.saved, proto.CloneOf(change))
 	return nil
 }
 
-// SaveSnapshot writes a state into a generation of its own, whatever stood there.
-func (s *Store) SaveSnapshot(now *statepb.State) error {
-	s.abandon()
-	return s.Save(now)
-}
-
-// whole begins a generation: a snapshot under another name, synced, renamed, the folder synced; then its log; then what is
-// older than the generation before goes.
-func (s *Store) whole(now *statepb.State) error {
-	s.abandon()
-	now = proto.CloneOf(now)
-	now.Major, now.Minor = state.FormatMajor, state.FormatMinor
-	s.DroppedEntries += state.Shrink(now, s.most)
-	body, err := proto.Marshal(now)
+// beginGeneration writes a snapshot, begins its log, and removes generations that are no longer needed. The order
+// makes a power cut harmless at any step: the snapshot is synced before it gets its name, and the names are synced
+// before any older generation is removed.
+func (s *Store) beginGeneration(current *statepb.State) error {
+	s.closeGeneration()
+	snapshot := proto.CloneOf(current)
+	snapshot.Major = state.FormatMajor
+	snapshot.Minor = state.FormatMinor
+	s.DroppedEntries += state.Shrink(snapshot, s.maxSnapshotBytes)
+	body, err := proto.Marshal(snapshot)
 	if err != nil {
 		return fmt.Errorf("encoding the state: %w", err)
 	}
-	s.gen++
-	text := append(append(first('S'), mark(body, s.gen)...), body...)
-	if err := s.write("next", text); err != nil {
+	s.generation++
+	content := append(encodeHeader(snapshotFile), encodeRecord(body, s.generation)...)
+	if err := s.writeFile(temporaryName, content); err != nil {
 		return fmt.Errorf("writing a snapshot: %w", err)
 	}
-	if err := s.fs.Rename("next", file('S', s.gen)); err != nil {
+	if err := s.fsys.Rename(temporaryName, fileName(snapshotFile, s.generation)); err != nil {
 		return fmt.Errorf("naming a snapshot: %w", err)
 	}
-	if s.log, err = s.fs.Create(file('L', s.gen)); err != nil {
+	if err := s.beginLog(); err != nil {
 		return fmt.Errorf("beginning a log: %w", err)
 	}
-	if _, err := s.log.Write(first('L')); err != nil {
-		return fmt.Errorf("beginning a log: %w", err)
+	if err := s.fsys.SyncDir(); err != nil {
+		return fmt.Errorf("syncing the state folder: %w", err)
 	}
-	if err := s.log.Sync(); err != nil {
-		return fmt.Errorf("beginning a log: %w", err)
+	s.saved = snapshot
+	s.snapshotBytes = len(content)
+	s.logBytes = 0
+	return s.removeOldGenerations()
+}
+
+func (s *Store) beginLog() error {
+	log, err := s.fsys.Create(fileName(logFile, s.generation))
+	if err != nil {
+		return err
 	}
-	if err := s.fs.Sync(); err != nil {
-		return fmt.Errorf("syncing the state folder: %w", err)
+	s.log = log
+	if _, err := log.Write(encodeHeader(logFile)); err != nil {
+		return err
 	}
-	s.state, s.snapshot, s.logBytes = now, len(text), 0
-	return s.clean()
+	return log.Sync()
 }
 
-func (s *Store) write(name string, text []byte) error {
-	f, err := s.fs.Create(name)
+// writeFile writes and syncs a file.
+func (s *Store) writeFile(name string, content []byte) error {
+	file, err := s.fsys.Create(name)
 	if err != nil {
 		return err
 	}
-	if _, err = f.Write(text); err == nil {
-		err = f.Sync()
+	_, err = file.Write(content)
+	if err == nil {
+		err = file.Sync()
 	}
-	return errors.Join(err, f.Close())
+	return errors.Join(err, file.Close())
 }
 
-// clean removes generations that are no longer needed. Files of a newer program stay.
-func (s *Store) clean() error {
-	names, err := s.fs.Names()
+// removeOldGenerations keeps the files that a newer program wrote, for its return.
+func (s *Store) removeOldGenerations() error {
+	names, err := s.fsys.Names()
 	if err != nil {
 		return fmt.Errorf("looking into the state folder: %w", err)
 	}
-	for _, n := range names {
-		kind, gen, ok := parse(n)
-		if !ok || gen+stay > s.gen {
+	for _, name := range names {
+		kind, generation, ok := parseFileName(name)
+		if !ok || generation+retainedGenerations > s.generation || s.isNewer(name, kind) {
 			continue
 		}
-		if text, err := s.fs.Read(n); err == nil {
-			if _, err := head(text, kind); errors.Is(err, ErrNewer) {
-				continue
-			}
-		}
-		if err := s.fs.Remove(n); err != nil {
+		if err := s.fsys.Remove(name); err != nil {
 			return fmt.Errorf("removing an old generation: %w", err)
 		}
 	}
 	return nil
 }
 
-func (s *Store) abandon() {
-	if s.log != nil {
-		s.log.Close()
+// isNewer reports whether a file has a newer major format version. One that cannot be read has none.
+func (s *Store) isNewer(name string, kind fileKind) bool {
+	content, err := s.fsys.ReadFile(name)
+	if err != nil {
+		return false
 	}
-	s.log, s.state = nil, nil
+	_, err = decodeHeader(content, kind)
+	return errors.Is(err, ErrNewer)
 }
-
-// Close ends the writing.
-func (s *Store) Close() { s.abandon() }
