--- a/internal/statefile/format_test.go
+++ b/internal/statefile/format_test.go
@@ -15,6 +15,7 @@
 
 	"barleysail/internal/golden"
 	"barleysail/state"
+	"barleysail/state/statepb"
 )
 
 // format10Saves is how many saves of the script wrote the files in testdata/format-1.0.
@@ -128,3 +129,81 @@
 		t.Errorf("loaded %+v", loaded)
 	}
 }
+
+// The files in testdata/former-daemon are the folder of a daemon of format 1.0 that ran overloaded for twelve
+// seconds, with a failing host, a draining one, two proxies and two overrides, and was then killed. They are never
+// written again.
+func TestReadFolderOfFormerDaemon(t *testing.T) {
+	loaded := loadTestdata(t, "former-daemon")
+	if len(loaded.Warnings) > 0 {
+		t.Errorf("warnings %v", loaded.Warnings)
+	}
+	golden.Compare(t, "former-daemon", loadedText(t, loaded))
+
+	const elapsedMs = 1000
+	const slowStartMs = 600000
+	nowMs := loaded.State.At + elapsedMs
+	restored := state.ApplyDecay(loaded.State, nowMs, state.DefaultLimits(slowStartMs))
+	if restored.Incarnation == "" || restored.ElapsedMs != elapsedMs || restored.Reason != "" {
+		t.Errorf("restored from %q after %g ms: %s", restored.Incarnation, restored.ElapsedMs, restored.Reason)
+	}
+	t.Run("hosts", func(t *testing.T) { checkFormerHosts(t, restored.Hosts) })
+	t.Run("proxies", func(t *testing.T) { checkFormerProxies(t, restored.Proxies) })
+	t.Run("overrides", func(t *testing.T) { checkFormerOverrides(t, restored.Overrides, nowMs) })
+	t.Run("admission", func(t *testing.T) {
+		quota := restored.AdmissionQuotas["sheet"]
+		if restored.AdmissionRatio < 0.25 || restored.AdmissionRatio > 0.4 || quota < 0.25 || quota > 0.4 {
+			t.Errorf("admission ratio %g, quota %g", restored.AdmissionRatio, quota)
+		}
+		if restored.AdmissionQuotas["finish"] != 1 {
+			t.Errorf("quota %g of the class that was admitted", restored.AdmissionQuotas["finish"])
+		}
+	})
+}
+
+func checkFormerHosts(t *testing.T, hosts map[string]*state.Host) {
+	t.Helper()
+	if len(hosts) != 7 {
+		t.Fatalf("%d hosts", len(hosts))
+	}
+	if failing := hosts["10.0.0.2:80"]; failing.Zone != "b" || failing.Failures < 100 || failing.Successes != 0 {
+		t.Errorf("the failing host: %+v", failing)
+	}
+	if draining := hosts["10.0.0.3:80"]; draining.DrainingSinceMs == 0 || draining.StartedMs == 0 {
+		t.Errorf("the draining host: %+v", draining)
+	}
+	if healthy := hosts["10.0.0.1:80"]; healthy.Failures != 0 || healthy.Successes < 100 || healthy.MeanLatencyMs < 900 {
+		t.Errorf("a healthy host: %+v", healthy)
+	}
+}
+
+func checkFormerProxies(t *testing.T, proxies map[string]*state.Proxy) {
+	t.Helper()
+	if len(proxies) != 2 {
+		t.Fatalf("%d proxies", len(proxies))
+	}
+	for name, zone := range map[string]string{"p": "a", "q": "b"} {
+		proxy := proxies[name]
+		if proxy.Zone != zone || proxy.Tag == "" || len(proxy.Tables) != 2 || len(proxy.RequestRates) != 2 {
+			t.Errorf("proxy %s: %+v", name, proxy)
+			continue
+		}
+		if table := proxy.Tables[0]; table.Name != "sheet" || len(table.Hosts) != 5 || len(table.Weights) != 5 {
+			t.Errorf("table of proxy %s: %v", name, table)
+		}
+	}
+}
+
+func checkFormerOverrides(t *testing.T, overrides []*statepb.Setting, nowMs float64) {
+	t.Helper()
+	if len(overrides) != 2 {
+		t.Fatalf("%d overrides", len(overrides))
+	}
+	weight, drain := overrides[0], overrides[1]
+	if weight.Host != "10.0.0.1:80" || weight.Weight != 0.6 || weight.By != "ann" || weight.Until <= nowMs {
+		t.Errorf("the weight: %v", weight)
+	}
+	if drain.Host != "10.0.0.5:80" || drain.State != 1 || drain.By != "bob" || drain.Until != 0 {
+		t.Errorf("the drain: %v", drain)
+	}
+}
