--- a/standby/standby.go
+++ b/standby/standby.go
@@ -2,9 +2,9 @@
 //
 // The standby does not serve a proxy that has a session with the leader as long as the leader's lease is valid. Each
 // answer that the standby receives from the leader renews the lease, which expires LeaseMs later. No proxy is
-// therefore served by both controllers while the standby hears the leader. In a network partition both may publish,
-// each to its own proxies; that is safe, since a proxy follows the tables of one controller at a time. Holding
-// proxies back only keeps them from switching between controllers.
+// therefore served by both controllers while the standby hears the leader, up to the delay of these answers. In a
+// network partition both may publish, each to its own proxies; that is safe, since a proxy follows the tables of one
+// controller at a time. Holding proxies back only keeps them from switching between controllers.
 //
 // The package performs no I/O, reads no clock and starts no goroutine; the caller serializes all calls. Instants and
 // durations are milliseconds.
