--- a/internal/statefile/folder.go
+++ b/internal/statefile/folder.go
@@ -29,7 +29,7 @@
 // processes until Close. If another process holds the lock, the error wraps ErrLocked.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
-		return nil, fmt.Errorf("making the state folder: %w", err)
+		return nil, fmt.Errorf("creating the state folder: %w", err)
 	}
 	lock, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
--- a/internal/statefile/framing.go
+++ b/internal/statefile/framing.go
@@ -20,12 +20,12 @@
 
 // Reasons why a file, or the rest of it, cannot be used.
 var (
-	ErrNewer           = errors.New("it is of a newer program") // its major format version is not known here
-	ErrTruncatedHeader = errors.New("it ends in its first bytes")
-	ErrWrongMagic      = errors.New("it is no such file") // not a state file, or one of another kind than its name says
-	ErrTruncatedRecord = errors.New("it ends inside a record")
-	ErrChecksum        = errors.New("a checksum does not fit")
-	ErrTrailingData    = errors.New("something follows the record")
+	ErrNewer           = errors.New("written by a newer program") // its major format version is not known here
+	ErrTruncatedHeader = errors.New("truncated header")
+	ErrWrongMagic      = errors.New("not a state file of this kind") // or the kind is not that of the name
+	ErrTruncatedRecord = errors.New("truncated record")
+	ErrChecksum        = errors.New("checksum mismatch")
+	ErrTrailingData    = errors.New("data after the only record")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -54,7 +54,7 @@
 
 func checkMajorVersion(major int64) error {
 	if major > state.FormatMajor {
-		return fmt.Errorf("format %d, %d is the newest known here: %w", major, state.FormatMajor, ErrNewer)
+		return fmt.Errorf("format %d, the newest known here is %d: %w", major, state.FormatMajor, ErrNewer)
 	}
 	return nil
 }
--- a/internal/statefile/load.go
+++ b/internal/statefile/load.go
@@ -43,7 +43,7 @@
 func Load(fsys FS) (*LoadResult, error) {
 	names, err := fsys.Names()
 	if err != nil {
-		return nil, fmt.Errorf("looking into the state folder: %w", err)
+		return nil, fmt.Errorf("listing the state folder: %w", err)
 	}
 	result := &LoadResult{}
 	var snapshots []uint64
@@ -125,7 +125,7 @@
 	}
 	snapshot := &statepb.State{}
 	if err := proto.Unmarshal(body, snapshot); err != nil {
-		return nil, fmt.Errorf("reading it: %w", err)
+		return nil, fmt.Errorf("decoding the state: %w", err)
 	}
 	if err := checkMajorVersion(int64(snapshot.Major)); err != nil {
 		return nil, err
--- a/internal/statefile/store.go
+++ b/internal/statefile/store.go
@@ -125,7 +125,7 @@
 		return fmt.Errorf("writing a snapshot: %w", err)
 	}
 	if err := s.fsys.Rename(temporaryName, fileName(snapshotFile, s.generation)); err != nil {
-		return fmt.Errorf("naming a snapshot: %w", err)
+		return fmt.Errorf("renaming a snapshot: %w", err)
 	}
 	if err := s.beginLog(); err != nil {
 		return fmt.Errorf("beginning a log: %w", err)
@@ -168,7 +168,7 @@
 func (s *Store) removeOldGenerations() error {
 	names, err := s.fsys.Names()
 	if err != nil {
-		return fmt.Errorf("looking into the state folder: %w", err)
+		return fmt.Errorf("listing the state folder: %w", err)
 	}
 	for _, name := range names {
 		kind, generation, ok := parseFileName(name)
--- a/state/restore.go
+++ b/state/restore.go
@@ -79,7 +79,7 @@
 // only the overrides of operators are restored, expired or not.
 func ApplyDecay(stored *statepb.State, nowMs float64, limits Limits) *Restored {
 	if stored == nil {
-		return newRestored("nothing was kept")
+		return newRestored("no state was stored")
 	}
 	restored := newRestored("")
 	restored.ElapsedMs = nowMs - stored.At
@@ -148,7 +148,7 @@
 		d.restored.Hosts[stored.Name] = host
 	}
 	if unknown > 0 {
-		d.restored.Reason = fmt.Sprintf("%d of %d hosts were not heard of for too long", unknown, len(hosts))
+		d.restored.Reason = fmt.Sprintf("%d of %d hosts were last measured too long ago", unknown, len(hosts))
 	}
 }
 
