--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,5 @@
-// Package kept compares what a test prints with a text that is kept in the repository and read by people.
+// Package golden compares the output of tests with golden files: text files in testdata that people read and review.
+// It is for tests only, and never writes a file unless it is asked to by the environment.
 package golden
 
 import (
@@ -10,29 +11,44 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Compare compares a text with testdata/NAME.txt; KEEP=1 writes it anew, to be read before it is committed.
-func Compare(t testing.TB, name, now string) {
+const (
+	// updateVariable is the environment variable that, when not empty, makes Compare write the golden files again. Their
+	// differences are to be reviewed before they are committed.
+	updateVariable = "KEEP"
+
+	folder     = "testdata"
+	folderMode = 0o755
+	fileMode   = 0o644
+)
+
+// Compare fails the test if a text differs from the golden file testdata/NAME.txt, and shows the lines that differ.
+func Compare(t testing.TB, name, got string) {
 	t.Helper()
-	file := filepath.Join("testdata", name+".txt")
-	if os.Getenv("KEEP") != "" {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(file, []byte(now), 0o644); err != nil {
-			t.Fatal(err)
-		}
+	file := filepath.Join(folder, name+".txt")
+	if os.Getenv(updateVariable) != "" {
+		update(t, file, got)
 	}
-	was, err := os.ReadFile(file)
+	want, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(strings.Split(string(was), "\n"), strings.Split(now, "\n")); diff != "" {
-		t.Errorf("differs from %s (-kept +now):\n%s", file, diff)
+	if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(got, "\n")); diff != "" {
+		t.Errorf("differs from %s (-golden +got):\n%s", file, diff)
 	}
 }
 
-// Trace compares a text with the one kept under the test's name.
-func Trace(t testing.TB, now string) {
+// Trace compares a text with the golden file of the test's name, without its prefix "Test".
+func Trace(t testing.TB, got string) {
+	t.Helper()
+	Compare(t, strings.TrimPrefix(t.Name(), "Test"), got)
+}
+
+func update(t testing.TB, file, got string) {
 	t.Helper()
-	Compare(t, strings.TrimPrefix(t.Name(), "Test"), now)
+	if err := os.MkdirAll(folder, folderMode); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(file, []byte(got), fileMode); err != nil {
+		t.Fatal(err)
+	}
 }
--- /dev/null
+++ b/internal/golden/golden_test.go
@@ -0,0 +1,95 @@
+package golden
+
+import (
+	"os"
+	"path/filepath"
+	"runtime"
+	"testing"
+)
+
+// failureRecorder is a test whose failures are recorded instead of reported.
+type failureRecorder struct {
+	testing.TB
+	name   string
+	errors int
+	fatals int
+}
+
+func (r *failureRecorder) Helper()               {}
+func (r *failureRecorder) Name() string          { return r.name }
+func (r *failureRecorder) Errorf(string, ...any) { r.errors++ }
+
+func (r *failureRecorder) Fatal(...any) {
+	r.fatals++
+	runtime.Goexit()
+}
+
+// run waits for a function that may end its goroutine by Fatal.
+func (r *failureRecorder) run(function func()) {
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		function()
+	}()
+	<-done
+}
+
+// inFolderWithGolden changes to a new folder with the golden file testdata/sample.txt.
+func inFolderWithGolden(t *testing.T, text string) {
+	t.Helper()
+	t.Setenv(updateVariable, "")
+	t.Chdir(t.TempDir())
+	if err := os.Mkdir(folder, folderMode); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(folder, "sample.txt"), []byte(text), fileMode); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestCompare(t *testing.T) {
+	tests := []struct {
+		name           string
+		golden         string
+		got            string
+		errors, fatals int
+	}{
+		{"equal", "sample", "one\ntwo\n", 0, 0},
+		{"line differs", "sample", "one\n2\n", 1, 0},
+		{"line missing", "sample", "one\n", 1, 0},
+		{"last line end missing", "sample", "one\ntwo", 1, 0},
+		{"no golden file", "other", "one\ntwo\n", 0, 1},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			inFolderWithGolden(t, "one\ntwo\n")
+			recorder := &failureRecorder{TB: t}
+			recorder.run(func() { Compare(recorder, test.golden, test.got) })
+			if recorder.errors != test.errors || recorder.fatals != test.fatals {
+				t.Errorf("%d errors and %d fatal ones, want %d and %d", recorder.errors, recorder.fatals, test.errors, test.fatals)
+			}
+		})
+	}
+}
+
+func TestTraceTakesNameOfTest(t *testing.T) {
+	inFolderWithGolden(t, "text")
+	recorder := &failureRecorder{TB: t, name: "Testsample"}
+	recorder.run(func() { Trace(recorder, "text") })
+	if recorder.errors != 0 || recorder.fatals != 0 {
+		t.Errorf("%d errors, %d fatal ones", recorder.errors, recorder.fatals)
+	}
+}
+
+func TestUpdate(t *testing.T) {
+	t.Chdir(t.TempDir())
+	t.Setenv(updateVariable, "1")
+	Compare(t, "new", "text")
+	content, err := os.ReadFile(filepath.Join(folder, "new.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(content) != "text" {
+		t.Errorf("wrote %q", content)
+	}
+}
