--- /dev/null
+++ b/internal/runtimeapi/change.go
@@ -0,0 +1,222 @@
+package runtimeapi
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"strconv"
+	"strings"
+
+	"barleysail/controller"
+	"barleysail/operator"
+)
+
+// defaultOperator is who gives a command, where the socket does not tell.
+const defaultOperator = "socket"
+
+// keepWeight in a command leaves a host's weight as it is.
+const keepWeight = -1
+
+const (
+	errServerRequired = commandError("Require 'backend/server'.")
+	errNoSuchBackend  = commandError("No such backend.")
+	errNoSuchServer   = commandError("No such server.")
+	errServerExists   = commandError("Already exists a server with the same name in backend.")
+	errServerName     = commandError("A server's name is its <addr>:<port> here.")
+	errAddArguments   = commandError("'server' expects <name> and <addr>[:<port>] as arguments.")
+	errAddWeight      = commandError("'weight' expects a number from 1 to 256.")
+	errWeightRequired = commandError("Require <weight> or <weight%>.")
+	errWeightRange    = commandError("Absolute weight can only be between 0 and 256 inclusive.")
+	errDrainArguments = commandError("'drain server' only supports 'wait' and 'for'.")
+	errDrainDuration  = commandError("'for' expects a number of seconds.")
+	errSetState       = commandError("'set server <srv> state' expects 'ready', 'drain' and 'maint'.")
+	errSetArguments   = commandError("'set server <srv>' only supports 'state' and 'weight'.")
+)
+
+// findServer returns the host that the first argument, backend/server, names.
+func (s *session) findServer(args []string) (controller.HostInfo, error) {
+	if len(args) == 0 {
+		return controller.HostInfo{}, errServerRequired
+	}
+	backend, name, found := strings.Cut(args[0], "/")
+	if !found || name == "" {
+		return controller.HostInfo{}, errServerRequired
+	}
+	if !slices.Contains(s.server.controller.Status().Classes, backend) {
+		return controller.HostInfo{}, errNoSuchBackend
+	}
+	host, found := s.server.controller.Host(name)
+	if !found {
+		return controller.HostInfo{}, errNoSuchServer
+	}
+	return host, nil
+}
+
+// order passes a command to the controller and returns the answer.
+func (s *session) order(command operator.Command) (string, error) {
+	if command.Operator == "" {
+		command.Operator = defaultOperator
+	}
+	waits, err := s.server.controller.Order(command)
+	var rejected *operator.RejectedError
+	if errors.As(err, &rejected) {
+		return "", commandError("Refused: " + rejected.Reason + ".")
+	}
+	if err != nil {
+		return "", err
+	}
+	if waits {
+		return "Waits for its turn.\n", nil
+	}
+	return "", nil
+}
+
+// setState returns the function of a command that sets the state of a server.
+func setState(state operator.State) func(s *session, args []string) (string, error) {
+	return func(s *session, args []string) (string, error) {
+		host, err := s.findServer(args)
+		if err != nil {
+			return "", err
+		}
+		return s.order(operator.Command{Host: host.Host, State: state, Weight: keepWeight})
+	}
+}
+
+func (s *session) drainServer(args []string) (string, error) {
+	host, err := s.findServer(args)
+	if err != nil {
+		return "", err
+	}
+	command := operator.Command{Host: host.Host, State: operator.Draining, Weight: keepWeight}
+	for i := 1; i < len(args); i++ {
+		switch {
+		case args[i] == "wait":
+			command.Queue = true
+		case args[i] == "for" && i+1 < len(args):
+			i++
+			seconds, err := strconv.ParseFloat(args[i], 64)
+			if err != nil || !(seconds > 0) { // also where it is NaN
+				return "", errDrainDuration
+			}
+			command.DurationMs = seconds * 1000
+		default:
+			return "", errDrainArguments
+		}
+	}
+	return s.order(command)
+}
+
+func (s *session) getWeight(args []string) (string, error) {
+	host, err := s.findServer(args)
+	if err != nil {
+		return "", err
+	}
+	return fmt.Sprintf("%d (initial %d)\n", apiWeight(host.Weight), apiWeight(host.Listed)), nil
+}
+
+// setWeight sets the weight of a server. A weight of zero drains it.
+func (s *session) setWeight(args []string) (string, error) {
+	host, err := s.findServer(args)
+	if err != nil {
+		return "", err
+	}
+	if len(args) < 2 {
+		return "", errWeightRequired
+	}
+	weight, relative, ok := parseWeight(args[1])
+	if !ok {
+		return "", errWeightRange
+	}
+	command := operator.Command{Host: host.Host, Weight: weight, Relative: relative, KeepState: true}
+	if weight == 0 {
+		command.KeepState = false
+		command.State = operator.Draining
+	}
+	return s.order(command)
+}
+
+func (s *session) setServer(args []string) (string, error) {
+	if _, err := s.findServer(args); err != nil {
+		return "", err
+	}
+	if len(args) < 3 {
+		return "", errSetArguments
+	}
+	server, property, value := args[0], args[1], args[2]
+	switch property {
+	case "weight":
+		return s.setWeight([]string{server, value})
+	case "state":
+		state, ok := operator.ParseState(value)
+		if !ok || value == operator.Listed.String() { // which the API calls ready
+			return "", errSetState
+		}
+		return setState(state)(s, args)
+	default:
+		return "", errSetArguments
+	}
+}
+
+// addServer adds a host to the endpoint list, in maintenance and in the first zone if none is named.
+func (s *session) addServer(args []string) (string, error) {
+	if len(args) < 2 {
+		return "", errAddArguments
+	}
+	if _, err := s.findServer(args); err == nil {
+		return "", errServerExists
+	} else if !errors.Is(err, errNoSuchServer) {
+		return "", err
+	}
+	_, name, _ := strings.Cut(args[0], "/")
+	address := args[1]
+	if _, _, err := net.SplitHostPort(address); err != nil || name != address {
+		return "", errServerName
+	}
+	added, err := s.parseAddedHost(args[2:])
+	if err != nil {
+		return "", err
+	}
+	command := operator.Command{Host: name, State: operator.Maintenance, Weight: keepWeight, Add: added}
+	if _, err := s.order(command); err != nil {
+		return "", err
+	}
+	return "New server registered.\n", nil
+}
+
+func (s *session) parseAddedHost(args []string) (*operator.AddedHost, error) {
+	added := &operator.AddedHost{Weight: 1, Zone: s.server.controller.Status().Zones[0]}
+	for i := 0; i < len(args); i++ {
+		hasValue := i+1 < len(args)
+		switch {
+		case args[i] == "weight" && hasValue:
+			i++
+			weight, relative, ok := parseWeight(args[i])
+			if !ok || relative || weight == 0 {
+				return nil, errAddWeight
+			}
+			added.Weight = weight
+		case args[i] == "zone" && hasValue:
+			i++
+			added.Zone = args[i]
+		case args[i] == "check" || args[i] == "enabled":
+			// Tools send these keywords; all hosts are checked, and are enabled by a command.
+		default:
+			return nil, commandError(fmt.Sprintf("'server' : unknown keyword '%s'.", args[i]))
+		}
+	}
+	return added, nil
+}
+
+// deleteServer takes a host off the endpoint list that was added by addServer.
+func (s *session) deleteServer(args []string) (string, error) {
+	host, err := s.findServer(args)
+	if err != nil {
+		return "", err
+	}
+	command := operator.Command{Host: host.Host, State: operator.Maintenance, Weight: keepWeight, Remove: true}
+	if _, err := s.order(command); err != nil {
+		return "", err
+	}
+	return "Server deleted.\n", nil
+}
--- a/internal/runtimeapi/server.go
+++ b/internal/runtimeapi/server.go
@@ -1,6 +1,9 @@
-// Package runtimeapi is the second front of a steward: a line-oriented runtime API in the manner of HAProxy's stats
-// socket, by its published management guide. A class of transactions is a backend, a host is a server. What is set
-// by it is an input to the decisions, as from any other front.
+// Package runtimeapi serves the runtime API of a controller: line-oriented commands over a socket, in the manner of
+// HAProxy's stats socket as its management guide publishes it (https://docs.haproxy.org/3.0/management.html, section
+// 9.3). A request class is a backend of that API, and a host is a server of every backend.
+//
+// The package owns the connections, the syntax of commands and the texts of answers. It makes no decision: a command
+// that changes a host is passed to the controller, which may reject it or queue it as one from any other API.
 package runtimeapi
 
 import (
@@ -9,7 +12,6 @@
 	"fmt"
 	"net"
 	"net/textproto"
-	"strings"
 	"sync"
 	"time"
 
@@ -17,245 +19,165 @@
 	"barleysail/operator"
 )
 
-// Controller is what the front needs of one.
+// Controller is what the API needs of a controller. Its methods may be called from several goroutines at once.
 type Controller interface {
 	Hosts() []controller.HostInfo
 	Host(name string) (controller.HostInfo, bool)
 	Proxies() []controller.ProxyInfo
 	PublishedTables(proxy string) (controller.Response, bool)
 	Status() controller.Status
-	Order(orders ...operator.Command) (waits bool, err error)
-	Events(after int64, wait time.Duration, to func([]controller.Event)) (cancel func())
+
+	// Order carries out commands, or reports that they wait for their turn. A rejection is an operator.RejectedError.
+	Order(commands ...operator.Command) (waits bool, err error)
+
+	// Events passes the events after a number to a function, once, and waits for one if there is none yet.
+	Events(after int64, wait time.Duration, notify func([]controller.Event)) (cancel func())
 }
 
-// Level of a socket: what may be done by it.
+// Level of a socket says which commands are permitted on it.
 type Level int
 
-// As in the guide: look at what is not sensitive, also at the rest, and change things.
+// The levels of the management guide. Each permits what those before it permit.
 const (
-	User Level = iota
-	OperatorLevel
-	Admin
+	User          Level = iota // read what is not sensitive
+	OperatorLevel              // read everything
+	Admin                      // change things
 )
 
-// ParseLevel reads the name of a level.
-func ParseLevel(name string) (Level, bool) {
-	for l, n := range []string{"user", "operator", "admin"} {
-		if n == name {
-			return Level(l), true
+var levelNames = [...]string{User: "user", OperatorLevel: "operator", Admin: "admin"}
+
+// ParseLevel returns the level of a name in the settings. It is not ok for an unknown name.
+func ParseLevel(name string) (level Level, ok bool) {
+	for level, levelName := range levelNames {
+		if levelName == name {
+			return Level(level), true
 		}
 	}
 	return 0, false
 }
 
-// Config of a server. Zero values stand for the figures named.
+// Defaults of Config.
+const (
+	defaultMaxLineBytes   = 16384
+	defaultIdleTimeout    = time.Minute
+	defaultWriteTimeout   = 10 * time.Second
+	defaultMaxConnections = 256
+)
+
+// Config of a server. Zero values stand for the defaults.
 type Config struct {
 	Level          Level
-	Version        string
-	MaxLineBytes   int           // bytes of a command line: 16384
-	IdleTimeout    time.Duration // without a command: 60 s
-	WriteTimeout   time.Duration // for an answer: 10 s
-	MaxConnections int           // at once: 256
+	Version        string        // of the program, for show info
+	MaxLineBytes   int           // of a command line, and of a payload; default 16384
+	IdleTimeout    time.Duration // until a connection without a command is closed; default 60 s
+	WriteTimeout   time.Duration // for an answer; default 10 s
+	MaxConnections int           // served at once, further ones wait; default 256
 }
 
-// Server serves the front on listeners.
-type Server struct {
-	steward  Controller
-	set      Config
-	commands []command
-	slots    chan struct{}
-
-	mu      sync.Mutex
-	conns   map[net.Conn]bool
-	stopped bool
-	all     sync.WaitGroup
-	errors  []string // the last refusals, for show errors
-}
-
-// New makes a server.
-func New(s Controller, set Config) *Server {
-	if set.MaxLineBytes == 0 {
-		set.MaxLineBytes = 16384
+func (c Config) withDefaults() Config {
+	if c.MaxLineBytes == 0 {
+		c.MaxLineBytes = defaultMaxLineBytes
 	}
-	if set.IdleTimeout == 0 {
-		set.IdleTimeout = time.Minute
+	if c.IdleTimeout == 0 {
+		c.IdleTimeout = defaultIdleTimeout
 	}
-	if set.WriteTimeout == 0 {
-		set.WriteTimeout = 10 * time.Second
+	if c.WriteTimeout == 0 {
+		c.WriteTimeout = defaultWriteTimeout
 	}
-	if set.MaxConnections == 0 {
-		set.MaxConnections = 256
+	if c.MaxConnections == 0 {
+		c.MaxConnections = defaultMaxConnections
+	}
+	return c
+}
+
+// Server serves the API on listeners.
+type Server struct {
+	controller Controller
+	config     Config
+	commands   []command
+	slots      chan struct{} // one element for each connection that is served
+	sessions   sync.WaitGroup
+
+	mu       sync.Mutex // guards the fields below
+	conns    map[net.Conn]bool
+	closed   bool
+	failures []string // the last commands that failed, with their answers
+}
+
+// New returns a server that serves nothing yet.
+func New(target Controller, config Config) *Server {
+	config = config.withDefaults()
+	return &Server{
+		controller: target,
+		config:     config,
+		commands:   commands(),
+		slots:      make(chan struct{}, config.MaxConnections),
+		conns:      map[net.Conn]bool{},
 	}
-	return &Server{steward: s, set: set, commands: commands(), slots: make(chan struct{}, set.MaxConnections), conns: map[net.Conn]bool{}}
 }
 
-// Serve takes connections until the listener is closed.
-func (s *Server) Serve(l net.Listener) error {
+// Serve accepts connections until the listener is closed, and serves each in a goroutine that Close ends. It returns
+// nil when the listener is closed.
+func (s *Server) Serve(listener net.Listener) error {
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return nil
+		}
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return nil
-			}
 			return fmt.Errorf("taking a connection: %w", err)
 		}
-		s.mu.Lock()
-		if s.stopped {
-			s.mu.Unlock()
-			c.Close()
+		if !s.register(conn) {
+			closeConn(conn)
 			continue
 		}
-		s.conns[c] = true
-		s.all.Add(1)
-		s.mu.Unlock()
 		s.slots <- struct{}{}
-		go func() {
-			defer func() {
-				c.Close()
-				s.mu.Lock()
-				delete(s.conns, c)
-				s.mu.Unlock()
-				<-s.slots
-				s.all.Done()
-			}()
-			(&session{server: s, conn: c, text: textproto.NewReader(bufio.NewReaderSize(c, s.set.MaxLineBytes)), out: bufio.NewWriter(c)}).serve()
-		}()
+		go s.serveConn(conn)
 	}
 }
 
-// Close ends all connections and waits for what serves them.
-func (s *Server) Close() {
-	s.mu.Lock()
-	s.stopped = true
-	for c := range s.conns {
-		c.Close()
-	}
-	s.mu.Unlock()
-	s.all.Wait()
-}
-
-// errorsKept are told by show errors.
-const errorsKept = 16
-
-func (s *Server) failed(command, answer string) {
+// register reports whether the connection is to be served: it is not once the server is closed.
+func (s *Server) register(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.errors = append(s.errors, command+": "+strings.TrimSpace(answer))
-	s.errors = s.errors[max(len(s.errors)-errorsKept, 0):]
-}
-
-// session is a connection. It begins in the mode in which a line is carried out and the connection closed; prompt
-// changes to the interactive one.
-type session struct {
-	server *Server
-	conn   net.Conn
-	text   *textproto.Reader
-	out    *bufio.Writer
-	prompt bool
-	over   bool
-}
-
-func (s *session) serve() {
-	for !s.over {
-		s.conn.SetReadDeadline(time.Now().Add(s.server.set.IdleTimeout))
-		line, err := s.text.R.ReadSlice('\n')
-		if errors.Is(err, bufio.ErrBufferFull) {
-			s.answer("The command is too long.\n")
-			s.out.Flush()
-			return
-		}
-		text := strings.TrimRight(string(line), "\r\n")
-		if err != nil && text == "" {
-			return
-		}
-		s.line(text)
-		if s.prompt && !s.over {
-			s.out.WriteString("> ")
-		}
-		s.conn.SetWriteDeadline(time.Now().Add(s.server.set.WriteTimeout))
-		if s.out.Flush() != nil || err != nil || !s.prompt {
-			return
-		}
-	}
-}
-
-// line carries out the commands of a line.
-func (s *session) line(text string) {
-	payload, has := "", false
-	if before, pattern, ok := cutPayload(text); ok {
-		text, has = before, true
-		var err error
-		if payload, err = s.payload(pattern); err != nil {
-			s.over = true
-			return
-		}
-	}
-	for _, command := range split(text) {
-		words := strings.Fields(command)
-		if len(words) == 0 {
-			if s.prompt {
-				continue
-			}
-		}
-		if has {
-			words = append(words, payload)
-		}
-		s.run(words, command)
-		if s.over {
-			return
-		}
+	if s.closed {
+		return false
 	}
+	s.conns[conn] = true
+	s.sessions.Add(1)
+	return true
 }
 
-// cutPayload takes the << and its pattern off the end of a line.
-func cutPayload(text string) (before, pattern string, ok bool) {
-	at := strings.LastIndex(text, "<<")
-	if at < 0 || at > 0 && text[at-1] != ' ' || strings.ContainsAny(text[at+2:], " ;") {
-		return text, "", false
-	}
-	return text[:at], text[at+2:], true
+func (s *Server) unregister(conn net.Conn) {
+	s.mu.Lock()
+	delete(s.conns, conn)
+	s.mu.Unlock()
+	<-s.slots
+	s.sessions.Done()
 }
 
-// payload reads lines up to an empty one, or to the pattern.
-func (s *session) payload(pattern string) (string, error) {
-	var all strings.Builder
-	for {
-		line, err := s.text.R.ReadSlice('\n')
-		if err != nil || all.Len()+len(line) > s.server.set.MaxLineBytes {
-			return "", errors.New("no whole payload")
-		}
-		text := strings.TrimRight(string(line), "\r\n")
-		if text == pattern {
-			return all.String(), nil
-		}
-		all.WriteString(text + "\n")
+func (s *Server) serveConn(conn net.Conn) {
+	defer s.unregister(conn)
+	defer closeConn(conn)
+	session := &session{
+		server: s,
+		conn:   conn,
+		input:  textproto.NewReader(bufio.NewReaderSize(conn, s.config.MaxLineBytes)),
+		output: bufio.NewWriter(conn),
 	}
+	session.serve()
 }
 
-// split parts a line at semicolons that are not escaped by a backslash.
-func split(text string) []string {
-	var all []string
-	var now strings.Builder
-	for i := 0; i < len(text); i++ {
-		switch {
-		case text[i] == '\\' && i+1 < len(text):
-			i++
-			now.WriteByte(text[i])
-		case text[i] == ';':
-			all = append(all, now.String())
-			now.Reset()
-		default:
-			now.WriteByte(text[i])
-		}
-	}
-	return append(all, now.String())
-}
+// closeConn drops the error: whatever was to be sent has been flushed, and the connection is not used again.
+func closeConn(conn net.Conn) { _ = conn.Close() }
 
-// answer writes a command's answer, ended by an empty line.
-func (s *session) answer(text string) {
-	s.out.WriteString(text)
-	if text != "" && !strings.HasSuffix(text, "\n") {
-		s.out.WriteByte('\n')
+// Close closes all connections and waits until their goroutines have ended. It does not close listeners.
+func (s *Server) Close() {
+	s.mu.Lock()
+	s.closed = true
+	for conn := range s.conns {
+		closeConn(conn)
 	}
-	s.out.WriteByte('\n')
+	s.mu.Unlock()
+	s.sessions.Wait()
 }
--- a/internal/runtimeapi/show.go
+++ b/internal/runtimeapi/show.go
@@ -1,11 +1,8 @@
 package runtimeapi
 
 import (
-	"encoding/json"
 	"fmt"
 	"math"
-	"os"
-	"runtime"
 	"strconv"
 	"strings"
 
@@ -14,223 +11,180 @@
 	"barleysail/operator"
 )
 
-// firstBackend is the id of the first class; the ids of the others follow in the order of the settings.
-const firstBackend = 2
+const (
+	errNoBackendFound = commandError("Can't find backend.")
+	errNoSuchTable    = commandError("No such table")
+)
+
+// firstBackendID is that of the first request class; the others follow in the order of the settings.
+const firstBackendID = 2
 
-// backend is a class with its id.
+// backend is a request class with its number in the API.
 type backend struct {
 	class string
 	id    int
 }
 
-// servers gives the backends, or the one that is named by name or id, and their servers: every host is a server of every
-// class, since one table serves all.
-func (s *session) servers(named string) (backends []backend, hosts []controller.HostInfo, answer string, ok bool) {
-	for i, class := range s.server.steward.Status().Classes {
-		if id := firstBackend + i; named == "" || named == class || named == strconv.Itoa(id) {
-			backends = append(backends, backend{class, id})
+// findBackends returns the backend of a name or number, or all if there is neither.
+func (s *session) findBackends(selector string) ([]backend, error) {
+	var backends []backend
+	for i, class := range s.server.controller.Status().Classes {
+		id := firstBackendID + i
+		if selector == "" || selector == class || selector == strconv.Itoa(id) {
+			backends = append(backends, backend{class: class, id: id})
 		}
 	}
 	if len(backends) == 0 {
-		return nil, nil, "Can't find backend.\n", false
+		return nil, errNoBackendFound
 	}
-	return backends, s.server.steward.Hosts(), "", true
+	return backends, nil
 }
 
-// word is a host's status as show stat has it.
-func word(h controller.HostInfo) string {
+// serverID is the number in the API of the host of an index.
+func serverID(index int) int { return index + 1 }
+
+// Statuses of a server in show stat.
+const (
+	statusUp          = "UP"
+	statusDown        = "DOWN"
+	statusDrain       = "DRAIN"
+	statusMaintenance = "MAINT"
+)
+
+func serverStatus(host controller.HostInfo) string {
 	switch {
-	case h.Phase == "gone":
-		return "MAINT"
-	case h.Phase == "draining":
-		return "DRAIN"
-	case h.Withdrawn:
-		return "DOWN"
+	case host.Phase == "gone":
+		return statusMaintenance
+	case host.Phase == "draining":
+		return statusDrain
+	case host.Withdrawn:
+		return statusDown
+	default:
+		return statusUp
 	}
-	return "UP"
 }
 
-// admin gives the operational and the administrative state.
-func admin(h controller.HostInfo) (op, adm int) {
-	op = haproxy.Running
-	if word(h) == "DOWN" || word(h) == "MAINT" {
-		op = haproxy.Stopped
+// serverStates returns the operational and the administrative state of a server in show servers state.
+func serverStates(host controller.HostInfo) (operational, administrative int) {
+	operational = haproxy.Running
+	if status := serverStatus(host); status == statusDown || status == statusMaintenance {
+		operational = haproxy.Stopped
 	}
-	if h.Operator != nil && !h.Operator.Waiting {
-		switch state, _ := operator.ParseState(h.Operator.State); state {
-		case operator.Maintenance:
-			adm |= haproxy.ForcedMaint
-		case operator.Draining:
-			adm |= haproxy.ForcedDrain
-			op = haproxy.Stopping
+	overridden := host.Operator != nil && !host.Operator.Waiting
+	if !overridden {
+		if host.Phase == "draining" {
+			return haproxy.Stopping, haproxy.ForcedDrain
 		}
-	} else if h.Phase == "draining" {
-		adm, op = adm|haproxy.ForcedDrain, haproxy.Stopping
+		return operational, 0
+	}
+	switch state, _ := operator.ParseState(host.Operator.State); state {
+	case operator.Maintenance:
+		return operational, haproxy.ForcedMaint
+	case operator.Draining:
+		return haproxy.Stopping, haproxy.ForcedDrain
+	default:
+		return operational, 0
 	}
-	return op, adm
 }
 
-func (s *session) showBackend([]string) (string, bool) {
-	st := s.server.steward.Status()
-	return "# name\n" + strings.Join(st.Classes, "\n") + "\n", true
+func (s *session) showBackend([]string) (string, error) {
+	classes := s.server.controller.Status().Classes
+	return "# name\n" + strings.Join(classes, "\n") + "\n", nil
 }
 
-func first(args []string) string {
+func firstArgument(args []string) string {
 	if len(args) == 0 {
 		return ""
 	}
 	return args[0]
 }
 
-func (s *session) showState(args []string) (string, bool) {
-	backends, hosts, answer, ok := s.servers(first(args))
-	if !ok {
-		return answer, false
-	}
-	var all []haproxy.ServerState
-	for _, k := range backends {
-		for i, h := range hosts {
-			op, adm := admin(h)
-			all = append(all, haproxy.ServerState{BackendID: k.id, ServerID: i + 1, Backend: k.class, Server: h.Host, Address: h.Host, Op: op, Admin: adm,
-				Weight: quantised(h.Weight), Initial: quantised(h.Listed)})
+func (s *session) showServersState(args []string) (string, error) {
+	backends, err := s.findBackends(firstArgument(args))
+	if err != nil {
+		return "", err
+	}
+	hosts := s.server.controller.Hosts()
+	var states []haproxy.ServerState
+	for _, backend := range backends {
+		for i, host := range hosts {
+			operational, administrative := serverStates(host)
+			states = append(states, haproxy.ServerState{
+				BackendID: backend.id,
+				ServerID:  serverID(i),
+				Backend:   backend.class,
+				Server:    host.Host,
+				Address:   host.Host,
+				Op:        operational,
+				Admin:     administrative,
+				Weight:    apiWeight(host.Weight),
+				Initial:   apiWeight(host.Listed),
+			})
 		}
 	}
-	return haproxy.WriteState(all), true
+	return haproxy.WriteState(states), nil
 }
 
-func (s *session) showConn(args []string) (string, bool) {
-	backends, hosts, answer, ok := s.servers(first(args))
-	if !ok {
-		return answer, false
-	}
-	var b strings.Builder
-	b.WriteString("# bkname/svname bkid/svid addr port - purge_delay used_cur used_max need_est unsafe_nb safe_nb idle_lim idle_cur idle_per_thr[1]\n")
-	for _, k := range backends {
-		for i, h := range hosts {
-			at := strings.LastIndexByte(h.Host, ':')
-			used := int(math.Max(h.Why.ArrivalRate*h.Why.MeanLatencyMs/1000, 0))
-			fmt.Fprintf(&b, "%s/%s %d/%d %s %s - 0 %d %d %d 0 0 -1 0 0\n", k.class, h.Host, k.id, i+1, h.Host[:at], h.Host[at+1:], used, used, used)
-		}
-	}
-	return b.String(), true
+// concurrency is the mean number of requests at a host, by Little's law: arrival rate times mean latency.
+func concurrency(host controller.HostInfo) float64 {
+	return host.Why.ArrivalRate * host.Why.MeanLatencyMs / 1000
 }
 
-// showStat reports what the steward knows of each server, by the published columns.
-func (s *session) showStat(args []string) (string, bool) {
-	form := ""
-	if n := len(args); n > 0 && (args[n-1] == "typed" || args[n-1] == "json") {
-		form, args = args[n-1], args[:n-1]
-	}
-	kinds, sid := -1, -1
-	named := ""
-	if len(args) >= 3 {
-		if named = args[0]; named == "-1" {
-			named = ""
+const serversConnHeader = "# bkname/svname bkid/svid addr port - purge_delay used_cur used_max need_est unsafe_nb " +
+	"safe_nb idle_lim idle_cur idle_per_thr[1]\n"
+
+func (s *session) showServersConn(args []string) (string, error) {
+	backends, err := s.findBackends(firstArgument(args))
+	if err != nil {
+		return "", err
+	}
+	hosts := s.server.controller.Hosts()
+	var text strings.Builder
+	text.WriteString(serversConnHeader)
+	for _, backend := range backends {
+		for i, host := range hosts {
+			colonAt := strings.LastIndexByte(host.Host, ':')
+			address, port := host.Host[:colonAt], host.Host[colonAt+1:]
+			used := int(math.Max(concurrency(host), 0))
+			fmt.Fprintf(&text, "%s/%s %d/%d %s %s - 0 %d %d %d 0 0 -1 0 0\n", backend.class, host.Host, backend.id,
+				serverID(i), address, port, used, used, used)
 		}
-		kinds, _ = strconv.Atoi(args[1])
-		sid, _ = strconv.Atoi(args[2])
 	}
-	backends, hosts, answer, ok := s.servers(named)
-	if !ok {
-		return answer, false
-	}
-	var rows []haproxy.Row
-	for _, k := range backends {
-		iid := strconv.Itoa(k.id)
-		total, up := 0, 0
-		rate := 0.0
-		for i, h := range hosts {
-			if word(h) == "UP" {
-				up, total = up+1, total+quantised(h.Weight)
-			}
-			rate += h.Why.ArrivalRate
-			if kinds >= 0 && kinds&4 == 0 || sid >= 0 && sid != i+1 {
-				continue
-			}
-			rows = append(rows, haproxy.Row{"pxname": k.class, "svname": h.Host, "status": word(h), "weight": strconv.Itoa(quantised(h.Weight)),
-				"qcur": figure(h.Why.Load.QueueLength), "scur": figure(h.Why.ArrivalRate * h.Why.MeanLatencyMs / 1000), "stot": "0", "act": "1", "bck": "0",
-				"econ": "0", "eresp": figure(h.Why.Failures), "chkfail": strconv.Itoa(h.Why.ConsecutiveFailures), "pid": "1", "iid": iid, "sid": strconv.Itoa(i + 1),
-				"type": strconv.Itoa(haproxy.Server), "rate": figure(h.Why.ArrivalRate), "rtime": figure(h.Why.MeanLatencyMs), "ttime": figure(h.Why.MeanLatencyMs), "addr": h.Host,
-				"mode": "http", "check_status": check(h)})
-		}
-		if kinds < 0 || kinds&2 != 0 {
-			status := "UP"
-			if up == 0 {
-				status = "DOWN"
-			}
-			rows = append(rows, haproxy.Row{"pxname": k.class, "svname": "BACKEND", "status": status, "weight": strconv.Itoa(total), "act": strconv.Itoa(up),
-				"bck": "0", "pid": "1", "iid": iid, "sid": "0", "type": strconv.Itoa(haproxy.Backend), "rate": figure(rate), "stot": "0", "mode": "http",
-				"algo": "random"})
-		}
-	}
-	switch form {
-	case "typed":
-		return haproxy.WriteTyped(rows), true
-	case "json":
-		return haproxy.WriteJSON(rows), true
-	}
-	return haproxy.WriteCSV(rows), true
+	return text.String(), nil
 }
 
-func check(h controller.HostInfo) string {
-	switch {
-	case h.Why.ConsecutiveFailures > 0:
-		return "L7TOUT"
-	case h.Why.ConsecutiveSuccesses > 0:
-		return "L7OK"
+// showTable lists the proxies with the sizes of their tables, or the tables of one proxy.
+func (s *session) showTable(args []string) (string, error) {
+	if len(args) == 0 {
+		return s.showTableSizes(), nil
 	}
-	return "INI"
-}
-
-// figure rounds to a whole number, as the columns want.
-func figure(x float64) string {
-	if !(x > 0) {
-		return "0"
+	proxy := args[0]
+	published, ok := s.server.controller.PublishedTables(proxy)
+	if !ok {
+		return "", errNoSuchTable
+	}
+	var text strings.Builder
+	for _, table := range published.Tables() {
+		fmt.Fprintf(&text, "# table: %s/%s, type: string, size:%d, used:%d, share:%g, tries:%d\n", proxy, table.Class,
+			len(table.Hosts), len(table.Hosts), table.AdmissionRatio, table.RetryPolicy)
+		for i, host := range table.Hosts {
+			fmt.Fprintf(&text, "0x%x: key=%s weight=%g\n", i+1, host, table.Weights[i])
+		}
 	}
-	return strconv.FormatFloat(math.Round(x), 'f', 0, 64)
+	return text.String(), nil
 }
 
-// info is a line of show info.
-type info struct{ name, value string }
-
-func (s *session) showInfo(args []string) (string, bool) {
-	st := s.server.steward.Status()
-	all := []info{{"Name", "barleysail"}, {"Version", s.server.set.Version}, {"Nbthread", strconv.Itoa(runtime.GOMAXPROCS(0))}, {"Nbproc", "1"},
-		{"Process_num", "1"}, {"Pid", strconv.Itoa(os.Getpid())}, {"CurrConns", strconv.Itoa(st.Joined)}, {"Stopping", "0"},
-		{"Jobs", strconv.Itoa(st.Polls)}, {"Tasks", strconv.Itoa(st.MessagesQueued)}, {"node", st.Life}, {"description", st.Mode}}
-	switch first(args) {
-	case "":
-		var b strings.Builder
-		for _, i := range all {
-			fmt.Fprintf(&b, "%s: %s\n", i.name, i.value)
-		}
-		return b.String(), true
-	case "typed":
-		var b strings.Builder
-		for n, i := range all {
-			fmt.Fprintf(&b, "%d.%s.1:MGP:%s:%s\n", n, i.name, infoType(i.value), i.value)
-		}
-		return b.String(), true
-	case "json":
-		list := []any{}
-		for n, i := range all {
-			var value any = i.value
-			if x, err := strconv.Atoi(i.value); err == nil {
-				value = x
+// showTableSizes takes the largest table of each proxy.
+func (s *session) showTableSizes() string {
+	var text strings.Builder
+	for _, proxy := range s.server.controller.Proxies() {
+		size := 0
+		if published, ok := s.server.controller.PublishedTables(proxy.Proxy); ok {
+			for _, table := range published.Tables() {
+				size = max(size, len(table.Hosts))
 			}
-			list = append(list, map[string]any{"field": map[string]any{"pos": n, "name": i.name}, "processNum": 1,
-				"tags":  map[string]string{"origin": "Product", "nature": "Output", "scope": "Service"},
-				"value": map[string]any{"type": infoType(i.value), "value": value}})
 		}
-		text, _ := json.Marshal(list)
-		return string(text) + "\n", true
-	}
-	return "'show info' only supports 'typed' and 'json'.\n", false
-}
-
-func infoType(v string) string {
-	if _, err := strconv.Atoi(v); err == nil {
-		return "u32"
+		fmt.Fprintf(&text, "# table: %s, type: string, size:%d, used:%d\n", proxy.Proxy, size, size)
 	}
-	return "str"
+	return text.String()
 }
--- /dev/null
+++ b/internal/runtimeapi/stat.go
@@ -0,0 +1,169 @@
+package runtimeapi
+
+import (
+	"math"
+	"strconv"
+
+	"barleysail/controller"
+	"barleysail/internal/haproxy"
+)
+
+// Formats of show stat and show info besides the usual one.
+const (
+	formatTyped = "typed"
+	formatJSON  = "json"
+)
+
+// Bits of the type argument of show stat.
+const (
+	statBackends = 2
+	statServers  = 4
+)
+
+// statAll selects all types or servers of show stat.
+const statAll = -1
+
+// statQuery is what show stat is to report.
+type statQuery struct {
+	backend  string // name or number; empty: all
+	types    int    // bits, or statAll
+	serverID int    // or statAll
+	format   string // empty: CSV
+}
+
+// parseStatQuery reads the arguments [{<iid>|<proxy>} <type> <sid>] [typed|json]. Fewer than three select all. A
+// number that cannot be read counts as zero, which selects nothing.
+func parseStatQuery(args []string) statQuery {
+	query := statQuery{types: statAll, serverID: statAll}
+	if last := len(args) - 1; last >= 0 && (args[last] == formatTyped || args[last] == formatJSON) {
+		query.format = args[last]
+		args = args[:last]
+	}
+	if len(args) < 3 {
+		return query
+	}
+	if args[0] != strconv.Itoa(statAll) {
+		query.backend = args[0]
+	}
+	query.types, _ = strconv.Atoi(args[1])
+	query.serverID, _ = strconv.Atoi(args[2])
+	return query
+}
+
+func (q statQuery) selectsServer(id int) bool {
+	typeSelected := q.types < 0 || q.types&statServers != 0
+	idSelected := q.serverID < 0 || q.serverID == id
+	return typeSelected && idSelected
+}
+
+func (q statQuery) selectsBackends() bool { return q.types < 0 || q.types&statBackends != 0 }
+
+// showStat reports what the controller knows of each server, in the columns of the management guide.
+func (s *session) showStat(args []string) (string, error) {
+	query := parseStatQuery(args)
+	backends, err := s.findBackends(query.backend)
+	if err != nil {
+		return "", err
+	}
+	hosts := s.server.controller.Hosts()
+	var rows []haproxy.Row
+	for _, backend := range backends {
+		for i, host := range hosts {
+			if query.selectsServer(serverID(i)) {
+				rows = append(rows, serverRow(backend, serverID(i), host))
+			}
+		}
+		if query.selectsBackends() {
+			rows = append(rows, backendRow(backend, hosts))
+		}
+	}
+	switch query.format {
+	case formatTyped:
+		return haproxy.WriteTyped(rows), nil
+	case formatJSON:
+		return haproxy.WriteJSON(rows), nil
+	default:
+		return haproxy.WriteCSV(rows), nil
+	}
+}
+
+func serverRow(backend backend, id int, host controller.HostInfo) haproxy.Row {
+	return haproxy.Row{
+		"pxname":       backend.class,
+		"svname":       host.Host,
+		"status":       serverStatus(host),
+		"weight":       strconv.Itoa(apiWeight(host.Weight)),
+		"qcur":         roundedText(host.Why.Load.QueueLength),
+		"scur":         roundedText(concurrency(host)),
+		"stot":         "0",
+		"act":          "1",
+		"bck":          "0",
+		"econ":         "0",
+		"eresp":        roundedText(host.Why.Failures),
+		"chkfail":      strconv.Itoa(host.Why.ConsecutiveFailures),
+		"pid":          "1",
+		"iid":          strconv.Itoa(backend.id),
+		"sid":          strconv.Itoa(id),
+		"type":         strconv.Itoa(haproxy.Server),
+		"rate":         roundedText(host.Why.ArrivalRate),
+		"rtime":        roundedText(host.Why.MeanLatencyMs),
+		"ttime":        roundedText(host.Why.MeanLatencyMs),
+		"addr":         host.Host,
+		"mode":         "http",
+		"check_status": checkStatus(host),
+	}
+}
+
+// backendRow sums up all servers, also those that were not selected.
+func backendRow(backend backend, hosts []controller.HostInfo) haproxy.Row {
+	weight := 0
+	serversUp := 0
+	arrivalRate := 0.0
+	for _, host := range hosts {
+		if serverStatus(host) == statusUp {
+			serversUp++
+			weight += apiWeight(host.Weight)
+		}
+		arrivalRate += host.Why.ArrivalRate
+	}
+	status := statusUp
+	if serversUp == 0 {
+		status = statusDown
+	}
+	return haproxy.Row{
+		"pxname": backend.class,
+		"svname": "BACKEND",
+		"status": status,
+		"weight": strconv.Itoa(weight),
+		"act":    strconv.Itoa(serversUp),
+		"bck":    "0",
+		"pid":    "1",
+		"iid":    strconv.Itoa(backend.id),
+		"sid":    "0",
+		"type":   strconv.Itoa(haproxy.Backend),
+		"rate":   roundedText(arrivalRate),
+		"stot":   "0",
+		"mode":   "http",
+		"algo":   "random",
+	}
+}
+
+// checkStatus is the result of the last health check.
+func checkStatus(host controller.HostInfo) string {
+	switch {
+	case host.Why.ConsecutiveFailures > 0:
+		return "L7TOUT"
+	case host.Why.ConsecutiveSuccesses > 0:
+		return "L7OK"
+	default:
+		return "INI"
+	}
+}
+
+// roundedText rounds to a whole number, as the columns demand. What is unknown, below zero or NaN, becomes 0.
+func roundedText(value float64) string {
+	if !(value > 0) {
+		return "0"
+	}
+	return strconv.FormatFloat(math.Round(value), 'f', 0, 64)
+}
