--- a/internal/statefile/folder_test.go
+++ b/internal/statefile/folder_test.go
@@ -2,7 +2,10 @@
 
 import (
 	"errors"
+	"io/fs"
+	"os"
 	"path/filepath"
+	"slices"
 	"testing"
 )
 
@@ -61,3 +64,47 @@
 		t.Errorf("loaded %+v", loaded)
 	}
 }
+
+func TestOpenFolderFails(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(file, nil, fileMode); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := OpenFolder(file); err == nil {
+		t.Error("a file was opened as a folder")
+	}
+	path := t.TempDir()
+	if err := os.Mkdir(filepath.Join(path, lockFileName), folderMode); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := OpenFolder(path); err == nil || errors.Is(err, ErrLocked) {
+		t.Errorf("a folder without a lock file was opened: %v", err)
+	}
+}
+
+// Old generations are removed from the disk, and a folder that is gone fails the save.
+func TestSaveToFolder(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "state")
+	folder := openTestFolder(t, path)
+	t.Cleanup(func() { closeFolder(t, folder) })
+	store := NewStore(folder, &LoadResult{}, maxTestSnapshotBytes)
+	for n := range 3 {
+		if err := store.SaveSnapshot(testState(n)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	names, err := folder.Names()
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []string{lockFileName, "log-00000002", "log-00000003", "snapshot-00000002", "snapshot-00000003"}
+	if !slices.Equal(names, want) {
+		t.Errorf("files %v, want %v", names, want)
+	}
+	if err := os.RemoveAll(path); err != nil {
+		t.Fatal(err)
+	}
+	if err := store.SaveSnapshot(testState(4)); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("saving into a missing folder: %v", err)
+	}
+}
--- a/internal/statefile/load_test.go
+++ b/internal/statefile/load_test.go
@@ -3,7 +3,13 @@
 import (
 	"errors"
 	"slices"
+	"strings"
 	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	"barleysail/state"
+	"barleysail/state/statepb"
 )
 
 // Whatever the files hold: loading ends, and the next state can be saved.
@@ -104,3 +110,77 @@
 		})
 	}
 }
+
+// Each kind of damage leaves out the damaged part, with a warning that names the file and the reason.
+func TestLoadWarnings(t *testing.T) {
+	undecodable := []byte{0xff}
+	newerState := encodeState(t, &statepb.State{Major: state.FormatMajor + 1})
+	snapshot := func(body []byte) []byte { return append(encodeHeader(snapshotFile), encodeRecord(body, 1)...) }
+	readable := snapshot(encodeState(t, testState(1)))
+	tests := []struct {
+		name          string
+		snapshot, log []byte
+		want          string // the only warning
+		loaded        bool
+	}{
+		{"undamaged", readable, encodeHeader(logFile), "", true},
+		{"trailing data", append(readable, 0), nil, "snapshot-00000001: " + ErrTrailingData.Error(), false},
+		{"empty snapshot", nil, nil, "snapshot-00000001: " + ErrTruncatedHeader.Error(), false},
+		{"no record", encodeHeader(snapshotFile), nil, "snapshot-00000001: " + ErrTruncatedRecord.Error(), false},
+		{"undecodable state", snapshot(undecodable), nil, "snapshot-00000001: decoding the state: ", false},
+		{"newer state", snapshot(newerState), nil, ErrNewer.Error(), false},
+		{"empty log", readable, []byte{}, "log-00000001 after 0 changes: " + ErrTruncatedHeader.Error(), true},
+		{"undecodable change", readable, append(encodeHeader(logFile), encodeRecord(undecodable, 1)...),
+			"log-00000001 after 0 changes: ", true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			fsys := newCrashFS()
+			fsys.put(fileName(snapshotFile, 1), test.snapshot)
+			if test.log != nil {
+				fsys.put(fileName(logFile, 1), test.log)
+			}
+			loaded := mustLoad(t, fsys)
+			if (loaded.State != nil) != test.loaded {
+				t.Errorf("state %v", loaded.State)
+			}
+			warnings := strings.Join(loaded.Warnings, "; ")
+			if (warnings == "") != (test.want == "") || !strings.Contains(warnings, test.want) || len(loaded.Warnings) > 1 {
+				t.Errorf("warnings %q, want %q", loaded.Warnings, test.want)
+			}
+		})
+	}
+}
+
+func encodeState(t *testing.T, s *statepb.State) []byte {
+	t.Helper()
+	body, err := proto.Marshal(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return body
+}
+
+func TestDamageErrorWrapsReason(t *testing.T) {
+	err := error(&DamageError{FileName: fileName(logFile, 1), Changes: 2, Err: ErrChecksum})
+	if !errors.Is(err, ErrChecksum) || !strings.Contains(err.Error(), "after 2 changes") {
+		t.Errorf("error %v", err)
+	}
+}
+
+var errListing = errors.New("listing failed")
+
+// unlistableFS fails to list its files.
+type unlistableFS struct{ *crashFS }
+
+func (unlistableFS) Names() ([]string, error) { return nil, errListing }
+
+func TestListingFails(t *testing.T) {
+	fsys := unlistableFS{newCrashFS()}
+	if _, err := Load(fsys); !errors.Is(err, errListing) {
+		t.Errorf("Load: %v", err)
+	}
+	if err := NewStore(fsys, &LoadResult{}, maxTestSnapshotBytes).Save(testState(1)); !errors.Is(err, errListing) {
+		t.Errorf("Save: %v", err)
+	}
+}
--- a/internal/statefile/store_test.go
+++ b/internal/statefile/store_test.go
@@ -85,3 +85,21 @@
 		t.Error("no dropped entries were counted")
 	}
 }
+
+// SaveSnapshot begins a generation also where a change would do, so that after two of them no earlier state is left.
+func TestSaveSnapshotBeginsGeneration(t *testing.T) {
+	fsys := newCrashFS()
+	store := NewStore(fsys, &LoadResult{}, maxTestSnapshotBytes)
+	mustSave(t, store, testState(1))
+	for range 2 {
+		if err := store.SaveSnapshot(testState(2)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if loaded := mustLoad(t, fsys); loaded.Generation != 3 || loaded.Changes != 0 || loaded.State.At != testState(2).At {
+		t.Errorf("loaded %+v", loaded)
+	}
+	if fsys.current[fileName(snapshotFile, 1)] != nil || fsys.current[fileName(logFile, 1)] != nil {
+		t.Error("the first generation was not removed")
+	}
+}
