--- a/internal/runtimeapi/commands_test.go
+++ b/internal/runtimeapi/commands_test.go
@@ -7,7 +7,9 @@
 	"strings"
 	"testing"
 
+	"barleysail/controller"
 	"barleysail/internal/golden"
+	"barleysail/internal/haproxy"
 	"barleysail/internal/runtimeapi"
 	"barleysail/operator"
 )
@@ -91,10 +93,18 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin})
-			server.controller.outcomes = []commandOutcome{test.outcome}
+			server.controller.outcomes = []commandOutcome{test.outcome, test.outcome, test.outcome}
 			if answer := server.ask(t, "disable server sheet/10.0.0.1:80\n"); answer != test.answer {
 				t.Errorf("answer %q, want %q", answer, test.answer)
 			}
+			added := server.ask(t, "add server sheet/10.0.0.9:80 10.0.0.9:80\n")
+			deleted := server.ask(t, "del server sheet/10.0.0.1:80\n")
+			if test.outcome.err != nil && (added != test.answer || deleted != test.answer) {
+				t.Errorf("add server answers %q, del server %q, want %q", added, deleted, test.answer)
+			}
+			if test.outcome.err == nil && (added != "New server registered.\n\n" || deleted != "Server deleted.\n\n") {
+				t.Errorf("add server answers %q, del server %q", added, deleted)
+			}
 			listed := strings.Contains(server.ask(t, "show errors\n"), "disable server sheet/10.0.0.1:80: ")
 			if failed := test.outcome.err != nil; listed != failed {
 				t.Errorf("listed by show errors: %v, want %v", listed, failed)
@@ -159,3 +169,25 @@
 		t.Errorf("%s: %q", line, answer)
 	}
 }
+
+// A backend without a server that is up is down; a host with an override to ready runs although the list drains it.
+func TestServerStatuses(t *testing.T) {
+	server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin})
+	server.controller.hosts = []controller.HostInfo{
+		{Host: "10.0.0.1:80", Phase: "draining", Listed: 1, Operator: &controller.OverrideInfo{State: "ready"}},
+	}
+	stat, err := haproxy.ParseCSV(server.ask(t, "show stat sheet 6 -1\n"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(stat) != 2 || stat[0]["status"] != "DRAIN" || stat[1]["svname"] != "BACKEND" || stat[1]["status"] != "DOWN" {
+		t.Errorf("show stat: %v", stat)
+	}
+	states, err := haproxy.ParseState(server.ask(t, "show servers state sheet\n"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(states) != 1 || states[0].Op != haproxy.Running || states[0].Admin != 0 {
+		t.Errorf("show servers state: %+v", states)
+	}
+}
--- a/internal/runtimeapi/server_test.go
+++ b/internal/runtimeapi/server_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"net"
 	"strconv"
@@ -183,3 +184,27 @@
 	}
 	waitFor(t, "the session stops following", func() bool { return server.controller.followerCount() == 0 })
 }
+
+var errAccept = errors.New("too many open files")
+
+// failingListener fails to accept connections.
+type failingListener struct{ net.Listener }
+
+func (failingListener) Accept() (net.Conn, error) { return nil, errAccept }
+
+func TestServeReportsFailedAccept(t *testing.T) {
+	server := runtimeapi.New(newFakeController(t), runtimeapi.Config{})
+	if err := server.Serve(failingListener{}); !errors.Is(err, errAccept) {
+		t.Errorf("serving ended with %v", err)
+	}
+}
+
+// What follows << has to be one word for a payload.
+func TestNoPayload(t *testing.T) {
+	server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin})
+	for _, line := range []string{"show table a<<", "show table << a b"} {
+		if answer := server.ask(t, line+"\n"); answer != "No such table\n\n" {
+			t.Errorf("%s: %q", line, answer)
+		}
+	}
+}
