--- a/standby/standby.go
+++ b/standby/standby.go
@@ -2,9 +2,9 @@
 //
 // The standby does not serve a proxy that has a session with the leader as long as the leader's lease is valid. Each
 // answer that the standby receives from the leader renews the lease, which expires LeaseMs later. No proxy is
-// therefore served by both controllers while the standby hears the leader, up to the delay of these answers. In a
-// network partition both may publish, each to its own proxies; that is safe, since a proxy follows the tables of one
-// controller at a time. Holding proxies back only keeps them from switching between controllers.
+// therefore served by both controllers while the standby is in contact with the leader, up to the delay of these
+// answers. In a network partition both may publish, each to its own proxies; that is safe, since a proxy follows the
+// tables of one controller at a time. Holding proxies back only keeps them from switching between controllers.
 //
 // The package performs no I/O, reads no clock and starts no goroutine; the caller serializes all calls. Instants and
 // durations are milliseconds.
@@ -14,27 +14,27 @@
 
 // Limits of a standby.
 type Limits struct {
-	LeaseMs float64 // how long the leader's lease is valid after it was last heard
+	LeaseMs float64 // how long the leader's lease is valid after the last contact
 }
 
 // Standby follows one leader.
 type Standby struct {
-	limits          Limits
-	leaderHeardAtMs float64 // when the leader last reported its sessions or sent a heartbeat; -Inf: never
-	leaderSessions  map[string]bool
-	active          bool
-	activeSinceMs   float64
-	rejectedPolls   int64
+	limits         Limits
+	lastContactMs  float64 // when the leader last answered; -Inf: never
+	leaderSessions map[string]bool
+	active         bool
+	activeSinceMs  float64
+	rejectedPolls  int64
 }
 
-// New returns a standby that has not heard its leader yet, and so would serve any proxy.
+// New returns a standby that has had no contact with its leader yet, and so would serve any proxy.
 func New(limits Limits) *Standby {
-	return &Standby{limits: limits, leaderHeardAtMs: math.Inf(-1), leaderSessions: map[string]bool{}}
+	return &Standby{limits: limits, lastContactMs: math.Inf(-1), leaderSessions: map[string]bool{}}
 }
 
 // ObserveSessions renews the leader's lease and replaces the set of proxies that have a session with the leader.
 func (s *Standby) ObserveSessions(nowMs float64, proxies []string) {
-	s.leaderHeardAtMs = nowMs
+	s.lastContactMs = nowMs
 	clear(s.leaderSessions)
 	for _, proxy := range proxies {
 		s.leaderSessions[proxy] = true
@@ -42,12 +42,12 @@
 }
 
 // Heartbeat renews the leader's lease; the leader's sessions are as they were.
-func (s *Standby) Heartbeat(nowMs float64) { s.leaderHeardAtMs = nowMs }
+func (s *Standby) Heartbeat(nowMs float64) { s.lastContactMs = nowMs }
 
 // LeaseValid reports whether the leader's lease is valid, so that its sessions have to be respected.
 func (s *Standby) LeaseValid(nowMs float64) bool { return nowMs < s.leaseExpiresAtMs() }
 
-func (s *Standby) leaseExpiresAtMs() float64 { return s.leaderHeardAtMs + s.limits.LeaseMs }
+func (s *Standby) leaseExpiresAtMs() float64 { return s.lastContactMs + s.limits.LeaseMs }
 
 // ShouldServe reports whether a proxy that polls may be served. If not, retryAfterMs is the time until the lease
 // expires if it is not renewed. The first proxy that is served makes the standby active.
--- a/standby/takeover_model_test.go
+++ b/standby/takeover_model_test.go
@@ -40,7 +40,7 @@
 	replicationUp    bool       // whether the standby reaches the leader
 	leaderReachable  [2]bool    // by each proxy
 	lastPolledLeader [2]float64 // or noSession
-	standbyHeardAt   float64    // when the standby last heard the leader
+	lastContact      float64    // of the standby with the leader
 	observedSessions [2]bool    // the sessions that the leader then had
 	violations       []string   // of the invariants
 }
@@ -52,7 +52,7 @@
 		replicationUp:    true,
 		leaderReachable:  [2]bool{true, true},
 		lastPolledLeader: [2]float64{noSession, noSession},
-		standbyHeardAt:   math.Inf(-1),
+		lastContact:      math.Inf(-1),
 	}
 }
 
@@ -86,7 +86,7 @@
 }
 
 func (m *model) replicateSessions() {
-	m.standbyHeardAt = m.now
+	m.lastContact = m.now
 	var sessions []string
 	for proxy, name := range proxyNames {
 		m.observedSessions[proxy] = m.lastPolledLeader[proxy] != noSession
@@ -109,7 +109,7 @@
 		return
 	}
 	serve, _ := m.policy.ShouldServe(m.now, proxyNames[proxy])
-	leaseValid := m.now < m.standbyHeardAt+leaseTicks
+	leaseValid := m.now < m.lastContact+leaseTicks
 	heldByLeader := leaseValid && m.observedSessions[proxy]
 	if serve && heldByLeader {
 		m.violations = append(m.violations, "a proxy with a session at the leader is served during the lease")
