--- a/internal/runtimeapi/show.go
+++ b/internal/runtimeapi/show.go
@@ -43,6 +43,12 @@
 // serverID is the number in the API of the host of an index.
 func serverID(index int) int { return index + 1 }
 
+// Phases of a host in controller.HostInfo.
+const (
+	phaseDraining = "draining"
+	phaseRemoved  = "gone"
+)
+
 // Statuses of a server in show stat.
 const (
 	statusUp          = "UP"
@@ -53,9 +59,9 @@
 
 func serverStatus(host controller.HostInfo) string {
 	switch {
-	case host.Phase == "gone":
+	case host.Phase == phaseRemoved:
 		return statusMaintenance
-	case host.Phase == "draining":
+	case host.Phase == phaseDraining:
 		return statusDrain
 	case host.Withdrawn:
 		return statusDown
@@ -72,7 +78,7 @@
 	}
 	overridden := host.Operator != nil && !host.Operator.Waiting
 	if !overridden {
-		if host.Phase == "draining" {
+		if host.Phase == phaseDraining {
 			return haproxy.Stopping, haproxy.ForcedDrain
 		}
 		return operational, 0
--- a/state/decay.go
+++ b/state/decay.go
@@ -3,7 +3,7 @@
 import "math"
 
 // futureToleranceMs is how far in the future an entry may lie and still count as new: figures are recorded a moment
-// after the instant of the state that holds them. Entries further in the future have an age that nobody can tell.
+// after the instant of the state that holds them. The age of entries further in the future is unknown.
 const futureToleranceMs = 5000
 
 // Decay describes how one kind of stored knowledge loses confidence with age.
--- a/state/restore.go
+++ b/state/restore.go
@@ -75,8 +75,8 @@
 
 // ApplyDecay returns what a stored state still says at an instant. A nil state says nothing.
 //
-// If the wall clock has gone back since the state was stored by more than the tolerance, no age can be told; then
-// only the overrides of operators are restored, expired or not.
+// If the wall clock has gone back since the state was stored by more than the tolerance, the age of its entries is
+// unknown; then only the overrides of operators are restored, expired or not.
 func ApplyDecay(stored *statepb.State, nowMs float64, limits Limits) *Restored {
 	if stored == nil {
 		return newRestored("no state was stored")
