--- a/internal/statefile/folder_test.go
+++ b/internal/statefile/folder_test.go
@@ -2,34 +2,109 @@
 
 import (
 	"errors"
+	"io/fs"
+	"os"
 	"path/filepath"
+	"slices"
 	"testing"
 )
 
-// Of two stewards one has the folder.
-func TestFolderIsTaken(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "state")
-	one, err := OpenFolder(path)
+func openTestFolder(t testing.TB, path string) *Folder {
+	t.Helper()
+	folder, err := OpenFolder(path)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return folder
+}
+
+func closeFolder(t testing.TB, folder *Folder) {
+	t.Helper()
+	if err := folder.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// A folder is locked until it is closed, and then holds what was saved.
+func TestFolderLock(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "state")
+	first := openTestFolder(t, path)
 	if _, err := OpenFolder(path); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second one: %v", err)
+		t.Errorf("opening a locked folder: %v", err)
 	}
-	s := NewStore(one, &LoadResult{}, 1<<20)
+	store := NewStore(first, &LoadResult{}, maxTestSnapshotBytes)
 	for n := 1; n < 4; n++ {
-		if err := s.Save(told(n)); err != nil {
+		mustSave(t, store, testState(n))
+	}
+	store.Close()
+	closeFolder(t, first)
+
+	second := openTestFolder(t, path)
+	t.Cleanup(func() { closeFolder(t, second) })
+	if loaded := mustLoad(t, second); loaded.State.GetAt() != 3000 || loaded.Changes != 2 {
+		t.Errorf("loaded %+v", loaded)
+	}
+}
+
+// Opening for reading neither creates a folder nor needs its lock.
+func TestOpenReadOnly(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "state")
+	if _, err := OpenReadOnly(path); err == nil {
+		t.Error("a missing folder was opened")
+	}
+	writer := openTestFolder(t, path)
+	t.Cleanup(func() { closeFolder(t, writer) })
+	mustSave(t, NewStore(writer, &LoadResult{}, maxTestSnapshotBytes), testState(1))
+	reader, err := OpenReadOnly(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeFolder(t, reader) })
+	if loaded := mustLoad(t, reader); loaded.State.GetAt() != 1000 {
+		t.Errorf("loaded %+v", loaded)
+	}
+}
+
+func TestOpenFolderFails(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(file, nil, fileMode); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := OpenFolder(file); err == nil {
+		t.Error("a file was opened as a folder")
+	}
+	path := t.TempDir()
+	if err := os.Mkdir(filepath.Join(path, lockFileName), folderMode); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := OpenFolder(path); err == nil || errors.Is(err, ErrLocked) {
+		t.Errorf("a folder without a lock file was opened: %v", err)
+	}
+}
+
+// Old generations are removed from the disk, and a folder that is gone fails the save.
+func TestSaveToFolder(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "state")
+	folder := openTestFolder(t, path)
+	t.Cleanup(func() { closeFolder(t, folder) })
+	store := NewStore(folder, &LoadResult{}, maxTestSnapshotBytes)
+	for n := range 3 {
+		if err := store.SaveSnapshot(testState(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s.Close()
-	one.Close()
-	two, err := OpenFolder(path)
+	names, err := folder.Names()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer two.Close()
-	if f, err := Load(two); err != nil || f.State.GetAt() != 3000 || f.Changes != 2 {
-		t.Errorf("%+v, %v", f, err)
+	want := []string{lockFileName, "log-00000002", "log-00000003", "snapshot-00000002", "snapshot-00000003"}
+	if !slices.Equal(names, want) {
+		t.Errorf("files %v, want %v", names, want)
+	}
+	if err := os.RemoveAll(path); err != nil {
+		t.Fatal(err)
+	}
+	if err := store.SaveSnapshot(testState(4)); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("saving into a missing folder: %v", err)
 	}
 }
