--- /dev/null
+++ b/client/transaction.go
@@ -0,0 +1,150 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+)
+
+// Result of an attempt.
+type Result int
+
+const (
+	// Fulfilled is an attempt with a good answer.
+	Fulfilled Result = iota
+	// Failed is an attempt that failed and may have been executed.
+	Failed
+	// NeverRan is an attempt that provably was not executed: the connection was refused, or the answer says so.
+	NeverRan
+)
+
+// Try is the outcome of one attempt.
+type Try struct {
+	Result  Result
+	Metrics string // value of the response header endpoint-load-metrics (ORCA); "" without one
+	Err     error  // why the attempt failed; may be nil
+}
+
+// Transaction is the outcome of one request.
+type Transaction struct {
+	Class     string    // request class
+	Came      time.Time // instant of arrival
+	LetIn     bool      // admitted by the table's share
+	Tries     []Attempt // in order
+	Fulfilled bool
+}
+
+// Attempt is one attempt of a Transaction.
+type Attempt struct {
+	Host   string
+	Began  time.Time
+	Took   time.Duration
+	Result Result
+}
+
+// Values of Table.Tries: the retry policy of a request class.
+const (
+	noRetry       = 0
+	retryNeverRan = 1 // one retry, after NeverRan
+	retryOnce     = 2 // one retry, after any failure
+	retryTwice    = 3 // two retries, after any failure
+)
+
+var (
+	// ErrNotLetIn is returned for a request that the table's share did not admit.
+	ErrNotLetIn = errors.New("not let in")
+	// ErrNoHost is returned for a request for which no host is left.
+	ErrNoHost = errors.New("no host to pick")
+
+	errNoAnswer = errors.New("no good answer") // of an attempt that failed without an error
+)
+
+// Do carries out a request of a class: it is admitted by the table's share, sent to a host by try, and retried at other
+// hosts as the table says, until the context ends. It returns ErrNotLetIn, ErrNoHost, or an error that wraps the one of
+// the last attempt.
+func (c *Client) Do(ctx context.Context, class string, try func(ctx context.Context, host string) Try) error {
+	c.mu.Lock()
+	table := c.table(class)
+	admitted := table.Share >= 1 || c.random() < table.Share
+	c.stats.countArrival(class)
+	c.mu.Unlock()
+
+	transaction := Transaction{Class: class, Came: c.options.Now(), LetIn: admitted}
+	err := ErrNotLetIn
+	if admitted {
+		err = c.attempt(ctx, &transaction, table.Tries, try)
+	}
+	transaction.Fulfilled = err == nil
+	if c.options.Ended != nil {
+		c.options.Ended(transaction)
+	}
+	return err
+}
+
+// attempt makes the attempts of an admitted request and appends them to the transaction.
+func (c *Client) attempt(ctx context.Context, transaction *Transaction, retryPolicy int,
+	try func(ctx context.Context, host string) Try) error {
+	class := transaction.Class
+	var tried []string
+	for {
+		host, ok := c.Pick(class, tried...)
+		if !ok {
+			c.countUnanswered(class)
+			return ErrNoHost
+		}
+		began := c.options.Now()
+		outcome := try(ctx, host)
+		took := c.options.Now().Sub(began)
+		attempt := Attempt{Host: host, Began: began, Took: took, Result: outcome.Result}
+		transaction.Tries = append(transaction.Tries, attempt)
+		c.observeAttempt(host, outcome, took)
+		if outcome.Result == Fulfilled {
+			return nil
+		}
+		tried = append(tried, host)
+		if ctx.Err() != nil || !c.mayRetry(class, retryPolicy, len(tried), outcome.Result) {
+			c.countUnanswered(class)
+			if outcome.Err == nil {
+				outcome.Err = errNoAnswer
+			}
+			return fmt.Errorf("try %d at %s: %w", len(tried), host, outcome.Err)
+		}
+	}
+}
+
+// mayRetry reports whether a request may be retried after so many attempts: as the retry policy says, and for a class
+// that is not idempotent only after NeverRan.
+func (c *Client) mayRetry(class string, retryPolicy, attempts int, last Result) bool {
+	if attempts > maxRetries(retryPolicy) {
+		return false
+	}
+	return last == NeverRan || retryPolicy >= retryOnce && c.idempotent[class]
+}
+
+func maxRetries(retryPolicy int) int {
+	switch retryPolicy {
+	case noRetry:
+		return 0
+	case retryTwice:
+		return 2
+	default:
+		return 1
+	}
+}
+
+// observeAttempt counts an attempt in the request stats, and ejects a host after too many failures in a row.
+func (c *Client) observeAttempt(host string, outcome Try, took time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.stats.countAttempt(host, outcome, took)
+	if c.options.Ejects != 0 {
+		c.updateEjection(host, outcome.Result)
+	}
+}
+
+func (c *Client) countUnanswered(class string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.stats.countUnanswered(class)
+}
--- a/internal/statefile/load_test.go
+++ b/internal/statefile/load_test.go
@@ -1,31 +1,186 @@
 package statefile
 
 import (
+	"errors"
+	"slices"
+	"strings"
 	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	"barleysail/state"
+	"barleysail/state/statepb"
 )
 
-// Whatever the files hold, reading them ends, and what comes next is kept.
+// Whatever the files hold: loading ends, and the next state can be saved.
 func FuzzLoad(f *testing.F) {
-	m := newMemory()
-	script(m, 1<<20)
-	names, _ := m.Names()
-	snapshot, _ := m.Read(names[len(names)-1])
-	log, _ := m.Read(names[0])
+	fsys := newCrashFS()
+	runScript(fsys, scriptSaves)
+	names, err := fsys.Names()
+	if err != nil {
+		f.Fatal(err)
+	}
+	snapshot := mustReadFile(f, fsys, names[len(names)-1])
+	log := mustReadFile(f, fsys, names[0])
 	f.Add(snapshot, log)
 	f.Add(log, snapshot)
 	f.Add([]byte(magic), []byte{})
 	f.Fuzz(func(t *testing.T, snapshot, log []byte) {
-		m := newMemory()
-		m.now[file('S', 3)], m.now[file('L', 3)] = &inode{synced: snapshot}, &inode{synced: log}
-		found, err := Load(m)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := NewStore(m, found, 1<<20).Save(told(3)); err != nil {
-			t.Fatal(err)
-		}
-		if again, err := Load(m); err != nil || again.State.GetAt() != 3000 {
-			t.Fatalf("%+v, %v", again, err)
+		fsys := newCrashFS()
+		fsys.put(fileName(snapshotFile, 3), snapshot)
+		fsys.put(fileName(logFile, 3), log)
+		loaded := mustLoad(t, fsys)
+		mustSave(t, NewStore(fsys, loaded, maxTestSnapshotBytes), testState(3))
+		if reloaded := mustLoad(t, fsys); reloaded.State.GetAt() != 3000 {
+			t.Fatalf("loaded %+v", reloaded)
 		}
 	})
 }
+
+func mustReadFile(t testing.TB, fsys FS, name string) []byte {
+	t.Helper()
+	content, err := fsys.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+func TestParseFileName(t *testing.T) {
+	tests := []struct {
+		name       string
+		kind       fileKind
+		generation uint64
+		ok         bool
+	}{
+		{"snapshot-00000017", snapshotFile, 17, true},
+		{"log-123456789", logFile, 123456789, true},
+		{"log-", 0, 0, false},
+		{"snapshot-x", 0, 0, false},
+		{"other-00000017", 0, 0, false},
+		{lockFileName, 0, 0, false},
+		{temporaryName, 0, 0, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			kind, generation, ok := parseFileName(test.name)
+			if kind != test.kind || generation != test.generation || ok != test.ok {
+				t.Errorf("parsed as %q, %d, %v", kind, generation, ok)
+			}
+			if ok && fileName(kind, generation) != test.name {
+				t.Errorf("the name of the parsed file is %s", fileName(kind, generation))
+			}
+		})
+	}
+}
+
+// Each kind of damage is reported by its own error.
+func TestDecodeErrors(t *testing.T) {
+	header := encodeHeader(logFile)
+	record := encodeRecord([]byte("body"), 1)
+	newer := encodeHeader(logFile)
+	newer[len(magic)+1]++
+	decode := func(content []byte, generation uint64) error {
+		records, err := decodeHeader(content, logFile)
+		if err != nil {
+			return err
+		}
+		_, _, err = decodeRecord(records, generation)
+		return err
+	}
+	tests := []struct {
+		name       string
+		content    []byte
+		generation uint64
+		want       error
+	}{
+		{"undamaged", slices.Concat(header, record), 1, nil},
+		{"truncated header", header[:headerBytes-1], 1, ErrTruncatedHeader},
+		{"another kind", encodeHeader(snapshotFile), 1, ErrWrongMagic},
+		{"newer major version", newer, 1, ErrNewer},
+		{"truncated record header", slices.Concat(header, record[:recordHeaderBytes-1]), 1, ErrTruncatedRecord},
+		{"truncated body", slices.Concat(header, record[:len(record)-1]), 1, ErrTruncatedRecord},
+		{"record of another generation", slices.Concat(header, record), 2, ErrChecksum},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			if err := decode(test.content, test.generation); !errors.Is(err, test.want) {
+				t.Errorf("error %v, want %v", err, test.want)
+			}
+		})
+	}
+}
+
+// Each kind of damage leaves out the damaged part, with a warning that names the file and the reason.
+func TestLoadWarnings(t *testing.T) {
+	undecodable := []byte{0xff}
+	newerState := encodeState(t, &statepb.State{Major: state.FormatMajor + 1})
+	snapshot := func(body []byte) []byte { return append(encodeHeader(snapshotFile), encodeRecord(body, 1)...) }
+	readable := snapshot(encodeState(t, testState(1)))
+	tests := []struct {
+		name          string
+		snapshot, log []byte
+		want          string // the only warning
+		loaded        bool
+	}{
+		{"undamaged", readable, encodeHeader(logFile), "", true},
+		{"trailing data", append(readable, 0), nil, "snapshot-00000001: " + ErrTrailingData.Error(), false},
+		{"empty snapshot", nil, nil, "snapshot-00000001: " + ErrTruncatedHeader.Error(), false},
+		{"no record", encodeHeader(snapshotFile), nil, "snapshot-00000001: " + ErrTruncatedRecord.Error(), false},
+		{"undecodable state", snapshot(undecodable), nil, "snapshot-00000001: decoding the state: ", false},
+		{"newer state", snapshot(newerState), nil, ErrNewer.Error(), false},
+		{"empty log", readable, []byte{}, "log-00000001 after 0 changes: " + ErrTruncatedHeader.Error(), true},
+		{"undecodable change", readable, append(encodeHeader(logFile), encodeRecord(undecodable, 1)...),
+			"log-00000001 after 0 changes: ", true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			fsys := newCrashFS()
+			fsys.put(fileName(snapshotFile, 1), test.snapshot)
+			if test.log != nil {
+				fsys.put(fileName(logFile, 1), test.log)
+			}
+			loaded := mustLoad(t, fsys)
+			if (loaded.State != nil) != test.loaded {
+				t.Errorf("state %v", loaded.State)
+			}
+			warnings := strings.Join(loaded.Warnings, "; ")
+			if (warnings == "") != (test.want == "") || !strings.Contains(warnings, test.want) || len(loaded.Warnings) > 1 {
+				t.Errorf("warnings %q, want %q", loaded.Warnings, test.want)
+			}
+		})
+	}
+}
+
+func encodeState(t *testing.T, s *statepb.State) []byte {
+	t.Helper()
+	body, err := proto.Marshal(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return body
+}
+
+func TestDamageErrorWrapsReason(t *testing.T) {
+	err := error(&DamageError{FileName: fileName(logFile, 1), Changes: 2, Err: ErrChecksum})
+	if !errors.Is(err, ErrChecksum) || !strings.Contains(err.Error(), "after 2 changes") {
+		t.Errorf("error %v", err)
+	}
+}
+
+var errListing = errors.New("listing failed")
+
+// unlistableFS fails to list its files.
+type unlistableFS struct{ *crashFS }
+
+func (unlistableFS) Names() ([]string, error) { return nil, errListing }
+
+func TestListingFails(t *testing.T) {
+	fsys := unlistableFS{newCrashFS()}
+	if _, err := Load(fsys); !errors.Is(err, errListing) {
+		t.Errorf("Load: %v", err)
+	}
+	if err := NewStore(fsys, &LoadResult{}, maxTestSnapshotBytes).Save(testState(1)); !errors.Is(err, errListing) {
+		t.Errorf("Save: %v", err)
+	}
+}
