--- a/internal/daemon/api.go
+++ b/internal/daemon/api.go
@@ -23,8 +23,6 @@
 	"barleysail/solver"
 )
 
-var errStopping = errors.New("the steward is stopping")
-
 // api is the front for proxies: long polls with deltas. It turns requests into calls and answers into replies.
 type api struct {
 	loop           *controllerLoop
--- /dev/null
+++ b/internal/daemon/controller_state.go
@@ -0,0 +1,87 @@
+package daemon
+
+import (
+	"fmt"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"barleysail/controller"
+	"barleysail/internal/record"
+	"barleysail/solver"
+	"barleysail/state"
+	"barleysail/state/statepb"
+)
+
+// wallClockMs is the wall clock's time in ms since 1970. Persisted times are by this clock, since the controller's
+// clock starts anew with each process.
+func wallClockMs() float64 { return float64(time.Now().UnixMicro()) / 1000 }
+
+// restore gives the controller the part of an earlier state that is still valid; coldMs is the configuration's
+// guard.cold_ms. It must come before any other input.
+func (l *controllerLoop) restore(saved *statepb.State, coldMs float64) (*state.Restored, error) {
+	text, err := proto.Marshal(saved)
+	if err != nil {
+		return nil, fmt.Errorf("recalling a state: %w", err)
+	}
+	wallMs := wallClockMs()
+	restored := state.ApplyDecay(saved, wallMs, state.DefaultLimits(coldMs))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	nowMs := l.advanceClock()
+	if l.recorder != nil {
+		l.recorder.write(record.Recall(nowMs, text, wallMs, coldMs))
+	}
+	l.controller.Restore(nowMs, restored)
+	return restored, nil
+}
+
+// snapshot gives the controller's state with its times by the wall clock, nil once the loop is stopped.
+// endpointsKnown tells whether the controller has had an endpoint list yet.
+func (l *controllerLoop) snapshot() (snapshot *statepb.State, endpointsKnown bool) {
+	l.call(func(nowMs float64) {
+		snapshot = l.controller.Snapshot(nowMs)
+		endpointsKnown = l.controller.EndpointsKnown()
+	})
+	if snapshot != nil {
+		state.ShiftTimes(snapshot, wallClockMs()-snapshot.At)
+	}
+	return snapshot, endpointsKnown
+}
+
+// query reads a value from the controller under the loop's mutex; the zero value once the loop is stopped.
+func query[T any](loop *controllerLoop, read func(*controller.Controller) T) (value T) {
+	loop.call(func(float64) { value = read(loop.controller) })
+	return value
+}
+
+// status gives the controller's status at the present time.
+func (l *controllerLoop) status() (status controller.Status) {
+	l.call(func(nowMs float64) { status = l.controller.Status(nowMs) })
+	return status
+}
+
+// listedProblem gives the fleet as the solver's problem; nil where hosts state no cores or no demand is known.
+func (l *controllerLoop) listedProblem() *solver.Problem {
+	return query(l, (*controller.Controller).ListedProblem)
+}
+
+// optimalityGap measures the published tables against the best ones; nil where the problem is not known. It solves
+// after the mutex is released, since that may take long.
+func (l *controllerLoop) optimalityGap() *solver.Gap {
+	var problem *solver.Problem
+	var tables solver.Tables
+	l.call(func(float64) { problem, tables = l.controller.CurrentProblem() })
+	if problem == nil {
+		return nil
+	}
+	gap, err := problem.Measure(tables)
+	if err != nil {
+		l.log.Warn().Err(err).Msg("the gap to the best tables could not be measured")
+		return nil
+	}
+	return gap
+}
+
+// milliseconds converts a configured or computed number of ms to a duration.
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -11,7 +11,6 @@
 	"net"
 	"os"
 	"sync"
-	"time"
 
 	"github.com/rs/zerolog"
 	"google.golang.org/protobuf/encoding/prototext"
@@ -72,12 +71,12 @@
 			d.close()
 		}
 	}()
-	var rec *record.Writer
+	var rec *recorder
 	if c.Record != "" {
 		if d.recordingFile, err = os.Create(c.Record); err != nil {
 			return nil, fmt.Errorf("starting the recording: %w", err)
 		}
-		rec = record.NewWriter(d.recordingFile)
+		rec = &recorder{writer: record.NewWriter(d.recordingFile), log: log}
 	}
 	policy, secure, err := d.openCredentials(ctx, c, log)
 	if err != nil {
@@ -89,7 +88,7 @@
 	d.loop = newControllerLoop(config.Steward(c, life, seed), intake.NewRateLimiter(intake.RateLimits{PerSource: *c.Intake.SourceLinesPerS, Total: *c.Intake.LinesPerS}), log, rec)
 	if rec != nil {
 		text, _ := prototext.MarshalOptions{Multiline: true}.Marshal(c)
-		d.loop.record(&recordpb.Record{At: d.loop.clock.Now(), What: &recordpb.Record_Start{Start: &recordpb.Start{
+		d.loop.recorder.write(&recordpb.Record{At: d.loop.clock.Now(), What: &recordpb.Record_Start{Start: &recordpb.Start{
 			Format: record.Format, Program: version, Config: string(text), Life: life, Seed: seed}}})
 	}
 	if c.State.Folder != "" {
@@ -138,8 +137,6 @@
 	return d, nil
 }
 
-func milliseconds(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
-
 // startEndpointSource takes up the host list.
 func (d *Daemon) startEndpointSource(ctx context.Context, c *configpb.Config, log zerolog.Logger) error {
 	if c.List.File != "" {
--- a/internal/daemon/persister.go
+++ b/internal/daemon/persister.go
@@ -37,9 +37,6 @@
 	Notes    string  `json:"found_note"` // what was wrong with the state that was found
 }
 
-// wallClockMs is ms since 1970, by the clock of the wall and not the one that only advances.
-func wallClockMs() float64 { return float64(time.Now().UnixMicro()) / 1000 }
-
 // openPersister opens the folder and recalls what it holds.
 func openPersister(path string, every time.Duration, most int, cold float64, program string, c *controllerLoop, log zerolog.Logger) (*persister, error) {
 	folder, err := statefile.OpenFolder(path)
--- /dev/null
+++ b/internal/daemon/recorder.go
@@ -0,0 +1,50 @@
+package daemon
+
+import (
+	"github.com/rs/zerolog"
+
+	"barleysail/internal/record"
+	"barleysail/internal/record/recordpb"
+)
+
+// recordingFlushMs is the interval between flushes of a recording, in ms: a crash loses at most so much of it.
+const recordingFlushMs = 1000
+
+// recorder writes the inputs and responses of a controller to a recording. An I/O error ends the recording and is
+// logged once; it never affects the controller. A nil recorder records nothing: its write must not be called, its
+// other methods do nothing. It is not safe for concurrent use; the controller loop's mutex guards it.
+type recorder struct {
+	writer      *record.Writer
+	log         zerolog.Logger
+	failed      bool
+	nextFlushMs float64
+}
+
+// write appends a record.
+func (r *recorder) write(entry *recordpb.Record) { r.note(r.writer.Write(entry)) }
+
+// flushIfDue flushes the recording at most once per recordingFlushMs.
+func (r *recorder) flushIfDue(nowMs float64) {
+	if r == nil || nowMs < r.nextFlushMs {
+		return
+	}
+	r.nextFlushMs = nowMs + recordingFlushMs
+	r.note(r.writer.Flush())
+}
+
+// close marks the end of the recording and flushes it. The file stays open.
+func (r *recorder) close() {
+	if r == nil {
+		return
+	}
+	r.note(r.writer.Close())
+}
+
+// note logs the first error. The writer repeats it at each later call.
+func (r *recorder) note(err error) {
+	if err == nil || r.failed {
+		return
+	}
+	r.failed = true
+	r.log.Error().Err(err).Msg("the recording ends here")
+}
