--- /dev/null
+++ b/internal/daemon/authorization.go
@@ -0,0 +1,124 @@
+package daemon
+
+import (
+	"errors"
+	"net/http"
+	"strings"
+	"sync"
+
+	"github.com/spiffe/go-spiffe/v2/spiffeid"
+
+	"barleysail/auth"
+	"barleysail/controller"
+	"barleysail/internal/http1"
+	"barleysail/internal/identity"
+)
+
+// Errors of authentication; the HTTP API sends their texts.
+var (
+	errNoPeerIdentity = errors.New("the connection proves nobody")
+	errNoCredentials  = errors.New("neither a certificate nor a token was shown")
+	errTokenReused    = errors.New(
+		"the token was used on another connection, or is over: a fresh one is needed")
+)
+
+// maxUsedTokens bounds the tokens that are remembered until they expire, so that none is used on two connections.
+const maxUsedTokens = 100000
+
+// authorizer decides for each request who sent it, and whether the sender may do what it asks.
+type authorizer struct {
+	policy      *auth.Policy     // nil: everybody may do everything
+	credentials *identity.Source // nil: connections are plain
+	tokens      *identity.Tokens // nil: bearer tokens are not accepted
+	loop        *controllerLoop
+
+	mu         sync.Mutex
+	usedTokens *auth.Tokens
+}
+
+func newAuthorizer(policy *auth.Policy, credentials *identity.Source, tokens *identity.Tokens,
+	loop *controllerLoop) *authorizer {
+	return &authorizer{
+		policy:      policy,
+		credentials: credentials,
+		tokens:      tokens,
+		loop:        loop,
+		usedTokens:  auth.NewTokens(maxUsedTokens),
+	}
+}
+
+// authorize wraps a handler so that it serves only senders that may do the action. Others get 401 Unauthorized where
+// they are not known, and 403 Forbidden where they are.
+func (a *authorizer) authorize(action auth.Action, serve handler) func(*http1.Request) http1.Reply {
+	return func(request *http1.Request) http1.Reply {
+		if a.policy == nil {
+			return serve(request)
+		}
+		id, err := a.authenticate(request)
+		if err != nil {
+			problem := http1.Problem{Status: http.StatusUnauthorized, Detail: err.Error()}
+			return problem.Reply("Www-Authenticate", "Bearer")
+		}
+		verdict := a.policy.Decide(id, a.policyRequest(action, request))
+		if !verdict.Allowed {
+			reasons := strings.Join(verdict.Why, "; ")
+			detail := id.String() + " may not " + string(action) + " here: " + reasons
+			return http1.Problem{Status: http.StatusForbidden, Detail: detail}.Reply()
+		}
+		return serve(request)
+	}
+}
+
+// policyRequest gives what the policy has to decide on. A zone that a request names counts only for the poll that
+// connects a proxy; for other requests it is the zone of the proxy's session.
+func (a *authorizer) policyRequest(action auth.Action, request *http1.Request) auth.Request {
+	asked := auth.Request{
+		Action: action,
+		Proxy:  request.Params["proxy"],
+		Zone:   request.Query.Get("zone"),
+		Host:   request.Params["host"],
+	}
+	if asked.Proxy != "" && action != auth.Poll {
+		asked.Zone = query(a.loop, func(instance *controller.Controller) string {
+			return instance.ProxyZone(asked.Proxy)
+		})
+	}
+	return asked
+}
+
+// authenticate gives the SPIFFE ID of a request's sender: by its connection's certificate, or else by its bearer
+// token.
+func (a *authorizer) authenticate(request *http1.Request) (spiffeid.ID, error) {
+	peer, ok := request.Peer.(*identity.Peer)
+	if !ok {
+		return spiffeid.ID{}, errNoPeerIdentity
+	}
+	if !peer.ID.IsZero() {
+		return peer.ID, nil
+	}
+	return a.authenticateToken(request)
+}
+
+// authenticateToken gives the SPIFFE ID of a request's bearer token (RFC 6750, section 2.1). The token has to be for
+// this daemon alone, and is bound to the connection that it was first used on. The request ends with it.
+func (a *authorizer) authenticateToken(request *http1.Request) (spiffeid.ID, error) {
+	scheme, token, _ := strings.Cut(request.Header.Get("Authorization"), " ")
+	if a.tokens == nil || !strings.EqualFold(scheme, "Bearer") {
+		return spiffeid.ID{}, errNoCredentials
+	}
+	audience, _, err := a.credentials.Own()
+	if err != nil {
+		return spiffeid.ID{}, err
+	}
+	id, expiry, err := a.tokens.Judge(strings.TrimSpace(token), audience.String())
+	if err != nil {
+		return id, err
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !a.usedTokens.Use(wallClockMs(), token, float64(expiry.UnixMilli()), request.Conn) {
+		return id, errTokenReused
+	}
+	request.Until = expiry
+	return id, nil
+}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -15,7 +15,6 @@
 	"github.com/rs/zerolog"
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"barleysail/auth"
 	"barleysail/controller"
 	"barleysail/intake"
 	"barleysail/internal/config"
@@ -110,7 +109,16 @@
 	if err := d.startEndpointSource(ctx, c, log); err != nil {
 		return nil, err
 	}
-	a := &api{loop: d.loop, policy: policy, credentials: d.credentials, tokens: d.tokens, usedTokens: auth.NewTokens(maxUsedTokens), persister: d.persister, standby: d.standby, statePublisher: &statePublisher{loop: d.loop, incarnation: life}, operators: d.Operators(), version: version}
+	a := &api{
+		loop:           d.loop,
+		authorizer:     newAuthorizer(policy, d.credentials, d.tokens, d.loop),
+		credentials:    d.credentials,
+		persister:      d.persister,
+		standby:        d.standby,
+		statePublisher: &statePublisher{loop: d.loop, incarnation: life},
+		operators:      d.Operators(),
+		version:        version,
+	}
 	d.server = http1.NewServer(a.routes(), http1.Config{Limits: http1.Limits{Body: int64(*c.Server.BodyBytes)},
 		Header: milliseconds(*c.Server.HeaderMs), Body: milliseconds(*c.Server.BodyMs), Idle: milliseconds(*c.Server.IdleMs),
 		Write: milliseconds(*c.Server.WriteMs), Conns: int(*c.Server.Connections),
--- a/internal/daemon/endpoint_service.go
+++ b/internal/daemon/endpoint_service.go
@@ -18,6 +18,9 @@
 	"barleysail/routing"
 )
 
+// mergePatch names the instance manipulation (RFC 3229) whose body is a JSON merge patch (RFC 7396).
+const mergePatch = "merge-patch"
+
 // endpointService follows a host list by the protocol that proxies use: long polls with deltas onto entity tags.
 // The module says when to ask; after a failure it waits for the next such word.
 type endpointService struct {
--- a/internal/daemon/operator_api.go
+++ b/internal/daemon/operator_api.go
@@ -1,258 +1,211 @@
 package daemon
 
 import (
-	"bytes"
-	"encoding/json"
-	"errors"
-	"io"
 	"math"
+	"net/http"
 	"strconv"
-	"sync"
 	"time"
 
-	"barleysail/auth"
 	"barleysail/controller"
 	"barleysail/internal/http1"
 	"barleysail/operator"
 )
 
-// Operators is what operators may ask of a steward and tell it, whatever front they come by.
-type Operators struct {
-	loop *controllerLoop
-}
+// maxEventsWaitSeconds is the longest time that a long poll for events is held, in seconds.
+const maxEventsWaitSeconds = 60
 
-// Hosts tells how the hosts stand.
-func (o *Operators) Hosts() []controller.HostInfo {
-	return query(o.loop, (*controller.Controller).HostInfos)
+type hostsBody struct {
+	Hosts []controller.HostInfo `json:"hosts"`
 }
 
-// Host tells how one host stands.
-func (o *Operators) Host(name string) (h controller.HostInfo, ok bool) {
-	h = query(o.loop, func(s *controller.Controller) (h controller.HostInfo) { h, ok = s.HostInfo(name); return h })
-	return h, ok
-}
+func (a *api) getHosts(*http1.Request) http1.Reply { return jsonReply(hostsBody{a.operators.Hosts()}) }
 
-// Proxies tells how the proxies stand.
-func (o *Operators) Proxies() []controller.ProxyInfo {
-	return query(o.loop, (*controller.Controller).ProxyInfos)
+func (a *api) getHost(request *http1.Request) http1.Reply {
+	info, ok := a.operators.Host(request.Params["host"])
+	if !ok {
+		return notFound("no such host")
+	}
+	return jsonReply(info)
 }
 
-// PublishedTables gives the tables that a proxy was last given.
-func (o *Operators) PublishedTables(proxy string) (a controller.Response, ok bool) {
-	a = query(o.loop, func(s *controller.Controller) (a controller.Response) { a, ok = s.PublishedTables(proxy); return a })
-	return a, ok
+type proxiesBody struct {
+	Proxies []controller.ProxyInfo `json:"proxies"`
 }
 
-// Status tells how the steward stands.
-func (o *Operators) Status() controller.Status { return o.loop.status() }
-
-// Order gives orders to the steward; several are carried out stepwise.
-func (o *Operators) Order(orders ...operator.Command) (waits bool, err error) {
-	return o.loop.applyOverrides(orders)
+func (a *api) getProxies(*http1.Request) http1.Reply {
+	return jsonReply(proxiesBody{a.operators.Proxies()})
 }
 
-// Events gives those after a number; where there are none it calls later once, when one comes or the wait is over.
-func (o *Operators) Events(after int64, wait time.Duration, to func([]controller.Event)) (cancel func()) {
-	events := func() []controller.Event {
-		return query(o.loop, func(s *controller.Controller) []controller.Event { return s.Events(after) })
-	}
-	if all := events(); len(all) > 0 || wait <= 0 {
-		to(all)
-		return func() {}
+// getPublishedTables gives the tables that were last sent to a proxy.
+func (a *api) getPublishedTables(request *http1.Request) http1.Reply {
+	response, ok := a.operators.PublishedTables(request.Params["proxy"])
+	if !ok {
+		return notFound("the proxy has not joined, or holds nothing")
 	}
-	var once sync.Once
-	give := func() { once.Do(func() { to(events()) }) }
-	forget := o.loop.subscribeEvents(after, func() { go give() })
-	timer := time.AfterFunc(wait, give)
-	return func() { forget(); timer.Stop(); once.Do(func() {}) }
+	return tablesReply(response, 0, false)
 }
 
-func (a *api) addOperatorRoutes(m *http1.Mux) {
-	m.Handle("GET", "/v1/hosts", http1.Route{Serve: a.authorize(auth.See, func(*http1.Request) http1.Reply {
-		return jsonReply(map[string]any{"hosts": a.operators.Hosts()})
-	})})
-	m.Handle("GET", "/v1/hosts/{host}", http1.Route{Serve: a.authorize(auth.See, a.getHost)})
-	m.Handle("POST", "/v1/hosts/{host}/operator", http1.Route{Serve: a.authorize(auth.Set, a.overrideHost), Media: []string{"application/json"}, MaxBody: 4096})
-	m.Handle("POST", "/v1/zones/{zone}/operator", http1.Route{Serve: a.authorize(auth.Set, a.overrideZone), Media: []string{"application/json"}, MaxBody: 4096})
-	m.Handle("GET", "/v1/proxies", http1.Route{Serve: a.authorize(auth.See, func(*http1.Request) http1.Reply {
-		return jsonReply(map[string]any{"proxies": a.operators.Proxies()})
-	})})
-	m.Handle("GET", "/v1/proxies/{proxy}/holds", http1.Route{Serve: a.authorize(auth.See, a.getPublishedTables)})
-	m.Handle("GET", "/v1/guard", http1.Route{Serve: a.authorize(auth.See, func(*http1.Request) http1.Reply {
-		return jsonReply(query(a.loop, (*controller.Controller).ValidationReport))
-	})})
-	m.Handle("POST", "/v1/guard/check", http1.Route{Serve: a.authorize(auth.See, a.checkTables), Media: []string{"application/json"}})
-	m.Handle("GET", "/v1/events", http1.Route{Serve: a.authorize(auth.See, a.getEvents)})
+func (a *api) getValidationReport(*http1.Request) http1.Reply {
+	return jsonReply(query(a.loop, (*controller.Controller).ValidationReport))
 }
 
-func (a *api) getHost(q *http1.Request) http1.Reply {
-	if h, ok := a.operators.Host(q.Params["host"]); ok {
-		return jsonReply(h)
-	}
-	return http1.Problem{Status: 404, Detail: "no such host"}.Reply()
+// checkTablesBody holds tables to validate, in the form of the documents that proxies get.
+type checkTablesBody struct {
+	Zone   string               `json:"zone"`
+	Proxy  string               `json:"proxy"`  // accepted and ignored
+	Tables map[string]tableBody `json:"tables"` // by request class; only the weights are validated
 }
 
-func (a *api) getPublishedTables(q *http1.Request) http1.Reply {
-	x, ok := a.operators.PublishedTables(q.Params["proxy"])
-	if !ok {
-		return http1.Problem{Status: 404, Detail: "the proxy has not joined, or holds nothing"}.Reply()
-	}
-	return tablesReply(x, 0, false)
-}
-
-// checkTables looks at tables that an operator would have published: in the form of the document that proxies get.
-func (a *api) checkTables(q *http1.Request) http1.Reply {
-	var b struct {
-		Zone   string               `json:"zone"`
-		Proxy  string               `json:"proxy"` // as in a proxy's document; not looked at, nor are shares and tries
-		Tables map[string]tableBody `json:"tables"`
-	}
-	if err := readJSON(q, &b); err != nil {
+// checkTables validates tables without publishing them.
+func (a *api) checkTables(request *http1.Request) http1.Reply {
+	var body checkTablesBody
+	if err := readJSON(request, &body); err != nil {
 		return malformedReply(err)
 	}
-	tables := map[string]map[string]float64{}
-	for class, t := range b.Tables {
-		tables[class] = t.Hosts
+	weights := make(map[string]map[string]float64, len(body.Tables))
+	for class, table := range body.Tables {
+		weights[class] = table.Hosts
 	}
+	var result *controller.ValidationResult
 	err := errStopping
-	answer := query(a.loop, func(s *controller.Controller) (x *controller.ValidationResult) {
-		x, err = s.ValidateTables(b.Zone, tables)
-		return x
-	})
+	a.loop.call(func(float64) { result, err = a.loop.controller.ValidateTables(body.Zone, weights) })
 	if err != nil {
 		return errorReply(err)
 	}
-	return jsonReply(answer)
+	return jsonReply(result)
 }
 
-// commandBody is what an operator posts.
+// commandBody is an operator's command for a host, or for each host of a zone.
 type commandBody struct {
-	State  string   `json:"state"`  // ready, drain or maint; "": as it is set
-	Weight *float64 `json:"weight"` // in place of the list's
-	Part   *float64 `json:"part"`   // of the list's weight
-	Clear  bool     `json:"clear"`  // the list's weight again
-	ForMs  float64  `json:"for_ms"` // then it ends
-	Wait   bool     `json:"wait"`   // for its turn, where it cannot be done now
-	By     string   `json:"by"`
-	Add    *struct {
-		Zone   string  `json:"zone"`
-		Weight float64 `json:"weight"`
-		Cores  float64 `json:"cores"`
-		Speed  float64 `json:"speed"`
-	} `json:"add"`
-	Remove bool `json:"remove"`
-}
-
-// command reads an order for a host.
+	State  string         `json:"state"`  // ready, drain or maint; empty: unchanged
+	Weight *float64       `json:"weight"` // in place of the endpoint list's weight
+	Part   *float64       `json:"part"`   // factor of the endpoint list's weight
+	Clear  bool           `json:"clear"`  // back to the endpoint list's weight
+	ForMs  float64        `json:"for_ms"` // until the override ends; 0: it stays
+	Wait   bool           `json:"wait"`   // queue the command where it cannot be applied now
+	By     string         `json:"by"`     // name of the operator
+	Add    *addedHostBody `json:"add"`    // add the host
+	Remove bool           `json:"remove"` // remove a host that was added
+}
+
+// addedHostBody describes a host that an operator adds.
+type addedHostBody struct {
+	Zone   string  `json:"zone"`
+	Weight float64 `json:"weight"`
+	Cores  float64 `json:"cores"`
+	Speed  float64 `json:"speed"`
+}
+
+// command gives the command for a host. A weight below 0 becomes 0, since -1 means an unchanged weight.
 func (b *commandBody) command(host string) (operator.Command, error) {
 	state, ok := operator.ParseState(b.State)
 	if !ok && b.State != "" {
 		return operator.Command{}, &controller.FieldError{Field: "state", Reason: "ready, drain and maint are known"}
 	}
-	o := operator.Command{Host: host, State: state, KeepState: b.State == "", Weight: -1, ClearWeight: b.Clear, DurationMs: b.ForMs, Queue: b.Wait, Operator: b.By,
-		Remove: b.Remove}
-	if b.Weight != nil {
-		o.Weight = math.Max(*b.Weight, 0)
-	} else if b.Part != nil {
-		o.Weight, o.Relative = math.Max(*b.Part, 0), true
+	command := operator.Command{
+		Host:        host,
+		State:       state,
+		KeepState:   b.State == "" && b.Add == nil,
+		Weight:      -1,
+		ClearWeight: b.Clear,
+		DurationMs:  b.ForMs,
+		Queue:       b.Wait,
+		Operator:    b.By,
+		Remove:      b.Remove,
+	}
+	switch {
+	case b.Weight != nil:
+		command.Weight = math.Max(*b.Weight, 0)
+	case b.Part != nil:
+		command.Weight = math.Max(*b.Part, 0)
+		command.Relative = true
 	}
 	if b.Add != nil {
-		o.KeepState, o.Add = false, &operator.AddedHost{Zone: b.Add.Zone, Weight: b.Add.Weight, Cores: b.Add.Cores, Speed: b.Add.Speed}
-	}
-	return o, nil
-}
-
-func readCommand(q *http1.Request) (*commandBody, error) {
-	b := &commandBody{}
-	return b, readJSON(q, b)
-}
-
-// readJSON reads a request's body, which has to be one JSON value without unknown fields.
-func readJSON(q *http1.Request, to any) error {
-	d := json.NewDecoder(bytes.NewReader(q.Body))
-	d.DisallowUnknownFields()
-	if err := d.Decode(to); err != nil {
-		return err
-	}
-	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return errors.New("something follows the JSON value")
+		command.Add = &operator.AddedHost{
+			Zone: b.Add.Zone, Weight: b.Add.Weight, Cores: b.Add.Cores, Speed: b.Add.Speed}
 	}
-	return nil
+	return command, nil
 }
 
-func (a *api) overrideHost(q *http1.Request) http1.Reply {
-	b, err := readCommand(q)
-	if err != nil {
+// overrideHost applies a command to a host.
+func (a *api) overrideHost(request *http1.Request) http1.Reply {
+	var body commandBody
+	if err := readJSON(request, &body); err != nil {
 		return malformedReply(err)
 	}
-	o, err := b.command(q.Params["host"])
+	command, err := body.command(request.Params["host"])
 	if err != nil {
 		return errorReply(err)
 	}
-	return a.applyCommands(o)
+	return a.applyCommands(command)
 }
 
-// overrideZone orders the same of all hosts of a zone, stepwise.
-func (a *api) overrideZone(q *http1.Request) http1.Reply {
-	b, err := readCommand(q)
-	if err != nil {
+// overrideZone applies a command to all hosts of a zone; they are queued, so that they are applied step by step.
+func (a *api) overrideZone(request *http1.Request) http1.Reply {
+	var body commandBody
+	if err := readJSON(request, &body); err != nil {
 		return malformedReply(err)
 	}
-	var all []operator.Command
-	for _, h := range a.operators.Hosts() {
-		if h.Zone != q.Params["zone"] || h.Phase == "gone" {
+	var commands []operator.Command
+	for _, host := range a.operators.Hosts() {
+		if host.Zone != request.Params["zone"] || host.Phase == "gone" {
 			continue
 		}
-		o, err := b.command(h.Host)
+		command, err := body.command(host.Host)
 		if err != nil {
 			return errorReply(err)
 		}
-		o.Queue = true
-		all = append(all, o)
+		command.Queue = true
+		commands = append(commands, command)
 	}
-	if len(all) == 0 {
-		return http1.Problem{Status: 404, Detail: "no host of that zone is listed"}.Reply()
+	if len(commands) == 0 {
+		return notFound("no host of that zone is listed")
 	}
-	return a.applyCommands(all...)
+	return a.applyCommands(commands...)
+}
+
+// commandResultBody tells what came of an operator's command.
+type commandResultBody struct {
+	Hosts int  `json:"hosts"` // number of hosts that it is for
+	Waits bool `json:"waits"` // it is queued for at least one of them
 }
 
-func (a *api) applyCommands(orders ...operator.Command) http1.Reply {
-	waits, err := a.operators.Order(orders...)
-	var refused *operator.RejectedError
-	if errors.As(err, &refused) && refused.UnknownHost {
-		return http1.Problem{Status: 404, Detail: err.Error()}.Reply()
-	} else if refused != nil {
-		return http1.Problem{Status: 409, Detail: err.Error()}.Reply()
-	} else if err != nil {
+func (a *api) applyCommands(commands ...operator.Command) http1.Reply {
+	queued, err := a.operators.Order(commands...)
+	if err != nil {
 		return errorReply(err)
 	}
-	r := jsonReply(map[string]any{"hosts": len(orders), "waits": waits})
-	if waits {
-		r.Status = 202
+	reply := jsonReply(commandResultBody{Hosts: len(commands), Waits: queued})
+	if queued {
+		reply.Status = http.StatusAccepted
 	}
-	return r
+	return reply
 }
 
-// maxEventsWaitSeconds is how long a follower is held at most, in seconds.
-const maxEventsWaitSeconds = 60
+type eventsBody struct {
+	Events []controller.Event `json:"events"`
+}
 
-func (a *api) getEvents(q *http1.Request) http1.Reply {
-	after, err := strconv.ParseInt(q.Query.Get("after"), 10, 64)
-	if err != nil && q.Query.Get("after") != "" {
+// getEvents handles a long poll for the events after a number.
+func (a *api) getEvents(request *http1.Request) http1.Reply {
+	text := request.Query.Get("after")
+	after, err := strconv.ParseInt(text, 10, 64)
+	if err != nil && text != "" {
 		return errorReply(&controller.FieldError{Field: "after", Reason: "is no number"})
 	}
-	seconds, _ := preferredWait(q.Header)
-	var cancel func()
-	held := q.Hold(func() {
+	seconds, _ := preferredWait(request.Header)
+	wait := time.Duration(math.Min(seconds, maxEventsWaitSeconds) * float64(time.Second))
+	var cancel func() // nil until Events has returned
+	held := request.Hold(func() {
 		if cancel != nil {
 			cancel()
 		}
 	})
-	cancel = a.operators.Events(after, time.Duration(math.Min(seconds, maxEventsWaitSeconds)*float64(time.Second)), func(all []controller.Event) {
-		if all == nil {
-			all = []controller.Event{}
+	cancel = a.operators.Events(after, wait, func(events []controller.Event) {
+		if events == nil {
+			events = []controller.Event{} // a list in JSON, not null
 		}
-		held.Answer(jsonReply(map[string]any{"events": all}))
+		held.Answer(jsonReply(eventsBody{events}))
 	})
 	return http1.Reply{Held: held}
 }
--- /dev/null
+++ b/internal/daemon/status_api.go
@@ -0,0 +1,64 @@
+package daemon
+
+import (
+	"runtime"
+
+	"barleysail/controller"
+	"barleysail/intake"
+	"barleysail/internal/http1"
+	"barleysail/solver"
+)
+
+// statusBody is the status document.
+type statusBody struct {
+	Version string `json:"version"`
+	controller.Status
+	Door     intake.RateLimiterReport `json:"door"`
+	Kept     *PersisterReport         `json:"kept,omitempty"`
+	Standby  *StandbyReport           `json:"standby,omitempty"`
+	Identity *IdentityReport          `json:"identity,omitempty"`
+	Gap      *solver.Gap              `json:"gap,omitempty"` // to the best tables, where hosts state their cores
+}
+
+func (a *api) getStatus(*http1.Request) http1.Reply {
+	return jsonReply(statusBody{
+		Version:  a.version,
+		Status:   a.loop.status(),
+		Door:     a.loop.rateLimiter.Report(),
+		Kept:     a.persister.status(),
+		Standby:  a.standby.report(),
+		Identity: identityReport(a.credentials),
+		Gap:      a.loop.optimalityGap(),
+	})
+}
+
+// IngestReport is the document on the reports that come in, and the memory in use.
+type IngestReport struct {
+	controller.IngestReport
+	Door         intake.RateLimiterReport `json:"door"`
+	HeapBytes    uint64                   `json:"heap_bytes"`
+	LinesMost    float64                  `json:"lines_waiting_most"` // most updates queued for proxies, since the start
+	GuardRefused int                      `json:"guard_refused"`      // how often validation began to reject tables
+}
+
+func (a *api) getIngestReport(*http1.Request) http1.Reply {
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	status := a.loop.status()
+	return jsonReply(IngestReport{
+		IngestReport: status.Intake,
+		Door:         a.loop.rateLimiter.Report(),
+		HeapBytes:    memory.HeapAlloc,
+		LinesMost:    status.LinesMost,
+		GuardRefused: status.GuardRefused,
+	})
+}
+
+// getFleet gives the fleet as the solver's problem.
+func (a *api) getFleet(*http1.Request) http1.Reply {
+	problem := a.loop.listedProblem()
+	if problem == nil {
+		return notFound("a host on the list tells no cores, or no demand was heard yet")
+	}
+	return jsonReply(problem)
+}
