--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,7 @@
-// Package daemon puts a steward on sockets: the HTTP front, the host list, probes, the clock, logs and the
-// recording. All decisions come from packages steward and decide.
+// Package daemon runs a controller as a network service. It owns the sockets (the HTTP API, the runtime sockets and
+// the drivers of proxies' sockets), the endpoint sources, health checks, the persisted state, the standby role, the
+// clock, the log and the recording. It never makes a routing decision: those come from packages controller and
+// routing, which do no I/O.
 package daemon
 
 import (
@@ -7,7 +9,9 @@
 	"crypto/rand"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"fmt"
+	"io"
 	"net"
 	"os"
 	"sync"
@@ -15,7 +19,7 @@
 	"github.com/rs/zerolog"
 	"google.golang.org/protobuf/encoding/prototext"
 
-	"barleysail/controller"
+	"barleysail/auth"
 	"barleysail/intake"
 	"barleysail/internal/config"
 	"barleysail/internal/config/configpb"
@@ -23,235 +27,243 @@
 	"barleysail/internal/identity"
 	"barleysail/internal/record"
 	"barleysail/internal/record/recordpb"
-	"barleysail/internal/runtimeapi"
-	"barleysail/internal/socketproxy"
 )
 
-// Daemon is a running steward.
+// Daemon is a running controller with its sockets and background work. Stop or Kill ends it, and with it every
+// goroutine that it started.
 type Daemon struct {
+	config      *configpb.Config
+	version     string
+	incarnation string
+	seed        uint64
+	log         zerolog.Logger
+
+	cancel         context.CancelFunc // ends the background work
 	loop           *controllerLoop
 	server         *http1.Server
 	listener       net.Listener
-	cancel         context.CancelFunc
-	recordingFile  *os.File
+	recordingFile  *os.File // nil: nothing is recorded
 	httpClients    []*http1.Client
 	runtimeSockets []runtimeSocket
-	socketDrivers  sync.WaitGroup
-	persister      *persister
-	standby        *standbyReplica
-	credentials    *identity.Source // nil: plain
-	tokens         *identity.Tokens // nil: none are taken
-	background     sync.WaitGroup
-}
+	healthChecker  *healthChecker
+	endpoints      *endpointService // nil: the list is a file
+	persister      *persister       // nil: no state is persisted
+	standby        *standbyReplica  // nil: this is no standby
+	credentials    *identity.Source // nil: connections are plain
+	tokens         *identity.Tokens // nil: bearer tokens are not accepted
 
-// runtimeSocket is a runtime socket.
-type runtimeSocket struct {
-	listener net.Listener
-	server   *runtimeapi.Server
+	servers       sync.WaitGroup // goroutines that accept connections; closing their listeners ends them
+	socketDrivers sync.WaitGroup // canceling the context ends them
+	background    sync.WaitGroup // canceling the context ends them
 }
 
-// Start starts a steward by a checked configuration.
-func Start(c *configpb.Config, version string, log zerolog.Logger) (_ *Daemon, err error) {
-	if err := config.MayStart(c); err != nil {
+// Start starts a controller by a checked configuration and serves it; version is reported in the status. After an
+// error nothing is left running.
+func Start(cfg *configpb.Config, version string, log zerolog.Logger) (*Daemon, error) {
+	if err := config.MayStart(cfg); err != nil {
+		return nil, err
+	}
+	incarnation, seed, err := newIncarnation(cfg.Seed)
+	if err != nil {
 		return nil, err
 	}
-	var random [16]byte
+	ctx, cancel := context.WithCancel(context.Background())
+	d := &Daemon{config: cfg, version: version, incarnation: incarnation, seed: seed, log: log, cancel: cancel}
+	if err := d.start(ctx); err != nil {
+		d.close()
+		return nil, err
+	}
+	log.Info().Str("listen", d.Addr()).Str("life", incarnation).Str("version", version).Msg("steward started")
+	return d, nil
+}
+
+const (
+	incarnationBytes = 6 // of random data in the name of an incarnation
+	seedBytes        = 8
+)
+
+// newIncarnation draws the name of this incarnation, which no earlier or other controller has, and the seed of the
+// controller's random draws where the configuration gives none.
+func newIncarnation(configuredSeed uint64) (incarnation string, seed uint64, err error) {
+	var random [2 * seedBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return nil, fmt.Errorf("drawing a name for this life: %w", err)
+		return "", 0, fmt.Errorf("drawing a name for this life: %w", err)
 	}
-	life, seed := hex.EncodeToString(random[:6]), c.Seed
-	if seed == 0 {
-		seed = binary.LittleEndian.Uint64(random[8:])
+	incarnation = hex.EncodeToString(random[:incarnationBytes])
+	if configuredSeed != 0 {
+		return incarnation, configuredSeed, nil
 	}
-	ctx, cancel := context.WithCancel(context.Background())
-	d := &Daemon{cancel: cancel} // not the result, which is nil by the time it is closed after an error
-	defer func() {
-		if err != nil {
-			d.close()
-		}
-	}()
-	var rec *recorder
-	if c.Record != "" {
-		if d.recordingFile, err = os.Create(c.Record); err != nil {
-			return nil, fmt.Errorf("starting the recording: %w", err)
-		}
-		rec = &recorder{writer: record.NewWriter(d.recordingFile), log: log}
+	return incarnation, binary.LittleEndian.Uint64(random[seedBytes:]), nil
+}
+
+// start opens all that the configuration names, in the order in which one part needs another. What it opened before
+// an error is left to close.
+func (d *Daemon) start(ctx context.Context) error {
+	recorder, err := d.openRecording()
+	if err != nil {
+		return err
 	}
-	policy, secure, err := d.openCredentials(ctx, c, log)
+	policy, secure, err := d.openCredentials(ctx)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	if d.listener, err = net.Listen("tcp", c.Listen); err != nil {
-		return nil, fmt.Errorf("listening for proxies: %w", err)
+	if d.listener, err = net.Listen("tcp", d.config.Listen); err != nil {
+		return fmt.Errorf("listening for proxies: %w", err)
 	}
-	d.loop = newControllerLoop(config.Steward(c, life, seed), intake.NewRateLimiter(intake.RateLimits{PerSource: *c.Intake.SourceLinesPerS, Total: *c.Intake.LinesPerS}), log, rec)
-	if rec != nil {
-		text, _ := prototext.MarshalOptions{Multiline: true}.Marshal(c)
-		d.loop.recorder.write(&recordpb.Record{At: d.loop.clock.Now(), What: &recordpb.Record_Start{Start: &recordpb.Start{
-			Format: record.Format, Program: version, Config: string(text), Life: life, Seed: seed}}})
+	limiter := intake.NewRateLimiter(intake.RateLimits{
+		PerSource: *d.config.Intake.SourceLinesPerS,
+		Total:     *d.config.Intake.LinesPerS,
+	})
+	instance := config.Steward(d.config, d.incarnation, d.seed)
+	d.loop = newControllerLoop(instance, limiter, d.log, recorder)
+	d.startHealthChecker(ctx)
+	if err := d.recordStart(); err != nil {
+		return err
 	}
-	if c.State.Folder != "" {
-		if d.persister, err = openPersister(c.State.Folder, milliseconds(*c.State.EveryMs), int(*c.State.MostBytes), *c.Guard.ColdMs, version, d.loop, log); err != nil {
-			return nil, err
-		}
+	if err := d.openPersister(); err != nil {
+		return err
 	}
-	if c.Standby.Of != "" {
-		if d.standby, err = newStandbyReplica(c.Standby.Of, d.clientTLS(c.Standby.Id), *c.Standby.FreshMs, *c.Guard.ColdMs, d.loop, log); err != nil {
-			return nil, err
-		}
-		d.httpClients = append(d.httpClients, d.standby.client)
-	}
-	probes := &http1.Client{Limits: http1.Limits{Line: 8 << 10, Header: 32 << 10, Body: 64 << 10}, Idle: 1024}
-	d.httpClients = append(d.httpClients, probes)
-	p := &healthChecker{client: probes, path: c.Probes.Path, timeout: milliseconds(*c.Probes.TimeoutMs),
-		slots: make(chan struct{}, *c.Probes.AtOnce), ctx: ctx, report: d.loop.observeHealthCheck}
-	d.loop.startHealthCheck = p.check
-	if err := d.startEndpointSource(ctx, c, log); err != nil {
-		return nil, err
+	if err := d.openStandby(); err != nil {
+		return err
 	}
-	a := &api{
-		loop:           d.loop,
-		authorizer:     newAuthorizer(policy, d.credentials, d.tokens, d.loop),
-		credentials:    d.credentials,
-		persister:      d.persister,
-		standby:        d.standby,
-		statePublisher: &statePublisher{loop: d.loop, incarnation: life},
-		operators:      d.Operators(),
-		version:        version,
+	if err := d.startEndpointSource(ctx); err != nil {
+		return err
 	}
-	d.server = http1.NewServer(a.routes(), http1.Config{Limits: http1.Limits{Body: int64(*c.Server.BodyBytes)},
-		Header: milliseconds(*c.Server.HeaderMs), Body: milliseconds(*c.Server.BodyMs), Idle: milliseconds(*c.Server.IdleMs),
-		Write: milliseconds(*c.Server.WriteMs), Conns: int(*c.Server.Connections),
-		Secure: secure})
-	go func() {
-		if err := d.server.Serve(d.listener); err != nil {
-			log.Error().Err(err).Msg("no more connections are taken")
-		}
-	}()
-	if err := d.openRuntimeSockets(c, version, log); err != nil {
-		return nil, err
+	d.serveAPI(policy, secure)
+	if err := d.openRuntimeSockets(); err != nil {
+		return err
 	}
-	d.startSocketDrivers(ctx, c, life, log)
-	if d.standby != nil {
-		d.background.Add(1)
-		go func() { defer d.background.Done(); d.standby.run(ctx) }()
+	d.startSocketDrivers(ctx, d.config)
+	d.startBackground(ctx)
+	d.loop.wake()
+	return nil
+}
+
+// openRecording creates the recording's file; nil where nothing is recorded.
+func (d *Daemon) openRecording() (*recorder, error) {
+	if d.config.Record == "" {
+		return nil, nil
 	}
-	if d.persister != nil {
-		d.background.Add(1)
-		go func() { defer d.background.Done(); d.persister.run(ctx) }()
+	var err error
+	if d.recordingFile, err = os.Create(d.config.Record); err != nil {
+		return nil, fmt.Errorf("starting the recording: %w", err)
 	}
-	d.loop.call(func(float64) {})
-	log.Info().Str("listen", d.Addr()).Str("life", life).Str("version", version).Msg("steward started")
-	return d, nil
+	return &recorder{writer: record.NewWriter(d.recordingFile), log: d.log}, nil
 }
 
-// startEndpointSource takes up the host list.
-func (d *Daemon) startEndpointSource(ctx context.Context, c *configpb.Config, log zerolog.Logger) error {
-	if c.List.File != "" {
-		d.loop.startWatch = func() {}
-		l := &endpointFile{path: c.List.File, log: log, publish: d.endpointSink()}
-		if err := l.reload(); err != nil {
-			return err
-		}
-		go l.watch(ctx)
+// recordStart writes the first record: all that a replay needs to make the same controller.
+func (d *Daemon) recordStart() error {
+	if d.loop.recorder == nil {
 		return nil
 	}
-	l, err := newEndpointService(c.List.Url, d.credentials != nil, milliseconds(*c.List.WaitMs))
+	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(d.config)
 	if err != nil {
-		return err
+		return fmt.Errorf("starting the recording: %w", err)
 	}
-	l.log, l.ctx, l.publish, l.reportFailure = log, ctx, d.endpointSink(), d.loop.observeWatchFailure
-	l.client.TLS = d.clientTLS(c.List.Id)
-	d.httpClients = append(d.httpClients, l.client)
-	d.loop.startWatch = l.startWatch
+	start := &recordpb.Start{
+		Format:  record.Format,
+		Program: d.version,
+		Config:  string(text),
+		Life:    d.incarnation,
+		Seed:    d.seed,
+	}
+	d.loop.recorder.write(&recordpb.Record{At: d.loop.clock.Now(), What: &recordpb.Record_Start{Start: start}})
 	return nil
 }
 
-// endpointSink is who takes the list: the steward, or one that stands by.
-func (d *Daemon) endpointSink() func([]controller.Endpoint) error {
-	if d.standby != nil {
-		return d.standby.setEndpoints
+// openPersister opens the state folder, where one is configured, and restores what it holds.
+func (d *Daemon) openPersister() (err error) {
+	settings := d.config.State
+	if settings.Folder == "" {
+		return nil
 	}
-	return d.loop.setEndpoints
+	d.persister, err = openPersister(persisterConfig{
+		folder:   settings.Folder,
+		interval: milliseconds(*settings.EveryMs),
+		maxBytes: int(*settings.MostBytes),
+		coldMs:   *d.config.Guard.ColdMs,
+		program:  d.version,
+	}, d.loop, d.log)
+	return err
 }
 
-// Operators is the way for operators.
-func (d *Daemon) Operators() *Operators { return &Operators{loop: d.loop} }
-
-// openRuntimeSockets opens the runtime sockets.
-func (d *Daemon) openRuntimeSockets(c *configpb.Config, version string, log zerolog.Logger) error {
-	for _, r := range c.Runtime {
-		l, err := listenRuntimeSocket(r.Address)
-		if err != nil {
-			return fmt.Errorf("opening the runtime socket: %w", err)
-		}
-		level, _ := runtimeapi.ParseLevel(r.Level)
-		f := runtimeSocket{l, runtimeapi.New(d.Operators(), runtimeapi.Config{Level: level, Version: version})}
-		d.runtimeSockets = append(d.runtimeSockets, f)
-		go func() {
-			if err := f.server.Serve(f.listener); err != nil {
-				log.Error().Err(err).Msg("the runtime socket takes no more connections")
-			}
-		}()
+// openStandby makes this controller a standby, where the configuration names its leader.
+func (d *Daemon) openStandby() (err error) {
+	settings := d.config.Standby
+	if settings.Of == "" {
+		return nil
 	}
+	d.standby, err = newStandbyReplica(standbyConfig{
+		leaderURL: settings.Of,
+		tls:       d.clientTLS(settings.Id),
+		leaseMs:   *settings.FreshMs,
+		coldMs:    *d.config.Guard.ColdMs,
+	}, d.loop, d.log)
+	if err != nil {
+		return err
+	}
+	d.httpClients = append(d.httpClients, d.standby.client)
 	return nil
 }
 
-// startSocketDrivers drives the proxies that are told what to do by their own sockets.
-func (d *Daemon) startSocketDrivers(ctx context.Context, c *configpb.Config, life string, log zerolog.Logger) {
-	for _, p := range c.Sockets {
-		x := socketproxy.New(localController{d.loop}, socketproxy.Config{Proxy: p.Proxy, Zone: p.Zone, Address: p.Address, Rate: p.GetRate(), Life: life,
-			Grace: *c.Guard.GraceMs, Period: milliseconds(*c.Fleet.PeriodMs), Log: func(text string) { log.Info().Msg(text) }})
-		d.socketDrivers.Add(1)
-		go func() { defer d.socketDrivers.Done(); x.Run(ctx) }()
-	}
+// serveAPI serves the HTTP API on the listener.
+func (d *Daemon) serveAPI(policy *auth.Policy, secure *http1.Secure) {
+	settings := d.config.Server
+	d.server = http1.NewServer(d.newAPI(policy).routes(), http1.Config{
+		Limits: http1.Limits{Body: int64(*settings.BodyBytes)},
+		Header: milliseconds(*settings.HeaderMs),
+		Body:   milliseconds(*settings.BodyMs),
+		Idle:   milliseconds(*settings.IdleMs),
+		Write:  milliseconds(*settings.WriteMs),
+		Conns:  int(*settings.Connections),
+		Secure: secure,
+	})
+	d.servers.Go(func() {
+		if err := d.server.Serve(d.listener); err != nil {
+			d.log.Error().Err(err).Msg("no more connections are taken")
+		}
+	})
 }
 
-// localController is a steward as proxies of sockets poll it, from within.
-type localController struct{ loop *controllerLoop }
-
-func (p localController) Poll(q controller.PollRequest, to func(controller.Response)) (int64, error) {
-	return p.loop.poll(q, to)
-}
-func (p localController) PollGone(proxy string, id int64) { p.loop.cancelPoll(proxy, id) }
-func (p localController) Sums(proxy string, u controller.ProxyStats) (bool, error) {
-	return p.loop.observeProxyStats(proxy, u)
-}
-func (p localController) Now() float64 { return p.loop.clock.Now() }
-func (p localController) Listed(host string) bool {
-	return query(p.loop, func(s *controller.Controller) bool { return s.HasEndpoint(host) })
+// newAPI makes the handlers of the HTTP API.
+func (d *Daemon) newAPI(policy *auth.Policy) *api {
+	return &api{
+		loop:           d.loop,
+		authorizer:     newAuthorizer(policy, d.credentials, d.tokens, d.loop),
+		credentials:    d.credentials,
+		persister:      d.persister,
+		standby:        d.standby,
+		statePublisher: &statePublisher{loop: d.loop, incarnation: d.incarnation},
+		operators:      d.Operators(),
+		version:        d.version,
+	}
 }
 
-// listenRuntimeSocket listens at unix:PATH or address:port. A socket's file that nobody listens at any more is replaced.
-func listenRuntimeSocket(address string) (net.Listener, error) {
-	network, path := socketproxy.Network(address)
-	if network == "tcp" {
-		return net.Listen(network, path)
-	}
-	if c, err := net.Dial("unix", path); err == nil {
-		c.Close()
-		return nil, fmt.Errorf("%s: another program listens there", path)
-	}
-	if info, err := os.Stat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
-		os.Remove(path)
+// startBackground starts the standby's polls of its leader and the persister's saves.
+func (d *Daemon) startBackground(ctx context.Context) {
+	if d.standby != nil {
+		d.background.Go(func() { d.standby.run(ctx) })
 	}
-	l, err := net.Listen("unix", path)
-	if err != nil {
-		return nil, err
+	if d.persister != nil {
+		d.background.Go(func() { d.persister.run(ctx) })
 	}
-	return l, os.Chmod(path, 0o600)
 }
 
-// RuntimeAddr is the address of a runtime socket, in the order of the configuration.
-func (d *Daemon) RuntimeAddr(i int) string { return d.runtimeSockets[i].listener.Addr().String() }
+// Operators gives the operators' view of the controller, for any front end.
+func (d *Daemon) Operators() *Operators { return &Operators{loop: d.loop} }
 
-// Addr is the address at which proxies are served.
+// Addr is the address of the HTTP API.
 func (d *Daemon) Addr() string { return d.listener.Addr().String() }
 
-// Stop answers the polls that are held, takes no more, and ends cleanly; when the context ends first,
-// connections are cut.
+// RuntimeAddr is the address of a runtime socket, by its index in the configuration.
+func (d *Daemon) RuntimeAddr(index int) string {
+	return d.runtimeSockets[index].listener.Addr().String()
+}
+
+// Stop shuts down gracefully: it accepts no more connections, saves the state, responds to pending polls and waits
+// until open requests are done. When the context ends first, connections are cut and its error is given.
 func (d *Daemon) Stop(ctx context.Context) error {
-	d.listener.Close()
+	d.closeAndLog("listener", d.listener)
 	if d.persister != nil {
 		d.persister.save()
 	}
@@ -261,38 +273,56 @@
 	return err
 }
 
-// Kill ends at once, as the end of the process would: connections are cut and held polls get no answer.
+// Kill ends at once, as the end of the process would: connections are cut, pending polls get no response, and neither
+// state nor recording is completed.
 func (d *Daemon) Kill() {
-	d.listener.Close()
+	d.closeAndLog("listener", d.listener)
 	d.server.Cut()
 	d.loop.stop(false)
 	d.close()
 }
 
+// close ends all goroutines of the daemon, waits for them, and closes what was opened. It also ends a daemon that
+// was started in part.
 func (d *Daemon) close() {
 	d.cancel()
+	if d.loop != nil {
+		d.loop.stop(false)
+	}
+	if d.healthChecker != nil {
+		d.healthChecker.close()
+	}
+	if d.endpoints != nil {
+		d.endpoints.close()
+	}
 	d.socketDrivers.Wait()
 	d.background.Wait()
 	if d.persister != nil {
 		d.persister.close()
 	}
-	for _, f := range d.runtimeSockets {
-		f.listener.Close()
-		f.server.Close()
-	}
+	d.closeRuntimeSockets()
 	if d.listener != nil {
-		d.listener.Close()
+		d.closeAndLog("listener", d.listener)
 	}
-	for _, c := range d.httpClients {
-		c.Close()
+	d.servers.Wait()
+	for _, client := range d.httpClients {
+		client.Close()
 	}
 	if d.tokens != nil {
-		d.tokens.Close()
+		d.closeAndLog("token keys", d.tokens)
 	}
 	if d.credentials != nil {
-		d.credentials.Close()
+		d.closeAndLog("credentials", d.credentials)
 	}
 	if d.recordingFile != nil {
-		d.recordingFile.Close()
+		d.closeAndLog("recording", d.recordingFile)
+	}
+}
+
+// closeAndLog closes a resource. A failure is only logged: nothing can be done about it at this point.
+func (d *Daemon) closeAndLog(name string, resource io.Closer) {
+	err := resource.Close()
+	if err != nil && !errors.Is(err, net.ErrClosed) {
+		d.log.Warn().Err(err).Str("resource", name).Msg("closing failed")
 	}
 }
--- a/internal/daemon/endpoint_file.go
+++ b/internal/daemon/endpoint_file.go
@@ -15,55 +15,57 @@
 	"barleysail/internal/config"
 )
 
-// endpointFile follows a host list in a file. What cannot be read, does not parse or is empty leaves the last good
-// list standing, and is logged.
+const (
+	// settleDelay is the time from a notification of a change until the file is read, since an editor may write it in
+	// several steps.
+	settleDelay = 50 * time.Millisecond
+
+	// recheckInterval is the time between reads of the file without a notification, for file systems that send none.
+	recheckInterval = 2 * time.Second
+)
+
+// endpointFile is the source of an endpoint list that is a file. A file that cannot be read, does not parse or is
+// empty leaves the last valid list in force.
 type endpointFile struct {
 	path     string
 	log      zerolog.Logger
 	publish  func([]controller.Endpoint) error
-	lastText []byte
+	lastText []byte // as last read, valid or not; nil: never read
 }
 
-// settleDelay is waited after a change, since an editor writes in several steps.
-const settleDelay = 50 * time.Millisecond
-
-// recheckInterval is how often the file is looked at where its folder tells no changes.
-const recheckInterval = 2 * time.Second
-
-func (l *endpointFile) reload() error {
-	text, err := os.ReadFile(l.path)
+// reload reads the file and publishes the list where the text changed.
+func (f *endpointFile) reload() error {
+	text, err := os.ReadFile(f.path)
 	if err != nil {
 		return fmt.Errorf("reading the host list: %w", err)
 	}
-	if l.lastText != nil && bytes.Equal(text, l.lastText) {
+	if f.lastText != nil && bytes.Equal(text, f.lastText) {
 		return nil
 	}
-	l.lastText = text
-	entries, err := config.Hosts(l.path, text)
+	f.lastText = text
+	endpoints, err := config.Hosts(f.path, text)
 	if err != nil {
 		return err
 	}
-	if len(entries) == 0 {
-		return fmt.Errorf("%s: no host is listed", l.path)
+	if len(endpoints) == 0 {
+		return fmt.Errorf("%s: no host is listed", f.path)
 	}
-	if err := l.publish(entries); err != nil {
-		return config.Refused(l.path, text, err)
+	if err := f.publish(endpoints); err != nil {
+		return config.Refused(f.path, text, err)
 	}
-	l.log.Info().Int("hosts", len(entries)).Msg("host list read")
+	f.log.Info().Int("hosts", len(endpoints)).Msg("host list read")
 	return nil
 }
 
-// watch reads the file again whenever it changes, until the context ends.
-func (l *endpointFile) watch(ctx context.Context) {
-	var events chan fsnotify.Event
-	watcher, err := fsnotify.NewWatcher()
-	if err == nil {
-		defer watcher.Close()
-		err = watcher.Add(filepath.Dir(l.path))
-		events = watcher.Events
-	}
+// watch reloads the file whenever it changes, until the context ends.
+func (f *endpointFile) watch(ctx context.Context) {
+	var events chan fsnotify.Event // nil, so that nothing is received, where there are no notifications
+	watcher, err := f.newWatcher()
 	if err != nil {
-		l.log.Warn().Err(err).Msg("the folder of the host list tells no changes; looking every two seconds")
+		f.log.Warn().Err(err).Msg("the folder of the host list tells no changes; looking every two seconds")
+	} else {
+		events = watcher.Events
+		defer f.closeWatcher(watcher)
 	}
 	timer := time.NewTimer(recheckInterval)
 	defer timer.Stop()
@@ -71,17 +73,37 @@
 		select {
 		case <-ctx.Done():
 			return
-		case e, ok := <-events:
+		case event, ok := <-events:
 			if !ok {
 				events = nil
-			} else if filepath.Clean(e.Name) == filepath.Clean(l.path) {
+			} else if filepath.Clean(event.Name) == filepath.Clean(f.path) {
 				timer.Reset(settleDelay)
 			}
 		case <-timer.C:
 			timer.Reset(recheckInterval)
-			if err := l.reload(); err != nil {
-				l.log.Error().Err(err).Msg("host list refused, the last one stands")
+			if err := f.reload(); err != nil {
+				f.log.Error().Err(err).Msg("host list refused, the last one stands")
 			}
 		}
 	}
 }
+
+// newWatcher watches the file's folder rather than the file, which may be replaced by a rename.
+func (f *endpointFile) newWatcher() (*fsnotify.Watcher, error) {
+	watcher, err := fsnotify.NewWatcher()
+	if err != nil {
+		return nil, err
+	}
+	if err := watcher.Add(filepath.Dir(f.path)); err != nil {
+		f.closeWatcher(watcher)
+		return nil, err
+	}
+	return watcher, nil
+}
+
+// closeWatcher closes a watcher; a failure is only logged, since the file is still read at intervals.
+func (f *endpointFile) closeWatcher(watcher *fsnotify.Watcher) {
+	if err := watcher.Close(); err != nil {
+		f.log.Warn().Err(err).Msg("closing the watcher of the host list failed")
+	}
+}
--- a/internal/daemon/endpoint_service.go
+++ b/internal/daemon/endpoint_service.go
@@ -3,11 +3,13 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
-	"net/url"
+	"net/http"
+	"net/textproto"
 	"strconv"
 	"strings"
-	"sync/atomic"
+	"sync"
 	"time"
 
 	jsonpatch "github.com/evanphx/json-patch/v5"
@@ -18,144 +20,202 @@
 	"barleysail/routing"
 )
 
-// mergePatch names the instance manipulation (RFC 3229) whose body is a JSON merge patch (RFC 7396).
-const mergePatch = "merge-patch"
+const (
+	// endpointListBytes is the largest body that is read of a list service's response.
+	endpointListBytes = 64 << 20
 
-// endpointService follows a host list by the protocol that proxies use: long polls with deltas onto entity tags.
-// The module says when to ask; after a failure it waits for the next such word.
+	// endpointPollGrace is how much longer than the long poll itself a response may take.
+	endpointPollGrace = 10 * time.Second
+
+	// mergePatch names the instance manipulation (RFC 3229) whose body is a JSON merge patch (RFC 7396).
+	mergePatch = "merge-patch"
+)
+
+// endpointService is the source of an endpoint list that is an HTTP service. It uses the protocol that proxies use:
+// long polls with an entity tag, whose responses are snapshots or deltas. The controller starts the watch; after a
+// failure the watch ends, and the controller's backoff decides when it starts again. The last valid list stays in
+// force meanwhile.
+//
+// It owns the goroutine of the watch; close ends it.
 type endpointService struct {
-	address, target string
-	wait            time.Duration
-	client          *http1.Client
-	log             zerolog.Logger
-	ctx             context.Context
-	publish         func([]controller.Endpoint) error
-	reportFailure   func()
-
-	watching atomic.Bool
-	tag      string
+	ctx           context.Context // canceling it ends the watch
+	address       string
+	target        string // request target: the URL's path and query
+	wait          time.Duration
+	client        *http1.Client
+	log           zerolog.Logger
+	publish       func([]controller.Endpoint) error
+	reportFailure func()
+
+	mu       sync.Mutex
+	closed   bool
+	watching bool
+	running  sync.WaitGroup
+
+	// Only the goroutine of the watch uses these.
+	tag      string // entity tag of document; empty: the next poll asks for a snapshot
 	document []byte
 }
 
-// endpointDocument is the document: hosts by address.
+// endpointDocument is the JSON document of an endpoint list: hosts by address.
 type endpointDocument struct {
-	Hosts map[string]struct {
-		Zone    string   `json:"zone"`
-		Phase   string   `json:"phase"`
-		Weight  *float64 `json:"weight"`
-		Started float64  `json:"started"`
-	} `json:"hosts"`
+	Hosts map[string]endpointEntry `json:"hosts"`
 }
 
-func newEndpointService(raw string, secure bool, wait time.Duration) (*endpointService, error) {
-	u, address, err := parseServiceURL("list.url", raw, secure)
+// endpointEntry is one host of an endpointDocument.
+type endpointEntry struct {
+	Zone    string   `json:"zone"`
+	Phase   string   `json:"phase"` // ready or draining; empty: ready
+	Weight  *float64 `json:"weight"`
+	Started float64  `json:"started"` // time of the last start, ms
+}
+
+// newEndpointService makes the source for the list.url setting; the caller sets the fields that connect it to the
+// daemon.
+func newEndpointService(listURL string, secure bool, wait time.Duration) (*endpointService, error) {
+	service, address, err := parseServiceURL("list.url", listURL, secure)
 	if err != nil {
 		return nil, err
 	}
-	return &endpointService{address: address, target: u.RequestURI(), wait: wait,
-		client: &http1.Client{Limits: http1.Limits{Line: 8 << 10, Header: 32 << 10, Body: 64 << 20}}}, nil
+	return &endpointService{
+		address: address,
+		target:  service.RequestURI(),
+		wait:    wait,
+		client:  &http1.Client{Limits: clientLimits(endpointListBytes)},
+	}, nil
 }
 
-// parseServiceURL reads the URL of a service that the steward calls: https where it has an identity, else http.
-func parseServiceURL(field, raw string, secure bool) (u *url.URL, address string, err error) {
-	scheme, port := "http", ":80"
-	if secure {
-		scheme, port = "https", ":443"
-	}
-	if u, err = url.Parse(raw); err != nil || u.Scheme != scheme || u.Host == "" {
-		return nil, "", fmt.Errorf("%s: %q is no %s URL", field, raw, scheme)
-	}
-	if address = u.Host; u.Port() == "" {
-		address += port
+// startWatch polls for the list and then for its changes, until a poll fails. It returns at once, and does nothing
+// while a watch is running or after close.
+func (s *endpointService) startWatch() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.watching || s.closed {
+		return
 	}
-	return u, address, nil
+	s.watching = true
+	s.running.Go(s.watch)
 }
 
-// startWatch asks for the list and then for its changes until that fails.
-func (l *endpointService) startWatch() {
-	if !l.watching.CompareAndSwap(false, true) {
+func (s *endpointService) watch() {
+	var err error
+	for err == nil {
+		err = s.poll()
+	}
+	s.mu.Lock()
+	s.watching = false
+	s.mu.Unlock()
+	if s.ctx.Err() != nil {
 		return
 	}
-	go func() {
-		err := error(nil)
-		for err == nil {
-			err = l.poll()
-		}
-		l.watching.Store(false)
-		if l.ctx.Err() == nil {
-			l.log.Warn().Err(err).Msg("host list not to be had, the last one stands")
-			l.reportFailure()
-		}
-	}()
+	s.log.Warn().Err(err).Msg("host list not to be had, the last one stands")
+	s.reportFailure()
 }
 
-func (l *endpointService) poll() error {
-	h := http1.Header("Accept", "application/json", "Prefer", "wait="+strconv.Itoa(int(l.wait.Seconds())))
-	h["A-IM"] = []string{"merge-patch"}
-	if l.tag != "" {
-		h.Set("If-None-Match", l.tag)
-	}
-	ctx, cancel := context.WithTimeout(l.ctx, l.wait+10*time.Second)
+// close waits until the watch has ended. The context has to be canceled before.
+func (s *endpointService) close() {
+	s.mu.Lock()
+	s.closed = true
+	s.mu.Unlock()
+	s.running.Wait()
+}
+
+// poll makes one long poll and publishes the list where it changed. After a response that cannot be used the next
+// poll asks for a snapshot.
+func (s *endpointService) poll() error {
+	ctx, cancel := context.WithTimeout(s.ctx, s.wait+endpointPollGrace)
 	defer cancel()
-	r, err := l.client.Call(ctx, "GET", l.address, l.target, h)
+	response, err := s.client.Call(ctx, http.MethodGet, s.address, s.target, s.pollHeader())
 	if err != nil {
 		return fmt.Errorf("asking for the list: %w", err)
 	}
-	doc := r.Body
-	switch r.Status {
-	case 304:
+	var document []byte
+	switch response.Status {
+	case http.StatusNotModified:
 		return nil
-	case 200:
-	case 226:
-		if base := r.Header.Get("Delta-Base"); l.tag == "" || base != l.tag || !strings.EqualFold(r.Header.Get("Im"), "merge-patch") {
-			l.tag = ""
-			return fmt.Errorf("a delta onto %s came, not onto what is held", base)
-		}
-		if doc, err = jsonpatch.MergePatch(l.document, r.Body); err != nil {
-			l.tag = ""
-			return fmt.Errorf("applying a delta: %w", err)
-		}
+	case http.StatusOK:
+		document = response.Body
+	case http.StatusIMUsed:
+		document, err = s.applyDelta(response)
 	default:
-		return fmt.Errorf("the list service answered %d", r.Status)
-	}
-	entries, err := parseEndpoints(doc)
-	if err == nil && len(entries) == 0 {
-		err = fmt.Errorf("no host is listed")
+		return fmt.Errorf("the list service answered %d", response.Status)
 	}
 	if err == nil {
-		err = l.publish(entries)
+		err = s.publishDocument(document)
 	}
 	if err != nil {
-		l.tag = "" // ask for the whole next time
+		s.tag = ""
 		return err
 	}
-	l.document, l.tag = doc, r.Header.Get("Etag")
+	s.document = document
+	s.tag = response.Header.Get("Etag")
 	return nil
 }
 
-func parseEndpoints(doc []byte) ([]controller.Endpoint, error) {
-	var b endpointDocument
-	if err := json.Unmarshal(doc, &b); err != nil {
+func (s *endpointService) pollHeader() textproto.MIMEHeader {
+	header := http1.Header("Accept", "application/json", "Prefer", "wait="+strconv.Itoa(int(s.wait.Seconds())))
+	header["A-IM"] = []string{mergePatch} // not in the canonical form, which would be A-Im
+	if s.tag != "" {
+		header.Set("If-None-Match", s.tag)
+	}
+	return header
+}
+
+// applyDelta gives the document that a delta leads to.
+func (s *endpointService) applyDelta(response *http1.Response) ([]byte, error) {
+	baseTag := response.Header.Get("Delta-Base")
+	if s.tag == "" || baseTag != s.tag || !strings.EqualFold(response.Header.Get("Im"), mergePatch) {
+		return nil, fmt.Errorf("a delta onto %s came, not onto what is held", baseTag)
+	}
+	document, err := jsonpatch.MergePatch(s.document, response.Body)
+	if err != nil {
+		return nil, fmt.Errorf("applying a delta: %w", err)
+	}
+	return document, nil
+}
+
+func (s *endpointService) publishDocument(document []byte) error {
+	endpoints, err := parseEndpoints(document)
+	if err != nil {
+		return err
+	}
+	if len(endpoints) == 0 {
+		return errors.New("no host is listed")
+	}
+	return s.publish(endpoints)
+}
+
+// parseEndpoints reads an endpointDocument; the endpoints are in no particular order.
+func parseEndpoints(text []byte) ([]controller.Endpoint, error) {
+	var document endpointDocument
+	if err := json.Unmarshal(text, &document); err != nil {
 		return nil, fmt.Errorf("reading the list: %w", err)
 	}
-	if b.Hosts == nil {
-		return nil, fmt.Errorf(`reading the list: "hosts" is missing`)
-	}
-	entries := make([]controller.Endpoint, 0, len(b.Hosts))
-	for host, v := range b.Hosts {
-		e := controller.Endpoint{Host: host, Zone: v.Zone, Weight: 1, StartedMs: v.Started}
-		switch v.Phase {
-		case "ready", "":
-			e.State = routing.Ready
-		case "draining":
-			e.State = routing.Draining
-		default:
-			return nil, fmt.Errorf("hosts[%q].phase: %q is neither ready nor draining", host, v.Phase)
+	if document.Hosts == nil {
+		return nil, errors.New(`reading the list: "hosts" is missing`)
+	}
+	endpoints := make([]controller.Endpoint, 0, len(document.Hosts))
+	for host, entry := range document.Hosts {
+		state, ok := parsePhase(entry.Phase)
+		if !ok {
+			return nil, fmt.Errorf("hosts[%q].phase: %q is neither ready nor draining", host, entry.Phase)
 		}
-		if v.Weight != nil {
-			e.Weight = *v.Weight
+		weight := 1.0
+		if entry.Weight != nil {
+			weight = *entry.Weight
 		}
-		entries = append(entries, e)
+		endpoints = append(endpoints, controller.Endpoint{
+			Host: host, Zone: entry.Zone, State: state, Weight: weight, StartedMs: entry.Started})
+	}
+	return endpoints, nil
+}
+
+func parsePhase(phase string) (state routing.HostState, ok bool) {
+	switch phase {
+	case "ready", "":
+		return routing.Ready, true
+	case "draining":
+		return routing.Draining, true
 	}
-	return entries, nil
+	return state, false
 }
--- a/internal/daemon/health_checker.go
+++ b/internal/daemon/health_checker.go
@@ -4,6 +4,8 @@
 	"context"
 	"errors"
 	"net"
+	"net/http"
+	"sync"
 	"time"
 
 	"barleysail/internal/http1"
@@ -11,49 +13,97 @@
 	"barleysail/routing"
 )
 
-// healthChecker examines hosts by GET, a bounded number at once.
+const (
+	// healthCheckBodyBytes is the largest body that is read of a health check's response; its content is ignored.
+	healthCheckBodyBytes = 64 << 10
+
+	// healthCheckIdleConnections is how many connections to hosts are kept open between health checks.
+	healthCheckIdleConnections = 1024
+)
+
+// healthChecker checks hosts by an HTTP GET, a bounded number at once. It owns one goroutine for each check; close
+// ends them.
 type healthChecker struct {
+	ctx     context.Context // canceling it ends the checks in progress
 	client  *http1.Client
 	path    string
 	timeout time.Duration
-	slots   chan struct{}
-	ctx     context.Context
-	report  func(host string, how routing.HealthCheckResult, load routing.HostLoad)
+	slots   chan struct{} // holds one element for each check in progress
+	report  func(host string, result routing.HealthCheckResult, load routing.HostLoad)
+
+	mu      sync.Mutex
+	closed  bool
+	running sync.WaitGroup
 }
 
-// check starts a probe; its time runs from when it has a connection's slot.
-func (p *healthChecker) check(host string) {
-	go func() {
-		select {
-		case p.slots <- struct{}{}:
-		case <-p.ctx.Done():
-			return
-		}
-		ctx, cancel := context.WithTimeout(p.ctx, p.timeout)
-		r, err := p.client.Call(ctx, "GET", host, p.path, nil)
-		timedOut := ctx.Err() != nil
-		cancel()
-		<-p.slots
-		if p.ctx.Err() != nil {
-			return
-		}
-		load := routing.UnknownLoad
-		if err == nil {
-			load = orca.Parse(r.Header.Get(orca.Field))
-		}
-		p.report(host, classifyResult(r, err, timedOut), load)
-	}()
+// startHealthChecker connects the controller loop to a health checker that ends with the context.
+func (d *Daemon) startHealthChecker(ctx context.Context) {
+	settings := d.config.Probes
+	limits := clientLimits(healthCheckBodyBytes)
+	d.healthChecker = &healthChecker{
+		ctx:     ctx,
+		client:  &http1.Client{Limits: limits, Idle: healthCheckIdleConnections},
+		path:    settings.Path,
+		timeout: milliseconds(*settings.TimeoutMs),
+		slots:   make(chan struct{}, *settings.AtOnce),
+		report:  d.loop.observeHealthCheck,
+	}
+	d.httpClients = append(d.httpClients, d.healthChecker.client)
+	d.loop.startHealthCheck = d.healthChecker.start
+}
+
+// start begins a check of a host and returns at once; the result goes to report. After close it does nothing.
+func (c *healthChecker) start(host string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return
+	}
+	c.running.Go(func() { c.check(host) })
+}
+
+// check waits for a free slot, checks the host and reports the result, unless the context ends before. The timeout
+// runs from when the check has its slot.
+func (c *healthChecker) check(host string) {
+	select {
+	case c.slots <- struct{}{}:
+	case <-c.ctx.Done():
+		return
+	}
+	ctx, cancel := context.WithTimeout(c.ctx, c.timeout)
+	response, err := c.client.Call(ctx, http.MethodGet, host, c.path, nil)
+	timedOut := ctx.Err() != nil
+	cancel()
+	<-c.slots
+	if c.ctx.Err() != nil {
+		return
+	}
+	load := routing.UnknownLoad
+	if err == nil {
+		load = orca.Parse(response.Header.Get(orca.Field))
+	}
+	c.report(host, classifyResult(response, err, timedOut), load)
+}
+
+// close waits until all checks have ended. The context has to be canceled before.
+func (c *healthChecker) close() {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
+	c.running.Wait()
 }
 
-// classifyResult tells what a probe shows: an answer, a refusal, no answer in time, or nothing at all there.
-func classifyResult(r *http1.Response, err error, timedOut bool) routing.HealthCheckResult {
-	var timeout net.Error
-	switch {
-	case err == nil && r.Status >= 200 && r.Status < 300:
-		return routing.Healthy
-	case err == nil:
+// classifyResult gives the result of a health check. Any response with a 2xx status is healthy; without a response
+// a timeout is told apart from a host that cannot be reached.
+func classifyResult(response *http1.Response, err error, timedOut bool) routing.HealthCheckResult {
+	if err == nil {
+		if response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices {
+			return routing.Healthy
+		}
 		return routing.Rejected
-	case timedOut || errors.As(err, &timeout) && timeout.Timeout():
+	}
+	var networkError net.Error
+	if timedOut || errors.As(err, &networkError) && networkError.Timeout() {
 		return routing.TimedOut
 	}
 	return routing.Unreachable
--- a/internal/daemon/persister.go
+++ b/internal/daemon/persister.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"math"
 	"sync"
 	"time"
@@ -9,121 +10,163 @@
 	"github.com/rs/zerolog"
 
 	"barleysail/internal/statefile"
+	"barleysail/state/statepb"
 )
 
-// persister keeps what the steward learned in a folder. A disk that is full, slow or broken costs what would be kept, never a
-// decision: the state is taken under the steward's lock, and written without it.
+// persister saves the controller's state in a folder at intervals, and restores it at the start. A disk that is full,
+// slow or broken costs the state of a restart and never delays the controller: the snapshot is taken under the
+// controller loop's mutex, and written without it.
 type persister struct {
 	loop     *controllerLoop
 	log      zerolog.Logger
 	folder   *statefile.Folder
 	store    *statefile.Store
-	program  string
+	program  string // version of the program, stored with the state
 	interval time.Duration
 
-	saveMu sync.Mutex
+	saveMu sync.Mutex // held during a save
+
 	mu     sync.Mutex
 	report PersisterReport
 }
 
-// PersisterReport is how the keeping of the state stands.
+// persisterConfig configures a persister.
+type persisterConfig struct {
+	folder   string
+	interval time.Duration // between saves
+	maxBytes int           // of the stored state; entries that do not fit are dropped
+	coldMs   float64       // guard.cold_ms, by which restored hosts may still be warming up
+	program  string
+}
+
+// PersisterReport is the persister's part of the status document.
 type PersisterReport struct {
-	Failed   string  `json:"failed"`     // why the last state was not kept; empty: it was
-	SavedMs  float64 `json:"saved_ms"`   // ms since 1970 when one last was; 0: never
-	Saves    int64   `json:"saves"`      // so often
-	TookMs   float64 `json:"took_ms"`    // the last one, syncing among it
-	LockedMs float64 `json:"locked_ms"`  // of which the steward waited
-	Dropped  int     `json:"dropped"`    // entries that did not fit
-	Notes    string  `json:"found_note"` // what was wrong with the state that was found
+	Failed   string  `json:"failed"`     // why the last save failed; empty: it succeeded
+	SavedMs  float64 `json:"saved_ms"`   // time of the last save that succeeded, ms since 1970; 0: none did
+	Saves    int64   `json:"saves"`      // number of saves that succeeded
+	TookMs   float64 `json:"took_ms"`    // duration of the last save, with its sync to the disk
+	LockedMs float64 `json:"locked_ms"`  // part of it for which the controller had to wait
+	Dropped  int     `json:"dropped"`    // entries that did not fit into the size limit
+	Notes    string  `json:"found_note"` // what was wrong with the state that was found at the start
 }
 
-// openPersister opens the folder and recalls what it holds.
-func openPersister(path string, every time.Duration, most int, cold float64, program string, c *controllerLoop, log zerolog.Logger) (*persister, error) {
-	folder, err := statefile.OpenFolder(path)
+// openPersister opens the folder and restores the state that it holds. The folder is locked until close: a second
+// daemon on it is an error.
+func openPersister(cfg persisterConfig, loop *controllerLoop, log zerolog.Logger) (*persister, error) {
+	folder, err := statefile.OpenFolder(cfg.folder)
 	if err != nil {
 		return nil, err
 	}
-	k := &persister{loop: c, log: log, folder: folder, program: program, interval: every}
-	found, err := statefile.Load(folder)
+	p := &persister{loop: loop, log: log, folder: folder, program: cfg.program, interval: cfg.interval}
+	if err := p.load(cfg); err != nil {
+		return nil, errors.Join(err, folder.Close())
+	}
+	return p, nil
+}
+
+// load reads the folder, opens the store that goes on from there, and restores the state.
+func (p *persister) load(cfg persisterConfig) error {
+	found, err := statefile.Load(p.folder)
 	if err != nil {
-		folder.Close()
-		return nil, err
+		return err
 	}
-	for _, note := range found.Warnings {
-		log.Warn().Str("note", note).Msg("a part of the state is left out")
-		k.report.Notes += note + "; "
+	for _, warning := range found.Warnings {
+		p.log.Warn().Str("note", warning).Msg("a part of the state is left out")
+		p.report.Notes += warning + "; "
 	}
-	k.store = statefile.NewStore(folder, found, most)
+	p.store = statefile.NewStore(p.folder, found, cfg.maxBytes)
 	if found.State == nil {
-		return k, nil
+		return nil
 	}
-	r, err := c.restore(found.State, cold)
+	restored, err := p.loop.restore(found.State, cfg.coldMs)
 	if err != nil {
-		folder.Close()
-		return nil, err
+		return err
 	}
-	log.Info().Str("life", r.Incarnation).Float64("passed_ms", r.ElapsedMs).Int("hosts", len(r.Hosts)).Int("proxies", len(r.Proxies)).Str("why", r.Reason).Msg("an earlier life is recalled")
-	return k, nil
+	p.log.Info().
+		Str("life", restored.Incarnation).
+		Float64("passed_ms", restored.ElapsedMs).
+		Int("hosts", len(restored.Hosts)).
+		Int("proxies", len(restored.Proxies)).
+		Str("why", restored.Reason).
+		Msg("an earlier life is recalled")
+	return nil
 }
 
-// run saves until the context ends.
-func (k *persister) run(ctx context.Context) {
-	tick := time.NewTicker(k.interval)
-	defer tick.Stop()
+// run saves at every interval until the context ends.
+func (p *persister) run(ctx context.Context) {
+	ticker := time.NewTicker(p.interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
-			k.save()
+		case <-ticker.C:
+			p.save()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// save takes the state and makes it last. A steward without a list has learned nothing: what was kept before stays.
-func (k *persister) save() {
-	k.saveMu.Lock()
-	defer k.saveMu.Unlock()
+// save writes the controller's state to the disk and notes the result in the report. Before the controller has an
+// endpoint list it has learned nothing, so what is stored stays.
+func (p *persister) save() {
+	p.saveMu.Lock()
+	defer p.saveMu.Unlock()
 	began := time.Now()
-	s, listed := k.loop.snapshot()
+	snapshot, endpointsKnown := p.loop.snapshot()
 	locked := time.Since(began)
-	if !listed {
+	if !endpointsKnown {
 		return
 	}
-	s.Program = k.program
-	err := k.store.Save(s)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	r := &k.report
+	snapshot.Program = p.program
+	err := p.store.Save(snapshot)
+	p.noteSave(snapshot, err, time.Since(began), locked)
+}
+
+// noteSave puts the result of a save into the report, and logs when saves begin to fail or to succeed again.
+func (p *persister) noteSave(snapshot *statepb.State, err error, took, locked time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	failed := ""
 	if err != nil {
 		failed = err.Error()
 	} else {
-		r.SavedMs, r.Saves = s.At, r.Saves+1
+		p.report.SavedMs = snapshot.At
+		p.report.Saves++
 	}
-	if failed != r.Failed {
+	if failed != p.report.Failed {
 		if err != nil {
-			k.log.Error().Err(err).Msg("the state is not kept")
+			p.log.Error().Err(err).Msg("the state is not kept")
 		} else {
-			k.log.Info().Msg("the state is kept again")
+			p.log.Info().Msg("the state is kept again")
 		}
 	}
-	r.Failed, r.Dropped = failed, k.store.DroppedEntries
-	r.TookMs, r.LockedMs = float64(time.Since(began).Microseconds())/1000, float64(locked.Microseconds())/1000
+	p.report.Failed = failed
+	p.report.Dropped = p.store.DroppedEntries
+	p.report.TookMs = wholeMicroseconds(took)
+	p.report.LockedMs = wholeMicroseconds(locked)
 }
 
-func (k *persister) status() *PersisterReport {
-	if k == nil {
+// status gives the report; nil where no state is persisted.
+func (p *persister) status() *PersisterReport {
+	if p == nil {
 		return nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	r := k.report
-	r.LockedMs = math.Round(r.LockedMs*1000) / 1000
-	return &r
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	report := p.report
+	report.LockedMs = math.Round(report.LockedMs*1000) / 1000
+	return &report
+}
+
+// close ends the store and unlocks the folder. run has to have ended before.
+func (p *persister) close() {
+	p.store.Close()
+	if err := p.folder.Close(); err != nil {
+		p.log.Warn().Err(err).Msg("closing the state folder failed")
+	}
 }
 
-func (k *persister) close() {
-	k.store.Close()
-	k.folder.Close()
+// wholeMicroseconds converts a duration to ms, cut to whole microseconds.
+func wholeMicroseconds(duration time.Duration) float64 {
+	return float64(duration.Microseconds()) / 1000
 }
--- a/internal/daemon/socket_proxies_test.go
+++ b/internal/daemon/socket_proxies_test.go
@@ -177,7 +177,7 @@
 		}
 		b.StartTimer()
 		ctx, cancel := context.WithCancel(context.Background())
-		d.startSocketDrivers(ctx, cfg, "bench", d.loop.log)
+		d.startSocketDrivers(ctx, cfg)
 		for _, f := range all {
 			for {
 				n := 0
@@ -210,7 +210,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d.startSocketDrivers(ctx, cfg, "bench", d.loop.log)
+	d.startSocketDrivers(ctx, cfg)
 	drained := func() (n int) {
 		for _, s := range all[0].SocketState() {
 			if s.Server == list[7].Host && s.Admin != 0 {
--- a/internal/daemon/standby.go
+++ b/internal/daemon/standby.go
@@ -5,6 +5,8 @@
 	"crypto/tls"
 	"fmt"
 	"math"
+	"net/http"
+	"net/textproto"
 	"sync"
 	"time"
 
@@ -17,8 +19,24 @@
 	"barleysail/state/statepb"
 )
 
-// standbyReplica is a steward that stands by another: it follows what the first knows, keeps the list in hand, and becomes a
-// steward with that knowledge when a proxy comes whom the first does not have.
+const (
+	// leaderStateBytes is the largest state that is read of the leader.
+	leaderStateBytes = 256 << 20
+
+	// leaderPollWait is the preference for how long the leader holds a long poll for a change. It is short, since each
+	// response renews the leader's lease.
+	leaderPollWait = "wait=1"
+
+	// leaderPollTimeout is the time after which a poll without a response has failed.
+	leaderPollTimeout = 3 * time.Second
+
+	// leaderRetryDelay is the time from a failed poll to the next one.
+	leaderRetryDelay = 200 * time.Millisecond
+)
+
+// standbyReplica makes this controller the standby of a leader. It replicates the leader's state by long polls and
+// holds the endpoint list back. When a proxy polls that the leader does not serve, or whose leader's lease ran out,
+// it becomes active: the controller takes the replicated state and the list over and serves from then on.
 type standbyReplica struct {
 	loop          *controllerLoop
 	log           zerolog.Logger
@@ -31,145 +49,184 @@
 	replica        stateReplica
 	endpoints      []controller.Endpoint
 	endpointsKnown bool
-	lastError      string
+	lastError      string // of the last poll of the leader; empty: it succeeded
 	takeoverMs     float64
 }
 
-// StandbyReport is how a standby stands.
+// standbyConfig configures a standbyReplica.
+type standbyConfig struct {
+	leaderURL string
+	tls       *tls.Config // nil: plain
+	leaseMs   float64     // how long the leader's last response is relied on
+	coldMs    float64     // guard.cold_ms, by which hosts taken over may still be warming up
+}
+
+// StandbyReport is the standby's part of the status document.
 type StandbyReport struct {
-	Live    bool    `json:"live"`  // it serves
-	Fresh   bool    `json:"fresh"` // the first is heard
+	Live    bool    `json:"live"`  // it is active
+	Fresh   bool    `json:"fresh"` // the leader's lease is valid
 	Proxies int     `json:"proxies"`
-	Sent    int64   `json:"sent_back"`
-	Failed  string  `json:"failed"` // why the first was not heard the last time
-	TookMs  float64 `json:"took_over_ms"`
+	Sent    int64   `json:"sent_back"`    // polls rejected because the leader serves the proxy
+	Failed  string  `json:"failed"`       // why the last poll of the leader failed; empty: it succeeded
+	TookMs  float64 `json:"took_over_ms"` // duration of the takeover
 }
 
-func newStandbyReplica(of string, secure *tls.Config, fresh, cold float64, c *controllerLoop, log zerolog.Logger) (*standbyReplica, error) {
-	_, address, err := parseServiceURL("standby.of", of, secure != nil)
+func newStandbyReplica(cfg standbyConfig, loop *controllerLoop, log zerolog.Logger) (*standbyReplica, error) {
+	_, address, err := parseServiceURL("standby.of", cfg.leaderURL, cfg.tls != nil)
 	if err != nil {
 		return nil, err
 	}
-	return &standbyReplica{loop: c, log: log, leaderAddress: address, coldMs: cold, lease: standby.New(standby.Limits{LeaseMs: fresh}),
-		client: &http1.Client{Limits: http1.Limits{Line: 8 << 10, Header: 32 << 10, Body: 256 << 20}, TLS: secure}}, nil
+	return &standbyReplica{
+		loop:          loop,
+		log:           log,
+		client:        &http1.Client{Limits: clientLimits(leaderStateBytes), TLS: cfg.tls},
+		leaderAddress: address,
+		coldMs:        cfg.coldMs,
+		lease:         standby.New(standby.Limits{LeaseMs: cfg.leaseMs}),
+	}, nil
 }
 
-// run follows the first until the context ends, also once it serves: then for whom it may not.
+// run polls the leader until the context ends. It goes on when the standby is active, since proxies that the leader
+// serves are still rejected then.
 func (s *standbyReplica) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := s.pollLeader(ctx); err != nil {
-			s.noteResult(err)
-			select {
-			case <-time.After(200 * time.Millisecond):
-			case <-ctx.Done():
-			}
+		err := s.pollLeader(ctx)
+		s.noteResult(err)
+		if err == nil {
+			continue
+		}
+		select {
+		case <-time.After(leaderRetryDelay):
+		case <-ctx.Done():
 		}
 	}
 }
 
+// noteResult keeps the result of a poll for the report, and logs when polls begin to fail or to succeed again.
 func (s *standbyReplica) noteResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	text := ""
+	failedBefore := s.lastError != ""
+	s.lastError = ""
 	if err != nil {
-		text = err.Error()
+		s.lastError = err.Error()
 	}
-	if (text == "") != (s.lastError == "") {
-		if err != nil {
-			s.log.Warn().Err(err).Msg("the first steward is not heard")
-		} else {
-			s.log.Info().Msg("the first steward is heard")
-		}
+	switch {
+	case err != nil && !failedBefore:
+		s.log.Warn().Err(err).Msg("the first steward is not heard")
+	case err == nil && failedBefore:
+		s.log.Info().Msg("the first steward is heard")
 	}
-	s.lastError = text
 }
 
+// pollLeader makes one long poll, and renews the leader's lease by its response.
 func (s *standbyReplica) pollLeader(ctx context.Context) error {
-	h := http1.Header("Prefer", "wait=1")
-	h["A-IM"] = []string{stateChangeManipulation}
-	s.mu.Lock()
-	if s.replica.tag != "" {
-		h.Set("If-None-Match", s.replica.tag)
-	}
-	s.mu.Unlock()
-	limit, cancel := context.WithTimeout(ctx, 3*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, leaderPollTimeout)
 	defer cancel()
-	r, err := s.client.Call(limit, "GET", s.leaderAddress, "/v1/state", h)
+	response, err := s.client.Call(ctx, http.MethodGet, s.leaderAddress, statePath, s.pollHeader())
 	if err != nil {
 		return fmt.Errorf("following %s: %w", s.leaderAddress, err)
 	}
 	s.mu.Lock()
-	news, err := s.replica.apply(r)
-	now := s.loop.clock.Now()
-	if err == nil && news {
-		var has []string
-		for _, p := range s.replica.state.Proxies {
-			has = append(has, p.Name)
-		}
-		s.lease.ObserveSessions(now, has)
-	} else if err == nil {
-		s.lease.Heartbeat(now)
+	defer s.mu.Unlock()
+	changed, err := s.replica.apply(response)
+	if err != nil {
+		return err
+	}
+	nowMs := s.loop.clock.Now()
+	if !changed {
+		s.lease.Heartbeat(nowMs)
+		return nil
+	}
+	var connected []string
+	for _, proxy := range s.replica.state.Proxies {
+		connected = append(connected, proxy.Name)
 	}
-	s.mu.Unlock()
-	if err == nil {
-		s.noteResult(nil)
+	s.lease.ObserveSessions(nowMs, connected)
+	return nil
+}
+
+func (s *standbyReplica) pollHeader() textproto.MIMEHeader {
+	header := http1.Header("Prefer", leaderPollWait)
+	header["A-IM"] = []string{stateChangeManipulation} // not in the canonical form, which would be A-Im
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.replica.tag != "" {
+		header.Set("If-None-Match", s.replica.tag)
 	}
-	return err
+	return header
 }
 
-// setEndpoints takes the list: into hand until somebody is served.
-func (s *standbyReplica) setEndpoints(entries []controller.Endpoint) error {
+// setEndpoints takes the endpoint list: the controller gets it at once where the standby is active, and at the
+// takeover otherwise.
+func (s *standbyReplica) setEndpoints(endpoints []controller.Endpoint) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endpoints, s.endpointsKnown = entries, true
-	if live, _ := s.lease.Active(); live {
-		return s.loop.setEndpoints(entries)
+	s.endpoints = endpoints
+	s.endpointsKnown = true
+	if active, _ := s.lease.Active(); active {
+		return s.loop.setEndpoints(endpoints)
 	}
 	return nil
 }
 
-// shouldServe tells whether a proxy that polls may be served; with the first that is, the steward begins with what is known.
-func (s *standbyReplica) shouldServe(proxy string) (ok bool, again time.Duration) {
+// shouldServe tells whether a proxy that polls is served here, and if not, after what time it may poll again. The
+// first proxy that is served makes the standby active.
+func (s *standbyReplica) shouldServe(proxy string) (serve bool, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	was, _ := s.lease.Active()
-	ok, after := s.lease.ShouldServe(s.loop.clock.Now(), proxy)
-	if live, _ := s.lease.Active(); live && !was {
+	activeBefore, _ := s.lease.Active()
+	serve, retryAfterMs := s.lease.ShouldServe(s.loop.clock.Now(), proxy)
+	if active, _ := s.lease.Active(); active && !activeBefore {
 		s.takeOver()
 	}
-	return ok, milliseconds(after)
+	return serve, milliseconds(retryAfterMs)
 }
 
+// takeOver gives the controller the replicated state and the endpoint list. A failure costs that knowledge, but the
+// proxies are served all the same. The caller holds the mutex.
 func (s *standbyReplica) takeOver() {
 	began := time.Now()
-	kept := s.replica.state
-	if kept == nil {
-		kept = &statepb.State{}
+	replicated := s.replica.state
+	if replicated == nil {
+		replicated = &statepb.State{}
 	}
-	r, err := s.loop.restore(kept, s.coldMs)
+	restored, err := s.loop.restore(replicated, s.coldMs)
 	if err != nil {
 		s.log.Error().Err(err).Msg("beginning without what the first knew")
-		r = &state.Restored{}
+		restored = &state.Restored{}
 	}
 	if s.endpointsKnown {
 		if err := s.loop.setEndpoints(s.endpoints); err != nil {
 			s.log.Error().Err(err).Msg("the list was refused")
 		}
 	}
-	s.takeoverMs = float64(time.Since(began).Microseconds()) / 1000
-	s.log.Warn().Str("life", r.Incarnation).Float64("passed_ms", math.Round(r.ElapsedMs)).Int("hosts", len(r.Hosts)).Int("proxies", len(r.Proxies)).Msg("taking over")
+	s.takeoverMs = wholeMicroseconds(time.Since(began))
+	s.log.Warn().
+		Str("life", restored.Incarnation).
+		Float64("passed_ms", math.Round(restored.ElapsedMs)).
+		Int("hosts", len(restored.Hosts)).
+		Int("proxies", len(restored.Proxies)).
+		Msg("taking over")
 }
 
+// report gives the status; nil where this controller is no standby.
 func (s *standbyReplica) report() *StandbyReport {
 	if s == nil {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	live, _ := s.lease.Active()
-	r := &StandbyReport{Live: live, Fresh: s.lease.LeaseValid(s.loop.clock.Now()), Sent: s.lease.RejectedPolls(), Failed: s.lastError, TookMs: s.takeoverMs}
+	active, _ := s.lease.Active()
+	report := &StandbyReport{
+		Live:   active,
+		Fresh:  s.lease.LeaseValid(s.loop.clock.Now()),
+		Sent:   s.lease.RejectedPolls(),
+		Failed: s.lastError,
+		TookMs: s.takeoverMs,
+	}
 	if s.replica.state != nil {
-		r.Proxies = len(s.replica.state.Proxies)
+		report.Proxies = len(s.replica.state.Proxies)
 	}
-	return r
+	return report
 }
