--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -52,6 +52,7 @@
 	credentials    *identity.Source // nil: connections are plain
 	tokens         *identity.Tokens // nil: bearer tokens are not accepted
 
+	closeOnce     sync.Once
 	servers       sync.WaitGroup // goroutines that accept connections; closing their listeners ends them
 	socketDrivers sync.WaitGroup // canceling the context ends them
 	background    sync.WaitGroup // canceling the context ends them
@@ -283,8 +284,10 @@
 }
 
 // close ends all goroutines of the daemon, waits for them, and closes what was opened. It also ends a daemon that
-// was started in part.
-func (d *Daemon) close() {
+// was started in part. Later calls do nothing.
+func (d *Daemon) close() { d.closeOnce.Do(d.closeAll) }
+
+func (d *Daemon) closeAll() {
 	d.cancel()
 	if d.loop != nil {
 		d.loop.stop(false)
