--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -2,307 +2,329 @@
 
 import (
 	"bufio"
+	"bytes"
 	"context"
 	"crypto/tls"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"runtime"
 	"sort"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-	"github.com/spiffe/go-spiffe/v2/spiffeid"
-
-	"barleysail/controller"
 	"barleysail/internal/config"
-	"barleysail/internal/fake/issuer"
-	"barleysail/internal/identity"
+	"barleysail/internal/config/configpb"
+	"barleysail/internal/fake"
+	"barleysail/internal/haproxy"
+	"barleysail/internal/runtimeapi"
 	"barleysail/routing"
 )
 
-// startBenchDaemon starts a daemon for a benchmark, its list given by hand.
-func startBenchDaemon(b *testing.B, hosts int) (*Daemon, []controller.Endpoint) {
-	return startBenchDaemonWithIdentities(b, hosts, "")
+// BenchmarkDeltaDelivery measures the time from a change of the endpoint list to its delta at each of the proxies with
+// a pending poll (ms-median, ms-p99), and the rate at which the proxies connect before (joins/s). The -signed variants
+// are with TLS identities and signed tables.
+func BenchmarkDeltaDelivery(b *testing.B) {
+	for _, proxies := range []int{1000, 5000} {
+		b.Run(fmt.Sprint(proxies), func(b *testing.B) { measureDeltaDelivery(b, proxies, nil, "") })
+	}
+	for _, proxies := range []int{1000, 5000} {
+		b.Run(fmt.Sprintf("%d-signed", proxies), func(b *testing.B) {
+			secure, identities := benchIdentities(b)
+			measureDeltaDelivery(b, proxies, secure, identities)
+		})
+	}
+}
+
+func measureDeltaDelivery(b *testing.B, proxies int, secure *tls.Config, identities string) {
+	d := startBenchDaemon(b, benchHosts, identities)
+	began := time.Now()
+	pollers := d.connectPollers(b, proxies, secure)
+	b.ReportMetric(float64(proxies)/time.Since(began).Seconds(), "joins/s")
+	var delaysMs []float64
+	for i := range b.N {
+		d.sendAll(b, pollers, "A-IM: merge-patch\r\nPrefer: wait=60\r\n")
+		d.toggleDraining(i % benchHosts)
+		delaysMs = append(delaysMs, d.measureDeltas(b, pollers)...)
+	}
+	sort.Float64s(delaysMs)
+	b.ReportMetric(delaysMs[len(delaysMs)/2], "ms-median")
+	b.ReportMetric(delaysMs[len(delaysMs)*99/100], "ms-p99")
 }
 
-// startBenchDaemonWithIdentities is the same with identities.
-func startBenchDaemonWithIdentities(b *testing.B, hosts int, identities string) (*Daemon, []controller.Endpoint) {
+// measureDeltas publishes the endpoint list, and gives the time until each poller has its delta, in ms.
+func (d *benchDaemon) measureDeltas(b *testing.B, pollers []*benchPoller) []float64 {
 	b.Helper()
-	var list []controller.Endpoint
-	for i := range hosts {
-		list = append(list, controller.Endpoint{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: "a", State: routing.Ready, Weight: 1})
+	var mu sync.Mutex
+	var delaysMs []float64
+	var receiving sync.WaitGroup
+	began := time.Now()
+	for _, poller := range pollers {
+		receiving.Go(func() {
+			status, _, err := poller.receive()
+			if err != nil || status != http.StatusIMUsed {
+				b.Errorf("status %d, %v", status, err)
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			delaysMs = append(delaysMs, millisecondsSince(began))
+		})
 	}
-	text, service := baseConfig, `list { url: "http://127.0.0.1:1/" }`
-	if identities != "" {
-		service = `list { url: "https://127.0.0.1:1/" id: "` + trustDomain + `/list" }`
-		text = strings.Replace(baseConfig, "plain_loopback: true", identities, 1)
+	d.publishEndpoints(b)
+	receiving.Wait()
+	return delaysMs
+}
+
+func millisecondsSince(began time.Time) float64 { return time.Since(began).Seconds() * 1000 }
+
+// BenchmarkReconnect has 600 proxies without cached tables connect to four controllers at once. It measures the time
+// until all have tables (ms-all), and until a poll that was pending before is notified of a draining host (ms-drain),
+// by the limit of concurrent handshakes.
+func BenchmarkReconnect(b *testing.B) {
+	for _, handshakes := range []int{4, 32, 10000} {
+		b.Run(fmt.Sprint(handshakes), func(b *testing.B) {
+			for range b.N {
+				measureReconnect(b, handshakes)
+			}
+		})
 	}
-	cfg, err := config.Parse("bench", []byte(strings.ReplaceAll(strings.Replace(text, "channel {", "channel { messages_most: 0 ", 1), "1000000", "1000000000")+service+` fleet { proxies: 5000 }
-		polls { leave_after_ms: 60000 }`))
-	if err != nil {
-		b.Fatal(err)
+}
+
+func measureReconnect(b *testing.B, handshakes int) {
+	const proxies, firstName = 600, 1000
+	secure, identities := benchIdentities(b)
+	identities += fmt.Sprintf(" handshakes: %d", handshakes)
+	d := startBenchDaemon(b, benchHosts, identities)
+	addresses := []string{d.Addr()}
+	for range 3 {
+		addresses = append(addresses, startBenchDaemon(b, benchHosts, identities).Addr())
 	}
-	d, err := Start(cfg, "bench", zerolog.Nop())
-	if err != nil {
-		b.Fatal(err)
+	pending := d.connectPollers(b, 1, secure)
+	d.sendAll(b, pending, "A-IM: merge-patch\r\nPrefer: wait=60\r\n")
+	var connecting sync.WaitGroup
+	began := time.Now()
+	for i := range proxies {
+		connecting.Go(func() { connectOnce(b, addresses[i%len(addresses)], secure, firstName+i) })
 	}
-	b.Cleanup(d.Kill)
-	if err := d.loop.setEndpoints(list); err != nil {
-		b.Fatal(err)
+	d.endpoints[drainedHost].State = routing.Draining
+	d.publishEndpoints(b)
+	if _, _, err := pending[0].receive(); err != nil {
+		b.Error(err)
 	}
-	return d, list
-}
-
-// benchPoller polls on a connection of its own.
-type benchPoller struct {
-	conn   net.Conn
-	reader *bufio.Reader
-	name   int
-	tag    string
+	b.ReportMetric(millisecondsSince(began), "ms-drain")
+	connecting.Wait()
+	b.ReportMetric(millisecondsSince(began), "ms-all")
 }
 
-func (p *benchPoller) send(extra string) {
-	fmt.Fprintf(p.conn, "GET /v1/proxies/p%d/tables?zone=a HTTP/1.1\r\nHost: a\r\nIf-None-Match: %s\r\n%s\r\n", p.name, p.tag, extra)
+// connectOnce connects a proxy, waits for its tables and closes the connection.
+func connectOnce(b *testing.B, address string, secure *tls.Config, name int) {
+	conn, err := tls.Dial("tcp", address, secure)
+	if err != nil {
+		b.Error(err)
+		return
+	}
+	defer closeOrFail(b, conn)
+	status, _, err := newBenchPoller(conn, name).poll("Prefer: wait=5\r\n")
+	if status != http.StatusOK || err != nil {
+		b.Errorf("%d %v", status, err)
+	}
 }
 
-func (p *benchPoller) receive() (status, bytes int, err error) {
-	r, err := http.ReadResponse(p.reader, nil)
-	if err != nil {
-		return 0, 0, err
+// BenchmarkPendingPollMemory measures the memory of a pending poll, heap and stack, in bytes.
+func BenchmarkPendingPollMemory(b *testing.B) {
+	for range b.N {
+		d := startBenchDaemon(b, benchHosts, "")
+		pollers := d.connectPollers(b, 2000, nil)
+		before := memoryInUse()
+		d.sendAll(b, pollers, "Prefer: wait=60\r\n")
+		b.ReportMetric((memoryInUse()-before)/float64(len(pollers)), "B/held-poll")
 	}
-	n, err := io.Copy(io.Discard, r.Body)
-	r.Body.Close()
-	p.tag = r.Header.Get("Etag")
-	return r.StatusCode, int(n), err
 }
 
-func connectPollers(b *testing.B, d *Daemon, n int) []*benchPoller {
-	return connectPollersWithTLS(b, d, n, nil)
+// memoryInUse gives the bytes of heap and stack in use after a garbage collection.
+func memoryInUse() float64 {
+	runtime.GC()
+	runtime.GC() // frees what the finalizers of the first let go
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	return float64(memory.HeapInuse + memory.StackInuse)
 }
 
-// connectPollersWithTLS are pollers that prove who they are; nil: plain.
-func connectPollersWithTLS(b *testing.B, d *Daemon, n int, secure *tls.Config) []*benchPoller {
-	var all []*benchPoller
-	for i := range n {
-		c, err := net.Dial("tcp", d.Addr())
+// BenchmarkResponseSize compares the size of a delta of one host with that of a snapshot, at 400 hosts, in bytes.
+func BenchmarkResponseSize(b *testing.B) {
+	d := startBenchDaemon(b, benchHosts, "")
+	pollers := d.connectPollers(b, 1, nil)
+	poller := pollers[0]
+	for range b.N {
+		d.sendAll(b, pollers, "A-IM: merge-patch\r\nPrefer: wait=60\r\n")
+		d.toggleDraining(drainedHost)
+		d.publishEndpoints(b)
+		_, delta, err := poller.receive()
 		if err != nil {
 			b.Fatal(err)
 		}
-		if secure != nil {
-			c = tls.Client(c, secure)
+		poller.tag = ""
+		_, snapshot, err := poller.poll("")
+		if err != nil {
+			b.Fatal(err)
 		}
-		b.Cleanup(func() { c.Close() })
-		all = append(all, &benchPoller{conn: c, reader: bufio.NewReaderSize(c, 512), name: i})
-	}
-	var wait sync.WaitGroup
-	for _, p := range all {
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			p.send("")
-			for status := 0; status != 304; { // until it holds what it is to hold
-				if status, _, _ = p.receive(); status != 304 {
-					p.send("Prefer: wait=1\r\n")
-				}
-			}
-		}()
+		b.ReportMetric(float64(delta), "B-delta")
+		b.ReportMetric(float64(snapshot), "B-whole")
 	}
-	wait.Wait()
-	return all
 }
 
-// BenchmarkDeltaDelivery measures the time from a changed list to the delta at each of the proxies that hold a poll.
-func BenchmarkDeltaDelivery(b *testing.B) {
-	for _, n := range []int{1000, 5000, -1000, -5000} { // below 0: with identities and signed tables
-		secure, identities := (*tls.Config)(nil), ""
-		if n < 0 {
-			n, secure, identities = -n, nil, "x"
+// BenchmarkNotModified measures a poll that gets 304 Not Modified at once: its time, and the allocations of HTTP
+// server and controller.
+func BenchmarkNotModified(b *testing.B) {
+	d := startBenchDaemon(b, benchHosts, "")
+	poller := d.connectPollers(b, 1, nil)[0]
+	request := fmt.Appendf(nil, "GET /v1/proxies/p0/tables?zone=a HTTP/1.1\r\nHost: a\r\nIf-None-Match: %s\r\n\r\n",
+		poller.tag)
+	notModified := []byte("HTTP/1.1 304")
+	response := make([]byte, 4096)
+	b.ReportAllocs()
+	b.ResetTimer()
+	for range b.N {
+		if _, err := poller.conn.Write(request); err != nil {
+			b.Fatal(err)
+		}
+		length, err := poller.conn.Read(response)
+		if err != nil || !bytes.HasPrefix(response[:length], notModified) {
+			b.Fatalf("%s %v", response[:length], err)
 		}
-		b.Run(fmt.Sprintf("%d%s", n, map[bool]string{true: "-signed"}[identities != ""]), func(b *testing.B) {
-			if identities != "" {
-				secure, identities = benchIdentities(b)
-			}
-			d, list := startBenchDaemonWithIdentities(b, 400, identities)
-			began := time.Now()
-			all := connectPollersWithTLS(b, d, n, secure)
-			b.ReportMetric(float64(n)/time.Since(began).Seconds(), "joins/s")
-			var took []float64
-			for i := range b.N {
-				for _, p := range all {
-					p.send("A-IM: merge-patch\r\nPrefer: wait=60\r\n")
-				}
-				for d.loop.status().Polls < n {
-					time.Sleep(time.Millisecond)
-				}
-				list[i%400].State = 3 - list[i%400].State // ready or draining
-				var mu sync.Mutex
-				var wait sync.WaitGroup
-				start := time.Now()
-				for _, p := range all {
-					wait.Add(1)
-					go func() {
-						defer wait.Done()
-						if status, _, err := p.receive(); err != nil || status != 226 {
-							b.Errorf("status %d, %v", status, err)
-						}
-						mu.Lock()
-						took = append(took, time.Since(start).Seconds()*1000)
-						mu.Unlock()
-					}()
-				}
-				d.loop.setEndpoints(list)
-				wait.Wait()
-			}
-			sort.Float64s(took)
-			b.ReportMetric(took[len(took)/2], "ms-median")
-			b.ReportMetric(took[len(took)*99/100], "ms-p99")
-		})
 	}
 }
 
-// benchIdentities gives what pollers need to prove who they are, and the configuration that lets them.
-func benchIdentities(b *testing.B) (*tls.Config, string) {
-	root, err := issuer.NewAuthority("race.example")
+// BenchmarkRuntimeCommands measures a command on a runtime socket in interactive mode.
+func BenchmarkRuntimeCommands(b *testing.B) {
+	d := startBenchDaemon(b, benchHosts, "")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	folder, err := os.MkdirTemp("", "id")
+	server := runtimeapi.New(d.Operators(), runtimeapi.Config{Level: runtimeapi.Admin})
+	var serving sync.WaitGroup
+	serving.Go(func() {
+		if err := server.Serve(listener); err != nil {
+			b.Error(err)
+		}
+	})
+	b.Cleanup(func() {
+		closeOrFail(b, listener)
+		server.Close()
+		serving.Wait()
+	})
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { os.RemoveAll(folder) })
-	give := func(name, id string) *issuer.Endpoint {
-		e, err := issuer.NewEndpoint(folder, name)
-		if err != nil {
+	defer closeOrFail(b, conn)
+	reader := bufio.NewReader(conn)
+	command := func(text string) {
+		if _, err := io.WriteString(conn, text); err != nil {
 			b.Fatal(err)
 		}
-		b.Cleanup(e.Close)
-		v, err := root.Sign(trustDomain+id, time.Hour, nil)
-		if err != nil {
+		if _, err := reader.ReadString('>'); err != nil {
 			b.Fatal(err)
 		}
-		e.Give(v, []*issuer.Authority{root})
-		return e
 	}
-	own, proxy := give("steward", "/steward/one"), give("proxy", "/forwarder/any")
-	s, err := identity.Open(context.Background(), proxy.Address)
+	command("prompt\n")
+	b.ResetTimer()
+	for range b.N {
+		command("get weight sheet/10.0.0.1:80\n")
+	}
+}
+
+// socketConfig is the configuration of a daemon with drivers of sockets.
+func socketConfig(b *testing.B, drivers string) *configpb.Config {
+	b.Helper()
+	cfg, err := config.Parse("bench", []byte(baseConfig+`list { url: "http://127.0.0.1:1/" }`+drivers))
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { s.Close() })
-	return s.Client(func(spiffeid.ID) error { return nil }), fmt.Sprintf(`workload_api: %q allow { id: "%s/forwarder/*" actions: "poll" }`, own.Address, trustDomain)
+	return cfg
 }
 
-// BenchmarkReconnect has 600 forwarders come back to four stewards at once with cold caches, and measures the time until all hold tables, and
-// until a poll that was held before is told a drain, by how many handshakes may go on at once.
-func BenchmarkReconnect(b *testing.B) {
-	for _, most := range []int{4, 32, 10000} {
-		b.Run(fmt.Sprint(most), func(b *testing.B) {
-			for range b.N {
-				secure, identities := benchIdentities(b)
-				d, list := startBenchDaemonWithIdentities(b, 400, identities+fmt.Sprintf(" handshakes: %d", most))
-				addresses := []string{d.Addr()}
-				for range 3 {
-					other, _ := startBenchDaemonWithIdentities(b, 400, identities+fmt.Sprintf(" handshakes: %d", most))
-					addresses = append(addresses, other.Addr())
-				}
-				first := connectPollersWithTLS(b, d, 1, secure)[0]
-				first.send("A-IM: merge-patch\r\nPrefer: wait=60\r\n")
-				for d.loop.status().Polls < 1 {
-					time.Sleep(time.Millisecond)
-				}
-				var all sync.WaitGroup
-				began := time.Now()
-				for i := range 600 {
-					all.Add(1)
-					go func() {
-						defer all.Done()
-						c, err := tls.Dial("tcp", addresses[i%len(addresses)], secure)
-						if err != nil {
-							b.Error(err)
-							return
-						}
-						defer c.Close()
-						p := &benchPoller{conn: c, reader: bufio.NewReaderSize(c, 512), name: 1000 + i}
-						p.send("Prefer: wait=5\r\n")
-						if status, _, err := p.receive(); status != 200 || err != nil {
-							b.Errorf("%d %v", status, err)
-						}
-					}()
-				}
-				list[7].State = routing.Draining
-				d.loop.setEndpoints(list)
-				first.receive()
-				b.ReportMetric(time.Since(began).Seconds()*1000, "ms-drain")
-				all.Wait()
-				b.ReportMetric(time.Since(began).Seconds()*1000, "ms-all")
-			}
-		})
+// activeServers counts the servers of a proxy that are not in maintenance.
+func activeServers(proxy *fake.Forwarder) (count int) {
+	for _, server := range proxy.SocketState() {
+		if server.Admin&haproxy.ForcedMaint == 0 {
+			count++
+		}
 	}
+	return count
 }
 
-// BenchmarkPendingPollMemory measures what a held poll costs in memory.
-func BenchmarkPendingPollMemory(b *testing.B) {
+// BenchmarkReconcile measures the time to bring 100 proxies with old servers to tables of 500 hosts.
+func BenchmarkReconcile(b *testing.B) {
+	const proxies, hosts, requestClasses = 100, 500, 2
 	for range b.N {
-		d, _ := startBenchDaemon(b, 400)
-		all := connectPollers(b, d, 2000)
-		read := func() float64 {
-			runtime.GC()
-			runtime.GC()
-			var m runtime.MemStats
-			runtime.ReadMemStats(&m)
-			return float64(m.HeapInuse + m.StackInuse)
-		}
-		before := read()
-		for _, p := range all {
-			p.send("Prefer: wait=60\r\n")
-		}
-		for d.loop.status().Polls < len(all) {
-			time.Sleep(time.Millisecond)
+		b.StopTimer()
+		d := startBenchDaemon(b, hosts, "")
+		fakes, drivers := startSocketProxies(b, proxies)
+		cfg := socketConfig(b, drivers)
+		ctx, cancel := context.WithCancel(context.Background())
+		b.StartTimer()
+		d.startSocketDrivers(ctx, cfg)
+		for _, proxy := range fakes {
+			eventually(b, "the tables", func() bool { return activeServers(proxy) >= requestClasses*hosts })
 		}
-		b.ReportMetric((read()-before)/float64(len(all)), "B/held-poll")
+		b.StopTimer()
+		cancel()
+		d.socketDrivers.Wait()
+		b.StartTimer()
 	}
 }
 
-// BenchmarkResponseSize compares a delta of one line with the whole at 400 hosts.
-func BenchmarkResponseSize(b *testing.B) {
-	d, list := startBenchDaemon(b, 400)
-	p := connectPollers(b, d, 1)[0]
+// BenchmarkPollAndSocketDelivery measures, side by side, the time from a change of the endpoint list to the delta at a
+// proxy that polls (ms-by-poll), and to the change at one that is driven by its socket (ms-by-socket).
+func BenchmarkPollAndSocketDelivery(b *testing.B) {
+	const hosts, requestClasses = 50, 2
+	d := startBenchDaemon(b, hosts, "")
+	fakes, drivers := startSocketProxies(b, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	d.startSocketDrivers(ctx, socketConfig(b, drivers))
+	pollers := d.connectPollers(b, 1, nil)
+	eventually(b, "the tables", func() bool { return len(fakes[0].SocketState()) >= requestClasses*hosts })
+	time.Sleep(2 * time.Second) // until the driver has acknowledged them
+	var byPollMs, bySocketMs float64
 	for range b.N {
-		p.send("A-IM: merge-patch\r\nPrefer: wait=60\r\n")
-		for d.loop.status().Polls < 1 {
-			time.Sleep(time.Millisecond)
+		if err := pollers[0].send("A-IM: merge-patch\r\nPrefer: wait=20\r\n"); err != nil {
+			b.Fatal(err)
 		}
-		list[7].State = 3 - list[7].State
-		d.loop.setEndpoints(list)
-		_, delta, _ := p.receive()
-		p.tag = ""
-		p.send("")
-		_, whole, _ := p.receive()
-		b.ReportMetric(float64(delta), "B-delta")
-		b.ReportMetric(float64(whole), "B-whole")
+		d.waitForPolls(b, 2) // the driver's too
+		d.toggleDraining(drainedHost)
+		wantDrained := 0
+		if d.endpoints[drainedHost].State == routing.Draining {
+			wantDrained = requestClasses
+		}
+		began := time.Now()
+		d.publishEndpoints(b)
+		byPoll := inBackground(func() float64 {
+			if _, _, err := pollers[0].receive(); err != nil {
+				b.Error(err)
+			}
+			return millisecondsSince(began)
+		})
+		for drainedServers(fakes[0], d.endpoints[drainedHost].Host) != wantDrained && time.Since(began) < waitLimit {
+			time.Sleep(200 * time.Microsecond)
+		}
+		bySocketMs += millisecondsSince(began)
+		byPollMs += await(b, "the delta", waitLimit, byPoll)
 	}
+	b.ReportMetric(byPollMs/float64(b.N), "ms-by-poll")
+	b.ReportMetric(bySocketMs/float64(b.N), "ms-by-socket")
 }
 
-// BenchmarkNotModified measures a poll that ends in 304 at once: time, and allocations of server and steward.
-func BenchmarkNotModified(b *testing.B) {
-	d, _ := startBenchDaemon(b, 400)
-	p := connectPollers(b, d, 1)[0]
-	request := fmt.Appendf(nil, "GET /v1/proxies/p0/tables?zone=a HTTP/1.1\r\nHost: a\r\nIf-None-Match: %s\r\n\r\n", p.tag)
-	buf := make([]byte, 4096)
-	b.ReportAllocs()
-	b.ResetTimer()
-	for range b.N {
-		p.conn.Write(request)
-		n, err := p.conn.Read(buf)
-		if err != nil || string(buf[9:12]) != "304" {
-			b.Fatalf("%s %v", buf[:n], err)
+// drainedServers counts the servers of a host that take no traffic at a proxy.
+func drainedServers(proxy *fake.Forwarder, host string) (count int) {
+	for _, server := range proxy.SocketState() {
+		if server.Server == host && server.Admin != 0 {
+			count++
 		}
 	}
+	return count
 }
--- /dev/null
+++ b/internal/daemon/lifecycle_test.go
@@ -0,0 +1,150 @@
+package daemon
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"barleysail/client"
+)
+
+// A poll is pending across the controller's restart: the client reconnects, its old entity tag gets a snapshot, and
+// meanwhile it uses its last tables.
+func TestRestartWithPendingPoll(t *testing.T) {
+	d := startDaemon(t, "")
+	proxy, stop := runClient(t, client.Options{
+		Stewards: []string{d.url},
+		Proxy:    "p",
+		Zone:     "a",
+		Least:    time.Millisecond,
+		Most:     10 * time.Millisecond,
+	})
+	eventually(t, "tables", func() bool { return len(proxy.Tables()["sheet"].Hosts) == 2 })
+	d.waitForPolls(1)
+	incarnation := d.loop.status().Life
+	d.Kill()
+	eventually(t, "the loss", func() bool { return proxy.Steward() == "" })
+	if host, ok := proxy.Pick("finish"); !ok {
+		t.Errorf("no host without a controller, %q", host)
+	}
+	d.writeHosts(`hosts { address: "10.0.0.3:80" zone: "a" }`)
+	d.start()
+	eventually(t, "the new tables", func() bool {
+		hosts := proxy.Tables()["finish"].Hosts
+		return len(hosts) == 1 && hosts[0].Address == "10.0.0.3:80"
+	})
+	if now := d.loop.status().Life; now == incarnation {
+		t.Errorf("two incarnations have the name %s", now)
+	}
+	stop()
+	eventually(t, "the end of the proxy's session", func() bool { return d.loop.status().Joined == 0 })
+}
+
+// A thousand proxies connect at once, are all served, and are all notified of a draining host.
+func TestThousandProxiesConnect(t *testing.T) {
+	const proxies = 1000
+	d := startDaemon(t, "fleet { proxies: 1000 }")
+	transport := &http.Transport{MaxIdleConnsPerHost: proxies}
+	defer transport.CloseIdleConnections()
+	client := &http.Client{Transport: transport, Timeout: requestTimeout}
+	var polling sync.WaitGroup
+	for i := range proxies {
+		polling.Go(func() {
+			path := fmt.Sprintf("/v1/proxies/p%d/tables?zone=a", i)
+			if err := pollUntilDrained(t, client, d.url+path); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	d.waitForPolls(proxies)
+	d.writeHosts(secondHostDraining)
+	awaitGroup(t, "the notification of all proxies", requestTimeout, &polling)
+}
+
+// pollUntilDrained polls until the tables have the first host and not the second.
+func pollUntilDrained(t *testing.T, client *http.Client, url string) error {
+	tag := ""
+	for {
+		result := sendRequest(t, client, http.MethodGet, url, "", "Prefer", "wait=30", "If-None-Match", tag)
+		if result.status != 200 || !json.Valid([]byte(result.body)) {
+			return fmt.Errorf("%d %s", result.status, result.body)
+		}
+		tag = result.tag()
+		if strings.Contains(result.body, "10.0.0.1:80") && !strings.Contains(result.body, "10.0.0.2:80") {
+			return nil
+		}
+	}
+}
+
+// The daemon is killed while it sends responses: each of them comes complete or not at all.
+func TestKillLeavesNoTornResponse(t *testing.T) {
+	const rounds = 5
+	for round := range int64(rounds) {
+		responses := round * 20
+		t.Run(fmt.Sprint("after ", responses, " responses"), func(t *testing.T) { killDuringResponses(t, responses) })
+	}
+}
+
+// killDuringResponses kills a daemon when more than so many of its responses have come.
+func killDuringResponses(t *testing.T, responses int64) {
+	const proxies, pollsOfEach, pendingPolls = 200, 3, 150
+	d := startDaemon(t, "fleet { proxies: 200 }")
+	var complete atomic.Int64
+	poll := func(path string) {
+		tag := ""
+		for range pollsOfEach {
+			result := d.get(path, "Prefer", "wait=20", "If-None-Match", tag)
+			if result.status == 0 {
+				return
+			}
+			tag = result.tag()
+			if result.status == 200 && !strings.HasSuffix(result.body, "}}}\n") {
+				t.Errorf("a torn document: %s", result.body)
+			}
+			complete.Add(1)
+		}
+	}
+	var polling sync.WaitGroup
+	for i := range proxies {
+		polling.Go(func() { poll(fmt.Sprintf("/v1/proxies/p%d/tables?zone=a", i)) })
+	}
+	eventually(t, "pending polls", func() bool { return d.loop.status().Polls > pendingPolls })
+	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.9:80" zone: "b" }`)
+	before := complete.Load()
+	eventually(t, "the responses", func() bool { return complete.Load() > before+responses })
+	d.Kill()
+	awaitGroup(t, "the end of all polls", requestTimeout, &polling)
+}
+
+// A graceful shutdown responds to pending polls with the current tables and accepts no more; its recording replays to
+// the end.
+func TestStopAnswersPendingPolls(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "day.rec")
+	d := startDaemon(t, fmt.Sprintf("record: %q", file))
+	tag := d.get(tablesPath).tag()
+	pending := inBackground(func() httpResult {
+		return d.get(tablesPath, "If-None-Match", tag, "Prefer", "wait=30")
+	})
+	d.waitForPolls(1)
+	d.stop()
+	if result := await(t, "the response", waitLimit, pending); result.status != 304 || result.tag() != tag {
+		t.Errorf("%+v", result)
+	}
+	if result := d.get("/v1/status"); result.status != 0 {
+		t.Errorf("after the end: %+v", result)
+	}
+	recorded, replayed, err := replayRecording(t, readFile(t, file))
+	if diff := cmp.Diff(recorded, replayed); diff != "" || !errors.Is(err, io.EOF) || len(recorded) != 2 {
+		t.Errorf("%d responses, then %v (-recorded +replayed):\n%s", len(recorded), err, diff)
+	}
+}
--- a/internal/daemon/operator_api_test.go
+++ b/internal/daemon/operator_api_test.go
@@ -2,65 +2,85 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"net/url"
-	"strings"
 	"testing"
-	"time"
 
 	"barleysail/controller"
 	"barleysail/internal/golden"
 )
 
-// Operators see and set over HTTP; what would break a rule is refused with the reason, and followers hear of it.
+// waitForTables waits until the proxy p was sent its first tables.
+func (d *testDaemon) waitForTables() {
+	d.t.Helper()
+	eventually(d.t, "the first tables", func() bool { return d.get("/v1/proxies/p/holds").status == 200 })
+}
+
+func (d *testDaemon) hostInfo(path string) (info controller.HostInfo) {
+	d.t.Helper()
+	if err := json.Unmarshal([]byte(d.get(path).body), &info); err != nil {
+		d.t.Fatal(err)
+	}
+	return info
+}
+
+// eventsAfter polls for the events after a number, for so many seconds. It may be called from any goroutine.
+func (d *testDaemon) eventsAfter(number int64, waitSeconds int) []controller.Event {
+	d.t.Helper()
+	var body eventsBody
+	result := d.get(fmt.Sprintf("/v1/events?after=%d", number), "Prefer", fmt.Sprintf("wait=%d", waitSeconds))
+	if err := json.Unmarshal([]byte(result.body), &body); err != nil {
+		d.t.Errorf("events: %v in %+v", err, result)
+	}
+	return body.Events
+}
+
+// Operators read and override over HTTP; a command that would break a rule is rejected with the reason.
 func TestOperatorAPI(t *testing.T) {
 	d := startDaemon(t, "")
-	host := "/v1/hosts/" + url.PathEscape("10.0.0.1:80")
-	d.request("GET", "/v1/proxies/p/tables?zone=a", "", "Prefer", "wait=0")
-	eventually(t, "the first tables", func() bool { return d.request("GET", "/v1/proxies/p/holds", "").status == 200 })
-	var out strings.Builder
-	d.describe(&out, "no such host", d.request("POST", "/v1/hosts/none/operator", `{"state":"drain"}`, "Content-Type", "application/json"))
-	d.describe(&out, "no such state", d.request("POST", host+"/operator", `{"state":"gone"}`, "Content-Type", "application/json"))
-	d.describe(&out, "no such field", d.request("POST", host+"/operator", `{"wait":1}`, "Content-Type", "application/json"))
-	d.describe(&out, "a drain", d.request("POST", host+"/operator", `{"state":"drain","by":"x"}`, "Content-Type", "application/json"))
-	d.describe(&out, "of the last host", d.request("POST", "/v1/hosts/"+url.PathEscape("10.0.0.2:80")+"/operator", `{"state":"maint"}`, "Content-Type", "application/json"))
-	d.describe(&out, "of a zone that leaves none", d.request("POST", "/v1/zones/b/operator", `{"state":"drain"}`, "Content-Type", "application/json"))
-	d.describe(&out, "of a zone without hosts", d.request("POST", "/v1/zones/c/operator", `{"state":"drain"}`, "Content-Type", "application/json"))
-	d.describe(&out, "events after x", d.request("GET", "/v1/events?after=x", ""))
-	d.describe(&out, "no such proxy", d.request("GET", "/v1/proxies/none/holds", ""))
-	golden.Compare(t, "operators", out.String())
-	var h controller.HostInfo
-	eventually(t, "the drain to be told", func() bool {
-		h = controller.HostInfo{}
-		json.Unmarshal([]byte(d.request("GET", host, "").body), &h)
-		return h.Weight == 0
-	})
-	if h.Phase != "draining" || h.Operator == nil || h.Operator.By != "x" {
-		t.Errorf("%+v", h)
+	firstHost := "/v1/hosts/" + url.PathEscape("10.0.0.1:80")
+	secondHost := "/v1/hosts/" + url.PathEscape("10.0.0.2:80")
+	d.get(tablesPath, "Prefer", "wait=0")
+	d.waitForTables()
+	var tr transcript
+	tr.add("no such host", d.post("/v1/hosts/none/operator", `{"state":"drain"}`))
+	tr.add("no such state", d.post(firstHost+"/operator", `{"state":"gone"}`))
+	tr.add("no such field", d.post(firstHost+"/operator", `{"wait":1}`))
+	tr.add("a drain", d.post(firstHost+"/operator", `{"state":"drain","by":"x"}`))
+	tr.add("of the last host", d.post(secondHost+"/operator", `{"state":"maint"}`))
+	tr.add("of a zone that leaves none", d.post("/v1/zones/b/operator", `{"state":"drain"}`))
+	tr.add("of a zone without hosts", d.post("/v1/zones/c/operator", `{"state":"drain"}`))
+	tr.add("events after x", d.get("/v1/events?after=x"))
+	tr.add("no such proxy", d.get("/v1/proxies/none/holds"))
+	golden.Compare(t, "operators", tr.text.String())
+
+	eventually(t, "the drain to be published", func() bool { return d.hostInfo(firstHost).Weight == 0 })
+	info := d.hostInfo(firstHost)
+	if info.Phase != "draining" || info.Operator == nil || info.Operator.By != "x" {
+		t.Errorf("%+v", info)
 	}
-	events := func(after int64, wait string) []controller.Event {
-		var x struct{ Events []controller.Event }
-		if err := json.Unmarshal([]byte(d.request("GET", "/v1/events?after="+json.Number(formatInt(after)).String(), "", "Prefer", "wait="+wait).body), &x); err != nil {
-			t.Fatal(err)
-		}
-		return x.Events
+	t.Run("event subscriber", func(t *testing.T) { checkEventSubscriber(t, d, firstHost) })
+}
+
+// checkEventSubscriber wants that a pending poll for events is notified of an operator's command.
+func checkEventSubscriber(t *testing.T, d *testDaemon, host string) {
+	all := d.eventsAfter(0, 0)
+	if len(all) == 0 {
+		t.Fatal("there are no events")
 	}
-	all := events(0, "0")
 	last := all[len(all)-1].Number
-	if none := events(last, "0"); len(none) != 0 {
+	if none := d.eventsAfter(last, 0); len(none) != 0 {
 		t.Errorf("after the last: %+v", none)
 	}
-	got := make(chan []controller.Event)
-	go func() { got <- events(last, "30") }()
-	eventually(t, "the follower to be held", func() bool { d.loop.mu.Lock(); defer d.loop.mu.Unlock(); return len(d.loop.eventSubscribers) == 1 })
-	d.request("POST", host+"/operator", `{"state":"ready"}`, "Content-Type", "application/json")
-	select {
-	case e := <-got:
-		if len(e) == 0 || e[0].Kind != "operator" {
-			t.Errorf("%+v", e)
-		}
-	case <-time.After(20 * time.Second):
-		t.Error("a follower was not told")
+	pending := inBackground(func() []controller.Event { return d.eventsAfter(last, 30) })
+	eventually(t, "the subscription", func() bool {
+		d.loop.mu.Lock()
+		defer d.loop.mu.Unlock()
+		return len(d.loop.eventSubscribers) == 1
+	})
+	d.post(host+"/operator", `{"state":"ready"}`)
+	events := await(t, "the event", waitLimit, pending)
+	if len(events) == 0 || events[0].Kind != "operator" {
+		t.Errorf("%+v", events)
 	}
 }
-
-func formatInt(n int64) string { b, _ := json.Marshal(n); return string(b) }
