--- a/internal/daemon/controller_state.go
+++ b/internal/daemon/controller_state.go
@@ -77,7 +77,7 @@
 	}
 	gap, err := problem.Measure(tables)
 	if err != nil {
-		l.log.Warn().Err(err).Msg("the gap to the best tables could not be measured")
+		l.log.Warn().Err(err).Msg("measuring the gap to the best tables failed")
 		return nil
 	}
 	return gap
--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -51,10 +51,10 @@
 	}
 	id, expiry, err := d.credentials.Own()
 	if err != nil {
-		d.log.Error().Err(err).Msg("no identity")
+		d.log.Error().Err(err).Msg("reading the own credentials failed")
 		return
 	}
-	d.log.Info().Str("id", id.String()).Time("until", expiry).Msg("identity taken up")
+	d.log.Info().Str("id", id.String()).Time("until", expiry).Msg("credentials loaded")
 }
 
 // authenticatePeer gives the identity of a connection's other end, by its certificate. Without a certificate the peer
--- a/internal/daemon/credentials_test.go
+++ b/internal/daemon/credentials_test.go
@@ -94,7 +94,7 @@
 	svid := d.sign(controllerID, time.Hour)
 	logged := func(text string) int { return strings.Count(d.log.String(), text) }
 	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
-	eventually(t, "a new key", func() bool { return logged("identity taken up") >= 2 })
+	eventually(t, "a new key", func() bool { return logged("credentials loaded") >= 2 })
 	if logged("the same key again") != 0 {
 		t.Error("a new key was taken for the same")
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -74,7 +74,7 @@
 		d.close()
 		return nil, err
 	}
-	log.Info().Str("listen", d.Addr()).Str("life", incarnation).Str("version", version).Msg("steward started")
+	log.Info().Str("listen", d.Addr()).Str("incarnation", incarnation).Str("version", version).Msg("controller started")
 	return d, nil
 }
 
@@ -88,7 +88,7 @@
 func newIncarnation(configuredSeed uint64) (incarnation string, seed uint64, err error) {
 	var random [2 * seedBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return "", 0, fmt.Errorf("drawing a name for this life: %w", err)
+		return "", 0, fmt.Errorf("drawing the name of the incarnation: %w", err)
 	}
 	incarnation = hex.EncodeToString(random[:incarnationBytes])
 	if configuredSeed != 0 {
@@ -221,7 +221,7 @@
 	})
 	d.servers.Go(func() {
 		if err := d.server.Serve(d.listener); err != nil {
-			d.log.Error().Err(err).Msg("no more connections are taken")
+			d.log.Error().Err(err).Msg("accepting connections failed")
 		}
 	})
 }
--- a/internal/daemon/daemon_helpers_test.go
+++ b/internal/daemon/daemon_helpers_test.go
@@ -167,7 +167,7 @@
 func (d *testDaemon) waitForReads(count int) {
 	d.t.Helper()
 	eventually(d.t, fmt.Sprintf("read %d of the endpoint list", count), func() bool {
-		return strings.Count(d.log.String(), "host list read") == count
+		return strings.Count(d.log.String(), "endpoint list loaded") == count
 	})
 }
 
--- a/internal/daemon/endpoint_file.go
+++ b/internal/daemon/endpoint_file.go
@@ -53,7 +53,7 @@
 	if err := f.publish(endpoints); err != nil {
 		return config.Refused(f.path, text, err)
 	}
-	f.log.Info().Int("hosts", len(endpoints)).Msg("host list read")
+	f.log.Info().Int("hosts", len(endpoints)).Msg("endpoint list loaded")
 	return nil
 }
 
@@ -62,7 +62,7 @@
 	var events chan fsnotify.Event // nil, so that nothing is received, where there are no notifications
 	watcher, err := f.newWatcher()
 	if err != nil {
-		f.log.Warn().Err(err).Msg("the folder of the host list tells no changes; looking every two seconds")
+		f.log.Warn().Err(err).Msg("no notifications for the folder of the endpoint list; reading it every two seconds")
 	} else {
 		events = watcher.Events
 		defer f.closeWatcher(watcher)
@@ -104,6 +104,6 @@
 // closeWatcher closes a watcher; a failure is only logged, since the file is still read at intervals.
 func (f *endpointFile) closeWatcher(watcher *fsnotify.Watcher) {
 	if err := watcher.Close(); err != nil {
-		f.log.Warn().Err(err).Msg("closing the watcher of the host list failed")
+		f.log.Warn().Err(err).Msg("closing the watcher of the endpoint list failed")
 	}
 }
--- a/internal/daemon/endpoint_service.go
+++ b/internal/daemon/endpoint_service.go
@@ -108,7 +108,7 @@
 	if s.ctx.Err() != nil {
 		return
 	}
-	s.log.Warn().Err(err).Msg("host list not to be had, the last one stands")
+	s.log.Warn().Err(err).Msg("watching the endpoint list failed, the last list stays in force")
 	s.reportFailure()
 }
 
@@ -127,7 +127,7 @@
 	defer cancel()
 	response, err := s.client.Call(ctx, http.MethodGet, s.address, s.target, s.pollHeader())
 	if err != nil {
-		return fmt.Errorf("asking for the list: %w", err)
+		return fmt.Errorf("polling the endpoint list: %w", err)
 	}
 	var document []byte
 	switch response.Status {
@@ -138,7 +138,7 @@
 	case http.StatusIMUsed:
 		document, err = s.applyDelta(response)
 	default:
-		return fmt.Errorf("the list service answered %d", response.Status)
+		return fmt.Errorf("the list service responded with status %d", response.Status)
 	}
 	if err == nil {
 		err = s.publishDocument(document)
@@ -165,7 +165,7 @@
 func (s *endpointService) applyDelta(response *http1.Response) ([]byte, error) {
 	baseTag := response.Header.Get("Delta-Base")
 	if s.tag == "" || baseTag != s.tag || !strings.EqualFold(response.Header.Get("Im"), mergePatch) {
-		return nil, fmt.Errorf("a delta onto %s came, not onto what is held", baseTag)
+		return nil, fmt.Errorf("a delta onto %s came, not onto the cached version", baseTag)
 	}
 	document, err := jsonpatch.MergePatch(s.document, response.Body)
 	if err != nil {
@@ -189,10 +189,10 @@
 func parseEndpoints(text []byte) ([]controller.Endpoint, error) {
 	var document endpointDocument
 	if err := json.Unmarshal(text, &document); err != nil {
-		return nil, fmt.Errorf("reading the list: %w", err)
+		return nil, fmt.Errorf("reading the endpoint list: %w", err)
 	}
 	if document.Hosts == nil {
-		return nil, errors.New(`reading the list: "hosts" is missing`)
+		return nil, errors.New(`reading the endpoint list: "hosts" is missing`)
 	}
 	endpoints := make([]controller.Endpoint, 0, len(document.Hosts))
 	for host, entry := range document.Hosts {
--- a/internal/daemon/runtime_sockets.go
+++ b/internal/daemon/runtime_sockets.go
@@ -31,7 +31,7 @@
 		d.runtimeSockets = append(d.runtimeSockets, runtimeSocket{listener, server})
 		d.servers.Go(func() {
 			if err := server.Serve(listener); err != nil {
-				d.log.Error().Err(err).Msg("the runtime socket takes no more connections")
+				d.log.Error().Err(err).Msg("accepting runtime connections failed")
 			}
 		})
 	}
--- a/internal/daemon/standby.go
+++ b/internal/daemon/standby.go
@@ -193,12 +193,12 @@
 	}
 	restored, err := s.loop.restore(replicated, s.coldMs)
 	if err != nil {
-		s.log.Error().Err(err).Msg("beginning without what the first knew")
+		s.log.Error().Err(err).Msg("taking over without the leader's state")
 		restored = &state.Restored{}
 	}
 	if s.endpointsKnown {
 		if err := s.loop.setEndpoints(s.endpoints); err != nil {
-			s.log.Error().Err(err).Msg("the list was refused")
+			s.log.Error().Err(err).Msg("the endpoint list was rejected at the takeover")
 		}
 	}
 	s.takeoverMs = wholeMicroseconds(time.Since(began))
