--- a/internal/daemon/daemon_helpers_test.go
+++ b/internal/daemon/daemon_helpers_test.go
@@ -42,7 +42,8 @@
 
 // Endpoint lists that several tests use.
 const (
-	twoHosts           = `hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" weight: 0.5 }`
+	twoHosts = `hosts { address: "10.0.0.1:80" zone: "a" }
+hosts { address: "10.0.0.2:80" zone: "b" weight: 0.5 }`
 	secondHostDraining = `hosts { address: "10.0.0.1:80" zone: "a" }
 hosts { address: "10.0.0.2:80" zone: "b" phase: DRAINING }`
 	firstHostDraining = `hosts { address: "10.0.0.1:80" zone: "a" phase: DRAINING }
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"net"
 	"net/http"
 	"path/filepath"
 	"strings"
@@ -14,6 +15,7 @@
 	"time"
 
 	"github.com/google/go-cmp/cmp"
+	"github.com/rs/zerolog"
 
 	"barleysail/client"
 )
@@ -148,3 +150,31 @@
 		t.Errorf("%d responses, then %v (-recorded +replayed):\n%s", len(recorded), err, diff)
 	}
 }
+
+// A start that fails late leaves nothing running: its port, its state folder and its recording can be used again.
+func TestFailedStart(t *testing.T) {
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { closeOrFail(t, occupied) })
+	folder := t.TempDir()
+	d := newTestDaemon(t, folder)
+	settings := fmt.Sprintf("%s list { file: %q } state { folder: %q } record: %q listen: %q",
+		strings.Replace(baseConfig, `listen: "127.0.0.1:0"`, "", 1), d.hostsFile,
+		filepath.Join(folder, "state"), filepath.Join(folder, "day.rec"), unusedAddress(t))
+	d.configure(settings + fmt.Sprintf(" runtime { address: %q level: \"user\" }", occupied.Addr().String()))
+	failed, err := Start(d.config, "test", zerolog.New(d.log))
+	if err == nil {
+		failed.Kill()
+		t.Fatal("it started at a port in use")
+	}
+	if !strings.Contains(err.Error(), "opening the runtime socket") {
+		t.Errorf("%v", err)
+	}
+	d.configure(settings)
+	d.start()
+	if result := d.get(tablesPath); result.status != 200 {
+		t.Errorf("%+v", result)
+	}
+}
