--- a/internal/daemon/authorization_test.go
+++ b/internal/daemon/authorization_test.go
@@ -205,18 +205,7 @@
 		})
 	}
 	valid := own.token(operatorID, us, time.Minute, nil)
-	t.Run("one connection only", func(t *testing.T) {
-		owner, thief := anonymousClient(t), anonymousClient(t)
-		uses := []struct {
-			client *http.Client
-			want   int
-		}{{owner, 200}, {thief, 401}, {owner, 200}}
-		for i, use := range uses {
-			if result := d.getWithToken(use.client, "/v1/hosts", valid); result.status != use.want {
-				t.Errorf("use %d: %d", i, result.status)
-			}
-		}
-	})
+	t.Run("one connection only", func(t *testing.T) { checkTokenBoundToConnection(t, d, valid) })
 	t.Run("beside an invalid certificate", func(t *testing.T) {
 		client := clientAs(t, signBy(t, other.authority, operatorID, time.Hour, nil))
 		token := own.token(operatorID, us, time.Minute, nil)
@@ -236,6 +225,21 @@
 	})
 }
 
+// checkTokenBoundToConnection wants that a token is accepted on the connection of its first use only.
+func checkTokenBoundToConnection(t *testing.T, d *identityDaemon, token string) {
+	t.Helper()
+	owner, thief := anonymousClient(t), anonymousClient(t)
+	uses := []struct {
+		client *http.Client
+		want   int
+	}{{owner, 200}, {thief, 401}, {owner, 200}}
+	for i, use := range uses {
+		if result := d.getWithToken(use.client, "/v1/hosts", token); result.status != use.want {
+			t.Errorf("use %d: %d", i, result.status)
+		}
+	}
+}
+
 // checkTokenBoundsPoll wants that a poll ends with its token, which was issued for 3 s.
 func checkTokenBoundsPoll(t *testing.T, d *identityDaemon, token string, issued time.Time) {
 	t.Helper()
--- a/internal/daemon/health_checker_test.go
+++ b/internal/daemon/health_checker_test.go
@@ -21,7 +21,8 @@
 
 // startTestChecker makes a health checker whose reports come by the channel. end cancels its checks and waits for
 // them; it may be called more than once.
-func startTestChecker(t *testing.T, timeout time.Duration) (checker *healthChecker, reports chan checkResult, end func()) {
+func startTestChecker(t *testing.T, timeout time.Duration) (checker *healthChecker, reports chan checkResult,
+	end func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	reports = make(chan checkResult, 1)
