--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -289,6 +289,9 @@
 
 func (d *Daemon) closeAll() {
 	d.cancel()
+	if d.server != nil {
+		d.server.Cut() // after a failed start; Stop and Kill have ended the connections
+	}
 	if d.loop != nil {
 		d.loop.stop(false)
 	}
