--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -18,7 +18,6 @@
 	"barleysail/internal/clock"
 	"barleysail/internal/http1"
 	"barleysail/internal/instance"
-	"barleysail/routing"
 )
 
 const (
@@ -67,34 +66,6 @@
 	removedHosts       map[int]float64 // hosts that are gone, and since when
 }
 
-// balancerOutput is the decide.Writer of a node: what is not for proxies is done at once.
-type balancerOutput struct {
-	*updateEncoder
-	node *Node
-	ctx  context.Context
-}
-
-func (w *balancerOutput) ScheduleRound(at float64) { w.node.nextRoundMs = at }
-
-// WatchEndpoints asks for nothing: the list is followed from the start.
-func (w *balancerOutput) WatchEndpoints() {}
-
-func (w *balancerOutput) Log(event routing.Event) {
-	w.node.log.Info().Msg(event.Text(w.node.balancer.HostID))
-}
-
-func (w *balancerOutput) CheckHealth(host int) {
-	n, asked := w.node, w.node.hosts[host]
-	n.goroutines.Go(func() {
-		select {
-		case n.healthCheckSlots <- struct{}{}:
-			defer func() { <-n.healthCheckSlots }()
-			n.checkHealth(w.ctx, host, asked)
-		case <-w.ctx.Done():
-		}
-	})
-}
-
 // Apply sets the process by the machine's limits.
 func (l Limits) Apply() {
 	if l.Cores > 0 {
@@ -201,7 +172,7 @@
 
 // loop is the event loop, the one goroutine that owns the module. What comes in gathers for a step, then a round decides on all of it.
 func (n *Node) loop(ctx context.Context) {
-	w := &balancerOutput{n.updates, n, ctx}
+	w := &balancerOutput{updateEncoder: n.updates, node: n, ctx: ctx}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -25,8 +25,6 @@
 	writeTimeout           = 5 * time.Second
 )
 
-var pongMessage = resp.Append(nil, "PONG")
-
 // session is a connection that takes messages. Its queue is emptied by a goroutine that lasts as long as something waits,
 // so that no slow peer holds up another.
 type session struct {
--- a/internal/platform/update_encoder.go
+++ b/internal/platform/update_encoder.go
@@ -9,231 +9,304 @@
 	"strings"
 
 	"barleysail/internal/resp"
-	"barleysail/routing"
 )
 
-// admissionPolicy is how much of a class is let in, and how often a proxy tries again.
+const (
+	noTable = -1 // in updateContent: no weight entries
+	noStamp = 0  // in roundChanges: no proxy is asked for an acknowledgement
+
+	// unsetRatio is the admission ratio of a class for which none was ever set.
+	unsetRatio = -1
+
+	// significantDigits of weights and ratios in an update.
+	significantDigits = 6
+)
+
+// admissionPolicy is the part of a request class that proxies admit, and how they retry its requests.
 type admissionPolicy struct {
-	ratio       float64
-	retryPolicy int
+	ratio       float64 // unsetRatio: not set
+	retryPolicy int     // 0 to 3, as the protocol numbers them
 }
 
-// routeTable is what the module has laid under a number.
+// routeTable is a routing table as the balancer has written it, by its number.
 type routeTable struct {
-	weights     map[int]float64
-	changed     []int // hosts whose line was written this round
-	subscribers map[int]bool
+	weights     map[int]float64 // by host; a weight of 0 is absent
+	changed     []int           // hosts whose weight was written this round
+	subscribers map[int]bool    // proxies that the table is assigned to
 }
 
-// updateContent is what a proxy is told in a round; proxies told the same share one message.
+// updateContent is what an update holds. Proxies with the same content in a round share one message.
 type updateContent struct {
-	table    int // -1: no lines
-	snapshot bool
-	policies bool
+	table    int  // its weight entries; noTable: none
+	snapshot bool // all entries of the table in place of those written this round
+	policies bool // the admission policies
+}
+
+// roundChanges is what the balancer has written since the last flush.
+type roundChanges struct {
+	tables   []int // with weights written, in the order of their first change
+	assigned []int // proxies that a table was assigned to
+	policies bool  // an admission policy was set
+	stamp    int   // version stamp; noStamp: none
 }
 
-// updateEncoder takes a round's decisions and makes of them one message a proxy. It knows what a proxy holds only from what was
-// written on its present stream.
+// updateEncoder collects what the balancer writes in a round and encodes it as one update for each proxy concerned. What
+// a proxy holds it knows only from what it has sent on the proxy's present session. It belongs to the event loop. With
+// balancerOutput it implements routing.UpdateWriter.
 type updateEncoder struct {
-	hostName        func(host int) string
-	classNames      []string // of the classes
-	tables          map[int]*routeTable
-	assigned        map[int]int       // the table that a proxy was last sent whole on this stream
-	policies        []admissionPolicy // for all tables, by class; a level below 0 was never set
-	policiesSent    map[int]bool      // proxies that were sent the levels on this stream
-	changedTables   []int             // tables with lines written this round
-	newlyAssigned   []int             // proxies sent a whole table this round
-	policiesChanged bool              // levels were set this round
-	stamp           int               // 0: none
-	connected       func() iter.Seq[int]
+	hostName   func(host int) string
+	classNames []string             // of all request classes, by index
+	connected  func() iter.Seq[int] // the proxies with a session
+	tables     map[int]*routeTable  // by number
+	policies   []admissionPolicy    // by request class; they hold for all tables
+	assigned   map[int]int          // by proxy: the table sent as a snapshot on its session
+	updated    map[int]bool         // proxies that were sent the policies on their session
+	round      roundChanges
 }
 
-func newUpdateEncoder(names []string, id func(int) string, joined func() iter.Seq[int]) *updateEncoder {
-	o := &updateEncoder{hostName: id, classNames: names, tables: map[int]*routeTable{}, assigned: map[int]int{}, policiesSent: map[int]bool{}, connected: joined}
-	for range names {
-		o.policies = append(o.policies, admissionPolicy{-1, 0})
+func newUpdateEncoder(classNames []string, hostName func(int) string, connected func() iter.Seq[int]) *updateEncoder {
+	encoder := &updateEncoder{
+		hostName:   hostName,
+		classNames: classNames,
+		connected:  connected,
+		tables:     map[int]*routeTable{},
+		assigned:   map[int]int{},
+		updated:    map[int]bool{},
 	}
-	return o
+	for range classNames {
+		encoder.policies = append(encoder.policies, admissionPolicy{ratio: unsetRatio})
+	}
+	return encoder
 }
 
-func (o *updateEncoder) table(number int) *routeTable {
-	t := o.tables[number]
-	if t == nil {
-		t = &routeTable{weights: map[int]float64{}, subscribers: map[int]bool{}}
-		o.tables[number] = t
+// table returns the routing table with the number and makes an empty one where there is none.
+func (e *updateEncoder) table(number int) *routeTable {
+	table := e.tables[number]
+	if table == nil {
+		table = &routeTable{weights: map[int]float64{}, subscribers: map[int]bool{}}
+		e.tables[number] = table
 	}
-	return t
+	return table
 }
 
-// forgetProxy drops what a proxy's ended stream has told it.
-func (o *updateEncoder) forgetProxy(proxy int) {
-	if number, ok := o.assigned[proxy]; ok {
-		delete(o.tables[number].subscribers, proxy)
+// forgetProxy drops what was sent on a proxy's session, which has ended.
+func (e *updateEncoder) forgetProxy(proxy int) {
+	if number, ok := e.assigned[proxy]; ok {
+		delete(e.tables[number].subscribers, proxy)
 	}
-	delete(o.assigned, proxy)
-	delete(o.policiesSent, proxy)
+	delete(e.assigned, proxy)
+	delete(e.updated, proxy)
 }
 
-// Of decide.Writer, what goes to proxies.
-
-func (o *updateEncoder) SetWeight(number, host int, weight float64) {
-	t := o.table(number)
+// SetWeight writes the weight of a host in a table; 0 removes the host.
+func (e *updateEncoder) SetWeight(number, host int, weight float64) {
+	table := e.table(number)
 	if weight == 0 {
-		delete(t.weights, host)
+		delete(table.weights, host)
 	} else {
-		t.weights[host] = weight
+		table.weights[host] = weight
 	}
-	if len(t.changed) == 0 {
-		o.changedTables = append(o.changedTables, number)
+	if len(table.changed) == 0 {
+		e.round.tables = append(e.round.tables, number)
 	}
-	t.changed = append(t.changed, host)
+	table.changed = append(table.changed, host)
 }
 
-func (o *updateEncoder) AssignTable(proxy, number, _ int) {
-	if was, ok := o.assigned[proxy]; ok {
-		delete(o.tables[was].subscribers, proxy)
+// AssignTable has a proxy use a table, of which it gets a snapshot. Tables here hold for all request classes.
+func (e *updateEncoder) AssignTable(proxy, number, _ int) {
+	if previous, ok := e.assigned[proxy]; ok {
+		delete(e.tables[previous].subscribers, proxy)
 	}
-	o.assigned[proxy] = number
-	o.table(number).subscribers[proxy] = true
-	o.newlyAssigned = append(o.newlyAssigned, proxy)
+	e.assigned[proxy] = number
+	e.table(number).subscribers[proxy] = true
+	e.round.assigned = append(e.round.assigned, proxy)
 }
 
-func (o *updateEncoder) SetAdmission(_, classes int, share float64, tries int) {
-	for c := range o.policies {
-		if classes == 0 || classes>>c&1 == 1 {
-			o.policies[c] = admissionPolicy{share, tries}
+// SetAdmission sets the admission ratio and retry policy of the request classes in a bit set, of all where it is empty.
+// They hold for all tables.
+func (e *updateEncoder) SetAdmission(_, classes int, ratio float64, retryPolicy int) {
+	for class := range e.policies {
+		if classes == 0 || classes>>class&1 == 1 {
+			e.policies[class] = admissionPolicy{ratio, retryPolicy}
 		}
 	}
-	o.policiesChanged = true
+	e.round.policies = true
 }
 
-func (o *updateEncoder) StampVersion(number int) { o.stamp = number }
+// StampVersion has each update of the round ask for an acknowledgement of the stamp.
+func (e *updateEncoder) StampVersion(number int) { e.round.stamp = number }
 
-// flush ends a round: send gets each proxy's message, and whether it carries the mark.
-func (o *updateEncoder) flush(send func(proxy int, message []byte, mark int)) {
-	tell := map[int]updateContent{}
-	if o.policiesChanged {
-		for p := range o.connected() {
-			tell[p] = updateContent{-1, false, true}
-		}
-	}
-	for _, number := range o.changedTables {
-		for p := range o.tables[number].subscribers {
-			tell[p] = updateContent{number, false, tell[p].policies}
-		}
-	}
-	for _, p := range o.newlyAssigned {
-		tell[p] = updateContent{o.assigned[p], true, true}
-	}
-	made := map[updateContent][]byte{}
-	for _, p := range slices.Sorted(maps.Keys(tell)) {
-		t := tell[p]
-		if !o.policiesSent[p] { // levels for all go with the first message of a stream
-			t.policies, o.policiesSent[p] = true, true
+// flush ends a round: it calls send for each proxy concerned, by ascending number, with its update and with the version
+// stamp in it. Proxies with the same content get the same bytes.
+func (e *updateEncoder) flush(send func(proxy int, message []byte, stamp int)) {
+	contents := e.roundContents()
+	messages := map[updateContent][]byte{}
+	for _, proxy := range slices.Sorted(maps.Keys(contents)) {
+		content := contents[proxy]
+		if !e.updated[proxy] { // the first update on a session brings the policies
+			content.policies = true
+			e.updated[proxy] = true
 		}
-		message, ok := made[t]
-		if !ok {
-			message = o.encode(t)
-			made[t] = message
+		message, encoded := messages[content]
+		if !encoded {
+			message = e.encode(content)
+			messages[content] = message
 		}
 		if message != nil {
-			send(p, message, o.stamp)
+			send(proxy, message, e.round.stamp)
 		}
 	}
-	for _, number := range o.changedTables {
-		t := o.tables[number]
-		t.changed = t.changed[:0]
-	}
-	o.changedTables, o.newlyAssigned, o.policiesChanged, o.stamp = o.changedTables[:0], o.newlyAssigned[:0], false, 0
+	e.startRound()
 }
 
-// encode makes a message: first the lines with the levels that hold for all classes, then what levels differ by class.
-func (o *updateEncoder) encode(t updateContent) []byte {
-	var parts [][]string
-	var first []string
-	if t.snapshot {
-		first = append(first, "replace", "1")
+// roundContents returns what each proxy concerned by the round's changes is to get. A snapshot brings the policies,
+// since a proxy drops them with the table that is replaced.
+func (e *updateEncoder) roundContents() map[int]updateContent {
+	contents := map[int]updateContent{}
+	if e.round.policies {
+		for proxy := range e.connected() {
+			contents[proxy] = updateContent{table: noTable, policies: true}
+		}
 	}
-	if t.table >= 0 {
-		if rows := o.entryList(t); rows != "" {
-			first = append(first, "rows", rows)
+	for _, number := range e.round.tables {
+		for proxy := range e.tables[number].subscribers {
+			contents[proxy] = updateContent{table: number, policies: contents[proxy].policies}
 		}
 	}
-	if t.policies {
-		parts = o.policyFields()
+	for _, proxy := range e.round.assigned {
+		contents[proxy] = updateContent{table: e.assigned[proxy], snapshot: true, policies: true}
 	}
-	if len(parts) == 1 && parts[0][0] != "for" {
-		parts[0] = append(first, parts[0]...)
-	} else if len(first) > 0 {
-		parts = append([][]string{first}, parts...)
+	return contents
+}
+
+// startRound drops the changes of the round that has ended and keeps their memory.
+func (e *updateEncoder) startRound() {
+	for _, number := range e.round.tables {
+		table := e.tables[number]
+		table.changed = table.changed[:0]
 	}
+	e.round = roundChanges{tables: e.round.tables[:0], assigned: e.round.assigned[:0], stamp: noStamp}
+}
+
+// encode makes an update, in as many parts as the policies take. It returns nil where there is nothing to say.
+func (e *updateEncoder) encode(content updateContent) []byte {
+	parts := e.updateParts(content)
 	if len(parts) == 0 {
-		if o.stamp == 0 {
+		if e.round.stamp == noStamp {
 			return nil
 		}
 		parts = [][]string{nil}
 	}
 	var message []byte
 	for i, words := range parts {
-		if i == len(parts)-1 {
-			if o.stamp != 0 {
-				words = append(words, "stamp", strconv.Itoa(o.stamp))
-			}
-		} else {
-			words = append(words, "part", "1")
+		if i < len(parts)-1 {
+			words = append(words, fieldMoreParts, valueYes)
+		} else if e.round.stamp != noStamp {
+			words = append(words, fieldUpdateStamp, strconv.Itoa(e.round.stamp))
 		}
-		message = resp.Append(message, append([]string{"CONFIG"}, words...)...)
+		message = resp.Append(message, append([]string{kindUpdate}, words...)...)
 	}
 	return message
 }
 
-// entryList names the lines of a whole table, or those written this round.
-func (o *updateEncoder) entryList(t updateContent) string {
-	held := o.tables[t.table]
-	hosts := maps.Keys(held.weights)
-	if !t.snapshot {
-		hosts = slices.Values(held.changed)
+// updateParts returns the fields of each part of an update: first the weight entries, together with the policy where one
+// holds for all request classes; then what differs by class.
+func (e *updateEncoder) updateParts(content updateContent) [][]string {
+	tableFields := e.tableFields(content)
+	var policies []policyGroup
+	if content.policies {
+		policies = e.policyGroups()
 	}
-	var rows strings.Builder
-	for i, h := range slices.Compact(slices.Sorted(hosts)) {
+	if len(policies) == 1 && e.holdsForAll(policies[0]) {
+		return [][]string{append(tableFields, e.policyFields(policies[0])...)}
+	}
+	var parts [][]string
+	if len(tableFields) > 0 {
+		parts = append(parts, tableFields)
+	}
+	for _, group := range policies {
+		parts = append(parts, e.policyFields(group))
+	}
+	return parts
+}
+
+// tableFields returns the fields that bring weight entries.
+func (e *updateEncoder) tableFields(content updateContent) []string {
+	var fields []string
+	if content.snapshot {
+		fields = append(fields, fieldSnapshot, valueYes)
+	}
+	if content.table == noTable {
+		return fields
+	}
+	if entries := e.weightEntries(content); entries != "" {
+		fields = append(fields, fieldEntries, entries)
+	}
+	return fields
+}
+
+// weightEntries spells the weight entries of a whole table, or those written this round, as host:weight pairs.
+func (e *updateEncoder) weightEntries(content updateContent) string {
+	table := e.tables[content.table]
+	hosts := slices.Values(table.changed)
+	if content.snapshot {
+		hosts = maps.Keys(table.weights)
+	}
+	var entries strings.Builder
+	for i, host := range slices.Compact(slices.Sorted(hosts)) {
 		if i > 0 {
-			rows.WriteByte(',')
+			entries.WriteByte(',')
 		}
-		rows.WriteString(o.hostName(h) + ":" + formatFloat(held.weights[h]))
+		entries.WriteString(e.hostName(host))
+		entries.WriteByte(':')
+		entries.WriteString(formatFloat(table.weights[host]))
 	}
-	return rows.String()
+	return entries.String()
 }
 
-// policyFields gives the fields of the levels that were ever set, classes of the same level together.
-func (o *updateEncoder) policyFields() [][]string {
-	by := map[admissionPolicy][]string{}
-	for c, l := range o.policies {
-		if l.ratio >= 0 {
-			by[l] = append(by[l], o.classNames[c])
+// policyGroup is an admission policy with the names of the request classes that have it.
+type policyGroup struct {
+	admissionPolicy
+	classes []string
+}
+
+// policyGroups returns the policies that were ever set, by ascending ratio and retry policy.
+func (e *updateEncoder) policyGroups() []policyGroup {
+	classes := map[admissionPolicy][]string{}
+	for class, policy := range e.policies {
+		if policy.ratio >= 0 {
+			classes[policy] = append(classes[policy], e.classNames[class])
 		}
 	}
-	set := make([]admissionPolicy, 0, len(by))
-	for l := range by {
-		set = append(set, l)
+	groups := make([]policyGroup, 0, len(classes))
+	for policy, names := range classes {
+		groups = append(groups, policyGroup{policy, names})
 	}
-	slices.SortFunc(set, func(a, b admissionPolicy) int {
+	slices.SortFunc(groups, func(a, b policyGroup) int {
 		return cmp.Or(cmp.Compare(a.ratio, b.ratio), cmp.Compare(a.retryPolicy, b.retryPolicy))
 	})
-	var parts [][]string
-	for _, l := range set {
-		words := []string{"gate", formatFloat(l.ratio), "again", strconv.Itoa(l.retryPolicy)}
-		if len(by[l]) < len(o.classNames) {
-			words = append([]string{"for", strings.Join(by[l], "+")}, words...)
-		}
-		parts = append(parts, words)
-	}
-	return parts
+	return groups
 }
 
-// formatFloat spells a number to six digits, without an exponent.
-func formatFloat(v float64) string {
-	six, _ := strconv.ParseFloat(strconv.FormatFloat(v, 'g', 6, 64), 64)
-	return strconv.FormatFloat(six, 'f', -1, 64)
+// holdsForAll reports whether all request classes have the group's policy.
+func (e *updateEncoder) holdsForAll(group policyGroup) bool {
+	return len(group.classes) == len(e.classNames)
 }
 
-var _ routing.UpdateWriter = (*balancerOutput)(nil)
+// policyFields returns the fields that bring a policy, with its request classes where not all have it.
+func (e *updateEncoder) policyFields(group policyGroup) []string {
+	var fields []string
+	if !e.holdsForAll(group) {
+		fields = append(fields, fieldClasses, strings.Join(group.classes, "+"))
+	}
+	return append(fields, fieldAdmissionRatio, formatFloat(group.ratio),
+		fieldRetryPolicy, strconv.Itoa(group.retryPolicy))
+}
+
+// formatFloat spells a number with the significant digits of an update and without an exponent, which the protocol
+// does not know.
+func formatFloat(value float64) string {
+	digits := strconv.FormatFloat(value, 'g', significantDigits, 64)
+	rounded, _ := strconv.ParseFloat(digits, 64) // no error: FormatFloat spells numbers that can be read
+	return strconv.FormatFloat(rounded, 'f', -1, 64)
+}
