--- a/internal/platform/endpoint_watcher.go
+++ b/internal/platform/endpoint_watcher.go
@@ -116,7 +116,7 @@
 		case err != nil && ctx.Err() != nil:
 			return
 		case err != nil:
-			w.warnings.warn("list call failed", err)
+			w.warnings.warn("endpoint list call failed", err)
 			pause = retries.next()
 			snapshotDue = snapshotDue || errors.Is(err, errStaleGeneration)
 		default:
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -148,7 +148,7 @@
 	known.Instances = slices.DeleteFunc(known.Instances, func(e entry) bool {
 		err := e.validate(n.balancer.ZoneIndex)
 		if err != nil {
-			n.warnings.warn("a malformed entry of the known list is dropped", err)
+			n.warnings.warn("malformed known endpoint dropped", err)
 		}
 		return err != nil
 	})
--- a/internal/platform/serve.go
+++ b/internal/platform/serve.go
@@ -39,7 +39,7 @@
 			return
 		}
 		if err != nil {
-			n.warnings.warn("accepting fails", err)
+			n.warnings.warn("accept failed", err)
 			select {
 			case <-ctx.Done():
 				return
@@ -50,7 +50,7 @@
 		conn := &connection{Conn: accepted, acceptNumber: number, goroutines: &n.goroutines}
 		if !n.connections.admit(ctx, conn) {
 			conn.terminate()
-			n.warnings.warn("a connection is refused: streams hold all descriptors", nil)
+			n.warnings.warn("connection rejected: sessions in use hold all descriptors", nil)
 			continue
 		}
 		n.goroutines.Go(func() { n.serve(conn) })
@@ -66,9 +66,9 @@
 		n.post(func() { n.connect(ses) })
 		n.readReports(reader, ses)
 	} else if errors.Is(err, errNotIdentified) {
-		n.warnings.warn("a connection does not join", nil)
+		n.warnings.warn("connection did not identify itself", nil)
 	} else {
-		n.warnings.warn("a joining makes no sense", err)
+		n.warnings.warn("malformed first message", err)
 	}
 	conn.terminate()
 	n.connections.release(conn)
@@ -137,7 +137,7 @@
 		if err != nil {
 			var malformed *resp.ProtocolError
 			if errors.As(err, &malformed) {
-				n.warnings.warn("a stream goes on with what can't be read", err)
+				n.warnings.warn("session sent bytes that are not a message", err)
 			}
 			n.log.Debug().Err(err).Int("proxy", ses.proxy).Msg("a stream ends")
 			return
@@ -168,8 +168,8 @@
 func droppedMessageText(kind string) string {
 	switch kind {
 	case kindHostReport, kindDemandReport, kindAck:
-		return "a malformed " + kind + " is dropped"
+		return "malformed " + kind + " message dropped"
 	default:
-		return "a message of no known kind is dropped"
+		return "message of unknown kind dropped"
 	}
 }
