--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -142,11 +142,11 @@
 	}
 	line := ""
 	for _, logged := range strings.Split(log.String(), "\n") {
-		if strings.Contains(logged, "the configuration is read again") {
+		if strings.Contains(logged, "configuration reloaded") {
 			line += logged
 		}
 	}
-	for _, part := range []string{`"discovery":"` + second, `"sockets":1024`, `"takes_a_restart":["settings"]`} {
+	for _, part := range []string{`"discovery":"` + second, `"sockets":1024`, `"restart_required_for":["settings"]`} {
 		if !strings.Contains(line, part) {
 			t.Errorf("no %s in %q", part, line)
 		}
--- a/internal/platform/endpoint_watcher.go
+++ b/internal/platform/endpoint_watcher.go
@@ -95,7 +95,7 @@
 		select {
 		case <-ctx.Done():
 		case next = <-w.newAddress:
-			w.log.Info().Str("discovery", next).Msg("the list is followed elsewhere")
+			w.log.Info().Str("discovery", next).Msg("endpoint list address set")
 		}
 		cancel()
 		follower.Wait()
@@ -164,7 +164,10 @@
 		if !event.Reset || time.Since(w.staleSince) < w.staleLimit {
 			return fmt.Errorf("%w: generation %d after %d", errStaleGeneration, event.Generation, w.generation)
 		}
-		w.log.Warn().Int64("generation", event.Generation).Int64("held", w.generation).Msg("the list counts anew")
+		w.log.Warn().
+			Int64("generation", event.Generation).
+			Int64("previous_generation", w.generation).
+			Msg("endpoint list generations restarted")
 	}
 	w.generation = event.Generation
 	w.staleSince = time.Time{}
--- a/internal/platform/host_registry.go
+++ b/internal/platform/host_registry.go
@@ -55,9 +55,9 @@
 	}
 	n.log.Debug().
 		Int64("generation", event.Generation).
-		Bool("whole", event.Reset).
+		Bool("snapshot", event.Reset).
 		Int("entries", len(event.Instances)).
-		Msg("list")
+		Msg("endpoint list event applied")
 	if first && cached {
 		n.connectEarlyProxies()
 	}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -132,11 +132,11 @@
 		Float64("cores", limits.Cores).
 		Float64("memory_mb", limits.MemoryMB).
 		Int("sockets", limits.Sockets).
-		Float64("lines_per_s", *family.ChannelRate).
-		Float64("most_waiting", *family.MostWaiting).
-		Float64("head", *family.PerMessage).
-		Float64("grace_ms", *n.config.Settings.Rules.StopSendingWithinUs/microsecondsPerMs).
-		Float64("order_price", family.OrderPrice).
+		Float64("entries_per_s", *family.ChannelRate).
+		Float64("max_backlog_entries", *family.MostWaiting).
+		Float64("message_overhead_entries", *family.PerMessage).
+		Float64("drain_grace_ms", *n.config.Settings.Rules.StopSendingWithinUs/microsecondsPerMs).
+		Float64("update_cost", family.OrderPrice).
 		Msg("in service")
 }
 
@@ -169,6 +169,6 @@
 		Float64("cores", limits.Cores).
 		Float64("memory_mb", limits.MemoryMB).
 		Int("sockets", limits.Sockets).
-		Strs("takes_a_restart", n.config.restartFields(config)).
-		Msg("the configuration is read again")
+		Strs("restart_required_for", n.config.restartFields(config)).
+		Msg("configuration reloaded")
 }
--- a/internal/platform/serve.go
+++ b/internal/platform/serve.go
@@ -139,7 +139,7 @@
 			if errors.As(err, &malformed) {
 				n.warnings.warn("session sent bytes that are not a message", err)
 			}
-			n.log.Debug().Err(err).Int("proxy", ses.proxy).Msg("a stream ends")
+			n.log.Debug().Err(err).Int("proxy", ses.proxy).Msg("session ended")
 			return
 		}
 		ses.lastReadMs.Store(int64(n.clock.Now()))
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -181,8 +181,10 @@
 	n.releaseRemovedHosts(nowMs)
 	for _, ses := range n.sessions.active {
 		if ses.isUnresponsive(nowMs, n.sessions.maxAckLatencyMs) {
-			n.log.Debug().Int("proxy", ses.proxy).Float64("since", ses.unacknowledged[0].sentMs-nowMs).
-				Msg("a stream is silent")
+			n.log.Debug().
+				Int("proxy", ses.proxy).
+				Float64("unacknowledged_ms", nowMs-ses.unacknowledged[0].sentMs).
+				Msg("session unresponsive")
 			n.disconnectProxy(ses)
 			n.sessions.unresponsive[ses.proxy] = ses
 			n.connections.markUnresponsive(ses.connection)
