--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -94,3 +94,17 @@
 		return value, err == nil
 	})
 }
+
+// healthCheckResultName is the standard term for a result.
+func healthCheckResultName(result routing.HealthCheckResult) string {
+	switch result {
+	case routing.Healthy:
+		return "healthy"
+	case routing.Rejected:
+		return "rejected"
+	case routing.TimedOut:
+		return "timed out"
+	default:
+		return "unreachable"
+	}
+}
--- a/internal/platform/host_trace.go
+++ b/internal/platform/host_trace.go
@@ -1,20 +1,13 @@
 package platform
 
 import (
-	"fmt"
-	"strings"
-
 	"github.com/rs/zerolog"
 
 	"barleysail/routing"
 )
 
-const (
-	// traceIntervalMs is how often a node that logs at debug level writes the balancer's view of each host.
-	traceIntervalMs = 1000.0
-
-	msPerSecond = 1000
-)
+// traceIntervalMs is how often a node that logs at debug level writes the balancer's view of the hosts.
+const traceIntervalMs = 1000.0
 
 // traceHosts logs the balancer's view of the hosts, to be compared with what passes on the network.
 func (n *Node) traceHosts(nowMs float64) {
@@ -23,27 +16,56 @@
 	}
 	n.lastTraceMs = nowMs
 	admissionRatio, _, medianLatencyMs := n.balancer.Admission()
-	var line strings.Builder
+	hosts := zerolog.Arr()
 	for host := range n.balancer.HostIndexCount() {
 		view, known := n.balancer.Explain(host)
 		if known && (view.State != routing.Removed || view.PublishedWeight != 0) {
-			writeHostTrace(&line, host, view, nowMs)
+			hosts.Object(hostTrace{n.balancer.HostID(host), view, nowMs})
 		}
 	}
 	n.log.Debug().
-		Int("streams", len(n.sessions.active)).
-		Float64("level", admissionRatio).
-		Float64("median", medianLatencyMs).
-		Msg("believes" + line.String())
+		Int("sessions", len(n.sessions.active)).
+		Float64("admission_ratio", admissionRatio).
+		Float64("median_latency_ms", medianLatencyMs).
+		Array("hosts", hosts).
+		Msg("balancer's view of the hosts")
+}
+
+// hostTrace is the balancer's view of one host as it is logged.
+type hostTrace struct {
+	name  string
+	view  routing.Explanation
+	nowMs float64
+}
+
+// MarshalZerologObject writes the fields of the log line.
+func (h hostTrace) MarshalZerologObject(event *zerolog.Event) {
+	event.
+		Str("host", h.name).
+		Str("state", hostStateName(h.view.State)).
+		Bool("ejected", h.view.Ejected).
+		Float64("published_weight", h.view.PublishedWeight).
+		Float64("target_weight", h.view.TargetWeight).
+		Float64("arrivals_per_ms", h.view.ArrivalRate).
+		Float64("mean_latency_ms", h.view.MeanLatencyMs).
+		Float64("capacity_per_ms", h.view.Capacity).
+		Float64("slow_start_factor", h.view.SlowStartFactor).
+		Float64("utilization", h.view.Load.Utilization).
+		Float64("reported_requests_per_s", h.view.Load.RequestRate).
+		Float64("successes", h.view.Successes).
+		Float64("failures", h.view.Failures).
+		Float64("cooldown_ms", h.view.CooldownUntilMs-h.nowMs).
+		Int("consecutive_failures", h.view.ConsecutiveFailures)
 }
 
-func writeHostTrace(line *strings.Builder, host int, view routing.Explanation, nowMs float64) {
-	ejected := ""
-	if view.Ejected {
-		ejected = "out"
+// hostStateName is the standard term for a host's state.
+func hostStateName(state routing.HostState) string {
+	switch state {
+	case routing.Ready:
+		return "ready"
+	case routing.Draining:
+		return "draining"
+	default:
+		return "removed"
 	}
-	fmt.Fprintf(line, " %d:%d%s w%.2f/%.2f rate%.2f r%.0f cap%.2f warm%.2f util%.2f qps%.1f won%.1f lost%.1f",
-		host, view.State, ejected, view.PublishedWeight, view.TargetWeight, view.ArrivalRate, view.MeanLatencyMs,
-		view.Capacity, view.SlowStartFactor, view.Load.Utilization, view.Load.RequestRate, view.Successes, view.Failures)
-	fmt.Fprintf(line, " hold%.1f strikes%d;", (view.CooldownUntilMs-nowMs)/msPerSecond, view.ConsecutiveFailures)
 }
