--- a/internal/platform/balancer_output.go
+++ b/internal/platform/balancer_output.go
@@ -32,12 +32,12 @@
 // flight, which bounds the goroutines by the number of hosts. The node's context ends it.
 func (o *balancerOutput) CheckHealth(host int) {
 	node := o.node
-	process := node.hosts.processes[host]
+	target := healthCheckTarget{host, node.balancer.HostID(host), node.hosts.processes[host]}
 	node.goroutines.Go(func() {
 		select {
 		case node.healthCheckSlots <- struct{}{}:
 			defer func() { <-node.healthCheckSlots }()
-			node.checkHealth(o.ctx, host, process)
+			node.checkHealth(o.ctx, target)
 		case <-o.ctx.Done():
 		}
 	})
--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -22,24 +22,31 @@
 	maxHealthCheckAttempts = 3
 )
 
+// healthCheckTarget is a host as the endpoint list had it when its health check was scheduled.
+type healthCheckTarget struct {
+	host    int
+	name    string
+	process hostProcess
+}
+
 // checkHealth checks a host and passes on the outcome to the event loop. Where the host has moved, restarted or was
 // removed meanwhile, what its former process or address answered proves nothing: that counts as a rejected check.
-func (n *Node) checkHealth(ctx context.Context, host int, process hostProcess) {
+func (n *Node) checkHealth(ctx context.Context, target healthCheckTarget) {
 	began := time.Now()
-	result, load, err := healthCheck(ctx, n.healthClient, process.address, n.config.HealthCheckTimeout)
+	result, load, err := healthCheck(ctx, n.healthClient, target.process.address, n.config.HealthCheckTimeout)
 	if err != nil {
 		n.log.Debug().
-			Int("host", host).
-			Int("outcome", int(result)).
-			Dur("took", time.Since(began)).
+			Str("host", target.name).
+			Str("result", healthCheckResultName(result)).
+			Int64("took_ms", time.Since(began).Milliseconds()).
 			Err(err).
-			Msg("health check")
+			Msg("health check not healthy")
 	}
 	n.post(func() {
-		if n.hosts.isRemoved(host) || n.hosts.processes[host] != process {
+		if n.hosts.isRemoved(target.host) || n.hosts.processes[target.host] != target.process {
 			result, load = routing.Rejected, routing.UnknownLoad
 		}
-		n.balancer.ObserveHealthCheck(host, result, load)
+		n.balancer.ObserveHealthCheck(target.host, result, load)
 	})
 }
 
@@ -62,9 +69,9 @@
 	case response.Status == http.StatusOK:
 		return routing.Healthy, decodeLoad(response.Body), nil
 	case time.Since(began) > timeout/2:
-		return routing.TimedOut, routing.UnknownLoad, fmt.Errorf("held and then answered %d", response.Status)
+		return routing.TimedOut, routing.UnknownLoad, fmt.Errorf("status %d after more than half of the timeout", response.Status)
 	default:
-		return routing.Rejected, routing.UnknownLoad, fmt.Errorf("answered %d", response.Status)
+		return routing.Rejected, routing.UnknownLoad, fmt.Errorf("status %d", response.Status)
 	}
 }
 
--- a/internal/platform/host_trace.go
+++ b/internal/platform/host_trace.go
@@ -46,9 +46,9 @@
 		Bool("ejected", h.view.Ejected).
 		Float64("published_weight", h.view.PublishedWeight).
 		Float64("target_weight", h.view.TargetWeight).
-		Float64("arrivals_per_ms", h.view.ArrivalRate).
+		Float64("arrivals_per_s", h.view.ArrivalRate).
 		Float64("mean_latency_ms", h.view.MeanLatencyMs).
-		Float64("capacity_per_ms", h.view.Capacity).
+		Float64("capacity_per_s", h.view.Capacity).
 		Float64("slow_start_factor", h.view.SlowStartFactor).
 		Float64("utilization", h.view.Load.Utilization).
 		Float64("reported_requests_per_s", h.view.Load.RequestRate).
--- a/internal/platform/host_trace_test.go
+++ b/internal/platform/host_trace_test.go
@@ -38,7 +38,9 @@
 // expectHostStates compares the hosts in a log line with their states.
 func expectHostStates(t *testing.T, line []byte, want map[string]string) {
 	t.Helper()
-	var logged struct{ Hosts []struct{ Host, State string } }
+	var logged struct {
+		Hosts []struct{ Host, State string }
+	}
 	if err := json.Unmarshal(line, &logged); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/rate_limited_log.go
+++ b/internal/platform/rate_limited_log.go
@@ -46,5 +46,5 @@
 		return
 	}
 	warning.lastLoggedAt = now
-	l.log.Warn().Int("so_far", warning.count).Err(cause).Msg(text)
+	l.log.Warn().Int("occurrences", warning.count).Err(cause).Msg(text)
 }
