--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -83,7 +83,7 @@
 func (e watchEvent) validate(zoneIndex func(string) (int, bool)) error {
 	for _, endpoint := range e.Instances {
 		if err := endpoint.validate(zoneIndex); err != nil {
-			return fmt.Errorf("reading the list: %w", err)
+			return fmt.Errorf("endpoint list: %w", err)
 		}
 	}
 	return nil
--- a/internal/platform/endpoint_watcher.go
+++ b/internal/platform/endpoint_watcher.go
@@ -36,8 +36,8 @@
 )
 
 var (
-	errStaleGeneration = errors.New("the list is older than the one held")
-	errNoSnapshot      = errors.New("only changes came where the whole list is due")
+	errStaleGeneration = errors.New("endpoint list is older than the one held")
+	errNoSnapshot      = errors.New("endpoint list: a delta came where a snapshot is due")
 )
 
 // endpointWatcher watches the endpoint list at an address that may change. One goroutine runs it, with one follower
@@ -181,14 +181,14 @@
 	defer cancel()
 	response, err := w.client.Call(ctx, http.MethodGet, address, target, nil)
 	if err != nil {
-		return watchEvent{}, fmt.Errorf("calling the list: %w", err)
+		return watchEvent{}, fmt.Errorf("calling for the endpoint list: %w", err)
 	}
 	if response.Status != http.StatusOK {
-		return watchEvent{}, fmt.Errorf("the list answers %d", response.Status)
+		return watchEvent{}, fmt.Errorf("calling for the endpoint list: status %d", response.Status)
 	}
 	event, err := decodeWatchEvent(response.Body)
 	if err != nil {
-		return watchEvent{}, fmt.Errorf("reading the list: %w", err)
+		return watchEvent{}, fmt.Errorf("decoding the endpoint list: %w", err)
 	}
 	return event, event.validate(w.zoneIndex)
 }
--- a/internal/platform/message_decoder.go
+++ b/internal/platform/message_decoder.go
@@ -46,7 +46,7 @@
 // unknownKindError says that a message is not a report.
 type unknownKindError struct{}
 
-func (unknownKindError) Error() string { return "not a report" }
+func (unknownKindError) Error() string { return "not the kind of a report" }
 
 // fieldReader reads the values of a message by their names. It keeps its first error, after which values mean
 // nothing: the caller reads all that the message should have, and then looks at err.
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -58,7 +58,7 @@
 func New(config *Config, log zerolog.Logger) (*Node, error) {
 	balancer, err := instance.New(config.Settings, config.Seed)
 	if err != nil {
-		return nil, fmt.Errorf("starting the module: %w", err)
+		return nil, fmt.Errorf("starting the balancer: %w", err)
 	}
 	healthChecks := config.Limits.healthChecks()
 	node := &Node{
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -246,7 +246,7 @@
 	}
 	index := slices.IndexFunc(ses.unacknowledged, func(stamp versionStamp) bool { return stamp.number == message.stamp })
 	if index < 0 {
-		return &fieldError{fieldStamp, fmt.Sprintf("%d does not wait for an answer", message.stamp)}
+		return &fieldError{fieldStamp, fmt.Sprintf("is %d, which is not unacknowledged", message.stamp)}
 	}
 	if n.sessions.active[ses.proxy] == ses {
 		n.balancer.Ack(ses.proxy, message.stamp)
@@ -259,5 +259,5 @@
 
 // wrongProxy is the error of a message that speaks for another proxy than the session's.
 func wrongProxy(proxy int, ses *session) error {
-	return &fieldError{fieldProxy, fmt.Sprintf("is %d on the stream of %d", proxy, ses.proxy)}
+	return &fieldError{fieldProxy, fmt.Sprintf("is %d on the session of proxy %d", proxy, ses.proxy)}
 }
