--- a/internal/platform/connection_limiter_test.go
+++ b/internal/platform/connection_limiter_test.go
@@ -91,7 +91,7 @@
 	config := newTestConfig(t, discovery.Addr().String(), 0)
 	config.Settings.Limits.MayProbe = true
 	config.HealthCheckTimeout = testTimeout
-	config.knownEndpoints.Instances[0].HostPort = host.Addr().String()
+	config.knownEndpoints.Endpoints[0].Address = host.Addr().String()
 	node, err := New(config, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/endpoint_watcher.go
+++ b/internal/platform/endpoint_watcher.go
@@ -154,14 +154,14 @@
 // up, after a change of address, a restart or a partition, answers with an older list, which would bring back hosts
 // that have drained: that is errStaleGeneration. A snapshot that stays older for the stale limit is accepted.
 func (w *endpointWatcher) accept(event watchEvent, snapshotDue bool) error {
-	if snapshotDue && !event.Reset {
+	if snapshotDue && !event.Snapshot {
 		return errNoSnapshot
 	}
 	if event.Generation < w.generation {
 		if w.staleSince.IsZero() {
 			w.staleSince = time.Now()
 		}
-		if !event.Reset || time.Since(w.staleSince) < w.staleLimit {
+		if !event.Snapshot || time.Since(w.staleSince) < w.staleLimit {
 			return fmt.Errorf("%w: generation %d after %d", errStaleGeneration, event.Generation, w.generation)
 		}
 		w.log.Warn().
--- a/internal/platform/health_check_moved_host_test.go
+++ b/internal/platform/health_check_moved_host_test.go
@@ -7,14 +7,14 @@
 func TestHealthCheckOfMovedHost(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		move func(node *Node, endpoint entry)
+		move func(node *Node, endpoint endpointEntry)
 	}{
-		{"moved", func(node *Node, endpoint entry) {
-			node.applyWatchEvent(watchEvent{Instances: []entry{endpoint}}, false)
+		{"moved", func(node *Node, endpoint endpointEntry) {
+			node.applyWatchEvent(watchEvent{Endpoints: []endpointEntry{endpoint}}, false)
 		}},
-		{"gone and back", func(node *Node, endpoint entry) {
-			node.applyWatchEvent(watchEvent{Reset: true}, false)
-			node.applyWatchEvent(watchEvent{Reset: true, Instances: []entry{endpoint}}, false)
+		{"gone and back", func(node *Node, endpoint endpointEntry) {
+			node.applyWatchEvent(watchEvent{Snapshot: true}, false)
+			node.applyWatchEvent(watchEvent{Snapshot: true, Endpoints: []endpointEntry{endpoint}}, false)
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -22,9 +22,9 @@
 			config := newTestConfig(t, discovery.Addr().String(), 0)
 			config.Settings.Limits.MayProbe = true
 			config.HealthCheckTimeout = testTimeout
-			config.knownEndpoints.Instances[0].HostPort = oldHost.Addr().String()
-			moved := config.knownEndpoints.Instances[0]
-			moved.HostPort = newHost.Addr().String()
+			config.knownEndpoints.Endpoints[0].Address = oldHost.Addr().String()
+			moved := config.knownEndpoints.Endpoints[0]
+			moved.Address = newHost.Addr().String()
 			node, _ := startNode(t, config)
 			_, call := acceptCall(t, oldHost)
 			query(t, node, func() bool { test.move(node, moved); return true })
--- a/internal/platform/host_registry.go
+++ b/internal/platform/host_registry.go
@@ -42,7 +42,7 @@
 	if first && !cached {
 		n.applyWatchEvent(event, true)
 	}
-	if event.Reset {
+	if event.Snapshot {
 		for host := range n.balancer.HostIndexCount() {
 			n.markRemoved(host)
 		}
@@ -50,13 +50,13 @@
 	} else {
 		n.balancer.ObserveDelta()
 	}
-	for _, endpoint := range event.Instances {
+	for _, endpoint := range event.Endpoints {
 		n.applyEndpoint(endpoint)
 	}
 	n.log.Debug().
 		Int64("generation", event.Generation).
-		Bool("snapshot", event.Reset).
-		Int("entries", len(event.Instances)).
+		Bool("snapshot", event.Snapshot).
+		Int("entries", len(event.Endpoints)).
 		Msg("endpoint list event applied")
 	if first && cached {
 		n.connectEarlyProxies()
@@ -64,14 +64,14 @@
 }
 
 // applyEndpoint gives one entry to the balancer. The removal of a host that was never there is left out.
-func (n *Node) applyEndpoint(endpoint entry) {
+func (n *Node) applyEndpoint(endpoint endpointEntry) {
 	state := lifecycleStates[endpoint.Lifecycle]
-	host, known := n.balancer.LookupHost(endpoint.InstanceID)
+	host, known := n.balancer.LookupHost(endpoint.Name)
 	if !known {
 		if state == routing.Removed {
 			return
 		}
-		host = n.balancer.HostIndex(endpoint.InstanceID)
+		host = n.balancer.HostIndex(endpoint.Name)
 	}
 	incarnation := n.hosts.processes[host].incarnation
 	if state == routing.Removed {
@@ -80,7 +80,7 @@
 		delete(n.hosts.removedAtMs, host)
 		incarnation++
 	}
-	n.hosts.processes[host] = hostProcess{endpoint.HostPort, endpoint.StartedAtMs, incarnation}
+	n.hosts.processes[host] = hostProcess{endpoint.Address, endpoint.StartedAtMs, incarnation}
 	zone, _ := n.balancer.ZoneIndex(endpoint.Zone) // unknown only for a removed host, whose zone means nothing
 	n.balancer.ObserveEndpoint(host, zone, state, endpoint.Weight, endpoint.StartedAtMs)
 }
--- a/internal/platform/host_trace_test.go
+++ b/internal/platform/host_trace_test.go
@@ -18,9 +18,9 @@
 	}{{zerolog.DebugLevel, 1}, {zerolog.InfoLevel, 0}} {
 		t.Run(test.level.String(), func(t *testing.T) {
 			node := newIdleNode(t)
-			ready := entry{InstanceID: "s-1", HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}
-			draining := entry{InstanceID: "s-2", HostPort: "127.0.0.1:1", Zone: "b", Lifecycle: "Terminating", Weight: 1}
-			node.applyWatchEvent(watchEvent{Reset: true, Instances: []entry{ready, draining}}, true)
+			ready := endpointEntry{Name: "s-1", Address: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}
+			draining := endpointEntry{Name: "s-2", Address: "127.0.0.1:1", Zone: "b", Lifecycle: "Terminating", Weight: 1}
+			node.applyWatchEvent(watchEvent{Snapshot: true, Endpoints: []endpointEntry{ready, draining}}, true)
 			var output bytes.Buffer
 			node.log = zerolog.New(&output).Level(test.level)
 			node.traceHosts(10000)
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -144,8 +144,8 @@
 // malformed entry is left out alone.
 func (n *Node) applyKnownEndpoints() {
 	known := n.config.knownEndpoints
-	known.Reset = true
-	known.Instances = slices.DeleteFunc(known.Instances, func(e entry) bool {
+	known.Snapshot = true
+	known.Endpoints = slices.DeleteFunc(known.Endpoints, func(e endpointEntry) bool {
 		err := e.validate(n.balancer.ZoneIndex)
 		if err != nil {
 			n.warnings.warn("malformed known endpoint dropped", err)
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -171,7 +171,7 @@
 func TestConnectBeforeFirstSnapshot(t *testing.T) {
 	discovery := listen(t)
 	config := newTestConfig(t, discovery.Addr().String(), 0)
-	config.knownEndpoints.Instances = nil
+	config.knownEndpoints.Endpoints = nil
 	node, address := startNode(t, config)
 	proxy := dial(t, address, subscribeProxy0)
 	proxy.send("PING")
@@ -185,8 +185,8 @@
 // One malformed entry of the known endpoints must not leave a node that has just started without hosts.
 func TestKnownEndpointsWithMalformedEntry(t *testing.T) {
 	config := newTestConfig(t, noDiscovery, 0)
-	malformed := entry{InstanceID: "s-0", HostPort: "127.0.0.1:1", Zone: "nowhere", Lifecycle: "Ready"}
-	config.knownEndpoints.Instances = append([]entry{malformed}, config.knownEndpoints.Instances...)
+	malformed := endpointEntry{Name: "s-0", Address: "127.0.0.1:1", Zone: "nowhere", Lifecycle: "Ready"}
+	config.knownEndpoints.Endpoints = append([]endpointEntry{malformed}, config.knownEndpoints.Endpoints...)
 	_, address := startNode(t, config)
 	dial(t, address, subscribeProxy0).expect(firstSnapshot)
 }
@@ -195,7 +195,7 @@
 func TestHealthChecksInFlight(t *testing.T) {
 	for _, sockets := range []int{0, 256, 1024, 4096} {
 		config := newTestConfig(t, noDiscovery, sockets)
-		config.knownEndpoints.Instances = nil
+		config.knownEndpoints.Endpoints = nil
 		node, err := New(config, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/platform/simadapter_equivalence_test.go
+++ b/internal/platform/simadapter_equivalence_test.go
@@ -92,8 +92,8 @@
 	startedMs             float64
 }
 
-func (h testHost) entry() entry {
-	return entry{InstanceID: h.name, HostPort: "127.0.0.1:1", Zone: h.zone, Lifecycle: h.lifecycle, Weight: 1,
+func (h testHost) entry() endpointEntry {
+	return endpointEntry{Name: h.name, Address: "127.0.0.1:1", Zone: h.zone, Lifecycle: h.lifecycle, Weight: 1,
 		StartedAtMs: h.startedMs}
 }
 
@@ -105,10 +105,10 @@
 // endpoints gives the node a watch event and returns the event for the adapter, of the kind that the simulator names
 // by a number.
 func (r *equivalenceRun) endpoints(kind, number int, snapshot, cached bool, hosts ...testHost) string {
-	event := watchEvent{Reset: snapshot}
+	event := watchEvent{Snapshot: snapshot}
 	var records []string
 	for _, host := range hosts {
-		event.Instances = append(event.Instances, host.entry())
+		event.Endpoints = append(event.Endpoints, host.entry())
 		records = append(records, host.record())
 	}
 	r.node.applyWatchEvent(event, cached)
--- a/internal/platform/watch_event_test.go
+++ b/internal/platform/watch_event_test.go
@@ -38,10 +38,10 @@
 	node := newIdleNode(t)
 	for i := range 50 {
 		name := fmt.Sprintf("s-%d", i)
-		ready := entry{InstanceID: name, HostPort: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}
-		removed := entry{InstanceID: name, Lifecycle: "Gone"}
-		node.applyWatchEvent(watchEvent{Instances: []entry{ready}}, false)
-		node.applyWatchEvent(watchEvent{Instances: []entry{removed}}, false)
+		ready := endpointEntry{Name: name, Address: "127.0.0.1:1", Zone: "a", Lifecycle: "Ready", Weight: 1}
+		removed := endpointEntry{Name: name, Lifecycle: "Gone"}
+		node.applyWatchEvent(watchEvent{Endpoints: []endpointEntry{ready}}, false)
+		node.applyWatchEvent(watchEvent{Endpoints: []endpointEntry{removed}}, false)
 		node.releaseRemovedHosts(node.clock.Now())
 		if _, known := node.balancer.LookupHost(name); !known {
 			t.Fatalf("%s is forgotten at once", name)
