--- a/internal/platform/connection_limiter_test.go
+++ b/internal/platform/connection_limiter_test.go
@@ -71,8 +71,8 @@
 func TestUnresponsiveSessionEvicted(t *testing.T) {
 	node, address, proxies := fillNode(t)
 	found := query(t, node, func() bool {
-		node.sessions.lastCheckMs = 0
-		node.checkSessions(node.clock.Now() + unresponsiveRetentionMs/2)
+		node.lastMaintenanceMs = 0
+		node.maintain(node.clock.Now() + unresponsiveRetentionMs/2)
 		return len(node.sessions.unresponsive) == 1 && node.sessions.unresponsive[0] != nil
 	})
 	if !found {
--- a/internal/platform/event_loop.go
+++ b/internal/platform/event_loop.go
@@ -10,6 +10,9 @@
 	// and TCP then holds back their peers.
 	maxQueuedEvents = 1024
 
+	// maintenanceIntervalMs is the least time between looks for what has expired.
+	maintenanceIntervalMs = 500.0
+
 	nanosecondsPerMs = 1e6
 )
 
@@ -62,21 +65,31 @@
 // runRound has the balancer decide on what it has observed, and queues the updates that come of it.
 func (n *Node) runRound(output *balancerOutput) {
 	nowMs := n.clock.Now()
-	n.checkSessions(nowMs)
+	n.maintain(nowMs)
 	n.balancer.Round(nowMs, output)
 	n.updates.flush(func(proxy int, message []byte, stamp int) {
-		ses := n.sessions.active[proxy]
-		if ses == nil {
+		session := n.sessions.active[proxy]
+		if session == nil {
 			return
 		}
 		if stamp != noStamp {
-			ses.recordStamp(stamp, nowMs)
+			session.recordStamp(stamp, nowMs)
 		}
-		ses.enqueue(message)
+		session.enqueue(message)
 	})
 	n.traceHosts(nowMs)
 }
 
+// maintain drops hosts and sessions that have expired, from time to time.
+func (n *Node) maintain(nowMs float64) {
+	if nowMs < n.lastMaintenanceMs+maintenanceIntervalMs {
+		return
+	}
+	n.lastMaintenanceMs = nowMs
+	n.releaseRemovedHosts(nowMs)
+	n.expireSessions(nowMs)
+}
+
 // untilNextRound is how long it is until the round that the balancer has scheduled.
 func (n *Node) untilNextRound() time.Duration {
 	return time.Duration(max(n.nextRoundMs-n.clock.Now(), 0) * nanosecondsPerMs)
--- a/internal/platform/fuzz_test.go
+++ b/internal/platform/fuzz_test.go
@@ -33,7 +33,7 @@
 		}
 		observeSubscribe(t, balancer, decoder, reader)
 		for _, kind := range []string{kindHostReport, kindDemandReport, kindAck} { // the fields as those of any kind
-			message, err := decoder.decodeReport(append([]string{kind}, words[1:]...))
+			message, err := decoder.decodeSessionMessage(append([]string{kind}, words[1:]...))
 			if err == nil {
 				observeReport(t, balancer, decoder, message)
 			}
@@ -61,7 +61,7 @@
 	balancer.ConnectProxy(message.proxy, message.zone, message.weight)
 }
 
-func observeReport(t *testing.T, balancer *instance.Instance, decoder *messageDecoder, decoded report) {
+func observeReport(t *testing.T, balancer *instance.Instance, decoder *messageDecoder, decoded sessionMessage) {
 	t.Helper()
 	switch message := decoded.(type) {
 	case hostReport:
--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -69,7 +69,8 @@
 	case response.Status == http.StatusOK:
 		return routing.Healthy, decodeLoad(response.Body), nil
 	case time.Since(began) > timeout/2:
-		return routing.TimedOut, routing.UnknownLoad, fmt.Errorf("status %d after more than half of the timeout", response.Status)
+		err = fmt.Errorf("status %d after more than half of the timeout", response.Status)
+		return routing.TimedOut, routing.UnknownLoad, err
 	default:
 		return routing.Rejected, routing.UnknownLoad, fmt.Errorf("status %d", response.Status)
 	}
--- a/internal/platform/host_registry.go
+++ b/internal/platform/host_registry.go
@@ -91,8 +91,8 @@
 		return
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(n.sessions.active)) {
-		ses := n.sessions.active[proxy]
-		n.balancer.ConnectProxy(proxy, ses.zone, ses.weight)
+		session := n.sessions.active[proxy]
+		n.balancer.ConnectProxy(proxy, session.zone, session.weight)
 	}
 }
 
--- a/internal/platform/message.go
+++ b/internal/platform/message.go
@@ -14,8 +14,8 @@
 	zone int // index
 }
 
-// report is a message that comes after the first one: a hostReport, demandReport or ackMessage.
-type report interface{ isReport() }
+// sessionMessage is a message that comes after the first one: a hostReport, demandReport or ackMessage.
+type sessionMessage interface{ isSessionMessage() }
 
 // attemptCounts is what host reports and demand reports both count.
 type attemptCounts struct {
@@ -46,6 +46,6 @@
 	stamp int
 }
 
-func (hostReport) isReport()   {}
-func (demandReport) isReport() {}
-func (ackMessage) isReport()   {}
+func (hostReport) isSessionMessage()   {}
+func (demandReport) isSessionMessage() {}
+func (ackMessage) isSessionMessage()   {}
--- a/internal/platform/message_decoder.go
+++ b/internal/platform/message_decoder.go
@@ -43,10 +43,12 @@
 	return &fieldError{field, fmt.Sprintf("is %.20q", value)}
 }
 
-// unknownKindError says that a message is not a report.
-type unknownKindError struct{}
+// unknownKindError says that a message is none that a session may send.
+type unknownKindError struct {
+	kind string
+}
 
-func (unknownKindError) Error() string { return "not the kind of a report" }
+func (e *unknownKindError) Error() string { return fmt.Sprintf("unknown kind %.20q", e.kind) }
 
 // fieldReader reads the values of a message by their names. It keeps its first error, after which values mean
 // nothing: the caller reads all that the message should have, and then looks at err.
@@ -155,14 +157,14 @@
 	return decoder
 }
 
-// decodeReport decodes a message that is not the first one of its connection. The error is a *layoutError, a
-// *fieldError or an unknownKindError.
-func (d *messageDecoder) decodeReport(words []string) (report, error) {
+// decodeSessionMessage decodes a message that is not the first one of its connection. The error is a *layoutError, a
+// *fieldError or an *unknownKindError.
+func (d *messageDecoder) decodeSessionMessage(words []string) (sessionMessage, error) {
 	reader, err := newFieldReader(words)
 	if err != nil {
 		return nil, err
 	}
-	var message report
+	var message sessionMessage
 	switch words[0] {
 	case kindHostReport:
 		message = d.readHostReport(reader)
@@ -171,7 +173,7 @@
 	case kindAck:
 		message = d.readAck(reader)
 	default:
-		return nil, unknownKindError{}
+		return nil, &unknownKindError{words[0]}
 	}
 	if reader.err != nil {
 		return nil, reader.err
--- a/internal/platform/message_decoder_test.go
+++ b/internal/platform/message_decoder_test.go
@@ -70,7 +70,7 @@
 		message := decoder.readSubscribe(reader)
 		return fmt.Sprint(message.proxy, message.zone, message.weight), reader.err
 	}
-	decoded, err := decoder.decodeReport(words)
+	decoded, err := decoder.decodeSessionMessage(words)
 	if err != nil {
 		return "", err
 	}
@@ -104,7 +104,7 @@
 		{"ACK proxy 3 mark 905 took_ms -1", fieldAckTookMs},
 	} {
 		t.Run(test.words, func(t *testing.T) {
-			_, err := decoder.decodeReport(splitWords(test.words))
+			_, err := decoder.decodeSessionMessage(splitWords(test.words))
 			var fieldErr *fieldError
 			if !errors.As(err, &fieldErr) || fieldErr.field != test.field {
 				t.Errorf("error %v", err)
@@ -112,11 +112,12 @@
 		})
 	}
 	var layout *layoutError
-	if _, err := decoder.decodeReport([]string{kindAck, fieldProxy}); !errors.As(err, &layout) {
+	if _, err := decoder.decodeSessionMessage([]string{kindAck, fieldProxy}); !errors.As(err, &layout) {
 		t.Errorf("a name without a value: error %v", err)
 	}
-	var unknownKind unknownKindError
-	if _, err := decoder.decodeReport([]string{"NOISE"}); !errors.As(err, &unknownKind) {
+	var unknownKind *unknownKindError
+	_, err := decoder.decodeSessionMessage([]string{"NOISE"})
+	if !errors.As(err, &unknownKind) || unknownKind.kind != "NOISE" {
 		t.Errorf("an unknown kind: error %v", err)
 	}
 }
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -46,12 +46,13 @@
 	goroutines sync.WaitGroup // all but the event loop
 
 	// What follows belongs to the event loop.
-	balancer    *instance.Instance
-	updates     *updateEncoder
-	sessions    sessionRegistry
-	hosts       hostRegistry
-	nextRoundMs float64 // when the balancer wants its next round
-	lastTraceMs float64 // when the hosts were last logged
+	balancer          *instance.Instance
+	updates           *updateEncoder
+	sessions          sessionRegistry
+	hosts             hostRegistry
+	nextRoundMs       float64 // when the balancer wants its next round
+	lastMaintenanceMs float64 // when maintain last looked
+	lastTraceMs       float64 // when the hosts were last logged
 }
 
 // New makes a node that does not run yet. The error is that of instance.New.
--- a/internal/platform/serve.go
+++ b/internal/platform/serve.go
@@ -60,11 +60,11 @@
 // serve reads a connection until it ends. Its descriptor is released before the event loop learns of the end.
 func (n *Node) serve(conn *connection) {
 	reader := resp.NewReader(conn)
-	ses, err := n.identify(reader, conn)
+	session, err := n.identify(reader, conn)
 	if err == nil {
 		n.connections.markActive(conn)
-		n.post(func() { n.connect(ses) })
-		n.readReports(reader, ses)
+		n.post(func() { n.connect(session) })
+		n.readMessages(reader, session)
 	} else if errors.Is(err, errNotIdentified) {
 		n.warnings.warn("connection did not identify itself", nil)
 	} else {
@@ -73,13 +73,13 @@
 	conn.terminate()
 	n.connections.release(conn)
 	if err == nil {
-		n.post(func() { n.disconnect(ses) })
+		n.post(func() { n.disconnect(session) })
 	}
 }
 
 // identify reads the message by which a connection becomes a session. The error is errNotIdentified, or a *fieldError
 // where the message is malformed.
-func (n *Node) identify(reader *resp.Reader, conn *connection) (*session, error) {
+func (n *Node) identify(reader *resp.Reader, conn *connection) (*peerSession, error) {
 	setReadDeadline(conn, time.Now().Add(identifyTimeout))
 	words, err := readFirstMessage(reader, conn)
 	if err != nil {
@@ -89,12 +89,12 @@
 	if err != nil {
 		return nil, errNotIdentified
 	}
-	var ses *session
+	var session *peerSession
 	switch words[0] {
 	case kindSubscribe:
-		ses = newProxySession(conn, n.decoder.readSubscribe(values))
+		session = newProxySession(conn, n.decoder.readSubscribe(values))
 	case kindCollector:
-		ses = newCollectorSession(conn, n.decoder.readCollector(values))
+		session = newCollectorSession(conn, n.decoder.readCollector(values))
 	default:
 		return nil, errNotIdentified
 	}
@@ -102,7 +102,7 @@
 		return nil, values.err
 	}
 	setReadDeadline(conn, time.Time{})
-	return ses, nil
+	return session, nil
 }
 
 // setReadDeadline sets when reads time out; the zero time means never.
@@ -127,9 +127,9 @@
 	return nil, errNotIdentified
 }
 
-// readReports reads what a session sends until it ends, and passes on the decoded reports to the event loop. A
-// malformed report is dropped by itself; bytes that are no message end the session.
-func (n *Node) readReports(reader *resp.Reader, ses *session) {
+// readMessages reads what a session sends until it ends, and passes on the decoded messages to the event loop. A
+// malformed message is dropped by itself; bytes that are no message end the session.
+func (n *Node) readMessages(reader *resp.Reader, session *peerSession) {
 	var words []string
 	for {
 		var err error
@@ -139,24 +139,24 @@
 			if errors.As(err, &malformed) {
 				n.warnings.warn("session sent bytes that are not a message", err)
 			}
-			n.log.Debug().Err(err).Int("proxy", ses.proxy).Msg("session ended")
+			n.log.Debug().Err(err).Int("proxy", session.proxy).Msg("session ended")
 			return
 		}
-		ses.lastReadMs.Store(int64(n.clock.Now()))
+		session.lastReadMs.Store(int64(n.clock.Now()))
 		if isPing(words) {
-			ses.enqueue(pongMessage)
+			session.enqueue(pongMessage)
 		} else if len(words) > 0 {
-			n.postReport(ses, words)
+			n.postMessage(session, words)
 		}
 	}
 }
 
-// postReport decodes a message and passes it on to the event loop.
-func (n *Node) postReport(ses *session, words []string) {
+// postMessage decodes a message and passes it on to the event loop.
+func (n *Node) postMessage(session *peerSession, words []string) {
 	kind := words[0]
-	message, decodeErr := n.decoder.decodeReport(words)
+	message, decodeErr := n.decoder.decodeSessionMessage(words)
 	n.post(func() {
-		err := n.handleReport(ses, message, decodeErr)
+		err := n.handleMessage(session, message, decodeErr)
 		if err != nil {
 			n.warnings.warn(droppedMessageText(kind), err)
 		}
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -1,10 +1,6 @@
 package platform
 
-import (
-	"errors"
-	"fmt"
-	"slices"
-)
+import "slices"
 
 const (
 	noProxy = -1 // in session.proxy: a collector's
@@ -17,8 +13,6 @@
 	// pace.
 	maxUnacknowledged = 256
 
-	sessionCheckIntervalMs = 500.0 // between looks for unresponsive sessions
-
 	// A session is unresponsive when a version stamp has been unacknowledged for minAckTimeoutMs and
 	// ackLatencyFactor times the longest acknowledgement lately, and nothing came since.
 	minAckTimeoutMs  = 3000.0
@@ -31,9 +25,9 @@
 	unresponsiveRetentionMs = 20000.0
 )
 
-// session is a connection that has identified itself as a proxy's or as a zone's collector's. Its fields below the
-// connection belong to the event loop; proxy never changes.
-type session struct {
+// peerSession is a connection that has identified itself as a proxy's or as a zone's collector's. Its fields below
+// the connection belong to the event loop; proxy never changes.
+type peerSession struct {
 	*connection
 	proxy          int // noProxy: a collector's
 	zone           int
@@ -47,16 +41,16 @@
 	sentMs float64
 }
 
-func newProxySession(conn *connection, message subscribeMessage) *session {
-	return &session{connection: conn, proxy: message.proxy, zone: message.zone, weight: message.weight}
+func newProxySession(conn *connection, message subscribeMessage) *peerSession {
+	return &peerSession{connection: conn, proxy: message.proxy, zone: message.zone, weight: message.weight}
 }
 
-func newCollectorSession(conn *connection, message collectorMessage) *session {
-	return &session{connection: conn, proxy: noProxy, zone: message.zone}
+func newCollectorSession(conn *connection, message collectorMessage) *peerSession {
+	return &peerSession{connection: conn, proxy: noProxy, zone: message.zone}
 }
 
 // recordStamp notes a stamp that was sent. Of those never acknowledged the newest are kept.
-func (s *session) recordStamp(number int, nowMs float64) {
+func (s *peerSession) recordStamp(number int, nowMs float64) {
 	s.unacknowledged = append(s.unacknowledged, versionStamp{number, nowMs})
 	excess := max(len(s.unacknowledged)-maxUnacknowledged, 0)
 	s.unacknowledged = slices.Delete(s.unacknowledged, 0, excess)
@@ -64,7 +58,7 @@
 
 // isUnresponsive reports whether a stamp has been unacknowledged for too long, by the longest acknowledgement lately,
 // and nothing came since it was sent.
-func (s *session) isUnresponsive(nowMs, maxAckLatencyMs float64) bool {
+func (s *peerSession) isUnresponsive(nowMs, maxAckLatencyMs float64) bool {
 	if len(s.unacknowledged) == 0 {
 		return false
 	}
@@ -76,27 +70,26 @@
 // sessionRegistry is the sessions that there are. It belongs to the event loop. The proxies of the settings bound the
 // proxy sessions; maxCollectorsPerZone the collectors'.
 type sessionRegistry struct {
-	active       map[int]*session   // by proxy
-	unresponsive map[int]*session   // by proxy; they count as disconnected, their connections are kept for a while
-	collectors   map[int][]*session // by zone, oldest first
+	active       map[int]*peerSession   // by proxy
+	unresponsive map[int]*peerSession   // by proxy; they count as disconnected, their connections are kept for a while
+	collectors   map[int][]*peerSession // by zone, oldest first
 
-	lastCheckMs     float64 // when unresponsive sessions were last looked for
 	maxAckLatencyMs float64 // from update to acknowledgement, the longest lately
 }
 
 func newSessionRegistry() sessionRegistry {
 	return sessionRegistry{
-		active:       map[int]*session{},
-		unresponsive: map[int]*session{},
-		collectors:   map[int][]*session{},
+		active:       map[int]*peerSession{},
+		unresponsive: map[int]*peerSession{},
+		collectors:   map[int][]*peerSession{},
 	}
 }
 
 // others returns the sessions of the same proxy besides the one given.
-func (r *sessionRegistry) others(ses *session) []*session {
-	var others []*session
-	for _, other := range []*session{r.active[ses.proxy], r.unresponsive[ses.proxy]} {
-		if other != nil && other != ses {
+func (r *sessionRegistry) others(session *peerSession) []*peerSession {
+	var others []*peerSession
+	for _, other := range []*peerSession{r.active[session.proxy], r.unresponsive[session.proxy]} {
+		if other != nil && other != session {
 			others = append(others, other)
 		}
 	}
@@ -104,160 +97,91 @@
 }
 
 // addCollector notes a collector's session and ends the oldest one of a zone that has too many.
-func (r *sessionRegistry) addCollector(ses *session) {
-	sessions := r.collectors[ses.zone]
+func (r *sessionRegistry) addCollector(session *peerSession) {
+	sessions := r.collectors[session.zone]
 	if len(sessions) >= maxCollectorsPerZone {
 		sessions[0].terminate()
 	}
-	r.collectors[ses.zone] = append(sessions, ses)
+	r.collectors[session.zone] = append(sessions, session)
 }
 
-func (r *sessionRegistry) removeCollector(ses *session) {
-	r.collectors[ses.zone] = slices.DeleteFunc(r.collectors[ses.zone], func(other *session) bool { return other == ses })
+func (r *sessionRegistry) removeCollector(session *peerSession) {
+	sessions := r.collectors[session.zone]
+	r.collectors[session.zone] = slices.DeleteFunc(sessions, func(other *peerSession) bool { return other == session })
 }
 
 // connect begins a session.
-func (n *Node) connect(ses *session) {
-	if ses.proxy == noProxy {
-		n.sessions.addCollector(ses)
+func (n *Node) connect(session *peerSession) {
+	if session.proxy == noProxy {
+		n.sessions.addCollector(session)
 		return
 	}
-	n.connectProxy(ses)
+	n.connectProxy(session)
 }
 
 // disconnect ends a session whose connection has ended.
-func (n *Node) disconnect(ses *session) {
-	if ses.proxy == noProxy {
-		n.sessions.removeCollector(ses)
+func (n *Node) disconnect(session *peerSession) {
+	if session.proxy == noProxy {
+		n.sessions.removeCollector(session)
 		return
 	}
-	n.disconnectProxy(ses)
-	if n.sessions.unresponsive[ses.proxy] == ses {
-		delete(n.sessions.unresponsive, ses.proxy)
+	n.disconnectProxy(session)
+	if n.sessions.unresponsive[session.proxy] == session {
+		delete(n.sessions.unresponsive, session.proxy)
 	}
 }
 
 // connectProxy makes a session the proxy's present one and ends earlier ones. The connection accepted last counts, in
 // whatever order the first messages are read: each connection is read by a goroutine of its own.
-func (n *Node) connectProxy(ses *session) {
-	others := n.sessions.others(ses)
+func (n *Node) connectProxy(session *peerSession) {
+	others := n.sessions.others(session)
 	for _, other := range others {
-		if other.acceptNumber > ses.acceptNumber {
-			ses.terminate()
+		if other.acceptNumber > session.acceptNumber {
+			session.terminate()
 			return
 		}
 	}
 	for _, other := range others {
 		other.terminate()
 	}
-	delete(n.sessions.unresponsive, ses.proxy)
-	n.connections.markActive(ses.connection)
-	n.sessions.active[ses.proxy] = ses
-	ses.unacknowledged = nil
-	n.updates.forgetProxy(ses.proxy)
+	delete(n.sessions.unresponsive, session.proxy)
+	n.connections.markActive(session.connection)
+	n.sessions.active[session.proxy] = session
+	session.unacknowledged = nil
+	n.updates.forgetProxy(session.proxy)
 	if n.balancer.HostIndexCount() > 0 { // until a host is known the proxy keeps its table: ours would be empty
-		n.balancer.ConnectProxy(ses.proxy, ses.zone, ses.weight)
+		n.balancer.ConnectProxy(session.proxy, session.zone, session.weight)
 	}
 }
 
 // disconnectProxy ends the session of a proxy where it is the present one.
-func (n *Node) disconnectProxy(ses *session) {
-	if n.sessions.active[ses.proxy] != ses {
+func (n *Node) disconnectProxy(session *peerSession) {
+	if n.sessions.active[session.proxy] != session {
 		return
 	}
-	delete(n.sessions.active, ses.proxy)
-	n.updates.forgetProxy(ses.proxy)
-	n.balancer.DisconnectProxy(ses.proxy)
+	delete(n.sessions.active, session.proxy)
+	n.updates.forgetProxy(session.proxy)
+	n.balancer.DisconnectProxy(session.proxy)
 }
 
-// checkSessions looks for unresponsive sessions, from time to time. Such a proxy counts as disconnected, but its
-// connection is kept for a while: when a message comes after all, the session is connected again.
-func (n *Node) checkSessions(nowMs float64) {
-	if nowMs < n.sessions.lastCheckMs+sessionCheckIntervalMs {
-		return
-	}
-	n.sessions.lastCheckMs = nowMs
+// expireSessions looks for unresponsive sessions. Such a proxy counts as disconnected, but its connection is kept for
+// a while: when a message comes after all, the session is connected again.
+func (n *Node) expireSessions(nowMs float64) {
 	n.sessions.maxAckLatencyMs *= ackLatencyDecay
-	n.releaseRemovedHosts(nowMs)
-	for _, ses := range n.sessions.active {
-		if ses.isUnresponsive(nowMs, n.sessions.maxAckLatencyMs) {
+	for _, session := range n.sessions.active {
+		if session.isUnresponsive(nowMs, n.sessions.maxAckLatencyMs) {
 			n.log.Debug().
-				Int("proxy", ses.proxy).
-				Float64("unacknowledged_ms", nowMs-ses.unacknowledged[0].sentMs).
+				Int("proxy", session.proxy).
+				Float64("unacknowledged_ms", nowMs-session.unacknowledged[0].sentMs).
 				Msg("session unresponsive")
-			n.disconnectProxy(ses)
-			n.sessions.unresponsive[ses.proxy] = ses
-			n.connections.markUnresponsive(ses.connection)
+			n.disconnectProxy(session)
+			n.sessions.unresponsive[session.proxy] = session
+			n.connections.markUnresponsive(session.connection)
 		}
 	}
-	for _, ses := range n.sessions.unresponsive {
-		if nowMs > ses.unacknowledged[0].sentMs+unresponsiveRetentionMs {
-			ses.terminate()
+	for _, session := range n.sessions.unresponsive {
+		if nowMs > session.unacknowledged[0].sentMs+unresponsiveRetentionMs {
+			session.terminate()
 		}
 	}
 }
-
-// handleReport observes a message that came on a session, or returns why it was dropped. An unresponsive session is
-// connected again by any message that has at least a kind and fields.
-func (n *Node) handleReport(ses *session, message report, decodeErr error) error {
-	var badLayout *layoutError
-	hasFields := !errors.As(decodeErr, &badLayout)
-	if hasFields && ses.proxy != noProxy && n.sessions.unresponsive[ses.proxy] == ses {
-		n.connectProxy(ses)
-	}
-	if decodeErr != nil {
-		return decodeErr
-	}
-	switch message := message.(type) {
-	case hostReport:
-		return n.observeHostReport(message)
-	case demandReport:
-		return n.observeDemandReport(ses, message)
-	case ackMessage:
-		return n.acknowledge(ses, message)
-	default:
-		return unknownKindError{}
-	}
-}
-
-func (n *Node) observeHostReport(message hostReport) error {
-	host, known := n.balancer.LookupHost(message.host)
-	if !known {
-		return invalidValue(fieldHost, message.host)
-	}
-	n.balancer.ObserveHostStats(host, message.attempts, message.failures, message.meanMs, message.intervalMs, message.load)
-	return nil
-}
-
-// observeDemandReport takes a proxy's report from its own session or from a collector's.
-func (n *Node) observeDemandReport(ses *session, message demandReport) error {
-	if ses.proxy != noProxy && ses.proxy != message.proxy {
-		return wrongProxy(message.proxy, ses)
-	}
-	n.balancer.ObserveDemand(message.proxy, message.class, message.attempts, message.intervalMs)
-	return nil
-}
-
-// acknowledge notes that a stamp is acknowledged, and with it all sent before: updates keep their order on a
-// connection, and an acknowledgement may have come malformed.
-func (n *Node) acknowledge(ses *session, message ackMessage) error {
-	if ses.proxy != message.proxy {
-		return wrongProxy(message.proxy, ses)
-	}
-	index := slices.IndexFunc(ses.unacknowledged, func(stamp versionStamp) bool { return stamp.number == message.stamp })
-	if index < 0 {
-		return &fieldError{fieldStamp, fmt.Sprintf("is %d, which is not unacknowledged", message.stamp)}
-	}
-	if n.sessions.active[ses.proxy] == ses {
-		n.balancer.Ack(ses.proxy, message.stamp)
-		latencyMs := n.clock.Now() - ses.unacknowledged[index].sentMs
-		n.sessions.maxAckLatencyMs = max(n.sessions.maxAckLatencyMs, latencyMs)
-	}
-	ses.unacknowledged = slices.Delete(ses.unacknowledged, 0, index+1)
-	return nil
-}
-
-// wrongProxy is the error of a message that speaks for another proxy than the session's.
-func wrongProxy(proxy int, ses *session) error {
-	return &fieldError{fieldProxy, fmt.Sprintf("is %d on the session of proxy %d", proxy, ses.proxy)}
-}
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -100,24 +100,24 @@
 	local, remote := net.Pipe()
 	closeAtEnd(t, local)
 	closeAtEnd(t, remote)
-	ses := &session{connection: &connection{Conn: local}, proxy: 2}
-	node.connectProxy(ses)
-	ses.unacknowledged = []versionStamp{{number: 5, sentMs: 1000}}
-	ses.lastReadMs.Store(900)
+	session := &peerSession{connection: &connection{Conn: local}, proxy: 2}
+	node.connectProxy(session)
+	session.unacknowledged = []versionStamp{{number: 5, sentMs: 1000}}
+	session.lastReadMs.Store(900)
 	for _, step := range []struct {
 		nowMs     float64
 		connected bool
 	}{{3900, true}, {4600, false}} {
-		node.checkSessions(step.nowMs)
-		if (node.sessions.active[2] == ses) != step.connected {
+		node.maintain(step.nowMs)
+		if (node.sessions.active[2] == session) != step.connected {
 			t.Errorf("at %.0f ms connected is %v", step.nowMs, !step.connected)
 		}
 	}
 	message := demandReport{proxy: 2, attemptCounts: attemptCounts{intervalMs: 1000, attempts: 1}}
-	if err := node.handleReport(ses, message, nil); err != nil {
+	if err := node.handleMessage(session, message, nil); err != nil {
 		t.Error(err)
 	}
-	if node.sessions.active[2] != ses || len(node.sessions.unresponsive) != 0 {
+	if node.sessions.active[2] != session || len(node.sessions.unresponsive) != 0 {
 		t.Error("it has sent a message and is not connected")
 	}
 }
@@ -134,13 +134,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			node := newIdleNode(t)
-			ses := &session{connection: &connection{}, proxy: 2}
-			node.sessions.unresponsive[2] = ses
-			message, decodeErr := node.decoder.decodeReport(splitWords(test.words))
-			if err := node.handleReport(ses, message, decodeErr); err == nil {
+			session := &peerSession{connection: &connection{}, proxy: 2}
+			node.sessions.unresponsive[2] = session
+			message, decodeErr := node.decoder.decodeSessionMessage(splitWords(test.words))
+			if err := node.handleMessage(session, message, decodeErr); err == nil {
 				t.Error("the message is not dropped")
 			}
-			if connected := node.sessions.active[2] == ses; connected != test.connected {
+			if connected := node.sessions.active[2] == session; connected != test.connected {
 				t.Errorf("connected is %v", connected)
 			}
 		})
@@ -208,12 +208,12 @@
 
 // A proxy that acknowledges no stamp but goes on sending costs a bounded number of stamps; the newest are kept.
 func TestStampsNeverAcknowledged(t *testing.T) {
-	ses := &session{}
+	session := &peerSession{}
 	for number := range 10 * maxUnacknowledged {
-		ses.recordStamp(number, float64(number))
+		session.recordStamp(number, float64(number))
 	}
-	last := ses.unacknowledged[len(ses.unacknowledged)-1]
-	if len(ses.unacknowledged) != maxUnacknowledged || last.number != 10*maxUnacknowledged-1 {
-		t.Errorf("%d stamps are kept, the last %v", len(ses.unacknowledged), last)
+	last := session.unacknowledged[len(session.unacknowledged)-1]
+	if len(session.unacknowledged) != maxUnacknowledged || last.number != 10*maxUnacknowledged-1 {
+		t.Errorf("%d stamps are kept, the last %v", len(session.unacknowledged), last)
 	}
 }
--- a/internal/platform/simadapter_equivalence_test.go
+++ b/internal/platform/simadapter_equivalence_test.go
@@ -79,8 +79,8 @@
 // report gives the node a message of a collector.
 func (r *equivalenceRun) report(words string) {
 	r.t.Helper()
-	message, err := r.node.decoder.decodeReport(strings.Fields(words))
-	if err := r.node.handleReport(&session{proxy: noProxy}, message, err); err != nil {
+	message, err := r.node.decoder.decodeSessionMessage(strings.Fields(words))
+	if err := r.node.handleMessage(&peerSession{proxy: noProxy}, message, err); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -129,7 +129,7 @@
 	start := fmt.Sprintf(`{"event_type":"Start","I":0,"Prng":%d,"Settings":%s}`, 0x1f,
 		strings.ReplaceAll(testSettings, "\n", ""))
 	known := run.endpoints(cachedSnapshot, 1, true, true, first, second)
-	run.node.connectProxy(&session{connection: &connection{}, proxy: 2, zone: 1, weight: 3})
+	run.node.connectProxy(&peerSession{connection: &connection{}, proxy: 2, zone: 1, weight: 3})
 	run.round(1000, start, known, `{"event_type":"CheckedIn","I":0,"Px":2,"Area":"b","W":3,"Flag":true}`)
 	run.round(1600, run.endpoints(snapshot, 2, true, false, first, second, started))
 	for i := range 40 {
