--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -1,6 +1,7 @@
 package platform
 
 import (
+	"errors"
 	"net"
 	"testing"
 
@@ -217,3 +218,51 @@
 		t.Errorf("%d stamps are kept, the last %v", len(session.unacknowledged), last)
 	}
 }
+
+// A zone's collector may have a few sessions; one more ends the oldest.
+func TestCollectorsPerZone(t *testing.T) {
+	node := newIdleNode(t)
+	var collectors []*peerSession
+	for range maxCollectorsPerZone + 1 {
+		conn, _ := newPipeConnection(t, &node.goroutines)
+		session := newCollectorSession(conn, collectorMessage{zone: 1})
+		node.connect(session)
+		collectors = append(collectors, session)
+	}
+	for i, session := range collectors {
+		if session.closed != (i == 0) {
+			t.Errorf("session %d of the collector is closed: %v", i, session.closed)
+		}
+		node.disconnect(session)
+	}
+	if left := len(node.sessions.collectors[1]); left != 0 {
+		t.Errorf("%d sessions are left after their end", left)
+	}
+}
+
+// A message that speaks for another proxy, or names an unknown host, is dropped with the field.
+func TestMessageNotOfSession(t *testing.T) {
+	node := newIdleNode(t)
+	proxySession := &peerSession{connection: &connection{}, proxy: 2}
+	collector := &peerSession{connection: &connection{}, proxy: noProxy}
+	counts := attemptCounts{intervalMs: 1000, attempts: 1}
+	for _, test := range []struct {
+		name, field string
+		session     *peerSession
+		message     sessionMessage
+	}{
+		{"demand of another proxy", fieldProxy, proxySession, demandReport{attemptCounts: counts, proxy: 1}},
+		{"acknowledgement of another proxy", fieldProxy, proxySession, ackMessage{proxy: 1, stamp: 5}},
+		{"acknowledgement by a collector", fieldProxy, collector, ackMessage{proxy: 1, stamp: 5}},
+		{"stamp that was not sent", fieldStamp, proxySession, ackMessage{proxy: 2, stamp: 5}},
+		{"unknown host", fieldHost, collector, hostReport{attemptCounts: counts, host: "s-9"}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			err := node.handleMessage(test.session, test.message, nil)
+			var fieldErr *fieldError
+			if !errors.As(err, &fieldErr) || fieldErr.field != test.field {
+				t.Errorf("error %v", err)
+			}
+		})
+	}
+}
