--- a/internal/platform/connection_limiter.go
+++ b/internal/platform/connection_limiter.go
@@ -40,7 +40,7 @@
 // admitDecision is what the limiter decides on a connection.
 type admitDecision struct {
 	admitted bool
-	rejected bool          // sessions in use hold all descriptors
+	rejected bool          // sessions in use hold all descriptors, or the limiter is closed
 	evict    *connection   // to be terminated, so that a descriptor is released
 	wait     time.Duration // until the next try, where neither admitted nor rejected
 }
--- a/internal/platform/endpoint_watcher.go
+++ b/internal/platform/endpoint_watcher.go
@@ -59,7 +59,7 @@
 func newEndpointWatcher(log zerolog.Logger, warnings *rateLimitedLog, zoneIndex func(string) (int, bool),
 	deliver func(watchEvent)) *endpointWatcher {
 	return &endpointWatcher{
-		client:     &http1.Client{Idle: 1},
+		client:     &http1.Client{Idle: 1}, // calls follow each other on one connection
 		log:        log,
 		warnings:   warnings,
 		zoneIndex:  zoneIndex,
--- a/internal/platform/message_decoder.go
+++ b/internal/platform/message_decoder.go
@@ -150,7 +150,6 @@
 		maxProxy:   *settings.FamilyInfo.DataPlaneSize - 1,
 	}
 	for _, service := range settings.Services {
-		const microsecondsPerMs = 1000
 		deadlineMs := *service.HardLimitUs / microsecondsPerMs
 		decoder.maxMeanMs = math.Max(decoder.maxMeanMs, latencyTolerance*deadlineMs)
 	}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -26,7 +26,13 @@
 	"barleysail/internal/instance"
 )
 
-const microsecondsPerMs = 1000
+const (
+	microsecondsPerMs = 1000
+
+	// noIdleConnections has each health check use a connection of its own: one that was kept and has become
+	// unresponsive would look like an unresponsive host.
+	noIdleConnections = -1
+)
 
 // Node is a controller in service.
 type Node struct {
@@ -68,7 +74,7 @@
 		clock:            clock.New(),
 		decoder:          newMessageDecoder(config.Settings, balancer),
 		connections:      newConnectionLimiter(config.Limits.connections(healthChecks)),
-		healthClient:     &http1.Client{Idle: -1},
+		healthClient:     &http1.Client{Idle: noIdleConnections},
 		healthCheckSlots: make(chan struct{}, healthChecks),
 		warnings:         newRateLimitedLog(log, time.Now),
 		events:           make(chan func(), maxQueuedEvents),
