--- a/internal/platform/connection_limiter_test.go
+++ b/internal/platform/connection_limiter_test.go
@@ -2,14 +2,12 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"net"
-	"runtime"
 	"strings"
+	"sync"
 	"testing"
-
-	"github.com/rs/zerolog"
+	"testing/synctest"
+	"time"
 )
 
 // fillNode runs a node with as many proxy sessions as it has descriptors for; all but the first have acknowledged
@@ -84,73 +82,98 @@
 	}
 }
 
-// A node ends at once whatever is under way: an idle session, a connection in the middle of its first message, one
-// that sends nothing, a health check and a watch call that wait for their answers. Nothing that it started goes on.
-func TestShutdown(t *testing.T) {
-	host, discovery := listen(t), listen(t)
-	config := newTestConfig(t, discovery.Addr().String(), 0)
-	config.Settings.Limits.MayProbe = true
-	config.HealthCheckTimeout = testTimeout
-	config.knownEndpoints.Endpoints[0].Address = host.Addr().String()
-	node, err := New(config, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	listener := listen(t)
-	address := listener.Addr().String()
-	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(cancel)
-	ended := make(chan struct{})
-	go func() {
-		node.serveListener(ctx, listener)
-		close(ended)
-	}()
-	proxy := dial(t, address, subscribeProxy0)
-	proxy.expect(firstSnapshot)
-	partial := dial(t, address, "PING")
-	partial.expect("PONG")
-	partial.sendRaw("*2\r\n$9\r\nSUBSC")
-	dial(t, address, "PING").expect("PONG")
-	acceptCall(t, host)
-	acceptCall(t, discovery)
-	cancel()
-	receive(t, ended)
-	expectNoGoroutines(t)
-	if conn, err := net.Dial("tcp", address); err == nil {
-		mustClose(t, conn)
-		t.Error("it still accepts connections")
-	}
+// limiterRun admits connections, each of which a goroutine releases once it is closed.
+type limiterRun struct {
+	t          *testing.T
+	limiter    *connectionLimiter
+	goroutines sync.WaitGroup
+	admitted   []*connection
 }
 
-// expectNoGoroutines fails the test where a goroutine of a node still runs.
-func expectNoGoroutines(t *testing.T) {
+// fillLimiter makes a limiter whose descriptors are all held by unidentified connections.
+func fillLimiter(t *testing.T) *limiterRun {
 	t.Helper()
-	stacks := make([]byte, 1<<20)
-	stacks = stacks[:runtime.Stack(stacks, true)]
-	for _, stack := range strings.Split(string(stacks), "\n\n") {
-		for _, owner := range []string{"(*Node)", "(*endpointWatcher)", "(*connection)", "(*session)"} {
-			if strings.Contains(stack, "platform."+owner) {
-				t.Errorf("goes on after the end:\n%s", stack)
-			}
+	run := &limiterRun{t: t, limiter: newConnectionLimiter(minUnidentified)}
+	for range minUnidentified {
+		if !run.admit() {
+			t.Fatal("a connection is rejected though there is room")
 		}
 	}
+	return run
 }
 
-// Run serves until its context ends, and fails where its address is in use.
-func TestRun(t *testing.T) {
-	config := newTestConfig(t, noDiscovery, 0)
-	node, err := New(config, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(t.Context())
-	cancel()
-	if err := node.Run(ctx); err != nil {
-		t.Errorf("after its context has ended: %v", err)
-	}
-	config.Listen = listen(t).Addr().String()
-	var opError *net.OpError
-	if err := node.Run(ctx); !errors.As(err, &opError) {
-		t.Errorf("on an address in use: %v", err)
+func (r *limiterRun) admit() bool {
+	r.t.Helper()
+	conn, _ := newPipeConnection(r.t, &r.goroutines)
+	if !r.limiter.admit(context.Background(), conn) {
+		return false
 	}
+	r.goroutines.Go(func() {
+		_, _ = conn.Read(make([]byte, 1)) // any error is the end
+		r.limiter.release(conn)
+	})
+	r.admitted = append(r.admitted, conn)
+	return true
+}
+
+// close ends all connections, and waits for their goroutines.
+func (r *limiterRun) close() {
+	r.limiter.close()
+	r.goroutines.Wait()
+}
+
+// Where unidentified connections hold all descriptors, a newcomer waits until the oldest has had its time, and takes
+// its place.
+func TestUnidentifiedConnectionEvicted(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		run := fillLimiter(t)
+		defer run.close()
+		began := time.Now()
+		if !run.admit() {
+			t.Error("a connection is rejected though unidentified ones could give way")
+		}
+		if waited := time.Since(began); waited != minUnidentifiedTime {
+			t.Errorf("the oldest unidentified connection is evicted after %v", waited)
+		}
+		if !run.admitted[0].closed || run.admitted[1].closed {
+			t.Error("it is not the oldest connection that is evicted")
+		}
+	})
+}
+
+// Where active sessions hold all descriptors, a newcomer is rejected at once, until one becomes unresponsive.
+func TestConnectionRejected(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		run := fillLimiter(t)
+		for _, conn := range run.admitted {
+			run.limiter.markActive(conn)
+		}
+		if run.admit() {
+			t.Error("a connection is admitted though sessions in use hold all descriptors")
+		}
+		run.limiter.markUnresponsive(run.admitted[3])
+		if !run.admit() || !run.admitted[3].closed {
+			t.Error("an unresponsive session does not give way")
+		}
+		run.close()
+		if run.admit() {
+			t.Error("a closed limiter admits a connection")
+		}
+	})
+}
+
+// A newcomer that waits for room gives up with its context.
+func TestAdmissionCancelled(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		run := fillLimiter(t)
+		defer run.close()
+		const timeout = minUnidentifiedTime / 2
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
+		defer cancel()
+		late, _ := newPipeConnection(t, &run.goroutines)
+		began := time.Now()
+		if run.limiter.admit(ctx, late) || time.Since(began) != timeout {
+			t.Errorf("admission ends after %v", time.Since(began))
+		}
+	})
 }
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -4,8 +4,6 @@
 	"errors"
 	"net"
 	"testing"
-
-	"github.com/rs/zerolog"
 )
 
 // A proxy connects, gets its table, acknowledges it and sends PING; its next session ends the old one. A malformed
@@ -183,30 +181,6 @@
 	proxy.expect(firstSnapshot)
 }
 
-// One malformed entry of the known endpoints must not leave a node that has just started without hosts.
-func TestKnownEndpointsWithMalformedEntry(t *testing.T) {
-	config := newTestConfig(t, noDiscovery, 0)
-	malformed := endpointEntry{Name: "s-0", Address: "127.0.0.1:1", Zone: "nowhere", Lifecycle: "Ready"}
-	config.knownEndpoints.Endpoints = append([]endpointEntry{malformed}, config.knownEndpoints.Endpoints...)
-	_, address := startNode(t, config)
-	dial(t, address, subscribeProxy0).expect(firstSnapshot)
-}
-
-// How many health checks may be in flight follows from the descriptors, not from known endpoints that may be absent.
-func TestHealthChecksInFlight(t *testing.T) {
-	for _, sockets := range []int{0, 256, 1024, 4096} {
-		config := newTestConfig(t, noDiscovery, sockets)
-		config.knownEndpoints.Endpoints = nil
-		node, err := New(config, zerolog.Nop())
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got := cap(node.healthCheckSlots); got < 16 {
-			t.Errorf("with %d descriptors %d health checks may be in flight", sockets, got)
-		}
-	}
-}
-
 // A proxy that acknowledges no stamp but goes on sending costs a bounded number of stamps; the newest are kept.
 func TestStampsNeverAcknowledged(t *testing.T) {
 	session := &peerSession{}
