--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -1,209 +1,187 @@
 package platform
 
-import (
-	"errors"
-	"fmt"
-	"net"
-	"slices"
-	"sync"
-	"sync/atomic"
-	"time"
-
-	"barleysail/internal/resp"
-)
+import "slices"
 
 const (
-	identifyTimeout        = 1500 * time.Millisecond // for a connection to join: a client owes its first message within 1 s
-	minUnidentifiedTime    = 150 * time.Millisecond  // that each gets, however many come
-	evictionWait           = 5 * time.Millisecond    // until a connection that had to give way has let go of its descriptor
-	maxIdentifyBytes       = 4 << 10                 // bytes of a message before the joining
-	maxMessageBytes        = 1 << 20
-	maxMessageWords        = 256
-	maxPingsBeforeIdentify = 32
-	maxUnacknowledged      = 256       // unanswered on a stream: minutes of the module's own pace of messages
-	maxQueuedBytes         = 512 << 10 // bytes that may wait for a stream
-	writeTimeout           = 5 * time.Second
+	noProxy = -1 // in session.proxy: a collector's
+
+	// maxCollectorsPerZone is how many sessions a zone's collector may have: an old one may not have been seen to
+	// end.
+	maxCollectorsPerZone = 3
+
+	// maxUnacknowledged bounds the version stamps that are kept for one session: minutes of updates at the balancer's
+	// pace.
+	maxUnacknowledged = 256
+
+	// A session is unresponsive when a version stamp has been unacknowledged for minAckTimeoutMs and
+	// ackLatencyFactor times the longest acknowledgement lately, and nothing came since.
+	minAckTimeoutMs  = 3000.0
+	ackLatencyFactor = 2
+	// ackLatencyDecay is the part of the longest acknowledgement latency that stays from check to check.
+	ackLatencyDecay = 0.95
+
+	// unresponsiveRetentionMs is how long after its oldest unacknowledged stamp the connection of an unresponsive
+	// session is closed.
+	unresponsiveRetentionMs = 20000.0
 )
 
-var pongMessage = resp.Append(nil, "PONG")
-
-// session is a connection that takes messages. Its queue is emptied by a goroutine that lasts as long as something waits,
-// so that no slow peer holds up another.
-type session struct {
-	net.Conn
-	mu          sync.Mutex
-	writeQueue  net.Buffers
-	queuedBytes int
-	writing     bool
-	closed      bool
-
-	acceptNumber uint64 // counts the connections accepted
-	goroutines   *sync.WaitGroup
-	admittedAt   time.Time    // when it was taken in
-	lastReadMs   atomic.Int64 // when bytes last came, in ms
-
-	proxy          int // what follows is the owner's: -1 for a collector
+// peerSession is a connection that has identified itself as a proxy's or as a zone's collector's. Its fields below
+// the connection belong to the event loop; proxy never changes.
+type peerSession struct {
+	*connection
+	proxy          int // noProxy: a collector's
 	zone           int
-	weight         float64
-	unacknowledged []versionStamp // marks not yet answered
+	weight         float64        // rough requests per second that come to the proxy
+	unacknowledged []versionStamp // oldest first, at most maxUnacknowledged
 }
 
+// versionStamp is a stamp that a proxy was asked to acknowledge.
 type versionStamp struct {
 	number int
 	sentMs float64
 }
 
-// recordStamp notes a mark that went out; of those never answered the newest are kept.
-func (s *session) recordStamp(number int, now float64) {
-	s.unacknowledged = append(s.unacknowledged, versionStamp{number, now})
-	s.unacknowledged = slices.Delete(s.unacknowledged, 0, max(len(s.unacknowledged)-maxUnacknowledged, 0))
+func newProxySession(conn *connection, message subscribeMessage) *peerSession {
+	return &peerSession{connection: conn, proxy: message.proxy, zone: message.zone, weight: message.weight}
 }
 
-// enqueue queues bytes, and ends the connection where too many wait.
-func (s *session) enqueue(b []byte) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.closed {
-		return
-	}
-	if s.queuedBytes+len(b) > maxQueuedBytes {
-		s.closed = true
-		s.Conn.Close()
-		return
+func newCollectorSession(conn *connection, message collectorMessage) *peerSession {
+	return &peerSession{connection: conn, proxy: noProxy, zone: message.zone}
+}
+
+// recordStamp notes a stamp that was sent. Of those never acknowledged the newest are kept.
+func (s *peerSession) recordStamp(number int, nowMs float64) {
+	s.unacknowledged = append(s.unacknowledged, versionStamp{number, nowMs})
+	excess := max(len(s.unacknowledged)-maxUnacknowledged, 0)
+	s.unacknowledged = slices.Delete(s.unacknowledged, 0, excess)
+}
+
+// isUnresponsive reports whether a stamp has been unacknowledged for too long, by the longest acknowledgement lately,
+// and nothing came since it was sent.
+func (s *peerSession) isUnresponsive(nowMs, maxAckLatencyMs float64) bool {
+	if len(s.unacknowledged) == 0 {
+		return false
 	}
-	s.writeQueue, s.queuedBytes = append(s.writeQueue, b), s.queuedBytes+len(b)
-	if !s.writing {
-		s.writing = true
-		s.goroutines.Go(s.writeQueued)
+	sentMs := s.unacknowledged[0].sentMs
+	deadlineMs := sentMs + minAckTimeoutMs + ackLatencyFactor*maxAckLatencyMs
+	return float64(s.lastReadMs.Load()) < sentMs && nowMs > deadlineMs
+}
+
+// sessionRegistry is the sessions that there are. It belongs to the event loop. The proxies of the settings bound the
+// proxy sessions; maxCollectorsPerZone the collectors'.
+type sessionRegistry struct {
+	active       map[int]*peerSession   // by proxy
+	unresponsive map[int]*peerSession   // by proxy; they count as disconnected, their connections are kept for a while
+	collectors   map[int][]*peerSession // by zone, oldest first
+
+	maxAckLatencyMs float64 // from update to acknowledgement, the longest lately
+}
+
+func newSessionRegistry() sessionRegistry {
+	return sessionRegistry{
+		active:       map[int]*peerSession{},
+		unresponsive: map[int]*peerSession{},
+		collectors:   map[int][]*peerSession{},
 	}
 }
 
-func (s *session) writeQueued() {
-	for {
-		s.mu.Lock()
-		queue, n := s.writeQueue, s.queuedBytes
-		s.writeQueue = nil
-		if n == 0 || s.closed {
-			s.writing = false
-			s.mu.Unlock()
-			return
-		}
-		s.mu.Unlock()
-		s.SetWriteDeadline(time.Now().Add(writeTimeout))
-		_, err := queue.WriteTo(s.Conn)
-		s.mu.Lock()
-		s.queuedBytes -= n
-		s.mu.Unlock()
-		if err != nil {
-			s.terminate()
+// others returns the sessions of the same proxy besides the one given.
+func (r *sessionRegistry) others(session *peerSession) []*peerSession {
+	var others []*peerSession
+	for _, other := range []*peerSession{r.active[session.proxy], r.unresponsive[session.proxy]} {
+		if other != nil && other != session {
+			others = append(others, other)
 		}
 	}
+	return others
+}
+
+// addCollector notes a collector's session and ends the oldest one of a zone that has too many.
+func (r *sessionRegistry) addCollector(session *peerSession) {
+	sessions := r.collectors[session.zone]
+	if len(sessions) >= maxCollectorsPerZone {
+		sessions[0].terminate()
+	}
+	r.collectors[session.zone] = append(sessions, session)
 }
 
-func (s *session) terminate() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.closed = true
-	s.Conn.Close()
+func (r *sessionRegistry) removeCollector(session *peerSession) {
+	sessions := r.collectors[session.zone]
+	r.collectors[session.zone] = slices.DeleteFunc(sessions, func(other *peerSession) bool { return other == session })
 }
 
-// serve reads a connection until it ends. Its descriptor is free before the event loop hears of the end.
-func (n *Node) serve(s *session) {
-	left := n.read(s)
-	s.terminate()
-	n.connections.release(s)
-	if left != nil {
-		n.post(left)
+// connect begins a session.
+func (n *Node) connect(session *peerSession) {
+	if session.proxy == noProxy {
+		n.sessions.addCollector(session)
+		return
 	}
+	n.connectProxy(session)
 }
 
-// read takes first a connection's joining, then what it reports; it gives what the event loop is to do when it has ended.
-func (n *Node) read(s *session) (left func()) {
-	r := resp.NewReader(s.Conn)
-	s.SetReadDeadline(time.Now().Add(identifyTimeout))
-	kind, f := n.awaitIdentification(r, s)
-	switch kind {
-	case "SUBSCRIBE":
-		proxy, zone, weight, err := n.bounds.subscription(f, n.balancer)
-		if err != nil {
-			n.warnings.warn("a joining makes no sense", err)
-			return nil
-		}
-		s.proxy, s.zone, s.weight = proxy, zone, weight
-		n.connections.markActive(s)
-		n.post(func() { n.connect(s) })
-		left = func() { n.disconnect(s) }
-	case "SOURCE":
-		zone, ok := n.balancer.ZoneIndex(f["zone"])
-		if !ok {
-			n.warnings.warn("a joining makes no sense", fmt.Errorf("zone is %.20q", f["zone"]))
-			return nil
-		}
-		n.connections.markActive(s)
-		n.post(func() { n.addCollector(s, zone) })
-		left = func() { n.removeCollector(s, zone) }
-	default:
-		n.warnings.warn("a connection does not join", nil)
-		return nil
+// disconnect ends a session whose connection has ended.
+func (n *Node) disconnect(session *peerSession) {
+	if session.proxy == noProxy {
+		n.sessions.removeCollector(session)
+		return
 	}
-	s.SetReadDeadline(time.Time{})
-	var words []string
-	for {
-		var err error
-		if words, err = r.Read(words, resp.Limits{Words: maxMessageWords, Bytes: maxMessageBytes}); err != nil {
-			var malformed *resp.ProtocolError
-			if errors.As(err, &malformed) {
-				n.warnings.warn("a stream goes on with what can't be read", err)
-			}
-			n.log.Debug().Err(err).Int("proxy", s.proxy).Msg("a stream ends")
-			return left
-		}
-		s.lastReadMs.Store(int64(n.clock.Now()))
-		if len(words) == 1 && words[0] == "PING" {
-			s.enqueue(pongMessage)
-			continue
-		}
-		if len(words) == 0 {
-			continue
-		}
-		kind := words[0]
-		f, err := parseFields(words)
-		n.post(func() {
-			if err == nil {
-				err = n.handle(s, kind, f)
-			}
-			if err != nil {
-				n.warnings.warn(droppedMessageText(kind), err)
-			}
-		})
+	n.disconnectProxy(session)
+	if n.sessions.unresponsive[session.proxy] == session {
+		delete(n.sessions.unresponsive, session.proxy)
 	}
 }
 
-// awaitIdentification reads until the connection joins; signs of life are given on the way. An empty kind ends the connection.
-func (n *Node) awaitIdentification(r *resp.Reader, s *session) (kind string, f fields) {
-	var words []string
-	for range maxPingsBeforeIdentify {
-		var err error
-		if words, err = r.Read(words, resp.Limits{Words: 16, Bytes: maxIdentifyBytes}); err != nil || len(words) == 0 {
-			return "", nil
-		}
-		if len(words) == 1 && words[0] == "PING" {
-			s.enqueue(pongMessage)
-			continue
-		}
-		if f, err = parseFields(words); err != nil {
-			return "", nil
+// connectProxy makes a session the proxy's present one and ends earlier ones. The connection accepted last counts, in
+// whatever order the first messages are read: each connection is read by a goroutine of its own.
+func (n *Node) connectProxy(session *peerSession) {
+	others := n.sessions.others(session)
+	for _, other := range others {
+		if other.acceptNumber > session.acceptNumber {
+			session.terminate()
+			return
 		}
-		return words[0], f
 	}
-	return "", nil
+	for _, other := range others {
+		other.terminate()
+	}
+	delete(n.sessions.unresponsive, session.proxy)
+	n.connections.markActive(session.connection)
+	n.sessions.active[session.proxy] = session
+	session.unacknowledged = nil
+	n.updates.forgetProxy(session.proxy)
+	if n.balancer.HostIndexCount() > 0 { // until a host is known the proxy keeps its table: ours would be empty
+		n.balancer.ConnectProxy(session.proxy, session.zone, session.weight)
+	}
+}
+
+// disconnectProxy ends the session of a proxy where it is the present one.
+func (n *Node) disconnectProxy(session *peerSession) {
+	if n.sessions.active[session.proxy] != session {
+		return
+	}
+	delete(n.sessions.active, session.proxy)
+	n.updates.forgetProxy(session.proxy)
+	n.balancer.DisconnectProxy(session.proxy)
 }
 
-// droppedMessageText names the fault of a message that was dropped.
-func droppedMessageText(kind string) string {
-	switch kind {
-	case "LOAD", "RATE", "ACK":
-		return "a malformed " + kind + " is dropped"
+// expireSessions looks for unresponsive sessions. Such a proxy counts as disconnected, but its connection is kept for
+// a while: when a message comes after all, the session is connected again.
+func (n *Node) expireSessions(nowMs float64) {
+	n.sessions.maxAckLatencyMs *= ackLatencyDecay
+	for _, session := range n.sessions.active {
+		if session.isUnresponsive(nowMs, n.sessions.maxAckLatencyMs) {
+			n.log.Debug().
+				Int("proxy", session.proxy).
+				Float64("unacknowledged_ms", nowMs-session.unacknowledged[0].sentMs).
+				Msg("session unresponsive")
+			n.disconnectProxy(session)
+			n.sessions.unresponsive[session.proxy] = session
+			n.connections.markUnresponsive(session.connection)
+		}
+	}
+	for _, session := range n.sessions.unresponsive {
+		if nowMs > session.unacknowledged[0].sentMs+unresponsiveRetentionMs {
+			session.terminate()
+		}
 	}
-	return "a message of no known kind is dropped"
 }
