--- a/routing/admission.go
+++ b/routing/admission.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// overloadUtilization is the utilization over which the fleet may be overloaded.
+	// overloadUtilization is the utilization above which the fleet may be overloaded.
 	overloadUtilization = 0.9
 
 	// targetUtilization is the utilization at which a change of the admission ratio aims.
 	targetUtilization = 0.85
 
-	// recoverUtilization is the utilization under which the admission ratio rises again.
+	// recoverUtilization is the utilization below which the admission ratio rises again.
 	recoverUtilization = 0.8
 
-	// overloadSuccessRatio is the fleet's success ratio under which a high utilization is an overload.
+	// overloadSuccessRatio is the fleet's success ratio below which a high utilization is an overload.
 	overloadSuccessRatio = 0.93
 
-	// overloadLatencyShare is the part of the latency objective that the mean latency takes in an overload.
+	// overloadLatencyShare is the part of the latency objective that the mean latency exceeds in an overload.
 	overloadLatencyShare = 0.4
 
 	// improvedSuccessRatio is the rise of the success ratio that shows that the last step down still works.
@@ -34,19 +34,20 @@
 	stepUpMax   = 1.6
 )
 
-// admissionState is what admission control keeps.
+// admissionState is the state of admission control.
 type admissionState struct {
 	ratio                float64   // the part of all requests to admit
 	cooldownUntilMs      float64   // the ratio stays until then
 	previousSuccessRatio float64   // the fleet's success ratio when the ratio was last looked at
-	classDemand          []float64 // requests that came, by class, decaying by windowDecay
-	quotas               []float64 // the part to admit, by class
+	classDemand          []float64 // requests received, by class, decaying by windowDecay
+	quotas               []float64 // the part of each class's requests to admit
 	publishedQuotas      []float64
 	retryPolicy          int // as in UpdateWriter.SetAdmission
 	publishedRetryPolicy int
 }
 
-// newAdmissionState admits everything; what proxies do before they are sent anything counts as published.
+// newAdmissionState returns the state that admits everything. The proxies' behavior before their first update counts
+// as published, so that only a difference from it is sent.
 func newAdmissionState(classes, defaultRetryPolicy int) admissionState {
 	state := admissionState{
 		ratio:                1,
@@ -63,7 +64,7 @@
 	return state
 }
 
-// fleetLoad is how busy the fleet is and how slow.
+// fleetLoad is the fleet's mean utilization and latency.
 type fleetLoad struct {
 	measured           bool    // some host reported its load
 	utilization        float64 // mean of the hosts', by their recent attempts
@@ -71,9 +72,10 @@
 	latencyObjectiveMs float64 // mean of the classes', by their demand
 }
 
-// adjustAdmission sets the admission ratio. Only measured overload lowers it: a high utilization, with failed attempts
-// or a mean latency that uses up the latency objective. A step down follows the success ratio, a step up the idle
-// cores. While less than all is admitted, nothing is retried.
+// adjustAdmission sets the admission ratio, and so decides when load is shed. Only measured overload lowers it: a
+// high utilization, with failed attempts or a mean latency that uses up the latency objective. The size of a step
+// down depends on the success ratio, that of a step up on the idle cores. While less than all is admitted, nothing is
+// retried.
 func (b *Balancer) adjustAdmission(writer UpdateWriter) {
 	load := b.measureFleetLoad()
 	if !load.measured || b.nowMs < b.admission.cooldownUntilMs {
@@ -97,7 +99,7 @@
 	b.allocateQuotas()
 }
 
-// retryPolicyAt is the retry policy that goes with an admission ratio.
+// retryPolicyAt returns the retry policy that goes with an admission ratio.
 func retryPolicyAt(admissionRatio float64) int {
 	if admissionRatio < 1 {
 		return retryNone
@@ -105,8 +107,8 @@
 	return retryUnprocessed
 }
 
-// measureFleetLoad lets the demand of the classes decay by one report round, and averages the load over the fleet. The
-// utilization counts by recent attempts, since a host that is not heard of has an old load report.
+// measureFleetLoad lets the demand of the classes decay by one report round, and averages the load over the fleet.
+// The utilization is weighted by recent attempts, since a host without recent attempts has an old load report.
 func (b *Balancer) measureFleetLoad() fleetLoad {
 	utilization, attempts := 0.0, 0.0
 	latency, arrivalRate := 0.0, minDivisor
@@ -137,8 +139,8 @@
 	}
 }
 
-// nextAdmissionRatio makes one step down, up or none. It makes no second step down while the success ratio shows that
-// the last one works.
+// nextAdmissionRatio returns the admission ratio after one step down, one step up or none. It makes no second step
+// down while the success ratio shows that the last one works.
 func (b *Balancer) nextAdmissionRatio(load fleetLoad) float64 {
 	ratio := b.admission.ratio
 	successRatio := b.fleet.successRatio
@@ -156,15 +158,16 @@
 	return ratio
 }
 
-// classLoad is what a request class brings and needs.
+// classLoad is the work that a request class causes and the value that it brings.
 type classLoad struct {
 	class int
 	work  float64 // requests times the latency objective, which stands for the unknown work of a request
 	value float64 // requests times the priority weight
 }
 
-// allocateQuotas shares the admission ratio out to the classes: those with the least value for their work are shed
-// first, unless the objective counts the worst-served class for so much that it costs less to admit all classes alike.
+// allocateQuotas sets each class's admission quota by the admission ratio. Load is shed from the class with the least
+// priority weight for its work first, unless the objective counts the worst-served class so much that it costs less
+// to admit the same part of all classes.
 func (b *Balancer) allocateQuotas() {
 	loads := make([]classLoad, len(b.classes))
 	totalWork, totalValue := minDivisor, minDivisor
@@ -177,7 +180,8 @@
 	sort.SliceStable(loads, func(i, j int) bool {
 		return loads[i].value*loads[j].work < loads[j].value*loads[i].work
 	})
-	lowest, objective := loads[0], b.objective
+	lowest := loads[0]
+	objective := b.objective
 	costInTurn := (objective.TotalWeight*lowest.value/totalValue + objective.WorstClassWeight) * totalWork / lowest.work
 	costAlike := objective.TotalWeight + objective.WorstClassWeight
 	if costInTurn >= costAlike {
--- a/routing/assignment.go
+++ b/routing/assignment.go
@@ -3,24 +3,25 @@
 import "sort"
 
 const (
-	// tableAssignmentEntries is what the assignment of a shared table costs besides an entry for each host.
+	// tableAssignmentEntries is the number of entries that the assignment of a shared table costs, besides one for
+	// each host.
 	tableAssignmentEntries = 2
 
-	// reassignmentBudgetSeconds is the update budget, in seconds of the channel's pace, that must have gathered
-	// before a proxy that has a table is assigned a shared one, so that weights come first.
+	// reassignmentBudgetSeconds is the update budget, in seconds of the channel's throughput, that must have
+	// accumulated before a proxy that has a table is assigned a shared one, so that weights take precedence.
 	reassignmentBudgetSeconds = 0.5
 )
 
-// assignmentCounts sums up which proxies route by which tables.
+// assignmentCounts counts the proxies by the tables that they route by.
 type assignmentCounts struct {
 	assigned      int     // connected proxies with a table
 	unassigned    int     // connected proxies without
 	mostMessages  int     // messages sent within the message window to the proxy that was sent most
-	ratePerWeight float64 // requests a second that are due for each unit of published weight
+	ratePerWeight float64 // requests a second for each unit of published weight
 }
 
-// sharedTable is the number of the table that a zone's proxies share: one for all zones, or the zone's own where a
-// request class must stay in its zone.
+// sharedTable returns the number of the table that a zone's proxies share: one for all zones, or the zone's own where
+// a request class must stay in its zone.
 func (b *Balancer) sharedTable(zone int) int {
 	if b.zoneLocal {
 		return 1 + zone
@@ -28,14 +29,15 @@
 	return 0
 }
 
-// subsetTable is the number of a proxy's own table.
+// subsetTable returns the number of a proxy's own table.
 func (b *Balancer) subsetTable(proxy int) int { return 1 + b.deployment.Zones + proxy }
 
-// SubsetTable is the number of the table that a proxy may be given for itself.
+// SubsetTable returns the number of the table that a proxy may be given for itself.
 func (b *Balancer) SubsetTable(proxy int) int { return b.subsetTable(proxy) }
 
-// countAssignments counts the proxies with and without tables, those of each shared table, and for each host the
-// proxies that route by a table with it and the traffic that subsets bring it. It drops messages that are too old.
+// countAssignments counts the proxies with and without tables, and the proxies of each shared table. For each host it
+// counts the proxies whose table holds the host, and sums the traffic that subsets send to it. It drops expired
+// messages.
 func (b *Balancer) countAssignments(tables []sharedTableState) assignmentCounts {
 	var counts assignmentCounts
 	requestRate := 0.0
@@ -88,9 +90,9 @@
 }
 
 // assignTables gives proxies a shared table or a subset of the hosts: those without a table first, then by their
-// traffic. A proxy that cannot have the shared table in time first gets a subset, since it must not go on routing by
-// an old table; in subset mode and while a retry storm is quiesced every proxy does. A subset that lost hosts is
-// filled up.
+// traffic. A proxy that cannot get the shared table in time gets a subset first, since it must not go on routing by
+// an old table. In subset mode and while a retry storm is quiesced every proxy gets a subset. A subset that lost
+// hosts is refilled.
 func (b *Balancer) assignTables(round *publishRound) {
 	for _, index := range b.proxiesDue(round.assignments.ratePerWeight) {
 		proxy := &b.proxies[index]
@@ -109,7 +111,7 @@
 	}
 }
 
-// proxiesDue gives the proxies that should be assigned another table, or more hosts in their own.
+// proxiesDue returns the proxies that should be assigned another table, or more hosts in their own.
 func (b *Balancer) proxiesDue(ratePerWeight float64) []int {
 	var due []int
 	for i := range b.proxies {
@@ -129,15 +131,16 @@
 	return due
 }
 
-// mayMessage tells whether a proxy may be sent one more message for its table. A proxy without a table is more urgent.
+// mayMessage reports whether a proxy may be sent one more message for its table. A proxy without a table is more
+// urgent.
 func (b *Balancer) mayMessage(proxy *proxyRecord) bool {
 	sent := len(proxy.messageTimesMs)
 	return b.channel.allowsMessage(sent, protectiveFill) ||
 		!proxy.assigned && b.channel.allowsMessage(sent, removalFill)
 }
 
-// needsSubset tells whether a proxy should have a subset of the hosts and not a shared table, which costs so many
-// entries.
+// needsSubset reports whether a proxy should get a subset of the hosts instead of a shared table. cost is that of the
+// shared table, in entries with the message overhead.
 func (b *Balancer) needsSubset(round *publishRound, proxy *proxyRecord, cost float64) bool {
 	if b.subsetMode.active || b.retryStorm.quiescing {
 		return true
@@ -147,8 +150,8 @@
 	return !proxy.assigned && (late || round.urgentPending)
 }
 
-// maySendSharedTable tells whether the channel has room for a shared table, and the update budget where the proxy has a
-// table already.
+// maySendSharedTable reports whether a shared table of the given cost, in entries, fits the channel and, where the
+// proxy already has a table, the update budget.
 func (b *Balancer) maySendSharedTable(round *publishRound, proxy *proxyRecord, cost float64) bool {
 	backlog := round.batch.backlog
 	fits := backlog == 0 || backlog+cost <= assignmentFill*b.channel.MaxBacklog
@@ -156,7 +159,7 @@
 	return fits && affordable && !round.urgentPending
 }
 
-// assignSharedTable has a proxy route by its zone's shared table. cost is in entries, with the message overhead.
+// assignSharedTable makes a proxy route by its zone's shared table. cost is in entries, with the message overhead.
 func (b *Balancer) assignSharedTable(round *publishRound, index int, cost float64) {
 	proxy := &b.proxies[index]
 	round.batch.account(index, cost-round.batch.messageOverhead)
@@ -168,8 +171,8 @@
 	proxy.ownsTable = false
 }
 
-// assignSubset has a proxy route by its own table with a subset of the hosts, or fills that table up, where the channel
-// has room and there are hosts to add.
+// assignSubset makes a proxy route by its own table, which holds a subset of the hosts, or refills that table. It
+// does nothing where the channel has no capacity left or there are no hosts to add.
 func (b *Balancer) assignSubset(round *publishRound, index int) {
 	batch := &round.batch
 	fits := batch.backlog+batch.messageOverhead+minSubsetSize <= protectiveFill*b.channel.MaxBacklog
@@ -193,7 +196,7 @@
 	proxy.ownsTable = true
 }
 
-// clearSubset takes all hosts out of a proxy's own table.
+// clearSubset removes all hosts from a proxy's own table.
 func (b *Balancer) clearSubset(writer UpdateWriter, index int) {
 	proxy := &b.proxies[index]
 	for _, host := range proxy.subset {
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -3,18 +3,18 @@
 // roundIntervalMs is the time between rounds of periodic work.
 const roundIntervalMs = 200.0
 
-// reportRoundSlack is the part of the report interval after which a report round may follow the last one: reports that
-// come a little early must not wait for another round.
+// reportRoundSlack is the part of the report interval after which a report round may follow the last one: reports
+// that arrive a little early must not wait for another round.
 const reportRoundSlack = 0.9
 
-// observableSettlings is the number of settling times after the first round from which on reports are taken to show
-// this instance's own first weights.
+// observableSettlings is the number of settling times after the first round until reports are assumed to show this
+// instance's own first weights.
 const observableSettlings = 2
 
 // noRoundYet is Balancer.nextRoundAtMs before the first round.
 const noRoundYet = -1
 
-// Balancer takes the routing decisions of one controller instance. It is not safe for concurrent use.
+// Balancer makes the routing decisions of one controller instance. It is not safe for concurrent use.
 type Balancer struct {
 	deployment Deployment
 	classes    []RequestClass
@@ -22,7 +22,7 @@
 	limits     SafetyLimits
 	objective  Objective
 
-	nowMs         float64 // the instant of the present round
+	nowMs         float64 // the instant of the current round
 	nextRoundAtMs float64 // when the timer is due, or noRoundYet
 	tasks         taskQueue
 	random        jitterSource
@@ -47,7 +47,7 @@
 	backlog    controlBacklog
 }
 
-// New makes the balancer of a controller instance that has just started. It has no hosts and no proxies yet.
+// New returns the balancer of a controller instance that has just started. It has no hosts and no proxies yet.
 func New(
 	deployment Deployment, classes []RequestClass, channel ControlChannel, limits SafetyLimits, objective Objective,
 ) *Balancer {
@@ -72,7 +72,8 @@
 	return b
 }
 
-// Round decides on all that was recorded since the last round. nowMs is the present instant and never goes back.
+// Round makes the decisions that follow from everything recorded since the last round, and writes them to writer.
+// nowMs is the current instant and must never decrease.
 func (b *Balancer) Round(nowMs float64, writer UpdateWriter) {
 	b.nowMs = nowMs
 	if b.deployment.WatchesEndpoints {
@@ -96,10 +97,10 @@
 	b.publish(writer)
 }
 
-// isFirstRound tells whether no round before this one has asked for the timer.
+// isFirstRound reports whether no earlier round has scheduled the timer.
 func (b *Balancer) isFirstRound() bool { return b.nextRoundAtMs == noRoundYet }
 
-// connectedShare is the part of all proxies that are connected to this instance; at least one is taken to be.
+// connectedShare returns the part of all proxies that are connected to this instance; at least one is assumed to be.
 func (b *Balancer) connectedShare() float64 {
 	return float64(max(b.connectedProxies, 1)) / float64(b.deployment.Proxies)
 }
--- a/routing/config.go
+++ b/routing/config.go
@@ -3,7 +3,7 @@
 // RequestClass describes a class of requests.
 type RequestClass struct {
 	LatencyObjectiveMs float64
-	DeadlineMs         float64 // after it clients give up
+	DeadlineMs         float64 // client timeout
 	PriorityWeight     float64 // value of a request that meets its objective
 	ZoneLocal          bool    // only hosts in the proxy's own zone may take it
 }
@@ -11,41 +11,42 @@
 // ControlChannel describes the channel that carries a controller's updates to its proxies. An entry is a weight, a
 // table assignment, an admission quota or a version stamp.
 type ControlChannel struct {
-	EntriesPerSecond   float64 // its pace
-	MessageOverhead    float64 // entries that a message costs besides its own
-	MaxBacklog         float64 // entries that may wait in it
-	PropagationDelayMs float64 // mean time that a message takes to a proxy
-	Cost               float64 // what the whole pace, used all the time, takes of the deployment's result
+	EntriesPerSecond   float64 // maximum throughput
+	MessageOverhead    float64 // fixed cost of a message, in entries
+	MaxBacklog         float64 // entries that may be queued in the channel
+	PropagationDelayMs float64 // mean time from sending a message until a proxy applies it
+	Cost               float64 // part of the objective lost while the channel runs at its maximum throughput
 	MaxMessages        int     // messages to one proxy within MessageWindowMs; 0: no limit
 	MessageWindowMs    float64
 }
 
-// SafetyLimits holds the bounds that every update has to keep.
+// SafetyLimits holds the limits that every update must respect.
 type SafetyLimits struct {
-	EmptyTableMs           float64 // a proxy may have no host in its table for so long
-	DrainGraceMs           float64 // after it a host known as draining or removed must be sent nothing
+	EmptyTableMs           float64 // the longest time for which a proxy's table may hold no host
+	DrainGraceMs           float64 // the time after which a host known as draining or removed must get no request
 	SlowStartInitialFactor float64 // the part of its capacity that a host has when it starts
 	SlowStartMs            float64 // the time from the start until the host is warm
-	CollapseMultiple       float64 // sent so many times its capacity, a host that is warming up collapses
+	CollapseMultiple       float64 // load, as a multiple of its capacity, at which a host that is warming up collapses
 }
 
-// Objective weighs what the deployment's result counts, and what a health check takes of it.
+// Objective holds the weights of the terms that the deployment's result is the sum of, and the cost of a health
+// check.
 type Objective struct {
 	TotalWeight      float64 // of all requests that meet their objectives, by priority weight
 	WorstClassWeight float64 // of the worst-served class
-	HealthCheckCost  float64 // of one health check, as a part of what one request brings
+	HealthCheckCost  float64 // cost of one health check, as a part of the value of one request
 }
 
-// Deployment describes the surroundings of a controller instance.
+// Deployment describes the environment of a controller instance.
 type Deployment struct {
 	Controllers        int
 	Zones              int
 	Proxies            int
 	Seed               uint64  // of the jitter
-	ReportIntervalMs   float64 // proxies report their statistics so often
-	ProxyEjectAfter    int     // a proxy ejects a host by itself after so many failures in a row; 0: never
+	ReportIntervalMs   float64 // the interval at which proxies report their statistics
+	ProxyEjectAfter    int     // failures in a row after which a proxy ejects a host by itself; 0: never
 	DefaultRetryPolicy int     // the proxies' retry policy where none is set
 	AdmissionControl   bool    // proxies heed admission quotas
 	HealthChecks       bool    // health checks are allowed
-	WatchesEndpoints   bool    // the endpoint list comes by a watch that the balancer has to ask for
+	WatchesEndpoints   bool    // the endpoint list comes from a watch that the balancer must start
 }
--- a/routing/controlchannel.go
+++ b/routing/controlchannel.go
@@ -14,20 +14,23 @@
 )
 
 const (
-	// assumedPaceRatio is the part of its pace at which the channel is taken to run.
-	assumedPaceRatio = 0.5
+	// assumedThroughputRatio is the part of its maximum throughput at which the channel is assumed to run.
+	assumedThroughputRatio = 0.5
 
-	// minPaceRatio is the part of its pace that the channel never runs slower than: a message not acknowledged by then
-	// has left it all the same.
-	minPaceRatio = 0.1
+	// minThroughputRatio is the part of its maximum throughput that the channel is assumed to reach at least. A
+	// message that stays unacknowledged for longer than that allows has left the channel nevertheless.
+	minThroughputRatio = 0.1
 
-	// assignmentGraceShare is the part of the drain grace within which proxies that have connected must have a table of
-	// ours, since an old one may name drained hosts.
+	// assignmentGraceShare is the part of the drain grace within which proxies that have connected must have a table
+	// from this instance, since an old one may hold drained hosts.
 	assignmentGraceShare = 0.3
 
-	// updateCostShare is the part of the deployment's result that the cost of weights may take.
+	// updateCostShare is the part of the deployment's result that the cost of weight updates may consume.
 	updateCostShare = 0.03
 
+	// reservedMessages is the number of messages to each proxy that stay in reserve within the message window.
+	reservedMessages = 1
+
 	// minPropagationDelayMs keeps the decay of the arriving entries finite.
 	minPropagationDelayMs = 1.0
 )
@@ -38,8 +41,8 @@
 	arriving       float64 // entries acknowledged within the last propagation delay, decaying
 }
 
-// inChannel is the number of entries that take up the channel. What was acknowledged within the last propagation delay
-// tells how much is on its way to the proxies now, and has left the channel.
+// inChannel returns the number of entries that take up the channel. The entries acknowledged within the last
+// propagation delay estimate how many are in transit to the proxies now: these have left the channel's queue.
 func (c controlBacklog) inChannel() float64 {
 	return math.Max(0, c.unacknowledged-c.arriving)
 }
@@ -51,27 +54,28 @@
 	sentAtMs float64
 }
 
-// allowsMessage tells whether a proxy that was sent so many messages within the message window may be sent one more,
-// with one to spare, within a part of the limit.
+// allowsMessage reports whether a proxy that was sent the given number of messages within the message window may be
+// sent one more and still have one in reserve, within the part fill of MaxMessages.
 func (c ControlChannel) allowsMessage(sent int, fill float64) bool {
-	return c.MaxMessages == 0 || float64(sent+2) <= fill*float64(c.MaxMessages)
+	return c.MaxMessages == 0 || float64(sent+1+reservedMessages) <= fill*float64(c.MaxMessages)
 }
 
-// maxTransitMs is the time after which a message has left the channel, acknowledged or not: that of a full channel at
-// its least pace.
+// maxTransitMs returns the time after which a message has left the channel, acknowledged or not: that of a full
+// channel at its lowest throughput.
 func (c ControlChannel) maxTransitMs() float64 {
-	return c.PropagationDelayMs + c.MaxBacklog/(c.EntriesPerSecond*minPaceRatio)*msPerSecond
+	return c.PropagationDelayMs + c.MaxBacklog/(c.EntriesPerSecond*minThroughputRatio)*msPerSecond
 }
 
-// exceedsDrainGrace tells whether so many entries take too long for proxies that wait for a table.
+// exceedsDrainGrace reports whether sending the given number of entries takes too long for proxies that wait for a
+// table: more than assignmentGraceShare of the drain grace.
 func (b *Balancer) exceedsDrainGrace(entries float64) bool {
-	transitMs := entries / (b.channel.EntriesPerSecond * assumedPaceRatio) * msPerSecond
+	transitMs := entries / (b.channel.EntriesPerSecond * assumedThroughputRatio) * msPerSecond
 	return transitMs > b.limits.DrainGraceMs*assignmentGraceShare
 }
 
-// refillChannel adds what the time since the last round allows to the update budget, and lets the arriving entries
-// decay. The budget is a token bucket of one second's pace; it fills at the part of the pace at which the cost of
-// updates stays within updateCostShare.
+// refillChannel refills the update budget for the time since the last round, and lets the arriving entries decay. The
+// budget is a token bucket, in entries, with a capacity of one second's throughput. It is refilled at the part of the
+// throughput at which the cost of updates stays within updateCostShare.
 func (b *Balancer) refillChannel() {
 	channel := &b.channel
 	passedMs := b.nowMs - b.publishing.lastAtMs
@@ -81,8 +85,8 @@
 	b.backlog.arriving *= math.Exp(-passedMs / math.Max(channel.PropagationDelayMs, minPropagationDelayMs))
 }
 
-// Ack records that a proxy has acknowledged a version. The channel keeps its order, so that all messages before it have
-// left the channel too. An unknown version counts for nothing.
+// Ack records that a proxy has acknowledged a version. The channel delivers in order, so all earlier messages have
+// left it too. An unknown version or proxy is ignored.
 func (b *Balancer) Ack(proxy, version int) {
 	if proxy >= len(b.proxies) {
 		return
@@ -94,8 +98,8 @@
 	b.backlog.arriving += before - b.backlog.unacknowledged
 }
 
-// releaseMessages takes a proxy's oldest messages out of the channel: they are acknowledged, too old, or their proxy
-// has disconnected.
+// releaseMessages removes a proxy's oldest count messages from the backlog: they are acknowledged or expired, or
+// their proxy has disconnected.
 func (b *Balancer) releaseMessages(proxy *proxyRecord, count int) {
 	for _, message := range proxy.unacknowledged[:count] {
 		b.backlog.unacknowledged -= message.entries
@@ -106,8 +110,8 @@
 	proxy.unacknowledged = slices.Delete(proxy.unacknowledged, 0, count)
 }
 
-// expireMessages drops what is too old to count: messages sent before the message window, and unacknowledged ones that
-// have left the channel in any case.
+// expireMessages drops messages that were sent before the message window, and unacknowledged ones that must have left
+// the channel by now.
 func (b *Balancer) expireMessages(proxy *proxyRecord, maxTransitMs float64) {
 	windowStartMs := b.nowMs - b.channel.MessageWindowMs
 	for len(proxy.messageTimesMs) > 0 && proxy.messageTimesMs[0] < windowStartMs {
--- a/routing/discovery.go
+++ b/routing/discovery.go
@@ -3,39 +3,43 @@
 import "math"
 
 const (
+	// Bounds of the backoff of a watch retry.
 	watchBackoffMinMs = 250.0
 	watchBackoffMaxMs = 4000.0
 
-	// watchJitterMin is the least part of the backoff that a watch retry waits; jitter adds up to the whole backoff, so
-	// that controllers do not retry in step.
+	// watchBackoffFactor is the growth of the backoff after each failure in a row.
+	watchBackoffFactor = 2
+
+	// watchJitterMin is the smallest part of the backoff that a watch retry waits; jitter adds up to the whole
+	// backoff, so that controllers do not retry in step.
 	watchJitterMin = 0.5
 
-	// defaultBaseWeight stands where the endpoint list gives a host no weight.
+	// defaultBaseWeight is the base weight of a host without a weight on the endpoint list.
 	defaultBaseWeight = 1.0
 
-	// startUnknown is endpointRecord.startedAtMs of a host that has not been seen to start: it counts as warm.
+	// startUnknown is endpointRecord.startedAtMs of a host whose start was not observed: it counts as warm.
 	startUnknown = -1
 )
 
-// endpointRecord is what service discovery says of a host.
+// endpointRecord is a host as the endpoint list describes it.
 type endpointRecord struct {
 	zone        int
 	state       HostState
-	discovered  bool    // it has been on an endpoint list
+	discovered  bool    // it has been on an endpoint list at least once
 	baseWeight  float64 // the weight as discovered, above 0
 	startedAtMs float64 // the last known start, or startUnknown
 	changedAtMs float64 // when its state or start last changed
 }
 
-// discoveryState tells how the watch of the endpoint list fares.
+// discoveryState is the state of the watch of the endpoint list.
 type discoveryState struct {
 	snapshotReceived bool    // a snapshot came from the source itself, not from a cache
 	watchFailed      bool    // since the last round
-	watchBackoffMs   float64 // the last backoff, before jitter; 0 after an answer
+	watchBackoffMs   float64 // the last backoff, before jitter; 0 after a snapshot or delta
 }
 
-// ObserveSnapshot records that the endpoints which follow are all there are. cached is true where they are from the
-// controller's own store and not from the source.
+// ObserveSnapshot begins a snapshot: the following calls of ObserveEndpoint record all endpoints, and hosts without
+// one are removed. cached says that the snapshot comes from the controller's own store and not from the source.
 func (b *Balancer) ObserveSnapshot(cached bool) {
 	for i := range b.hosts {
 		b.hosts[i].endpoint.state = Removed
@@ -46,15 +50,17 @@
 	}
 }
 
-// ObserveDelta records that the endpoints which follow are changes.
+// ObserveDelta begins a delta: the following calls of ObserveEndpoint record changes only.
 func (b *Balancer) ObserveDelta() { b.discovery.watchBackoffMs = 0 }
 
-// ObserveWatchFailure records that a call for the endpoint list failed, or that its changes have ceased to come.
+// ObserveWatchFailure records that the watch of the endpoint list could not be started, or has ended. Round schedules
+// the retry.
 func (b *Balancer) ObserveWatchFailure() { b.discovery.watchFailed = true }
 
 // ObserveEndpoint records one endpoint of a snapshot or delta. baseWeight is the weight as discovered; 0 or less
-// stands for none. startedAtMs is the instant at which the host started; 0 or less stands for none. A new start
-// resets what was known of the host. A host that appears after the first snapshot from the source has just started.
+// means none. startedAtMs is the instant at which the host started; 0 or less means unknown. A new start resets what
+// was known of the host. A host that first appears after the first snapshot from the source is assumed to have just
+// started.
 func (b *Balancer) ObserveEndpoint(host, zone int, state HostState, baseWeight, startedAtMs float64) {
 	record := b.host(host)
 	if baseWeight <= 0 {
@@ -83,8 +89,8 @@
 	}
 }
 
-// restart resets what was known of a host that has started again, but for its endpoint, for what the published tables
-// hold of it and for a health check in flight.
+// restart resets the record of a host that has restarted, except for its endpoint, its published weight and a health
+// check in flight.
 func (h *hostRecord) restart(startedAtMs, nowMs, medianLatencyMs float64) {
 	endpoint := h.endpoint
 	endpoint.startedAtMs = startedAtMs
@@ -110,7 +116,7 @@
 		return
 	}
 	b.discovery.watchFailed = false
-	backoffMs := math.Min(math.Max(2*b.discovery.watchBackoffMs, watchBackoffMinMs), watchBackoffMaxMs)
+	backoffMs := math.Min(math.Max(watchBackoffFactor*b.discovery.watchBackoffMs, watchBackoffMinMs), watchBackoffMaxMs)
 	b.discovery.watchBackoffMs = backoffMs
 	delayMs := backoffMs * (watchJitterMin + b.random.next())
 	b.schedule(delayMs, func(writer UpdateWriter) { writer.WatchEndpoints() })
--- a/routing/event.go
+++ b/routing/event.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// EventKind names what a Balancer did that an operator may want to see.
+// EventKind is the kind of a Balancer's decision that an operator may want to see.
 type EventKind int
 
 // The kinds of events.
 const (
-	// WatchRetryScheduled: a call for the endpoint list failed and is repeated after a backoff.
+	// WatchRetryScheduled: the watch of the endpoint list failed and is retried after a backoff.
 	WatchRetryScheduled EventKind = iota
 	// AdmissionRatioChanged: admission control admits more or less than before.
 	AdmissionRatioChanged
@@ -18,7 +18,7 @@
 	RetryStormQuiesced
 	// HostEjected: a host was found to be an outlier and gets no traffic.
 	HostEjected
-	// HostRecovering: an ejected host gets a growing part of its weight again.
+	// HostRecovering: an ejected host returns on the recovery ramp, or warms up where it was unreachable.
 	HostRecovering
 	// SubsetModeEntered: each proxy gets a subset of the hosts.
 	SubsetModeEntered
@@ -28,7 +28,7 @@
 	SlowStartChanged
 )
 
-// NoHost stands in Event.Host where an event concerns the whole fleet.
+// NoHost is the Event.Host of an event that concerns the whole fleet.
 const NoHost = -1
 
 // Field is a named figure of an event.
@@ -38,15 +38,15 @@
 	Decimals int // digits after the point in a log line
 }
 
-// Event is a change of mode, with its figures. Its log line is made where it is written, since the balancer knows no
-// names of hosts.
+// Event is a decision that operators may want to see, with its figures. The caller formats the log line with Text,
+// since the balancer knows no host names.
 type Event struct {
 	Kind   EventKind
-	Host   int // NoHost where none is concerned
+	Host   int // host index, or NoHost
 	Fields []Field
 }
 
-// String is the kind as a log line begins with it.
+// String returns the name of the kind, with which its log line begins.
 func (k EventKind) String() string {
 	switch k {
 	case WatchRetryScheduled:
@@ -70,8 +70,8 @@
 	}
 }
 
-// Text gives the log line, such as "host ejected: host 10.0.0.3:80, consecutive_failures 3, unreachable 0". hostName
-// gives the name of a host index.
+// Text returns the log line, such as "host ejected: host 10.0.0.3:80, consecutive_failures 3, unreachable 0".
+// hostName maps a host index to its name.
 func (e Event) Text(hostName func(host int) string) string {
 	var figures []string
 	if e.Host != NoHost {
@@ -83,10 +83,10 @@
 	return e.Kind.String() + ": " + strings.Join(figures, ", ")
 }
 
-// HostIndex spells a host index, for the log lines of programs that know no names.
+// HostIndex formats a host index as its name, for Event.Text in programs that know no host names.
 func HostIndex(host int) string { return strconv.Itoa(host) }
 
-// indicator gives 1 for true and 0 for false, as a figure of an event.
+// indicator returns 1 for true and 0 for false, as a figure of an event.
 func indicator(yes bool) float64 {
 	if yes {
 		return 1
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -5,15 +5,16 @@
 	"slices"
 )
 
-// Explanation tells why a host's weight is what it is. It is for operators and decides nothing. Rates are in requests
-// a second, latencies and instants in ms, factors from 0 to 1. The JSON names are part of the API.
+// Explanation holds the inputs and intermediate results of a host's weight. It is for operators; no decision depends
+// on it. Rates are in requests a second, latencies and instants in ms, factors from 0 to 1. The JSON names are part
+// of the API.
 type Explanation struct {
 	State      HostState `json:"Phase"`
 	Ejected    bool      `json:"Out"`
 	Balanced   bool      `json:"Serving"` // it takes part in rebalancing
 	BaseWeight float64   `json:"Listed"`  // as discovered
 
-	Weight          float64 `json:"Weight"` // where rebalancing has put it
+	Weight          float64 `json:"Weight"` // the weight after rebalancing
 	TargetWeight    float64 `json:"Want"`   // what the published tables should hold
 	PublishedWeight float64 `json:"Told"`   // what they hold
 
@@ -38,12 +39,12 @@
 	Load      HostLoad `json:"Load"` // as last reported
 }
 
-// Admission gives the admission ratio, each class's quota, and the median latency in ms, 0 where none is known.
+// Admission returns the admission ratio, each class's quota, and the median latency in ms, 0 where none is known.
 func (b *Balancer) Admission() (ratio float64, quotas []float64, medianLatencyMs float64) {
 	return b.admission.ratio, slices.Clone(b.admission.quotas), b.fleet.medianLatencyMs
 }
 
-// Explain tells why a host's weight is what it is, and false where the host is unknown.
+// Explain returns why a host's weight is what it is. It returns false for an unknown host.
 func (b *Balancer) Explain(host int) (Explanation, bool) {
 	record := b.discoveredHost(host)
 	if record == nil {
@@ -85,7 +86,8 @@
 	e.LatencyMargin = math.Min(e.ServiceRate-e.Capacity, e.ServiceRate)
 }
 
-// HostStatus tells whether a host is ready and not ejected, and which part of its capacity it has after its start.
+// HostStatus reports whether a host is ready and not ejected, and returns its slow-start factor: the part of its
+// capacity, from 0 to 1, that it has since its start.
 func (b *Balancer) HostStatus(host int) (ready bool, slowStartFactor float64) {
 	record := b.discoveredHost(host)
 	if record == nil {
@@ -94,7 +96,7 @@
 	return record.endpoint.state == Ready && !record.outlier.ejected, b.slowStartFactor(record)
 }
 
-// discoveredHost gives the record of a host that has been on an endpoint list, or nil.
+// discoveredHost returns the record of a host that has been on an endpoint list, or nil.
 func (b *Balancer) discoveredHost(host int) *hostRecord {
 	if host >= len(b.hosts) || !b.hosts[host].endpoint.discovered {
 		return nil
--- a/routing/healthcheck.go
+++ b/routing/healthcheck.go
@@ -16,32 +16,33 @@
 	// firstCheckWithinMs bounds the jitter of a host's first health check.
 	firstCheckWithinMs = 1000.0
 
-	// maxSuspicion bounds the number of unanswered health checks that count; suspicionRecovery is taken off for an
-	// answered one.
+	// maxSuspicion bounds a host's suspicion, the number of unanswered health checks that count against it; an
+	// answered health check lowers the suspicion by suspicionRecovery.
 	maxSuspicion      = 3.0
 	suspicionRecovery = 1.0
 )
 
-// healthRecord is what health checks show of a host.
+// healthRecord holds the results of a host's health checks.
 type healthRecord struct {
 	consecutiveFailures  int     // health checks in a row without an answer
 	consecutiveSuccesses int     // health checks in a row with a healthy answer
 	unreachable          bool    // the last one without an answer found nothing listening
-	checkInFlight        bool    // one has no result yet
+	checkInFlight        bool    // a health check has no result yet
 	nextCheckAtMs        float64 // when the next one is due
-	suspicion            float64 // health checks lately without an answer, up to maxSuspicion
+	suspicion            float64 // unanswered health checks less the answered ones, from 0 to maxSuspicion
 }
 
-// healthCheckState is what the fleet's health checks show together.
+// healthCheckState holds what is derived from the health checks of all hosts.
 type healthCheckState struct {
-	scheduledHosts   int     // the first so many of hostOrder have a task
-	suspicionApplies bool    // failures say something of a host, since few hosts have any
-	suspicionScale   float64 // the part of each host's suspicion that counts
+	scheduledHosts   int     // number of hosts at the front of hostOrder that have a task
+	suspicionApplies bool    // unanswered health checks count against a host, since few hosts have any
+	suspicionScale   float64 // factor from 0 to 1 on each host's suspicion
 
-	zones []zoneHealth // kept from round to round to spare an allocation
+	zones []zoneHealth // reused in each round to avoid an allocation
 }
 
-// scheduleHealthChecks gives each host that is new in the order of discovery its task, at a time with jitter.
+// scheduleHealthChecks schedules the health check task of each newly discovered host, after a random delay up to
+// firstCheckWithinMs.
 func (b *Balancer) scheduleHealthChecks() {
 	for _, index := range b.hostOrder[b.checks.scheduledHosts:] {
 		incarnation := b.hosts[index].incarnation
@@ -53,7 +54,8 @@
 }
 
 // runHealthCheck is a host's repeated task: it starts a health check where one is due, or at once where the last was
-// left unanswered, and schedules itself again. It ends when the host was forgotten: its index may be another's then.
+// left unanswered, and schedules itself again. It ends once ForgetHost was called for the host, since the index may
+// then belong to another.
 func (b *Balancer) runHealthCheck(writer UpdateWriter, index, incarnation int) {
 	host := &b.hosts[index]
 	if host.incarnation != incarnation {
@@ -81,8 +83,8 @@
 	}
 }
 
-// healthCheckIntervalMs spaces a host's health checks so that what those of all controllers cost stays at
-// checkCostShare of the result that the fleet's requests bring.
+// healthCheckIntervalMs returns the interval between a host's health checks, such that the health checks of all
+// controllers together cost checkCostShare of the value of the fleet's requests.
 func (b *Balancer) healthCheckIntervalMs() float64 {
 	arrivalRate, readyHosts := minDivisor, 0.0
 	for _, index := range b.hostOrder {
--- a/routing/host.go
+++ b/routing/host.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// hostRecord is what the balancer keeps of one host, a part for each concern.
+// hostRecord is the balancer's state of one host, with a field for each concern.
 type hostRecord struct {
 	incarnation int // counts the hosts that have had this index
 	endpoint    endpointRecord
@@ -14,19 +14,21 @@
 	publication publicationRecord
 }
 
-// newHostRecord is the record of a host of which nothing is known.
+// newHostRecord returns the record of an unknown host.
 func newHostRecord() hostRecord {
 	return hostRecord{endpoint: endpointRecord{startedAtMs: startUnknown}, load: UnknownLoad}
 }
 
-// host gives the record of a host index, made where there is none. It is valid until the next call.
+// host returns the record of a host index and creates it where there is none. The pointer is valid until the next
+// call.
 func (b *Balancer) host(index int) *hostRecord {
 	b.hosts = grow(b.hosts, index+1, newHostRecord())
 	return &b.hosts[index]
 }
 
-// ForgetHost drops what is kept of a removed host, so that its index may be given to another. It answers false, and
-// keeps all, while a published table or a health check in flight still names the host.
+// ForgetHost deletes the state of a removed host, so that its index may be reused for another. It returns false and
+// deletes nothing while the host is not removed, a published table still holds it or a health check of it is in
+// flight.
 func (b *Balancer) ForgetHost(host int) bool {
 	if host >= len(b.hosts) {
 		return true
@@ -47,8 +49,7 @@
 	return true
 }
 
-// removeFromOrder takes a host out of the order of discovery. The health check task of a host before it in the order
-// stays with its host.
+// removeFromOrder removes a host from the order of discovery, and keeps scheduledHosts consistent with the new order.
 func (b *Balancer) removeFromOrder(host int) {
 	position := slices.Index(b.hostOrder, host)
 	if position < 0 {
@@ -60,7 +61,7 @@
 	}
 }
 
-// grow gives the list with at least length elements; new ones are copies of fill.
+// grow returns list extended to at least length elements; new elements are copies of fill.
 func grow[T any](list []T, length int, fill T) []T {
 	for len(list) < length {
 		list = append(list, fill)
--- a/routing/observation.go
+++ b/routing/observation.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// queueUtilization is the utilization that a host is taken to have which reports only a queue, and that as empty.
+// queueUtilization is the assumed utilization of a host that reports no utilization and an empty queue.
 const queueUtilization = 0.5
 
-// HostState is what service discovery says of a host.
+// HostState is the state of a host on the endpoint list.
 type HostState int
 
-// The host states: not listed any more, in service, and finishing the requests that it has.
+// The host states: no longer listed, in service, and finishing its in-flight requests without taking new ones.
 const (
 	Removed HostState = iota
 	Ready
@@ -18,8 +18,8 @@
 // HealthCheckResult is the outcome of a health check.
 type HealthCheckResult int
 
-// The outcomes of a health check: answered, answered with an error or a rejection, not answered in time, and nothing
-// listening there.
+// The outcomes of a health check: a healthy answer, an answer with an error or a rejection, no answer in time, and no
+// listener at the address.
 const (
 	Healthy HealthCheckResult = iota
 	Rejected
@@ -27,18 +27,18 @@
 	Unreachable
 )
 
-// HostLoad is what a host reports of its load; a value below 0 was not reported.
+// HostLoad is the load that a host reports of itself; a value below 0 was not reported.
 type HostLoad struct {
 	Utilization float64 `json:"Util"`  // the part of its cores that is busy, 0 to 1
-	RequestRate float64 `json:"Rate"`  // requests a second that come to it
+	RequestRate float64 `json:"Rate"`  // requests a second that it receives
 	QueueLength float64 `json:"Queue"` // requests that wait for a core
 }
 
-// UnknownLoad reports nothing.
+// UnknownLoad is the load of a host that reported none.
 var UnknownLoad = HostLoad{-1, -1, -1}
 
-// effectiveUtilization is the utilization, or what the queue says of it where only that was reported; below 0 where
-// neither was.
+// effectiveUtilization returns the utilization, or an estimate by the queue length where only that was reported. It
+// is below 0 where neither was reported.
 func (l HostLoad) effectiveUtilization() float64 {
 	if l.Utilization < 0 && l.QueueLength >= 0 {
 		return math.Min(1, queueUtilization+l.QueueLength)
@@ -47,7 +47,7 @@
 }
 
 // ObserveHostStats records the attempts that proxies made at a host within spanMs: their number, how many failed, and
-// the mean latency of the others in ms. load is what the host said of itself to the proxies.
+// the mean latency of the others in ms. load is the load that the host reported to the proxies in its answers.
 func (b *Balancer) ObserveHostStats(host, attempts, failed int, meanLatencyMs, spanMs float64, load HostLoad) {
 	record := b.host(host)
 	successes := float64(max(attempts-failed, 0))
@@ -61,14 +61,14 @@
 	b.reports.pending = true
 }
 
-// observeLoad keeps the old load where nothing was reported.
+// observeLoad replaces the host's load, unless nothing was reported.
 func (h *hostRecord) observeLoad(load HostLoad) {
 	if load != UnknownLoad {
 		h.load = load
 	}
 }
 
-// ObserveDemand records that requests of a class came to a proxy within spanMs.
+// ObserveDemand records the number of requests of a class that a proxy received within spanMs.
 func (b *Balancer) ObserveDemand(proxy, class, requests int, spanMs float64) {
 	b.admission.classDemand[class] += float64(requests)
 	if proxy >= len(b.proxies) {
@@ -79,8 +79,8 @@
 	record.pendingSpanMs = math.Max(record.pendingSpanMs, spanMs)
 }
 
-// ObserveHealthCheck records the result of a health check, and the load that the host said it has in its answer. A
-// rejection proves neither health nor a fault.
+// ObserveHealthCheck records the result of a health check, and the load that the host reported in its answer. A
+// rejection counts neither as healthy nor as a failure.
 func (b *Balancer) ObserveHealthCheck(host int, result HealthCheckResult, load HostLoad) {
 	record := b.host(host)
 	health := &record.health
@@ -98,9 +98,9 @@
 	}
 }
 
-// RestoreHost records what an earlier incarnation of the controller knew of a host, as far as the caller still trusts
-// it: its weight as a multiple of the base weight; its mean latency in ms, 0 where unknown; and its recent successes
-// and failures. It counts as any other evidence, goes on decaying, and ejects no host.
+// RestoreHost sets a host's state to what an earlier incarnation of the controller knew, after the caller has decayed
+// it by its age: the weight as a multiple of the base weight; the mean latency in ms, 0 where unknown; and the recent
+// successes and failures. Restored state decays like measured state, and never ejects a host by itself.
 func (b *Balancer) RestoreHost(host int, relativeWeight, meanLatencyMs, successes, failures float64) {
 	record := b.host(host)
 	record.balance.weight = record.endpoint.baseWeight * relativeWeight
@@ -111,8 +111,8 @@
 	}
 }
 
-// RestoreAdmission records the admission ratio, the classes' quotas and the median latency in ms that an earlier
-// incarnation of the controller had; a median of 0 is unknown.
+// RestoreAdmission sets the admission ratio, the classes' quotas and the median latency in ms to those of an earlier
+// incarnation of the controller; a median of 0 means unknown.
 func (b *Balancer) RestoreAdmission(ratio float64, quotas []float64, medianLatencyMs float64) {
 	b.admission.ratio = ratio
 	copy(b.admission.quotas, quotas)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -6,30 +6,36 @@
 	// unresponsiveFailures is the number of unanswered health checks in a row that may prove a host unresponsive.
 	unresponsiveFailures = 3
 
-	// unreachableFailures is the same for one that was found unreachable, and for counting toward a network partition.
+	// unreachableFailures is the same number for a host at whose address nothing listens, and for a
+	// host to count toward a network partition.
 	unreachableFailures = 2
 
-	// recoveredSuccesses is the number of healthy answers in a row with which an ejected host returns.
+	// recoveredSuccesses is the number of healthy answers in a row after which an ejected host returns.
 	recoveredSuccesses = 2
 
 	// partitionShare is the part of a zone's hosts that leave health checks unanswered, and of another zone's that
 	// answer them, in a network partition.
 	partitionShare = 0.75
 
-	// minServingShare is the part of the fleet's base weight that ejections leave, whatever health checks show.
+	// minPartitionHosts is the least number of hosts of a zone that can show a network partition.
+	minPartitionHosts = 2
+
+	// minServingShare is the part of the fleet's base weight that must not be ejected, whatever health checks show.
 	minServingShare = 0.34
 
 	// maxSuspectShare is the part of the hosts for which suspicion counts in full.
 	maxSuspectShare = 0.25
 
-	// suspectsPerHosts is the number of hosts for each of which one may be unresponsive: more say that the fleet is
-	// busy, or that this controller's own network is at fault.
+	// suspectsPerHosts limits the unresponsive hosts to one for each suspectsPerHosts hosts: more unresponsive hosts
+	// mean that the fleet is overloaded, or that this controller's own network has a fault.
 	suspectsPerHosts = 4
 
-	// minFleetSuccessRatio is the fleet's success ratio up to which an unanswered health check says nothing of a host.
+	// minFleetSuccessRatio is the fleet's success ratio up to which an unanswered health check does not count against
+	// a host.
 	minFleetSuccessRatio = 0.5
 
-	// silentCycleShare is the part of the report cycle without a success after which a host counts as without any.
+	// silentCycleShare is the part of the report cycle that must pass without a success before a host may count as
+	// unresponsive.
 	silentCycleShare = 0.7
 
 	// recoveryInitialFactor is the part of its weight with which a host returns. It doubles each recoveryStepMs.
@@ -37,10 +43,10 @@
 	recoveryStepMs        = 1000.0
 )
 
-// outlierRecord tells whether a host is ejected or coming back.
+// outlierRecord is a host's ejection state: serving, ejected, or on the recovery ramp.
 type outlierRecord struct {
 	ejected           bool
-	recovering        bool    // it was ejected and gets a growing part of its weight
+	recovering        bool    // it is on the recovery ramp, or has completed it
 	recoveringSinceMs float64 // valid while recovering
 }
 
@@ -56,15 +62,18 @@
 	hosts         int
 	baseWeight    float64
 	servingWeight float64 // base weight of the hosts that are not ejected
-	unresponsive  int     // the last health check was left unanswered, but not for want of a listener
-	suspicion     float64 // suspicion of all hosts, that of each up to 1
+	unresponsive  int     // the last health check timed out
+	suspicion     float64 // sum over the hosts, each counted as at most 1
 	zones         []zoneHealth
 }
 
-// detectOutliers ejects hosts on proof, and lets ejected ones return on a recovery ramp. Proof is that nothing listens
-// there, or that health checks are left unanswered while no attempt succeeds, at this host alone or at nearly all of
-// its zone. It must not take a busy host for an unresponsive one: many such, or a fleet that fails, prove nothing. What
-// is left must carry the traffic of the connected proxies.
+// detectOutliers ejects hosts that serve nothing, and returns ejected hosts to service. A host is ejected (isOutlier)
+// where nothing listens at its address, or where health checks time out while no attempt succeeds, at this host alone
+// or at nearly all hosts of its zone. An overloaded host must not be ejected: where many hosts are unresponsive, or
+// most attempts of the fleet fail, a timed out health check is no evidence. At least minServingShare of the base
+// weight stays in service for the connected proxies. An ejected host returns (mayRecover) on the recovery ramp after
+// recoveredSuccesses healthy answers in a row, or once a proxy of its zone connects, unless nothing listened at its
+// address.
 func (b *Balancer) detectOutliers(writer UpdateWriter) {
 	fleet := b.measureFleetHealth()
 	b.updateSuspicionScale(&fleet)
@@ -89,7 +98,7 @@
 	clear(b.zoneReconnected)
 }
 
-// measureFleetHealth sums up the health of the ready hosts. Its zones are valid until the next call.
+// measureFleetHealth sums up the health of the ready hosts. The zones of the result are valid until the next call.
 func (b *Balancer) measureFleetHealth() fleetHealth {
 	b.checks.zones = grow(b.checks.zones, b.deployment.Zones, zoneHealth{})
 	clear(b.checks.zones)
@@ -118,15 +127,15 @@
 	return fleet
 }
 
-// updateSuspicionScale decides whether unanswered health checks say something of a host, and how much suspicion counts:
-// that of all hosts together as much as full suspicion of maxSuspectShare of them.
+// updateSuspicionScale decides whether unanswered health checks count against a host, and scales suspicion so that
+// the suspicion of all hosts together counts at most as much as a suspicion of 1 for maxSuspectShare of them.
 func (b *Balancer) updateSuspicionScale(fleet *fleetHealth) {
 	fewUnresponsive := fleet.unresponsive*suspectsPerHosts < fleet.hosts+suspectsPerHosts
 	b.checks.suspicionApplies = fewUnresponsive && b.fleet.successRatio > minFleetSuccessRatio
 	b.checks.suspicionScale = math.Min(1, maxSuspectShare*float64(fleet.hosts)/fleet.suspicion)
 }
 
-// isOutlier tells whether there is proof that a host serves nothing.
+// isOutlier reports whether the evidence shows that a host serves nothing: see detectOutliers.
 func (b *Balancer) isOutlier(host *hostRecord, fleet *fleetHealth) bool {
 	failures := host.health.consecutiveFailures
 	if failures < unreachableFailures {
@@ -143,11 +152,12 @@
 	return unresponsiveAlone || fleet.partitioned(host.endpoint.zone)
 }
 
-// partitioned tells whether a zone is cut off, or lost as a whole without a word: nearly all of its hosts leave health
-// checks unanswered at the same time, while nearly all hosts of some other zone answer theirs.
+// partitioned reports whether a zone is unreachable behind a network partition or has failed as a whole: nearly all
+// of its hosts leave health checks unanswered at the same time, while nearly all hosts of some other
+// zone answer theirs.
 func (f *fleetHealth) partitioned(zone int) bool {
 	own := f.zones[zone]
-	if own.hosts < 2 || float64(own.unanswered) < partitionShare*float64(own.hosts) {
+	if own.hosts < minPartitionHosts || float64(own.unanswered) < partitionShare*float64(own.hosts) {
 		return false
 	}
 	for i, other := range f.zones {
@@ -158,7 +168,8 @@
 	return false
 }
 
-// ejectHost takes a host out of the tables; remainingRatio is the part of the fleet's base weight that is left.
+// ejectHost ejects a host: its target weight is 0 until recoverHost. remainingRatio is the part of the fleet's base
+// weight that stays in service.
 func (b *Balancer) ejectHost(writer UpdateWriter, index int, remainingRatio float64) {
 	host := &b.hosts[index]
 	host.outlier.ejected = true
@@ -170,8 +181,9 @@
 	}})
 }
 
-// mayRecover tells whether an ejected host may return: health checks are answered again, or a proxy of its zone has
-// connected, which proves the way there.
+// mayRecover reports whether an ejected host may return: health checks are answered again, or a proxy of its zone has
+// connected, which shows that the zone is reachable. The latter does not return a host at whose address nothing
+// listened.
 func (b *Balancer) mayRecover(host *hostRecord) bool {
 	if host.health.consecutiveSuccesses >= recoveredSuccesses {
 		return true
@@ -179,8 +191,8 @@
 	return !host.health.unreachable && b.zoneReconnected[host.endpoint.zone]
 }
 
-// recoverHost lets an ejected host return on the recovery ramp. One that was unreachable may have restarted, and warms
-// up instead.
+// recoverHost returns an ejected host to service on the recovery ramp. A host that was unreachable may have
+// restarted, and warms up instead.
 func (b *Balancer) recoverHost(writer UpdateWriter, index int) {
 	host := &b.hosts[index]
 	host.outlier.ejected = false
@@ -198,7 +210,7 @@
 	writer.Log(Event{HostRecovering, index, nil})
 }
 
-// recoveryFactor is the part of its weight that a host gets on the recovery ramp, 1 where it is on none.
+// recoveryFactor returns the part of its weight that a host gets on the recovery ramp, 1 where it is not on the ramp.
 func (b *Balancer) recoveryFactor(host *hostRecord) float64 {
 	if !host.outlier.recovering {
 		return 1
--- a/routing/proxy.go
+++ b/routing/proxy.go
@@ -1,28 +1,28 @@
 package routing
 
-// minProxyRate, in requests a second, is added to a proxy's usual rate, so that it is due some weight in any case.
+// minProxyRate, in requests a second, is added to a proxy's usual rate, so that its share of the weight is never 0.
 const minProxyRate = 0.01
 
-// proxyRecord is what the balancer keeps of one proxy.
+// proxyRecord is the balancer's state of one proxy.
 type proxyRecord struct {
 	zone        int
 	connected   bool
-	requestRate float64 // requests a second that it usually gets
+	requestRate float64 // requests a second that it receives, smoothed
 
-	pendingRequests float64 // requests that came to it since the last report round
-	pendingSpanMs   float64 // the time in which they came
+	pendingRequests float64 // requests that it received since the last report round
+	pendingSpanMs   float64 // the time in which it received them
 
-	assigned     bool    // it was given a table since it connected
+	assigned     bool    // it was assigned a table since it connected
 	ownsTable    bool    // that table is its own, with a subset of the hosts
 	subset       []int   // the hosts in its own table; it may be outdated while ownsTable is false
 	subsetWeight float64 // their published weight
 
-	messageTimesMs []float64       // when it was sent messages, within the message window, oldest first
+	messageTimesMs []float64       // send times of its messages within the message window, oldest first
 	unacknowledged []updateMessage // messages that it has not acknowledged, oldest first
 }
 
-// ConnectProxy records that a proxy has connected, also where it was connected before: it has no table then. rate is
-// the usual number of requests a second that come to it.
+// ConnectProxy records that a proxy has connected, or connected again; it then has no table until the next round.
+// rate is the usual number of requests a second that it receives.
 func (b *Balancer) ConnectProxy(proxy, zone int, rate float64) {
 	b.DisconnectProxy(proxy)
 	b.proxies = grow(b.proxies, proxy+1, proxyRecord{})
@@ -32,8 +32,8 @@
 	b.zoneReconnected[zone] = true
 }
 
-// DisconnectProxy records that a proxy is gone; what was on its way to it is lost. Its own table is kept until
-// ForgetProxy.
+// DisconnectProxy records that a proxy has disconnected; messages in transit to it are lost. Its own table is kept
+// until ForgetProxy.
 func (b *Balancer) DisconnectProxy(proxy int) {
 	if proxy >= len(b.proxies) || !b.proxies[proxy].connected {
 		return
@@ -44,7 +44,7 @@
 	b.releaseMessages(record, len(record.unacknowledged))
 }
 
-// ForgetProxy drops the own table of a proxy that has disconnected; the caller drops the table's entries too.
+// ForgetProxy deletes the own table of a disconnected proxy. The caller must delete the table's entries too.
 func (b *Balancer) ForgetProxy(proxy int) {
 	if proxy < len(b.proxies) && !b.proxies[proxy].connected {
 		b.proxies[proxy].subset = nil
--- a/routing/publish.go
+++ b/routing/publish.go
@@ -3,47 +3,50 @@
 // maxVersion is the last version stamp before they start again at 1.
 const maxVersion = 60000
 
-// publicationRecord is what the published tables hold of a host.
+// publicationRecord describes a host in the published tables.
 type publicationRecord struct {
 	weight     float64
 	holders    int     // proxies whose table must be sent a change of the weight
 	subsetRate float64 // requests a second that proxies with their own tables send there
 }
 
-// publishingState is what publish keeps from round to round.
+// publishingState is the state that publish keeps between rounds.
 type publishingState struct {
-	version        int     // of the last update batch; 0: none yet
+	version        int     // version stamp of the last update batch; 0: none yet
 	lastAtMs       float64 // when publish last ran
 	urgentSentAtMs float64 // when an urgent update was last written
-	urgentPending  bool    // removals or slow starts wait for the control channel
-	budget         float64 // entries that weights and reassignments may cost
+	urgentPending  bool    // removals or slow-start cuts wait for the control channel
+	budget         float64 // update budget: tokens, in entries, for weights and reassignments
 
-	costs  []float64          // kept from round to round to spare an allocation
+	costs  []float64          // reused in each round to avoid an allocation
 	tables []sharedTableState // the same
 }
 
-// sharedTableState is what a round knows of a shared table.
+// sharedTableState describes a shared table within one round.
 type sharedTableState struct {
-	proxies           int  // that route by it
-	entries           int  // hosts that it should hold
-	withoutWarmTarget bool // it should hold no warm host: ejections are passed over
+	proxies           int  // number of proxies that route by it
+	entries           int  // number of hosts that it should hold
+	withoutWarmTarget bool // no warm host may be in it: ejections are ignored
 	withoutWarmEntry  bool // it holds no warm host: additions are as urgent as removals
 }
 
-// publishRound is what the steps of one call of publish share.
+// publishRound is the state that the steps of one call of publish share.
 type publishRound struct {
 	writer        UpdateWriter
 	batch         updateBatch
 	assignments   assignmentCounts
 	tables        []sharedTableState // by table number
-	urgentDue     bool               // urgent updates have gathered for long enough
+	urgentDue     bool               // urgent updates have been collected for urgentGatherMs
 	urgentPending bool               // a removal or slow start was left unwritten in this round
-	ordinary      []weightUpdate     // updates to be written last
+	ordinary      []weightUpdate     // updates to write after the urgent ones
 }
 
-// publish writes the updates that the control channel has room for: removals first, then what protects hosts that are
-// warming up or ejected, admission quotas, tables for proxies, and ordinary weights, the largest changes first, once
-// most proxies have the last ones. Each kind may fill a part of the channel's limits; what does not fit waits.
+// publish writes the updates for which the control channel has capacity, in this order: removals; updates that
+// protect hosts that are warming up or ejected; admission quotas; table assignments; and ordinary weights, the
+// largest changes first. Weights wait while the channel's backlog is too large (updateBatch.fits), while the update
+// budget is used up or the backlog exceeds its part of the drain grace (publishWeights), and until most proxies have
+// acknowledged the last weights (rolloutAcknowledged). Each kind of update may fill only a part of the channel's
+// limits; what does not fit waits for a later round.
 func (b *Balancer) publish(writer UpdateWriter) {
 	b.refillChannel()
 	b.publishing.tables = grow(b.publishing.tables, b.deployment.Zones+1, sharedTableState{})
--- a/routing/publishadmission.go
+++ b/routing/publishadmission.go
@@ -3,14 +3,14 @@
 import "math"
 
 const (
-	// minQuotaChange is the change of an admission quota that is worth an entry.
+	// minQuotaChange is the smallest change of an admission quota that is published.
 	minQuotaChange = 0.02
 
-	// unlimitedQuota is published where admission quotas are not heeded.
+	// unlimitedQuota is published where proxies ignore admission quotas.
 	unlimitedQuota = 1e6
 )
 
-// publishAdmission writes what changed of the admission quotas and the retry policy, for all connected proxies.
+// publishAdmission writes the admission quotas and the retry policy that changed, for all connected proxies.
 func (b *Balancer) publishAdmission(round *publishRound) {
 	policyChanged := b.admission.retryPolicy != b.admission.publishedRetryPolicy
 	b.admission.publishedRetryPolicy = b.admission.retryPolicy
--- a/routing/publishurgent.go
+++ b/routing/publishurgent.go
@@ -6,28 +6,28 @@
 	"sort"
 )
 
-// urgentGatherMs is the time in which urgent updates gather into one message.
+// urgentGatherMs is the time for which urgent updates are collected into one message.
 const urgentGatherMs = 350.0
 
 // updateUrgency ranks the weight updates of a round.
 type updateUrgency int
 
-// The urgencies, most urgent first. While an update of the first two is left unwritten no other is written, since a
-// proxy's acknowledgement of a later update would count as knowing it.
+// The urgencies, most urgent first. While an update of the first two is pending no other update is written, since a
+// proxy's acknowledgement of a later version would count for the pending update too.
 const (
 	removalUrgency   updateUrgency = iota // the host is draining or removed
-	slowStartUrgency                      // the host is warming up, and published with far more than it may get
+	slowStartUrgency                      // the host is warming up, published with far more than its target weight
 	ordinaryUrgency
 )
 
-// urgencyFill gives the fill of the channel for each urgency.
+// urgencyFill is the part of the channel's limits that updates of each urgency may fill.
 var urgencyFill = [...]float64{
 	removalUrgency:   removalFill,
 	slowStartUrgency: removalFill,
 	ordinaryUrgency:  protectiveFill,
 }
 
-// publishUrgent goes through all hosts by urgency. It writes the urgent updates, and leaves the others in the round.
+// publishUrgent writes the urgent weight updates, by urgency, and collects the others in round.ordinary.
 func (b *Balancer) publishUrgent(round *publishRound) {
 	for zone := range b.deployment.Zones {
 		number := b.sharedTable(zone)
@@ -37,7 +37,7 @@
 	order := b.publishOrder()
 	for urgency := range updateUrgency(len(urgencyFill)) {
 		for _, index := range order {
-			// The urgency is judged anew: a host whose slow start was just published counts as ordinary, too.
+			// The urgency is computed again: a host whose slow start was just published is now ordinary.
 			if b.urgency(&b.hosts[index]) == urgency {
 				b.publishHost(round, index, urgency)
 			}
@@ -45,8 +45,8 @@
 	}
 }
 
-// publishOrder gives the hosts in the order of discovery or, where urgent updates have been waiting for the channel,
-// with those that changed first before the others.
+// publishOrder returns the hosts in the order of discovery or, where urgent updates are waiting for the channel, in
+// the order in which their state or start last changed.
 func (b *Balancer) publishOrder() []int {
 	if !b.publishing.urgentPending {
 		return b.hostOrder
@@ -58,7 +58,7 @@
 	return order
 }
 
-// urgency ranks a host's weight update.
+// urgency returns the urgency of a host's weight update.
 func (b *Balancer) urgency(host *hostRecord) updateUrgency {
 	switch {
 	case host.endpoint.state != Ready:
@@ -70,7 +70,8 @@
 	}
 }
 
-// publishHost writes a host's weight where it is urgent and fits the channel, and else leaves it in the round.
+// publishHost writes a host's weight where it is urgent and fits the channel, and otherwise collects it in
+// round.ordinary.
 func (b *Balancer) publishHost(round *publishRound, index int, urgency updateUrgency) {
 	host := &b.hosts[index]
 	table := &round.tables[b.sharedTable(host.endpoint.zone)]
@@ -95,8 +96,8 @@
 	}
 }
 
-// maySend tells whether a host's weight may be written before the ordinary ones: no proxy has to be sent it, or it
-// protects the host or the proxies and fits the channel.
+// maySend reports whether a host's weight may be written before the ordinary ones: no proxy's table holds the host,
+// or the update protects the host or the proxies and fits the channel.
 func (r *publishRound) maySend(host *hostRecord, weight float64, urgency updateUrgency, withoutWarmEntry bool) bool {
 	if host.publication.holders == 0 {
 		return true
@@ -106,14 +107,14 @@
 		r.batch.fits(host.publication.holders, urgencyFill[urgency])
 }
 
-// hasWarmTarget tells whether a shared table should hold a warm host.
+// hasWarmTarget reports whether a shared table should hold a warm host.
 func (b *Balancer) hasWarmTarget(table int) bool {
 	return slices.ContainsFunc(b.hostOrder, func(index int) bool {
 		return b.isWarmTarget(&b.hosts[index], table)
 	})
 }
 
-// hasWarmEntry tells whether a shared table holds a warm host that it should hold.
+// hasWarmEntry reports whether a shared table holds a warm host that it should hold.
 func (b *Balancer) hasWarmEntry(table int) bool {
 	return slices.ContainsFunc(b.hostOrder, func(index int) bool {
 		host := &b.hosts[index]
@@ -121,7 +122,7 @@
 	})
 }
 
-// isWarmTarget tells whether a host is warm and should be in a shared table.
+// isWarmTarget reports whether a host is warm and should be in a shared table.
 func (b *Balancer) isWarmTarget(host *hostRecord, table int) bool {
 	return b.sharedTable(host.endpoint.zone) == table && b.slowStartFactor(host) >= 1 && b.targetWeight(host, false) > 0
 }
--- a/routing/publishweights.go
+++ b/routing/publishweights.go
@@ -12,27 +12,27 @@
 	// ackTimeoutMs is the time after which the next weights are published whatever was acknowledged.
 	ackTimeoutMs = 2000.0
 
-	// weightGraceShare is the part of the drain grace within which all that is in the channel must have left it before
-	// weights are added: a host that drains next must still be out of the tables in time.
+	// weightGraceShare is the part of the drain grace within which the channel must be able to send its backlog, or
+	// no weights are added to it: a host that begins to drain next must still be removed from the tables in time.
 	weightGraceShare = 0.4
 )
 
-// weightRollout tells how many proxies have acknowledged the last batch with ordinary weights.
+// weightRollout counts the proxies that have acknowledged the last batch with ordinary weights.
 type weightRollout struct {
 	version  int
-	proxies  int // that were sent it
+	proxies  int // number of proxies that it was sent to
 	acks     int
 	sentAtMs float64
 }
 
-// weightUpdate is a weight that is not published yet.
+// weightUpdate is a target weight that is not published yet.
 type weightUpdate struct {
 	host   int
 	weight float64
-	change float64 // by how much the weight differs from the published one
+	change float64 // absolute difference from the published weight
 }
 
-// rolloutAcknowledged tells whether most proxies that were sent the last weights have acknowledged them, or
+// rolloutAcknowledged reports whether most proxies that were sent the last weights have acknowledged them, or
 // ackTimeoutMs have passed.
 func (b *Balancer) rolloutAcknowledged() bool {
 	acknowledged := float64(b.rollout.acks) >= ackQuorum*float64(b.rollout.proxies)
@@ -49,7 +49,7 @@
 		return
 	}
 	subsetWeight := weight
-	if b.slowStartFactor(host) < 1 { // it might be all that is left of a subset
+	if b.slowStartFactor(host) < 1 { // it might be the only host left in a subset
 		subsetWeight = 0
 	}
 	for i := range b.proxies {
@@ -78,13 +78,16 @@
 	}
 }
 
-// publishWeights writes the ordinary weight updates, the largest changes first, as far as the budget and the channel
-// allow. Once one is written the others may go with it, whatever is left of the budget: the messages go out anyway.
+// publishWeights writes the ordinary weight updates, the largest changes first. An update waits where the update
+// budget is used up, where the backlog could not leave the channel within weightGraceShare of the drain grace, or
+// where it does not fit weightFill of the channel. Once one update is written the others need no budget, since the
+// messages are sent in any case.
 func (b *Balancer) publishWeights(round *publishRound) {
-	updates, batch := round.ordinary, &round.batch
+	updates := round.ordinary
+	batch := &round.batch
 	sort.SliceStable(updates, func(i, j int) bool { return updates[i].change > updates[j].change })
 	initialBacklog := batch.backlog
-	// In a fleet so large that one entry for all proxies takes longer than the grace, waiting would help nothing.
+	// In a fleet so large that one entry for all proxies takes longer than the grace, waiting would not help.
 	graceEntries := b.channel.EntriesPerSecond * b.limits.DrainGraceMs / msPerSecond * weightGraceShare
 	entriesForAll := float64(batch.assigned) * (batch.messageOverhead + 1)
 	for _, update := range updates {
--- a/routing/rebalance.go
+++ b/routing/rebalance.go
@@ -6,28 +6,30 @@
 )
 
 const (
-	// minWeightRatio is the part of its base weight that a host keeps, so that its latency goes on being measured.
+	// minWeightRatio is the part of its base weight that a host keeps at least, so that its latency can still be
+	// measured.
 	minWeightRatio = 0.1
 
-	// relaxRatio is the part of the way back to its base weight that a host's weight goes in each report round.
+	// relaxRatio is the part of the difference to its base weight by which a host's weight relaxes in each report
+	// round.
 	relaxRatio = 0.05
 
-	// minWeightChange is the relative change of a weight that is worth a transfer or an entry. A smaller one would only
-	// hold up the next.
+	// minWeightChange is the smallest relative change of a weight that is transferred or published. A smaller one
+	// would only delay the next by its cooldown.
 	minWeightChange = 0.06
 )
 
-// balanceRecord is what rebalancing keeps of a host.
+// balanceRecord is the rebalancing state of a host.
 type balanceRecord struct {
-	weight          float64 // where transfers have put it, on the scale of the base weight
-	cooldownUntilMs float64 // no transfer before
+	weight          float64 // the weight after all transfers, in the unit of the base weight
+	cooldownUntilMs float64 // no transfer before this instant
 }
 
 // transferParty is a host that takes part in weight transfers. Rates are in requests a second.
 type transferParty struct {
 	host          *hostRecord
-	overload      float64 // arrival rate over the capacity; below 0 it is headroom
-	sheddableRate float64 // what the host can give away and still keep its least weight
+	overload      float64 // arrival rate less capacity; a negative overload is headroom
+	sheddableRate float64 // the rate that the host can transfer and still keep minWeightRatio
 }
 
 // fleetTotals are sums over the hosts that take part in rebalancing.
@@ -36,16 +38,16 @@
 	weight      float64
 }
 
-// participates tells whether a host takes part in rebalancing: it is ready, and neither ejected, recovering nor
+// participates reports whether a host takes part in rebalancing: it is ready, and neither ejected, recovering nor
 // warming up.
 func (b *Balancer) participates(host *hostRecord) bool {
 	return host.endpoint.state == Ready && !host.outlier.ejected &&
 		b.recoveryFactor(host) >= 1 && b.slowStartFactor(host) >= 1
 }
 
-// rebalance transfers weight, by section 4.3 of the paper that the package comment names: from the most overloaded host
-// min{overload, headroom, sheddable rate} goes to the host with the most headroom, hosts of the same zone first. With
-// no host over its capacity all weights relax toward their base weights.
+// rebalance transfers weight, by section 4.3 of the paper named in the package comment: min{overload, headroom,
+// sheddable rate} moves from the most overloaded host to the host with the most headroom, hosts of reused in each
+// round, too zone first. Where no host exceeds its capacity all weights relax toward their base weights.
 func (b *Balancer) rebalance() {
 	parties, overloaded, totals := b.transferParties()
 	sort.SliceStable(overloaded, func(i, j int) bool { return overloaded[i].overload > overloaded[j].overload })
@@ -57,7 +59,8 @@
 	}
 }
 
-// transferParties gives the hosts that may send or receive weight now, and those of them that must send some.
+// transferParties returns the hosts that may send or receive weight now, those of them that must send some, and the
+// sums over all hosts that take part.
 func (b *Balancer) transferParties() (parties, overloaded []transferParty, totals fleetTotals) {
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
@@ -79,9 +82,9 @@
 	return parties, overloaded, totals
 }
 
-// newTransferParty measures a host's overload. A host with several cores answers fast until nearly all are busy, so its
-// mean latency overstates its headroom: it is given no more than brings the utilization that it reports to
-// targetUtilization. A load report can take headroom away and never gives any; by itself it moves no weight.
+// newTransferParty measures a host's overload. A host with several cores answers fast until nearly all are busy, so
+// its mean latency overstates its headroom: its headroom is limited to what raises its reported utilization to
+// targetUtilization. A load report can only reduce headroom, and never moves weight by itself.
 func newTransferParty(host *hostRecord, medianLatencyMs float64) transferParty {
 	rate := host.stats.arrivalRate
 	party := transferParty{
@@ -96,8 +99,8 @@
 	return party
 }
 
-// shedWeight transfers weight from one overloaded host to those with headroom. Both sides of a transfer are left alone
-// until it shows in the reports.
+// shedWeight transfers weight from one overloaded host to those with headroom. Sender and receiver get a cooldown
+// until the transfer shows in the reports.
 func (b *Balancer) shedWeight(sender transferParty, parties []transferParty, totals fleetTotals) {
 	if totals.arrivalRate <= 0 {
 		return
@@ -126,7 +129,7 @@
 	}
 }
 
-// relaxWeights brings the weights of all hosts without a cooldown a step nearer to their base weights.
+// relaxWeights moves the weights of all hosts without a cooldown one step toward their base weights.
 func (b *Balancer) relaxWeights() {
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
--- a/routing/report.go
+++ b/routing/report.go
@@ -6,24 +6,27 @@
 )
 
 const (
-	// windowDecay is what earlier request sums count for after one report cycle.
+	// windowDecay is the factor by which earlier request sums decay in one report cycle.
 	windowDecay = 0.8
 
-	// recentDecay is the same for the success ratios, which must follow a fault sooner than the mean latency does.
+	// recentDecay is the same factor for the recent successes and failures, which must show a fault sooner than the
+	// mean latency does.
 	recentDecay = 0.5
 
-	// priorSamples is the number of requests of median latency that each host is taken to have answered besides its
-	// own, so that a host with few requests counts as average and a noisy mean latency fakes no overload.
+	// priorSamples is the weight, in requests, of the fleet's median latency in the estimate of each host's mean
+	// latency, so that a host with few requests counts as average and a noisy mean latency does not look like
+	// overload.
 	priorSamples = 4.0
 
-	// demandSmoothing is the part of a proxy's request rate that follows its last report.
+	// demandSmoothing is the weight of a proxy's last report in its smoothed request rate.
 	demandSmoothing = 0.3
 
-	// successRatioSmoothing is the part of the fleet's success ratio that a better last report keeps of the old one.
+	// successRatioSmoothing is the weight of the old value in the fleet's success ratio where the last reports show a
+	// higher one. A lower one replaces it at once.
 	successRatioSmoothing = 0.5
 
-	// loadReportTrust is the part of the arrival rate by the proxies' sums under which a host's own report is not
-	// believed.
+	// loadReportTrust is the least credible request rate in a host's load report, as a part of the arrival rate that
+	// the proxies measured. A lower reported rate is rejected and replaced by this bound.
 	loadReportTrust = 0.5
 
 	// settlingCycles is the number of report cycles, besides the propagation delay, until a new weight shows in
@@ -34,7 +37,7 @@
 	noReportYet = -1
 )
 
-// requestSums sum up the attempts that proxies made at a host.
+// requestSums are sums over the attempts that proxies made at a host.
 type requestSums struct {
 	successes float64
 	failures  float64
@@ -48,27 +51,27 @@
 	window          requestSums // of all report rounds, decaying by windowDecay
 	arrivalRate     float64     // lambda, in attempts a second, from the whole fleet of proxies
 	meanLatencyMs   float64     // R, with the prior of priorSamples
-	recentSuccesses float64     // decaying by recentDecay, counted also while a weight transfer has yet to show
+	recentSuccesses float64     // decaying by recentDecay, counted also during the cooldown after a transfer
 	recentFailures  float64
-	lastSuccessAtMs float64 // when a report last showed a success
+	lastSuccessAtMs float64 // last report round with a success
 }
 
-// attempts is the decayed number of attempts in the window.
+// attempts returns the number of attempts in the window, decayed by windowDecay.
 func (r *requestStats) attempts() float64 { return r.window.successes + r.window.failures }
 
-// recentAttempts is the number of attempts that decays by recentDecay.
+// recentAttempts returns the number of recent attempts, decayed by recentDecay.
 func (r *requestStats) recentAttempts() float64 { return r.recentSuccesses + r.recentFailures }
 
-// reportTiming tells when the proxies' reports come and how soon they show a change.
+// reportTiming measures when the proxies' reports arrive and how soon they show a change.
 type reportTiming struct {
-	pending        bool    // some came since the last report round
+	pending        bool    // reports arrived since the last report round
 	lastAtMs       float64 // the last report round, or noReportYet
-	delayMs        float64 // how much later than usual report rounds lately came
+	delayMs        float64 // recent delay of report rounds beyond the report interval, decaying
 	spanSumMs      float64 // sum of the times that the pending reports cover
 	count          float64 // number of the pending reports
-	cycleMs        float64 // the time in which reports come round all hosts
+	cycleMs        float64 // the time in which every host is reported once
 	settlingMs     float64 // the time until a new weight shows in the reports
-	observableAtMs float64 // from then on reports show this instance's own first weights
+	observableAtMs float64 // from this instant on reports show this instance's first weights
 }
 
 // fleetStats are statistics over all hosts.
@@ -77,8 +80,8 @@
 	successRatio    float64 // successes per attempt
 }
 
-// processReports takes in the reports since the last report round. Without reports none of this happens, and the
-// published tables stay as they are.
+// processReports runs a report round: it updates the estimates by the reports since the last one, rebalances and sets
+// admission. It only runs after reports, so that without them the published tables stay unchanged.
 func (b *Balancer) processReports(writer UpdateWriter) {
 	intervalMs := b.deployment.ReportIntervalMs
 	passedMs := intervalMs
@@ -99,7 +102,7 @@
 	}
 }
 
-// updateProxyRates brings each proxy's request rate up to date by the demand that it reported.
+// updateProxyRates updates each proxy's request rate by the demand that it reported.
 func (b *Balancer) updateProxyRates() {
 	for i := range b.proxies {
 		proxy := &b.proxies[i]
@@ -113,8 +116,8 @@
 	}
 }
 
-// updateEstimates brings the report cycle, each host's arrival rate and mean latency, and the fleet's success ratio and
-// median latency up to date. passedMs is the time since the last report round.
+// updateEstimates updates the report cycle, each host's arrival rate and mean latency, and the fleet's success ratio
+// and median latency. passedMs is the time since the last report round.
 func (b *Balancer) updateEstimates(passedMs float64) {
 	b.updateReportCycle()
 	cycles := passedMs / b.reports.cycleMs
@@ -128,7 +131,7 @@
 		reported := host.stats.takePending(recentKept, b.nowMs)
 		successes += reported.successes
 		attempts = attempts + reported.successes + reported.failures
-		if b.nowMs < host.balance.cooldownUntilMs-b.reports.cycleMs { // from before the last weight transfer showed
+		if b.nowMs < host.balance.cooldownUntilMs-b.reports.cycleMs { // these reports do not show the last transfer yet
 			host.stats.window = requestSums{}
 			continue
 		}
@@ -147,8 +150,8 @@
 	}
 }
 
-// updateReportCycle follows the time that each report covers: a large fleet is reported in turns, so that reports come
-// round all hosts less often than one report interval.
+// updateReportCycle updates the report cycle by the time that each report covers: in a large fleet each report holds
+// only some of the hosts, so that a host is reported less often than once in each report interval.
 func (b *Balancer) updateReportCycle() {
 	reports := &b.reports
 	smoothed := recentDecay*reports.cycleMs + (1-recentDecay)*reports.spanSumMs/reports.count
@@ -170,7 +173,7 @@
 	return reported
 }
 
-// extendWindow lets the window decay to windowKept of it and adds what was reported in the time passedMs.
+// extendWindow multiplies the window by windowKept and adds the sums reported in the last passedMs.
 func (r *requestStats) extendWindow(reported requestSums, windowKept, passedMs float64) {
 	window := &r.window
 	window.successes = window.successes*windowKept + reported.successes
@@ -180,8 +183,9 @@
 }
 
 // estimateHost derives a host's arrival rate and mean latency from its window. The arrival rate is the one that the
-// host reports, else this instance's own sums over its share of all proxies. A failed attempt counts as one that took
-// the latency d of the capacity formula, so that errors never read as headroom; it stays out of the fleet's median.
+// host reports, but at least loadReportTrust of the measured one, or else the rate that this instance's proxies
+// measured, divided by their share of all proxies. A failed attempt counts as one that took the latency d of the
+// capacity formula, so that errors never look like headroom; it does not count in the fleet's median.
 func (b *Balancer) estimateHost(host *hostRecord, connectedShare float64) {
 	window := &host.stats.window
 	priorMs := (window.failures*deadlineMedians + priorSamples) * b.fleet.medianLatencyMs
--- a/routing/retrystorm.go
+++ b/routing/retrystorm.go
@@ -3,38 +3,47 @@
 import "math"
 
 const (
-	// stormFailureRatio is the part of the hosts that fail, and of their attempts, in a retry storm.
+	// stormFailureRatio is the least part of the hosts that fail, and of the attempts that fail at each of them, in a
+	// retry storm.
 	stormFailureRatio = 0.6
 
 	// stormRounds is the number of report rounds in a row that prove a retry storm.
 	stormRounds = 2
 
-	// retrySuccessRatio is the fleet's success ratio from which on retries help where no admission ratio is heeded.
+	// quiesceSpacing is the number of settling times between the end of one quiescing and the start of the next.
+	quiesceSpacing = 2
+
+	// maxQuiesceShare is the part of SafetyLimits.EmptyTableMs that quiescing may take, without the propagation delay.
+	maxQuiesceShare = 0.5
+
+	// retrySuccessRatio is the fleet's success ratio from which retries are allowed where proxies ignore admission
+	// quotas.
 	retrySuccessRatio = 0.8
 )
 
-// retryStormState tells whether the proxies are kept from sending to end a retry storm.
+// retryStormState is the state of ending a retry storm.
 type retryStormState struct {
 	rounds          int     // report rounds in a row that showed a storm
-	quiescing       bool    // all proxies are sent to one host
+	quiescing       bool    // all proxies are assigned a table with one host
 	host            int     // that host
-	nextQuiesceAtMs float64 // not again before
+	nextQuiesceAtMs float64 // no quiescing before this instant
 }
 
-// noQuiesceHost stands where no host can be kept in service while the others' queues empty.
+// noQuiesceHost is stormSymptoms.keptHost where no host takes part in rebalancing.
 const noQuiesceHost = -1
 
-// stormSymptoms is what the last reports show of a retry storm.
+// stormSymptoms are the signs of a retry storm in the last reports.
 type stormSymptoms struct {
 	hosts        int // with recent attempts
 	failingHosts int
-	keptHost     int // the heaviest host that takes part in rebalancing, or noQuiesceHost
+	keptHost     int // host of the largest base weight that takes part in rebalancing, or noQuiesceHost
 }
 
-// relieveRetryStorm ends a retry storm where proxies heed no admission ratio: work that clients have given up on keeps
-// most attempts failing after the cause is gone. All proxies are sent to one host until the deadline of every class is
-// over, and then return to shorter queues. It must not act on a network partition or a host that hangs, where some
-// hosts succeed; where capacity is lacking for good it trades a steady failure for good spells.
+// relieveRetryStorm ends a retry storm where proxies ignore admission quotas: requests that clients have given up on
+// fill the hosts' queues and make most attempts fail even after the cause has ended. All proxies are sent to one host
+// until the deadline of every class has passed, and then return to hosts with shorter queues. It must not act on a
+// network partition or an unresponsive host, where some hosts succeed. Where capacity is permanently insufficient, it
+// replaces constant failure by intervals of success.
 func (b *Balancer) relieveRetryStorm(writer UpdateWriter) {
 	symptoms := b.measureRetryStorm()
 	b.admission.retryPolicy = retryUnprocessed
@@ -78,7 +87,7 @@
 // quiesceRetryStorm sends all proxies to one host until the requests in the others' queues are past their deadlines.
 func (b *Balancer) quiesceRetryStorm(writer UpdateWriter, symptoms stormSymptoms) {
 	quiesceMs := b.quiesceMs()
-	b.retryStorm.nextQuiesceAtMs = b.nowMs + quiesceMs + 2*b.reports.settlingMs
+	b.retryStorm.nextQuiesceAtMs = b.nowMs + quiesceMs + quiesceSpacing*b.reports.settlingMs
 	b.retryStorm.host = symptoms.keptHost
 	b.setQuiescing(true)
 	b.schedule(quiesceMs, func(UpdateWriter) { b.setQuiescing(false) })
@@ -90,18 +99,18 @@
 	}})
 }
 
-// quiesceMs is the time until every class's requests are past their deadlines, though at most half the time for which a
-// proxy may be without hosts.
+// quiesceMs returns the time for which the proxies are quiesced: until the deadline of every class has passed, but
+// each at most half of SafetyLimits.EmptyTableMs, plus the propagation delay.
 func (b *Balancer) quiesceMs() float64 {
 	delayMs := b.channel.PropagationDelayMs
 	longestMs := delayMs
 	for _, class := range b.classes {
-		longestMs = math.Max(longestMs, math.Min(class.DeadlineMs, b.limits.EmptyTableMs/2)+delayMs)
+		longestMs = math.Max(longestMs, math.Min(class.DeadlineMs, b.limits.EmptyTableMs*maxQuiesceShare)+delayMs)
 	}
 	return longestMs
 }
 
-// setQuiescing takes all proxies off their tables; assignTables gives them others.
+// setQuiescing begins or ends quiescing. All proxies lose their tables, and assignTables assigns them others.
 func (b *Balancer) setQuiescing(quiescing bool) {
 	b.retryStorm.quiescing = quiescing
 	for i := range b.proxies {
--- a/routing/schedule.go
+++ b/routing/schedule.go
@@ -6,18 +6,18 @@
 	"sort"
 )
 
-// task is work for a later time.
+// task is a function to run at a later instant.
 type task struct {
 	atMs float64
 	run  func(UpdateWriter)
 }
 
-// taskQueue holds tasks by time; those of the same time stay in the order in which they were added.
+// taskQueue holds tasks sorted by time; tasks of the same time keep the order in which they were added.
 type taskQueue struct {
 	tasks []task
 }
 
-// add puts a task into its place.
+// add inserts a task by its time, after those of the same time.
 func (q *taskQueue) add(added task) {
 	position := sort.Search(len(q.tasks), func(i int) bool { return q.tasks[i].atMs > added.atMs })
 	q.tasks = append(q.tasks, task{})
@@ -25,7 +25,7 @@
 	q.tasks[position] = added
 }
 
-// popDue takes the first task out if its time has come.
+// popDue removes and returns the first task if it is due.
 func (q *taskQueue) popDue(nowMs float64) (task, bool) {
 	if len(q.tasks) == 0 || q.tasks[0].atMs > nowMs {
 		return task{}, false
@@ -35,12 +35,12 @@
 	return first, true
 }
 
-// schedule has a task run in the first round after a delay.
+// schedule adds a task that runs in the first round after a delay.
 func (b *Balancer) schedule(delayMs float64, run func(UpdateWriter)) {
 	b.tasks.add(task{b.nowMs + delayMs, run})
 }
 
-// runDueTasks runs the tasks whose time has come, also those that another task schedules for now.
+// runDueTasks runs all due tasks, including those that another task schedules for now.
 func (b *Balancer) runDueTasks(writer UpdateWriter) {
 	for {
 		next, due := b.tasks.popDue(b.nowMs)
@@ -51,7 +51,8 @@
 	}
 }
 
-// jitterSource draws the same sequence of numbers for the same seed, so that a recording can be replayed.
+// jitterSource draws the same sequence of numbers for the same seed, so that a
+// recording can be replayed.
 type jitterSource struct {
 	seed    uint64
 	counter uint64
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -3,39 +3,40 @@
 import "math"
 
 const (
-	// slowStartOnlyMargin is what hosts that are warming up must be able to bear where no host is warm, as a multiple
-	// of the fleet's base weight.
+	// slowStartOnlyMargin is the load, as a multiple of the fleet's base weight, that the hosts that are warming up
+	// must be able to take together before they get traffic in a fleet without a warm host.
 	slowStartOnlyMargin = 2.0
 
-	// slowStartBudgetShare is the part used of the load at which a host that is warming up collapses: it may be half as
-	// fast as its base weight says.
+	// slowStartBudgetShare is the part of the load at which a host that is warming up collapses that it may get: the
+	// host may be half as fast as its base weight suggests.
 	slowStartBudgetShare = 0.25
 
-	// maxEjectProbability is the chance of ProxyEjectAfter failures in a row over which no host starts slowly. Where
-	// proxies eject hosts by themselves, a fleet that fails would send all its requests to the one fresh host.
+	// maxEjectProbability is the probability of ProxyEjectAfter failures in a row above which hosts that are warming
+	// up get no traffic. Where proxies eject hosts by themselves, they would eject most hosts of a failing fleet and
+	// send all requests to the one that has just started.
 	maxEjectProbability = 0.1
 
-	// slowStartCutRatio is the part of its published weight under which the target weight of a host that is warming up
-	// is as urgent as a removal.
+	// slowStartCutRatio is the part of its published weight below which the target weight of a host that is warming
+	// up is published as urgently as a removal.
 	slowStartCutRatio = 0.6
 )
 
-// slowStartState tells what hosts that are warming up may get.
+// slowStartState limits the traffic of hosts that are warming up.
 type slowStartState struct {
-	allowed bool    // they may get traffic at all
-	share   float64 // published weight of the warm hosts, as a part of what all ready hosts can do now
+	allowed bool    // hosts that are warming up may get traffic at all
+	share   float64 // published weight of the warm hosts, as a part of the current capacity of all ready hosts
 }
 
-// warmCapacity sums up, in units of weight, what the fleet can do.
+// warmCapacity holds the fleet's capacity, in units of weight.
 type warmCapacity struct {
 	total     float64 // base weights of all hosts
 	ready     float64 // base weights of the ready hosts, times their slow-start factors
-	published float64 // what the tables hold, or should, of warm hosts
+	published float64 // published weights of the warm hosts, or their weights after rebalancing where larger
 	anyWarm   bool    // some ready host is warm
 }
 
-// slowStartFactor is the least part of its capacity that a host has after its start, from SlowStartInitialFactor up to
-// 1 when it is warm.
+// slowStartFactor returns the part of its capacity that a host surely has after its start. It rises linearly from
+// SlowStartInitialFactor to 1, within SlowStartMs of the start.
 func (b *Balancer) slowStartFactor(host *hostRecord) float64 {
 	startedAtMs := host.endpoint.startedAtMs
 	if startedAtMs < 0 || b.nowMs >= startedAtMs+b.limits.SlowStartMs {
@@ -45,18 +46,19 @@
 	return initial + (1-initial)*math.Max(b.nowMs-startedAtMs, 0)/b.limits.SlowStartMs
 }
 
-// slowStartCaution scales down what hosts that are warming up get: less where the fleet fails attempts or its warm
-// hosts are published with less than they can do, so that all proxies together stay under the load at which such a host
-// collapses.
+// slowStartCaution returns a factor from 0 to 1 on the weight of hosts that are warming up. It is lower where the
+// fleet fails attempts or its warm hosts are published with less than their capacity, so that all proxies together
+// stay below the load at which such a host collapses.
 func (b *Balancer) slowStartCaution() float64 {
 	budget := math.Min(1, b.limits.CollapseMultiple*slowStartBudgetShare)
 	return b.fleet.successRatio * b.slowStart.share * budget
 }
 
-// updateSlowStart decides whether hosts that are warming up may get traffic, and which share. Where proxies eject hosts
-// by themselves, a fresh host must not be the only one that they have left; and until reports show this instance's own
-// first weights nobody knows how the fleet fares under them. Where no ready host is warm, those that are warming up
-// must bear the traffic together.
+// updateSlowStart decides whether hosts that are warming up may get traffic, and updates the share in
+// slowStartCaution. While a ready host is warm they get none until reports show the effect of this instance's own
+// first weights, nor while proxies that eject hosts by themselves may eject most of them and leave only a host that
+// has just started. Where no ready host is warm, those that are warming up get traffic once they can take all of it
+// together.
 func (b *Balancer) updateSlowStart(writer UpdateWriter) {
 	capacity := b.measureWarmCapacity()
 	var allowed bool
@@ -77,7 +79,7 @@
 	}})
 }
 
-// measureWarmCapacity sums over all hosts; those that are not ready count only for the total.
+// measureWarmCapacity sums the capacity over all hosts; those that are not ready count only in the total.
 func (b *Balancer) measureWarmCapacity() warmCapacity {
 	var capacity warmCapacity
 	for _, index := range b.hostOrder {
@@ -99,14 +101,15 @@
 	return capacity
 }
 
-// proxiesMayEjectMost tells whether proxies that eject hosts by themselves are likely to do so with most hosts.
+// proxiesMayEjectMost reports whether proxies that eject hosts by themselves are likely to eject most hosts.
 func (b *Balancer) proxiesMayEjectMost() bool {
 	failuresInARow := float64(b.deployment.ProxyEjectAfter)
 	return failuresInARow != 0 && math.Pow(1-b.fleet.successRatio, failuresInARow) > maxEjectProbability
 }
 
-// exceedsSlowStart tells whether the tables hold far more of a host that is warming up than it may get. What the fleet
-// fails does not count: that cuts all such hosts at once, and would keep removals out of the control channel.
+// exceedsSlowStart reports whether the published weight of a host that is warming up is far above its target weight.
+// A target weight that is lower because of the fleet's success ratio does not count: that lowers all such hosts at
+// once, and their updates would keep removals out of the control channel.
 func (b *Balancer) exceedsSlowStart(host *hostRecord) bool {
 	return b.slowStartFactor(host) < 1 &&
 		b.targetWeight(host, false) < host.publication.weight*slowStartCutRatio*b.fleet.successRatio
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// minSubsetSize is the number of hosts that a proxy's own table should have.
+	// minSubsetSize is the least number of hosts that a proxy's own table should have.
 	minSubsetSize = 4
 
-	// subsetRefillRatio is the part of the weight that a proxy's traffic is due under which its subset is filled up.
+	// subsetRefillRatio is the part of the weight that matches a proxy's traffic below which its subset is refilled.
 	subsetRefillRatio = 0.7
 )
 
-// lacksHosts tells whether a proxy's own table has too few hosts, or too little weight for the proxy's traffic.
+// lacksHosts reports whether a proxy's own table has too few hosts, or too little weight for the proxy's traffic.
 func (b *Balancer) lacksHosts(proxy *proxyRecord, ratePerWeight float64) bool {
 	if !proxy.ownsTable || b.retryStorm.quiescing {
 		return false
@@ -21,8 +21,8 @@
 	return len(proxy.subset) < minSubsetSize || proxy.subsetWeight*ratePerWeight < subsetRefillRatio*proxy.requestRate
 }
 
-// fillSubset adds hosts to a proxy's own table, up to the weight that its traffic is due and at least minSubsetSize. It
-// gives the number of hosts added.
+// fillSubset adds hosts to a proxy's own table until their weight matches its traffic and they are at least
+// minSubsetSize. It returns the number of hosts added.
 func (b *Balancer) fillSubset(round *publishRound, index int) int {
 	proxy := &b.proxies[index]
 	ratePerWeight := round.assignments.ratePerWeight
@@ -47,8 +47,9 @@
 	return added
 }
 
-// subsetCandidates gives the published weight of a proxy's subset, and the warm hosts that may be added: those first
-// that carry least for their weight, of the proxy's own zone while they are under their fair share.
+// subsetCandidates returns the published weight of a proxy's subset, and the warm hosts that may be added: hosts of
+// the proxy's own zone below their fair share of subset traffic first, then by the least subset traffic for their
+// weight.
 func (b *Balancer) subsetCandidates(proxy *proxyRecord, ratePerWeight float64) (weight float64, candidates []int) {
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
--- a/routing/subsetmode.go
+++ b/routing/subsetmode.go
@@ -4,8 +4,8 @@
 	// pressureFailureRatio is the part of its attempts that a host fails under connection pressure.
 	pressureFailureRatio = 0.15
 
-	// Under connection pressure at least pressureHostShare of the hosts fail, pressureIdleShare fail though they are
-	// not busy, and at most pressureMaxUnanswered leave a health check unanswered.
+	// Under connection pressure at least pressureHostShare of the hosts fail, at least pressureIdleShare fail while
+	// they are not busy, and at most pressureMaxUnanswered leave a health check unanswered.
 	pressureHostShare     = 0.6
 	pressureIdleShare     = 0.4
 	pressureMaxUnanswered = 0.35
@@ -13,31 +13,32 @@
 	// pressureRoundsNeeded is the number of report rounds in a row that prove connection pressure.
 	pressureRoundsNeeded = 2
 
-	// subsetModeInitialMs is the time that subset mode lasts. It doubles when the pressure soon returns.
+	// subsetModeInitialMs is the duration of subset mode. It doubles when the pressure soon returns.
 	subsetModeInitialMs = 30000.0
 )
 
-// subsetModeState tells whether each proxy is given a subset of the hosts.
+// subsetModeState is the state of subset mode, in which each proxy gets a subset of the hosts.
 type subsetModeState struct {
 	active         bool
 	untilMs        float64 // when it ends, or ended
-	durationMs     float64 // of the last time
+	durationMs     float64 // of the last subset mode; 0: none yet
 	pressureRounds int     // report rounds in a row with connection pressure
 }
 
 // pressureSymptoms counts the ready hosts with recent attempts.
 type pressureSymptoms struct {
 	hosts       int
-	failing     int // they fail more than pressureFailureRatio of their attempts
-	failingIdle int // of these, the ones that report idle cores
-	unanswered  int // they left the last health check unanswered
+	failing     int // hosts that fail more than pressureFailureRatio of their attempts
+	failingIdle int // failing hosts that report idle cores
+	unanswered  int // hosts that left the last health check unanswered
 }
 
-// updateSubsetMode tells connections that fail or are costly from a lack of capacity: many hosts fail attempts although
-// they answer health checks and report idle cores. Then every proxy is given its own table with a subset of the hosts,
-// to which it keeps its connections. The pressure no longer shows then, so the shared table comes back by trial, after
-// a time that doubles when the pressure soon returns. This also guards against links that lose attempts everywhere; it
-// harms where hosts fail attempts for reasons of their own, by a coarser balance.
+// updateSubsetMode enters and leaves subset mode. Connection pressure, in which connections fail or are costly,
+// differs from a lack of capacity: many hosts fail attempts although they answer health checks and report idle cores.
+// In subset mode every proxy gets its own table with a subset of the hosts, to which it keeps its connections. The
+// pressure no longer shows in this mode, so it is left tentatively, after a time that doubles when the pressure soon
+// returns. The mode also helps where links lose attempts everywhere. Where hosts fail attempts for other reasons it
+// only makes the balance coarser.
 func (b *Balancer) updateSubsetMode(writer UpdateWriter) {
 	symptoms := b.measurePressure()
 	if symptoms.showPressure() && b.nowMs >= b.retryStorm.nextQuiesceAtMs {
@@ -80,8 +81,8 @@
 	return symptoms
 }
 
-// showPressure tells whether the symptoms are those of connection pressure. One host without any is counted besides, so
-// that a fleet of few hosts proves less.
+// showPressure reports whether the symptoms are those of connection pressure. One more host without symptoms is
+// counted, so that a fleet of few hosts needs stronger evidence.
 func (p pressureSymptoms) showPressure() bool {
 	hosts := float64(p.hosts + 1)
 	return float64(p.failing) >= pressureHostShare*hosts &&
@@ -89,7 +90,7 @@
 		float64(p.unanswered) <= pressureMaxUnanswered*hosts
 }
 
-// enterSubsetMode starts subset mode, for twice as long as the last time where that ended not long ago.
+// enterSubsetMode starts subset mode, for twice the last duration where the last one ended recently.
 func (b *Balancer) enterSubsetMode(writer UpdateWriter, symptoms pressureSymptoms) {
 	mode := &b.subsetMode
 	mode.durationMs *= 2
--- a/routing/updatebatch.go
+++ b/routing/updatebatch.go
@@ -1,11 +1,11 @@
 package routing
 
-// updateBatch counts what the updates of one round cost.
+// updateBatch counts the cost, in entries, of the updates of one round.
 type updateBatch struct {
 	channel         ControlChannel
 	version         int
 	costs           []float64 // entries by proxy, with the message overhead
-	messageOverhead float64   // entries that a message costs besides its own
+	messageOverhead float64   // fixed cost of a message, in entries
 	proxies         int       // number of proxies that the batch reaches
 	initialBacklog  float64   // entries in the channel before the batch
 	backlog         float64   // entries in the channel with the batch
@@ -42,8 +42,9 @@
 	u.backlog += entries
 }
 
-// fits tells whether one more entry for each of so many proxies leaves the channel filled up to a part of its limits.
-// The unacknowledged entries, on their way or not, stay under removalFill in any case.
+// fits reports whether the control channel has capacity for one more entry to each of the given number of proxies:
+// the backlog, and the messages to each proxy, stay within the part fill of the channel's limits. All unacknowledged
+// entries together, in transit or not, always stay within removalFill.
 func (u *updateBatch) fits(proxies int, fill float64) bool {
 	newMessages := min(proxies, u.assigned-u.proxies)
 	backlog := u.backlog + float64(proxies) + float64(newMessages)*u.messageOverhead
--- a/routing/weight.go
+++ b/routing/weight.go
@@ -3,26 +3,28 @@
 import "math"
 
 const (
-	// penaltyThreshold is the part of the fleet's success ratio under which a host loses weight for its failures.
+	// penaltyThreshold is the part of the fleet's success ratio below which a host loses weight for its failures.
 	penaltyThreshold = 0.8
 
-	// minSuccessPenalty is the least factor that failures bring: old failures count on after their cause is gone.
+	// minSuccessPenalty is the least factor for failures: old failures still count for a while after their cause has
+	// ended.
 	minSuccessPenalty = 0.5
 
-	// priorSuccesses are added to a host's recent successes, so that one failure of a host with few attempts says
-	// little.
+	// priorSuccesses are added to a host's recent successes, so that one failure of a host with few attempts has
+	// little effect.
 	priorSuccesses = 2
 
-	// suspicionPenalty is the factor for each unit of suspicion.
-	suspicionPenalty = 0.5
+	// penaltyPerSuspicion is the factor on the weight for each unit of suspicion.
+	penaltyPerSuspicion = 0.5
 
-	// idleUtilization is the utilization up to which a host that leaves health checks unanswered is out of this
-	// controller's reach and not slow.
+	// idleUtilization is the utilization up to which a host that leaves health checks unanswered is assumed to be
+	// unreachable from this controller, and not slow.
 	idleUtilization = 0.6
 )
 
-// targetWeight is the weight that the published tables should hold of a host, 0 for none. emptyTable is true where its
-// table would hold no warm host otherwise: ejections are passed over then, since a proxy must not be without hosts.
+// targetWeight returns the weight that the published tables should hold of a host, 0 for none. emptyTable says that
+// its table would otherwise hold no warm host: ejections are then ignored, since a proxy must not be left without
+// hosts.
 func (b *Balancer) targetWeight(host *hostRecord, emptyTable bool) float64 {
 	if host.endpoint.state != Ready || host.outlier.ejected && !emptyTable {
 		return 0
@@ -39,8 +41,8 @@
 	return weight * b.recoveryFactor(host) * slowStart * penalty
 }
 
-// successPenalty is the factor at which a host whose attempts fail loses weight at once, whatever its fault is. A fleet
-// that fails as a whole loses none.
+// successPenalty returns the factor, from minSuccessPenalty to 1, on the weight of a host whose attempts fail more
+// often than the fleet's. It takes effect at once, whatever the fault.
 func (b *Balancer) successPenalty(host *hostRecord) float64 {
 	stats := &host.stats
 	successRatio := (stats.recentSuccesses + priorSuccesses) / (stats.recentAttempts() + priorSuccesses)
@@ -51,14 +53,15 @@
 	return penalty
 }
 
-// suspicionPenalty is the factor at which a host that leaves health checks unanswered loses weight: it is slow long
-// before its request stats show it. Where many do, the fleet is busy, and what the suspects lose would only overload
-// the next; a host that reports idle cores is out of this controller's reach, and its proxies may reach it.
+// suspicionPenalty returns the factor, up to 1, on the weight of a host that leaves health checks unanswered, which
+// shows that it is slow long before its request stats do. Where many hosts do, the fleet is overloaded, and the
+// weight taken from them would only overload others. A host that reports idle cores is unreachable from this
+// controller, but may be reachable from its proxies.
 func (b *Balancer) suspicionPenalty(host *hostRecord) float64 {
 	utilization := host.load.effectiveUtilization()
 	idle := utilization >= 0 && utilization <= idleUtilization
 	if !b.checks.suspicionApplies || idle {
 		return 1
 	}
-	return math.Pow(suspicionPenalty, host.health.suspicion*b.checks.suspicionScale)
+	return math.Pow(penaltyPerSuspicion, host.health.suspicion*b.checks.suspicionScale)
 }
--- a/routing/writer.go
+++ b/routing/writer.go
@@ -9,12 +9,13 @@
 	retryUnprocessed = 1 // one retry, after proof that the first attempt never ran: safe for every class
 )
 
-// UpdateWriter takes the decisions of a round, in the order in which they are to be sent. Hosts and proxies go by the
-// indices with which they were recorded, tables by numbers; bit k of classes stands for class k, and 0 for all classes.
+// UpdateWriter receives the decisions of a round, in the order in which they must be sent. Hosts and proxies are
+// identified by the indices with which they were recorded, tables by numbers. Bit k of classes stands for class k,
+// and 0 for all classes.
 type UpdateWriter interface {
-	// SetWeight sets the weight of a host in a table; 0 takes it out.
+	// SetWeight sets the weight of a host in a table; 0 removes it.
 	SetWeight(table, host int, weight float64)
-	// AssignTable has a proxy route by a table; it is sent all entries of the table.
+	// AssignTable makes a proxy route by a table. The proxy must be sent all entries of the table.
 	AssignTable(proxy, table, classes int)
 	// SetAdmission sets the part of the requests that proxies admit, and their retry policy.
 	SetAdmission(table, classes int, quota float64, retryPolicy int)
@@ -22,10 +23,10 @@
 	StampVersion(version int)
 	// CheckHealth starts a health check of a host; its result comes back by ObserveHealthCheck.
 	CheckHealth(host int)
-	// ScheduleRound asks for a round at an instant.
+	// ScheduleRound asks for a call of Round at an instant, in ms.
 	ScheduleRound(atMs float64)
 	// WatchEndpoints starts or restarts the watch of the endpoint list.
 	WatchEndpoints()
-	// Log takes an event that operators may want to see.
+	// Log writes an event that operators may want to see.
 	Log(event Event)
 }
