--- a/internal/statefile/folder.go
+++ b/internal/statefile/folder.go
@@ -11,11 +11,11 @@
 const (
 	lockFileName = "lock"
 
-	folderMode = 0o700 // only the controller's user: the state names its hosts and operators
+	folderMode = 0o700 // readable by the controller's user only: the state holds names of hosts and operators
 	fileMode   = 0o600
 )
 
-// ErrLocked says that another process has locked the folder.
+// ErrLocked is the error of OpenFolder where another process has locked the folder.
 var ErrLocked = errors.New("another steward keeps its state there")
 
 // Folder is a directory on disk. It implements FS.
@@ -45,7 +45,8 @@
 	return &Folder{path: path, dir: dir, lock: lock}, nil
 }
 
-// lockExclusively does not wait. The kernel releases the lock when the file is closed or the process ends.
+// lockExclusively locks a file without waiting, or returns ErrLocked. The kernel releases the lock when the file is
+// closed or the process ends.
 func lockExclusively(file *os.File) error {
 	err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) {
--- a/internal/statefile/framing.go
+++ b/internal/statefile/framing.go
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// checksum is the CRC-32C of the generation (uint64, little endian) and the body, so that a record that a disk
+// checksum returns the CRC-32C of the generation (uint64, little endian) and the body, so that a record that a disk
 // returns from a file of another generation is rejected.
 func checksum(body []byte, generation uint64) uint32 {
 	generationSum := crc32.Checksum(binary.LittleEndian.AppendUint64(nil, generation), castagnoli)
--- a/internal/statefile/load.go
+++ b/internal/statefile/load.go
@@ -13,17 +13,17 @@
 // LoadResult is what was read from a folder.
 type LoadResult struct {
 	State      *statepb.State // nil: the folder has no readable state
-	Generation uint64         // of the state; 0: none
-	Changes    int            // of the log that were applied to the snapshot
-	Warnings   []string       // a line for each file, or end of a log, that was left out, with the reason
+	Generation uint64         // generation of the state; 0: none
+	Changes    int            // number of changes of the log that were applied to the snapshot
+	Warnings   []string       // a line for each file, or end of a log, that was ignored, with the reason
 
 	newestGeneration uint64 // of any file, readable or not
 }
 
-// DamageError says why a file could not be used, or from which change on.
+// DamageError is the reason why a file is ignored, or why the log is ignored after a number of changes.
 type DamageError struct {
 	FileName string
-	Changes  int // of a log, that could be applied
+	Changes  int // changes of the log before the damage
 	Err      error
 }
 
@@ -34,12 +34,12 @@
 	return fmt.Sprintf("%s: %v", e.FileName, e.Err)
 }
 
-// Unwrap returns the reason.
+// Unwrap returns the cause of the damage.
 func (e *DamageError) Unwrap() error { return e.Err }
 
-// Load reads the newest readable snapshot, and applies the changes of its log up to the first that is damaged.
-// Damage is not an error: it is listed in the warnings, and the state before it is returned. The error is that of
-// listing the folder.
+// Load reads the newest readable snapshot, and applies the changes of its log up to the first damaged one. Damage is
+// not an error: it is listed in the warnings, and the state before it is returned. Load fails only where the folder
+// cannot be listed.
 func Load(fsys FS) (*LoadResult, error) {
 	names, err := fsys.Names()
 	if err != nil {
@@ -79,7 +79,7 @@
 	name := fileName(logFile, r.Generation)
 	content, err := fsys.ReadFile(name)
 	if err != nil {
-		return // there is no log if the power was cut while the generation was begun
+		return // a power cut at the start of a generation may leave it without a log
 	}
 	if err := r.applyChanges(content); err != nil {
 		r.warn(&DamageError{FileName: name, Changes: r.Changes, Err: err})
--- a/internal/statefile/names.go
+++ b/internal/statefile/names.go
@@ -16,7 +16,7 @@
 	snapshotPrefix = "snapshot"
 	logPrefix      = "log"
 
-	// temporaryName is that of a snapshot until it is complete and synced.
+	// temporaryName is the file name of a snapshot until it is complete and synced.
 	temporaryName = "next"
 )
 
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s-%08d", prefix, generation)
 }
 
-// parseFileName is the inverse of fileName. It is not ok for other files of the folder, such as the lock.
+// parseFileName is the inverse of fileName. ok is false for other files of the folder, such as the lock.
 func parseFileName(name string) (kind fileKind, generation uint64, ok bool) {
 	prefix, number, _ := strings.Cut(name, "-")
 	generation, err := strconv.ParseUint(number, 10, 64)
--- a/internal/statefile/store.go
+++ b/internal/statefile/store.go
@@ -1,9 +1,9 @@
 // Package statefile stores a controller's state in a folder so that it survives crashes and power cuts.
 //
 // It owns the files of the folder: a snapshot of the state and a log of the changes since, in numbered generations.
-// Each record has a checksum. A reader finds the state that was last synced, or a later one that was saved, but
-// never a mixture. The package decides neither what is stored nor how much a stored state still counts; package
-// state does.
+// Each record has a checksum. After a crash a reader finds the state that was last synced or a later one that was
+// saved, but never a mixture. The package decides neither what is stored nor how far a stored state is trusted after
+// a restart; package state does.
 //
 // A file begins with the seven bytes "BSTATE\x00", the byte 'S' for a snapshot or 'L' for a log, and the major and
 // minor version of its format (uint32 each). Records follow: the length of the body (uint32), the CRC-32C of the
@@ -23,11 +23,12 @@
 )
 
 const (
-	// retainedGenerations is how many generations stay: the current one, and the one before in case of damage.
+	// retainedGenerations is the number of generations that are kept: the current one, and the one before in case of
+	// damage.
 	retainedGenerations = 2
 
-	// minCompactBytes is the size up to which a log grows also where its snapshot is smaller, so that small states are
-	// not written as snapshots all the time.
+	// minCompactBytes is the size that a log may always reach before it is replaced by a snapshot, so that small
+	// states do not cause frequent snapshots.
 	minCompactBytes = 64 << 10
 )
 
@@ -35,18 +36,18 @@
 type Store struct {
 	fsys             FS
 	maxSnapshotBytes int
-	generation       uint64         // last begun
-	saved            *statepb.State // as it can be read back; nil: the next save begins a generation
+	generation       uint64         // number of the last generation that was begun
+	saved            *statepb.State // the state that Load would return; nil: the next save begins a generation
 	log              File           // nil: no generation is open
-	logBytes         int            // records in the log
+	logBytes         int            // size of the records in the log
 	snapshotBytes    int
 
 	// DroppedEntries counts the steps of state.Shrink that were needed for snapshots to fit.
 	DroppedEntries int
 }
 
-// NewStore returns a store for a folder that was loaded. Its first save begins a generation after all that were
-// found. Snapshots shrink to maxSnapshotBytes, see state.Shrink.
+// NewStore returns a store for a folder that was loaded. Its first save begins a generation with a number above all
+// that were found. Snapshots shrink to maxSnapshotBytes, see state.Shrink.
 func NewStore(fsys FS, loaded *LoadResult, maxSnapshotBytes int) *Store {
 	return &Store{fsys: fsys, maxSnapshotBytes: maxSnapshotBytes, generation: loaded.newestGeneration}
 }
@@ -164,7 +165,8 @@
 	return errors.Join(err, file.Close())
 }
 
-// removeOldGenerations keeps the files that a newer program wrote, for its return.
+// removeOldGenerations removes the generations before the retained ones. It keeps files in a newer format, so that a
+// newer program can read them after a downgrade is undone.
 func (s *Store) removeOldGenerations() error {
 	names, err := s.fsys.Names()
 	if err != nil {
@@ -182,7 +184,7 @@
 	return nil
 }
 
-// isNewer reports whether a file has a newer major format version. One that cannot be read has none.
+// isNewer reports whether a file has a newer major format version. It is false for a file that cannot be read.
 func (s *Store) isNewer(name string, kind fileKind) bool {
 	content, err := s.fsys.ReadFile(name)
 	if err != nil {
--- a/standby/standby.go
+++ b/standby/standby.go
@@ -1,10 +1,12 @@
-// Package standby decides which proxies a standby controller may serve while it follows a leader.
+// Package standby decides when a standby controller may serve a proxy while it follows a leader
+// (Standby.ShouldServe).
 //
-// The standby does not serve a proxy that has a session with the leader as long as the leader's lease is valid. Each
-// answer that the standby receives from the leader renews the lease, which expires LeaseMs later. No proxy is
-// therefore served by both controllers while the standby is in contact with the leader, up to the delay of these
-// answers. In a network partition both may publish, each to its own proxies; that is safe, since a proxy follows the
-// tables of one controller at a time. Holding proxies back only keeps them from switching between controllers.
+// The standby does not serve a proxy that has a session with the leader as long as the leader's lease is valid; it
+// serves any other proxy at once. Each answer that the standby receives from the leader renews the lease, which
+// expires LeaseMs later. No proxy is therefore served by both controllers while the standby is in contact with the
+// leader, up to the delay of these answers. In a network partition both may publish, each to its own proxies; that is
+// safe, since a proxy follows the tables of one controller at a time. Rejecting proxies that the leader serves only
+// prevents them from switching between controllers.
 //
 // The package performs no I/O, reads no clock and starts no goroutine; the caller serializes all calls. Instants and
 // durations are milliseconds.
@@ -17,7 +19,7 @@
 	LeaseMs float64 // how long the leader's lease is valid after the last contact
 }
 
-// Standby follows one leader.
+// Standby decides on the polls of proxies at a standby that follows one leader. It is not safe for concurrent use.
 type Standby struct {
 	limits         Limits
 	lastContactMs  float64 // when the leader last answered; -Inf: never
@@ -27,7 +29,7 @@
 	rejectedPolls  int64
 }
 
-// New returns a standby that has had no contact with its leader yet, and so would serve any proxy.
+// New returns a standby without any contact with its leader yet, which serves any proxy.
 func New(limits Limits) *Standby {
 	return &Standby{limits: limits, lastContactMs: math.Inf(-1), leaderSessions: map[string]bool{}}
 }
@@ -41,16 +43,18 @@
 	}
 }
 
-// Heartbeat renews the leader's lease; the leader's sessions are as they were.
+// Heartbeat renews the leader's lease and keeps the last known set of its sessions.
 func (s *Standby) Heartbeat(nowMs float64) { s.lastContactMs = nowMs }
 
-// LeaseValid reports whether the leader's lease is valid, so that its sessions have to be respected.
+// LeaseValid reports whether the leader's lease is valid, so that the proxies with a session there must not be
+// served.
 func (s *Standby) LeaseValid(nowMs float64) bool { return nowMs < s.leaseExpiresAtMs() }
 
 func (s *Standby) leaseExpiresAtMs() float64 { return s.lastContactMs + s.limits.LeaseMs }
 
-// ShouldServe reports whether a proxy that polls may be served. If not, retryAfterMs is the time until the lease
-// expires if it is not renewed. The first proxy that is served makes the standby active.
+// ShouldServe reports whether a proxy that polls may be served: it may once the leader's lease has expired, or where
+// it has no session with the leader. Otherwise retryAfterMs is the time until the lease expires if it is not renewed.
+// The first proxy that is served makes the standby active.
 func (s *Standby) ShouldServe(nowMs float64, proxy string) (serve bool, retryAfterMs float64) {
 	if s.LeaseValid(nowMs) && s.leaderSessions[proxy] {
 		s.rejectedPolls++
--- a/state/apply.go
+++ b/state/apply.go
@@ -8,8 +8,7 @@
 	"barleysail/state/statepb"
 )
 
-// Apply brings a state up to date by a change from Diff, in place, and drops the tables that no proxy refers to any
-// more.
+// Apply applies a change from Diff to a state, in place, and drops the tables that no proxy refers to any more.
 func Apply(s *statepb.State, change *statepb.Change) {
 	part := change.GetPart()
 	s.At = math.Max(s.At, change.At)
@@ -24,8 +23,8 @@
 	s.Tables = slices.DeleteFunc(s.Tables, func(table *statepb.Table) bool { return !referenced[table.Id] })
 }
 
-// merge returns the entries of a list sorted by name, less those that were removed, with the updated ones in place
-// of those of the same name.
+// merge returns the entries of a list that is sorted by name, without the removed ones, and with each update in place
+// of the entry of the same name.
 func merge[T any](entries, updates []*T, removed []string, name func(*T) string) (merged []*T) {
 	isRemoved := map[string]bool{}
 	for _, removedName := range removed {
--- a/state/decay.go
+++ b/state/decay.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// futureToleranceMs is how far in the future an entry may lie and still count as new: figures are recorded a moment
-// after the instant of the state that holds them. The age of entries further in the future is unknown.
+// futureToleranceMs is how far in the future an entry may lie and still count as new: figures may be recorded shortly
+// after the instant of the state that holds them. An entry further in the future has an unknown age.
 const futureToleranceMs = 5000
 
 // Decay describes how one kind of stored knowledge loses confidence with age.
--- a/state/diff.go
+++ b/state/diff.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// relativeTolerance is the relative change of a figure from which an entry is stored again. It keeps the log small
-	// while figures move little.
+	// relativeTolerance is the relative change of a figure from which an entry is stored again. It keeps the log
+	// small while figures change little.
 	relativeTolerance = 0.05
 
 	// failureRatioTolerance is the absolute change of a host's ratio of failed attempts from which it is stored again.
 	failureRatioTolerance = 2 * relativeTolerance
 
-	// refreshIntervalMs is the time after which an entry is stored again although nothing in it changed, since its age
-	// decides how much it counts after a restart.
+	// refreshIntervalMs is the time after which an entry is stored again although nothing in it changed, since its
+	// age decides its confidence after a restart.
 	refreshIntervalMs = 10000
 )
 
-// Diff returns the change that leads from one state to another, or nil if there is none worth storing: entries that
-// were removed, and entries that are new, have other names or flags, have figures beyond the tolerance, or have to
-// be refreshed. Hosts, proxies and overrides of both states have to be sorted by name. The change shares its entries
-// with the new state.
+// Diff returns the change from one state to another, or nil if nothing changed that must be stored. The change holds
+// the entries that were removed, and those that are new, have changed names or flags, have figures that changed by
+// more than the tolerance, or must be refreshed. Hosts, proxies and overrides of both states must be sorted by name.
+// The change shares its entries with the new state.
 func Diff(previous, current *statepb.State) *statepb.Change {
 	change := &statepb.Change{At: current.At, Part: &statepb.State{}}
 	diffHosts(change, previous.Hosts, current.Hosts)
@@ -42,7 +42,8 @@
 	return change
 }
 
-// changeIsEmpty needs no look at the tables: a change has them only for the proxies that it has.
+// changeIsEmpty reports whether a change has no entries. It need not check the tables: a change has tables only for
+// proxies that it also has.
 func changeIsEmpty(change *statepb.Change) bool {
 	removed := len(change.GoneHosts) + len(change.GoneProxies) + len(change.GoneSettings)
 	updated := len(change.Part.Hosts) + len(change.Part.Proxies) + len(change.Part.Settings)
@@ -111,7 +112,8 @@
 	return lifecycleDiffers || healthDiffers || estimatesDiffer || needsRefresh(before.At, after.At)
 }
 
-// failureRatio is the share of a host's recent attempts that failed. The 1 keeps it small where there were few.
+// failureRatio returns the share of a host's recent attempts that failed. The added 1 keeps the ratio small where
+// there were few attempts.
 func failureRatio(host *statepb.Host) float64 { return host.Lost / (host.Won + host.Lost + 1) }
 
 func proxyDiffers(before, after *statepb.Proxy) bool {
--- a/state/restore.go
+++ b/state/restore.go
@@ -1,10 +1,11 @@
-// Package state defines what a controller stores for its next incarnation, and how much of it still counts after a
-// restart.
+// Package state defines what a controller keeps across a restart, and how far its next incarnation trusts it.
 //
 // It owns the differences between two stored states (Diff, Apply), the size limit of a state (Shrink), and the decay
-// of stored knowledge (ApplyDecay): the confidence in a figure halves with a half-life of its own for each kind of
-// knowledge, and beyond a maximum age the figure counts as unknown. Restored figures are evidence for the next
-// incarnation, never proof.
+// of stored knowledge (ApplyDecay): the confidence in a figure halves with the half-life of its kind of knowledge,
+// and beyond a maximum age the figure counts as unknown (DefaultLimits). Restored figures count as measurements of
+// the next incarnation, and by themselves never eject a host. What is kept: the endpoints' starts and draining,
+// weights and latencies, failures and ejections, admission, the confidence in load reports, the proxies' table
+// versions and request rates, and the overrides of operators (statepb.State).
 //
 // The package performs no I/O, reads no clock and never writes files; package statefile does that. Instants are
 // milliseconds since 1970 by the wall clock, durations are milliseconds.
@@ -18,8 +19,8 @@
 	"barleysail/state/statepb"
 )
 
-// Bounds of stored figures. What lies outside is damage or an absurd measurement: ratios, weights and counts are
-// brought to the nearest bound, latencies and rates count as unknown.
+// Bounds of stored figures. A figure outside its bounds is damaged or implausible: ratios, weights and counts are
+// clamped to the nearest bound, latencies and rates count as unknown.
 const (
 	minAdmissionRatio = 0.01
 	minWeight         = 0.05 // relative to the weight in the endpoint list
@@ -29,9 +30,10 @@
 	maxRequestRate    = 1e9 // requests a second
 )
 
-// Restored is the stored knowledge that a new incarnation of a controller may use.
+// Restored is the stored knowledge that a new incarnation of a controller may use. Instants are milliseconds since
+// 1970, durations and latencies are milliseconds.
 type Restored struct {
-	Incarnation     string  // that stored it; empty: nothing is known
+	Incarnation     string  // the incarnation that stored the state; empty: nothing is known
 	ElapsedMs       float64 // since the state was stored
 	Reason          string  // why nothing, or less than everything, is known; empty: everything is
 	Hosts           map[string]*Host
@@ -39,7 +41,7 @@
 	AdmissionRatio  float64            // 1 where nothing is known
 	AdmissionQuotas map[string]float64 // by request class
 	MedianLatencyMs float64            // median of the hosts' mean latencies; 0: not known
-	Overrides       []*statepb.Setting // of operators, that have not expired
+	Overrides       []*statepb.Setting // overrides of operators that have not expired
 }
 
 // Host is the restored knowledge about one host.
@@ -50,7 +52,7 @@
 	Weight              float64 // relative to the weight in the endpoint list; 1 where nothing is known
 	MeanLatencyMs       float64 // of an attempt; 0: not known
 	Successes, Failures float64 // decayed counts of attempts
-	Ejected             bool    // as an outlier: its health is to be checked first
+	Ejected             bool    // it was ejected as an outlier; it is not ejected again, but checked early
 	Unreachable         bool    // when it was ejected
 	ReportTrust         float64 // confidence in its load reports; 1 where nothing is known
 }
@@ -58,8 +60,8 @@
 // Proxy is the restored knowledge about one proxy.
 type Proxy struct {
 	Zone         string
-	Tag          string           // of the table version that it acknowledged; empty: not known
-	Tables       []*statepb.Class // of that version
+	Tag          string           // tag of the table version that it acknowledged; empty: not known
+	Tables       []*statepb.Class // tables of that version
 	RequestRates []float64        // requests a second by request class, in the order of the settings; nil: not known
 }
 
@@ -73,10 +75,11 @@
 	}
 }
 
-// ApplyDecay returns what a stored state still says at an instant. A nil state says nothing.
+// ApplyDecay returns what is still known of a stored state at an instant, in milliseconds since 1970. Of a nil state
+// nothing is known.
 //
-// If the wall clock has gone back since the state was stored by more than the tolerance, the age of its entries is
-// unknown; then only the overrides of operators are restored, expired or not.
+// If the wall clock went back by more than the tolerance since the state was stored, the age of its entries is
+// unknown. Then only the overrides of operators are restored, expired or not.
 func ApplyDecay(stored *statepb.State, nowMs float64, limits Limits) *Restored {
 	if stored == nil {
 		return newRestored("no state was stored")
@@ -136,7 +139,7 @@
 	return decayToward(1, clamp(ratio, minAdmissionRatio, 1), confidence)
 }
 
-// restoreHosts needs the median latency, so it follows restoreFleet.
+// restoreHosts restores the hosts. It needs the median latency, so it must run after restoreFleet.
 func (d *decayer) restoreHosts(hosts []*statepb.Host) {
 	unknown := 0
 	for _, stored := range hosts {
@@ -152,7 +155,7 @@
 	}
 }
 
-// restoreHost reports whether anything about the host is still known.
+// restoreHost returns what is still known of a host, and whether anything is.
 func (d *decayer) restoreHost(stored *statepb.Host) (host *Host, known bool) {
 	host = &Host{Zone: stored.Zone, Weight: 1, ReportTrust: 1}
 	ageMs := d.nowMs - stored.At
@@ -242,13 +245,14 @@
 	return proxy
 }
 
-// plausibleLatency is false for NaN, for infinities and for zero, which stands for an unknown latency.
+// plausibleLatency reports whether a latency is known and within its bounds. It is false for NaN, for infinities and
+// for zero, which means unknown.
 func plausibleLatency(latencyMs float64) bool { return latencyMs > 0 && latencyMs < maxLatencyMs }
 
-// implausibleRate is true for NaN.
+// implausibleRate reports whether a rate, in requests a second, is outside its bounds. It is true for NaN.
 func implausibleRate(rate float64) bool { return !(rate >= 0 && rate <= maxRequestRate) }
 
-// clamp brings a figure within bounds; NaN becomes the lower one.
+// clamp limits a value to its bounds; NaN becomes the lower bound.
 func clamp(value, least, most float64) float64 {
 	if !(value >= least) {
 		return least
--- a/state/shrink.go
+++ b/state/shrink.go
@@ -8,10 +8,10 @@
 	"barleysail/state/statepb"
 )
 
-// Shrink drops entries in place until the encoded state takes at most maxBytes, those first whose loss costs least:
-// the tables of proxies, the largest first (such a proxy gets a snapshot in place of a delta), then a quarter of the
-// proxies at a time, then a quarter of the hosts. Overrides of operators always stay, so the state may remain too
-// large. It returns the number of steps that were needed.
+// Shrink drops entries in place until the encoded state takes at most maxBytes. The entries whose loss costs least
+// are dropped first: the tables of proxies, the largest first (a proxy without its table gets a snapshot instead of a
+// delta), then a quarter of the proxies at a time, then a quarter of the hosts. Overrides of operators always stay,
+// so the state may remain too large. It returns the number of steps that were needed.
 func Shrink(s *statepb.State, maxBytes int) (steps int) {
 	for proto.Size(s) > maxBytes {
 		switch {
@@ -29,7 +29,7 @@
 	return steps
 }
 
-// dropLargestTable also takes the table version from the proxies that have this table.
+// dropLargestTable drops the largest table, and the table version of the proxies that have it.
 func dropLargestTable(s *statepb.State) {
 	largest := 0
 	for i, table := range s.Tables {
@@ -47,5 +47,5 @@
 	}
 }
 
-// dropQuarter drops the last quarter of a list, and its last entry where it has fewer than four.
+// dropQuarter drops the last quarter of a list, or its last entry where it has fewer than four.
 func dropQuarter[T any](entries []*T) []*T { return entries[:len(entries)*3/4] }
