--- a/internal/runtimeapi/change.go
+++ b/internal/runtimeapi/change.go
@@ -12,12 +12,15 @@
 	"barleysail/operator"
 )
 
-// defaultOperator is who gives a command, where the socket does not tell.
+// defaultOperator is the operator of a command where the socket does not name one.
 const defaultOperator = "socket"
 
-// keepWeight in a command leaves a host's weight as it is.
+// keepWeight as the weight of a command keeps a host's weight unchanged.
 const keepWeight = -1
 
+// msPerSecond converts the API's seconds to milliseconds.
+const msPerSecond = 1000
+
 const (
 	errServerRequired = commandError("Require 'backend/server'.")
 	errNoSuchBackend  = commandError("No such backend.")
@@ -34,7 +37,7 @@
 	errSetArguments   = commandError("'set server <srv>' only supports 'state' and 'weight'.")
 )
 
-// findServer returns the host that the first argument, backend/server, names.
+// findServer returns the host that the first argument, backend/server, names. Its error is a commandError.
 func (s *session) findServer(args []string) (controller.HostInfo, error) {
 	if len(args) == 0 {
 		return controller.HostInfo{}, errServerRequired
@@ -53,7 +56,7 @@
 	return host, nil
 }
 
-// order passes a command to the controller and returns the answer.
+// order passes a command to the controller and returns the answer to the client. A rejection becomes a commandError.
 func (s *session) order(command operator.Command) (string, error) {
 	if command.Operator == "" {
 		command.Operator = defaultOperator
@@ -72,7 +75,7 @@
 	return "", nil
 }
 
-// setState returns the function of a command that sets the state of a server.
+// setState returns the run function of a command that sets the state of a server.
 func setState(state operator.State) func(s *session, args []string) (string, error) {
 	return func(s *session, args []string) (string, error) {
 		host, err := s.findServer(args)
@@ -99,7 +102,7 @@
 			if err != nil || !(seconds > 0) { // also where it is NaN
 				return "", errDrainDuration
 			}
-			command.DurationMs = seconds * 1000
+			command.DurationMs = seconds * msPerSecond
 		default:
 			return "", errDrainArguments
 		}
@@ -208,7 +211,7 @@
 	return added, nil
 }
 
-// deleteServer takes a host off the endpoint list that was added by addServer.
+// deleteServer removes a host that was added by addServer from the endpoint list.
 func (s *session) deleteServer(args []string) (string, error) {
 	host, err := s.findServer(args)
 	if err != nil {
--- a/internal/runtimeapi/commands.go
+++ b/internal/runtimeapi/commands.go
@@ -9,17 +9,17 @@
 	"barleysail/operator"
 )
 
-// commandError is the answer to a command that was not carried out. Its texts are those of the management guide
-// where it has one, since tools compare them.
+// commandError is the answer to a command that failed. The texts are those of the management guide where it defines
+// one, since tools compare them.
 type commandError string
 
 func (e commandError) Error() string { return string(e) }
 
-// command of the API.
+// command is a command of the API.
 type command struct {
-	words string // that name it
-	level Level  // that it needs
-	usage string // a line of help
+	words string // the words that name the command
+	level Level  // the level that it requires
+	usage string // its line in the answer of help
 	run   func(s *session, args []string) (answer string, err error)
 }
 
@@ -86,7 +86,8 @@
 	}
 }
 
-// runCommand carries out the command that the first words name, with the others as its arguments, and answers it.
+// runCommand runs the command that the first words name, with the other words as its arguments, and writes the
+// answer.
 func (s *session) runCommand(words []string, text string) {
 	command, args := s.findCommand(words)
 	if command == nil {
@@ -153,10 +154,10 @@
 	return "", nil
 }
 
-// maxFailures is how many commands that failed are listed by show errors.
+// maxFailures is the number of failed commands that show errors lists.
 const maxFailures = 16
 
-// failureTimeLayout is that of the management guide.
+// failureTimeLayout is the time format of the management guide.
 const failureTimeLayout = "02/Jan/2006:15:04:05.000"
 
 func (s *Server) recordFailure(command, answer string) {
--- a/internal/runtimeapi/events.go
+++ b/internal/runtimeapi/events.go
@@ -8,9 +8,11 @@
 	"barleysail/controller"
 )
 
-// eventWait is how long a session waits for an event before it checks its connection.
+// eventWait is the time for which a session waits for an event before it checks its connection.
 const eventWait = 10 * time.Second
 
+const microsecondsPerMs = 1000
+
 const errEventArguments = commandError("'show events' only supports '-w'.")
 
 // showEvents writes the events so far, and with -w also those that follow, until the client sends anything or the
@@ -74,7 +76,7 @@
 
 func (s *session) writeEvents(events []controller.Event) {
 	for _, event := range events {
-		at := time.UnixMicro(int64(event.At * 1000)).UTC()
+		at := time.UnixMicro(int64(event.At * microsecondsPerMs)).UTC()
 		s.write(fmt.Sprintf("<%d> %s %s %s\n", event.Number, at.Format(time.RFC3339Nano), event.Kind, event.Text))
 	}
 }
--- a/internal/runtimeapi/info.go
+++ b/internal/runtimeapi/info.go
@@ -14,7 +14,7 @@
 // infoField is a line of show info.
 type infoField struct{ name, value string }
 
-// typeName is the type of the value in the typed formats.
+// typeName returns the type of the value in the typed formats.
 func (f infoField) typeName() string {
 	if _, err := strconv.Atoi(f.value); err == nil {
 		return "u32"
@@ -70,7 +70,7 @@
 	return text.String()
 }
 
-// The JSON form of show info. The fields of each object are in the order of the alphabet.
+// The JSON form of show info. The fields of each object are in alphabetical order.
 type (
 	infoObject struct {
 		Field      infoPosition `json:"field"`
--- a/internal/runtimeapi/server.go
+++ b/internal/runtimeapi/server.go
@@ -1,9 +1,9 @@
-// Package runtimeapi serves the runtime API of a controller: line-oriented commands over a socket, in the manner of
-// HAProxy's stats socket as its management guide publishes it (https://docs.haproxy.org/3.0/management.html, section
+// Package runtimeapi serves the runtime API of a controller: line-oriented commands over a socket, compatible with
+// HAProxy's stats socket as its management guide describes it (https://docs.haproxy.org/3.0/management.html, section
 // 9.3). A request class is a backend of that API, and a host is a server of every backend.
 //
 // The package owns the connections, the syntax of commands and the texts of answers. It makes no decision: a command
-// that changes a host is passed to the controller, which may reject it or queue it as one from any other API.
+// that changes a host is passed to the controller, which may reject or queue it like one from any other API.
 package runtimeapi
 
 import (
@@ -19,7 +19,7 @@
 	"barleysail/operator"
 )
 
-// Controller is what the API needs of a controller. Its methods may be called from several goroutines at once.
+// Controller is the part of a controller that the API uses. Its methods must be safe for concurrent use.
 type Controller interface {
 	Hosts() []controller.HostInfo
 	Host(name string) (controller.HostInfo, bool)
@@ -27,26 +27,27 @@
 	PublishedTables(proxy string) (controller.Response, bool)
 	Status() controller.Status
 
-	// Order carries out commands, or reports that they wait for their turn. A rejection is an operator.RejectedError.
+	// Order applies commands, or reports that they are queued. The error of a rejection is an
+	// *operator.RejectedError.
 	Order(commands ...operator.Command) (waits bool, err error)
 
-	// Events passes the events after a number to a function, once, and waits for one if there is none yet.
+	// Events calls notify once with the events after a number, and waits up to wait for one if there is none yet.
 	Events(after int64, wait time.Duration, notify func([]controller.Event)) (cancel func())
 }
 
-// Level of a socket says which commands are permitted on it.
+// Level is the permission level of a socket, which decides the permitted commands.
 type Level int
 
-// The levels of the management guide. Each permits what those before it permit.
+// The levels of the management guide. Each also permits what the levels before it permit.
 const (
-	User          Level = iota // read what is not sensitive
+	User          Level = iota // reads what is not sensitive
 	OperatorLevel              // read everything
 	Admin                      // change things
 )
 
 var levelNames = [...]string{User: "user", OperatorLevel: "operator", Admin: "admin"}
 
-// ParseLevel returns the level of a name in the settings. It is not ok for an unknown name.
+// ParseLevel returns the level of a name in the settings. ok is false for an unknown name.
 func ParseLevel(name string) (level Level, ok bool) {
 	for level, levelName := range levelNames {
 		if levelName == name {
@@ -64,14 +65,14 @@
 	defaultMaxConnections = 256
 )
 
-// Config of a server. Zero values stand for the defaults.
+// Config configures a Server. Zero values stand for the defaults.
 type Config struct {
 	Level          Level
-	Version        string        // of the program, for show info
+	Version        string        // version of the program, for show info
 	MaxLineBytes   int           // of a command line, and of a payload; default 16384
 	IdleTimeout    time.Duration // until a connection without a command is closed; default 60 s
 	WriteTimeout   time.Duration // for an answer; default 10 s
-	MaxConnections int           // served at once, further ones wait; default 256
+	MaxConnections int           // served at once, others wait; default 256
 }
 
 func (c Config) withDefaults() Config {
@@ -104,7 +105,7 @@
 	failures []string // the last commands that failed, with their answers
 }
 
-// New returns a server that serves nothing yet.
+// New returns a server that serves no listener yet.
 func New(target Controller, config Config) *Server {
 	config = config.withDefaults()
 	return &Server{
@@ -136,7 +137,7 @@
 	}
 }
 
-// register reports whether the connection is to be served: it is not once the server is closed.
+// register records a connection and reports whether it may be served: it may not once the server is closed.
 func (s *Server) register(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +169,8 @@
 	session.serve()
 }
 
-// closeConn drops the error: whatever was to be sent has been flushed, and the connection is not used again.
+// closeConn closes a connection. It ignores the error: all answers are flushed by then, and the connection is not
+// used again.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
 // Close closes all connections and waits until their goroutines have ended. It does not close listeners.
--- a/internal/runtimeapi/session.go
+++ b/internal/runtimeapi/session.go
@@ -17,8 +17,8 @@
 
 var errIncompletePayload = errors.New("incomplete payload")
 
-// session is one connection. By default it carries out one line and closes the connection. In interactive mode,
-// which the command prompt toggles, it goes on until the client or a command ends it.
+// session is one connection. By default it runs one line of commands and closes the connection. In interactive mode,
+// which the command prompt toggles, it continues until the client or a command ends it.
 type session struct {
 	server      *Server
 	conn        net.Conn
@@ -50,18 +50,20 @@
 	}
 }
 
-// extendReadDeadline drops the error: a connection that is closed fails in the read that follows.
+// extendReadDeadline restarts the idle timeout. It ignores the error: a closed connection fails in the read that
+// follows.
 func (s *session) extendReadDeadline() {
 	_ = s.conn.SetReadDeadline(time.Now().Add(s.server.config.IdleTimeout))
 }
 
-// readLine returns a line without its end. The last line may end with the connection, and has an error then.
+// readLine returns a line without its line end. The last line may end with the connection; it is then returned with
+// an error.
 func (s *session) readLine() (string, error) {
 	line, err := s.input.R.ReadSlice('\n')
 	return strings.TrimRight(string(line), "\r\n"), err
 }
 
-// write drops the error: a bufio.Writer keeps it, and flush returns it.
+// write buffers text. It ignores the error: a bufio.Writer keeps it, and flush returns it.
 func (s *session) write(text string) { _, _ = s.output.WriteString(text) }
 
 func (s *session) flush() error {
@@ -70,7 +72,7 @@
 	return s.output.Flush()
 }
 
-// answer writes the answer to a command, which an empty line ends.
+// answer writes the answer to a command. An empty line ends each answer.
 func (s *session) answer(text string) {
 	s.write(text)
 	if text != "" && !strings.HasSuffix(text, "\n") {
@@ -79,7 +81,7 @@
 	s.write("\n")
 }
 
-// runLine carries out the commands of a line. A payload becomes the last argument of each.
+// runLine runs the commands of a line. A payload becomes the last argument of each.
 func (s *session) runLine(line string) {
 	line, terminator, hasPayload := cutPayloadMarker(line)
 	payload := ""
@@ -106,7 +108,7 @@
 	}
 }
 
-// cutPayloadMarker cuts the marker << and the terminator of a payload, which may be empty, off the end of a line.
+// cutPayloadMarker removes the marker << and the payload's terminator, which may be empty, from the end of a line.
 func cutPayloadMarker(line string) (before, terminator string, found bool) {
 	markerAt := strings.LastIndex(line, payloadMarker)
 	if markerAt < 0 || markerAt > 0 && line[markerAt-1] != ' ' {
@@ -119,7 +121,7 @@
 	return line[:markerAt], terminator, true
 }
 
-// readPayload reads lines up to one that is equal to the terminator.
+// readPayload reads lines until one equals the terminator.
 func (s *session) readPayload(terminator string) (string, error) {
 	var payload strings.Builder
 	for {
@@ -135,7 +137,7 @@
 	}
 }
 
-// splitCommands splits a line at semicolons. A backslash before a character takes its special meaning away.
+// splitCommands splits a line at semicolons. A backslash removes the special meaning of the character after it.
 func splitCommands(line string) []string {
 	var commands []string
 	var current strings.Builder
--- a/internal/runtimeapi/show.go
+++ b/internal/runtimeapi/show.go
@@ -16,7 +16,7 @@
 	errNoSuchTable    = commandError("No such table")
 )
 
-// firstBackendID is that of the first request class; the others follow in the order of the settings.
+// firstBackendID is the number of the first request class; the others follow in the order of the settings.
 const firstBackendID = 2
 
 // backend is a request class with its number in the API.
@@ -25,7 +25,7 @@
 	id    int
 }
 
-// findBackends returns the backend of a name or number, or all if there is neither.
+// findBackends returns the backend of a name or number, or all backends for an empty selector.
 func (s *session) findBackends(selector string) ([]backend, error) {
 	var backends []backend
 	for i, class := range s.server.controller.Status().Classes {
@@ -40,7 +40,7 @@
 	return backends, nil
 }
 
-// serverID is the number in the API of the host of an index.
+// serverID returns the number in the API of the host at an index.
 func serverID(index int) int { return index + 1 }
 
 // Phases of a host in controller.HostInfo.
@@ -131,9 +131,9 @@
 	return haproxy.WriteState(states), nil
 }
 
-// concurrency is the mean number of requests at a host, by Little's law: arrival rate times mean latency.
+// concurrency returns the mean number of requests at a host, by Little's law: arrival rate times mean latency.
 func concurrency(host controller.HostInfo) float64 {
-	return host.Why.ArrivalRate * host.Why.MeanLatencyMs / 1000
+	return host.Why.ArrivalRate * host.Why.MeanLatencyMs / msPerSecond
 }
 
 const serversConnHeader = "# bkname/svname bkid/svid addr port - purge_delay used_cur used_max need_est unsafe_nb " +
@@ -150,7 +150,8 @@
 	for _, backend := range backends {
 		for i, host := range hosts {
 			colonAt := strings.LastIndexByte(host.Host, ':')
-			address, port := host.Host[:colonAt], host.Host[colonAt+1:]
+			address := host.Host[:colonAt]
+			port := host.Host[colonAt+1:]
 			used := int(math.Max(concurrency(host), 0))
 			fmt.Fprintf(&text, "%s/%s %d/%d %s %s - 0 %d %d %d 0 0 -1 0 0\n", backend.class, host.Host, backend.id,
 				serverID(i), address, port, used, used, used)
@@ -180,7 +181,7 @@
 	return text.String(), nil
 }
 
-// showTableSizes takes the largest table of each proxy.
+// showTableSizes lists the proxies with the size of their largest table.
 func (s *session) showTableSizes() string {
 	var text strings.Builder
 	for _, proxy := range s.server.controller.Proxies() {
--- a/internal/runtimeapi/stat.go
+++ b/internal/runtimeapi/stat.go
@@ -8,7 +8,7 @@
 	"barleysail/internal/haproxy"
 )
 
-// Formats of show stat and show info besides the usual one.
+// Formats of show stat and show info besides the default one.
 const (
 	formatTyped = "typed"
 	formatJSON  = "json"
@@ -20,10 +20,10 @@
 	statServers  = 4
 )
 
-// statAll selects all types or servers of show stat.
+// statAll selects all types or servers in show stat.
 const statAll = -1
 
-// statQuery is what show stat is to report.
+// statQuery selects what show stat reports.
 type statQuery struct {
 	backend  string // name or number; empty: all
 	types    int    // bits, or statAll
@@ -31,8 +31,8 @@
 	format   string // empty: CSV
 }
 
-// parseStatQuery reads the arguments [{<iid>|<proxy>} <type> <sid>] [typed|json]. Fewer than three select all. A
-// number that cannot be read counts as zero, which selects nothing.
+// parseStatQuery reads the arguments [{<iid>|<proxy>} <type> <sid>] [typed|json]. With fewer than three of them all
+// is selected. A number that cannot be parsed counts as zero, which selects nothing.
 func parseStatQuery(args []string) statQuery {
 	query := statQuery{types: statAll, serverID: statAll}
 	if last := len(args) - 1; last >= 0 && (args[last] == formatTyped || args[last] == formatJSON) {
@@ -58,7 +58,7 @@
 
 func (q statQuery) selectsBackends() bool { return q.types < 0 || q.types&statBackends != 0 }
 
-// showStat reports what the controller knows of each server, in the columns of the management guide.
+// showStat returns the figures of each server and backend, in the columns of the management guide.
 func (s *session) showStat(args []string) (string, error) {
 	query := parseStatQuery(args)
 	backends, err := s.findBackends(query.backend)
@@ -114,7 +114,7 @@
 	}
 }
 
-// backendRow sums up all servers, also those that were not selected.
+// backendRow sums over all servers, including those that were not selected.
 func backendRow(backend backend, hosts []controller.HostInfo) haproxy.Row {
 	weight := 0
 	serversUp := 0
@@ -148,7 +148,7 @@
 	}
 }
 
-// checkStatus is the result of the last health check.
+// checkStatus returns the result of the last health check.
 func checkStatus(host controller.HostInfo) string {
 	switch {
 	case host.Why.ConsecutiveFailures > 0:
@@ -160,7 +160,8 @@
 	}
 }
 
-// roundedText rounds to a whole number, as the columns demand. What is unknown, below zero or NaN, becomes 0.
+// roundedText rounds to a whole number, as the columns require. Unknown values, which are below zero or NaN, become
+// 0.
 func roundedText(value float64) string {
 	if !(value > 0) {
 		return "0"
--- a/internal/runtimeapi/weight.go
+++ b/internal/runtimeapi/weight.go
@@ -22,7 +22,7 @@
 	return int(math.Min(math.Max(scaled, 1), maxWeight))
 }
 
-// parseWeight reads a weight of the API, or one in percent of the listed weight, which is relative. The result is on
+// parseWeight parses a weight of the API, or one in percent of the listed weight, which is relative. The result is on
 // the controller's scale.
 func parseWeight(text string) (weight float64, relative, ok bool) {
 	number, relative := strings.CutSuffix(text, "%")
