--- a/guard/blend.go
+++ b/guard/blend.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// blendParts are the fractions of the way to equal utilisation that are tried.
-var blendParts = []float64{0.25, 0.5, 0.75, 1}
+// blendFractions are the fractions of the way to equal utilization that equalizeUtilization tries.
+var blendFractions = []float64{0.25, 0.5, 0.75, 1}
 
-// evenOut tries rows nearer to weights by the capacities of the warm hosts. Equal utilisation leaves most headroom when
-// a zone is lost.
-func (r *repairer) evenOut(view *View) {
-	for _, part := range blendParts {
+// equalizeUtilization tries rows that are closer to weights in proportion to the capacities of the warm hosts. Equal
+// utilization leaves the most headroom when a zone is lost.
+func (r *repairer) equalizeUtilization(view *View) {
+	for _, fraction := range blendFractions {
 		blended := view.withDecided(view.decided())
 		for i := range blended.Routes {
 			route := &blended.Routes[i]
 			if !route.ReadOnly {
-				blended.blendByCapacity(route, part)
+				blended.blendByCapacity(route, fraction)
 			}
 		}
 		r.keepIfBetter(blended.decided())
 	}
 }
 
-// blendByCapacity moves the weights of a route's warm hosts a part of the way to weights by their capacities. Their sum
-// stays.
-func (v *View) blendByCapacity(route *Route, part float64) {
+// blendByCapacity moves the weights of a route's warm hosts a fraction of the way to weights in proportion to their
+// capacities. Their sum does not change.
+func (v *View) blendByCapacity(route *Route, fraction float64) {
 	weightSum := 0.0
 	capacity := 0.0
 	for i, weight := range route.Decided {
@@ -33,15 +33,15 @@
 	}
 	for i, weight := range route.Decided {
 		if weight > 0 && v.Hosts[i].isWarmWithCapacity() {
-			route.Decided[i] = weight + part*(weightSum*v.Hosts[i].Capacity/capacity-weight)
+			route.Decided[i] = weight + fraction*(weightSum*v.Hosts[i].Capacity/capacity-weight)
 		}
 	}
 }
 
 func (h *Host) isWarmWithCapacity() bool { return h.isWarm() && h.Capacity > 0 }
 
-// limitShift returns rows on the way from the published rows to the target rows, at which at most maxShift of each
-// route's traffic has moved.
+// limitShift returns rows between the published rows and the target rows, such that at most the fraction maxShift of
+// each route's traffic moves.
 func (r *repairer) limitShift(target [][]float64, maxShift float64) [][]float64 {
 	view := r.view.withDecided(target)
 	c := newChecker(view, r.limits)
@@ -58,10 +58,10 @@
 	return view.decided()
 }
 
-// blendFromPublished sets the decided row a part of the way from the published shares to the decided ones. A host that
-// the decided row leaves out stays out, and one that is warming up gets no more than its decided share; the warm hosts
-// take up the difference. The row stays as it is if no warm host has weight in it.
-func (v *View) blendFromPublished(route *Route, part float64) {
+// blendFromPublished moves the decided row to a fraction of the way from the published shares to the decided ones. A
+// host without weight in the decided row keeps none, and one that is warming up gets at most its decided share; the
+// warm hosts take the difference. The row does not change if no warm host has weight in it.
+func (v *View) blendFromPublished(route *Route, fraction float64) {
 	publishedSum := v.readyWeight(route.Published)
 	decidedSum := v.readyWeight(route.Decided)
 	if publishedSum <= 0 || decidedSum <= 0 {
@@ -77,7 +77,7 @@
 		}
 		published := validOrZero(route.Published[i]) / publishedSum
 		decided := weight / decidedSum
-		row[i] = published + part*(decided-published)
+		row[i] = published + fraction*(decided-published)
 		if host.isWarmingUp() {
 			row[i] = math.Min(row[i], decided)
 			warmingUpShare += row[i]
@@ -92,7 +92,7 @@
 		if v.Hosts[i].isWarm() {
 			row[i] *= (1 - warmingUpShare) / warmShare
 		}
-		row[i] *= decidedSum // the sum of the weights stays
+		row[i] *= decidedSum // the sum of the weights does not change
 	}
 	route.Decided = row
 }
--- a/guard/check.go
+++ b/guard/check.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// shiftTolerance is the rounding error, as a fraction of a route's traffic, that is not taken for too large a shift.
+// shiftTolerance is the rounding error, as a fraction of a route's traffic, by which a shift may exceed its limit.
 const shiftTolerance = 1e-9
 
-// Check returns what is wrong with the decided weights, ordered by check and then by subject.
+// Check returns the findings on the decided weights, sorted by check and then by subject. It returns none if they are
+// valid.
 func Check(view *View, limits Limits) []Finding {
 	c := newChecker(view, limits)
 	for i := range view.Routes {
@@ -41,14 +42,14 @@
 type zoneNumber int32
 
 const (
-	// noZone stands for the loss of no zone.
+	// noZone means that no zone is lost.
 	noZone zoneNumber = -1
-	// zoneNotReady stands in place of the zone of a host that is not ready.
+	// zoneNotReady replaces the zone of a host that is not ready.
 	zoneNotReady zoneNumber = -2
 )
 
-// newChecker numbers the zones: the checks go over all hosts several times, and small numbers side by side are faster
-// to compare than the hosts' strings.
+// newChecker returns a checker. It numbers the zones, since the checks visit all hosts several times, and numbers in
+// one slice are faster to compare than the hosts' strings.
 func newChecker(view *View, limits Limits) *checker {
 	c := &checker{view: view, limits: limits, zoneOf: make([]zoneNumber, len(view.Hosts))}
 	zone := 0
@@ -81,7 +82,7 @@
 	c.findings = append(c.findings, Finding{Check: check, Subject: subject, Value: value, Limit: limit})
 }
 
-// checkWeights reports weights that are no numbers.
+// checkWeights reports weights that are negative, infinite or NaN.
 func (c *checker) checkWeights(route *Route) {
 	for i, weight := range route.Decided {
 		if !isValidWeight(weight) {
@@ -90,8 +91,8 @@
 	}
 }
 
-// checkDemands reports demands without a host that may take them, where there is a warm one that may. The finding's
-// limit is the number of these.
+// checkDemands reports demands that no host with weight may take, although a warm host may. The finding's limit is
+// the number of such warm hosts.
 func (c *checker) checkDemands(route *Route) {
 	for i := range route.Demands {
 		demand := &route.Demands[i]
@@ -126,8 +127,8 @@
 	return indices
 }
 
-// checkLoads reports hosts that are given too much, as things stand and, if the limits ask for it, without the zone
-// that carries most.
+// checkLoads reports hosts that are given too much load, in the current state and, if the limits ask for it, without
+// the zone that carries the most load.
 func (c *checker) checkLoads() {
 	loads := c.hostLoads(noZone)
 	c.checkCapacity(OverCapacity, loads, noZone)
@@ -141,8 +142,8 @@
 	}
 }
 
-// checkCapacity reports hosts whose load is more than their capacity allows, once a zone is lost. The hosts of that
-// zone have no load then.
+// checkCapacity reports hosts whose load exceeds their capacity after the loss of a zone. The hosts of that zone then
+// have no load.
 func (c *checker) checkCapacity(check string, loads []float64, lost zoneNumber) {
 	multiple := c.capacityMultiple(lost)
 	for i, load := range loads {
@@ -163,7 +164,7 @@
 	}
 }
 
-// checkShifts reports routes of which too much traffic moves at once.
+// checkShifts reports routes with too large a traffic shift in one update.
 func (c *checker) checkShifts() {
 	for i := range c.view.Routes {
 		route := &c.view.Routes[i]
@@ -197,7 +198,7 @@
 	return distance / 2
 }
 
-// validOrZero returns the weight, or 0 if it is no valid one.
+// validOrZero returns the weight, or 0 if it is invalid.
 func validOrZero(weight float64) float64 {
 	if !isValidWeight(weight) {
 		return 0
--- a/guard/finding.go
+++ b/guard/finding.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Finding is one thing that a check found wrong.
+// Finding is one violation that a check found.
 type Finding struct {
 	Check   string  `json:"check"` // one of the names of the checks
 	Subject string  `json:"on"`    // the demand or host, by name
@@ -25,14 +25,15 @@
 	OverCapacity = "over its cap"
 	// OverSlowStartBudget is a host that is warming up and is given more than it can take by now.
 	OverSlowStartBudget = "a cold host over its budget"
-	// OverCapacityWithoutZone is a host that would be given too much if the zone that carries most were lost.
+	// OverCapacityWithoutZone is a host that would be given more than its capacity allows if the zone that carries
+	// the most load were lost.
 	OverCapacityWithoutZone = "over its cap without a zone"
 	// TrafficJump is an update that moves too much traffic at once.
 	TrafficJump = "too much moves at once"
 )
 
-// severities weigh findings against each other. The steps between them are wide, so that a repair of lesser findings is
-// not paid for with a graver one.
+// severities are the weights of findings in the comparison of candidates. They differ by large factors, so that a
+// repair never trades minor findings for a more severe one.
 var severities = map[string]float64{
 	NotANumber:              1e9,
 	NoHost:                  1e9,
--- a/guard/load.go
+++ b/guard/load.go
@@ -6,8 +6,8 @@
 // cannot take the demand.
 const overloadSlack = 1.1
 
-// hostLoads returns the work in ms per ms that each host is given by the decided weights, once the hosts that are not
-// ready and those of the lost zone are gone and the others take their traffic.
+// hostLoads returns the work in ms per ms that the decided weights give to each host, where the traffic of hosts that
+// are not ready and of those in the lost zone goes to the others.
 func (c *checker) hostLoads(lost zoneNumber) []float64 {
 	loads := make([]float64, len(c.zoneOf))
 	for i := range c.view.Routes {
@@ -16,7 +16,7 @@
 	return loads
 }
 
-// addRouteLoads adds the work that a route gives to each host.
+// addRouteLoads adds the work in ms per ms that a route gives to each host.
 func (c *checker) addRouteLoads(loads []float64, route *Route, lost zoneNumber) {
 	weightSum := 0.0
 	for i, weight := range route.Decided {
@@ -42,8 +42,8 @@
 }
 
 // capacityMultiple returns the multiple of its capacity that a host may be given once a zone is lost: the configured
-// one, or overloadSlack times its fair share where the remaining hosts cannot take the demand. Some are overloaded then
-// whatever the weights are, and shedding load is the remedy, but none has to be far above the others.
+// one, or overloadSlack times its fair share where the remaining hosts cannot take the demand. In that case some
+// hosts are overloaded for any weights, and load must be shed, but no host needs to be far above the others.
 func (c *checker) capacityMultiple(lost zoneNumber) float64 {
 	demand := 0.0
 	for i := range c.view.Routes {
@@ -61,7 +61,8 @@
 	return math.Max(c.limits.CapacityMultiple, overloadSlack*demand/capacity)
 }
 
-// heaviestZone returns the zone whose hosts carry most, of equals the first by name; noZone if none carries anything.
+// heaviestZone returns the zone whose hosts carry the most load, of equal ones the first by name, or noZone if there
+// is no load.
 func (c *checker) heaviestZone(loads []float64) zoneNumber {
 	loadByZone := make([]float64, len(c.zones))
 	for i, zone := range c.zoneOf {
--- a/guard/relieve.go
+++ b/guard/relieve.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// targetFill is the fraction of its limit to which a host is brought, so that demand can grow a little before the
-	// row has to be published again.
+	// targetFill is the fraction of its limit to which a host's load is reduced, so that demand can grow a little
+	// before the row must be published again.
 	targetFill = 0.97
-	// maxReliefPasses bounds the passes over all hosts. They end before once one moves nothing.
+	// maxReliefPasses bounds the passes over all hosts. They end earlier when one moves nothing.
 	maxReliefPasses = 8
-	// maxTargetLoad is what the target load of a host without a limit counts as, in ms per ms.
+	// maxTargetLoad is the target load of a host without a limit, in ms per ms.
 	maxTargetLoad = 1e9
 )
 
-// relieve moves the work above each host's limit to the warm hosts of the same route that have most headroom, those of
-// its zone first, so that few weight entries change. Where a route has no headroom, the work stays. It changes the
-// decided rows of the view.
+// relieve moves the work above each host's limit to the warm hosts of the same route with the most headroom, those of
+// its zone first, so that few weight entries change. Where a route has no headroom, the work is not moved. It changes
+// the decided rows of the view.
 func (r *repairer) relieve(view *View) {
 	c := newChecker(view, r.limits)
 	for range maxReliefPasses {
@@ -28,7 +28,7 @@
 	}
 }
 
-// relieveHosts goes once over all hosts, and reports whether any work was moved. It keeps loads up to date.
+// relieveHosts visits all hosts once, and reports whether any work was moved. It updates loads.
 func (r *repairer) relieveHosts(view *View, loads []float64) (moved bool) {
 	for host := range view.Hosts {
 		limit := r.loadLimit(&view.Hosts[host])
@@ -46,8 +46,8 @@
 	return moved
 }
 
-// shiftLoad moves a fraction of a host's work in a route to hosts with headroom, and reports whether any was moved. It
-// keeps loads up to date.
+// shiftLoad moves a fraction of a host's work in a route to hosts with headroom, and reports whether any was moved.
+// It updates loads.
 func (r *repairer) shiftLoad(route *Route, from int, fraction float64, loads []float64) (moved bool) {
 	weightSum := r.view.readyWeight(route.Decided)
 	work := route.totalWork()
--- a/guard/repair.go
+++ b/guard/repair.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// shiftParts are the fractions of the largest allowed traffic shift that Repair tries. A smaller one is taken only
+// shiftFractions are the fractions of the largest allowed traffic shift that Repair tries. A smaller one is used only
 // where it leaves less severe findings.
-var shiftParts = []float64{1, 0.75, 0.5, 0.25, 0.1}
+var shiftFractions = []float64{1, 0.75, 0.5, 0.25, 0.1}
 
-// Repair returns the nearest valid rows of weights, one for each route, and the findings that they leave. Decided rows
-// that are valid are returned as they are. Otherwise Repair returns the candidate with the least severe findings, of
-// these: the decided rows without what may never stay; these with the excess over each limit moved to hosts with
-// headroom; these nearer to equal utilisation; and a step from the published rows towards the best of these. Read-only
-// routes keep their rows.
+// Repair returns the nearest valid rows of weights, one for each route, and the findings that remain. Valid decided
+// rows are returned unchanged. Otherwise Repair returns the candidate with the least severe findings. The candidates
+// are: the decided rows without invalid weights and hosts that are not ready; the same with the load above each limit
+// moved to hosts with headroom; the latter closer to equal utilization; and a step from the published rows toward the
+// best of these. Read-only routes keep their rows.
 //
-// Three things hold of every row that it repairs: a host that is not ready has no weight; a host without weight in the
-// decided row has none, unless a demand had no host otherwise; and the share of a host that is warming up is at most
-// the decided one. So Repair delays no removal, and gives no host more in its slow start.
+// Every repaired row has three properties: a host that is not ready has no weight; a host without weight in the
+// decided row has none, unless a demand would otherwise have no host; and the share of a host that is warming up is
+// at most the decided one. So Repair delays no removal, and gives no host more traffic in its slow start.
 func Repair(view *View, limits Limits) (rows [][]float64, remaining []Finding) {
 	rows = view.decided()
 	remaining = Check(view, limits)
@@ -31,11 +31,11 @@
 	r.relieve(within)
 	r.keepIfBetter(within.decided())
 	if limits.SurviveZoneLoss && r.hasRemaining(OverCapacityWithoutZone) {
-		r.evenOut(within)
+		r.equalizeUtilization(within)
 	}
 	if limits.MaxTrafficShift > 0 && r.hasRemaining(TrafficJump) {
-		for _, part := range shiftParts {
-			r.keepIfBetter(r.limitShift(r.best, part*limits.MaxTrafficShift))
+		for _, fraction := range shiftFractions {
+			r.keepIfBetter(r.limitShift(r.best, fraction*limits.MaxTrafficShift))
 		}
 	}
 	return r.best, r.remaining
@@ -73,8 +73,8 @@
 	severity         float64     // total severity of the remaining findings
 }
 
-// newRepairer returns a repairer without a candidate. The decided rows are none, since they may hold what may never
-// stay.
+// newRepairer returns a repairer without a candidate. The decided rows are not a candidate, since they may hold
+// invalid weights and hosts that are not ready.
 func newRepairer(view *View, limits Limits) *repairer {
 	return &repairer{
 		view:             view,
@@ -89,7 +89,7 @@
 	return slices.ContainsFunc(r.remaining, func(finding Finding) bool { return finding.Check == check })
 }
 
-// keepIfBetter takes the rows for the best if their findings are less severe.
+// keepIfBetter makes the rows the best candidate if their findings are less severe.
 func (r *repairer) keepIfBetter(rows [][]float64) {
 	findings := Check(r.view.withDecided(rows), r.limits)
 	severity := totalSeverity(findings)
@@ -113,8 +113,8 @@
 	return limit
 }
 
-// cleaned returns the decided rows without invalid weights and hosts that are not ready, and with the warm hosts, by
-// their capacities, for a demand that has no host then.
+// cleaned returns the decided rows without invalid weights and hosts that are not ready. A demand that then has no
+// host gets the warm hosts, in proportion to their capacities.
 func (r *repairer) cleaned() [][]float64 {
 	view := r.view.withDecided(r.view.decided())
 	for i := range view.Routes {
@@ -142,8 +142,8 @@
 	}
 }
 
-// addWarmHosts gives weight to all warm hosts that may take a demand, by their capacities, 1 on average. A host of
-// unknown capacity gets a weight of 1.
+// addWarmHosts gives weight to all warm hosts that may take a demand, in proportion to their capacities and 1 on
+// average. A host of unknown capacity gets a weight of 1.
 func (v *View) addWarmHosts(route *Route, demand *Demand) {
 	hosts := v.warmHostsFor(demand)
 	capacity := 0.0
--- a/guard/view.go
+++ b/guard/view.go
@@ -5,14 +5,14 @@
 // fullyWarm is the slow-start factor of a host that has all of its capacity.
 const fullyWarm = 1
 
-// Host is a host as it stands.
+// Host is the current state of a host.
 type Host struct {
 	Name            string
 	Zone            string
-	Ready           bool    // listed, and neither draining nor withdrawn
+	Ready           bool    // on the endpoint list, and neither draining nor ejected
 	SlowStartFactor float64 // fraction of its capacity that the host has while warming up, 0 to 1
-	Capacity        float64 // ms of work per ms that it may be given when warm; 0: unknown
-	SlowStartLimit  float64 // ms of work per ms that overloads it while warming up; 0: unknown
+	Capacity        float64 // work in ms per ms that it may be given when warm; 0: unknown
+	SlowStartLimit  float64 // work in ms per ms that overloads it while warming up; 0: unknown
 }
 
 // isWarm reports whether the host has all of its capacity.
@@ -21,7 +21,7 @@
 // isWarmingUp reports whether the host is in its slow start.
 func (h *Host) isWarmingUp() bool { return h.SlowStartFactor < fullyWarm }
 
-// Demand is the work that the proxies of a zone ask for in a request class.
+// Demand is the work that the requests of one class cause at the proxies of one zone.
 type Demand struct {
 	Class, Zone string
 	ZoneLocal   bool    // only hosts of the zone may take it
@@ -34,8 +34,8 @@
 // allows reports whether a host may take the demand.
 func (d *Demand) allows(host *Host) bool { return host.Ready && (!d.ZoneLocal || host.Zone == d.Zone) }
 
-// Route is the weights by which some proxies choose a host. Its rows of weights are indexed like the view's hosts, with
-// 0 for a host that has no weight entry.
+// Route is a routing table: the weights by which some proxies choose a host. Its rows of weights are indexed like the
+// view's hosts, with 0 for a host that has no weight entry.
 type Route struct {
 	Demands   []Demand  // at least one
 	Published []float64 // weights as published; nil: none yet
@@ -51,7 +51,7 @@
 	return work
 }
 
-// View is what the validator judges: the hosts, and the routes that send work to them.
+// View is the input of the validator: the hosts, and the routes that send work to them.
 type View struct {
 	Hosts  []Host
 	Routes []Route
@@ -81,6 +81,6 @@
 	// MaxTrafficShift is the fraction of a route's traffic that one update may move, not counting the traffic of hosts
 	// that are not ready; 0: any.
 	MaxTrafficShift float64
-	// SurviveZoneLoss checks the loads also without the zone that carries most.
+	// SurviveZoneLoss checks the loads also without the zone that carries the most load.
 	SurviveZoneLoss bool
 }
--- a/operator/command.go
+++ b/operator/command.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// State is the state of a host as an operator sets it.
+// State is the state that an operator sets on a host.
 type State int
 
 const (
-	// Listed leaves the host in the state that the endpoint list gives it.
+	// Listed keeps the host in its state on the endpoint list.
 	Listed State = iota
 	// Draining gives the host no new traffic.
 	Draining
-	// Maintenance takes the host off the endpoint list.
+	// Maintenance removes the host from the endpoint list.
 	Maintenance
 )
 
@@ -23,7 +23,7 @@
 // String returns the name of the state in the APIs.
 func (s State) String() string { return stateNames[s] }
 
-// ParseState returns the state of that name, and whether there is one.
+// ParseState returns the state with a name of the APIs, and whether the name is known.
 func ParseState(name string) (State, bool) {
 	if name == readyName {
 		return Listed, true
@@ -35,27 +35,27 @@
 	return State(index), true
 }
 
-// Command is what an operator wants of a host.
+// Command is a change that an operator requests for one host.
 type Command struct {
 	Host        string
 	State       State
-	Weight      float64    // replaces the listed weight; 0 drains the host; negative leaves the weight as it is
-	ClearWeight bool       // drops the weight override, so the listed weight counts again
-	KeepState   bool       // ignores State: the host keeps the state that is set
+	Weight      float64    // replaces the listed weight; 0 drains the host; negative keeps the weight
+	ClearWeight bool       // drops the weight override, so that the listed weight applies again
+	KeepState   bool       // ignores State: the host keeps its current state override
 	Relative    bool       // Weight is a multiple of the listed weight
 	DurationMs  float64    // ms after which the override expires; 0: never
-	Queue       bool       // queues the command, instead of rejecting it, where it can be done later
-	Operator    string     // who gave the command
+	Queue       bool       // queues the command, instead of rejecting it, where it may be applied later
+	Operator    string     // name of the operator
 	Add         *AddedHost // adds the host, which must not be on the endpoint list
 	Remove      bool       // removes a host that an operator added
 }
 
-// revertsToList reports whether the command takes back every override of its host.
+// revertsToList reports whether the command removes every override of its host.
 func (c *Command) revertsToList() bool {
 	return !c.KeepState && c.State == Listed && c.Weight < 0 && c.Add == nil
 }
 
-// AddedHost describes a host that an operator added to those of the endpoint list.
+// AddedHost describes a host that an operator added to the endpoint list.
 type AddedHost struct {
 	Zone      string
 	Weight    float64
--- a/operator/due.go
+++ b/operator/due.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// expiryOperator is the operator of the command that stands for an override's expiry. Events and logs show it.
+// expiryOperator is the operator of the command that reports an override's expiry. Events and logs show it.
 const expiryOperator = "the end of its time"
 
-// pendingCheckIntervalMs is the time in ms between two checks whether a queued command can be applied, once the drain
-// grace of the one before is over.
+// pendingCheckIntervalMs is the interval in ms at which queued commands are checked, once the drain grace of the last
+// applied one is over.
 const pendingCheckIntervalMs = 200.0
 
-// ApplyDue expires overrides, and applies the first queued command that breaks no rule. Queued commands are applied one
-// host at a time: the next only once all proxies acknowledged the one before and its drain grace is over. It returns
-// the commands that were applied, where a command back to Listed stands for an override that expired.
+// ApplyDue expires overrides, and applies the first queued command that breaks no rule. Queued commands are applied
+// one at a time: the next only once all proxies acknowledged the last one and its drain grace is over. It returns the
+// commands that were applied; an expired override is returned as a command back to Listed.
 func (s *OverrideStore) ApplyDue(view View) []Command {
 	applied := s.expire(view.Now)
 	if !view.NoUpdatePending || view.Now < s.lastPendingAppliedMs+view.DrainGraceMs {
@@ -32,8 +32,8 @@
 	return append(applied, command)
 }
 
-// expire drops the overrides whose time is over, and returns them as commands in the order of their hosts. Hosts that
-// operators added stay.
+// expire drops the expired overrides, and returns them as commands in the order of their hosts. Hosts that operators
+// added stay.
 func (s *OverrideStore) expire(nowMs float64) (expired []Command) {
 	for host, override := range s.overrides {
 		if !override.hasExpired(nowMs) {
@@ -50,8 +50,8 @@
 	return expired
 }
 
-// NextDeadline returns the earliest instant in ms at which ApplyDue has something to do because of time alone, infinite
-// if there is none: an override expires, or a queued command may be applied.
+// NextDeadline returns the earliest instant in ms at which ApplyDue must be called though nothing else changes,
+// because an override expires or a queued command may be applied. It is infinite if there is none.
 func (s *OverrideStore) NextDeadline(nowMs, graceMs float64) float64 {
 	deadlineMs := math.Inf(1)
 	for _, override := range s.overrides {
--- a/operator/errors.go
+++ b/operator/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// RejectedError says why a command was rejected. A rejected command changes nothing.
+// RejectedError is the reason why a command was rejected. A rejected command changes nothing.
 type RejectedError struct {
 	Host        string
 	Reason      string // part of the HTTP and runtime APIs
--- a/operator/override.go
+++ b/operator/override.go
@@ -1,25 +1,25 @@
 package operator
 
-// Override is what is set on a host in place of the endpoint list's values.
+// Override holds the values that replace those of the endpoint list for one host.
 type Override struct {
 	State       State
 	Weight      float64    // replaces the listed weight; 0: no absolute weight is set
 	WeightRatio float64    // multiplies the listed weight; 0: no relative weight is set
 	Added       *AddedHost // the host itself, if an operator added it
-	Operator    string     // who set it
+	Operator    string     // name of the operator who set it
 	SetAtMs     float64
 	ExpiresMs   float64 // 0: never
 }
 
-// isEmpty reports whether nothing is set any more, so that the override can be dropped.
+// isEmpty reports whether no value is set, so that the override can be dropped.
 func (o *Override) isEmpty() bool {
 	return o.State == Listed && o.Weight == 0 && o.WeightRatio == 0 && o.Added == nil
 }
 
-// hasExpired reports whether the override's time is over.
+// hasExpired reports whether the override has expired at an instant.
 func (o *Override) hasExpired(nowMs float64) bool { return o.ExpiresMs > 0 && o.ExpiresMs <= nowMs }
 
-// updatedBy returns the override as a command changes it.
+// updatedBy returns the override after a command is applied to it.
 func (o Override) updatedBy(command Command, nowMs float64) Override {
 	if !command.KeepState {
 		o.State = command.State
--- a/operator/rules.go
+++ b/operator/rules.go
@@ -8,11 +8,11 @@
 // maxWeight is the largest weight that an operator may set. It bounds the sums of weights far from overflow.
 const maxWeight = 1_000_000
 
-// minListedWeight is the least that a listed weight counts as where it limits the weight of a host that is warming up.
-// It keeps that limit above 0.
+// minListedWeight is the lower bound of a listed weight in the limit on the weight of a host that is warming up. It
+// keeps that limit above 0.
 const minListedWeight = 1e-9
 
-// validate returns what is wrong with a command in itself, whatever the other hosts do.
+// validate returns a *RejectedError where a command is invalid, regardless of the state of other hosts.
 func (s *OverrideStore) validate(view *View, command *Command) error {
 	known := view.isKnown(command.Host)
 	current := s.overrides[command.Host]
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// checkRules returns the rule that a command would break if it were applied now. A host that is not in the view, being
-// new or in maintenance, takes no traffic, so no rule limits it.
+// checkRules returns a *RejectedError where a command would break a rule if it were applied now. A host that is not
+// in the view, being new or in maintenance, gets no traffic, so no rule limits it.
 func checkRules(view *View, command *Command) error {
 	host, listed := view.host(command.Host)
 	if !listed {
@@ -46,7 +46,7 @@
 	return checkSlowStart(view, host, command)
 }
 
-// checkSlowStart rejects a weight that would give a host more than it can take while it warms up.
+// checkSlowStart rejects a weight that would give a host more traffic than it can take while it is warming up.
 func checkSlowStart(view *View, host Host, command *Command) error {
 	if command.Weight <= 0 || host.isWarm() {
 		return nil
@@ -90,8 +90,9 @@
 	return nil
 }
 
-// canSucceedLater reports whether a command that breaks a rule now may keep it later, without a further command: a
-// host's weight once the host is warm; a drain or maintenance once another host is ready.
+// canSucceedLater reports whether a command that breaks a rule now may be applied later without a further command: a
+// weight once the host is warm; a drain or maintenance once another host is warm or an override of another host
+// expires.
 func (s *OverrideStore) canSucceedLater(view *View, command *Command) bool {
 	if command.Weight > 0 && command.State == Listed {
 		host, _ := view.host(command.Host)
@@ -111,7 +112,8 @@
 	return false
 }
 
-// checkAll returns the rule that would be broken once all of the commands are applied, each taking its host's traffic.
+// checkAll returns a *RejectedError where a rule would be broken once all of the commands are applied, each of which
+// removes its host's traffic.
 func (s *OverrideStore) checkAll(view *View, commands []Command) error {
 	leaving := map[string]bool{}
 	for i := range commands {
--- a/operator/store.go
+++ b/operator/store.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// OverrideStore keeps the overrides by host, and the queue of commands that could not be applied yet. It is not safe
+// OverrideStore holds the overrides by host, and the queue of commands that could not be applied yet. It is not safe
 // for concurrent use.
 type OverrideStore struct {
 	overrides            map[string]Override
@@ -22,7 +22,7 @@
 // Overrides returns a copy of the overrides, by host.
 func (s *OverrideStore) Overrides() map[string]Override { return maps.Clone(s.overrides) }
 
-// Restore puts back an override from the stored state of an earlier process.
+// Restore sets the override of a host from the stored state of an earlier incarnation.
 func (s *OverrideStore) Restore(host string, override Override) {
 	if !override.isEmpty() {
 		s.overrides[host] = override
@@ -41,7 +41,7 @@
 	return override.Weight > 0 || override.WeightRatio > 0
 }
 
-// Pending returns the queued command of a host, the last of several, and whether there is one.
+// Pending returns the last queued command of a host, and whether there is one.
 func (s *OverrideStore) Pending(host string) (Command, bool) {
 	for _, command := range slices.Backward(s.pending) {
 		if command.Host == host {
@@ -51,8 +51,8 @@
 	return Command{}, false
 }
 
-// Apply applies a command at once. One that would break a rule is queued if it asks for that and can be done later;
-// Apply then returns true. Any other is rejected with a *RejectedError.
+// Apply applies a command at once. A command that would break a rule is queued where Command.Queue is set and it may
+// be applied later; Apply then returns true. Any other is rejected with a *RejectedError.
 func (s *OverrideStore) Apply(view View, command Command) (queued bool, err error) {
 	if err := s.validate(&view, &command); err != nil {
 		return false, err
@@ -72,9 +72,9 @@
 	return false, err
 }
 
-// ApplyAll queues commands that drain several hosts, as those of a zone, so that they are applied one by one. It
-// rejects all of them with a *RejectedError where one is invalid or the last of them could never be applied. There must
-// be at least one command.
+// ApplyAll queues commands that drain several hosts, such as those of a zone, so that they are applied one by one. It
+// rejects all of them with a *RejectedError where one is invalid or the last of them could never be applied. There
+// must be at least one command.
 func (s *OverrideStore) ApplyAll(view View, commands []Command) error {
 	for i := range commands {
 		if err := s.validate(&view, &commands[i]); err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// applyNow changes the override of the command's host, without a check.
+// applyNow applies a command to the override of its host without checking it.
 func (s *OverrideStore) applyNow(nowMs float64, command Command) {
 	override := s.overrides[command.Host].updatedBy(command, nowMs)
 	if command.Remove || override.isEmpty() {
--- a/operator/view.go
+++ b/operator/view.go
@@ -5,23 +5,23 @@
 // fullyWarm is the slow-start factor of a host that has all of its capacity.
 const fullyWarm = 1
 
-// Host is a host as it is listed now, with the overrides in force applied.
+// Host is a host of the endpoint list, with the overrides applied except for the weight.
 type Host struct {
 	Name            string
 	Zone            string
 	Ready           bool
 	SlowStartFactor float64 // fraction of its capacity that the host has while warming up, 0 to 1
 	WarmAtMs        float64 // instant at which it has all of its capacity
-	Weight          float64 // by the endpoint list alone
+	Weight          float64 // weight on the endpoint list, without an override
 }
 
 // isWarm reports whether the host has all of its capacity.
 func (h *Host) isWarm() bool { return h.SlowStartFactor >= fullyWarm }
 
-// View is the state that commands are judged by.
+// View is the state by which commands are checked.
 type View struct {
 	Now              float64  // current instant, ms
-	Hosts            []Host   // those of the endpoint list and those that operators added, without maintenance
+	Hosts            []Host   // hosts on the endpoint list or added by operators, except those in maintenance
 	ZoneLocalClasses []string // request classes whose requests stay in their zone
 	Zones            []string // zones that have proxies
 	NoUpdatePending  bool     // all proxies acknowledged the updates that were sent to them
@@ -30,7 +30,7 @@
 	Known func(host string) bool
 }
 
-// host returns the host of that name, and whether the view has one.
+// host returns the host with a name, and whether the view has one.
 func (v *View) host(name string) (Host, bool) {
 	index := slices.IndexFunc(v.Hosts, func(host Host) bool { return host.Name == name })
 	if index < 0 {
@@ -39,7 +39,7 @@
 	return v.Hosts[index], true
 }
 
-// isKnown reports whether there is a host of that name, be it in maintenance.
+// isKnown reports whether a host with that name exists, including hosts in maintenance.
 func (v *View) isKnown(name string) bool {
 	if _, listed := v.host(name); listed {
 		return true
