--- a/intake/attempt_stats.go
+++ b/intake/attempt_stats.go
@@ -6,52 +6,54 @@
 // has fallen to 1/e.
 type attemptStats struct {
 	decayMs      float64
-	good         float64 // attempts that succeeded
-	failed       float64
+	successes    float64 // attempts that succeeded
+	failures     float64
 	latencySumMs float64 // of the attempts that succeeded
-	updatedMs    float64 // instant to which the sums have decayed
-	startMs      float64 // begin of the first report's window; 0: there was no report
+	updatedMs    float64 // instant to which the sums were decayed
+	startMs      float64 // start of the first report's window; 0: no report yet
 }
 
 const (
-	minStatsAgeMs = 100.0 // the sums are taken as at least this old, so that a rate stays finite
+	minStatsAgeMs = 100.0 // least age assumed of the sums, so that a rate stays finite
 	msPerSecond   = 1000
-	minDivisor    = 1e-9 // in place of a sum that may be 0
+	minDivisor    = 1e-9 // replaces a divisor that may be 0
 )
 
-// decay brings the sums up to an instant.
+// decay decays the sums to an instant.
 func (s *attemptStats) decay(nowMs float64) {
 	factor := math.Exp((s.updatedMs - nowMs) / s.decayMs)
-	s.good *= factor
-	s.failed *= factor
+	s.successes *= factor
+	s.failures *= factor
 	s.latencySumMs *= factor
 	s.updatedMs = nowMs
 }
 
-// add counts the attempts of a report.
+// add adds the attempts of a report.
 func (s *attemptStats) add(nowMs float64, report *Report) {
 	if s.startMs == 0 {
 		s.startMs = nowMs - report.WindowMs
 	}
 	s.decay(nowMs)
-	good := float64(report.succeeded())
-	s.good += good
-	s.failed += float64(report.Failed)
-	s.latencySumMs += good * report.MeanLatencyMs
+	successes := float64(report.succeeded())
+	s.successes += successes
+	s.failures += float64(report.Failed)
+	s.latencySumMs += successes * report.MeanLatencyMs
 }
 
-// goodPerSecond returns the rate of attempts that succeeded.
-func (s *attemptStats) goodPerSecond() float64 { return s.perSecond(s.good) }
+// successesPerSecond returns the rate of successful attempts, per second.
+func (s *attemptStats) successesPerSecond() float64 { return s.perSecond(s.successes) }
 
-// totalPerSecond returns the rate of all attempts.
-func (s *attemptStats) totalPerSecond() float64 { return s.perSecond(s.good + s.failed) }
+// attemptsPerSecond returns the rate of all attempts, per second.
+func (s *attemptStats) attemptsPerSecond() float64 { return s.perSecond(s.successes + s.failures) }
 
-// perSecond returns the rate behind a decaying sum. A constant rate r sums up to r d (1 - exp(-t/d)) within t, where d
-// is decayMs.
+// perSecond returns the rate that a decaying sum shows, per second. A constant rate r sums up to r d (1 - exp(-t/d))
+// within the time t, where d is decayMs.
 func (s *attemptStats) perSecond(sum float64) float64 {
 	ageMs := math.Max(s.updatedMs-s.startMs, minStatsAgeMs)
 	return sum / (s.decayMs * (1 - math.Exp(-ageMs/s.decayMs))) * msPerSecond
 }
 
 // meanLatencyMs returns the mean latency of the attempts that succeeded.
-func (s *attemptStats) meanLatencyMs() float64 { return s.latencySumMs / math.Max(s.good, minDivisor) }
+func (s *attemptStats) meanLatencyMs() float64 {
+	return s.latencySumMs / math.Max(s.successes, minDivisor)
+}
--- a/intake/clock.go
+++ b/intake/clock.go
@@ -2,22 +2,23 @@
 
 import "math"
 
-// Clock estimates the age of reports that their sender stamped by its own clock, however wrong that clock is. The least
-// difference between arrival and stamp that was lately seen is the offset between the clocks plus the shortest network
-// delay; what a report lies above it is its age. A sender's clock that runs ahead therefore makes no report look
-// younger than one that has just arrived. The zero value knows no offset.
+// Clock estimates the age of reports whose time stamps are by the sender's clock, which may be wrong. The least
+// recent difference between arrival and stamp is the offset between the clocks plus the shortest network delay; the
+// excess of a report's difference over it is the report's age. A sender's clock that runs ahead therefore makes no
+// report look younger than one that has just arrived. The zero value is ready to use.
 type Clock struct {
-	minOffsetMs         float64 // of the present window
+	minOffsetMs         float64 // of the current window
 	previousMinOffsetMs float64 // of the window before
 	windowStartMs       float64
 	initialized         bool
 }
 
 const (
-	// clockWindowMs is the length of a window. An offset is remembered for two windows at most, which follows a clock
-	// that drifts or is set back.
+	// clockWindowMs is the length of a window. An offset is kept for at most two windows, so that the estimate
+	// follows a clock that drifts or is set back.
 	clockWindowMs = 60000.0
-	// clockStepMs is the growth of the offset that shows a clock that was set back, as no report is that late.
+	// clockStepMs is the growth of the offset from which the sender's clock must have been set back, since no report
+	// is that late.
 	clockStepMs = 600000.0
 )
 
--- a/intake/consistency.go
+++ b/intake/consistency.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	minObservationMs     = 3000.0 // of attempts at a host before its reports are compared with them
-	minGoodAttempts      = 20.0   // decayed number of successful attempts, likewise
-	minRateRatio         = 0.8    // a reported rate may not be below this part of the observed one
-	rateTolerance        = 1      // requests per second that a reported rate may lie below that
-	minUtilizationRatio  = 0.5    // a reported utilization may not be below this part of the observed work's
-	utilizationTolerance = 0.1    // by which a reported utilization may lie below that
-	idleUtilization      = 0.5    // a host that reports less than this, and an empty queue, is idle
-	maxIdleLatencyRatio  = 2.5    // an idle host's mean latency may not exceed this many times the fleet's
-	minStuckRepeats      = 5      // equal reports in a row before a host's reports may be taken as stuck
+	minObservationMs     = 3000.0 // observation of a host before its reports are compared with its attempts
+	minSuccesses         = 20.0   // decayed number of successful attempts before that, too
+	minRateRatio         = 0.8    // a reported rate below this part of the observed one is inconsistent
+	rateTolerance        = 1      // tolerance of that, in requests per second
+	minUtilizationRatio  = 0.5    // a reported utilization below this part of the observed one is inconsistent
+	utilizationTolerance = 0.1    // tolerance of that
+	idleUtilization      = 0.5    // a host that reports less utilization than this, and an empty queue, is idle
+	maxIdleLatencyRatio  = 2.5    // multiple of the fleet's mean latency above which an idle host's one is inconsistent
+	minStuckRepeats      = 5      // equal reports in a row from which a host's reports may count as stuck
 	repeatSmoothing      = 0.999  // weight of the past in the fleet's share of repeated reports, per report
 )
 
-// repeatStats is the decayed share of the fleet's load reports that were equal to the one before.
+// repeatStats counts the fleet's load reports, and those of them that were equal to the one before, with decay.
 type repeatStats struct {
 	repeated float64
 	total    float64
@@ -34,12 +34,13 @@
 	}
 }
 
-// probability returns the chance of so many repeated reports in a row.
+// probability returns the probability of the given number of repeated reports in a row.
 func (s *repeatStats) probability(repeats int) float64 {
 	return math.Pow(s.repeated/s.total, float64(repeats))
 }
 
-// rateSums are decayed sums over the fleet of the request rates that hosts reported and that proxies observed there.
+// rateSums are decayed sums over the fleet of the request rates, per second, that hosts reported and that proxies
+// observed there.
 type rateSums struct {
 	reported  float64
 	observed  float64
@@ -54,24 +55,25 @@
 	s.updatedMs = nowMs
 }
 
-// ratio returns which part of the observed rate the fleet reported, at most 1. Where traffic falls everywhere, hosts
-// report it before the observed sums have decayed.
+// ratio returns the reported rate as a part of the observed one, at most 1. It corrects for traffic that falls
+// everywhere, which hosts report before the observed sums have decayed.
 func (s *rateSums) ratio() float64 { return math.Min(1, s.reported/math.Max(s.observed, minDivisor)) }
 
-// inconsistency returns why a load report contradicts what proxies observed at the host, "" if it does not. Proxies see
-// only their own attempts, so these are a lower bound of the host's work.
+// inconsistency returns the reason why a load report is not believed: it contradicts what proxies observed at the
+// host. It returns "" for a consistent report. Proxies see only their own attempts, so these are a lower bound of the
+// host's work.
 func (t *Trust) inconsistency(nowMs float64, host *hostState, load routing.HostLoad, capacity Capacity) string {
 	host.attempts.decay(nowMs)
 	host.recentAttempts.decay(nowMs)
 	t.fleet.decay(nowMs)
-	if host.attempts.good < minGoodAttempts || nowMs < host.attempts.startMs+minObservationMs {
+	if host.attempts.successes < minSuccesses || nowMs < host.attempts.startMs+minObservationMs {
 		return ""
 	}
 	if reason := t.stuckReports(host); reason != "" {
 		return reason
 	}
-	// Where traffic falls a host reports it before the slower sum has decayed: the lower rate counts.
-	observedRate := math.Min(host.attempts.goodPerSecond(), host.recentAttempts.goodPerSecond())
+	// A host reports falling traffic before the slower sum has decayed, so the lower rate counts.
+	observedRate := math.Min(host.attempts.successesPerSecond(), host.recentAttempts.successesPerSecond())
 	fleetRatio := 1.0
 	if load.RequestRate >= 0 {
 		t.rates.observe(nowMs, load.RequestRate, observedRate)
@@ -86,8 +88,8 @@
 	return slowWhileIdle(load, host.attempts.meanLatencyMs(), t.fleet.meanLatencyMs())
 }
 
-// stuckReports returns a reason where the host's load has been unchanged for so many reports that chance explains it no
-// more.
+// stuckReports returns a reason where the host's load has been unchanged for so many reports that chance is an
+// implausible explanation (Limits.StuckProbability).
 func (t *Trust) stuckReports(host *hostState) string {
 	probability := t.repeats.probability(host.repeats)
 	isStuck := host.repeats >= minStuckRepeats && probability < t.limits.StuckProbability
@@ -97,7 +99,8 @@
 	return fmt.Sprintf("the same %d times, by chance once in %.0f", host.repeats+1, 1/probability)
 }
 
-// lowRate returns a reason where the host reports fewer requests than proxies had fulfilled there.
+// lowRate returns a reason where the host reports a lower request rate than that of the proxies' successful attempts
+// there.
 func lowRate(load routing.HostLoad, fleetRatio, observedRate float64) string {
 	isLow := load.RequestRate >= 0 && load.RequestRate+rateTolerance < minRateRatio*fleetRatio*observedRate
 	if !isLow {
@@ -106,7 +109,7 @@
 	return fmt.Sprintf("it tells %.3g a second, our proxies alone had %.3g fulfilled", load.RequestRate, observedRate)
 }
 
-// lowUtilization returns a reason where the host reports less utilization than the proxies' attempts alone cause.
+// lowUtilization returns a reason where the host reports a lower utilization than the proxies' attempts alone cause.
 func lowUtilization(load routing.HostLoad, rate float64, capacity Capacity) string {
 	if !capacity.isKnown() {
 		return ""
@@ -119,7 +122,8 @@
 	return fmt.Sprintf("it tells a busy part of %.2f, our proxies' work alone makes %.2f", load.Utilization, observed)
 }
 
-// slowWhileIdle returns a reason where the host reports to be idle but answers far slower than the fleet.
+// slowWhileIdle returns a reason where the host reports that it is idle but its mean latency is far above the
+// fleet's.
 func slowWhileIdle(load routing.HostLoad, latencyMs, fleetLatencyMs float64) string {
 	isIdle := load.Utilization >= 0 && load.Utilization < idleUtilization && load.QueueLength <= 0
 	isSlow := latencyMs > maxIdleLatencyRatio*fleetLatencyMs
--- a/intake/host_state.go
+++ b/intake/host_state.go
@@ -6,16 +6,16 @@
 	"barleysail/routing"
 )
 
-// hostState is what Trust knows of one host.
+// hostState is the state that Trust keeps of one host.
 type hostState struct {
-	attempts       attemptStats // that proxies made at the host
+	attempts       attemptStats // attempts that proxies made at the host
 	recentAttempts attemptStats // the same, decaying faster
 	latencies      LatencyDistribution
-	reporters      Reporters // processes that reported as this host
+	reporters      Reporters // processes that reported under this host's name
 	clock          Clock
 
 	lastLoad     routing.HostLoad // as last reported
-	lastLoadMs   float64          // instant of that report; 0: there was none
+	lastLoadMs   float64          // instant of that report; 0: none yet
 	lastSampleMs float64          // instant of the last report that was checked
 	intervalMs   float64          // moving average of the time between checked reports
 	repeats      int              // checked reports in a row that were equal to the one before
@@ -26,7 +26,7 @@
 	trusted        trustedSample
 }
 
-// trustedSample is the last load report that was trusted, with what proxies observed of the host at that time.
+// trustedSample is the last trusted load report, with the proxies' observations of the host at that time.
 type trustedSample struct {
 	load          routing.HostLoad
 	atMs          float64
@@ -38,13 +38,13 @@
 	attemptDecayMs      = 5000.0 // decay time of the attempts of a host and of the fleet
 	fastDecayMs         = 1500.0 // decay time of the sums that follow a change of traffic sooner
 	intervalSmoothing   = 0.2    // weight of the newest interval in the moving average
-	maxSilentMultiple   = 10     // a longer interval counts as this many times Limits.SilentAfterMs
-	silentIntervals     = 5.0    // missed intervals after which a host's reports have stopped
-	samplingIntervalMs  = 500.0  // shortest time between two reports of a host that are checked
+	maxSilentMultiple   = 10     // a longer interval counts as this multiple of Limits.SilentAfterMs
+	silentIntervals     = 5.0    // intervals without a report after which a host's reports have stopped
+	samplingIntervalMs  = 500.0  // least time between two checked reports of a host
 	fullConfidence      = 1
 	distrustThreshold   = 0.5  // confidence below which load reports are distrusted
 	trustThreshold      = 0.75 // confidence above which they are trusted again
-	confidenceRemaining = 0.75 // part of the confidence that is left after an inconsistent report
+	confidenceRemaining = 0.75 // part of the confidence that remains after an inconsistent report
 	confidenceGain      = 0.1  // part of the missing confidence that a consistent report restores
 	duplicateConfidence = distrustThreshold * 0.9
 )
@@ -59,7 +59,7 @@
 	}
 }
 
-// hasReported reports whether the host ever reported its load.
+// hasReported reports whether the host has ever reported its load.
 func (h *hostState) hasReported() bool { return h.lastLoadMs != 0 }
 
 // observeInterval updates the usual interval between load reports.
@@ -78,7 +78,7 @@
 	return math.Min((nowMs-h.trusted.atMs)/math.Max(limits.UncertainAfterMs, minPeriodMs), 1)
 }
 
-// updateConfidence lowers the confidence after an inconsistent report and raises it after a consistent one.
+// updateConfidence lowers the confidence after an inconsistent report, and raises it after a consistent one.
 func (h *hostState) updateConfidence(consistent bool) {
 	if consistent {
 		h.confidence += confidenceGain * (1 - h.confidence)
@@ -87,23 +87,23 @@
 	}
 }
 
-// recordTrusted keeps a load report as the last trusted one.
+// recordTrusted records a load report as the last trusted one.
 func (h *hostState) recordTrusted(nowMs float64, load routing.HostLoad) {
 	h.trusted = trustedSample{
 		load:          load,
 		atMs:          nowMs,
-		rate:          h.attempts.totalPerSecond(),
+		rate:          h.attempts.attemptsPerSecond(),
 		meanLatencyMs: h.attempts.meanLatencyMs(),
 	}
 }
 
-// estimateUtilization estimates the host's utilization without its load reports. Where the capacity is known, it is the
-// work of the attempts of all proxies over that capacity (utilization law: U = arrival rate * service time / cores).
-// Else it is the last trusted utilization, scaled by how rate and mean latency have changed since. With the uncertainty
-// a low estimate rises towards Limits.UnknownUtilization.
+// estimateUtilization estimates the host's utilization without its load reports. Where the capacity is known, it is
+// the work of the attempts of all proxies over that capacity (utilization law: U = arrival rate * service time /
+// cores). Otherwise it is the last trusted utilization, scaled by the change of rate and mean latency since. A low
+// estimate rises toward Limits.UnknownUtilization as the uncertainty grows.
 func (h *hostState) estimateUtilization(nowMs float64, limits *Limits, capacity Capacity) float64 {
 	h.attempts.decay(nowMs)
-	rate := h.attempts.totalPerSecond()
+	rate := h.attempts.attemptsPerSecond()
 	utilization := limits.UnknownUtilization
 	switch {
 	case capacity.isKnown() && capacity.ProxyShare > 0:
@@ -119,5 +119,7 @@
 
 // canScaleTrusted reports whether the last trusted load can be scaled by the attempts since then.
 func (h *hostState) canScaleTrusted() bool {
-	return h.trusted.load.Utilization >= 0 && h.trusted.rate > 0 && h.trusted.meanLatencyMs > 0 && h.attempts.good >= 1
+	trusted := &h.trusted
+	hasBaseline := trusted.load.Utilization >= 0 && trusted.rate > 0 && trusted.meanLatencyMs > 0
+	return hasBaseline && h.attempts.successes >= 1
 }
--- a/intake/ingest_pacer.go
+++ b/intake/ingest_pacer.go
@@ -2,8 +2,9 @@
 
 import "math"
 
-// IngestPacer decides how much a controller that falls behind sheds of the reports, and when it slows its own rounds.
-// Polls and drains are never delayed by it. The zero value sheds nothing.
+// IngestPacer decides how many reports an overloaded controller sheds, and when it also slows its own rounds. A
+// controller is overloaded while its rounds start late. Polls and drains are never delayed by it. The zero value
+// sheds nothing.
 type IngestPacer struct {
 	level              int     // shedding level, 0 to maxSheddingLevel
 	smoothedLatenessMs float64 // exponential moving average
@@ -13,17 +14,17 @@
 
 const (
 	lateThresholdMs     = 100.0 // a round that starts later than this is late
-	onTimeThresholdMs   = 20.0  // one that starts earlier than this is on time
+	onTimeThresholdMs   = 20.0  // a round that starts less late than this is on time
 	lateRoundsToRaise   = 3     // late rounds in a row that raise the level by one
-	onTimeRoundsToLower = 25    // rounds on time in a row that lower it by one
+	onTimeRoundsToLower = 25    // rounds on time in a row that lower the level by one
 	maxSheddingLevel    = 3
 	latenessSmoothing   = 0.3 // weight of the newest round in the moving average
-	minReportsPerRound  = 100 // ingested however high the level is
-	roundShiftPerLevel  = 2   // each level divides the reports per round by 2 to this power
+	minReportsPerRound  = 100 // ingested at any level
+	roundShiftPerLevel  = 2   // each level divides the reports per round by 2 to the power of this
 	levelOfSlowerRounds = 2   // first level that also slows the rounds: reports are shed first
 )
 
-// ObserveRound records by how many milliseconds a round started late and reports whether the shedding level changed.
+// ObserveRound records how late a round started, in milliseconds, and reports whether the shedding level changed.
 func (p *IngestPacer) ObserveRound(latenessMs float64) (changed bool) {
 	p.smoothedLatenessMs += latenessSmoothing * (latenessMs - p.smoothedLatenessMs)
 	p.countRound(latenessMs)
@@ -40,7 +41,7 @@
 	return false
 }
 
-// countRound extends or ends the runs of late rounds and of rounds on time.
+// countRound updates the numbers of late rounds and of rounds on time in a row.
 func (p *IngestPacer) countRound(latenessMs float64) {
 	switch {
 	case latenessMs > lateThresholdMs:
@@ -55,22 +56,21 @@
 	}
 }
 
-// SheddingLevel returns the level from 0, while the controller keeps up, to 3.
+// SheddingLevel returns the shedding level, from 0 (nothing is shed) to maxSheddingLevel.
 func (p *IngestPacer) SheddingLevel() int { return p.level }
 
-// LatenessMs returns the moving average of the last rounds' lateness.
+// LatenessMs returns the moving average of the rounds' lateness, in milliseconds.
 func (p *IngestPacer) LatenessMs() float64 { return p.smoothedLatenessMs }
 
-// Ratio returns the part of the rate limits that is to be in force, halved with each level.
+// Ratio returns the part of the rate limits that must be in force, from 1, halved with each level.
 func (p *IngestPacer) Ratio() float64 { return math.Exp2(-float64(p.level)) }
 
-// MaxReports returns how many reports a round ingests where it ingests normalMax at level 0.
+// MaxReports returns the number of reports that a round may ingest, where normalMax is the number at level 0.
 func (p *IngestPacer) MaxReports(normalMax int) int {
 	return max(normalMax>>(roundShiftPerLevel*p.level), minReportsPerRound)
 }
 
-// IntervalFactor returns by how much the interval between the controller's rounds is to be longer: 1, then 2 and 4 from
-// the second level on.
+// IntervalFactor returns the factor on the interval between the controller's rounds: 1, and from level 2 on 2 and 4.
 func (p *IngestPacer) IntervalFactor() float64 {
 	return math.Max(1, math.Exp2(float64(p.level-levelOfSlowerRounds+1)))
 }
--- a/intake/latency.go
+++ b/intake/latency.go
@@ -9,8 +9,8 @@
 const (
 	latencyWindowMs   = 10000.0 // LatencyDistribution covers one to two windows
 	unitsPerMs        = 10.0    // histograms count tenths of a millisecond
-	maxLatencyMs      = 60000.0 // longer latencies count as this
-	significantDigits = 1       // of a latency in a histogram, which takes about 3 KB then
+	maxLatencyMs      = 60000.0 // longer latencies are recorded as this
+	significantDigits = 1       // of a latency; a histogram then takes about 3 KB
 )
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -28,13 +28,13 @@
 	Count int64   // attempts in it
 }
 
-// LatencyHistogram counts latencies on the side of the reporter. Use [NewLatencyHistogram] to make one.
+// LatencyHistogram counts latencies at the reporter. Use [NewLatencyHistogram] to create one.
 type LatencyHistogram struct{ histogram *hdrhistogram.Histogram }
 
 // NewLatencyHistogram returns an empty histogram.
 func NewLatencyHistogram() *LatencyHistogram { return &LatencyHistogram{histogram: newHistogram()} }
 
-// Observe counts one latency.
+// Observe records one latency in milliseconds.
 func (h *LatencyHistogram) Observe(latencyMs float64) {
 	// RecordValue fails only for a value out of the histogram's range, to which histogramValue limits it.
 	_ = h.histogram.RecordValue(histogramValue(latencyMs))
@@ -52,15 +52,15 @@
 	return buckets
 }
 
-// LatencyDistribution merges the latency histograms that all proxies sent of one host, over the present window and the
-// one before. The zero value is empty.
+// LatencyDistribution merges the latency histograms of one host from all proxies, over the current window and the one
+// before. The zero value is empty.
 type LatencyDistribution struct {
 	current       *hdrhistogram.Histogram // nil before the first report
 	previous      *hdrhistogram.Histogram // nil in the first window
 	windowStartMs float64
 }
 
-// Add merges the histogram of a report. A report without buckets counts as so many attempts of the mean latency.
+// Add merges the histogram of a report. A report without buckets counts as count attempts of the mean latency.
 func (d *LatencyDistribution) Add(nowMs float64, buckets []LatencyBucket, meanLatencyMs float64, count int64) {
 	d.advance(nowMs)
 	if len(buckets) == 0 && count > 0 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// advance begins a new window where the present one is over.
+// advance begins a new window where the current one is over.
 func (d *LatencyDistribution) advance(nowMs float64) {
 	if d.current == nil {
 		d.current = newHistogram()
@@ -98,7 +98,7 @@
 	Dev   float64 `json:"dev"` // standard deviation
 }
 
-// Report returns the summary of the attempts in the present and the previous window.
+// Report returns the summary of the attempts in the current and the previous window.
 func (d *LatencyDistribution) Report() LatencyReport {
 	if d.current == nil {
 		return LatencyReport{}
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -8,13 +8,13 @@
 	"slices"
 )
 
-// Queue holds reports until a round ingests them. Of one source on one subject at most maxPerSubject reports are
-// queued, further ones are merged into the last, so a source that sends again and again takes no more memory. When
-// the queue is full, the source with the most reports loses the one of the lowest priority.
+// Queue holds reports until a round ingests them. At most maxPerSubject reports of one source on one subject are
+// queued; further ones are merged into the last, so that a source that sends often takes no more memory. When the
+// queue is full, the report of the lowest priority of the source with the most reports is dropped.
 type Queue struct {
 	limits       Limits
 	bySource     map[string]*sourceQueue
-	bySize       sourceHeap // the same queues, that with the most reports first
+	bySize       sourceHeap // the same queues, the one with the most reports first
 	length       int        // reports in all queues
 	lastSequence int64      // of the newest report
 	dropped      map[string]int64
@@ -40,10 +40,10 @@
 	heapIndex int   // in sourceQueue.reports
 }
 
-// key returns what the report is about.
+// key returns the subject of the report, which may be a host or the demand for a request class.
 func (r *Report) key() subjectKey { return subjectKey{subject: r.Subject, isDemand: r.IsDemand} }
 
-// maxPerSubject is how many reports of one source on one subject are queued apart.
+// maxPerSubject is the number of reports of one source on one subject that are queued without merging.
 const maxPerSubject = 4
 
 // NewQueue returns an empty queue.
@@ -51,13 +51,13 @@
 	return &Queue{limits: limits, bySource: map[string]*sourceQueue{}, dropped: map[string]int64{}}
 }
 
-// priority is the logarithm of the report's attempts, halved with each half-life of its age: log2(attempts + 1) + t /
-// h. Because all reports age alike, their order does not change while they are queued.
+// priority returns the logarithm of the report's attempts, halved with each half-life of its age: log2(attempts + 1)
+// + t / h. Because all reports age at the same rate, their order does not change while they are queued.
 func (q *Queue) priority(report *Report) float64 {
 	return math.Log2(float64(report.Attempts)+1) + report.ObservedMs/math.Max(q.limits.HalfLifeMs, minPeriodMs)
 }
 
-// Add queues a report, and drops one where the queue is full.
+// Add queues a report, and drops one where the queue is full (QueueFull).
 func (q *Queue) Add(report Report) {
 	queue := q.sourceQueue(report.Source)
 	key := report.key()
@@ -81,7 +81,7 @@
 	}
 }
 
-// sourceQueue returns the queue of a source, a new one if it has none.
+// sourceQueue returns the queue of a source, and creates it if there is none.
 func (q *Queue) sourceQueue(source string) *sourceQueue {
 	queue := q.bySource[source]
 	if queue == nil {
@@ -95,10 +95,10 @@
 // Dropped returns the number of reports that were dropped, by reason.
 func (q *Queue) Dropped() map[string]int64 { return maps.Clone(q.dropped) }
 
-// Drop counts reports that are dropped for a reason.
+// Drop counts reports that were dropped for a reason.
 func (q *Queue) Drop(reason string, reports int) { q.dropped[reason] += int64(reports) }
 
-// remove takes the report at an index of a source's heap out of the queue.
+// remove removes and returns the report at an index of a source's heap.
 func (q *Queue) remove(queue *sourceQueue, index int) *queuedReport {
 	removed := heap.Remove(&queue.reports, index).(*queuedReport)
 	key := removed.key()
@@ -121,7 +121,7 @@
 	delete(q.bySource, queue.source)
 }
 
-// Forget drops the queued reports of a source that is gone.
+// Forget drops the queued reports of a source that has disconnected (SubjectGone).
 func (q *Queue) Forget(source string) {
 	queue := q.bySource[source]
 	if queue == nil {
@@ -134,7 +134,7 @@
 
 // Take removes and returns the reports that a round ingests, at most maxReports, in the order of their arrival. Where
 // more are queued, the sources are served in turn, each with its report of the highest priority. Reports that are too
-// old are dropped. The attempts of the others are scaled down by their age.
+// old are dropped. The attempts of the others are scaled by the weight of their age.
 func (q *Queue) Take(nowMs float64, maxReports int) []Report {
 	var taken []*queuedReport
 	if q.length <= maxReports {
@@ -199,7 +199,7 @@
 
 func scaled(count int, weight float64) int { return int(math.Round(float64(count) * weight)) }
 
-// ageWeight returns the weight of a report of an age, from 1 down to 0.
+// ageWeight returns the weight of a report of the given age, from 1 to 0.
 func (l Limits) ageWeight(ageMs float64) float64 {
 	if ageMs >= l.MaxAgeMs {
 		return 0
@@ -207,7 +207,7 @@
 	return math.Exp2(-math.Max(ageMs-l.FullWeightMs, 0) / math.Max(l.HalfLifeMs, minPeriodMs))
 }
 
-// Waiting returns the number of queued reports, and of the sources that sent them.
+// Waiting returns the number of queued reports, and of their sources.
 func (q *Queue) Waiting() (reports, sources int) { return q.length, len(q.bySource) }
 
 // firstSequence returns the sequence number of the oldest report.
--- a/intake/queue_heaps.go
+++ b/intake/queue_heaps.go
@@ -1,6 +1,7 @@
 package intake
 
-// reportHeap is a container/heap of a source's reports: the lowest priority first, the older one of two equal ones.
+// reportHeap is a container/heap of a source's reports: the lowest priority first, and the older of two reports with
+// equal priority.
 type reportHeap []*queuedReport
 
 func (h reportHeap) Len() int { return len(h) }
@@ -23,7 +24,7 @@
 
 func (h *reportHeap) Pop() any { return removeLast((*[]*queuedReport)(h)) }
 
-// sourceHeap is a container/heap of sources: that with the most reports first, of equal ones in the order of names.
+// sourceHeap is a container/heap of sources: the one with the most reports first, equal ones by name.
 type sourceHeap []*sourceQueue
 
 func (h sourceHeap) Len() int { return len(h) }
--- a/intake/rate_limiter.go
+++ b/intake/rate_limiter.go
@@ -9,37 +9,39 @@
 	"golang.org/x/time/rate"
 )
 
-// RateLimits bound how fast reports may arrive. Each report of one host or one request class counts as one.
+// RateLimits bound the rate of reports. The request stats of one host or one request class count as one report.
 type RateLimits struct {
-	PerSource float64 // reports per second of one source, with a burst of one second's worth
+	PerSource float64 // reports per second of one source; the burst is that of one second
 	Total     float64 // reports per second of all sources together
 }
 
-// DefaultRateLimits returns the limits that hold where the settings give none.
+// DefaultRateLimits returns the limits that apply where the settings give none.
 func DefaultRateLimits() RateLimits { return RateLimits{PerSource: 5000, Total: 50000} }
 
 const (
-	// guaranteedFraction of the total rate is split evenly among the sources; the rest is first come, first served.
+	// guaranteedFraction of the total rate is split evenly among the sources; the rest is shared first come, first
+	// served.
 	guaranteedFraction = 0.5
 	// minGuaranteedRate keeps the wait for a guaranteed token finite, in reports per second.
 	minGuaranteedRate = 1e-3
-	// sourceIdleTimeout is the silence after which a source is forgotten and no longer has a guaranteed share.
+	// sourceIdleTimeout is the time without requests after which a source is forgotten and loses its guaranteed rate.
 	sourceIdleTimeout = 10 * time.Second
-	// maxSources bounds the memory: further sources share the buckets of overflowSource.
+	// maxSources bounds the memory. Further sources share the buckets of overflowSource.
 	maxSources = 100000
-	// overflowSource stands for all sources beyond maxSources. No real source has a name that begins with NUL.
+	// overflowSource is the name of all sources beyond maxSources together. No real source has a name that begins
+	// with NUL.
 	overflowSource = "\x00others"
-	// minBurst lets any source send one request with this many reports at once, however low its rate.
+	// minBurst is the number of reports that any source may send at once, however low its rate.
 	minBurst = 100
 	// minRetryAfter and maxRetryAfter bound the Retry-After of a rejected request, in seconds.
 	minRetryAfter = 0.1
 	maxRetryAfter = 60
 )
 
-// RateLimiter admits requests with reports before their bodies are read. Each source has a token bucket of its own. Of
-// the total rate, [guaranteedFraction] is guaranteed to the sources in equal parts, and the rest goes to whoever comes
-// first, so a source that floods the controller never takes the share that is guaranteed to another one.
-// It is safe for concurrent use.
+// RateLimiter admits or rejects requests with reports before their bodies are read. Each source has its own token
+// bucket. Of the total rate, [guaranteedFraction] is guaranteed to the sources in equal parts, and the rest is shared
+// first come, first served, so that a source that floods the controller never uses the rate that is guaranteed to
+// another one. It is safe for concurrent use.
 type RateLimiter struct {
 	mu          sync.Mutex
 	limits      RateLimits
@@ -60,7 +62,7 @@
 	lastSeen   time.Time
 }
 
-// NewRateLimiter returns a limiter with the whole limits in force.
+// NewRateLimiter returns a limiter with the full limits in force.
 func NewRateLimiter(limits RateLimits) *RateLimiter {
 	return &RateLimiter{
 		limits:  limits,
@@ -71,11 +73,11 @@
 	}
 }
 
-// burstFor returns the depth of a token bucket: one second's worth of its rate.
+// burstFor returns the capacity of a token bucket: the tokens of one second, and at least minBurst.
 func burstFor(perSecond float64) int { return int(math.Max(perSecond, minBurst)) }
 
-// Allow reports whether a source may send a request with this many reports now, and if not, after how long it may
-// retry.
+// Allow reports whether a source may send a request with the given number of reports now. If not, it returns the
+// Retry-After of the rejection.
 func (l *RateLimiter) Allow(now time.Time, sourceName string, reports int) (ok bool, retryAfter time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,14 +95,15 @@
 	return false, timeUntilAvailable(bucket.guaranteed, now, reports)
 }
 
-// timeUntilAvailable returns how long it takes until a token bucket holds the tokens.
+// timeUntilAvailable returns the time until a token bucket holds the given tokens, within the bounds of a
+// Retry-After.
 func timeUntilAvailable(bucket *rate.Limiter, now time.Time, tokens int) time.Duration {
 	missing := float64(tokens) - bucket.TokensAt(now)
 	seconds := math.Min(math.Max(missing/float64(bucket.Limit()), minRetryAfter), maxRetryAfter)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// sourceBucket returns the source of this name, new if it is not known, and marks it as seen.
+// sourceBucket returns the source of a name, and creates it if it is unknown. It marks the source as seen.
 func (l *RateLimiter) sourceBucket(now time.Time, name string) *source {
 	element := l.sources[name]
 	if element == nil && len(l.sources) >= maxSources {
@@ -131,7 +134,7 @@
 // sourceOf returns the source that an element of RateLimiter.recent holds.
 func sourceOf(element *list.Element) *source { return element.Value.(*source) }
 
-// evictIdle forgets the sources that have not sent anything for sourceIdleTimeout.
+// evictIdle removes the sources without a request for sourceIdleTimeout.
 func (l *RateLimiter) evictIdle(now time.Time) {
 	for {
 		oldest := l.recent.Back()
@@ -146,12 +149,12 @@
 // sourceRate returns the rate of one source's own bucket, in reports per second.
 func (l *RateLimiter) sourceRate() rate.Limit { return rate.Limit(l.limits.PerSource * l.ratio) }
 
-// guaranteedRate returns the rate that is guaranteed to each of so many sources, in reports per second.
+// guaranteedRate returns the rate that is guaranteed to each of the given number of sources, in reports per second.
 func (l *RateLimiter) guaranteedRate(sources int) rate.Limit {
 	return rate.Limit(math.Max(l.limits.Total*l.ratio*guaranteedFraction/float64(sources), minGuaranteedRate))
 }
 
-// needsRebalance reports whether the number of sources has moved by more than a quarter since the last rebalance. A
+// needsRebalance reports whether the number of sources has changed by more than a quarter since the last rebalance. A
 // rebalance at each new source would cost time linear in their number.
 func (l *RateLimiter) needsRebalance() bool {
 	count := len(l.sources)
@@ -170,7 +173,7 @@
 	l.shared.SetLimitAt(now, rate.Limit(l.limits.Total*l.ratio*(1-guaranteedFraction)))
 }
 
-// SetRatio puts a part of the limits in force: 1 for the whole limits, 0.5 for half of them.
+// SetRatio puts a part of the limits in force: 1 for the full limits, 0.5 for half of them.
 func (l *RateLimiter) SetRatio(now time.Time, ratio float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/intake/report.go
+++ b/intake/report.go
@@ -2,7 +2,7 @@
 
 import "barleysail/routing"
 
-// Report holds what one source counted of one host, or of the demand for one request class.
+// Report holds the request stats that one source counted for one host, or the demand for one request class.
 type Report struct {
 	Source        string           // the proxy, or the host itself, that sent it
 	Subject       string           // the host; for demand the request class
@@ -10,17 +10,17 @@
 	Attempts      int              // attempts sent to the host; for demand the requests that arrived
 	Failed        int              // attempts that failed
 	MeanLatencyMs float64          // mean latency of the successful attempts
-	WindowMs      float64          // time span in which the attempts were counted
+	WindowMs      float64          // time in which the attempts were counted
 	Load          routing.HostLoad // load that the host reported, or routing.UnknownLoad
 	Latencies     []LatencyBucket  // latency histogram of the successful attempts; nil if the source sent none
 	ReceivedMs    float64          // instant of arrival
-	ObservedMs    float64          // instant at which the report was true, on the controller's clock
+	ObservedMs    float64          // instant at which the source sent the report, by the controller's clock
 }
 
 // succeeded returns the number of attempts that did not fail.
 func (r *Report) succeeded() int { return r.Attempts - r.Failed }
 
-// merge adds a later report of the same source on the same subject.
+// merge adds a later report of the same source on the same subject to the report.
 func (r *Report) merge(later Report) {
 	ownSucceeded := float64(r.succeeded())
 	laterSucceeded := float64(later.succeeded())
--- a/intake/reporters.go
+++ b/intake/reporters.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Reporters tells new reports of one source from repeated ones, by the sequence number that each incarnation of the
-// source counts up. A source that restarts sends a new incarnation id. An incarnation that returns after another one
-// took its place shows that two processes report under one name. The zero value knows no reporter.
+// Reporters distinguishes new reports of one source from repeated ones, by the sequence number that each incarnation
+// of the source increments. A source that restarts sends a new incarnation id. An incarnation that reports again
+// after another one has shows that two processes report under one name. The zero value is ready to use.
 type Reporters struct {
 	recent          []reporter // the newest last
-	duplicateSeenMs float64    // when two reporters were last seen to alternate; 0: never
+	duplicateSeenMs float64    // instant at which two reporters last alternated; 0: never
 }
 
 // reporter is one incarnation of a source.
@@ -18,8 +18,8 @@
 }
 
 const (
-	maxReporters      = 4       // incarnations that are remembered of one source
-	duplicateWindowMs = 10000.0 // for which a second reporter under one name is known as such
+	maxReporters      = 4       // incarnations that are kept of one source
+	duplicateWindowMs = 10000.0 // time for which a name counts as duplicate after two reporters alternated
 )
 
 // Accept reports whether a report's sequence number is new, and whether two reporters use the same name.
@@ -49,7 +49,7 @@
 	return true
 }
 
-// Duplicate reports whether two reporters lately used the same name.
+// Duplicate reports whether two reporters used the same name within the last duplicateWindowMs.
 func (r *Reporters) Duplicate(nowMs float64) bool {
 	return r.duplicateSeenMs > 0 && nowMs-r.duplicateSeenMs < duplicateWindowMs
 }
--- a/intake/trust.go
+++ b/intake/trust.go
@@ -6,10 +6,11 @@
 	"barleysail/routing"
 )
 
-// Trust checks the load reports of hosts against the attempts that proxies made there. Inconsistent reports lower the
-// confidence in a host until its reports are distrusted. The load of a host that is distrusted, or whose reports have
-// stopped, is estimated instead. An estimate never reveals more free capacity than the host reported, and with the age
-// of the last trusted report it rises to Limits.UnknownUtilization, at which a host has none.
+// Trust decides which load reports of hosts are believed. It checks them against the attempts that proxies made there
+// (inconsistency). Inconsistent reports lower the confidence in a host, and below distrustThreshold its reports are
+// distrusted. The load of a host that is distrusted, or whose reports have stopped, is estimated instead. An estimate
+// never shows more headroom than the host reported, and it rises with the age of the last trusted report to
+// Limits.UnknownUtilization, at which a host has none. HostReport.DistrustReason holds the reason of the distrust.
 type Trust struct {
 	limits  Limits
 	hosts   map[string]*hostState
@@ -19,20 +20,20 @@
 	changes []string // messages that DrainChanges returns next
 }
 
-// Capacity is what is known of a host besides its reports.
+// Capacity is the configured capacity of a host, and the part of its traffic that this controller observes.
 type Capacity struct {
-	Cores      float64 // cores times their speed; 0: unknown
-	MeanWorkMs float64 // time that a mean request takes on a core of speed 1; 0: unknown
+	Cores      float64 // CPU cores times their speed relative to the reference core; 0: unknown
+	MeanWorkMs float64 // mean CPU time of a request on a core of speed 1; 0: unknown
 	ProxyShare float64 // part of the proxies whose request stats this controller receives
 }
 
-// isKnown reports whether the utilization that a rate causes can be computed.
+// isKnown reports whether the utilization caused by a request rate can be computed.
 func (c Capacity) isKnown() bool { return c.Cores > 0 && c.MeanWorkMs > 0 }
 
-// restoredReason is shown of a host that an earlier process of the controller distrusted.
+// restoredReason is the distrust reason of a host that an earlier incarnation of the controller distrusted.
 const restoredReason = "they were before the steward's start"
 
-// NewTrust returns a Trust that knows no host.
+// NewTrust returns a Trust without any host.
 func NewTrust(limits Limits) *Trust {
 	return &Trust{
 		limits:  limits,
@@ -51,7 +52,8 @@
 	return host
 }
 
-// Restore sets the confidence in a host's load reports that an earlier process of the controller stored.
+// Restore sets the confidence in a host's load reports to that of an earlier incarnation of the controller, from 0 to
+// 1.
 func (t *Trust) Restore(name string, confidence float64) {
 	host := t.hostState(name)
 	host.confidence = confidence
@@ -61,7 +63,7 @@
 	}
 }
 
-// Forget drops what is known of a host that is gone, or that runs a new process to which old reports do not apply.
+// Forget deletes the state of a host that was removed or has restarted, so that old reports do not apply.
 func (t *Trust) Forget(name string) { delete(t.hosts, name) }
 
 // ObserveAttempts records a proxy's report of its attempts at a host.
@@ -76,8 +78,8 @@
 	host.latencies.Add(nowMs, report.Latencies, report.MeanLatencyMs, int64(report.succeeded()))
 }
 
-// ObserveLoad records a load report of a host. Reports that follow the last checked one within samplingIntervalMs are
-// kept as the newest load, but not checked.
+// ObserveLoad records a load report of a host. A report within samplingIntervalMs of the last checked one replaces
+// the newest load, but is not checked.
 func (t *Trust) ObserveLoad(nowMs float64, name string, load routing.HostLoad, capacity Capacity) {
 	if load == routing.UnknownLoad {
 		return
@@ -97,7 +99,7 @@
 	}
 }
 
-// sample takes a load report as the host's newest one, and counts whether it repeats the one before.
+// sample records a load report as the host's newest one, and counts whether it repeats the one before.
 func (t *Trust) sample(nowMs float64, host *hostState, load routing.HostLoad) {
 	isRepeat := host.hasReported() && load == host.lastLoad
 	if host.hasReported() {
@@ -114,8 +116,8 @@
 	host.lastSampleMs = nowMs
 }
 
-// updateDistrust begins or ends the distrust of a host by the confidence in it. The two thresholds lie apart, so that
-// it does not alternate.
+// updateDistrust begins or ends the distrust of a host by the confidence in it. The two thresholds differ
+// (hysteresis), so that the distrust does not flap.
 func (t *Trust) updateDistrust(name string, host *hostState, reason string) {
 	switch {
 	case !host.distrusted && host.confidence < distrustThreshold:
@@ -129,8 +131,8 @@
 	}
 }
 
-// Load returns the load on which routing decides, given the load that came with a report, or routing.UnknownLoad: the
-// reported one if it is trusted, else an estimate.
+// Load returns the load that routing uses for a host: the reported one if it is trusted, otherwise an estimate.
+// reported is the load in the current report, or routing.UnknownLoad.
 func (t *Trust) Load(nowMs float64, name string, reported routing.HostLoad, capacity Capacity) routing.HostLoad {
 	host := t.hosts[name]
 	if t.limits.TrustAll || host == nil || !host.hasReported() {
@@ -142,8 +144,8 @@
 		}
 		return reported
 	}
-	// An estimate is no proof of overload, so it stays at the utilization of an unknown host. Service levels are lowered
-	// by reported overload and by failed attempts.
+	// An estimate is no evidence of overload, so it is at most the utilization of an unknown host. Only reported
+	// overload and failed attempts lower the admission ratio.
 	estimate := host.estimateUtilization(nowMs, &t.limits, capacity)
 	utilization := math.Min(estimate, t.limits.UnknownUtilization)
 	if host.distrusted {
@@ -161,9 +163,9 @@
 	return changes
 }
 
-// AcceptLoadReport reports whether a load report that the host sent itself is new, by the reporter's id and sequence
-// number, and how old it is by the host's time stamp, 0 without one. A second reporter under the host's name lowers the
-// confidence in it.
+// AcceptLoadReport reports whether a load report that the host itself sent is new, by the reporter's id and sequence
+// number, and returns its age in milliseconds by the host's time stamp, 0 without one. A second reporter under the
+// host's name lowers the confidence in the host's reports.
 func (t *Trust) AcceptLoadReport(
 	nowMs float64, name, reporterID string, sequence int64, stampMs float64,
 ) (isNew bool, ageMs float64) {
--- a/intake/trust_report.go
+++ b/intake/trust_report.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// noReportAgeMs is the age that HostReport shows where the host never reported its load.
+// noReportAgeMs is HostReport.AgeMs of a host that never reported its load.
 const noReportAgeMs = -1
 
 // HostReport is the state of one host's reports in the status API.
@@ -10,7 +10,7 @@
 	Count             float64       `json:"count"`     // successful attempts, decayed
 	AgeMs             float64       `json:"age_ms"`    // of the newest load report; -1: there was none
 	Trust             float64       `json:"trust"`     // confidence in the load reports, 0 to 1
-	DistrustReason    string        `json:"doubted"`   // why they are distrusted; "" if they are not
+	DistrustReason    string        `json:"doubted"`   // why the load reports are distrusted; "" if they are not
 	Silent            bool          `json:"silent"`    // the load reports have stopped
 	Estimate          float64       `json:"estimate"`  // of the utilization, where distrusted or silent
 	Uncertainty       float64       `json:"unsure"`    // of the estimate, 0 to 1
@@ -18,7 +18,7 @@
 	Latencies         LatencyReport `json:"times"`
 }
 
-// Host returns the state of a host's reports; ok is false where there are none.
+// Host returns the state of a host's reports; ok is false for an unknown host.
 func (t *Trust) Host(nowMs float64, name string, capacity Capacity) (report HostReport, ok bool) {
 	host := t.hosts[name]
 	if host == nil {
@@ -26,7 +26,7 @@
 	}
 	host.attempts.decay(nowMs)
 	report = HostReport{
-		Count:             host.attempts.good,
+		Count:             host.attempts.successes,
 		AgeMs:             noReportAgeMs,
 		Trust:             host.confidence,
 		DistrustReason:    host.distrustReason,
@@ -45,7 +45,7 @@
 	return report, true
 }
 
-// Confidence returns the confidence in a host's load reports, 1 where nothing is known of it.
+// Confidence returns the confidence in a host's load reports, from 0 to 1, and 1 for an unknown host.
 func (t *Trust) Confidence(name string) float64 {
 	if host := t.hosts[name]; host != nil {
 		return host.confidence
@@ -53,7 +53,7 @@
 	return fullConfidence
 }
 
-// Count returns how many hosts are known, how many of them are distrusted, and how many no longer report their load.
+// Count returns the numbers of known hosts, of distrusted ones, and of those whose load reports have stopped.
 func (t *Trust) Count(nowMs float64) (known, distrusted, silent int) {
 	for _, host := range t.hosts {
 		if host.distrusted {
