--- a/publisher/command.go
+++ b/publisher/command.go
@@ -13,7 +13,7 @@
 // ratioUnits is the number of units in which an admission ratio of 1 is written.
 const ratioUnits = 1000
 
-// operation is what a command of the runtime API does.
+// operation is the kind of a command of the runtime API.
 type operation int
 
 const (
@@ -29,13 +29,13 @@
 // command is one command of the runtime API.
 type command struct {
 	operation operation
-	server    serverKey // unless the operation is setAdmissionRatio
+	server    serverKey // server that the command changes, unless it is setAdmissionRatio
 	weight    int       // of addServer and setWeight
 	class     string    // of setAdmissionRatio
 	ratio     float64   // of setAdmissionRatio
 }
 
-// serverKey names a server of the proxy.
+// serverKey identifies a server of the proxy.
 type serverKey struct {
 	backend string // the request class
 	name    string // the address of the host
@@ -64,21 +64,21 @@
 	}
 }
 
-// removesServer reports whether the command is a step of the removal of a drained server.
+// removesServer reports whether the command is a step in the removal of a drained server.
 func (c *command) removesServer() bool {
 	return c.operation == setMaintenance || c.operation == deleteServer
 }
 
-// RejectedError is a command that the proxy rejected.
+// RejectedError is the rejection of a command by the proxy.
 type RejectedError struct {
 	Command  string
-	Response string // of the proxy, without surrounding space
+	Response string // response of the proxy, without surrounding space
 }
 
 func (e *RejectedError) Error() string { return e.Command + ": " + e.Response }
 
-// successPrefixes begin the responses that report success, in lower case. An empty response reports it too; any other
-// one is a rejection.
+// successPrefixes are the prefixes, in lower case, of responses that report success. An empty response reports
+// success, too; any other one is a rejection.
 var successPrefixes = []string{"new server registered", "server deleted"}
 
 // isSuccess reports whether a response reports success.
--- a/publisher/counters.go
+++ b/publisher/counters.go
@@ -9,15 +9,15 @@
 	"barleysail/routing"
 )
 
-// maxCounter is the largest counter value that is accepted; a larger one is taken as 0.
+// maxCounter is the largest counter value that is accepted; a larger one counts as 0.
 const maxCounter = 1e15
 
-// Counters turns the cumulative counters of a proxy's "show stat" into request stats: their growth since the last
-// reading. A counter that is lower than before was reset. Use [NewCounters] to make one.
+// Counters converts the cumulative counters of a proxy's "show stat" into request stats: their increase since the
+// last reading. A counter that is lower than before was reset. Use [NewCounters] to create one.
 type Counters struct {
 	previous    map[string]serverCounters // by backend/server
 	readMs      float64                   // instant of the last reading
-	hasBaseline bool                      // there was a reading
+	hasBaseline bool                      // the counters were read at least once
 	sequence    int64                     // of the last reading
 	sender      string
 }
@@ -29,15 +29,15 @@
 	responseErrors float64
 }
 
-// NewCounters returns counters whose request stats name this sender.
+// NewCounters returns counters whose request stats name the given sender.
 func NewCounters(sender string) *Counters {
 	return &Counters{previous: map[string]serverCounters{}, sender: sender}
 }
 
-// Read takes the rows of "show stat" and returns the request stats since the last reading; ok is false at the first
-// one. Attempts are the sessions and the failed connections of a server, failed ones are those whose connection or
-// response failed, and the mean latency is the average that the proxy publishes over its latest sessions. Servers that
-// isKnownHost does not know are left out.
+// Read returns the request stats since the last reading, by the rows of "show stat". ok is false at the first
+// reading, which only sets the baseline. Attempts are the sessions and the failed connections of a server, failed
+// attempts are those whose connection or response failed, and the mean latency is the average that the proxy
+// publishes over its latest sessions. Servers for which isKnownHost is false are omitted.
 func (c *Counters) Read(
 	nowMs float64, rows []haproxy.Row, isKnownHost func(host string) bool,
 ) (stats controller.ProxyStats, ok bool) {
@@ -69,7 +69,7 @@
 	return stats, ok
 }
 
-// advance takes the counters of a row and returns their increase since the last reading.
+// advance records the counters of a row and returns their increase since the last reading.
 func (c *Counters) advance(row haproxy.Row) serverCounters {
 	key := row["pxname"] + "/" + row["svname"]
 	counters := serverCounters{
@@ -82,7 +82,8 @@
 	return increase
 }
 
-// increaseSince returns the growth since an earlier reading, from 0 where the counters were reset in between.
+// increaseSince returns the increase since an earlier reading, counted from 0 where the counters were reset in
+// between.
 func (s serverCounters) increaseSince(earlier serverCounters) serverCounters {
 	wasReset := s.sessions < earlier.sessions ||
 		s.connectErrors < earlier.connectErrors ||
@@ -97,7 +98,7 @@
 	}
 }
 
-// attempts returns the number of attempts at a server: a connection that failed is no session.
+// attempts returns the number of attempts at a server. A failed connection does not count as a session.
 func (s serverCounters) attempts() float64 { return s.sessions + s.connectErrors }
 
 // intervalStats collects the request stats of one interval between two readings.
@@ -105,7 +106,7 @@
 	lengthMs      float64
 	hosts         map[string]controller.HostStats
 	demand        map[string]controller.ClassDemand
-	latencySumsMs map[string]float64 // by host, of the attempts that succeeded
+	latencySumsMs map[string]float64 // by host, of the successful attempts
 }
 
 func newIntervalStats(lengthMs float64) *intervalStats {
@@ -127,7 +128,7 @@
 	}
 }
 
-// addServer adds the attempts at a host for one request class; those of several classes are summed up.
+// addServer adds the attempts at a host for one request class; the attempts of several classes are summed.
 func (i *intervalStats) addServer(host string, increase serverCounters, meanLatencyMs float64) {
 	attempts := increase.attempts()
 	failed := math.Min(increase.connectErrors+increase.responseErrors, attempts)
--- a/publisher/plan.go
+++ b/publisher/plan.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// maxRejections is the number of rejected commands after which a server is left alone until the proxy's state is
-	// read again.
+	// maxRejections is the number of rejected commands after which a server gets no command until the proxy's state
+	// is read again.
 	maxRejections = 3
 	// minRatioChange is the smallest change of an admission ratio that is published: half of its unit.
 	minRatioChange = 0.5 / ratioUnits
-	// unpublishedRatio stands for an admission ratio that the proxy does not have yet.
+	// unpublishedRatio is the published admission ratio of a class for which the proxy has none yet.
 	unpublishedRatio = -1
 )
 
@@ -24,12 +24,12 @@
 	targetWeight int // 0: it should be removed
 }
 
-// planStep returns the command that a server needs of one kind, or nil.
+// planStep returns the command of one kind that a server needs, or nil.
 type planStep func(nowMs float64, diff serverDiff) *command
 
-// buildPlan returns the most urgent commands, all of one kind, in the order of backends and servers. Servers that get
-// traffic come first, then weights, then drains, then removals, and last the admission ratios. So a backend is never
-// left without a ready server: drains wait for the others.
+// buildPlan returns the most urgent commands, all of one kind, in the order of backends and servers. Servers that
+// should get traffic come first, then weights, drains, removals, and last the admission ratios. A backend is
+// therefore never left without a ready server, since drains wait until other servers are ready.
 func (p *ProxyUpdater) buildPlan(nowMs float64) []*command {
 	diffs := p.diffServers()
 	for _, step := range []planStep{p.startServer, p.updateWeight, p.drainServer, p.removeServer} {
@@ -46,8 +46,8 @@
 	return p.changedRatios()
 }
 
-// diffServers returns the servers of all backends that have a target, in the order of their names, without those whose
-// commands the proxy keeps rejecting.
+// diffServers returns the servers of all backends that have a target, in the order of their names, without those for
+// which the proxy rejected maxRejections commands.
 func (p *ProxyUpdater) diffServers() []serverDiff {
 	var diffs []serverDiff
 	for _, backend := range slices.Sorted(maps.Keys(p.target)) {
@@ -73,8 +73,8 @@
 	return diffs
 }
 
-// startServer adds a server that should have traffic, or makes it ready. The proxy adds servers in maintenance, and a
-// server gets its weight before it is ready, so that it never takes traffic by an old one.
+// startServer adds a server that should get traffic, or makes it ready. The proxy adds servers in maintenance, and a
+// server gets its weight before it is ready, so that it never gets traffic by an old weight.
 func (p *ProxyUpdater) startServer(_ float64, diff serverDiff) *command {
 	switch {
 	case diff.targetWeight == 0 || diff.current.ready && !diff.current.maintenance:
@@ -97,7 +97,7 @@
 	return &command{operation: setWeight, server: diff.key, weight: diff.targetWeight}
 }
 
-// drainServer drains a server that should have no traffic, once another one of its backend is ready to take it.
+// drainServer drains a server that should get no traffic, once another server of its backend is ready.
 func (p *ProxyUpdater) drainServer(_ float64, diff serverDiff) *command {
 	if !diff.exists || diff.targetWeight > 0 || !diff.current.ready {
 		return nil
@@ -109,7 +109,7 @@
 	return &command{operation: setDrain, server: diff.key}
 }
 
-// hasReadyTarget reports whether a server that should have traffic takes it. One that the proxy refused to add does
+// hasReadyTarget reports whether a server that should get traffic is ready. A server that the proxy did not add is
 // not.
 func (p *ProxyUpdater) hasReadyTarget(backend string) bool {
 	for name, targetWeight := range p.target[backend] {
@@ -121,7 +121,7 @@
 	return false
 }
 
-// removeServer takes a drained server out of the proxy after the drain grace. The proxy deletes only servers that are
+// removeServer removes a drained server from the proxy after the drain grace. The proxy deletes only servers that are
 // in maintenance.
 func (p *ProxyUpdater) removeServer(nowMs float64, diff serverDiff) *command {
 	isDrained := diff.exists && diff.targetWeight == 0 && !diff.current.ready
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -1,7 +1,7 @@
-// Package publisher decides which commands a proxy gets that is driven by its runtime socket. It keeps the proxy's
-// servers and weights at the routing tables by one command after the other, and takes each response as the
-// acknowledgement ([ProxyUpdater]); it turns the proxy's counters into request stats ([Counters]); and it elects the
-// one controller that drives the proxy ([SocketOwner]).
+// Package publisher decides which commands are sent to a proxy that is controlled by its runtime socket. It updates
+// the proxy's servers and weights to the routing tables by one command after the other, and uses each response as the
+// acknowledgement ([ProxyUpdater]); it converts the proxy's counters into request stats ([Counters]); and it elects
+// the one controller that controls the proxy ([SocketOwner]).
 //
 // A backend of the proxy is a request class, a server is a host named by its address. The package does no I/O, reads no
 // clock and starts no goroutine; instants and durations are float64 milliseconds. Its types are not safe for concurrent
@@ -16,15 +16,15 @@
 	"barleysail/internal/haproxy"
 )
 
-// ProxyUpdater brings one proxy to the target state: it knows the state of the proxy's servers, as far as it was read
-// and changed since, and plans the commands that are missing.
+// ProxyUpdater updates one proxy to the target state. It keeps the state of the proxy's servers, as it was last read
+// and changed since, and plans the commands that lead to the target.
 type ProxyUpdater struct {
 	drainGraceMs    float64                      // from the drain of a server to its removal
 	servers         map[string]map[string]server // current state by backend and server name
 	target          map[string]map[string]int    // weights by backend and server name
 	scales          map[string]float64           // of the target's quantized weights, by request class
 	targetRatios    map[string]float64           // admission ratios by request class
-	publishedRatios map[string]float64           // those that the proxy has
+	publishedRatios map[string]float64           // admission ratios that the proxy has
 	rejections      map[serverKey]int            // rejected commands since the state was last read
 	inFlight        *command                     // sent, without a response yet
 	plan            []*command                   // to be sent next, in order
@@ -36,11 +36,11 @@
 	weight      int
 	ready       bool    // takes traffic
 	maintenance bool    // in maintenance mode
-	drainedMs   float64 // instant of the drain; if that is unknown, the instant at which the server was first observed
+	drainedMs   float64 // instant of the drain, or of the first observation if that is unknown
 }
 
-// New returns an updater for a proxy of which nothing is known. drainGraceMs is the time from the drain of a server to
-// its removal.
+// New returns an updater for a proxy whose state has not been read. drainGraceMs is the time from the drain of a
+// server to its removal.
 func New(drainGraceMs float64) *ProxyUpdater {
 	return &ProxyUpdater{
 		drainGraceMs:    drainGraceMs,
@@ -53,8 +53,8 @@
 	}
 }
 
-// ObserveServers takes the proxy's state as "show servers state" returns it: after connecting, and from time to time,
-// as others may change it too. It returns how many servers differ from the state that this updater left.
+// ObserveServers records the proxy's state as "show servers state" returns it: after connecting, and periodically,
+// since others may change it too. It returns the number of servers that differ from the state that this updater set.
 func (p *ProxyUpdater) ObserveServers(nowMs float64, states []haproxy.ServerState) (foreignChanges int) {
 	fresh := map[string]map[string]server{}
 	for i := range states {
@@ -108,7 +108,8 @@
 	return missing
 }
 
-// ConnectionLost records that the connection is gone. Until the state is read again, only the instants of drains count.
+// ConnectionLost records that the connection was lost. Until the state is read again, only the instants of drains
+// remain valid.
 func (p *ProxyUpdater) ConnectionLost() {
 	p.observed = false
 	p.inFlight = nil
@@ -116,8 +117,8 @@
 	clear(p.publishedRatios)
 }
 
-// SetTarget takes the routing tables that the proxy should have. Of a request class whose hosts are not ordered, only
-// the admission ratio is taken; its servers keep their weights.
+// SetTarget sets the routing tables that the proxy should have. Where a table has no hosts yet (Table.Ordered is
+// false), only its admission ratio is used, and the servers of the class keep their weights.
 func (p *ProxyUpdater) SetTarget(tables []controller.Table) {
 	p.plan = nil
 	for i := range tables {
@@ -148,7 +149,7 @@
 	return next == nil || next.removesServer()
 }
 
-// NextCommand returns the command to be sent now; ok is false where there is none, or one is in flight.
+// NextCommand returns the command to send now; ok is false if there is none or one is in flight.
 func (p *ProxyUpdater) NextCommand(nowMs float64) (text string, ok bool) {
 	if !p.observed || p.inFlight != nil {
 		return "", false
@@ -162,7 +163,8 @@
 	return next.text(), true
 }
 
-// peek returns the first command of the plan, of a new plan where the last one is done; nil if there is nothing to do.
+// peek returns the first command of the plan, or nil if there is nothing to do. It builds a new plan where the last
+// one is done.
 func (p *ProxyUpdater) peek(nowMs float64) *command {
 	if len(p.plan) == 0 {
 		p.plan = p.buildPlan(nowMs)
@@ -173,9 +175,9 @@
 	return p.plan[0]
 }
 
-// ObserveResponse takes the response to the command in flight. It returns a *RejectedError where the proxy rejected the
-// command. The command is then tried again up to maxRejections times, after which its server is left alone until the
-// state is read again.
+// ObserveResponse records the response to the command in flight. It returns a *RejectedError where the proxy rejected
+// the command. The command is then retried, until a server has maxRejections rejected commands; it gets no further
+// command until the state is read again.
 func (p *ProxyUpdater) ObserveResponse(nowMs float64, response string) error {
 	sent := p.inFlight
 	p.inFlight = nil
@@ -187,14 +189,14 @@
 		return nil
 	}
 	if sent.operation == setAdmissionRatio {
-		p.apply(nowMs, sent) // not tried again: the proxy cannot hold the variable
+		p.apply(nowMs, sent) // not retried: the proxy cannot store the variable
 	} else {
 		p.rejections[sent.server]++
 	}
 	return &RejectedError{Command: sent.text(), Response: strings.TrimSpace(response)}
 }
 
-// apply records what a command has changed in the proxy.
+// apply records the changes of a successful command.
 func (p *ProxyUpdater) apply(nowMs float64, done *command) {
 	switch done.operation {
 	case setAdmissionRatio:
@@ -225,8 +227,8 @@
 	p.servers[done.server.backend][done.server.name] = changed
 }
 
-// NextDeadlineMs returns the instant at which NextCommand will have a command only because time passes: the earliest
-// end of a drain grace. It is +Inf where there is none.
+// NextDeadlineMs returns the instant in ms at which NextCommand will return a command though nothing else changes:
+// the earliest end of a drain grace. It is +Inf if there is none.
 func (p *ProxyUpdater) NextDeadlineMs() float64 {
 	deadlineMs := math.Inf(1)
 	for backend, servers := range p.servers {
--- a/publisher/socket_owner.go
+++ b/publisher/socket_owner.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// OwnerVariable is the proxy's process variable that names the controller which drives the proxy, as
-// "INCARNATION:HEARTBEAT". The owner counts the heartbeat up each cycle.
+// OwnerVariable is the proxy's process variable that names the controller which owns the proxy's socket, as
+// "INCARNATION:HEARTBEAT". The owner increments the heartbeat each cycle.
 const OwnerVariable = "barleysail_owner"
 
-// maxMissedHeartbeats is the number of cycles with an unchanged heartbeat after which the owner counts as gone.
+// maxMissedHeartbeats is the number of cycles with an unchanged heartbeat after which the owner counts as failed.
 const maxMissedHeartbeats = 3
 
-// SocketOwner elects one of several controllers to drive a proxy, by a heartbeat in a variable of the proxy. The
-// owner goes on while its heartbeat moves; the others watch, and take over once it stands still. Controllers that
-// take over in the same cycle overwrite each other's mark, and all but the last find another one's in the next cycle
-// and give up.
+// SocketOwner elects the one of several controllers that owns a proxy's socket, by a heartbeat in a variable of the
+// proxy. The owner stays the owner while its heartbeat increases; another controller takes over after
+// maxMissedHeartbeats cycles without a change. Controllers that take over in the same cycle overwrite each other's
+// mark; in the next cycle all but the last read another controller's mark and give up.
 type SocketOwner struct {
 	incarnation      string // of this controller
 	heartbeat        int64
@@ -23,11 +23,12 @@
 	missedHeartbeats int    // cycles since the mark last changed
 }
 
-// NewSocketOwner returns the election for one controller process. The incarnation must be unique and without a colon.
+// NewSocketOwner returns the election state of one controller incarnation, whose id must be unique and without a
+// colon.
 func NewSocketOwner(incarnation string) *SocketOwner { return &SocketOwner{incarnation: incarnation} }
 
-// Read takes the value of OwnerVariable, "" if it is not set, once a cycle. It reports whether this controller drives
-// the proxy, and the value to set the variable to, "" to leave it.
+// Read must be called once a cycle with the value of OwnerVariable, "" if it is not set. It reports whether this
+// controller owns the socket, and returns the new value of the variable, "" to keep it.
 func (o *SocketOwner) Read(mark string) (isOwner bool, newMark string) {
 	isUnchanged := mark == o.lastMark
 	o.lastMark = mark
@@ -55,7 +56,7 @@
 	return o.nextMark()
 }
 
-// nextMark counts the heartbeat up and returns the mark with it.
+// nextMark increments the heartbeat and returns the mark with it.
 func (o *SocketOwner) nextMark() string {
 	o.heartbeat++
 	return o.incarnation + ":" + strconv.FormatInt(o.heartbeat, 10)
