--- a/client/client.go
+++ b/client/client.go
@@ -1,12 +1,12 @@
-// Package client is the proxy's side of the control plane. A [Client] keeps the proxy's routing tables by long polls
-// with deltas, picks hosts by weight, retries as the tables say, and sends the controller request stats. It sends no
-// request to a host itself: the proxy gives [Client.Do] a function that makes one attempt.
+// Package client is the proxy's side of the control plane. A [Client] updates the proxy's routing tables by long
+// polls with deltas, picks hosts by weight, retries by the tables' retry policy, and sends request stats to the
+// controller. It sends no request to a host itself: the proxy passes [Client.Do] a function that makes one attempt.
 //
-// That function must make one attempt and no more. Go's net/http repeats a GET by itself when a reused connection
-// breaks, so a request that is not idempotent must not be sent by GET through it.
+// That function must make exactly one attempt. Go's net/http retries a GET by itself when a reused connection breaks,
+// so a request that is not idempotent must not be sent as a GET.
 //
-// While no controller answers, the proxy goes on by its last tables, and before the first ones by the fallback hosts of
-// [Options.Standing].
+// While no controller answers, the proxy continues with its last tables, and before it has any, with the fallback
+// hosts of [Options.Standing].
 package client
 
 import (
@@ -23,40 +23,41 @@
 	"time"
 )
 
-// Options of a Client. Proxy and Zone are required.
+// Options configure a Client. Proxy and Zone are required.
 type Options struct {
-	// Stewards are the base URLs of the controllers. The first one is polled, the next ones if it does not answer. With
-	// none, tables come by Client.Load only.
+	// Stewards are the base URLs of the controllers. The first one is polled, and the next ones if it does not
+	// answer. Without any, tables come from Client.Load only.
 	Stewards []string
-	Proxy    string   // name of this proxy, the same at each start
+	Proxy    string   // name of this proxy, the same after each restart
 	Zone     string   // zone of this proxy
-	Rate     float64  // requests per second that the proxy usually gets; 0: unknown
+	Rate     float64  // requests per second that the proxy usually receives; 0: unknown
 	Standing []string // hosts to use until the first tables arrive
 
-	// Offer sends a controller that takes over the tables that this proxy holds, so that it can go on with deltas.
+	// Offer sends the tables that this proxy has to a controller that takes over, so that it can continue with
+	// deltas.
 	Offer bool
-	// Signed judges the certificate chain that signed a table. If it is not nil, only tables with a signature that it
-	// accepts are applied, and none that is older than the last.
+	// Signed verifies the certificate chain that signed a table. If it is not nil, only tables with a signature that
+	// it accepts are applied, and none that is older than the last one.
 	Signed func(chain []*x509.Certificate) error
 
 	HTTP   *http.Client  // nil: one of the client's own
-	Wait   time.Duration // that a controller may hold a poll; 0: 30 s
-	Period time.Duration // between two reports of request stats; 0: 1 s
+	Wait   time.Duration // time for which a controller may hold a long poll; 0: 30 s
+	Period time.Duration // interval between reports of request stats; 0: 1 s
 	Least  time.Duration // first backoff after a failed poll, doubled up to Most; 0: 100 ms
 	Most   time.Duration // longest backoff; 0: 4 s
 
 	Ejects  int           // failures in a row after which this proxy ejects a host; 0: never
-	Shuns   time.Duration // that an ejected host is not picked; 0: UsualShuns
-	Repeats []string      // request classes that are idempotent; others are retried only after NeverRan
+	Shuns   time.Duration // time for which an ejected host is not picked; 0: UsualShuns
+	Repeats []string      // idempotent request classes; others are retried only after NeverRan
 
-	Ended   func(Transaction) // called at the end of each request, to record it; nil: not called
+	Ended   func(Transaction) // called at the end of each request; nil: not called
 	Applied func(tag string)  // called with the tag of each version of the tables that is applied; nil: not called
 
 	Log func(text string) // called with a line for each change of the connection; nil: not called
 	Now func() time.Time  // nil: time.Now
 }
 
-// UsualShuns is how long an ejected host is not picked where Options.Shuns is 0.
+// UsualShuns is the time for which an ejected host is not picked where Options.Shuns is 0.
 const UsualShuns = 5 * time.Second
 
 // Defaults of Options.
@@ -73,8 +74,8 @@
 	seedBytes   = 8 // random bytes of the seed of random draws
 )
 
-// Client keeps a proxy's routing tables. Use [New] to make one and [Client.Run] to start its work. It is safe for
-// concurrent use.
+// Client holds a proxy's routing tables and updates them. Use [New] to create one and [Client.Run] to start it. It is
+// safe for concurrent use.
 type Client struct {
 	options       Options
 	ownsHTTP      bool   // options.HTTP was made by New
@@ -85,15 +86,15 @@
 
 	mu        sync.Mutex // guards the fields below
 	tables    appliedTables
-	newestTag string // of the tables that were last received
+	newestTag string // tag of the tables that were last received
 	current   int    // index of the controller that is polled
-	joined    bool   // that controller answered the last poll
+	joined    bool   // the current controller answered the last poll
 	draws     uint64 // number of random draws so far
 	ejections map[string]*ejection
 	stats     requestStats
 }
 
-// New checks the options and returns a client that does nothing until Run.
+// New validates the options and returns a client that is idle until Run.
 func New(o Options) (*Client, error) {
 	if err := checkOptions(&o); err != nil {
 		return nil, err
@@ -171,7 +172,7 @@
 	return table
 }
 
-// Tables returns a copy of the tables that are applied, by request class.
+// Tables returns a copy of the applied tables, by request class.
 func (c *Client) Tables() map[string]Table {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -182,7 +183,7 @@
 	return all
 }
 
-// Load applies a snapshot of the tables that the proxy got by another way than polls.
+// Load applies a snapshot of the tables that the proxy received by other means than polls.
 func (c *Client) Load(tag string, doc []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/client/picker.go
+++ b/client/picker.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// spreadFactor is 2^64 divided by the golden ratio, made odd: Fibonacci hashing spreads a counter over all bits.
+// spreadFactor is 2^64 divided by the golden ratio, rounded to an odd number: Fibonacci hashing spreads a counter
+// over all bits.
 const spreadFactor = 0x9e3779b97f4a7c15
 
-// ejection is the state of a host with failed attempts of this proxy.
+// ejection is this proxy's record of a host with failed attempts.
 type ejection struct {
 	consecutiveFailures int
-	until               time.Time // the host is not picked before
+	until               time.Time // end of the ejection; zero: none yet
 }
 
-// random draws a number from 0 up to 1. The counter is spread before the checksum because CRC-32 is linear: every
-// second draw of plain counters would not be uniform. The caller holds the lock.
+// random returns a random number from 0 to below 1. The counter is spread before the checksum because CRC-32 is
+// linear: every second draw of plain counters would not be uniform. The caller holds the lock.
 func (c *Client) random() float64 {
 	c.draws++
 	var input [16]byte
@@ -26,8 +27,8 @@
 	return float64(crc32.ChecksumIEEE(input[:])) / (1 << 32)
 }
 
-// Pick draws a host for a request class by weight, without the excluded hosts. Ejected hosts are picked only if no
-// others are left; ok is false if there is no host at all.
+// Pick returns a random host for a request class, by weight and without the excluded hosts. Ejected hosts are picked
+// only if no others remain; ok is false if there is no host at all.
 func (c *Client) Pick(class string, not ...string) (host string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +50,8 @@
 	return state != nil && now.Before(state.until)
 }
 
-// updateEjection counts a host's failures in a row, and ejects it after Options.Ejects. The caller holds the lock.
+// updateEjection counts a host's failures in a row, and ejects it after Options.Ejects of them. The caller holds the
+// lock.
 func (c *Client) updateEjection(host string, result Result) {
 	if result == Fulfilled {
 		delete(c.ejections, host)
@@ -67,7 +69,7 @@
 	}
 }
 
-// pick draws a host by weight, without the excluded ones. The draw is a number from 0 up to 1.
+// pick returns the host that a draw, a number from 0 to below 1, selects by weight, without the excluded hosts.
 func (t Table) pick(draw float64, isExcluded func(address string) bool) (address string, ok bool) {
 	total := 0.0
 	for _, host := range t.Hosts {
--- a/client/poll.go
+++ b/client/poll.go
@@ -17,15 +17,15 @@
 
 const (
 	maxResponseBytes = 64 << 20
-	pollGrace        = 10 * time.Second // that a poll may take beyond the time for which it is held
-	maxBackoffShift  = 20               // doublings of the backoff, so that it does not overflow
-	minJitter        = 0.5              // the backoff is multiplied by a random number from this to this + 1
+	pollGrace        = 10 * time.Second // time that a poll may take beyond Options.Wait
+	maxBackoffShift  = 20               // limit of the doublings of the backoff, against overflow
+	minJitter        = 0.5              // the backoff is multiplied by a random number from minJitter to minJitter + 1
 	deltaFormat      = "merge-patch"    // instance manipulation (RFC 3229) that the client asks for
 )
 
-// pollControllers polls one controller after the other until the context ends. After a failure it polls the next one,
-// after a backoff that doubles each time all have failed. The jitter keeps proxies that lost a controller at once from
-// returning at once.
+// pollControllers polls the current controller until the context ends. After a failure it polls the next one, after a
+// backoff that doubles each time all controllers have failed. The jitter prevents proxies that lost a controller at
+// the same time from reconnecting at the same time.
 func (c *Client) pollControllers(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -61,12 +61,12 @@
 	return time.Duration(float64(backoff) * (minJitter + c.random()))
 }
 
-// pollRequest is what a poll sends.
+// pollRequest holds the parameters of a poll.
 type pollRequest struct {
 	controller string // base URL
 	proxyURL   string
-	tag        string // of the tables that the controller sent last; "" for a snapshot
-	offer      []byte // tables of another controller that this one may go on from; nil for none
+	tag        string // tag of the tables that the controller last sent; "" asks for a snapshot
+	offer      []byte // tables of another controller that this one may continue from; nil for none
 }
 
 // poll sends one poll to the current controller and applies the response.
@@ -190,7 +190,7 @@
 		return fmt.Errorf("the manipulation %q is not known", manipulation)
 	}
 	if poll.offer != nil {
-		// The controller goes on from the tables that were offered; if it does not, the delta's base does not match.
+		// The controller continues from the offered tables; if it does not, the delta's base does not match.
 		c.tables.source = poll.controller
 	}
 	if response.StatusCode == http.StatusIMUsed {
--- a/client/request_stats.go
+++ b/client/request_stats.go
@@ -8,15 +8,15 @@
 	"barleysail/routing"
 )
 
-// requestStats counts attempts and demand since the last report.
+// requestStats counts the attempts and the demand since the last report.
 type requestStats struct {
 	windowStart     time.Time
 	hosts           map[string]*hostStats
 	demand          map[string]*classDemand
-	spareHistograms []*intake.LatencyHistogram // empty ones, to be reused
+	spareHistograms []*intake.LatencyHistogram // empty histograms for reuse
 }
 
-// hostStats are the attempts at one host. The exported fields are the wire format; those of a mean or a window are set
+// hostStats are the attempts at one host. The exported fields are the wire format; Mean, Span, Load and Times are set
 // when the report is made.
 type hostStats struct {
 	Tries  int          `json:"tries"`
@@ -28,7 +28,7 @@
 
 	latencySum time.Duration // of the successful attempts
 	histogram  *intake.LatencyHistogram
-	lastLoad   routing.HostLoad // that the host reported last
+	lastLoad   routing.HostLoad // load that the host last reported
 }
 
 // loadStats is the wire format of a host's load; a missing metric was not reported.
@@ -41,12 +41,17 @@
 // classDemand is the demand for one request class, and its wire format.
 type classDemand struct {
 	Came       int     `json:"came"`       // requests that arrived
-	Unanswered int     `json:"unanswered"` // requests that got no good answer
+	Unanswered int     `json:"unanswered"` // requests without a good answer
 	Span       float64 `json:"span"`       // length of the window, ms
 }
 
+const (
+	msPerSecond       = 1000
+	microsecondsPerMs = 1000
+)
+
 // milliseconds returns a duration in ms with its fraction.
-func milliseconds(duration time.Duration) float64 { return duration.Seconds() * 1000 }
+func milliseconds(duration time.Duration) float64 { return duration.Seconds() * msPerSecond }
 
 // reset begins a new window.
 func (s *requestStats) reset(now time.Time) {
@@ -85,8 +90,8 @@
 
 func (s *requestStats) countArrival(class string) { s.classDemand(class).Came++ }
 
-// countUnanswered counts a request without a good answer. One that arrived in the window before is counted in this
-// window, unless that would make more unanswered requests than arrived.
+// countUnanswered counts a request without a good answer. A request that arrived in an earlier window counts in the
+// current one, unless there would be more unanswered requests than arrivals.
 func (s *requestStats) countUnanswered(class string) {
 	demand := s.classDemand(class)
 	if demand.Unanswered < demand.Came {
@@ -108,7 +113,7 @@
 	}
 }
 
-// take returns the stats of the window, without hosts that isKnownHost does not know, and begins a new window.
+// take returns the stats of the window, without hosts for which isKnownHost is false, and begins a new window.
 func (s *requestStats) take(
 	now time.Time, isKnownHost func(host string) bool,
 ) (map[string]*hostStats, map[string]*classDemand) {
--- a/client/run.go
+++ b/client/run.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// leaveTimeout bounds the request that tells the controller that the proxy leaves.
+// leaveTimeout bounds the request that notifies the controller of the proxy's shutdown.
 const leaveTimeout = time.Second
 
 // errNoController is returned by Run without controllers in the options.
 var errNoController = errors.New("running a client: it has no controller")
 
-// Run polls the controllers and sends request stats until the context ends, and then tells the controller that the
-// proxy leaves. It returns the context's error.
+// Run polls the controllers and sends request stats until the context ends, and then notifies the controller of the
+// proxy's shutdown. It returns the context's error, or an error if the options name no controller.
 func (c *Client) Run(ctx context.Context) error {
 	if len(c.options.Stewards) == 0 {
 		return errNoController
@@ -46,8 +46,8 @@
 	return controllerURL + "/v1/proxies/" + url.PathEscape(c.options.Proxy)
 }
 
-// leave tells the controller that the proxy ends. A failure is no error: the controller then forgets the proxy later,
-// as it no longer polls.
+// leave notifies the controller of the proxy's shutdown. A failure is ignored: the controller then disconnects the
+// proxy later, when it no longer polls.
 func (c *Client) leave() {
 	c.mu.Lock()
 	target := c.proxyURL()
@@ -69,5 +69,5 @@
 	closeBody(response)
 }
 
-// closeBody closes a response body. The error is dropped: what was needed of the body has been read.
+// closeBody closes a response body. It ignores the error, since the body has been read as far as needed.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
--- a/client/stats_sender.go
+++ b/client/stats_sender.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	statsTimeout      = 5 * time.Second // of one report of request stats
+	statsTimeout      = 5 * time.Second // timeout of one report of request stats
 	maxStatsRetries   = 3               // of one report; then it is dropped
 	maxRejectionBytes = 4096            // of the response to a rejected report, which is logged
 )
 
-// statsReport is the wire format of the request stats. The sequence number lets the controller count a report once that
-// arrives twice.
+// statsReport is the wire format of the request stats. By the sequence number the controller counts a report once
+// that arrives twice.
 type statsReport struct {
 	Sender string                  `json:"sender"`
 	Number int64                   `json:"number"`
@@ -26,7 +26,7 @@
 	Usage  map[string]*classDemand `json:"usage"`
 }
 
-// statsSender sends the request stats of a client, one report after the other.
+// statsSender sends the request stats of a client, one report at a time.
 type statsSender struct {
 	client   *Client
 	sequence int64  // of the newest report
@@ -49,7 +49,7 @@
 	}
 }
 
-// send sends the pending report again, or else a new one. What is counted meanwhile goes into the next report.
+// send retries the pending report, or sends a new one. Attempts in the meantime count in the next report.
 func (s *statsSender) send(ctx context.Context) {
 	target, ok := s.prepare()
 	if !ok {
@@ -63,8 +63,8 @@
 	s.retries++
 }
 
-// prepare makes a report where none is pending, and returns the URL to send it to. Without a controller it drops all
-// stats: old ones would mislead the next controller.
+// prepare makes a report if none is pending, and returns the URL to send it to. While no controller answers it drops
+// all stats, since old ones would mislead the next controller.
 func (s *statsSender) prepare() (target string, ok bool) {
 	c := s.client
 	c.mu.Lock()
@@ -92,7 +92,7 @@
 	report := statsReport{
 		Sender: c.sender,
 		Number: s.sequence,
-		At:     float64(c.options.Now().UnixMicro()) / 1000,
+		At:     float64(c.options.Now().UnixMicro()) / microsecondsPerMs,
 		Hosts:  hosts,
 		Usage:  demand,
 	}
@@ -101,8 +101,8 @@
 	return err
 }
 
-// isKnownHost reports whether a table names the host; the controller rejects stats of others. The caller holds the
-// lock.
+// isKnownHost reports whether a table holds the host; the controller rejects stats of other hosts. The caller holds
+// the lock.
 func (c *Client) isKnownHost(address string) bool {
 	for _, table := range c.tables.byClass {
 		for _, host := range table.Hosts {
@@ -114,14 +114,14 @@
 	return false
 }
 
-// post sends a report and reports whether it is settled: taken, or rejected for good. It is not after a network
-// error, a server error, or a 429 of a controller that sheds load.
+// post sends a report and returns whether it is settled: accepted, or rejected permanently. It is not settled after a
+// network error, a server error, or a 429 of a controller that sheds load.
 func (c *Client) post(ctx context.Context, target string, body []byte) (settled bool) {
 	timeout, cancel := context.WithTimeout(ctx, statsTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(timeout, http.MethodPost, target, bytes.NewReader(body))
 	if err != nil {
-		return true // the URL is wrong, which another attempt does not change
+		return true // the URL is invalid, so a retry would fail too
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.options.HTTP.Do(request)
@@ -129,7 +129,7 @@
 		return false
 	}
 	defer closeBody(response)
-	// An error is dropped: the text is only logged, and the status decides.
+	// The error is ignored: the text is only logged, and the status decides.
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxRejectionBytes))
 	if response.StatusCode == http.StatusTooManyRequests {
 		return false
--- a/client/tables.go
+++ b/client/tables.go
@@ -14,8 +14,8 @@
 // Table is the routing table of a request class.
 type Table struct {
 	Hosts   []Host  // with a weight above 0, sorted by address
-	Ordered bool    // the controller has sent hosts, be it none
-	Share   float64 // part of the requests that may be admitted; 1 or more: all
+	Ordered bool    // the controller has sent the hosts, even if there are none
+	Share   float64 // part of the requests to admit; 1 or more: all
 	Tries   int     // retries. 0: none; 1: one, after NeverRan; 2, 3: one, two after any failure
 }
 
@@ -25,10 +25,10 @@
 	Weight  float64
 }
 
-// appliedTables are the tables by which the proxy routes, with the document they come from.
+// appliedTables are the tables by which the proxy routes, with the document that they were decoded from.
 type appliedTables struct {
 	source   string // base URL of the controller that sent the document
-	tag      string // entity tag of the document, with quotes; "" if the next poll is to get a snapshot
+	tag      string // entity tag of the document, with quotes; "" if the next poll must ask for a snapshot
 	document []byte // JSON
 	byClass  map[string]Table
 }
@@ -38,23 +38,23 @@
 	Tables map[string]classDocument `json:"tables"`
 }
 
-// classDocument is the wire format of one table. Without hosts, the ones that are applied stay.
+// classDocument is the wire format of one table. Without hosts, the applied ones are kept.
 type classDocument struct {
 	Hosts map[string]float64 `json:"hosts"`
 	Share *float64           `json:"share"`
 	Tries *int               `json:"tries"`
 }
 
-// documentCheck accepts a document before it is applied, or returns why not.
+// documentCheck returns an error for a document that must not be applied.
 type documentCheck func(document []byte) error
 
-// setSnapshot applies a whole document. On an error nothing changes.
+// setSnapshot applies a complete document. On an error nothing changes.
 func (a *appliedTables) setSnapshot(source, tag string, document []byte, check documentCheck) error {
 	return a.apply(source, tag, append([]byte(nil), document...), check)
 }
 
-// applyDelta applies a merge patch (RFC 7396) onto the document with the tag base. A patch onto another document, as of
-// a response that was overtaken, is an error. On an error nothing changes.
+// applyDelta applies a merge patch (RFC 7396) to the document with the tag base. A patch to another document, such as
+// that of an outdated response, is an error. On an error nothing changes.
 func (a *appliedTables) applyDelta(source, base, tag string, patch []byte, check documentCheck) error {
 	if a.document == nil || source != a.source || base != a.tag {
 		return fmt.Errorf("a delta onto %s came, held is %s", base, a.tag)
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// parse returns the tables of a document, over those that are applied. Classes that the document lacks stay.
+// parse returns the tables of a document. Classes that the document lacks keep their applied table.
 func (a *appliedTables) parse(document []byte) (map[string]Table, error) {
 	var parsed tablesDocument
 	if err := json.Unmarshal(document, &parsed); err != nil {
@@ -101,7 +101,7 @@
 	return byClass, nil
 }
 
-// table returns the table of a class, given the one that is applied.
+// table returns the new table of a class, given the applied one.
 func (d *classDocument) table(class string, applied Table) (Table, error) {
 	table := Table{Hosts: applied.Hosts, Ordered: applied.Ordered, Share: 1, Tries: retryNeverRan}
 	if d.Share != nil {
--- a/client/transaction.go
+++ b/client/transaction.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// Result of an attempt.
+// Result is the result of an attempt.
 type Result int
 
 const (
-	// Fulfilled is an attempt with a good answer.
+	// Fulfilled is the result of an attempt with a good answer.
 	Fulfilled Result = iota
-	// Failed is an attempt that failed and may have been executed.
+	// Failed is the result of an attempt that failed and may have been executed.
 	Failed
-	// NeverRan is an attempt that provably was not executed: the connection was refused, or the answer says so.
+	// NeverRan is the result of an attempt that provably was not executed: the connection was refused, or the answer
+	// says so.
 	NeverRan
 )
 
@@ -30,7 +31,7 @@
 type Transaction struct {
 	Class     string    // request class
 	Came      time.Time // instant of arrival
-	LetIn     bool      // admitted by the table's share
+	LetIn     bool      // admitted by the admission ratio (Table.Share)
 	Tries     []Attempt // in order
 	Fulfilled bool
 }
@@ -52,17 +53,17 @@
 )
 
 var (
-	// ErrNotLetIn is returned for a request that the table's share did not admit.
+	// ErrNotLetIn is returned for a request that the admission ratio (Table.Share) did not admit.
 	ErrNotLetIn = errors.New("not let in")
-	// ErrNoHost is returned for a request for which no host is left.
+	// ErrNoHost is returned for a request if no host remains for it.
 	ErrNoHost = errors.New("no host to pick")
 
-	errNoAnswer = errors.New("no good answer") // of an attempt that failed without an error
+	errNoAnswer = errors.New("no good answer") // the cause of an attempt that failed without an error
 )
 
-// Do carries out a request of a class: it is admitted by the table's share, sent to a host by try, and retried at other
-// hosts as the table says, until the context ends. It returns ErrNotLetIn, ErrNoHost, or an error that wraps the one of
-// the last attempt.
+// Do executes a request of a class: it admits it by the table's admission ratio, calls try with a picked host, and
+// retries at other hosts by the table's retry policy, until the context ends. It returns ErrNotLetIn, ErrNoHost, or
+// an error that wraps that of the last attempt.
 func (c *Client) Do(ctx context.Context, class string, try func(ctx context.Context, host string) Try) error {
 	c.mu.Lock()
 	table := c.table(class)
@@ -113,8 +114,8 @@
 	}
 }
 
-// mayRetry reports whether a request may be retried after so many attempts: as the retry policy says, and for a class
-// that is not idempotent only after NeverRan.
+// mayRetry reports whether a request may be retried after the given number of attempts: as the retry policy allows,
+// and for a class that is not idempotent only after NeverRan.
 func (c *Client) mayRetry(class string, retryPolicy, attempts int, last Result) bool {
 	if attempts > maxRetries(retryPolicy) {
 		return false
