--- a/auth/action.go
+++ b/auth/action.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Action is what a request does. Its text is the action's name in the configuration.
+// Action is the kind of a request. Its text is the action's name in the configuration.
 type Action string
 
 const (
@@ -16,14 +16,14 @@
 	See Action = "see"
 	// Set changes operators' overrides.
 	Set Action = "set"
-	// Follow reads the state, as a standby does.
+	// Follow reads the state, for a standby.
 	Follow Action = "follow"
 )
 
-// actions are all actions, in the order of the documentation.
+// actions holds all actions, in the order of the documentation.
 var actions = []Action{Poll, Sums, Report, See, Set, Follow}
 
-// ParseAction returns the action of that name, or an *UnknownActionError.
+// ParseAction returns the action with a name, or an *UnknownActionError.
 func ParseAction(name string) (Action, error) {
 	action := Action(name)
 	if !slices.Contains(actions, action) {
@@ -32,8 +32,8 @@
 	return action, nil
 }
 
-// requiredCapture returns the segment that a rule's path must have to allow the action, or empty if it needs none: who
-// acts for a proxy or a host must be named by its identity.
+// requiredCapture returns the segment that a rule's path must have to allow the action, or "" if none is required: an
+// identity that acts for a proxy or a host must name it.
 func (a Action) requiredCapture() string {
 	switch a {
 	case Poll, Sums:
--- a/auth/errors.go
+++ b/auth/errors.go
@@ -7,15 +7,15 @@
 
 // Causes of a RuleError that have no details of their own.
 var (
-	// ErrNoScheme means that a rule's ID is no SPIFFE ID.
+	// ErrNoScheme means that a rule's ID is not a SPIFFE ID.
 	ErrNoScheme = errors.New("does not begin with spiffe://")
-	// ErrNoPath means that a rule's ID has a trust domain only.
+	// ErrNoPath means that a rule's ID has only a trust domain.
 	ErrNoPath = errors.New("a path is needed, a trust domain alone names nobody")
 	// ErrNoAction means that a rule lists no action.
 	ErrNoAction = errors.New("no action is allowed")
 )
 
-// UnknownActionError means that there is no action of that name.
+// UnknownActionError means that no action has the name.
 type UnknownActionError struct{ Name string }
 
 // Error implements error.
@@ -23,9 +23,9 @@
 	return fmt.Sprintf("%q is no action: %v are", e.Name, actions)
 }
 
-// RuleError says what is wrong with a rule.
+// RuleError is the reason why a rule is invalid.
 type RuleError struct {
-	ID  string // of the rule, as configured
+	ID  string // ID of the rule, as configured
 	Err error  // a sentinel of this package, a *SegmentError, a *MissingCaptureError, or an error of the spiffeid package
 }
 
@@ -40,7 +40,7 @@
 // Unwrap returns the cause.
 func (e *RuleError) Unwrap() error { return e.Err }
 
-// SegmentError means that a segment of a rule's path can be in no SPIFFE ID.
+// SegmentError means that a segment of a rule's path cannot be part of a SPIFFE ID.
 type SegmentError struct {
 	Segment string
 	Err     error
@@ -52,10 +52,10 @@
 // Unwrap returns the cause.
 func (e *SegmentError) Unwrap() error { return e.Err }
 
-// MissingCaptureError means that a rule's path does not name whom its identities may act for.
+// MissingCaptureError means that a rule's path does not name the proxy or host that its identities may act for.
 type MissingCaptureError struct {
 	Action  Action
-	Capture string // the segment that the path needs, as {proxy}
+	Capture string // the required segment, such as {proxy}
 }
 
 // Error implements error.
--- a/auth/policy.go
+++ b/auth/policy.go
@@ -9,13 +9,13 @@
 // Policy is a list of rules. A request is allowed if one of them allows it.
 type Policy struct{ rules []Rule }
 
-// NewPolicy returns the policy of these rules.
+// NewPolicy returns a policy with the given rules.
 func NewPolicy(rules ...Rule) *Policy { return &Policy{rules: rules} }
 
-// noRule is the index of the rule in the verdict on a request that no rule allows.
+// noRule is Verdict.Rule of a request that no rule allows.
 const noRule = -1
 
-// Verdict is a decision of the policy, and its reasons.
+// Verdict is a decision of the policy with its reasons.
 type Verdict struct {
 	Allowed bool
 	Rule    int      // index of the rule that allows the request; negative: none does
--- a/auth/rule.go
+++ b/auth/rule.go
@@ -19,16 +19,17 @@
 	captureHost  = "{host}"
 )
 
-// Request is what a caller wants to do, with the proxy, zone and host that it names, where it names one.
+// Request is the action of a caller, with the proxy, zone and host that it names; a field is "" where it names none.
 type Request struct {
 	Action            Action
 	Proxy, Zone, Host string
 }
 
-// Rule allows actions to the identities of one form: a trust domain and a path. The segments of the path are literal, *
-// for any one, or {proxy}, {zone} or {host} for the one that the request names. A host's segment is its HostSegment.
+// Rule allows actions to the identities that match a pattern: a trust domain and a path. The segments of the path are
+// literal, * for any segment, or {proxy}, {zone} or {host} for the one that the request names. A host's segment is
+// its HostSegment.
 type Rule struct {
-	id      string // the form as configured, for messages
+	id      string // the pattern as configured, for messages
 	domain  spiffeid.TrustDomain
 	path    []string
 	actions []Action
@@ -74,7 +75,7 @@
 	return Rule{id: id, domain: domain, path: segments, actions: allowed}, nil
 }
 
-// validateSegment returns a *SegmentError if a segment is neither special nor possible in a SPIFFE ID.
+// validateSegment returns a *SegmentError if a segment is neither a wildcard or capture nor valid in a SPIFFE ID.
 func validateSegment(segment string) error {
 	switch segment {
 	case wildcard, captureProxy, captureZone, captureHost:
@@ -86,8 +87,8 @@
 	return nil
 }
 
-// denialReason returns why the rule does not allow the request to the identity, empty if it allows it. HTTP responses
-// show it.
+// denialReason returns why the rule does not allow the request to the identity, or "" if it does. HTTP responses show
+// it.
 func (r *Rule) denialReason(id spiffeid.ID, request Request) string {
 	if !slices.Contains(r.actions, request.Action) {
 		return fmt.Sprintf("is not for %s", request.Action)
@@ -111,7 +112,7 @@
 	return ""
 }
 
-// resolve returns the segment that a rule's segment requires of the identity that makes the request.
+// resolve returns the path segment that an identity must have to match a rule's segment.
 func (r *Request) resolve(segment string) string {
 	switch segment {
 	case captureProxy:
@@ -126,7 +127,7 @@
 }
 
 // HostSegment returns the path segment of a host, address:port. Paths of SPIFFE IDs have neither colons nor brackets,
-// so _ stands for the colon before the port, - for those of an IPv6 address, and brackets are left out.
+// so _ replaces the colon before the port, - those of an IPv6 address, and brackets are omitted.
 func HostSegment(host string) string {
 	port := strings.LastIndexByte(host, ':')
 	if port >= 0 {
--- a/auth/tokens.go
+++ b/auth/tokens.go
@@ -8,9 +8,9 @@
 // digest identifies a token without keeping its text.
 type digest [sha256.Size]byte
 
-// Tokens detects copied bearer tokens: a token belongs to the connection on which it was first used, until it expires.
-// On any other connection it is rejected, even if its owner reconnected: the owner needs a fresh token. Tokens is not
-// safe for concurrent use.
+// Tokens rejects copied bearer tokens: a token is bound to the connection on which it was first used, until it
+// expires. On any other connection it is rejected, even if its owner reconnected: the owner needs a fresh token.
+// Tokens is not safe for concurrent use.
 type Tokens struct {
 	maxTokens int
 	byDigest  map[digest]*token
@@ -29,8 +29,9 @@
 	return &Tokens{maxTokens: maxTokens, byDigest: map[digest]*token{}}
 }
 
-// Use reports whether a token may be used on a connection now; instants are in ms. When the record is full, a new token
-// is rejected: forgetting one before it expires would let a copy of it be used.
+// Use reports whether a token may be used on a connection now; instants are in ms. It returns false for an expired
+// token, for one that is bound to another connection, and for a new one while the record is full: removing a token
+// before it expires would allow the use of a copy.
 func (t *Tokens) Use(nowMs float64, text string, expiresMs float64, connection int64) bool {
 	t.dropExpired(nowMs)
 	if expiresMs <= nowMs {
@@ -49,7 +50,7 @@
 	return true
 }
 
-// dropExpired forgets the tokens that have expired.
+// dropExpired removes the expired tokens.
 func (t *Tokens) dropExpired(nowMs float64) {
 	for len(t.byExpiry) > 0 && t.byExpiry[0].expiresMs <= nowMs {
 		delete(t.byDigest, t.byExpiry[0].digest)
@@ -57,7 +58,7 @@
 	}
 }
 
-// expiryHeap is a heap of tokens, the first to expire on top. It implements heap.Interface.
+// expiryHeap is a heap of tokens, with the first to expire at its root. It implements heap.Interface.
 type expiryHeap []*token
 
 func (h expiryHeap) Len() int           { return len(h) }
