--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -8,7 +8,7 @@
 	"barleysail/internal/simwire"
 )
 
-// eventError says why an event cannot be applied. It ends the simulation.
+// eventError is the reason why an event cannot be applied. It ends the simulation.
 type eventError struct {
 	event  string // its type
 	reason string
@@ -16,14 +16,15 @@
 
 func (e *eventError) Error() string { return e.event + ": " + e.reason }
 
-// truncatedBatchError says that the input ended inside a batch.
+// truncatedBatchError is the error of an input that ends inside a batch.
 type truncatedBatchError struct{ batch int64 }
 
 func (e *truncatedBatchError) Error() string {
 	return fmt.Sprintf("batch %d: input ended inside it", e.batch)
 }
 
-// batch is a number of events that happen at one time. Each instance that an event names makes one round at its end.
+// batch is a group of events at the same simulated time. Each instance that an event names runs one round at the end
+// of the batch.
 type batch struct {
 	number int64
 	nowMs  float64 // simulated time
@@ -34,11 +35,11 @@
 	reader    *simwire.Reader
 	writer    *simwire.Writer
 	instances map[int]*controllerInstance // by the simulator's number
-	event     simwire.Event               // the last one that was read
-	affected  []*controllerInstance       // by an event of the batch, in the order of the first one
+	event     simwire.Event               // the event that was last read
+	affected  []*controllerInstance       // instances with an event in the batch, in the order of their first event
 }
 
-// run runs batches until the input ends between two of them.
+// run processes batches until the input ends between two of them.
 func (a *adapter) run() error {
 	for {
 		current, err := a.readBatch()
@@ -54,7 +55,7 @@
 	}
 }
 
-// readBatch reads the event that begins a batch; io.EOF says that there is none.
+// readBatch reads the event that begins a batch. It returns io.EOF at the end of the input.
 func (a *adapter) readBatch() (batch, error) {
 	if err := a.reader.Next(&a.event); err != nil {
 		return batch{}, err
@@ -65,7 +66,7 @@
 	return batch{number: *a.event.Turn, nowMs: milliseconds(a.event.SimTimeUs)}, nil
 }
 
-// runBatch applies the events of a batch, then lets each affected instance make a round, and ends the response.
+// runBatch applies the events of a batch, then runs a round of each affected instance, and ends the response.
 func (a *adapter) runBatch(current batch) error {
 	a.affected = a.affected[:0]
 	if err := a.applyEvents(current); err != nil {
@@ -100,7 +101,7 @@
 	}
 }
 
-// applyEvent applies the last event that was read to the instance that it names.
+// applyEvent applies the event that was last read to the instance that it names.
 func (a *adapter) applyEvent() error {
 	instance, err := a.eventInstance()
 	if err != nil {
@@ -116,7 +117,8 @@
 	return nil
 }
 
-// eventInstance returns the instance that the last event names. A start makes it; other events need one that exists.
+// eventInstance returns the instance that the last event names. A start event creates it; any other event for an
+// unknown instance is an error.
 func (a *adapter) eventInstance() (*controllerInstance, error) {
 	number := int(*a.event.I)
 	instance, known := a.instances[number]
@@ -131,5 +133,8 @@
 	return instance, nil
 }
 
-// milliseconds converts the simulator's microseconds.
-func milliseconds(us *int64) float64 { return float64(*us) / 1000 }
+// microsecondsPerMs converts the simulator's unit of time to that of package routing.
+const microsecondsPerMs = 1000
+
+// milliseconds converts the simulator's microseconds to milliseconds.
+func milliseconds(us *int64) float64 { return float64(*us) / microsecondsPerMs }
--- a/cmd/simadapter/controller_instance.go
+++ b/cmd/simadapter/controller_instance.go
@@ -10,20 +10,20 @@
 
 // controllerInstance is one controller of the simulation.
 type controllerInstance struct {
-	number   int                // the simulator's
+	number   int                // number in the simulation
 	balancer *instance.Instance // nil while it is not running
 	writer   *simwire.Writer
-	affected bool // by an event of the present batch
+	affected bool // it has an event in the current batch
 }
 
-// round lets a running instance decide on the events of a batch and write its updates.
+// round runs a round of the instance, which writes its updates. It does nothing while the instance is not running.
 func (c *controllerInstance) round(nowMs float64) {
 	if c.balancer != nil {
 		c.balancer.Round(nowMs, c)
 	}
 }
 
-// apply applies an event. An instance that is not running misses all events but its start.
+// apply applies an event. An instance that is not running ignores all events except its start.
 func (c *controllerInstance) apply(event *simwire.Event) error {
 	switch {
 	case event.Type == simwire.Start:
@@ -37,7 +37,7 @@
 	return c.observe(event)
 }
 
-// start starts or restarts the instance, with nothing known of what an earlier start learned.
+// start starts or restarts the instance. A restart keeps no state.
 func (c *controllerInstance) start(event *simwire.Event) error {
 	settings, err := simwire.ReadSettings(event.Settings)
 	if err != nil {
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// observe tells the running balancer of an event. Events that it does not need are passed over.
+// observe records an event in the running balancer. It ignores events that the balancer does not need.
 func (c *controllerInstance) observe(event *simwire.Event) error {
 	switch event.Type {
 	case simwire.Endpoints:
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// observeEndpoints applies a snapshot or delta of the endpoint list, or the failure to get one.
+// observeEndpoints applies a snapshot or delta of the endpoint list, or the failure of the watch.
 func (c *controllerInstance) observeEndpoints(event *simwire.Event) error {
 	switch *event.How {
 	case simwire.ListFailed:
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// endpoint is an entry of the endpoint list. Zone, weight and start are 0 where the entry does not have them.
+// endpoint is an entry of the endpoint list. Zone, weight and start are 0 where the entry lacks them.
 type endpoint struct {
 	host      string
 	zone      int // index
@@ -128,7 +128,7 @@
 	return entry, nil
 }
 
-// isHostState tells whether the simulator's number of a phase is that of a host state, which have the same numbers.
+// isHostState reports whether a phase of the simulator is a host state. Both have the same numbers.
 func isHostState(phase int64) bool {
 	return phase >= int64(routing.Removed) && phase <= int64(routing.Draining)
 }
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// observeHostStats applies the counts of a host's requests, with its load report where it made one.
+// observeHostStats applies the request stats of a host, with its load report if there is one.
 func (c *controllerInstance) observeHostStats(event *simwire.Event) error {
 	if _, err := c.zoneIndex(event.Type, *event.Area); err != nil {
 		return err
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// observeDemand applies the count of requests of one class that came to a proxy.
+// observeDemand applies the number of requests of one class that a proxy received.
 func (c *controllerInstance) observeDemand(event *simwire.Event) error {
 	class, known := c.balancer.ClassIndex(*event.Kind)
 	if !known {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// healthCheckResults are the balancer's results by the simulator's endings of a health check.
+// healthCheckResults maps the simulator's endings of a health check to the balancer's results.
 var healthCheckResults = map[string]routing.HealthCheckResult{
 	"success":     routing.Healthy,
 	"failure":     routing.Rejected,
@@ -195,7 +195,7 @@
 	return index, nil
 }
 
-// unknownNameError says that an event names a zone or class that the instance's settings do not have.
+// unknownNameError returns the error of an event with a zone or class that is not in the instance's settings.
 func unknownNameError(eventType, what, name string) error {
 	return &eventError{eventType, fmt.Sprintf("%s %q is not in the settings", what, name)}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,7 +1,7 @@
 // Command simadapter connects balancers to a simulator: it reads the simulator's events from standard input, applies
 // them to the balancer of the instance that they name, and writes the balancer's updates to standard output. It owns
-// the instances and the order of a batch; the names and forms of messages belong to internal/simwire, all decisions
-// to the routing package.
+// the instances and the order of the events of a batch. Package internal/simwire owns the format of messages, package
+// routing makes all decisions.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// run adapts a simulation from its first event to the end of the input.
+// run processes a simulation from its first event to the end of the input.
 func run(in io.Reader, out io.Writer) error {
 	simulation := &adapter{
 		reader:    simwire.NewReader(in),
--- a/cmd/simadapter/update_writer.go
+++ b/cmd/simadapter/update_writer.go
@@ -6,7 +6,7 @@
 	"barleysail/routing"
 )
 
-const roundAlarm = 1 // handle of the alarm that an instance asks for its next round by
+const roundAlarm = 1 // handle of the alarm for an instance's next round
 
 // controllerInstance is the routing.UpdateWriter of its balancer: it writes each update with the instance's number and
 // with host names in place of indices.
@@ -22,23 +22,23 @@
 	c.writer.AttachTable(c.number, proxy, table, classes)
 }
 
-// SetAdmission writes the admitted share and the retry policy of the request classes of a bit mask.
-func (c *controllerInstance) SetAdmission(table, classes int, share float64, maxAttempts int) {
-	c.writer.Throttle(c.number, table, classes, share, maxAttempts)
+// SetAdmission writes the admission quota and the retry policy of the request classes of a bit mask.
+func (c *controllerInstance) SetAdmission(table, classes int, quota float64, retryPolicy int) {
+	c.writer.Throttle(c.number, table, classes, quota, retryPolicy)
 }
 
-// StampVersion writes the number that proxies acknowledge the updates before it by.
+// StampVersion writes the version that proxies acknowledge for the updates before it.
 func (c *controllerInstance) StampVersion(number int) { c.writer.Seal(c.number, number) }
 
-// CheckHealth writes the request of a health check.
+// CheckHealth writes a request for a health check.
 func (c *controllerInstance) CheckHealth(host int) { c.writer.Probe(c.number, c.balancer.HostID(host)) }
 
-// ScheduleRound writes the request of an alarm at a simulated time, rounded up to the simulator's microseconds.
+// ScheduleRound writes a request for an alarm at a simulated time in ms, rounded up to the simulator's microseconds.
 func (c *controllerInstance) ScheduleRound(atMs float64) {
-	c.writer.After(c.number, int64(math.Ceil(atMs*1000)), roundAlarm)
+	c.writer.After(c.number, int64(math.Ceil(atMs*microsecondsPerMs)), roundAlarm)
 }
 
-// WatchEndpoints writes the request of the endpoint list and its changes.
+// WatchEndpoints writes a request for the endpoint list and its changes.
 func (c *controllerInstance) WatchEndpoints() { c.writer.Subscribe(c.number) }
 
 // Log writes an event of the balancer as a remark.
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -1,10 +1,10 @@
 package simwire
 
-// EventError says why an event is malformed. Its text is part of the simulator's interface.
+// EventError is the reason why an event is malformed. Its text is part of the simulator's interface.
 type EventError struct {
-	Event  string // the type, or "line" where the line does not tell it
-	Reason string // with the field that is wrong
-	Err    error  // the cause; nil: none besides the reason
+	Event  string // the event type, or "line" where it is unknown
+	Reason string // the reason, with the name of the field
+	Err    error  // the cause; nil: none
 }
 
 func (e *EventError) Error() string { return e.Event + ": " + e.Reason }
@@ -12,10 +12,10 @@
 // Unwrap returns the cause, nil where there is none.
 func (e *EventError) Unwrap() error { return e.Err }
 
-// SettingError says that a setting is absent or has a value that cannot be used. Its text is part of the simulator's
+// SettingError is the error of a setting that is missing or has an invalid value. Its text is part of the simulator's
 // interface.
 type SettingError struct {
-	Setting string // with its section, as in FamilyInfo.BareUs
+	Setting string // name with its section, such as FamilyInfo.BareUs
 	Reason  string
 }
 
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -1,5 +1,5 @@
-// Package simwire is the codec of the simulator's protocol, JSON objects in lines: it decodes events and settings,
-// checks their form, and encodes messages. It owns the protocol's names and takes no decision.
+// Package simwire is the codec of the simulator's protocol of JSON lines: it decodes and validates events and
+// settings, and encodes messages. It owns the protocol's names and makes no decision.
 package simwire
 
 import (
@@ -28,24 +28,24 @@
 	Neighbour    = "NeighbourSays"
 )
 
-// Values of Event.How: how an endpoint list event came.
+// Values of Event.How: the kind of an endpoint list event.
 const (
-	ListFailed = 0 // the list could not be had
+	ListFailed = 0 // the watch of the endpoint list failed
 	ListFull   = 1 // a snapshot
 	ListDelta  = 3
 	ListCached = 4 // a snapshot from a cache, which may be outdated
 )
 
-// Record is an entry of the endpoint list. Host and Phase are always there, Area and W unless Phase is 0.
+// Record is an entry of the endpoint list. Host and Phase are always present, Area and W unless Phase is 0.
 type Record struct {
 	Host       *string
 	Area       *string // zone
 	Phase      *int64  // host state: 0 removed, 1 ready, 2 draining
 	W          *float64
-	LaunchedUs *int64 // simulated time of the process's start
+	LaunchedUs *int64 // simulated time at which the host's process started
 }
 
-// Event is an event of any type; its type says which fields are set. Units are in the names: Us is microseconds of
+// Event is an event of any type; the type decides which fields are set. Names that end in Us are microseconds of
 // simulated time. A field of the protocol that the type does not require may be nil.
 type Event struct {
 	Type       string `json:"event_type"`
@@ -75,7 +75,7 @@
 	Tbl        *int64 // number of the table
 }
 
-// Value returns a value of the load report, or -1 where it is absent or no number from 0 on.
+// Value returns a value of the load report, or -1 where it is missing, malformed or below 0.
 func (e *Event) Value(name string) float64 {
 	value, err := strconv.ParseFloat(string(e.Report[name]), 64)
 	if err != nil || value < 0 || math.IsNaN(value) || math.IsInf(value, 0) {
--- a/internal/simwire/event_fields.go
+++ b/internal/simwire/event_fields.go
@@ -6,7 +6,7 @@
 type field struct {
 	name    string
 	present func(*Event) bool
-	number  func(*Event) *int64 // nil: it is no number that must be 0 or above
+	number  func(*Event) *int64 // nil: the field is not a number that must be 0 or more
 }
 
 func numberField(name string, number func(*Event) *int64) field {
@@ -65,7 +65,8 @@
 	Neighbour:  {instanceField, byField, contentField},
 }
 
-// checkForm checks that an event has a known type and the fields that it requires, in their ranges.
+// checkForm returns an *EventError unless an event has a known type and the fields that the type requires, within
+// their ranges.
 func (e *Event) checkForm() error {
 	required, known := requiredFields[e.Type]
 	if !known {
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// complete tells whether an entry has its fields; one that is removed needs no zone and weight.
+// complete reports whether an entry has its required fields; a removed host needs no zone and weight.
 func (r *Record) complete() bool {
 	if r.Host == nil || r.Phase == nil {
 		return false
@@ -105,12 +106,12 @@
 	return *r.Phase == 0 || (r.Area != nil && r.W != nil)
 }
 
-// malformed returns the error of an event with a fault.
+// malformed returns the error of a malformed event.
 func (e *Event) malformed(reason string) *EventError {
 	return &EventError{Event: e.typeOrLine(), Reason: reason}
 }
 
-// typeOrLine names the event in errors, also where its type is not known.
+// typeOrLine returns the name of the event in errors, even if its type is unknown.
 func (e *Event) typeOrLine() string {
 	if e.Type == "" {
 		return "line"
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -8,16 +8,16 @@
 	"io"
 )
 
-const readBufferBytes = 1 << 20 // the longest events, endpoint lists, should come in one read
+const readBufferBytes = 1 << 20 // the longest events, endpoint lists, should fit into one read
 
 // Reader reads events line by line.
 type Reader struct{ in *bufio.Reader }
 
-// NewReader returns a reader of the events of an input.
+// NewReader returns a reader of events from an input.
 func NewReader(in io.Reader) *Reader { return &Reader{bufio.NewReaderSize(in, readBufferBytes)} }
 
-// Next reads an event into one that may be used again. It returns io.EOF at a clean end of the input, an *EventError
-// for a malformed line, and the input's own error.
+// Next reads an event into event, which it overwrites. It returns io.EOF at the end of the input, an *EventError for
+// a malformed line, or the error of the input.
 func (r *Reader) Next(event *Event) error {
 	line, err := r.in.ReadBytes('\n')
 	lastLine := errors.Is(err, io.EOF) && len(line) > 0
@@ -31,7 +31,7 @@
 	return event.checkForm()
 }
 
-// undecodable returns the error of an event that JSON decoding failed for.
+// undecodable returns the error of an event that could not be decoded.
 func (e *Event) undecodable(cause error) *EventError {
 	reason := fmt.Sprintf("not a JSON object: %v", cause)
 	var wrongType *json.UnmarshalTypeError
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Service is a request class. Pointers are required; the other fields have a fallback.
+// Service is a request class. Pointers are required; the other fields have a default.
 type Service struct {
 	AimUs       *float64 // latency objective
 	HardLimitUs *float64 // deadline
@@ -18,25 +18,25 @@
 	WindowUs    float64
 }
 
-// Settings are what a start carries: the deployment, its limits and its request classes. Pointers are required; the
-// other fields have a fallback, which is 0 unless stated.
+// Settings are the settings in a start event: the deployment, its limits and its request classes. Pointers are
+// required; the other fields have a default, which is 0 unless stated. Names that end in Us are microseconds.
 type Settings struct {
-	Discovery      string   // Subscribed, or any other word for a list that comes unasked
-	FailureDomains []string // zones; ReadSettings puts the instance's own in place of none
+	Discovery      string   // Subscribed, or any other text for a list that is sent without a request
+	FailureDomains []string // zones; if there are none, ReadSettings sets the instance's own
 	FamilyInfo     struct {
 		Admission      string   // AdmitNone or AdmitShare
-		BareUs         *float64 // longest time that a proxy may be without a host
-		ChannelRate    *float64 // table entries that the control channel carries in a second
-		MostWaiting    *float64 // entries that may wait for it
-		IntervalUs     *float64 // between two reports of a proxy
-		PerMessage     *float64 // entries that a message costs besides its own
+		BareUs         *float64 // longest time for which a proxy's table may hold no host
+		ChannelRate    *float64 // throughput of the control channel in table entries a second
+		MostWaiting    *float64 // entries that may be queued in the control channel
+		IntervalUs     *float64 // interval between reports of a proxy
+		PerMessage     *float64 // fixed cost of a message, in entries
 		DataPlaneSize  *int     // number of proxies
 		LateUs         float64  // propagation delay of the channel
-		UpdateWindowUs float64  // in which MessagesMost are allowed
+		UpdateWindowUs float64  // window of MessagesMost
 		OrderPrice     float64  // cost of a message
 		Ejects         int      // failures in a row after which proxies eject a host themselves
 		MessagesMost   int      // to one proxy; 0: no limit
-		RetryDefault   int      // retry policy of proxies that no table says another for
+		RetryDefault   int      // retry policy of proxies where their tables set none
 		Shards         int
 		StaysLocal     []bool // by class: requests stay in their zone
 	}
@@ -52,14 +52,14 @@
 	Rules struct {
 		ColdFrom            *float64 // part of its capacity that a host has at its start
 		ColdUs              *float64 // length of the slow start
-		StopSendingWithinUs *float64 // grace of a drain
-		FallMultiple        *float64 // of its capacity, under which a host in slow start collapses
-		FallUs              *float64 // after this time
+		StopSendingWithinUs *float64 // drain grace
+		FallMultiple        *float64 // load, as a multiple of its capacity, at which a host in slow start collapses
+		FallUs              *float64 // time after which it collapses under that load
 	}
 	ScoreParts struct {
 		Whole       float64 // weight of all requests
-		WorstClass  float64 // weight of the class served worst
-		WorstWindow float64 // weight of the time window served worst
+		WorstClass  float64 // weight of the worst-served class
+		WorstWindow float64 // weight of the worst-served time window
 	}
 	Services []Service // request classes
 	StepUs   float64
@@ -68,25 +68,25 @@
 
 // Values of text settings.
 const (
-	Subscribed   = "subscribe" // Discovery: the list has to be subscribed to
+	Subscribed   = "subscribe" // Discovery: the endpoint list must be subscribed to
 	AdmitNone    = "none"      // Admission: proxies admit all requests
 	AdmitShare   = "share"     // Admission: proxies admit a share of each class
 	Idempotent   = "idempotent"
-	Deduplicated = "deduplicated" // idempotent by a key that hosts remember
+	Deduplicated = "deduplicated" // idempotent by a key that hosts store
 	AtMostOnce   = "at_most_once"
 	EveryHost    = "all"
 )
 
 const (
-	unbounded  = math.MaxFloat64
-	positive   = 1e-9  // least value of a setting that must be above 0
-	maxProxies = 65535 // the protocol numbers proxies and tables below 65536
-	maxClasses = 60    // a bit mask holds a set of classes
-	maxRetries = 3     // numbers of retry policies
+	unbounded   = math.MaxFloat64
+	minPositive = 1e-9  // least value of a setting that must be above 0
+	maxProxies  = 65535 // the protocol numbers proxies and tables below 65536
+	maxClasses  = 60    // a bit mask holds a set of classes
+	maxRetries  = 3     // numbers of retry policies
 )
 
-// ReadSettings decodes the settings of a start and checks them. Its errors are a *SettingError for the first setting
-// that is absent or out of range, and an *EventError for settings that cannot be decoded.
+// ReadSettings decodes and validates the settings of a start event. It returns a *SettingError for the first setting
+// that is missing or out of range, and an *EventError for settings that cannot be decoded.
 func ReadSettings(raw []byte) (*Settings, error) {
 	settings := new(Settings)
 	if err := json.Unmarshal(raw, settings); err != nil {
@@ -102,7 +102,7 @@
 	return settings, nil
 }
 
-// checkRequiredNumbers checks that required numbers are there and not below their least value.
+// checkRequiredNumbers checks that required numbers are present and not below their least value.
 func checkRequiredNumbers(settings *Settings) error {
 	family := &settings.FamilyInfo
 	rules := &settings.Rules
@@ -112,14 +112,14 @@
 		least float64
 	}{
 		{"FamilyInfo.BareUs", family.BareUs, 0},
-		{"FamilyInfo.ChannelRate", family.ChannelRate, positive},
+		{"FamilyInfo.ChannelRate", family.ChannelRate, minPositive},
 		{"FamilyInfo.MostWaiting", family.MostWaiting, 0},
 		{"FamilyInfo.IntervalUs", family.IntervalUs, 1},
 		{"FamilyInfo.PerMessage", family.PerMessage, 0},
 		{"Rules.ColdFrom", rules.ColdFrom, 0},
 		{"Rules.ColdUs", rules.ColdUs, 0},
 		{"Rules.StopSendingWithinUs", rules.StopSendingWithinUs, 0},
-		{"Rules.FallMultiple", rules.FallMultiple, positive},
+		{"Rules.FallMultiple", rules.FallMultiple, minPositive},
 		{"Rules.FallUs", rules.FallUs, 0},
 	} {
 		if required.value == nil {
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// checkOptionalNumbers checks that numbers with a fallback, and those with an upper bound, are from 0 to that.
+// checkOptionalNumbers checks that numbers with a default, and those with an upper bound, are from 0 to their upper
+// bound.
 func checkOptionalNumbers(settings *Settings) error {
 	family := &settings.FamilyInfo
 	parts := &settings.ScoreParts
@@ -184,7 +185,7 @@
 	return nil
 }
 
-// checkZones checks that zones have different names. A deployment without zones gets one, the instance's own.
+// checkZones checks that the names of zones are unique. A deployment without zones gets the instance's own zone.
 func checkZones(settings *Settings) error {
 	if len(settings.FailureDomains) == 0 {
 		settings.FailureDomains = []string{settings.Zone}
@@ -197,7 +198,7 @@
 	return nil
 }
 
-// checkClasses checks that request classes have different names and good values.
+// checkClasses checks that request classes have unique names and valid values.
 func checkClasses(settings *Settings) error {
 	known := map[string]bool{}
 	for i := range settings.Services {
@@ -206,7 +207,7 @@
 			return &SettingError{"Services", fmt.Sprintf(" names class %q twice", class.Name)}
 		}
 		known[class.Name] = true
-		if !class.hasGoodNumbers() {
+		if !class.hasValidNumbers() {
 			return &SettingError{"Services",
 				fmt.Sprintf(": class %q lacks a good AimUs, HardLimitUs or Value", class.Name)}
 		}
@@ -217,7 +218,7 @@
 	return nil
 }
 
-func (s *Service) hasGoodNumbers() bool {
+func (s *Service) hasValidNumbers() bool {
 	if s.AimUs == nil || s.HardLimitUs == nil || s.Value == nil {
 		return false
 	}
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -15,7 +15,7 @@
 // Writer writes messages, one a line. It buffers them until Done, which also returns the error of any write.
 type Writer struct {
 	out  *bufio.Writer
-	line []byte // the message that is being built, kept to be reused
+	line []byte // the message that is being built; reused
 }
 
 // NewWriter returns a writer of messages to an output.
@@ -32,7 +32,7 @@
 	w.close()
 }
 
-// AttachTable lets a proxy use a table for the request classes of a bit mask.
+// AttachTable assigns a table to a proxy, for the request classes of a bit mask.
 func (w *Writer) AttachTable(instance, proxy, table, classes int) {
 	w.open("AttachTable", instance)
 	w.int("Classes", int64(classes))
@@ -41,11 +41,11 @@
 	w.close()
 }
 
-// Throttle sets the admitted share and the retry policy of the request classes of a bit mask.
-func (w *Writer) Throttle(instance, table, classes int, share float64, retryPolicy int) {
+// Throttle sets the admission quota and the retry policy of the request classes of a bit mask.
+func (w *Writer) Throttle(instance, table, classes int, quota float64, retryPolicy int) {
 	w.open("Throttle", instance)
 	w.int("Classes", int64(classes))
-	w.float("LetIn", share)
+	w.float("LetIn", quota)
 	w.int("Resend", int64(retryPolicy))
 	w.int("Tbl", int64(table))
 	w.close()
@@ -59,14 +59,14 @@
 	w.close()
 }
 
-// Probe asks for a health check of a host.
+// Probe requests a health check of a host.
 func (w *Writer) Probe(instance int, host string) {
 	w.open("Probe", instance)
 	w.text("Host", host)
 	w.close()
 }
 
-// After asks for an alarm with a handle at a simulated time.
+// After requests an alarm with a handle at a simulated time in microseconds.
 func (w *Writer) After(instance int, atUs, handle int64) {
 	w.open("After", instance)
 	w.int("FireAtUs", atUs)
@@ -74,7 +74,7 @@
 	w.close()
 }
 
-// Subscribe asks for the endpoint list and its changes.
+// Subscribe requests the endpoint list and its changes.
 func (w *Writer) Subscribe(instance int) {
 	w.open("Subscribe", instance)
 	w.bool("Flag", true)
