--- a/internal/rules/channel.go
+++ b/internal/rules/channel.go
@@ -6,21 +6,25 @@
 )
 
 const (
-	// A controller that sends nothing for this many times the sending time of a message has an empty queue.
+	msPerSecond = 1000
+
+	// pauseMultiple is the multiple of a message's sending time after which a controller that sent nothing has an
+	// empty queue.
 	pauseMultiple = 2
-	minPauseMs    = 20 // below, a pause may be the scheduler's
+	minPauseMs    = 20 // a shorter pause may be a delay by the operating system's scheduler
 
-	// An update by which a session begins is inside it only a little later.
+	// afterBoundaryMs is added to the time of an update with which a session begins, since the session does not
+	// include the instant of its start.
 	afterBoundaryMs = 0.001
 )
 
-// bursts are the entries that each controller sent without a pause, up to its last message.
+// bursts holds the entries that each controller sent without a pause, up to its last message.
 type bursts struct {
 	entries    map[string]float64 // by controller
 	lastSentMs map[string]float64
 }
 
-// clone copies bursts, to be extended.
+// clone returns a copy.
 func (b bursts) clone() bursts {
 	cloned := bursts{entries: map[string]float64{}, lastSentMs: map[string]float64{}}
 	maps.Copy(cloned.entries, b.entries)
@@ -28,13 +32,13 @@
 	return cloned
 }
 
-// extend adds an update with entries to its controller's burst, or begins a new one after a pause.
+// extend adds an update with entries to its controller's burst, or begins a new burst after a pause.
 func (b bursts) extend(figures Figures, update *proxyUpdate) {
 	cost := float64(update.entries)
 	if !update.continued {
 		cost = float64(update.entries) + figures.Head + 1
 	}
-	pauseMs := pauseMultiple * cost / figures.LinesPerS * 1000
+	pauseMs := pauseMultiple * cost / figures.LinesPerS * msPerSecond
 	if update.atMs-b.lastSentMs[update.controller] > math.Max(pauseMs, minPauseMs) {
 		b.entries[update.controller] = 0
 	}
@@ -42,7 +46,7 @@
 	b.lastSentMs[update.controller] = update.atMs
 }
 
-// burstsAfter returns the bursts that last after some updates.
+// burstsAfter returns the bursts after the given updates.
 func (j *Journal) burstsAfter(figures Figures, updates []proxyUpdate) bursts {
 	after := j.compacted.bursts.clone()
 	for i := range updates {
@@ -54,9 +58,9 @@
 }
 
 // checkChannel checks the number of messages to each proxy, and the length of each controller's queue. A queue that
-// empties at the channel's pace shows as a burst, so no more entries can have waited than the longest burst has. Where
-// a burst has more than may wait, which a channel that is in use for long does without ever having many waiting, the
-// controller's own figure counts, if there is one.
+// empties at the channel's throughput shows as a burst, so the queue was never longer than the longest burst. A
+// channel in constant use has a long burst even with a short queue; where a burst exceeds the limit, the controller's
+// own figure is checked instead, if there is one.
 func (j *Journal) checkChannel(figures Figures) Verdict {
 	worst := worstCase{seen: "nothing was sent"}
 	sessions := j.sessions()
@@ -75,13 +79,13 @@
 		times := recentMessages(figures, append(sent[update.proxy], update.atMs), sessions[update.proxy])
 		sent[update.proxy] = times
 		worst.observe(float64(len(times))/float64(figures.MessagesMost),
-			"%s got %d messages in %.0f s, %d are allowed", update.proxy, len(times), figures.MessagesOver/1000,
+			"%s got %d messages in %.0f s, %d are allowed", update.proxy, len(times), figures.MessagesOver/msPerSecond,
 			figures.MessagesMost)
 	}
 	return newVerdict(ruleChannel, worst.size, worst.seen)
 }
 
-// observeQueue notes the entries that may have waited in a controller's queue during a burst.
+// observeQueue records the entries that may have been queued at a controller during a burst.
 func (j *Journal) observeQueue(figures Figures, controller string, burst float64, worst *worstCase) {
 	used := burst / figures.MostWaiting
 	waited, known := j.maxWaiting[controller]
@@ -94,8 +98,8 @@
 		figures.MostWaiting, burst)
 }
 
-// recentMessages returns of the times of a proxy's messages, the newest last, those that count at the last: within the
-// time of the limit, and of the session that the proxy then is in.
+// recentMessages returns the times of a proxy's messages that count against the limit at its newest message: those
+// within the window of the limit and in the proxy's session at that time. timesMs is sorted by time.
 func recentMessages(figures Figures, timesMs, sessions []float64) []float64 {
 	nowMs := timesMs[len(timesMs)-1]
 	sessionMs, connected := sessionAt(sessions, nowMs+afterBoundaryMs)
--- a/internal/rules/check.go
+++ b/internal/rules/check.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Names of the invariants, as reports print them.
+// Names of the invariants. Reports print them.
 const (
 	ruleEmptyTable = "no joined proxy without a host"
 	ruleDuplicate  = "no effect twice"
@@ -16,26 +16,26 @@
 	ruleDelta      = "deltas fit their base"
 )
 
-// Verdict is the result of checking an invariant.
+// Verdict is the result of the check of one invariant.
 type Verdict struct {
 	Rule   string  // the invariant
-	Kept   bool    // whether it held
-	Margin float64 // 1: the limit was never approached; 0: just kept; below 0: broken
+	Kept   bool    // whether the invariant held
+	Margin float64 // 1: far from the limit; 0: at the limit; below 0: violated
 	Seen   string  // the worst case
 }
 
-// newVerdict makes the verdict for the part of a limit that was used at worst.
+// newVerdict returns the verdict for the largest used part of a limit.
 func newVerdict(rule string, used float64, seen string) Verdict {
 	return Verdict{Rule: rule, Kept: used <= 1, Margin: 1 - used, Seen: seen}
 }
 
-// worstCase is the case that comes nearest to a limit, or is farthest beyond it.
+// worstCase is the case that is closest to a limit, or farthest beyond it.
 type worstCase struct {
 	size float64 // in the unit of the check
 	seen string
 }
 
-// observe notes a case if it is worse than those before.
+// observe records a case if it is worse than those before.
 func (w *worstCase) observe(size float64, format string, args ...any) {
 	if size > w.size {
 		w.size = size
@@ -43,7 +43,7 @@
 	}
 }
 
-// Check checks all invariants over what was logged up to a time.
+// Check checks all invariants over the events that were logged up to endMs.
 func (j *Journal) Check(figures Figures, endMs float64) []Verdict {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -51,7 +51,7 @@
 	return verdicts
 }
 
-// check checks all invariants, and counts the requests that came to hosts that were draining or removed.
+// check checks all invariants, and counts the requests that hosts got while they were draining or removed.
 func (j *Journal) check(figures Figures, endMs float64) (verdicts []Verdict, afterNotice int) {
 	slices.SortStableFunc(j.updates, func(a, b proxyUpdate) int { return cmp.Compare(a.atMs, b.atMs) })
 	slices.SortStableFunc(j.requests, func(a, b request) int { return cmp.Compare(a.atMs, b.atMs) })
@@ -69,7 +69,7 @@
 	return mergeWorse(j.compacted.verdicts, verdicts), afterNotice
 }
 
-// mergeWorse returns the worse verdict on each invariant of two checks.
+// mergeWorse returns the worse of two checks' verdicts on each invariant.
 func mergeWorse(earlier, later []Verdict) []Verdict {
 	merged := slices.Clone(later)
 	for _, verdict := range earlier {
@@ -83,7 +83,7 @@
 	return merged
 }
 
-// checkDuplicates checks that no request of a class that must be executed once was executed twice.
+// checkDuplicates checks that no request of a class in Figures.Once was executed twice.
 func (j *Journal) checkDuplicates(figures Figures) Verdict {
 	hostOf := map[string]string{} // of the last execution, by request
 	duplicates := 0
--- a/internal/rules/compact.go
+++ b/internal/rules/compact.go
@@ -6,23 +6,23 @@
 	"sort"
 )
 
-const compactionSlackMs = 1000 // kept beyond what the checks look back over
+const compactionSlackMs = 1000 // kept in addition to the time that the checks look back
 
-// compactedLog is what is left of the parts of a log that were dropped.
+// compactedLog summarizes the dropped part of a log.
 type compactedLog struct {
 	verdicts    []Verdict
 	atMs        float64 // of the last compaction
-	afterNotice int     // requests that came to hosts that were draining or removed
+	afterNotice int     // requests that hosts got while they were draining or removed
 
-	firstListMs      float64            // of the first list ever
-	noTrafficSinceMs map[string]float64 // by host that was draining or removed by the first list left; nil: none dropped
+	firstListMs      float64            // time of the first list
+	noTrafficSinceMs map[string]float64 // by host that was draining or removed on the first remaining list; nil: no list was dropped
 	bursts           bursts
 }
 
-// Fold checks the invariants over what was logged up to now and drops what no later check needs, so that a log of any
-// length fits into memory: what is left is the longest stretch that a check looks back over. It is for logs whose
-// duplicates are found elsewhere, since a request may be executed again after any time. The figures must be those of
-// the last Check, and nothing may be logged later with a time before now.
+// Fold checks the invariants over the events logged so far and drops the events that no later check needs, so that a
+// long log fits into memory: it keeps the longest time that a check looks back. Since a request may be executed again
+// after any time, duplicates across calls of Fold are not found. The figures must be those of the last Check, and no
+// event with a time before nowMs may be logged later.
 func (j *Journal) Fold(figures Figures, nowMs float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -36,8 +36,8 @@
 	j.compacted.atMs = nowMs
 }
 
-// compactLists keeps the list in force at a time and all after it, and since when each host was draining or removed by
-// then.
+// compactLists drops the lists before the one in force at cutMs. It keeps the times since which hosts were draining
+// or removed then.
 func (j *Journal) compactLists(cutMs float64) {
 	inForce := sort.Search(len(j.lists), func(i int) bool { return j.lists[i].atMs > cutMs }) - 1
 	if inForce <= 0 {
@@ -56,13 +56,13 @@
 	j.lists = slices.Clone(j.lists[inForce:])
 }
 
-const noUpdate = -1 // in place of an index of an update
+const noUpdate = -1 // replaces the index of an update where there is none
 
-// proxyHistory are the updates of a proxy, by index, that later checks need.
+// proxyHistory holds the indices of a proxy's updates that later checks need.
 type proxyHistory struct {
 	controller string
-	connected  int // by which the present session began, or noUpdate
-	emptySince int // the first of those without a host for a class, or noUpdate
+	connected  int // the update with which the current session began, or noUpdate
+	emptySince int // the first update since which some class has no host, or noUpdate
 	last       int
 }
 
@@ -84,12 +84,12 @@
 	}
 }
 
-// inEmptyStretch tells whether an update belongs to the present stretch without a host for a class.
+// inEmptyStretch reports whether an update is in the current time without a host for some class.
 func (h *proxyHistory) inEmptyStretch(index int) bool {
 	return h.emptySince != noUpdate && index >= h.emptySince
 }
 
-// proxyHistories returns the histories of all proxies after some updates.
+// proxyHistories returns the histories of all proxies after the given updates.
 func proxyHistories(updates []proxyUpdate) map[string]*proxyHistory {
 	histories := map[string]*proxyHistory{}
 	for i := range updates {
@@ -103,9 +103,9 @@
 	return histories
 }
 
-// compactUpdates keeps the updates from a time on, and of those before it each proxy's last one, the one by which its
-// session began, and those of a stretch without a host for a class that lasts. It returns when the first of these
-// stretches began, infinity where there is none.
+// compactUpdates drops the updates before cutMs, except each proxy's last one, the one with which its session began,
+// and those since which some class has had no host. It returns the earliest time since which a class has had no host,
+// or infinity if there is none.
 func (j *Journal) compactUpdates(figures Figures, cutMs float64) (emptySinceMs float64) {
 	emptySinceMs = math.Inf(1)
 	cut := sort.Search(len(j.updates), func(i int) bool { return j.updates[i].atMs >= cutMs })
@@ -123,7 +123,7 @@
 		} else {
 			update.emptyClasses = nil
 		}
-		update.entries = 0 // they are counted, in bursts and in messages
+		update.entries = 0 // already counted in bursts and in messages
 		kept = append(kept, update)
 	}
 	j.compacted.bursts = j.burstsAfter(figures, before)
--- a/internal/rules/drain.go
+++ b/internal/rules/drain.go
@@ -6,8 +6,8 @@
 	"sort"
 )
 
-// checkDrains checks how long after the list says that a host is draining or removed connected proxies still send to
-// it. It also counts these requests.
+// checkDrains checks for how long connected proxies still send requests to a host after it is draining or removed on
+// the endpoint list. It also counts these requests.
 func (j *Journal) checkDrains(figures Figures) (verdict Verdict, afterNotice int) {
 	sessions := j.sessions()
 	noTraffic := j.listedSpans(isDrainingOrRemoved)
@@ -30,10 +30,10 @@
 	return newVerdict(ruleDrain, worst.size/figures.Grace, seen), afterNotice
 }
 
-// isDrainingOrRemoved tells whether the list says that a host should get no request.
+// isDrainingOrRemoved reports whether a host must get no request by its state on the endpoint list.
 func isDrainingOrRemoved(host Listed, listed bool) bool { return !listed || !host.Ready }
 
-// sessions returns for each proxy the times at which its sessions with a controller began and ended, in turn.
+// sessions returns for each proxy the alternating start and end times of its sessions with a controller.
 func (j *Journal) sessions() map[string][]float64 {
 	boundaries := map[string][]float64{}
 	current := map[string]string{} // by proxy: the controller; empty: none
@@ -57,7 +57,8 @@
 	return boundaries
 }
 
-// sessionAt returns when the session began in which a proxy is at a time, by its sessions' boundaries.
+// sessionAt returns the start of a proxy's session at a time, by the start and end times of its sessions, and whether
+// the proxy was connected.
 func sessionAt(boundaries []float64, atMs float64) (beganMs float64, connected bool) {
 	i := sort.SearchFloat64s(boundaries, atMs)
 	if i%2 == 0 {
@@ -66,10 +67,10 @@
 	return boundaries[i-1], true
 }
 
-// span is a stretch of time; the end does not belong to it.
+// span is an interval of time, without its end.
 type span struct{ fromMs, toMs float64 }
 
-// spanAt returns when the span began that holds a time.
+// spanAt returns the start of the span that contains a time, and whether there is one.
 func spanAt(spans []span, atMs float64) (beganMs float64, found bool) {
 	for _, s := range spans {
 		if atMs >= s.fromMs && atMs < s.toMs {
@@ -79,7 +80,7 @@
 	return 0, false
 }
 
-// listedSpans returns for each host the spans in which the lists have it in a state.
+// listedSpans returns for each host the spans in which it is in a state on the endpoint lists.
 func (j *Journal) listedSpans(inState func(host Listed, listed bool) bool) map[string][]span {
 	spans := map[string][]span{}
 	for host := range j.knownHosts() {
@@ -88,8 +89,8 @@
 	return spans
 }
 
-// knownHosts are all hosts of a list, and those that got a request: one that no list has counts as removed from the
-// beginning.
+// knownHosts returns all hosts that were on a list or got a request. A host that was on no list counts as removed
+// from the beginning.
 func (j *Journal) knownHosts() map[string]bool {
 	hosts := map[string]bool{}
 	for _, list := range j.lists {
@@ -123,8 +124,8 @@
 	return spans
 }
 
-// spanBegin returns when a state began that a host has from a list on. For the first list after a compaction that is
-// what the dropped lists said.
+// spanBegin returns the start of the state that a host has on a list and not on the one before. For the first list
+// after a compaction it is that of the dropped lists.
 func (j *Journal) spanBegin(listIndex int, host string) float64 {
 	list := j.lists[listIndex]
 	if listIndex > 0 || j.compacted.noTrafficSinceMs == nil {
--- a/internal/rules/empty_table.go
+++ b/internal/rules/empty_table.go
@@ -5,8 +5,7 @@
 	"sort"
 )
 
-// checkEmptyTables checks for how long connected proxies had no host for a class, while a host that was past its slow
-// start was listed ready.
+// checkEmptyTables checks for how long connected proxies had no host for a class while a warm host was ready.
 func (j *Journal) checkEmptyTables(figures Figures, endMs float64) Verdict {
 	worst := worstCase{seen: "no joined proxy was ever without a line"}
 	for proxy, updates := range j.updatesByProxy() {
@@ -30,7 +29,7 @@
 	return byProxy
 }
 
-// emptyTables follows for which classes a proxy has no host.
+// emptyTables tracks the classes for which a proxy has no host.
 type emptyTables struct {
 	journal *Journal
 	figures Figures
@@ -38,7 +37,7 @@
 	sinceMs map[string]float64 // by class without a host
 }
 
-// observe applies an update, which holds until a time.
+// observe applies an update that is in force until untilMs.
 func (e *emptyTables) observe(update *proxyUpdate, untilMs float64, worst *worstCase) {
 	for class := range e.sinceMs {
 		if !slices.Contains(update.emptyClasses, class) {
@@ -50,7 +49,7 @@
 	}
 }
 
-// observeClass applies that a class has no host from an update to a time.
+// observeClass records that a class has no host from an update until untilMs.
 func (e *emptyTables) observeClass(class string, update *proxyUpdate, untilMs float64, worst *worstCase) {
 	if update.status == statusDisconnected || !e.journal.hasWarmHost(e.figures, update.atMs) {
 		delete(e.sinceMs, class)
@@ -68,7 +67,7 @@
 	}
 }
 
-// hasWarmHost tells whether a host past its slow start is listed ready at a time.
+// hasWarmHost reports whether a host is ready and past its slow start at a time.
 func (j *Journal) hasWarmHost(figures Figures, atMs float64) bool {
 	for _, host := range j.hostsAt(atMs) {
 		if host.Ready && (host.Started == 0 || atMs >= host.Started+figures.Cold) {
@@ -78,8 +77,8 @@
 	return false
 }
 
-// warmHostUntil returns the time from which no host past its slow start is listed ready, where one is at the beginning
-// of a stretch of time; its end where that lasts.
+// warmHostUntil returns the first time after fromMs at which no host is ready and past its slow start, but at most
+// toMs. There must be such a host at fromMs.
 func (j *Journal) warmHostUntil(figures Figures, fromMs, toMs float64) float64 {
 	next := sort.Search(len(j.lists), func(i int) bool { return j.lists[i].atMs > fromMs })
 	for _, list := range j.lists[next:] {
--- a/internal/rules/slow_start.go
+++ b/internal/rules/slow_start.go
@@ -6,9 +6,9 @@
 	"sort"
 )
 
-// checkSlowStarts checks the work that came to hosts in slow start against the load under which they collapse, over
-// each stretch of time after which they do. It counts where enough of it came by proxies that could know: they got an
-// update after the list had the start, or the list had had it for the grace.
+// checkSlowStarts compares the work of hosts in slow start with the load at which they collapse, over a sliding
+// window of Figures.Fall. A window counts only if enough of its work came from proxies that could know of the start:
+// they got an update after the start was on the endpoint list, or it had been on the list for the drain grace.
 func (j *Journal) checkSlowStarts(figures Figures) Verdict {
 	worst := worstCase{seen: "no host started"}
 	for i, list := range j.lists {
@@ -17,7 +17,7 @@
 				continue
 			}
 			used := j.slowStartLoad(figures, host, state.Started, list.atMs)
-			if used >= worst.size { // also 0, which says that a host started
+			if used >= worst.size { // also 0, which shows that a host started
 				worst.size = used
 				worst.seen = fmt.Sprintf("%s got %.2f of what it may get in %.0f ms", host, used, figures.Fall)
 			}
@@ -26,7 +26,7 @@
 	return newVerdict(ruleSlowStart, worst.size, worst.seen)
 }
 
-// isNewStart tells whether a list is the first with a start of a host, whose slow start was not checked before.
+// isNewStart reports whether a list is the first with a start of a host whose slow start was not checked yet.
 func (j *Journal) isNewStart(figures Figures, listIndex int, host string, state Listed) bool {
 	if state.Started == 0 || state.Started+figures.Cold < j.compacted.atMs {
 		return false
@@ -37,9 +37,9 @@
 // slowStartLoad returns the largest part of its collapse load that a host got during its slow start.
 func (j *Journal) slowStartLoad(figures Figures, host string, startMs, noticeMs float64) (maxPart float64) {
 	requests := j.requestsDuring(host, startMs, startMs+figures.Cold)
-	first := 0 // of the sliding stretch
+	first := 0 // first request of the sliding window
 	sum := 0.0
-	informed := 0.0 // part of the sum that came by proxies that could know
+	informed := 0.0 // part of the sum from proxies that could know of the start
 	for i, r := range requests {
 		sum += r.workMs
 		if j.isInformed(figures, r, noticeMs) {
@@ -61,10 +61,10 @@
 	return maxPart
 }
 
-// isMostlyInformed tells whether enough of a load, two thirds, came by proxies that could know of the slow start.
+// isMostlyInformed reports whether at least two thirds of a load came from proxies that could know of the start.
 func isMostlyInformed(informed, total float64) bool { return informed >= total*2/3 }
 
-// requestsDuring returns the requests that came to a host from a time on and before another.
+// requestsDuring returns the requests that a host received from fromMs until before toMs.
 func (j *Journal) requestsDuring(host string, fromMs, toMs float64) []request {
 	var during []request
 	for _, r := range j.requests {
@@ -75,7 +75,8 @@
 	return during
 }
 
-// isInformed tells whether the proxy of a request could know of a start that the list had from a time on.
+// isInformed reports whether the proxy of a request could know of a start that was on the endpoint list since
+// noticeMs.
 func (j *Journal) isInformed(figures Figures, r request, noticeMs float64) bool {
 	if r.atMs >= noticeMs+figures.Grace {
 		return true
--- a/internal/rules/tables.go
+++ b/internal/rules/tables.go
@@ -11,10 +11,10 @@
 	statusDelta = http.StatusIMUsed // RFC 3229
 )
 
-// proxyTables are the hosts that a proxy has, by request class. A class stays once it had a table.
+// proxyTables holds the hosts of a proxy's tables, by request class. A class is kept once it had a table.
 type proxyTables map[string]map[string]bool
 
-// merge applies a full document or a merge patch (RFC 7396), and returns the entries that it costs to send it.
+// merge applies a full document or a merge patch (RFC 7396), and returns its cost in entries.
 func (t proxyTables) merge(body []byte, full bool) (entries int, err error) {
 	var document struct {
 		Tables map[string]struct {
