--- a/internal/rules/compact.go
+++ b/internal/rules/compact.go
@@ -15,7 +15,7 @@
 	afterNotice int     // requests that hosts got while they were draining or removed
 
 	firstListMs      float64            // time of the first list
-	noTrafficSinceMs map[string]float64 // by host that was draining or removed on the first remaining list; nil: no list was dropped
+	noTrafficSinceMs map[string]float64 // by host draining or removed on the first list left; nil: none dropped
 	bursts           bursts
 }
 
