--- a/cmd/barleysail/compare.go
+++ b/cmd/barleysail/compare.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	changedConfig    = "the other setting" // names the changed configuration in error messages
+	changedConfig    = "the other setting" // name of the changed configuration in error messages
 	maxOverrideDepth = 2                   // names in the path of a field: a message and its field
-	comparisonSeed   = 1                   // of the random draws of replay.Compare, for repeatable intervals
+	comparisonSeed   = 1                   // seed of the random draws of replay.Compare, for reproducible intervals
 )
 
 var errOverrideForm = errors.New("wanted is a field as in guard.grace_ms=2000")
 
-// settingsComparison replays recordings with the recorded settings and with others, and compares the outcomes.
+// settingsComparison replays recordings with the recorded settings and with changed ones, and compares the outcomes.
 type settingsComparison struct {
-	overrides  []string // FIELD=VALUE, over the recorded or the other configuration
+	overrides  []string // FIELD=VALUE, applied to the recorded or the other configuration
 	configFile string   // the other configuration; empty: the recorded one
 	plotFile   string   // empty: no plot
 	collapseMs float64  // overload after which a host in slow start counts as collapsed
 }
 
-// requested tells whether there are other settings to compare with.
+// requested reports whether there are other settings to compare with.
 func (c *settingsComparison) requested() bool { return len(c.overrides) > 0 || c.configFile != "" }
 
-// run replays the recordings at the paths with both settings and prints how they differ.
+// run replays the recordings at the paths with both settings and prints the comparison.
 func (c *settingsComparison) run(out io.Writer, paths []string, asJSON bool) error {
 	names, err := findRecordings(paths)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return report.print(out)
 }
 
-// replayBoth replays with both settings at once; each replay reads the recordings for itself.
+// replayBoth replays with both settings concurrently; each replay opens the recordings itself.
 func (c *settingsComparison) replayBoth(names []string, recorded, changed *configpb.Config) (*comparisonReport, error) {
 	type result struct {
 		outcome *replay.Outcome
@@ -79,7 +79,7 @@
 		return result{outcome, err}
 	}
 	changedResult := make(chan result, 1)
-	go func() { changedResult <- replayWith(c.setting(changed, c.change)) }() // ends before this function does
+	go func() { changedResult <- replayWith(c.setting(changed, c.change)) }() // its result is received below
 	one := replayWith(c.setting(recorded, unchanged))
 	other := <-changedResult
 	if one.err != nil {
@@ -112,12 +112,12 @@
 	return nil, errNoControllerRecording
 }
 
-// configChange makes other settings of a configuration.
+// configChange returns a changed copy of a configuration.
 type configChange func(*configpb.Config) (*configpb.Config, error)
 
 func unchanged(settings *configpb.Config) (*configpb.Config, error) { return settings, nil }
 
-// change makes the other settings of a recorded configuration.
+// change returns the changed settings of a recorded configuration.
 func (c *settingsComparison) change(recorded *configpb.Config) (*configpb.Config, error) {
 	settings := recorded
 	if c.configFile != "" {
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// setting returns what a replay needs of a configuration. The change is applied to the configuration of each
+// setting returns the settings of a replay by a configuration. change is applied to the configuration of each
 // controller's recording.
 func (c *settingsComparison) setting(settings *configpb.Config, change configChange) replay.Setting {
 	setting := replay.Setting{
--- a/cmd/barleysail/compare_output.go
+++ b/cmd/barleysail/compare_output.go
@@ -9,9 +9,9 @@
 	"barleysail/replay"
 )
 
-const maxModeChanges = 15 // printed of each replay; JSON has all
+const maxModeChanges = 15 // limit of the text output for each replay; JSON has all
 
-// comparisonReport is the result of a settingsComparison, as JSON shows it.
+// comparisonReport is the result of a settingsComparison, and its JSON form.
 type comparisonReport struct {
 	Comparison *replay.Comparison `json:"comparison"`
 	Changed    *replay.Outcome    `json:"other"` // with the other settings
@@ -23,7 +23,7 @@
 	return printJSON(out, r)
 }
 
-// clipEstimates replaces infinite intervals, which JSON cannot hold, by the widest that a share can have.
+// clipEstimates limits intervals to -1 and 1, the bounds of a difference of shares, since JSON has no infinity.
 func clipEstimates(comparison *replay.Comparison) {
 	clip := func(estimate *replay.Estimate) {
 		estimate.Low = math.Max(estimate.Low, -1)
@@ -36,7 +36,8 @@
 	}
 }
 
-// formatEstimate writes a value with its 95% interval; "none" marks a value that does not differ from 0.
+// formatEstimate formats a value with its 95% confidence interval; "none" marks a value that does not differ
+// significantly from 0.
 func formatEstimate(estimate replay.Estimate) string {
 	mark := ""
 	if !estimate.Sure() {
@@ -73,7 +74,7 @@
 	return columns.flush()
 }
 
-// printModel prints how far the replay's model of the hosts can be trusted.
+// printModel prints the figures that show the accuracy of the replay's model of the hosts.
 func (r *comparisonReport) printModel(p *printer) {
 	one := r.Recorded
 	other := r.Changed
@@ -84,10 +85,10 @@
 		r.Comparison.Messages[0], r.Comparison.Messages[1], one.MeanGap(), other.MeanGap())
 }
 
-// percentage returns a part of a total in percent; 0 of nothing is 0.
+// percentage returns a part of a total in percent, 0 for a total of 0.
 func percentage(part, total int) float64 { return 100 * float64(part) / math.Max(float64(total), 1) }
 
-// printInvariants prints the margins by which both replays keep the invariants.
+// printInvariants prints the margins of the invariants in both replays.
 func (r *comparisonReport) printInvariants(out io.Writer) error {
 	columns := newColumnPrinter(out)
 	columns.println("rule\tmargin\tother\t")
@@ -107,7 +108,8 @@
 	}
 }
 
-// printClocks prints how the proxies' clocks were aligned with the controllers', and what was recorded twice.
+// printClocks prints the alignment of the proxies' clocks with the controllers', and the number of requests that were
+// recorded twice.
 func (r *comparisonReport) printClocks(p *printer) {
 	maxErrorMs := 0.0
 	adjustments := 0
--- a/cmd/barleysail/compare_plot.go
+++ b/cmd/barleysail/compare_plot.go
@@ -59,7 +59,7 @@
 	return writeCanvas(file, canvas)
 }
 
-// comparisonCharts returns the charts of both replays, each in a row of its own.
+// comparisonCharts returns the charts of both replays, each in its own row.
 func comparisonCharts(one, other *replay.Outcome) ([][]*plot.Plot, error) {
 	recorded := plotLine{"recorded", one, recordedService, recordedColor, recordedDash}
 	replayed := plotLine{"replayed", one, replayedService, replayedColor, nil}
--- a/cmd/barleysail/config.go
+++ b/cmd/barleysail/config.go
@@ -36,7 +36,7 @@
 	return cmd
 }
 
-// checkEndpointList checks the host list file that a configuration names, and says where hosts come from.
+// checkEndpointList validates the endpoint list file of a configuration, and describes the source of the list.
 func checkEndpointList(settings *configpb.Config) (string, error) {
 	file := settings.List.File
 	if file == "" {
@@ -56,7 +56,8 @@
 	return fmt.Sprintf("%d hosts", len(endpoints)), nil
 }
 
-// printAccessRules prints who may do what. Without identities it also checks that the configuration allows that.
+// printAccessRules prints the rules of the authorization policy. Without identities it also checks that the
+// configuration allows that.
 func printAccessRules(out io.Writer, settings *configpb.Config) error {
 	policy, err := config.Policy(settings)
 	if err != nil {
--- a/cmd/barleysail/controller_api.go
+++ b/cmd/barleysail/controller_api.go
@@ -29,8 +29,8 @@
 	return response.Proxies, err
 }
 
-// events returns the events after a number. Where there is none yet the controller waits for one, so many seconds at
-// most.
+// events returns the events after a number. If there is none yet, the controller waits for one, at most for
+// waitSeconds.
 func (c *controllerClient) events(ctx context.Context, after int64, waitSeconds int) ([]controller.Event, error) {
 	var response struct{ Events []controller.Event }
 	err := c.call(ctx, apiRequest{
@@ -41,7 +41,7 @@
 	return response.Events, err
 }
 
-// status returns the controller's own state.
+// status returns the controller's status.
 func (c *controllerClient) status(ctx context.Context) (status controller.Status, err error) {
 	err = c.get(ctx, "/v1/status", &status)
 	return status, err
@@ -50,16 +50,16 @@
 // routingTable is a proxy's table for one request class.
 type routingTable struct {
 	Hosts       map[string]float64 `json:"hosts"` // weights by host
-	Share       float64            `json:"share"` // admitted share of the requests
+	Share       float64            `json:"share"` // admission ratio
 	MaxAttempts int                `json:"tries"`
 }
 
-// proxyTables are the tables that a proxy holds, by request class.
+// proxyTables holds the tables of a proxy, by request class.
 type proxyTables struct {
 	Tables map[string]routingTable `json:"tables"`
 }
 
-// tables returns the tables that a proxy holds.
+// tables returns the tables of a proxy.
 func (c *controllerClient) tables(ctx context.Context, proxy string) (tables proxyTables, err error) {
 	err = c.get(ctx, "/v1/proxies/"+url.PathEscape(proxy)+"/holds", &tables)
 	return tables, err
--- a/cmd/barleysail/controller_client.go
+++ b/cmd/barleysail/controller_client.go
@@ -21,7 +21,7 @@
 	controllerEnv        = "BARLEYSAIL_STEWARD" // names the controller where the flag is not given
 	defaultControllerURL = "http://127.0.0.1:7070"
 
-	requestTimeout   = 90 * time.Second // above the longest wait that a command asks for, followWaitSeconds
+	requestTimeout   = 90 * time.Second // longer than the longest long poll, followWaitSeconds
 	maxResponseBytes = 64 << 20
 )
 
@@ -62,7 +62,7 @@
 	return &controllerClient{baseURL: strings.TrimRight(address, "/"), httpClient: httpClient}
 }
 
-// apiError is an error response of the controller, a problem document of RFC 9457.
+// apiError is an error response of the controller, a problem document (RFC 9457).
 type apiError struct {
 	Status int    `json:"status"`
 	Detail string `json:"detail"`
@@ -94,8 +94,8 @@
 	return c.call(ctx, apiRequest{method: http.MethodPost, path: path, body: body}, response)
 }
 
-// call makes a request and decodes the JSON of the response. An error response is an *apiError; one that refuses the
-// request carries the exit code exitRefused, a controller that cannot be reached carries exitUnreachable.
+// call makes a request and decodes the JSON of the response. An error response is returned as an *apiError; a
+// rejection has the exit code exitRefused, and an unreachable controller exitUnreachable.
 func (c *controllerClient) call(ctx context.Context, request apiRequest, response any) error {
 	httpRequest, err := c.newHTTPRequest(ctx, request)
 	if err != nil {
@@ -140,7 +140,7 @@
 	return httpRequest, nil
 }
 
-// responseError returns the error that a response reports. A body that is no problem document is the detail itself.
+// responseError returns the error of an error response. A body that is not a problem document becomes the detail.
 func responseError(status int, body []byte) error {
 	failure := &apiError{}
 	if err := json.Unmarshal(body, failure); err != nil {
--- a/cmd/barleysail/describe.go
+++ b/cmd/barleysail/describe.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// describeHost prints what the weight of a host follows from, and its last changes.
+// describeHost prints the inputs of a host's weight, its health, and its last weight changes.
 func describeHost(out io.Writer, host controller.HostInfo) error {
 	p := newPrinter(out)
 	p.printf("%s of zone %s is %s\n", host.Host, host.Zone, hostState(host))
--- a/cmd/barleysail/events.go
+++ b/cmd/barleysail/events.go
@@ -9,7 +9,7 @@
 	"barleysail/controller"
 )
 
-const followWaitSeconds = 30 // of one long poll for new events
+const followWaitSeconds = 30 // length of one long poll for new events
 
 func eventsCommand() *cobra.Command {
 	var follow bool
--- a/cmd/barleysail/flags.go
+++ b/cmd/barleysail/flags.go
@@ -2,7 +2,7 @@
 
 import "github.com/spf13/cobra"
 
-// addOldFlagName lets a flag be given by the name that it had up to version 0.1 too. Both names set one value.
+// addOldFlagName adds the name that a flag had up to version 0.1 as an alias. Both names set the same value.
 func addOldFlagName(cmd *cobra.Command, name, oldName string) {
 	flag := *cmd.Flags().Lookup(name)
 	flag.Name = oldName
--- a/cmd/barleysail/get.go
+++ b/cmd/barleysail/get.go
@@ -46,7 +46,7 @@
 	return cmd
 }
 
-// getResource queries a resource by its name on the command line. The proxy limits tables to one proxy; empty: all.
+// getResource queries a resource by its name on the command line. proxy limits tables to one proxy; empty: all.
 func getResource(ctx context.Context, client *controllerClient, resource, proxy string) (*resultTable, error) {
 	switch resource {
 	case resourceHosts:
@@ -121,7 +121,7 @@
 	return total
 }
 
-// getTables queries the tables of one proxy, or of all with the empty name.
+// getTables queries the tables of one proxy, or of all proxies for an empty name.
 func getTables(ctx context.Context, client *controllerClient, proxy string) (*resultTable, error) {
 	names, err := proxyNames(ctx, client, proxy)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return result, nil
 }
 
-// proxyNames returns the one name given, or the names of all connected proxies.
+// proxyNames returns the given name, or for an empty one the names of all connected proxies.
 func proxyNames(ctx context.Context, client *controllerClient, proxy string) ([]string, error) {
 	if proxy != "" {
 		return []string{proxy}, nil
@@ -184,7 +184,7 @@
 	return result, nil
 }
 
-// getStatus queries the status as a bare document, to print the fields of newer controllers too.
+// getStatus queries the status as an untyped document, so that fields of newer controllers are printed, too.
 func getStatus(ctx context.Context, client *controllerClient) (*resultTable, error) {
 	var status map[string]any
 	if err := client.get(ctx, "/v1/status", &status); err != nil {
--- a/cmd/barleysail/guard.go
+++ b/cmd/barleysail/guard.go
@@ -50,8 +50,8 @@
 	return cmd
 }
 
-// readTables reads a file of tables, to be checked for a zone; empty: for all. The document stays as it is, since the
-// controller judges its form.
+// readTables reads a file of tables to check for a zone; empty: for all zones. It does not validate the document,
+// since the controller does.
 func readTables(file, zone string) (map[string]any, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return document, nil
 }
 
-// printValidation prints the guard's findings and the tables that it would publish instead. Findings are an error with
-// the exit code exitRefused.
+// printValidation prints the table validator's findings and the tables that it would publish instead. If there are
+// findings, it returns an error with the exit code exitRefused.
 func printValidation(out io.Writer, result *controller.ValidationResult) error {
 	p := newPrinter(out)
 	if len(result.Findings) == 0 {
@@ -91,7 +91,7 @@
 	return &exitError{exitRefused, fmt.Errorf("the guard finds %d faults", len(result.Findings))}
 }
 
-// formatCounts writes counts by check, as in "2 overload; 1 empty; ".
+// formatCounts formats counts by check, such as "2 overload; 1 empty; ".
 func formatCounts(counts map[string]int) string {
 	text := ""
 	for _, check := range slices.Sorted(maps.Keys(counts)) {
--- a/cmd/barleysail/guard_replay.go
+++ b/cmd/barleysail/guard_replay.go
@@ -55,7 +55,7 @@
 	return columns.flush()
 }
 
-// guardReplay replays a recording with a table guard that only reports, and returns what it found.
+// guardReplay replays a recording with a table validator that only reports, and returns its findings.
 func guardReplay(name string) (*replay.Same, *controller.ValidationReport, error) {
 	recording, err := openRecording(name)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return result, &report, nil
 }
 
-// rebuildWithGuard makes the controller of a recording with its table guard on, but rejecting nothing.
+// rebuildWithGuard creates the controller of a recording with its table validator enabled, but rejecting nothing.
 func rebuildWithGuard(start *recordpb.Start) (*controller.Controller, error) {
 	settings, err := config.Parse(recordedConfig, []byte(start.Config))
 	if err != nil {
--- a/cmd/barleysail/host_state.go
+++ b/cmd/barleysail/host_state.go
@@ -2,14 +2,15 @@
 
 import "barleysail/controller"
 
-// Words for host states that the endpoint list does not have. Scripts read them.
+// Names of host states that are not on the endpoint list. Scripts parse them.
 const (
 	stateEjected   = "withdrawn"
 	stateSlowStart = "cold"
 	phaseReady     = "ready"
 )
 
-// hostState returns the state of a host as the commands print it: ejected, in slow start, or its state on the list.
+// hostState returns the state of a host as the commands print it: ejected, in slow start, or its state on the
+// endpoint list.
 func hostState(host controller.HostInfo) string {
 	if host.Withdrawn {
 		return stateEjected
--- a/cmd/barleysail/identity_transport.go
+++ b/cmd/barleysail/identity_transport.go
@@ -18,17 +18,17 @@
 
 const (
 	workloadAPIEnv  = "BARLEYSAIL_WORKLOAD_API" // address of the SPIFFE Workload API's socket
-	controllerIDEnv = "BARLEYSAIL_STEWARD_ID"   // SPIFFE ID that the controller has to have
+	controllerIDEnv = "BARLEYSAIL_STEWARD_ID"   // required SPIFFE ID of the controller
 
-	identityTimeout = 5 * time.Second // of waiting for the Workload API's first identity
+	identityTimeout = 5 * time.Second // limit of the wait for the first identity from the Workload API
 )
 
 var errIdentityEnvironment = errors.New("for https, " + workloadAPIEnv + " has to name the Workload API's socket and " +
 	controllerIDEnv + " the controller's SPIFFE ID")
 
-// identityDialer dials a controller over mutual TLS: it proves the operator's identity, and verifies that the
-// controller has the SPIFFE ID that the environment names. The identity is fetched on the first connection and kept
-// until the program ends.
+// identityDialer dials a controller over mutual TLS: it authenticates the operator, and verifies that the controller
+// has the SPIFFE ID that the environment names. The identity is fetched at the first connection and cached until the
+// program ends.
 type identityDialer struct {
 	once      sync.Once
 	tlsConfig *tls.Config
@@ -49,8 +49,8 @@
 	return (&tls.Dialer{Config: d.tlsConfig}).DialContext(ctx, network, address)
 }
 
-// fetchIdentity fetches the operator's identity from the Workload API. It has a context of its own, because the
-// identity outlives the request that needs it first.
+// fetchIdentity fetches the operator's identity from the Workload API. It uses its own context, because the identity
+// outlives the request that needs it first.
 func fetchIdentity() (*tls.Config, error) {
 	workloadAPI := os.Getenv(workloadAPIEnv)
 	controllerID := os.Getenv(controllerIDEnv)
--- a/cmd/barleysail/log.go
+++ b/cmd/barleysail/log.go
@@ -13,7 +13,7 @@
 	logLevelHelp    = "least level that is logged: debug, info, warn or error"
 )
 
-// newLogger returns a logger of JSON lines on standard error, for messages of a level or above it.
+// newLogger returns a logger of JSON lines on standard error, for messages of at least a level.
 func newLogger(minLevel string) (zerolog.Logger, error) {
 	level, err := zerolog.ParseLevel(minLevel)
 	if err != nil {
--- a/cmd/barleysail/main.go
+++ b/cmd/barleysail/main.go
@@ -1,5 +1,5 @@
-// Command barleysail runs the controller as a daemon and holds the operators' command line. It owns flags, exit
-// codes and the printing of results; balancing, recording and replay belong to the packages that it calls.
+// Command barleysail runs a controller (run, node), and is the operators' command line. It owns flags, exit codes,
+// signal handling and the printing of results; balancing, recording and replay belong to the packages that it calls.
 package main
 
 import (
@@ -36,7 +36,7 @@
 	return root
 }
 
-// controllerCommands are the commands that call one running controller, named by a flag.
+// controllerCommands returns the commands that call one running controller, named by a flag.
 func controllerCommands() []*cobra.Command {
 	commands := []*cobra.Command{
 		getCommand(), describeCommand(), eventsCommand(), topCommand(),
--- a/cmd/barleysail/node.go
+++ b/cmd/barleysail/node.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	nodeConfigEnv = "EDGE_CONFIG" // names the node's configuration file
+	nodeConfigEnv = "EDGE_CONFIG" // environment variable with the path of the node's configuration file
 
-	// A file that is just being replaced may be incomplete when it is read.
+	// A configuration file that is being replaced may be incomplete when it is read, so that reading is retried.
 	reloadAttempts = 10
 	reloadBackoff  = 50 * time.Millisecond // between two attempts
 )
@@ -44,8 +44,8 @@
 	return cmd
 }
 
-// runNode runs a controller on the platform until SIGTERM or SIGINT. SIGHUP reloads its configuration. Signals are
-// received from the first line on, so that none is lost while the configuration is being read.
+// runNode runs a controller on the platform until SIGTERM or SIGINT, which shut it down gracefully. SIGHUP reloads
+// its configuration. Signals are handled before the configuration is read, so that none is lost meanwhile.
 func runNode(ctx context.Context, configFile string, log zerolog.Logger) error {
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
@@ -75,8 +75,8 @@
 	}
 }
 
-// reload applies the settings that may change while a node runs: the address of the endpoint list, and the limits. A
-// configuration that stays unreadable is logged, and the present one kept.
+// reload applies the settings that may change while a node runs: the address of the endpoint list, and the limits. If
+// the configuration cannot be read in reloadAttempts, the error is logged and the current one is kept.
 func reload(configFile string, node *platform.Node, log zerolog.Logger) {
 	var lastErr error
 	for range reloadAttempts {
--- a/cmd/barleysail/override.go
+++ b/cmd/barleysail/override.go
@@ -12,27 +12,27 @@
 	"github.com/spf13/cobra"
 )
 
-// Override states as the controller's API spells them.
+// Names of override states in the controller's API.
 const (
 	overrideDrain = "drain"
 	overrideMaint = "maint"
 	overrideReady = "ready"
 )
 
-const zonePrefix = "zone=" // in place of a host, names all hosts of a zone
+const zonePrefix = "zone=" // prefix of a zone in place of a host, for all of its hosts
 
 var errWeightMissing = errors.New("a weight, a part in percent, or --clear is needed")
 
-// overrideRequest sets or ends an operator's override of a host, or of all hosts of a zone. Its fields are those of the
-// controller's API.
+// overrideRequest sets or removes an operator's override of a host, or of all hosts of a zone. It is the request body
+// of the controller's API.
 type overrideRequest struct {
 	By     string   `json:"by"`
-	Clear  bool     `json:"clear,omitempty"`  // the weight of the endpoint list again
-	ForMs  float64  `json:"for_ms"`           // the override ends after it; 0: never
+	Clear  bool     `json:"clear,omitempty"`  // return to the weight on the endpoint list
+	ForMs  float64  `json:"for_ms"`           // ms after which the override expires; 0: never
 	Part   *float64 `json:"part,omitempty"`   // factor of the listed weight
 	State  string   `json:"state,omitempty"`  // empty: unchanged
-	Wait   bool     `json:"wait"`             // queue it where it cannot be done at once
-	Weight *float64 `json:"weight,omitempty"` // in place of the listed weight
+	Wait   bool     `json:"wait"`             // queue the override where it cannot be applied at once
+	Weight *float64 `json:"weight,omitempty"` // replaces the listed weight
 }
 
 // overrideResponse is the controller's response to an overrideRequest.
@@ -41,7 +41,7 @@
 	Waits bool // the override is queued
 }
 
-// overrideFlags are the flags of all commands that set overrides.
+// overrideFlags holds the flags of the commands that set overrides.
 type overrideFlags struct {
 	duration time.Duration
 	wait     bool
@@ -55,7 +55,7 @@
 }
 
 func (f *overrideFlags) request() overrideRequest {
-	return overrideRequest{By: f.by, ForMs: f.duration.Seconds() * 1000, Wait: f.wait}
+	return overrideRequest{By: f.by, ForMs: f.duration.Seconds() * msPerSecond, Wait: f.wait}
 }
 
 func drainCommand() *cobra.Command {
@@ -71,7 +71,7 @@
 	return overrideCommand("ready HOST|zone=ZONE", "End the overrides of a host", overrideReady)
 }
 
-// overrideCommand is a command that sets the state of hosts.
+// overrideCommand returns a command that sets the state of hosts.
 func overrideCommand(use, short, state string) *cobra.Command {
 	var flags overrideFlags
 	cmd := &cobra.Command{
@@ -115,7 +115,7 @@
 	return cmd
 }
 
-// setWeight reads a weight, or with a percent sign a factor of the listed weight.
+// setWeight parses a weight, or with a percent sign a factor on the listed weight.
 func (r *overrideRequest) setWeight(text string) error {
 	digits, percent := strings.CutSuffix(text, "%")
 	number, err := strconv.ParseFloat(digits, 64)
@@ -131,7 +131,8 @@
 	return nil
 }
 
-// postOverride sends an override for a host, or for a zone named by zonePrefix, and prints what became of it.
+// postOverride sends an override for a host, or for a zone with zonePrefix, and prints whether it was applied or
+// queued.
 func postOverride(cmd *cobra.Command, target string, request overrideRequest) error {
 	client, err := clientFromFlag(cmd)
 	if err != nil {
--- a/cmd/barleysail/plan.go
+++ b/cmd/barleysail/plan.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	maxAddedHosts = 100_000 // of one --add, against slips of the hand
-	maxFullHosts  = 5       // printed of the hosts at capacity
+	maxAddedHosts = 100_000 // limit of one --add flag, against typing errors
+	maxFullHosts  = 5       // limit of the printed hosts at capacity
 )
 
 var errAddForm = errors.New("wanted is a host or kind of the file, a zone and a number, as in full:addis:5")
@@ -50,8 +50,8 @@
 	return cmd
 }
 
-// addedHosts returns the hosts of one --add flag, HOST:ZONE:COUNT, where HOST is a host or a kind of the fleet. The
-// flag's number makes their names unique.
+// addedHosts returns the hosts of one --add flag, HOST:ZONE:COUNT, where HOST is a host or a kind of host of the
+// fleet. flagNumber makes their names unique.
 func addedHosts(problem *solver.Problem, addition string, flagNumber int) ([]solver.Host, error) {
 	parts := strings.Split(addition, ":")
 	if len(parts) != 3 {
@@ -79,7 +79,7 @@
 	return hosts, nil
 }
 
-// findHost returns the first host of a name or kind.
+// findHost returns the first host with a name or kind.
 func findHost(problem *solver.Problem, nameOrKind string) (solver.Host, bool) {
 	for _, host := range problem.Hosts {
 		if host.Name == nameOrKind || host.Kind == nameOrKind {
@@ -89,8 +89,8 @@
 	return solver.Host{}, false
 }
 
-// printPlan prints a fleet before and after a change, how the result grows while hosts warm up, and the steps of a
-// drain.
+// printPlan prints the result for a fleet before and after a change, its growth while hosts warm up, and the steps of
+// a drain.
 func printPlan(out io.Writer, problem *solver.Problem, change solver.Change, pace solver.Pace) error {
 	changed, err := problem.With(change)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return columns.flush()
 }
 
-// printFullHosts prints the hosts at capacity, the one where a further core gains most first.
+// printFullHosts prints the hosts at capacity, sorted by the gain of a further core.
 func printFullHosts(out io.Writer, solution *solver.Solution) error {
 	p := newPrinter(out)
 	fullHosts := solution.Binding()
@@ -151,7 +151,7 @@
 	return p.flush()
 }
 
-// printWarmUp prints the result at each stage of the hosts' slow start; nothing where no host is in it.
+// printWarmUp prints the result at each stage of the hosts' slow start, or nothing if no host is warming up.
 func printWarmUp(out io.Writer, problem *solver.Problem) error {
 	stages, err := problem.Warming()
 	if err != nil || len(stages) < 2 {
--- a/cmd/barleysail/printer.go
+++ b/cmd/barleysail/printer.go
@@ -13,10 +13,10 @@
 	columnMinimum = 2 // least width of a column
 )
 
-// printer writes text up to the first error, which flush returns: a command checks it once.
+// printer writes text until the first error, which flush returns, so that a command checks for errors once.
 type printer struct {
 	out     io.Writer
-	columns *tabwriter.Writer // what out is where columns are aligned, else nil
+	columns *tabwriter.Writer // the same writer as out if columns are aligned, else nil
 	err     error
 }
 
@@ -44,14 +44,14 @@
 	}
 }
 
-// println writes its operands with spaces between them, and a line's end.
+// println writes its operands, separated by spaces, and a newline.
 func (p *printer) println(args ...any) {
 	if p.err == nil {
 		_, p.err = fmt.Fprintln(p.out, args...)
 	}
 }
 
-// flush writes what is buffered and returns the first error of all writes.
+// flush writes buffered text and returns the first error of all writes.
 func (p *printer) flush() error {
 	if p.err == nil && p.columns != nil {
 		p.err = p.columns.Flush()
--- a/cmd/barleysail/recording.go
+++ b/cmd/barleysail/recording.go
@@ -23,17 +23,17 @@
 	return &recordingFile{record.NewReader(file), file}, nil
 }
 
-// close closes the file. Its error is dropped: the file was only read, so nothing can be lost.
+// close closes the file. It ignores the error: the file was only read, so no data can be lost.
 func (r *recordingFile) close() { _ = r.file.Close() }
 
-// printFaults prints which parts of the recording were damaged and passed over.
+// printFaults prints the damaged parts of the recording that were skipped.
 func (r *recordingFile) printFaults(p *printer) {
 	for _, fault := range r.Faults {
 		p.printf("damaged: %v\n", fault)
 	}
 }
 
-// condition says in a few words whether a recording, read to its end, is complete.
+// condition describes whether a recording that was read to its end is complete and undamaged.
 func (r *recordingFile) condition() string {
 	switch {
 	case len(r.Faults) > 0:
@@ -44,18 +44,18 @@
 	return "whole"
 }
 
-// isDamaged tells whether a recording that ended by an error is damaged or incomplete.
+// isDamaged reports whether a recording whose last read returned end is damaged or incomplete.
 func (r *recordingFile) isDamaged(end error) bool {
 	return len(r.Faults) > 0 || !errors.Is(end, io.EOF)
 }
 
-// isReadError tells whether a recording ended by an error other than its end, or a record that a crash cut off.
+// isReadError reports whether end is neither the proper end of a recording nor a last record that a crash truncated.
 func isReadError(end error) bool {
 	return end != nil && !errors.Is(end, io.EOF) && !errors.Is(end, record.ErrTorn)
 }
 
-// countRecords reads a recording to its end. It returns the number of records and why the recording ended, io.EOF at a
-// proper end.
+// countRecords reads a recording to its end. It returns the number of records and the error of the last read, which
+// is io.EOF at a proper end.
 func countRecords(recording *recordingFile) (count int, end error) {
 	for {
 		if _, err := recording.Next(); err != nil {
--- a/cmd/barleysail/recording_find.go
+++ b/cmd/barleysail/recording_find.go
@@ -10,11 +10,11 @@
 	"barleysail/replay"
 )
 
-const recordingSuffix = ".day" // of the file names of recordings
+const recordingSuffix = ".day" // suffix of the file names of recordings
 
 var errNoControllerRecording = errors.New("no controller's recording is among them")
 
-// findRecordings returns the recordings at the paths, sorted: files as they are named, and of folders the files with
+// findRecordings returns the recordings at the paths, sorted by name. A path may be a file, or a folder of files with
 // the recordingSuffix.
 func findRecordings(paths []string) ([]string, error) {
 	var names []string
@@ -45,8 +45,8 @@
 	return names, nil
 }
 
-// findControllerRecordings returns those recordings at the paths that controllers made. It passes over the recordings
-// of proxies, and files that cannot be opened; errNoControllerRecording says that none is left.
+// findControllerRecordings returns the recordings of controllers at the paths. It skips the recordings of proxies,
+// and files that cannot be opened. It returns errNoControllerRecording if none remains.
 func findControllerRecordings(paths []string) ([]string, error) {
 	names, err := findRecordings(paths)
 	if err != nil {
@@ -64,8 +64,8 @@
 	return ofControllers, nil
 }
 
-// isProxyRecording tells whether a proxy made a recording, by its first record. One without a readable first record
-// counts as a controller's, whose replay then reports the fault.
+// isProxyRecording reports whether a proxy made a recording, by its first record. A recording without a readable
+// first record counts as a controller's; its replay then reports the damage.
 func isProxyRecording(name string) (bool, error) {
 	recording, err := openRecording(name)
 	if err != nil {
@@ -76,13 +76,13 @@
 	return err == nil && first.GetProxyStart() != nil, nil
 }
 
-// recordingSet reads all recordings of a scenario or a deployment, once for each pass of a replay.
+// recordingSet opens all recordings of a scenario or a deployment, once for each pass of a replay.
 type recordingSet struct {
 	names []string
-	open  []*recordingFile // of the present pass
+	open  []*recordingFile // opened for the current pass
 }
 
-// sources opens the recordings from their beginnings, and closes those of the pass before.
+// sources opens the recordings from their start, and closes those of the previous pass.
 func (s *recordingSet) sources() ([]replay.Source, error) {
 	s.close()
 	var sources []replay.Source
--- a/cmd/barleysail/recording_rebuild.go
+++ b/cmd/barleysail/recording_rebuild.go
@@ -9,17 +9,17 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// recordedConfig names the configuration of a recording in error messages, in place of a file.
+// recordedConfig is the name of a recording's configuration in error messages, in place of a file name.
 const recordedConfig = "the recorded configuration"
 
-// formatError says that a recording is of a newer format than this program reads.
+// formatError is the error of a recording in a newer format than this program can read.
 type formatError struct{ format int32 }
 
 func (e *formatError) Error() string {
 	return fmt.Sprintf("the recording has format %d, %d is the newest known here", e.format, record.Format)
 }
 
-// rebuildController makes the controller that the start of a recording describes.
+// rebuildController creates the controller that the start record of a recording describes.
 func rebuildController(start *recordpb.Start) (*controller.Controller, error) {
 	if start.Format > record.Format {
 		return nil, &formatError{start.Format}
--- a/cmd/barleysail/recordings.go
+++ b/cmd/barleysail/recordings.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// listRecordings prints a line for each recording in a folder; the line of one that cannot be read has the error.
+// listRecordings prints a line for each recording in a folder; for an unreadable one the line shows the error.
 func listRecordings(out io.Writer, folder string) error {
 	names, err := recordingsInFolder(folder)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return columns.flush()
 }
 
-// listRow returns what the list tells of a recording, without its name.
+// listRow returns the line of a recording in the list, without its name.
 func listRow(name string) (string, error) {
 	recording, err := openRecording(name)
 	if err != nil {
@@ -68,7 +68,7 @@
 	var extent recordingExtent
 	for {
 		entry, err := recording.Next()
-		if err != nil { // the end; condition tells of a damaged one
+		if err != nil { // the end of the recording, or damage, which condition reports
 			break
 		}
 		extent.add(entry)
--- a/cmd/barleysail/recordings_cut.go
+++ b/cmd/barleysail/recordings_cut.go
@@ -16,7 +16,7 @@
 var errCutFlags = errors.New("a part has --from and --to in seconds of the recording, " +
 	"and an --output that ends in " + recordingSuffix)
 
-// cutRange is a part of a recording, in seconds from its beginning.
+// cutRange is a part of a recording, in seconds since its start.
 type cutRange struct{ fromSeconds, toSeconds float64 }
 
 func (r cutRange) valid() bool { return r.fromSeconds >= 0 && r.toSeconds > r.fromSeconds }
@@ -67,15 +67,15 @@
 		count++
 		return writer.Write(entry)
 	}
-	fromMs := first.At + part.fromSeconds*1000
-	toMs := first.At + part.toSeconds*1000
+	fromMs := first.At + part.fromSeconds*msPerSecond
+	toMs := first.At + part.toSeconds*msPerSecond
 	if err := replay.Cut(prepend(first, recording.Next), rebuildController, fromMs, toMs, write); err != nil {
 		return 0, err
 	}
 	return count, writer.Close()
 }
 
-// prepend returns a reader of records that begins with one that was read before.
+// prepend returns a reader of records that returns first before those of next.
 func prepend(first *recordpb.Record, next replay.Next) replay.Next {
 	returned := false
 	return func() (*recordpb.Record, error) {
--- a/cmd/barleysail/recordings_show.go
+++ b/cmd/barleysail/recordings_show.go
@@ -63,7 +63,7 @@
 	return errors.Join(spansErr, p.flush())
 }
 
-// printSpans prints a line of counts for each span of time.
+// printSpans prints a line of counts for each time span of a recording.
 func printSpans(out io.Writer, summary *replay.Summary) error {
 	columns := newRightAlignedPrinter(out)
 	columns.println("from s\tcame\tunanswered\ttries\tfailed\tmessages\tjoined\tleft\tprobes answered\tnot\t")
--- a/cmd/barleysail/replay.go
+++ b/cmd/barleysail/replay.go
@@ -44,8 +44,8 @@
 	return cmd
 }
 
-// verifyRecordings replays controllers' recordings with their own settings, and fails where a response differs from the
-// recorded one.
+// verifyRecordings replays controllers' recordings with their own settings, and returns an error if a response
+// differs from the recorded one.
 func verifyRecordings(out io.Writer, paths []string) error {
 	names, err := findControllerRecordings(paths)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// verifyRecording replays a recording and tells whether all responses came out as recorded.
+// verifyRecording replays a recording and reports whether all responses are identical to the recorded ones.
 func verifyRecording(out io.Writer, name string) (identical bool, err error) {
 	recording, err := openRecording(name)
 	if err != nil {
--- a/cmd/barleysail/result_table.go
+++ b/cmd/barleysail/result_table.go
@@ -15,7 +15,7 @@
 	formatCSV   = "csv"
 )
 
-// resultTable is the result of a query: rows for people and CSV, and the document that JSON shows in full.
+// resultTable is the result of a query: rows for text and CSV output, and the complete document for JSON output.
 type resultTable struct {
 	header   []string
 	rows     [][]string
--- a/cmd/barleysail/run.go
+++ b/cmd/barleysail/run.go
@@ -15,13 +15,13 @@
 	"barleysail/internal/daemon"
 )
 
-const shutdownTimeout = 10 * time.Second // of a graceful shutdown; connections left then are cut
+const shutdownTimeout = 10 * time.Second // limit of a graceful shutdown; the remaining connections are then closed
 
 // runFlags are the flags of "run".
 type runFlags struct {
 	configFile string
-	listen     string // address:port, in place of the configuration's; empty: that
-	recording  string // file, in place of the configuration's; empty: that
+	listen     string // address:port, overrides the configuration's; empty: not set
+	recording  string // file, overrides the configuration's; empty: not set
 	logLevel   string
 }
 
@@ -68,8 +68,9 @@
 	return settings, nil
 }
 
-// runController runs a controller until SIGTERM or SIGINT, then shuts it down gracefully: it answers the polls that are
-// held. A second signal ends the program at once.
+// runController runs a controller until SIGTERM or SIGINT, then shuts it down gracefully within shutdownTimeout: it
+// answers the pending long polls. A second signal ends the program at once. SIGHUP is not handled, so it ends the
+// program.
 func runController(cmd *cobra.Command, settings *configpb.Config, log zerolog.Logger) error {
 	controller, err := daemon.Start(settings, version, log)
 	if err != nil {
--- a/cmd/barleysail/solve.go
+++ b/cmd/barleysail/solve.go
@@ -33,7 +33,7 @@
 	return cmd
 }
 
-// loadProblem reads a fleet file, or asks the running controller at a URL.
+// loadProblem reads a fleet file, or queries the running controller at a URL.
 func loadProblem(ctx context.Context, source string) (*solver.Problem, error) {
 	if !strings.HasPrefix(source, "http://") && !strings.HasPrefix(source, "https://") {
 		problem, _, err := config.LoadFleet(source)
@@ -46,7 +46,7 @@
 	return problem, nil
 }
 
-// solveAndPrint solves a problem under an uncertainty, verifies the solution and prints it.
+// solveAndPrint solves a problem under an uncertainty of the hosts' capacities, verifies the solution and prints it.
 func solveAndPrint(out io.Writer, problem *solver.Problem, uncertainty solver.Doubt, asJSON bool) error {
 	certain := *problem
 	problem.Doubt = uncertainty
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// printCautionCost prints what it costs that a solution allows for an uncertainty, against the solution of the problem
-// as stated.
+// printCautionCost prints the difference in result between a solution under an uncertainty and the solution without
+// it.
 func printCautionCost(
 	out io.Writer, certain *solver.Problem, uncertainty solver.Doubt, solution *solver.Solution,
 ) error {
--- a/cmd/barleysail/solve_output.go
+++ b/cmd/barleysail/solve_output.go
@@ -8,14 +8,14 @@
 	"barleysail/solver"
 )
 
-// hostGroup is a number of hosts that are alike: of one zone, kind, size and state.
+// hostGroup is a group of equal hosts: of the same zone, kind, size and state.
 type hostGroup struct {
 	name  string
-	first solver.Host // stands for all of them
+	first solver.Host // represents the group
 	count int
 }
 
-// groupHosts groups the hosts of a fleet that are alike, in the order of the fleet.
+// groupHosts groups the equal hosts of a fleet, in the order of the fleet.
 func groupHosts(problem *solver.Problem) []hostGroup {
 	var groups []hostGroup
 	indexOf := map[string]int{}
@@ -65,7 +65,7 @@
 	return p.flush()
 }
 
-// printZones ends a line of column heads with the zones.
+// printZones prints the zones as the last column heads of a line.
 func printZones(columns *printer, problem *solver.Problem, format string) {
 	for _, zone := range problem.Zones {
 		columns.printf(format, zone)
@@ -86,7 +86,7 @@
 	}
 }
 
-// printLoads prints the capacity of each group's hosts, the part in use, and what a further core would gain.
+// printLoads prints the capacity of each group's hosts, the part in use, and the gain of a further core.
 func printLoads(columns *printer, problem *solver.Problem, solution *solver.Solution, groups []hostGroup) {
 	columns.println("\nhosts\tnumber\tcap, cores\tused of it\ta core more earns a second")
 	for _, group := range groups {
--- a/cmd/barleysail/state.go
+++ b/cmd/barleysail/state.go
@@ -14,14 +14,14 @@
 
 var errNoState = errors.New("nothing is kept there")
 
-// unusableStateError says that a folder has state, but none that this program can restore.
+// unusableStateError is the error of a state folder without a state that this program can restore.
 type unusableStateError struct{ warnings []string }
 
 func (e *unusableStateError) Error() string {
 	return "no usable state is kept there: " + strings.Join(e.warnings, "; ")
 }
 
-// incompleteStateError says that parts of a state were damaged or left out.
+// incompleteStateError is the error of a state of which parts were damaged or ignored.
 type incompleteStateError struct{ warnings []string }
 
 func (e *incompleteStateError) Error() string { return strings.Join(e.warnings, "; ") }
@@ -32,7 +32,8 @@
 	return cmd
 }
 
-// loadState reads a state folder, which may be a running controller's.
+// loadState reads a state folder, which may be in use by a running controller. It returns an *unusableStateError if
+// there is no readable state.
 func loadState(path string) (*statefile.LoadResult, error) {
 	folder, err := statefile.OpenReadOnly(path)
 	if err != nil {
--- a/cmd/barleysail/state_forget.go
+++ b/cmd/barleysail/state_forget.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	maxStateBytes   = 1 << 30 // of a snapshot: nothing is dropped for its size
-	keptGenerations = 2       // of snapshots in a state folder
+	maxStateBytes   = 1 << 30 // limit of a snapshot, so large that nothing is dropped
+	keptGenerations = 2       // generations of snapshots in a state folder
 )
 
-// forgetFlags say what "state forget" removes.
+// forgetFlags select what "state forget" removes.
 type forgetFlags struct {
-	hosts     []string // these alone; empty: all hosts, proxies and tables
-	overrides bool     // operators' overrides too
+	hosts     []string // only these hosts; empty: all hosts, proxies and tables
+	overrides bool     // also operators' overrides
 }
 
 func stateForgetCommand() *cobra.Command {
@@ -45,7 +45,7 @@
 	return cmd
 }
 
-// forgetState rewrites a state folder without what the flags name.
+// forgetState rewrites a state folder without the parts that the flags select.
 func forgetState(path string, flags forgetFlags) (err error) {
 	if _, err := os.Stat(path); err != nil { // OpenFolder would create it
 		return fmt.Errorf("opening the state folder: %w", err)
@@ -67,7 +67,7 @@
 	}
 	store := statefile.NewStore(folder, loaded, maxStateBytes)
 	defer store.Close()
-	for range keptGenerations { // so that no older generation has what is removed
+	for range keptGenerations { // so that no older generation keeps the removed parts
 		if err := store.SaveSnapshot(loaded.State); err != nil {
 			return err
 		}
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// remove removes from a state what the flags name. Hosts that it does not have are an error.
+// remove removes the parts that the flags select from a state. It returns an error if the state has none of the
+// selected hosts.
 func (f forgetFlags) remove(kept *statepb.State) error {
 	if f.overrides {
 		kept.Settings = nil
--- a/cmd/barleysail/state_show.go
+++ b/cmd/barleysail/state_show.go
@@ -15,7 +15,7 @@
 	"barleysail/state/statepb"
 )
 
-const defaultSlowStartMs = 18_000 // of the flag --slow-start-ms, as the configuration's guard.cold_ms
+const defaultSlowStartMs = 18_000 // default of --slow-start-ms and of the configuration's guard.cold_ms
 
 func stateShowCommand() *cobra.Command {
 	var slowStartMs float64
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	nowMs := float64(time.Now().UnixMicro()) / 1000
+	nowMs := float64(time.Now().UnixMicro()) / microsecondsPerMs
 	restored := state.ApplyDecay(loaded.State, nowMs, state.DefaultLimits(slowStartMs))
 	p := newPrinter(out)
 	printStateHead(p, loaded, restored, nowMs)
@@ -53,7 +53,7 @@
 	return errors.Join(p.flush(), columns.flush())
 }
 
-// printStateHead prints the origin, age and condition of a state, and the fleet's figures.
+// printStateHead prints the origin, age and damage of a state, and the fleet's figures.
 func printStateHead(p *printer, loaded *statefile.LoadResult, restored *state.Restored, nowMs float64) {
 	kept := loaded.State
 	p.printf("life %s of program %s, format %d.%d, generation %d and %d changes, %d bytes\n", kept.Life, kept.Program,
@@ -71,7 +71,7 @@
 	}
 }
 
-// printStateHosts prints each host as it is kept and, in the columns "now", as it would be restored.
+// printStateHosts prints each host as stored and, in the columns "now", as it would be restored.
 func printStateHosts(columns *printer, hosts []*statepb.Host, restored *state.Restored, nowMs float64) {
 	columns.println("host\tzone\tweight\tnow\tr ms\tnow\tlost\tnow\twithdrawn\tnow\ttrust\tnow\tstarted\tdrains since")
 	for _, kept := range hosts {
@@ -85,7 +85,7 @@
 	}
 }
 
-// overrideState returns the state that an override sets; numbers that are out of range count as the nearest state.
+// overrideState returns the state that an override sets; a number out of range counts as the nearest state.
 func overrideState(override *statepb.Setting) operator.State {
 	return operator.State(min(max(override.State, 0), int32(operator.Maintenance)))
 }
@@ -101,7 +101,7 @@
 	return count
 }
 
-// formatAge writes how long ago an instant was, both in ms since the Unix epoch; empty for an unknown one.
+// formatAge formats the age of an instant; both are in ms since the Unix epoch. It returns "" for an unknown instant.
 func formatAge(atMs, nowMs float64) string {
 	if atMs <= 0 {
 		return ""
--- a/cmd/barleysail/top.go
+++ b/cmd/barleysail/top.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	topEventsKept  = 200                    // the newest events, which can be scrolled through
-	minTopInterval = 100 * time.Millisecond // between two queries, whatever the flag says
+	topEventsKept  = 200                    // number of the newest events that can be scrolled through
+	minTopInterval = 100 * time.Millisecond // lower bound of the interval between queries
 
 	// Size of the terminal until it reports its own.
 	defaultTopWidth  = 80
@@ -46,16 +46,17 @@
 	return cmd
 }
 
-// topState is what the view shows: the controller's state at the last query.
+// topState is the displayed state of the controller, as of the last query.
 type topState struct {
 	hosts   []controller.HostInfo
 	proxies []controller.ProxyInfo
 	events  []controller.Event // the newest last
 	status  controller.Status
-	err     error // why the last query failed; the rest is of the one before
+	err     error // error of the last query; the other fields are then of an earlier one
 }
 
-// next queries the controller and returns the state that follows. A query that fails keeps what was known.
+// next queries the controller and returns the new state. After a failed query it returns the old state with the
+// error.
 func (s topState) next(ctx context.Context, client *controllerClient) topState {
 	next, err := queryTopState(ctx, client, s.lastEventNumber())
 	if err != nil {
@@ -77,7 +78,7 @@
 	return s.events[len(s.events)-1].Number
 }
 
-// queryTopState queries all that the view shows, and of the events those after a number.
+// queryTopState queries the displayed state, with the events after a number only.
 func queryTopState(ctx context.Context, client *controllerClient, afterEvent int64) (state topState, err error) {
 	if state.hosts, err = client.hosts(ctx); err != nil {
 		return state, err
--- a/cmd/barleysail/top_model.go
+++ b/cmd/barleysail/top_model.go
@@ -16,19 +16,19 @@
 	topViewCount
 )
 
-// topModel is the model of the terminal view. What it shows depends on its state and the keys alone.
+// topModel is the model of the terminal view, which depends only on its state and the keys.
 type topModel struct {
 	state    topState
 	fetch    func(topState) topState // queries the controller
 	interval time.Duration           // between two queries
 	view     topView
-	byName   bool // hosts in the order of their names, not of their load
-	firstRow int  // the row of the view that is shown first
+	byName   bool // hosts are sorted by name, not by load
+	firstRow int  // index of the first displayed row
 	width    int  // of the terminal, in columns
 	height   int  // of the terminal, in lines
 }
 
-// refreshMsg says that the time of the next query has come.
+// refreshMsg is the message that the next query is due.
 type refreshMsg struct{}
 
 // Init queries the controller at once.
@@ -64,7 +64,7 @@
 
 func isQuitKey(key string) bool { return key == "q" || key == "ctrl+c" || key == "esc" }
 
-// selectView handles the keys that change the view or its order; the new view begins at its first row.
+// selectView handles the keys that change the view or its order, and scrolls to the first row.
 func (m topModel) selectView(key string) topModel {
 	switch key {
 	case "tab", "right", "l":
@@ -82,7 +82,7 @@
 	return m
 }
 
-// scroll handles the keys that move the rows shown. Update keeps them within the view.
+// scroll handles the keys that scroll. Update limits the first row to the view.
 func (m topModel) scroll(key string) topModel {
 	switch key {
 	case "down", "j":
@@ -99,14 +99,14 @@
 	return m
 }
 
-// fixedLines are the lines around the rows: status, mode, views and column heads above, the number of further rows
-// below.
+// fixedLines is the number of lines around the rows: status, mode, views and column heads above, the number of
+// further rows below.
 const fixedLines = 5
 
-// visibleRows is the number of rows that fit on the terminal.
+// visibleRows returns the number of rows that fit on the terminal.
 func (m topModel) visibleRows() int { return max(m.height-fixedLines, 1) }
 
-// rowCount is the number of rows of the present view.
+// rowCount returns the number of rows of the current view.
 func (m topModel) rowCount() int {
 	switch m.view {
 	case proxiesView:
--- a/cmd/barleysail/top_view.go
+++ b/cmd/barleysail/top_view.go
@@ -14,7 +14,7 @@
 	loadBarLength = 9 // marks at most
 )
 
-// View draws the screen; no line is longer than the terminal is wide.
+// View returns the screen, with lines cut to the width of the terminal.
 func (m topModel) View() string {
 	lines := m.headLines()
 	heads, rows := m.table()
@@ -31,7 +31,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// headLines are the lines above the table: the controller's status, its mode or the error, and the views.
+// headLines returns the lines above the table: the controller's status, its mode or the error, and the views.
 func (m topModel) headLines() []string {
 	status := m.state.status
 	second := "mode: " + status.Mode
@@ -46,7 +46,7 @@
 	}
 }
 
-// viewNames lists the views, the present one in brackets.
+// viewNames lists the views, with the current one in brackets.
 func (m topModel) viewNames() string {
 	names := []string{"1 hosts", "2 proxies", "3 events"}
 	names[m.view] = "[" + names[m.view] + "]"
@@ -62,7 +62,7 @@
 	return string(runes[:m.width-1]) + "~"
 }
 
-// table returns the column heads and the rows of the present view.
+// table returns the column heads and the rows of the current view.
 func (m topModel) table() (heads string, rows []string) {
 	switch m.view {
 	case proxiesView:
@@ -104,7 +104,7 @@
 		host.Weight, host.Why.ArrivalRate, host.Why.Capacity, bar, 100*load, override)
 }
 
-// hostLoad is a host's rate as a part of its capacity; 0 where no capacity is known.
+// hostLoad returns a host's arrival rate as a part of its capacity, or 0 for an unknown capacity.
 func hostLoad(host controller.HostInfo) float64 {
 	if host.Why.Capacity <= 0 {
 		return 0
@@ -120,7 +120,7 @@
 	return fmt.Sprintf("%-24s %-10s %8s %8s %6s", "proxy", "zone", "rate/s", "waiting", "acked"), rows
 }
 
-// eventsTable shows the newest event first.
+// eventsTable returns the events, the newest first.
 func (m topModel) eventsTable() (heads string, rows []string) {
 	for _, event := range slices.Backward(m.state.events) {
 		rows = append(rows, fmt.Sprintf("%s  %-8s  %s", instant(event.At).Format("15:04:05"), event.Kind, event.Text))
