--- a/routing/admission.go
+++ b/routing/admission.go
@@ -107,25 +107,28 @@
 	return retryUnprocessed
 }
 
-// measureFleetLoad lets the demand of the classes decay by one report round, and averages the load over the fleet.
+// measureFleetLoad decays the demand of the classes by one report round, and averages the load over the fleet.
 // The utilization is weighted by recent attempts, since a host without recent attempts has an old load report.
 func (b *Balancer) measureFleetLoad() fleetLoad {
-	utilization, attempts := 0.0, 0.0
-	latency, arrivalRate := 0.0, minDivisor
+	weightedUtilization := 0.0
+	attempts := 0.0
+	weightedLatency := 0.0
+	arrivalRate := minDivisor
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
 		hostUtilization := host.load.effectiveUtilization()
 		if b.participates(host) && hostUtilization >= 0 {
-			utilization += hostUtilization * host.stats.recentAttempts()
+			weightedUtilization += hostUtilization * host.stats.recentAttempts()
 			attempts += host.stats.recentAttempts()
 		}
-		latency += host.stats.arrivalRate * host.stats.meanLatencyMs
+		weightedLatency += host.stats.arrivalRate * host.stats.meanLatencyMs
 		arrivalRate += host.stats.arrivalRate
 	}
-	objective, demand := 0.0, minDivisor
+	weightedObjective := 0.0
+	demand := minDivisor
 	for class := range b.admission.classDemand {
 		b.admission.classDemand[class] *= windowDecay
-		objective += b.admission.classDemand[class] * b.classes[class].LatencyObjectiveMs
+		weightedObjective += b.admission.classDemand[class] * b.classes[class].LatencyObjectiveMs
 		demand += b.admission.classDemand[class]
 	}
 	if attempts <= 0 {
@@ -133,9 +136,9 @@
 	}
 	return fleetLoad{
 		measured:           true,
-		utilization:        utilization / attempts,
-		meanLatencyMs:      latency / arrivalRate,
-		latencyObjectiveMs: objective / demand,
+		utilization:        weightedUtilization / attempts,
+		meanLatencyMs:      weightedLatency / arrivalRate,
+		latencyObjectiveMs: weightedObjective / demand,
 	}
 }
 
@@ -161,7 +164,7 @@
 // classLoad is the work that a request class causes and the value that it brings.
 type classLoad struct {
 	class int
-	work  float64 // requests times the latency objective, which stands for the unknown work of a request
+	work  float64 // requests times the latency objective, a substitute for the unknown work of a request
 	value float64 // requests times the priority weight
 }
 
@@ -170,7 +173,8 @@
 // to admit the same part of all classes.
 func (b *Balancer) allocateQuotas() {
 	loads := make([]classLoad, len(b.classes))
-	totalWork, totalValue := minDivisor, minDivisor
+	totalWork := minDivisor
+	totalValue := minDivisor
 	for i, class := range b.classes {
 		requests := b.admission.classDemand[i] + 1
 		loads[i] = classLoad{i, requests * class.LatencyObjectiveMs, requests * class.PriorityWeight}
--- a/routing/assignment.go
+++ b/routing/assignment.go
@@ -3,8 +3,8 @@
 import "sort"
 
 const (
-	// tableAssignmentEntries is the number of entries that the assignment of a shared table costs, besides one for
-	// each host.
+	// tableAssignmentEntries is the number of entries that the assignment of a shared table costs, in addition to one
+	// for each host.
 	tableAssignmentEntries = 2
 
 	// reassignmentBudgetSeconds is the update budget, in seconds of the channel's throughput, that must have
--- a/routing/controlchannel.go
+++ b/routing/controlchannel.go
@@ -73,7 +73,7 @@
 	return transitMs > b.limits.DrainGraceMs*assignmentGraceShare
 }
 
-// refillChannel refills the update budget for the time since the last round, and lets the arriving entries decay. The
+// refillChannel refills the update budget for the time since the last round, and decays the arriving entries. The
 // budget is a token bucket, in entries, with a capacity of one second's throughput. It is refilled at the part of the
 // throughput at which the cost of updates stays within updateCostShare.
 func (b *Balancer) refillChannel() {
--- a/routing/healthcheck.go
+++ b/routing/healthcheck.go
@@ -86,7 +86,8 @@
 // healthCheckIntervalMs returns the interval between a host's health checks, such that the health checks of all
 // controllers together cost checkCostShare of the value of the fleet's requests.
 func (b *Balancer) healthCheckIntervalMs() float64 {
-	arrivalRate, readyHosts := minDivisor, 0.0
+	arrivalRate := minDivisor
+	readyHosts := 0.0
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
 		arrivalRate += host.stats.arrivalRate
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// unresponsiveFailures is the number of unanswered health checks in a row that may prove a host unresponsive.
+	// unresponsiveFailures is the number of unanswered health checks in a row after which a host may be unresponsive.
 	unresponsiveFailures = 3
 
 	// unreachableFailures is the same number for a host at whose address nothing listens, and for a
--- a/routing/report.go
+++ b/routing/report.go
@@ -29,8 +29,8 @@
 	// the proxies measured. A lower reported rate is rejected and replaced by this bound.
 	loadReportTrust = 0.5
 
-	// settlingCycles is the number of report cycles, besides the propagation delay, until a new weight shows in
-	// reports.
+	// settlingCycles is the number of report cycles, in addition to the propagation delay, until a new weight shows
+	// in reports.
 	settlingCycles = 2
 
 	// noReportYet is reportTiming.lastAtMs before the first reports.
@@ -49,7 +49,7 @@
 type requestStats struct {
 	pending         requestSums // reported since the last report round
 	window          requestSums // of all report rounds, decaying by windowDecay
-	arrivalRate     float64     // lambda, in attempts a second, from the whole fleet of proxies
+	arrivalRate     float64     // lambda, in attempts a second, from all proxies
 	meanLatencyMs   float64     // R, with the prior of priorSamples
 	recentSuccesses float64     // decaying by recentDecay, counted also during the cooldown after a transfer
 	recentFailures  float64
@@ -124,7 +124,8 @@
 	windowKept := math.Pow(windowDecay, cycles)
 	recentKept := math.Pow(recentDecay, cycles)
 	connectedShare := b.connectedShare()
-	successes, attempts := 1.0, 1.0
+	successes := 1.0
+	attempts := 1.0
 	var latenciesMs []float64
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
--- a/routing/retrystorm.go
+++ b/routing/retrystorm.go
@@ -7,7 +7,7 @@
 	// retry storm.
 	stormFailureRatio = 0.6
 
-	// stormRounds is the number of report rounds in a row that prove a retry storm.
+	// stormRounds is the number of report rounds in a row after which a retry storm is confirmed.
 	stormRounds = 2
 
 	// quiesceSpacing is the number of settling times between the end of one quiescing and the start of the next.
@@ -56,8 +56,8 @@
 	} else {
 		b.retryStorm.rounds++
 	}
-	proven := b.retryStorm.rounds >= stormRounds && b.nowMs >= b.retryStorm.nextQuiesceAtMs
-	if proven && symptoms.keptHost != noQuiesceHost && !b.zoneLocal {
+	confirmed := b.retryStorm.rounds >= stormRounds && b.nowMs >= b.retryStorm.nextQuiesceAtMs
+	if confirmed && symptoms.keptHost != noQuiesceHost && !b.zoneLocal {
 		b.quiesceRetryStorm(writer, symptoms)
 	}
 }
--- a/routing/subsetmode.go
+++ b/routing/subsetmode.go
@@ -10,7 +10,7 @@
 	pressureIdleShare     = 0.4
 	pressureMaxUnanswered = 0.35
 
-	// pressureRoundsNeeded is the number of report rounds in a row that prove connection pressure.
+	// pressureRoundsNeeded is the number of report rounds in a row after which connection pressure is confirmed.
 	pressureRoundsNeeded = 2
 
 	// subsetModeInitialMs is the duration of subset mode. It doubles when the pressure soon returns.
