--- a/client/run_test.go
+++ b/client/run_test.go
@@ -170,7 +170,7 @@
 	receive(t, controller.left)
 }
 
-// A client whose controller fails polls the next one, and offers it the tables so that it goes on with deltas.
+// A client whose controller fails polls the next one, and offers it the tables so that it continues with deltas.
 func TestFailOver(t *testing.T) {
 	first := newFakeController(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("If-None-Match") == "" {
--- a/intake/rate_limiter_test.go
+++ b/intake/rate_limiter_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// runFlood lets a source send 5000 reports a second for 20 s, ahead of 20 others with 20 a second each.
+// runFlood sends 5000 reports a second of one source for 20 s, ahead of those of 20 others with 20 a second each.
 func (l *limiterTest) runFlood(t *testing.T) {
 	t.Helper()
 	for tick := range 200 {
--- a/internal/rules/check_test.go
+++ b/internal/rules/check_test.go
@@ -105,7 +105,8 @@
 	}},
 }
 
-// A controller that breaks an invariant is found by what passes on the sockets, and by that invariant alone.
+// The violation of an invariant by a controller is detected by the traffic on its sockets, and by the check of that
+// invariant alone.
 func TestFaultsAreFound(t *testing.T) {
 	var report strings.Builder
 	for _, c := range faultCases {
--- a/internal/runtimeapi/server_test.go
+++ b/internal/runtimeapi/server_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// show events -w goes on with events as they are published, until the client sends anything.
+// show events -w prints events as they are published, until the client sends anything.
 func TestFollowEvents(t *testing.T) {
 	server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin})
 	conn := server.dial(t)
--- a/operator/simulation_test.go
+++ b/operator/simulation_test.go
@@ -87,7 +87,7 @@
 	s.logf("%s %v weight %g relative %v: %s", command.Host, command.State, command.Weight, command.Relative, outcome)
 }
 
-// advance lets time pass, and logs the commands that are applied as they fall due.
+// advance advances the time, and logs the commands that are applied when they are due.
 func (s *simulation) advance(durationMs float64) {
 	endMs := s.nowMs + durationMs
 	for {
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// settle gives the updater the time and the readings to reach its target.
+// settle advances the time and passes readings until the updater reaches its target.
 func (u *updaterTest) settle() {
 	for range 3 {
 		u.nowMs += 2000
--- a/publisher/socket_owner_test.go
+++ b/publisher/socket_owner_test.go
@@ -9,7 +9,7 @@
 	"barleysail/internal/golden"
 )
 
-// ownerTest lets the owners a and b read and set the mark of one proxy.
+// ownerTest runs the owners a and b on the mark of one proxy.
 type ownerTest struct {
 	mark string
 	a, b *SocketOwner
@@ -31,8 +31,8 @@
 	}
 }
 
-// One of two controllers drives a proxy. The other takes over when it is gone, and if both take over at once one gives
-// up.
+// One of two controllers owns a proxy's socket. The other takes over when it has failed, and if both take over at
+// once one gives up.
 func TestSocketOwner(t *testing.T) {
 	test := &ownerTest{a: NewSocketOwner("A"), b: NewSocketOwner("B")}
 	test.cycleBoth(3)
--- a/routing/controlchannel_test.go
+++ b/routing/controlchannel_test.go
@@ -107,7 +107,7 @@
 func (c *slowChannel) WatchEndpoints()       {}
 func (c *slowChannel) Log(Event)             {}
 
-// run lets time pass from an instant on, and gives the instant after it: the channel sends, and proxies acknowledge.
+// run advances the time from an instant while the channel sends and proxies acknowledge, and returns the new instant.
 func (c *slowChannel) run(fromMs, durationMs float64) float64 {
 	capacity := 0.0 // entries that the channel can still take in this step
 	for nowMs := fromMs; nowMs < fromMs+durationMs; nowMs += channelStepMs {
@@ -122,7 +122,7 @@
 	return fromMs + durationMs
 }
 
-// send takes out of the queue what the channel has the capacity for, and gives the capacity that is left.
+// send removes from the queue the entries for which the channel has capacity, and returns the remaining capacity.
 func (c *slowChannel) send(nowMs, capacity float64) float64 {
 	for len(c.queue) > 0 && c.queue[0].entries <= capacity {
 		message := c.queue[0]
--- a/routing/helper_test.go
+++ b/routing/helper_test.go
@@ -18,8 +18,7 @@
 	reportIntervalMs = 1000
 )
 
-// harness drives one Balancer through small rounds made by hand, and traces what it decides. Health checks are answered
-// by hand, too.
+// harness runs the rounds of one Balancer and traces its decisions. The test answers the health checks itself.
 type harness struct {
 	*Balancer
 	clockMs float64
@@ -121,8 +120,7 @@
 	return b
 }
 
-// newHarness makes a balancer as newBalancer, has it run its first round, and gives it the same snapshot from the
-// source.
+// newHarness creates a balancer by newBalancer, runs its first round, and records the same snapshot from the source.
 func newHarness(s settings, hosts int) *harness {
 	h := &harness{Balancer: s.newBalancer(hosts), clockMs: 1000, quiet: true}
 	h.Round(h.clockMs, h)
@@ -131,7 +129,7 @@
 	return h
 }
 
-// observeReadyHosts records so many ready hosts of weight 1, the even ones in zone 0.
+// observeReadyHosts records the given number of ready hosts of weight 1, the even ones in zone 0.
 func observeReadyHosts(b *Balancer, hosts int) {
 	for host := range hosts {
 		b.ObserveEndpoint(host, host%2, Ready, 1, 0)
@@ -148,7 +146,7 @@
 // healthyReport is that of a host without faults.
 var healthyReport = hostReport{attempts: 10, latencyMs: 200}
 
-// uniformReports gives every host the same report.
+// uniformReports returns the same report for every host.
 func uniformReports(hosts int, report hostReport) map[int]hostReport {
 	reports := map[int]hostReport{}
 	for host := range hosts {
@@ -157,8 +155,8 @@
 	return reports
 }
 
-// run lets time pass in steps; each report interval the hosts get their reports. A host without a report is not heard
-// of. All proxies acknowledge every version at once.
+// run advances the time in steps and records the hosts' reports at each report interval. There is no report of a host
+// that is not in reports. All proxies acknowledge every version at once.
 func (h *harness) run(durationMs float64, reports map[int]hostReport) {
 	for endMs := h.clockMs + durationMs; h.clockMs < endMs; {
 		h.clockMs += stepMs
@@ -179,7 +177,7 @@
 // round makes a round at the present time.
 func (h *harness) round() { h.Round(h.clockMs, h) }
 
-// reportDue tells whether proxies report at the present time.
+// reportDue reports whether proxies report at the current time.
 func (h *harness) reportDue() bool { return int(h.clockMs)%reportIntervalMs == 0 }
 
 // runWithHealthChecks is run, with a result for each health check at the next step.
@@ -194,26 +192,26 @@
 	}
 }
 
-// reportLoad has the proxies report three attempts at a host, and its load, where a report is due.
+// reportLoad records a report of three attempts at a host and of its load, if a report is due.
 func (h *harness) reportLoad(host int, load HostLoad) {
 	if h.reportDue() {
 		h.ObserveHostStats(host, 3, 0, 100, reportIntervalMs, load)
 	}
 }
 
-// answerHealthCheck gives a host's health check a result, where one is in flight.
+// answerHealthCheck records the result of a host's health check, if one is in flight.
 func (h *harness) answerHealthCheck(host int, result HealthCheckResult, load HostLoad) {
 	if h.hosts[host].health.checkInFlight {
 		h.ObserveHealthCheck(host, result, load)
 	}
 }
 
-// allHosts gives every health check the same result.
+// allHosts returns the same result for every health check.
 func allHosts(result HealthCheckResult) func(int) HealthCheckResult {
 	return func(int) HealthCheckResult { return result }
 }
 
-// onlyHost gives one host's health checks a result, and those of all others a healthy answer.
+// onlyHost returns a result for the health checks of one host, and a healthy answer for those of all others.
 func onlyHost(host int, result HealthCheckResult) func(int) HealthCheckResult {
 	return func(checked int) HealthCheckResult {
 		if checked == host {
@@ -223,8 +221,8 @@
 	}
 }
 
-// check compares the trace with the golden file of the test. KEEP=1 writes the golden file anew, to be read before it
-// is committed.
+// check compares the trace with the golden file of the test. KEEP=1 rewrites the golden file; read its diff before
+// you commit it.
 func (h *harness) check(t *testing.T) {
 	t.Helper()
 	checkGolden(t, h.trace.String())
--- a/routing/report_test.go
+++ b/routing/report_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Reports that stop, name unknown hosts or hold nothing leave the tables as they are, and give no odd figures.
+// Reports that stop, name unknown hosts or are empty change no table, and lead to no NaN or infinite figure.
 func TestOddReports(t *testing.T) {
 	h := newHarness(defaultSettings(), 3)
 	reports := uniformReports(3, healthyReport)
