--- a/routing/event.go
+++ b/routing/event.go
@@ -12,13 +12,13 @@
 const (
 	// WatchRetryScheduled: the watch of the endpoint list failed and is retried after a backoff.
 	WatchRetryScheduled EventKind = iota
-	// AdmissionRatioChanged: admission control admits more or less than before.
+	// AdmissionRatioChanged: admission control sheds more or less load than before (adjustAdmission).
 	AdmissionRatioChanged
 	// RetryStormQuiesced: nearly all proxies are kept from sending, so that queues empty.
 	RetryStormQuiesced
-	// HostEjected: a host was found to be an outlier and gets no traffic.
+	// HostEjected: a host is an outlier and gets no traffic (detectOutliers has the reasons).
 	HostEjected
-	// HostRecovering: an ejected host returns on the recovery ramp, or warms up where it was unreachable.
+	// HostRecovering: an ejected host returns on the recovery ramp, or warms up if it was unreachable.
 	HostRecovering
 	// SubsetModeEntered: each proxy gets a subset of the hosts.
 	SubsetModeEntered
--- a/routing/weight.go
+++ b/routing/weight.go
@@ -22,9 +22,10 @@
 	idleUtilization = 0.6
 )
 
-// targetWeight returns the weight that the published tables should hold of a host, 0 for none. emptyTable says that
-// its table would otherwise hold no warm host: ejections are then ignored, since a proxy must not be left without
-// hosts.
+// targetWeight returns the weight that the published tables should hold of a host, 0 for none. A host that is warming
+// up gets its weight times slowStartFactor and slowStartCaution, and none while slowStartState.allowed is false.
+// emptyTable says that its table would otherwise hold no warm host: ejections are then ignored, since a proxy must
+// not be left without hosts.
 func (b *Balancer) targetWeight(host *hostRecord, emptyTable bool) float64 {
 	if host.endpoint.state != Ready || host.outlier.ejected && !emptyTable {
 		return 0
