--- a/client/tables.go
+++ b/client/tables.go
@@ -15,7 +15,7 @@
 type Table struct {
 	Hosts   []Host  // with a weight above 0, sorted by address
 	Ordered bool    // the controller has sent the hosts, even if there are none
-	Share   float64 // part of the requests to admit; 1 or more: all
+	Share   float64 // fraction of the requests to admit; 1 or more: all
 	Tries   int     // retries. 0: none; 1: one, after NeverRan; 2, 3: one, two after any failure
 }
 
--- a/cmd/barleysail/compare_output.go
+++ b/cmd/barleysail/compare_output.go
@@ -85,7 +85,7 @@
 		r.Comparison.Messages[0], r.Comparison.Messages[1], one.MeanGap(), other.MeanGap())
 }
 
-// percentage returns a part of a total in percent, 0 for a total of 0.
+// percentage returns a fraction of a total in percent, 0 for a total of 0.
 func percentage(part, total int) float64 { return 100 * float64(part) / math.Max(float64(total), 1) }
 
 // printInvariants prints the margins of the invariants in both replays.
--- a/cmd/barleysail/solve_output.go
+++ b/cmd/barleysail/solve_output.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// printLoads prints the capacity of each group's hosts, the part in use, and the gain of a further core.
+// printLoads prints the capacity of each group's hosts, the fraction in use, and the gain of a further core.
 func printLoads(columns *printer, problem *solver.Problem, solution *solver.Solution, groups []hostGroup) {
 	columns.println("\nhosts\tnumber\tcap, cores\tused of it\ta core more earns a second")
 	for _, group := range groups {
--- a/cmd/barleysail/top_view.go
+++ b/cmd/barleysail/top_view.go
@@ -104,7 +104,7 @@
 		host.Weight, host.Why.ArrivalRate, host.Why.Capacity, bar, 100*load, override)
 }
 
-// hostLoad returns a host's arrival rate as a part of its capacity, or 0 for an unknown capacity.
+// hostLoad returns a host's arrival rate as a fraction of its capacity, or 0 for an unknown capacity.
 func hostLoad(host controller.HostInfo) float64 {
 	if host.Why.Capacity <= 0 {
 		return 0
--- a/intake/consistency.go
+++ b/intake/consistency.go
@@ -10,9 +10,9 @@
 const (
 	minObservationMs     = 3000.0 // observation of a host before its reports are compared with its attempts
 	minSuccesses         = 20.0   // decayed number of successful attempts before that, too
-	minRateRatio         = 0.8    // a reported rate below this part of the observed one is inconsistent
+	minRateRatio         = 0.8    // a reported rate below this fraction of the observed one is inconsistent
 	rateTolerance        = 1      // tolerance of that, in requests per second
-	minUtilizationRatio  = 0.5    // a reported utilization below this part of the observed one is inconsistent
+	minUtilizationRatio  = 0.5    // a reported utilization below this fraction of the observed one is inconsistent
 	utilizationTolerance = 0.1    // tolerance of that
 	idleUtilization      = 0.5    // a host that reports less utilization than this, and an empty queue, is idle
 	maxIdleLatencyRatio  = 2.5    // multiple of the fleet's mean latency above which an idle host's one is inconsistent
@@ -55,7 +55,7 @@
 	s.updatedMs = nowMs
 }
 
-// ratio returns the reported rate as a part of the observed one, at most 1. It corrects for traffic that falls
+// ratio returns the reported rate as a fraction of the observed one, at most 1. It corrects for traffic that falls
 // everywhere, which hosts report before the observed sums have decayed.
 func (s *rateSums) ratio() float64 { return math.Min(1, s.reported/math.Max(s.observed, minDivisor)) }
 
--- a/intake/host_state.go
+++ b/intake/host_state.go
@@ -44,8 +44,8 @@
 	fullConfidence      = 1
 	distrustThreshold   = 0.5  // confidence below which load reports are distrusted
 	trustThreshold      = 0.75 // confidence above which they are trusted again
-	confidenceRemaining = 0.75 // part of the confidence that remains after an inconsistent report
-	confidenceGain      = 0.1  // part of the missing confidence that a consistent report restores
+	confidenceRemaining = 0.75 // fraction of the confidence that remains after an inconsistent report
+	confidenceGain      = 0.1  // fraction of the missing confidence that a consistent report restores
 	duplicateConfidence = distrustThreshold * 0.9
 )
 
--- a/intake/ingest_pacer.go
+++ b/intake/ingest_pacer.go
@@ -62,7 +62,7 @@
 // LatenessMs returns the moving average of the rounds' lateness, in milliseconds.
 func (p *IngestPacer) LatenessMs() float64 { return p.smoothedLatenessMs }
 
-// Ratio returns the part of the rate limits that must be in force, from 1, halved with each level.
+// Ratio returns the fraction of the rate limits that must be in force, from 1, halved with each level.
 func (p *IngestPacer) Ratio() float64 { return math.Exp2(-float64(p.level)) }
 
 // MaxReports returns the number of reports that a round may ingest, where normalMax is the number at level 0.
--- a/intake/rate_limiter.go
+++ b/intake/rate_limiter.go
@@ -48,7 +48,7 @@
 	ratio       float64                  // of the limits that is in force, at most 1
 	sources     map[string]*list.Element // by name, elements of recent
 	recent      *list.List               // of *source, the most recently seen first
-	shared      *rate.Limiter            // the part of the total rate that is not guaranteed
+	shared      *rate.Limiter            // the fraction of the total rate that is not guaranteed
 	balancedFor int                      // number of sources at the last rebalance
 	rejected    int64                    // requests of sources that exceeded their own limit
 	shed        int64                    // requests beyond the guaranteed and the shared rate
@@ -173,7 +173,7 @@
 	l.shared.SetLimitAt(now, rate.Limit(l.limits.Total*l.ratio*(1-guaranteedFraction)))
 }
 
-// SetRatio puts a part of the limits in force: 1 for the full limits, 0.5 for half of them.
+// SetRatio puts a fraction of the limits in force: 1 for the full limits, 0.5 for half of them.
 func (l *RateLimiter) SetRatio(now time.Time, ratio float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/intake/trust.go
+++ b/intake/trust.go
@@ -20,11 +20,11 @@
 	changes []string // messages that DrainChanges returns next
 }
 
-// Capacity is the configured capacity of a host, and the part of its traffic that this controller observes.
+// Capacity is the configured capacity of a host, and the fraction of its traffic that this controller observes.
 type Capacity struct {
 	Cores      float64 // CPU cores times their speed relative to the reference core; 0: unknown
 	MeanWorkMs float64 // mean CPU time of a request on a core of speed 1; 0: unknown
-	ProxyShare float64 // part of the proxies whose request stats this controller receives
+	ProxyShare float64 // fraction of the proxies whose request stats this controller receives
 }
 
 // isKnown reports whether the utilization caused by a request rate can be computed.
--- a/internal/rules/check.go
+++ b/internal/rules/check.go
@@ -24,7 +24,7 @@
 	Seen   string  // the worst case
 }
 
-// newVerdict returns the verdict for the largest used part of a limit.
+// newVerdict returns the verdict for the largest used fraction of a limit.
 func newVerdict(rule string, used float64, seen string) Verdict {
 	return Verdict{Rule: rule, Kept: used <= 1, Margin: 1 - used, Seen: seen}
 }
--- a/internal/rules/event_log.go
+++ b/internal/rules/event_log.go
@@ -14,8 +14,8 @@
 type Figures struct {
 	Bare         float64         // ms for which a connected proxy may have no host for a class
 	Grace        float64         // drain grace: ms after which a draining or removed host must get no request
-	ColdFrom     float64         // part of its capacity that a host has at its start
-	Cold         float64         // length of the slow start in ms, in which that part grows to 1
+	ColdFrom     float64         // fraction of its capacity that a host has at its start
+	Cold         float64         // length of the slow start in ms, in which that fraction grows to 1
 	Multiple     float64         // load, as a multiple of its capacity, at which a host in slow start collapses
 	Fall         float64         // ms of that load after which it collapses
 	LinesPerS    float64         // throughput of a controller's control channel, in table entries a second
--- a/internal/rules/slow_start.go
+++ b/internal/rules/slow_start.go
@@ -34,12 +34,12 @@
 	return listIndex == 0 || j.lists[listIndex-1].hosts[host].Started != state.Started
 }
 
-// slowStartLoad returns the largest part of its collapse load that a host got during its slow start.
+// slowStartLoad returns the largest fraction of its collapse load that a host got during its slow start.
 func (j *Journal) slowStartLoad(figures Figures, host string, startMs, noticeMs float64) (maxPart float64) {
 	requests := j.requestsDuring(host, startMs, startMs+figures.Cold)
 	first := 0 // first request of the sliding window
 	sum := 0.0
-	informed := 0.0 // part of the sum from proxies that could know of the start
+	informed := 0.0 // work in ms, of the sum, from proxies that could know of the start
 	for i, r := range requests {
 		sum += r.workMs
 		if j.isInformed(figures, r, noticeMs) {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -50,7 +50,7 @@
 		Probe float64 // cost of a health check
 	}
 	Rules struct {
-		ColdFrom            *float64 // part of its capacity that a host has at its start
+		ColdFrom            *float64 // fraction of its capacity that a host has at its start
 		ColdUs              *float64 // length of the slow start
 		StopSendingWithinUs *float64 // drain grace
 		FallMultiple        *float64 // load, as a multiple of its capacity, at which a host in slow start collapses
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -18,13 +18,13 @@
 	// overloadSuccessRatio is the fleet's success ratio below which a high utilization is an overload.
 	overloadSuccessRatio = 0.93
 
-	// overloadLatencyShare is the part of the latency objective that the mean latency exceeds in an overload.
+	// overloadLatencyShare is the fraction of the latency objective that the mean latency exceeds in an overload.
 	overloadLatencyShare = 0.4
 
 	// improvedSuccessRatio is the rise of the success ratio that shows that the last step down still works.
 	improvedSuccessRatio = 0.05
 
-	// minAdmissionRatio is the part of the requests of any class that is always admitted.
+	// minAdmissionRatio is the fraction of the requests of any class that is always admitted.
 	minAdmissionRatio = 0.1
 
 	// Bounds of the factor of one step down and of one step up.
@@ -36,11 +36,11 @@
 
 // admissionState is the state of admission control.
 type admissionState struct {
-	ratio                float64   // the part of all requests to admit
+	ratio                float64   // the fraction of all requests to admit
 	cooldownUntilMs      float64   // the ratio stays until then
 	previousSuccessRatio float64   // the fleet's success ratio when the ratio was last looked at
 	classDemand          []float64 // requests received, by class, decaying by windowDecay
-	quotas               []float64 // the part of each class's requests to admit
+	quotas               []float64 // the fraction of each class's requests to admit
 	publishedQuotas      []float64
 	retryPolicy          int // as in UpdateWriter.SetAdmission
 	publishedRetryPolicy int
@@ -170,7 +170,7 @@
 
 // allocateQuotas sets each class's admission quota by the admission ratio. Load is shed from the class with the least
 // priority weight for its work first, unless the objective counts the worst-served class so much that it costs less
-// to admit the same part of all classes.
+// to admit the same fraction of all classes.
 func (b *Balancer) allocateQuotas() {
 	loads := make([]classLoad, len(b.classes))
 	totalWork := minDivisor
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -3,7 +3,7 @@
 // roundIntervalMs is the time between rounds of periodic work.
 const roundIntervalMs = 200.0
 
-// reportRoundSlack is the part of the report interval after which a report round may follow the last one: reports
+// reportRoundSlack is the fraction of the report interval after which a report round may follow the last one: reports
 // that arrive a little early must not wait for another round.
 const reportRoundSlack = 0.9
 
@@ -100,7 +100,8 @@
 // isFirstRound reports whether no earlier round has scheduled the timer.
 func (b *Balancer) isFirstRound() bool { return b.nextRoundAtMs == noRoundYet }
 
-// connectedShare returns the part of all proxies that are connected to this instance; at least one is assumed to be.
+// connectedShare returns the fraction of all proxies that are connected to this instance; at least one is assumed to
+// be.
 func (b *Balancer) connectedShare() float64 {
 	return float64(max(b.connectedProxies, 1)) / float64(b.deployment.Proxies)
 }
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// missProbability is eps of the capacity formula: the part of the requests that may miss the deadline d.
+	// missProbability is eps of the capacity formula: the fraction of the requests that may miss the deadline d.
 	missProbability = 0.05
 
 	// deadlineMedians is d of the capacity formula as a multiple of the fleet's median latency. At
@@ -11,7 +11,7 @@
 	// multiple gives each host a little.
 	deadlineMedians = 3.2
 
-	// minCapacityRatio is the part of the service rate below which the capacity never falls.
+	// minCapacityRatio is the fraction of the service rate below which the capacity never falls.
 	minCapacityRatio = 0.5
 )
 
@@ -21,7 +21,7 @@
 }
 
 // latencyMargin returns K = |ln eps / d|, in requests a second: an M/M/1 queue whose arrival rate stays K below its
-// service rate answers all but the part eps of the requests within d.
+// service rate answers all but the fraction eps of the requests within d.
 func latencyMargin(medianLatencyMs float64) float64 {
 	return math.Abs(math.Log(missProbability) / (deadlineMedians * medianLatencyMs) * msPerSecond)
 }
--- a/routing/config.go
+++ b/routing/config.go
@@ -15,7 +15,7 @@
 	MessageOverhead    float64 // fixed cost of a message, in entries
 	MaxBacklog         float64 // entries that may be queued in the channel
 	PropagationDelayMs float64 // mean time from sending a message until a proxy applies it
-	Cost               float64 // part of the objective lost while the channel runs at its maximum throughput
+	Cost               float64 // fraction of the objective lost while the channel runs at its maximum throughput
 	MaxMessages        int     // messages to one proxy within MessageWindowMs; 0: no limit
 	MessageWindowMs    float64
 }
@@ -24,7 +24,7 @@
 type SafetyLimits struct {
 	EmptyTableMs           float64 // the longest time for which a proxy's table may hold no host
 	DrainGraceMs           float64 // the time after which a host known as draining or removed must get no request
-	SlowStartInitialFactor float64 // the part of its capacity that a host has when it starts
+	SlowStartInitialFactor float64 // the fraction of its capacity that a host has when it starts
 	SlowStartMs            float64 // the time from the start until the host is warm
 	CollapseMultiple       float64 // load, as a multiple of its capacity, at which a host that is warming up collapses
 }
@@ -34,7 +34,7 @@
 type Objective struct {
 	TotalWeight      float64 // of all requests that meet their objectives, by priority weight
 	WorstClassWeight float64 // of the worst-served class
-	HealthCheckCost  float64 // cost of one health check, as a part of the value of one request
+	HealthCheckCost  float64 // cost of one health check, as a fraction of the value of one request
 }
 
 // Deployment describes the environment of a controller instance.
--- a/routing/controlchannel.go
+++ b/routing/controlchannel.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// assumedThroughputRatio is the part of its maximum throughput at which the channel is assumed to run.
+	// assumedThroughputRatio is the fraction of its maximum throughput at which the channel is assumed to run.
 	assumedThroughputRatio = 0.5
 
-	// minThroughputRatio is the part of its maximum throughput that the channel is assumed to reach at least. A
+	// minThroughputRatio is the fraction of its maximum throughput that the channel is assumed to reach at least. A
 	// message that stays unacknowledged for longer than that allows has left the channel nevertheless.
 	minThroughputRatio = 0.1
 
-	// assignmentGraceShare is the part of the drain grace within which proxies that have connected must have a table
-	// from this instance, since an old one may hold drained hosts.
+	// assignmentGraceShare is the fraction of the drain grace within which proxies that have connected must have a
+	// table from this instance, since an old one may hold drained hosts.
 	assignmentGraceShare = 0.3
 
-	// updateCostShare is the part of the deployment's result that the cost of weight updates may consume.
+	// updateCostShare is the fraction of the deployment's result that the cost of weight updates may consume.
 	updateCostShare = 0.03
 
 	// reservedMessages is the number of messages to each proxy that stay in reserve within the message window.
@@ -55,7 +55,7 @@
 }
 
 // allowsMessage reports whether a proxy that was sent the given number of messages within the message window may be
-// sent one more and still have one in reserve, within the part fill of MaxMessages.
+// sent one more and still have one in reserve, within the fraction fill of MaxMessages.
 func (c ControlChannel) allowsMessage(sent int, fill float64) bool {
 	return c.MaxMessages == 0 || float64(sent+1+reservedMessages) <= fill*float64(c.MaxMessages)
 }
@@ -74,8 +74,8 @@
 }
 
 // refillChannel refills the update budget for the time since the last round, and decays the arriving entries. The
-// budget is a token bucket, in entries, with a capacity of one second's throughput. It is refilled at the part of the
-// throughput at which the cost of updates stays within updateCostShare.
+// budget is a token bucket, in entries, with a capacity of one second's throughput. It is refilled at the fraction of
+// the throughput at which the cost of updates stays within updateCostShare.
 func (b *Balancer) refillChannel() {
 	channel := &b.channel
 	passedMs := b.nowMs - b.publishing.lastAtMs
--- a/routing/discovery.go
+++ b/routing/discovery.go
@@ -10,7 +10,7 @@
 	// watchBackoffFactor is the growth of the backoff after each failure in a row.
 	watchBackoffFactor = 2
 
-	// watchJitterMin is the smallest part of the backoff that a watch retry waits; jitter adds up to the whole
+	// watchJitterMin is the smallest fraction of the backoff that a watch retry waits; jitter adds up to the whole
 	// backoff, so that controllers do not retry in step.
 	watchJitterMin = 0.5
 
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -10,7 +10,7 @@
 // The package does no I/O, reads no clock and draws random numbers only from its own seeded source, so that the same
 // inputs give the same decisions. It never reads a name or an address of a host. Instants and durations are float64
 // milliseconds and end in Ms; instants count from the caller's epoch. Rates are in requests or attempts a second. A
-// share, ratio, factor or part is a number from 0 to 1 unless its comment says otherwise.
+// share, ratio, factor or fraction is a number from 0 to 1 unless its comment says otherwise.
 //
 // Weights follow "Deadline Guaranteed Service for Multi-Tenant Cloud Storage" (sections 3 and 4.3): a host is
 // modelled as an M/M/1 queue, its arrival rate is bounded so that requests meet a deadline with a set probability,
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -25,8 +25,8 @@
 	LatencyMargin   float64 `json:"K"`      // what the capacity leaves of the service rate
 	Capacity        float64 `json:"Cap"`    // mu - K; the headroom is Capacity - ArrivalRate
 
-	SlowStartFactor float64 `json:"Warmth"`  // part of its capacity that it has after its start
-	RecoveryFactor  float64 `json:"Trial"`   // part of its weight on the recovery ramp after an ejection
+	SlowStartFactor float64 `json:"Warmth"`  // fraction of its capacity that it has after its start
+	RecoveryFactor  float64 `json:"Trial"`   // fraction of its weight on the recovery ramp after an ejection
 	CooldownUntilMs float64 `json:"Hold"`    // no weight transfer before
 	StartedMs       float64 `json:"Started"` // -1: not seen to start
 
@@ -86,7 +86,7 @@
 	e.LatencyMargin = math.Min(e.ServiceRate-e.Capacity, e.ServiceRate)
 }
 
-// HostStatus reports whether a host is ready and not ejected, and returns its slow-start factor: the part of its
+// HostStatus reports whether a host is ready and not ejected, and returns its slow-start factor: the fraction of its
 // capacity, from 0 to 1, that it has since its start.
 func (b *Balancer) HostStatus(host int) (ready bool, slowStartFactor float64) {
 	record := b.discoveredHost(host)
--- a/routing/healthcheck.go
+++ b/routing/healthcheck.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// checkCostShare is the part of the deployment's result that the cost of health checks may take.
+	// checkCostShare is the fraction of the deployment's result that the cost of health checks may take.
 	checkCostShare = 0.003
 
 	// Bounds of the interval between two health checks of a host that answers.
--- a/routing/observation.go
+++ b/routing/observation.go
@@ -29,7 +29,7 @@
 
 // HostLoad is the load that a host reports of itself; a value below 0 was not reported.
 type HostLoad struct {
-	Utilization float64 `json:"Util"`  // the part of its cores that is busy, 0 to 1
+	Utilization float64 `json:"Util"`  // the fraction of its cores that is busy, 0 to 1
 	RequestRate float64 `json:"Rate"`  // requests a second that it receives
 	QueueLength float64 `json:"Queue"` // requests that wait for a core
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -13,17 +13,18 @@
 	// recoveredSuccesses is the number of healthy answers in a row after which an ejected host returns.
 	recoveredSuccesses = 2
 
-	// partitionShare is the part of a zone's hosts that leave health checks unanswered, and of another zone's that
-	// answer them, in a network partition.
+	// partitionShare is the fraction of a zone's hosts that leave health checks unanswered, and of another zone's
+	// that answer them, in a network partition.
 	partitionShare = 0.75
 
 	// minPartitionHosts is the least number of hosts of a zone that can show a network partition.
 	minPartitionHosts = 2
 
-	// minServingShare is the part of the fleet's base weight that must not be ejected, whatever health checks show.
+	// minServingShare is the fraction of the fleet's base weight that must not be ejected, whatever health checks
+	// show.
 	minServingShare = 0.34
 
-	// maxSuspectShare is the part of the hosts for which suspicion counts in full.
+	// maxSuspectShare is the fraction of the hosts for which suspicion counts in full.
 	maxSuspectShare = 0.25
 
 	// suspectsPerHosts limits the unresponsive hosts to one for each suspectsPerHosts hosts: more unresponsive hosts
@@ -34,11 +35,11 @@
 	// a host.
 	minFleetSuccessRatio = 0.5
 
-	// silentCycleShare is the part of the report cycle that must pass without a success before a host may count as
-	// unresponsive.
+	// silentCycleShare is the fraction of the report cycle that must pass without a success before a host may count
+	// as unresponsive.
 	silentCycleShare = 0.7
 
-	// recoveryInitialFactor is the part of its weight with which a host returns. It doubles each recoveryStepMs.
+	// recoveryInitialFactor is the fraction of its weight with which a host returns. It doubles each recoveryStepMs.
 	recoveryInitialFactor = 0.4
 	recoveryStepMs        = 1000.0
 )
@@ -168,8 +169,8 @@
 	return false
 }
 
-// ejectHost ejects a host: its target weight is 0 until recoverHost. remainingRatio is the part of the fleet's base
-// weight that stays in service.
+// ejectHost ejects a host: its target weight is 0 until recoverHost. remainingRatio is the fraction of the fleet's
+// base weight that stays in service.
 func (b *Balancer) ejectHost(writer UpdateWriter, index int, remainingRatio float64) {
 	host := &b.hosts[index]
 	host.outlier.ejected = true
@@ -210,7 +211,8 @@
 	writer.Log(Event{HostRecovering, index, nil})
 }
 
-// recoveryFactor returns the part of its weight that a host gets on the recovery ramp, 1 where it is not on the ramp.
+// recoveryFactor returns the fraction of its weight that a host gets on the recovery ramp, 1 where it is not on the
+// ramp.
 func (b *Balancer) recoveryFactor(host *hostRecord) float64 {
 	if !host.outlier.recovering {
 		return 1
--- a/routing/publish.go
+++ b/routing/publish.go
@@ -44,9 +44,9 @@
 // publish writes the updates for which the control channel has capacity, in this order: removals; updates that
 // protect hosts that are warming up or ejected; admission quotas; table assignments; and ordinary weights, the
 // largest changes first. Weights wait while the channel's backlog is too large (updateBatch.fits), while the update
-// budget is used up or the backlog exceeds its part of the drain grace (publishWeights), and until most proxies have
-// acknowledged the last weights (rolloutAcknowledged). Each kind of update may fill only a part of the channel's
-// limits; what does not fit waits for a later round.
+// budget is used up or the backlog exceeds its fraction of the drain grace (publishWeights), and until most proxies
+// have acknowledged the last weights (rolloutAcknowledged). Each kind of update may fill only a fraction of the
+// channel's limits; what does not fit waits for a later round.
 func (b *Balancer) publish(writer UpdateWriter) {
 	b.refillChannel()
 	b.publishing.tables = grow(b.publishing.tables, b.deployment.Zones+1, sharedTableState{})
--- a/routing/publishurgent.go
+++ b/routing/publishurgent.go
@@ -20,7 +20,7 @@
 	ordinaryUrgency
 )
 
-// urgencyFill is the part of the channel's limits that updates of each urgency may fill.
+// urgencyFill is the fraction of the channel's limits that updates of each urgency may fill.
 var urgencyFill = [...]float64{
 	removalUrgency:   removalFill,
 	slowStartUrgency: removalFill,
--- a/routing/publishweights.go
+++ b/routing/publishweights.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// ackQuorum is the part of the proxies that must have acknowledged the last weights before the next are published.
+	// ackQuorum is the fraction of the proxies that must have acknowledged the last weights before the next are
+	// published.
 	ackQuorum = 0.8
 
 	// ackTimeoutMs is the time after which the next weights are published whatever was acknowledged.
 	ackTimeoutMs = 2000.0
 
-	// weightGraceShare is the part of the drain grace within which the channel must be able to send its backlog, or
-	// no weights are added to it: a host that begins to drain next must still be removed from the tables in time.
+	// weightGraceShare is the fraction of the drain grace within which the channel must be able to send its backlog,
+	// or no weights are added to it: a host that begins to drain next must still be removed from the tables in time.
 	weightGraceShare = 0.4
 )
 
--- a/routing/rebalance.go
+++ b/routing/rebalance.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// minWeightRatio is the part of its base weight that a host keeps at least, so that its latency can still be
+	// minWeightRatio is the fraction of its base weight that a host keeps at least, so that its latency can still be
 	// measured.
 	minWeightRatio = 0.1
 
-	// relaxRatio is the part of the difference to its base weight by which a host's weight relaxes in each report
+	// relaxRatio is the fraction of the difference to its base weight by which a host's weight relaxes in each report
 	// round.
 	relaxRatio = 0.05
 
--- a/routing/report.go
+++ b/routing/report.go
@@ -25,8 +25,8 @@
 	// higher one. A lower one replaces it at once.
 	successRatioSmoothing = 0.5
 
-	// loadReportTrust is the least credible request rate in a host's load report, as a part of the arrival rate that
-	// the proxies measured. A lower reported rate is rejected and replaced by this bound.
+	// loadReportTrust is the least credible request rate in a host's load report, as a fraction of the arrival rate
+	// that the proxies measured. A lower reported rate is rejected and replaced by this bound.
 	loadReportTrust = 0.5
 
 	// settlingCycles is the number of report cycles, in addition to the propagation delay, until a new weight shows
--- a/routing/retrystorm.go
+++ b/routing/retrystorm.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// stormFailureRatio is the least part of the hosts that fail, and of the attempts that fail at each of them, in a
-	// retry storm.
+	// stormFailureRatio is the least fraction of the hosts that fail, and of the attempts that fail at each of them,
+	// in a retry storm.
 	stormFailureRatio = 0.6
 
 	// stormRounds is the number of report rounds in a row after which a retry storm is confirmed.
@@ -13,7 +13,8 @@
 	// quiesceSpacing is the number of settling times between the end of one quiescing and the start of the next.
 	quiesceSpacing = 2
 
-	// maxQuiesceShare is the part of SafetyLimits.EmptyTableMs that quiescing may take, without the propagation delay.
+	// maxQuiesceShare is the fraction of SafetyLimits.EmptyTableMs that quiescing may take, without the propagation
+	// delay.
 	maxQuiesceShare = 0.5
 
 	// retrySuccessRatio is the fleet's success ratio from which retries are allowed where proxies ignore admission
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -7,8 +7,8 @@
 	// must be able to take together before they get traffic in a fleet without a warm host.
 	slowStartOnlyMargin = 2.0
 
-	// slowStartBudgetShare is the part of the load at which a host that is warming up collapses that it may get: the
-	// host may be half as fast as its base weight suggests.
+	// slowStartBudgetShare is the fraction of the load at which a host that is warming up collapses that it may get:
+	// the host may be half as fast as its base weight suggests.
 	slowStartBudgetShare = 0.25
 
 	// maxEjectProbability is the probability of ProxyEjectAfter failures in a row above which hosts that are warming
@@ -16,15 +16,15 @@
 	// send all requests to the one that has just started.
 	maxEjectProbability = 0.1
 
-	// slowStartCutRatio is the part of its published weight below which the target weight of a host that is warming
-	// up is published as urgently as a removal.
+	// slowStartCutRatio is the fraction of its published weight below which the target weight of a host that is
+	// warming up is published as urgently as a removal.
 	slowStartCutRatio = 0.6
 )
 
 // slowStartState limits the traffic of hosts that are warming up.
 type slowStartState struct {
 	allowed bool    // hosts that are warming up may get traffic at all
-	share   float64 // published weight of the warm hosts, as a part of the current capacity of all ready hosts
+	share   float64 // published weight of the warm hosts, as a fraction of the current capacity of all ready hosts
 }
 
 // warmCapacity holds the fleet's capacity, in units of weight.
@@ -35,7 +35,7 @@
 	anyWarm   bool    // some ready host is warm
 }
 
-// slowStartFactor returns the part of its capacity that a host surely has after its start. It rises linearly from
+// slowStartFactor returns the fraction of its capacity that a host surely has after its start. It rises linearly from
 // SlowStartInitialFactor to 1, within SlowStartMs of the start.
 func (b *Balancer) slowStartFactor(host *hostRecord) float64 {
 	startedAtMs := host.endpoint.startedAtMs
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -9,7 +9,8 @@
 	// minSubsetSize is the least number of hosts that a proxy's own table should have.
 	minSubsetSize = 4
 
-	// subsetRefillRatio is the part of the weight that matches a proxy's traffic below which its subset is refilled.
+	// subsetRefillRatio is the fraction of the weight that matches a proxy's traffic below which its subset is
+	// refilled.
 	subsetRefillRatio = 0.7
 )
 
--- a/routing/subsetmode.go
+++ b/routing/subsetmode.go
@@ -1,7 +1,7 @@
 package routing
 
 const (
-	// pressureFailureRatio is the part of its attempts that a host fails under connection pressure.
+	// pressureFailureRatio is the fraction of its attempts that a host fails under connection pressure.
 	pressureFailureRatio = 0.15
 
 	// Under connection pressure at least pressureHostShare of the hosts fail, at least pressureIdleShare fail while
--- a/routing/updatebatch.go
+++ b/routing/updatebatch.go
@@ -43,8 +43,8 @@
 }
 
 // fits reports whether the control channel has capacity for one more entry to each of the given number of proxies:
-// the backlog, and the messages to each proxy, stay within the part fill of the channel's limits. All unacknowledged
-// entries together, in transit or not, always stay within removalFill.
+// the backlog, and the messages to each proxy, stay within the fraction fill of the channel's limits. All
+// unacknowledged entries together, in transit or not, always stay within removalFill.
 func (u *updateBatch) fits(proxies int, fill float64) bool {
 	newMessages := min(proxies, u.assigned-u.proxies)
 	backlog := u.backlog + float64(proxies) + float64(newMessages)*u.messageOverhead
--- a/routing/weight.go
+++ b/routing/weight.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// penaltyThreshold is the part of the fleet's success ratio below which a host loses weight for its failures.
+	// penaltyThreshold is the fraction of the fleet's success ratio below which a host loses weight for its failures.
 	penaltyThreshold = 0.8
 
 	// minSuccessPenalty is the least factor for failures: old failures still count for a while after their cause has
--- a/routing/writer.go
+++ b/routing/writer.go
@@ -17,7 +17,7 @@
 	SetWeight(table, host int, weight float64)
 	// AssignTable makes a proxy route by a table. The proxy must be sent all entries of the table.
 	AssignTable(proxy, table, classes int)
-	// SetAdmission sets the part of the requests that proxies admit, and their retry policy.
+	// SetAdmission sets the fraction of the requests that proxies admit, and their retry policy.
 	SetAdmission(table, classes int, quota float64, retryPolicy int)
 	// StampVersion closes the round's updates with a version, which proxies acknowledge.
 	StampVersion(version int)
