--- a/internal/runtimeapi/change.go
+++ b/internal/runtimeapi/change.go
@@ -56,8 +56,9 @@
 	return host, nil
 }
 
-// order passes a command to the controller and returns the answer to the client. A rejection becomes a commandError.
-func (s *session) order(command operator.Command) (string, error) {
+// applyCommand passes a command to the controller and returns the answer to the client. A rejection becomes a
+// commandError.
+func (s *session) applyCommand(command operator.Command) (string, error) {
 	if command.Operator == "" {
 		command.Operator = defaultOperator
 	}
@@ -82,7 +83,7 @@
 		if err != nil {
 			return "", err
 		}
-		return s.order(operator.Command{Host: host.Host, State: state, Weight: keepWeight})
+		return s.applyCommand(operator.Command{Host: host.Host, State: state, Weight: keepWeight})
 	}
 }
 
@@ -107,7 +108,7 @@
 			return "", errDrainArguments
 		}
 	}
-	return s.order(command)
+	return s.applyCommand(command)
 }
 
 func (s *session) getWeight(args []string) (string, error) {
@@ -136,7 +137,7 @@
 		command.KeepState = false
 		command.State = operator.Draining
 	}
-	return s.order(command)
+	return s.applyCommand(command)
 }
 
 func (s *session) setServer(args []string) (string, error) {
@@ -181,7 +182,7 @@
 		return "", err
 	}
 	command := operator.Command{Host: name, State: operator.Maintenance, Weight: keepWeight, Add: added}
-	if _, err := s.order(command); err != nil {
+	if _, err := s.applyCommand(command); err != nil {
 		return "", err
 	}
 	return "New server registered.\n", nil
@@ -218,7 +219,7 @@
 		return "", err
 	}
 	command := operator.Command{Host: host.Host, State: operator.Maintenance, Weight: keepWeight, Remove: true}
-	if _, err := s.order(command); err != nil {
+	if _, err := s.applyCommand(command); err != nil {
 		return "", err
 	}
 	return "Server deleted.\n", nil
--- a/routing/rebalance.go
+++ b/routing/rebalance.go
@@ -25,8 +25,8 @@
 	cooldownUntilMs float64 // no transfer before this instant
 }
 
-// transferParty is a host that takes part in weight transfers. Rates are in requests a second.
-type transferParty struct {
+// transferCandidate is a host that takes part in weight transfers. Rates are in requests a second.
+type transferCandidate struct {
 	host          *hostRecord
 	overload      float64 // arrival rate less capacity; a negative overload is headroom
 	sheddableRate float64 // the rate that the host can transfer and still keep minWeightRatio
@@ -49,19 +49,19 @@
 // sheddable rate} moves from the most overloaded host to the host with the most headroom, hosts of reused in each
 // round, too zone first. Where no host exceeds its capacity all weights relax toward their base weights.
 func (b *Balancer) rebalance() {
-	parties, overloaded, totals := b.transferParties()
+	candidates, overloaded, totals := b.transferCandidates()
 	sort.SliceStable(overloaded, func(i, j int) bool { return overloaded[i].overload > overloaded[j].overload })
 	for _, sender := range overloaded {
-		b.shedWeight(sender, parties, totals)
+		b.shedWeight(sender, candidates, totals)
 	}
 	if len(overloaded) == 0 {
 		b.relaxWeights()
 	}
 }
 
-// transferParties returns the hosts that may send or receive weight now, those of them that must send some, and the
+// transferCandidates returns the hosts that may send or receive weight now, those of them that must send some, and the
 // sums over all hosts that take part.
-func (b *Balancer) transferParties() (parties, overloaded []transferParty, totals fleetTotals) {
+func (b *Balancer) transferCandidates() (candidates, overloaded []transferCandidate, totals fleetTotals) {
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
 		if !b.participates(host) {
@@ -73,46 +73,46 @@
 		if b.nowMs < host.balance.cooldownUntilMs || !measured {
 			continue
 		}
-		party := newTransferParty(host, b.fleet.medianLatencyMs)
-		parties = append(parties, party)
-		if math.Min(party.overload, party.sheddableRate) > minWeightChange*host.stats.arrivalRate {
-			overloaded = append(overloaded, party)
+		candidate := newTransferCandidate(host, b.fleet.medianLatencyMs)
+		candidates = append(candidates, candidate)
+		if math.Min(candidate.overload, candidate.sheddableRate) > minWeightChange*host.stats.arrivalRate {
+			overloaded = append(overloaded, candidate)
 		}
 	}
-	return parties, overloaded, totals
+	return candidates, overloaded, totals
 }
 
-// newTransferParty measures a host's overload. A host with several cores answers fast until nearly all are busy, so
+// newTransferCandidate measures a host's overload. A host with several cores answers fast until nearly all are busy, so
 // its mean latency overstates its headroom: its headroom is limited to what raises its reported utilization to
 // targetUtilization. A load report can only reduce headroom, and never moves weight by itself.
-func newTransferParty(host *hostRecord, medianLatencyMs float64) transferParty {
+func newTransferCandidate(host *hostRecord, medianLatencyMs float64) transferCandidate {
 	rate := host.stats.arrivalRate
-	party := transferParty{
+	candidate := transferCandidate{
 		host:          host,
 		overload:      rate - deadlineCapacity(rate, host.stats.meanLatencyMs, medianLatencyMs),
 		sheddableRate: rate * (1 - minWeightRatio*host.endpoint.baseWeight/host.balance.weight),
 	}
 	if utilization := host.load.effectiveUtilization(); utilization > 0 {
 		headroomByLoad := math.Min(0, rate*(1-targetUtilization/utilization))
-		party.overload = math.Max(party.overload, headroomByLoad)
+		candidate.overload = math.Max(candidate.overload, headroomByLoad)
 	}
-	return party
+	return candidate
 }
 
 // shedWeight transfers weight from one overloaded host to those with headroom. Sender and receiver get a cooldown
 // until the transfer shows in the reports.
-func (b *Balancer) shedWeight(sender transferParty, parties []transferParty, totals fleetTotals) {
+func (b *Balancer) shedWeight(sender transferCandidate, candidates []transferCandidate, totals fleetTotals) {
 	if totals.arrivalRate <= 0 {
 		return
 	}
 	senderZone := sender.host.endpoint.zone
-	sort.SliceStable(parties, func(i, j int) bool {
-		near := parties[i].host.endpoint.zone == senderZone
-		otherNear := parties[j].host.endpoint.zone == senderZone
-		return near && !otherNear || near == otherNear && parties[i].overload < parties[j].overload
+	sort.SliceStable(candidates, func(i, j int) bool {
+		near := candidates[i].host.endpoint.zone == senderZone
+		otherNear := candidates[j].host.endpoint.zone == senderZone
+		return near && !otherNear || near == otherNear && candidates[i].overload < candidates[j].overload
 	})
-	for i := range parties {
-		receiver := &parties[i]
+	for i := range candidates {
+		receiver := &candidates[i]
 		movedRate := math.Min(math.Min(sender.overload, -receiver.overload), sender.sheddableRate)
 		if movedRate <= 0 {
 			continue
--- a/routing/rebalance_test.go
+++ b/routing/rebalance_test.go
@@ -73,12 +73,12 @@
 			host.load.Utilization = test.utilization
 			host.stats.arrivalRate = 10
 			host.stats.meanLatencyMs = 200
-			party := newTransferParty(&host, 250)
-			if math.Abs(party.overload-test.want) > 0.001 {
-				t.Errorf("overload %.4f, not %.4f", party.overload, test.want)
+			candidate := newTransferCandidate(&host, 250)
+			if math.Abs(candidate.overload-test.want) > 0.001 {
+				t.Errorf("overload %.4f, not %.4f", candidate.overload, test.want)
 			}
-			if party.sheddableRate != 9.5 { // all but the part 0.1 of the base weight, out of a weight of 2
-				t.Errorf("sheddable rate %v, not 9.5", party.sheddableRate)
+			if candidate.sheddableRate != 9.5 { // all but the part 0.1 of the base weight, out of a weight of 2
+				t.Errorf("sheddable rate %v, not 9.5", candidate.sheddableRate)
 			}
 		})
 	}
