--- a/auth/rule.go
+++ b/auth/rule.go
@@ -44,6 +44,7 @@
 	return rule, nil
 }
 
+// parseRule parses a rule. Its errors are causes of a RuleError.
 func parseRule(id string, allowed []Action) (Rule, error) {
 	rest, hasScheme := strings.CutPrefix(id, scheme)
 	if !hasScheme {
--- a/client/client.go
+++ b/client/client.go
@@ -137,6 +137,7 @@
 	return nil
 }
 
+// setDefaults replaces zero values by the defaults.
 func setDefaults(o *Options) {
 	setDefault(&o.Wait, defaultWait)
 	setDefault(&o.Period, defaultPeriod)
--- a/client/poll.go
+++ b/client/poll.go
@@ -127,6 +127,7 @@
 // unquoted returns an entity tag without its quotes.
 func unquoted(tag string) string { return strings.Trim(tag, `"`) }
 
+// httpRequest returns the HTTP request of a poll: a GET, or a POST with the offered tables.
 func (c *Client) httpRequest(ctx context.Context, poll *pollRequest) (*http.Request, error) {
 	target := poll.proxyURL + "/tables?zone=" + url.QueryEscape(c.options.Zone)
 	if c.options.Rate > 0 {
--- a/cmd/barleysail/compare_plot.go
+++ b/cmd/barleysail/compare_plot.go
@@ -104,6 +104,7 @@
 	return nil
 }
 
+// newChart returns a chart of lines over time.
 func newChart(title string, lines ...plotLine) (*plot.Plot, error) {
 	chart := plot.New()
 	chart.Title.Text = title
--- a/cmd/barleysail/controller_client.go
+++ b/cmd/barleysail/controller_client.go
@@ -118,6 +118,7 @@
 	return nil
 }
 
+// newHTTPRequest returns the HTTP request of a call, with the body encoded as JSON.
 func (c *controllerClient) newHTTPRequest(ctx context.Context, request apiRequest) (*http.Request, error) {
 	var body io.Reader
 	if request.body != nil {
--- a/cmd/barleysail/describe.go
+++ b/cmd/barleysail/describe.go
@@ -47,6 +47,7 @@
 	return p.flush()
 }
 
+// describeWeight prints the weight of a host and the figures of the capacity formula.
 func describeWeight(p *printer, host controller.HostInfo) {
 	why := host.Why
 	p.printf("weight        %s told to proxies, %s wanted; moves have put it at %s, listed is %s\n",
@@ -63,6 +64,7 @@
 		formatNumber(why.LatencyMargin), formatNumber(why.Capacity), word, formatNumber(headroom))
 }
 
+// describeHealth prints the load report, attempts and health checks of a host, and its slow start and recovery ramp.
 func describeHealth(p *printer, host controller.HostInfo) {
 	why := host.Why
 	p.printf("reported      busy %s, queue %s\n", formatNumber(why.Load.Utilization), formatNumber(why.Load.QueueLength))
--- a/cmd/barleysail/recordings.go
+++ b/cmd/barleysail/recordings.go
@@ -109,6 +109,7 @@
 	}
 }
 
+// checkRecordings prints the condition of recordings, and returns an error if any is damaged.
 func checkRecordings(out io.Writer, names []string) error {
 	damaged := 0
 	p := newPrinter(out)
@@ -127,6 +128,7 @@
 	return p.flush()
 }
 
+// checkRecording prints the condition of one recording.
 func checkRecording(p *printer, name string) (undamaged bool, err error) {
 	recording, err := openRecording(name)
 	if err != nil {
--- a/cmd/barleysail/recordings_show.go
+++ b/cmd/barleysail/recordings_show.go
@@ -23,6 +23,7 @@
 	return cmd
 }
 
+// showRecording prints the summary of a recording, as text or JSON.
 func showRecording(out io.Writer, name string, asJSON bool) error {
 	recording, err := openRecording(name)
 	if err != nil {
@@ -44,6 +45,7 @@
 	return p.flush()
 }
 
+// printSummary prints the summary of a recording as text.
 func printSummary(out io.Writer, summary *replay.Summary) error {
 	p := newPrinter(out)
 	p.printf("from %s, %.1f s, steward %s of version %s\n%d records; at most %d proxies joined and %d hosts listed\n\n",
--- a/cmd/barleysail/scenario.go
+++ b/cmd/barleysail/scenario.go
@@ -41,6 +41,7 @@
 	return cmd
 }
 
+// runScenario runs a fault scenario, and returns errInvariantBroken if an invariant was violated.
 func runScenario(cmd *cobra.Command, script string, flags scenarioFlags) error {
 	ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/cmd/barleysail/state.go
+++ b/cmd/barleysail/state.go
@@ -60,6 +60,7 @@
 	}
 }
 
+// checkState prints the size of a stored state, and returns an error if it is damaged or incomplete.
 func checkState(out io.Writer, path string) error {
 	loaded, err := loadState(path)
 	if err != nil {
--- a/cmd/barleysail/state_show.go
+++ b/cmd/barleysail/state_show.go
@@ -33,6 +33,7 @@
 	return cmd
 }
 
+// showState prints a stored state, and what a controller that starts now would restore of it.
 func showState(out io.Writer, path string, slowStartMs float64) error {
 	loaded, err := loadState(path)
 	if err != nil {
--- a/cmd/barleysail/top_view.go
+++ b/cmd/barleysail/top_view.go
@@ -73,6 +73,7 @@
 	return m.hostsTable()
 }
 
+// hostsTable returns the hosts, sorted by load or by name.
 func (m topModel) hostsTable() (heads string, rows []string) {
 	hosts := slices.Clone(m.state.hosts)
 	if !m.byName {
--- a/cmd/simadapter/controller_instance.go
+++ b/cmd/simadapter/controller_instance.go
@@ -107,6 +107,7 @@
 	startedMs float64 // simulated time of the start of the host's process
 }
 
+// decodeEndpoint returns the endpoint of an entry, or an error for an unknown zone, state or an invalid weight.
 func (c *controllerInstance) decodeEndpoint(record *simwire.Record) (endpoint, error) {
 	entry := endpoint{host: *record.Host, state: routing.HostState(*record.Phase)}
 	if record.Area != nil {
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -28,11 +28,13 @@
 	heapIndex int // in Queue.bySize
 }
 
+// subjectKey identifies the subject of a report.
 type subjectKey struct {
 	subject  string
 	isDemand bool
 }
 
+// queuedReport is a report in the queue.
 type queuedReport struct {
 	Report
 	priority  float64
--- a/internal/rules/drain.go
+++ b/internal/rules/drain.go
@@ -107,6 +107,7 @@
 	return hosts
 }
 
+// hostSpans returns the spans in which a host is in a state on the endpoint lists.
 func (j *Journal) hostSpans(host string, inState func(host Listed, listed bool) bool) []span {
 	var spans []span
 	wasInState := false
--- a/internal/runtimeapi/change.go
+++ b/internal/runtimeapi/change.go
@@ -87,6 +87,8 @@
 	}
 }
 
+// drainServer drains a server. The option wait queues the command where a rule forbids it now, and for ends the drain
+// after a number of seconds.
 func (s *session) drainServer(args []string) (string, error) {
 	host, err := s.findServer(args)
 	if err != nil {
@@ -111,6 +113,7 @@
 	return s.applyCommand(command)
 }
 
+// getWeight returns the published and the listed weight of a server.
 func (s *session) getWeight(args []string) (string, error) {
 	host, err := s.findServer(args)
 	if err != nil {
@@ -140,6 +143,7 @@
 	return s.applyCommand(command)
 }
 
+// setServer sets the state or the weight of a server.
 func (s *session) setServer(args []string) (string, error) {
 	if _, err := s.findServer(args); err != nil {
 		return "", err
@@ -188,6 +192,7 @@
 	return "New server registered.\n", nil
 }
 
+// parseAddedHost parses the options of add server.
 func (s *session) parseAddedHost(args []string) (*operator.AddedHost, error) {
 	added := &operator.AddedHost{Weight: 1, Zone: s.server.controller.Status().Zones[0]}
 	for i := 0; i < len(args); i++ {
--- a/internal/runtimeapi/events.go
+++ b/internal/runtimeapi/events.go
@@ -30,6 +30,8 @@
 	return "", nil
 }
 
+// followEvents writes the events so far and those that follow, until the client sends anything or the connection
+// ends.
 func (s *session) followEvents() {
 	clientDone := s.awaitInput()
 	lastNumber := int64(0)
--- a/internal/runtimeapi/info.go
+++ b/internal/runtimeapi/info.go
@@ -22,6 +22,7 @@
 	return "str"
 }
 
+// infoFields returns the lines of show info.
 func (s *session) infoFields() []infoField {
 	status := s.server.controller.Status()
 	return []infoField{
--- a/internal/runtimeapi/server.go
+++ b/internal/runtimeapi/server.go
@@ -75,6 +75,7 @@
 	MaxConnections int           // served at once, others wait; default 256
 }
 
+// withDefaults returns the configuration with the defaults in place of zero values.
 func (c Config) withDefaults() Config {
 	if c.MaxLineBytes == 0 {
 		c.MaxLineBytes = defaultMaxLineBytes
@@ -157,6 +158,7 @@
 	s.sessions.Done()
 }
 
+// serveConn serves one connection and closes it.
 func (s *Server) serveConn(conn net.Conn) {
 	defer s.unregister(conn)
 	defer closeConn(conn)
--- a/internal/runtimeapi/session.go
+++ b/internal/runtimeapi/session.go
@@ -28,6 +28,7 @@
 	ended       bool // by a command, or because the connection cannot be used any more
 }
 
+// serve runs the lines of the connection until it ends.
 func (s *session) serve() {
 	for !s.ended {
 		s.extendReadDeadline()
--- a/internal/runtimeapi/show.go
+++ b/internal/runtimeapi/show.go
@@ -57,6 +57,7 @@
 	statusMaintenance = "MAINT"
 )
 
+// serverStatus returns the status of a server in show stat.
 func serverStatus(host controller.HostInfo) string {
 	switch {
 	case host.Phase == phaseRemoved:
@@ -105,6 +106,7 @@
 	return args[0]
 }
 
+// showServersState lists the state of each server, in the format of HAProxy's server state file.
 func (s *session) showServersState(args []string) (string, error) {
 	backends, err := s.findBackends(firstArgument(args))
 	if err != nil {
@@ -139,6 +141,7 @@
 const serversConnHeader = "# bkname/svname bkid/svid addr port - purge_delay used_cur used_max need_est unsafe_nb " +
 	"safe_nb idle_lim idle_cur idle_per_thr[1]\n"
 
+// showServersConn lists the requests that are queued or running at each server, as estimated by concurrency.
 func (s *session) showServersConn(args []string) (string, error) {
 	backends, err := s.findBackends(firstArgument(args))
 	if err != nil {
--- a/internal/runtimeapi/stat.go
+++ b/internal/runtimeapi/stat.go
@@ -87,6 +87,7 @@
 	}
 }
 
+// serverRow returns the columns of a server. Those that the controller does not measure are 0.
 func serverRow(backend backend, id int, host controller.HostInfo) haproxy.Row {
 	return haproxy.Row{
 		"pxname":       backend.class,
--- a/internal/statefile/load.go
+++ b/internal/statefile/load.go
@@ -86,6 +86,7 @@
 	}
 }
 
+// applyChanges applies the changes of a log to the state, up to the first damaged one, whose error it returns.
 func (r *LoadResult) applyChanges(log []byte) error {
 	records, err := decodeHeader(log, logFile)
 	if err != nil {
@@ -107,6 +108,7 @@
 	return nil
 }
 
+// readSnapshot reads the snapshot of a generation. It returns an error if the file is damaged or in a newer format.
 func readSnapshot(fsys FS, generation uint64) (*statepb.State, error) {
 	content, err := fsys.ReadFile(fileName(snapshotFile, generation))
 	if err != nil {
--- a/internal/statefile/store.go
+++ b/internal/statefile/store.go
@@ -86,6 +86,7 @@
 	s.saved = nil
 }
 
+// appendChange appends the change since the last save to the log and syncs it.
 func (s *Store) appendChange(current *statepb.State) error {
 	change := state.Diff(s.saved, current)
 	if change == nil {
@@ -140,6 +141,7 @@
 	return s.removeOldGenerations()
 }
 
+// beginLog creates the empty log of the current generation and syncs it.
 func (s *Store) beginLog() error {
 	log, err := s.fsys.Create(fileName(logFile, s.generation))
 	if err != nil {
