--- a/routing/admission.go
+++ b/routing/admission.go
@@ -73,9 +73,10 @@
 }
 
 // adjustAdmission sets the admission ratio, and so decides when load is shed. Only measured overload lowers it: a
-// high utilization, with failed attempts or a mean latency that uses up the latency objective. The size of a step
-// down depends on the success ratio, that of a step up on the idle cores. While less than all is admitted, nothing is
-// retried.
+// utilization above overloadUtilization, together with a success ratio below overloadSuccessRatio or a mean latency
+// above overloadLatencyShare of the latency objective. allocateQuotas decides which request class is shed first. The
+// size of a step down depends on the success ratio, that of a step up on the idle cores. While less than all is
+// admitted, nothing is retried.
 func (b *Balancer) adjustAdmission(writer UpdateWriter) {
 	load := b.measureFleetLoad()
 	if !load.measured || b.nowMs < b.admission.cooldownUntilMs {
--- a/routing/controlchannel.go
+++ b/routing/controlchannel.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// The parts of the control channel's limits up to which each kind of update may fill it, most urgent first.
+// The fractions of the control channel's limits up to which each kind of update may fill it, most urgent first.
 const (
 	removalFill    = 0.95 // removals of draining and removed hosts, and cuts of hosts that have just started
 	protectiveFill = 0.55 // ejections, what protects hosts that are warming up, subset tables, admission quotas
@@ -41,8 +41,9 @@
 	arriving       float64 // entries acknowledged within the last propagation delay, decaying
 }
 
-// inChannel returns the number of entries that take up the channel. The entries acknowledged within the last
-// propagation delay estimate how many are in transit to the proxies now: these have left the channel's queue.
+// inChannel returns the number of entries in the channel's queue. Of the unacknowledged entries some have already
+// left the queue and are in transit to the proxies; their number is estimated by the entries acknowledged within the
+// last propagation delay.
 func (c controlBacklog) inChannel() float64 {
 	return math.Max(0, c.unacknowledged-c.arriving)
 }
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -71,10 +71,10 @@
 // detectOutliers ejects hosts that serve nothing, and returns ejected hosts to service. A host is ejected (isOutlier)
 // where nothing listens at its address, or where health checks time out while no attempt succeeds, at this host alone
 // or at nearly all hosts of its zone. An overloaded host must not be ejected: where many hosts are unresponsive, or
-// most attempts of the fleet fail, a timed out health check is no evidence. At least minServingShare of the base
-// weight stays in service for the connected proxies. An ejected host returns (mayRecover) on the recovery ramp after
-// recoveredSuccesses healthy answers in a row, or once a proxy of its zone connects, unless nothing listened at its
-// address.
+// most attempts of the fleet fail, timed out health checks of a single host are no evidence. At least minServingShare
+// of the base weight, times the fraction of all proxies that are connected, stays in service. An ejected host returns
+// (mayRecover) on the recovery ramp after recoveredSuccesses healthy answers in a row, or once a proxy of its zone
+// connects, unless nothing listened at its address.
 func (b *Balancer) detectOutliers(writer UpdateWriter) {
 	fleet := b.measureFleetHealth()
 	b.updateSuspicionScale(&fleet)
--- a/routing/publish.go
+++ b/routing/publish.go
@@ -37,7 +37,7 @@
 	assignments   assignmentCounts
 	tables        []sharedTableState // by table number
 	urgentDue     bool               // urgent updates have been collected for urgentGatherMs
-	urgentPending bool               // a removal or slow start was left unwritten in this round
+	urgentPending bool               // a removal or slow-start cut does not fit this round
 	ordinary      []weightUpdate     // updates to write after the urgent ones
 }
 
