--- a/client/tables.go
+++ b/client/tables.go
@@ -22,7 +22,7 @@
 // Host is an entry of a Table.
 type Host struct {
 	Address string
-	Weight  float64
+	Weight  float64 // relative to the other hosts of the table
 }
 
 // appliedTables are the tables by which the proxy routes, with the document that they were decoded from.
--- a/cmd/barleysail/node.go
+++ b/cmd/barleysail/node.go
@@ -17,7 +17,8 @@
 const (
 	nodeConfigEnv = "EDGE_CONFIG" // environment variable with the path of the node's configuration file
 
-	// A configuration file that is being replaced may be incomplete when it is read, so that reading is retried.
+	// reloadAttempts and reloadBackoff bound the attempts to read a configuration file, which may be incomplete while it
+	// is being replaced.
 	reloadAttempts = 10
 	reloadBackoff  = 50 * time.Millisecond // between two attempts
 )
--- a/guard/finding.go
+++ b/guard/finding.go
@@ -6,7 +6,7 @@
 type Finding struct {
 	Check   string  `json:"check"` // one of the names of the checks
 	Subject string  `json:"on"`    // the demand or host, by name
-	Value   float64 `json:"is"`
+	Value   float64 `json:"is"`    // the measured value, in the unit of the check
 	Limit   float64 `json:"limit"` // the limit that the value breaks
 }
 
--- a/intake/latency.go
+++ b/intake/latency.go
@@ -92,10 +92,10 @@
 // LatencyReport is the summary of a latency distribution in the status API, in milliseconds.
 type LatencyReport struct {
 	Count int64   `json:"count"` // attempts
-	P50   float64 `json:"p50"`
-	P95   float64 `json:"p95"`
-	P99   float64 `json:"p99"`
-	Dev   float64 `json:"dev"` // standard deviation
+	P50   float64 `json:"p50"`   // median
+	P95   float64 `json:"p95"`   // 95th percentile
+	P99   float64 `json:"p99"`   // 99th percentile
+	Dev   float64 `json:"dev"`   // standard deviation
 }
 
 // Report returns the summary of the attempts in the current and the previous window.
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -62,8 +62,8 @@
 		WorstWindow float64 // weight of the worst-served time window
 	}
 	Services []Service // request classes
-	StepUs   float64
-	Zone     string // of this instance
+	StepUs   float64   // time for which the platform gathers events before a round; 0: its default
+	Zone     string    // of this instance
 }
 
 // Values of text settings.
--- a/operator/command.go
+++ b/operator/command.go
@@ -58,7 +58,7 @@
 // AddedHost describes a host that an operator added to the endpoint list.
 type AddedHost struct {
 	Zone      string
-	Weight    float64
+	Weight    float64 // listed weight; 0: none given
 	Cores     float64 // CPU cores; 0: unknown
 	Speed     float64 // of a core, relative to the reference core
 	StartedMs float64 // start of the current incarnation, for its slow start
--- a/operator/override.go
+++ b/operator/override.go
@@ -7,8 +7,8 @@
 	WeightRatio float64    // multiplies the listed weight; 0: no relative weight is set
 	Added       *AddedHost // the host itself, if an operator added it
 	Operator    string     // name of the operator who set it
-	SetAtMs     float64
-	ExpiresMs   float64 // 0: never
+	SetAtMs     float64    // instant of the last change
+	ExpiresMs   float64    // 0: never
 }
 
 // isEmpty reports whether no value is set, so that the override can be dropped.
--- a/routing/config.go
+++ b/routing/config.go
@@ -2,7 +2,7 @@
 
 // RequestClass describes a class of requests.
 type RequestClass struct {
-	LatencyObjectiveMs float64
+	LatencyObjectiveMs float64 // latency up to which a request meets its objective
 	DeadlineMs         float64 // client timeout
 	PriorityWeight     float64 // value of a request that meets its objective
 	ZoneLocal          bool    // only hosts in the proxy's own zone may take it
@@ -17,7 +17,7 @@
 	PropagationDelayMs float64 // mean time from sending a message until a proxy applies it
 	Cost               float64 // fraction of the objective lost while the channel runs at its maximum throughput
 	MaxMessages        int     // messages to one proxy within MessageWindowMs; 0: no limit
-	MessageWindowMs    float64
+	MessageWindowMs    float64 // sliding window of MaxMessages
 }
 
 // SafetyLimits holds the limits that every update must respect.
--- a/routing/event.go
+++ b/routing/event.go
@@ -34,8 +34,8 @@
 // Field is a named figure of an event.
 type Field struct {
 	Name     string
-	Value    float64
-	Decimals int // digits after the point in a log line
+	Value    float64 // unit by the suffix of the name; a ratio or a count without one
+	Decimals int     // digits after the point in a log line
 }
 
 // Event is a decision that operators may want to see, with its figures. The caller formats the log line with Text,
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -34,8 +34,8 @@
 	Unreachable          bool `json:"Absent"`  // the last of them found nothing listening
 	ConsecutiveSuccesses int  `json:"Fine"`    // health checks in a row with a healthy answer
 
-	Successes float64  `json:"Won"` // recent attempts that succeeded, decaying
-	Failures  float64  `json:"Lost"`
+	Successes float64  `json:"Won"`  // recent attempts that succeeded, decaying
+	Failures  float64  `json:"Lost"` // recent attempts that failed, decaying
 	Load      HostLoad `json:"Load"` // as last reported
 }
 
