--- a/controller/acks.go
+++ b/controller/acks.go
@@ -6,64 +6,75 @@
 	"strings"
 )
 
-// versionStamp is a number that the module gave the messages of a round; rounds count on where its numbers repeat.
+// versionStamp is a number that the balancer gave the messages of a round. The balancer's numbers repeat, rounds do
+// not.
 type versionStamp struct {
 	round  int64
 	number int
 }
 
-// deferredAcks holds the answers to marks back until all that was ordered before has left the channel, since withdrawals go in
-// front of weights here. The module takes an answer as proof only of what was written to the same proxy.
+// deferredAcks holds acknowledgements back until all messages of earlier rounds have left the channel, since messages
+// with removals overtake others there.
 type deferredAcks struct{ pending []deferredAck }
 
-// deferredAck is a proxy's to a mark.
+// deferredAck is the acknowledgement of a version stamp by a proxy.
 type deferredAck struct {
 	versionStamp
-	proxy int
+	proxy int // the balancer's index
 }
 
-// acknowledge takes the newest version that the tags name as applied by the proxy, with all before it, and
-// gives its number, or 0 where no tag names a version of the history. A version is acknowledged once; a tag of
-// another life, or of a version never given to this proxy, acknowledges nothing.
-func (s *Controller) acknowledge(m *session, tags []string) int64 {
-	newest := int64(0)
-	for _, tag := range tags {
-		rest, ours := strings.CutPrefix(tag, s.deployment.Incarnation+"-")
-		n, err := strconv.ParseInt(rest, 10, 64)
-		if ours && err == nil && n > newest && m.version(n) != nil {
-			newest = n
+// acknowledge takes the newest version that the tags name as applied by the proxy, with all before it, and returns its
+// number, 0 where no tag names a version of the history. A version is acknowledged once. A tag of another incarnation
+// that was not carried over, or of a version that this proxy was never given, acknowledges nothing.
+func (c *Controller) acknowledge(session *session, tags []string) int64 {
+	newest := c.newestTagged(session, tags)
+	if newest <= session.ackedVersion {
+		return newest
+	}
+	for i := range session.versions {
+		acked := &session.versions[i]
+		if acked.number > newest {
+			continue
 		}
-		if v := m.versionByInheritedTag(tag); v != nil && v.number > newest {
-			newest = v.number
+		for _, stamp := range acked.stamps {
+			c.acks.pending = append(c.acks.pending, deferredAck{stamp, session.index})
 		}
+		acked.stamps = nil
 	}
-	if newest > m.ackedVersion {
-		for i := range m.versions {
-			if v := &m.versions[i]; v.number <= newest {
-				for _, k := range v.stamps {
-					s.acks.pending = append(s.acks.pending, deferredAck{k, m.index})
-				}
-				v.stamps = nil
-			}
+	session.ackedVersion = newest
+	c.releaseAcks()
+	return newest
+}
+
+// newestTagged is the number of the newest version of the history that one of the tags names, 0 where none does.
+func (c *Controller) newestTagged(session *session, tags []string) int64 {
+	newest := int64(0)
+	for _, tag := range tags {
+		suffix, ours := strings.CutPrefix(tag, c.deployment.Incarnation+"-")
+		number, err := strconv.ParseInt(suffix, 10, 64)
+		if ours && err == nil && number > newest && session.version(number) != nil {
+			newest = number
+		}
+		if inherited := session.versionByInheritedTag(tag); inherited != nil {
+			newest = max(newest, inherited.number)
 		}
-		m.ackedVersion = newest
-		s.releaseAcks()
 	}
 	return newest
 }
 
-// releaseAcks gives the module the answers that prove what it takes them for.
-func (s *Controller) releaseAcks() {
-	a := &s.acks
-	if len(a.pending) == 0 {
+// releaseAcks passes on to the balancer the acknowledgements that need not be deferred any more, by round.
+func (c *Controller) releaseAcks() {
+	deferred := &c.acks
+	if len(deferred.pending) == 0 {
 		return
 	}
-	slices.SortStableFunc(a.pending, func(x, y deferredAck) int { return int(x.round - y.round) })
-	waiting := s.channel.oldestRound()
-	n := 0
-	for n < len(a.pending) && a.pending[n].round <= waiting {
-		s.balancer.Ack(a.pending[n].proxy, a.pending[n].number)
-		n++
+	slices.SortStableFunc(deferred.pending, func(a, b deferredAck) int { return int(a.round - b.round) })
+	oldestQueued := c.channel.oldestRound()
+	released := 0
+	for released < len(deferred.pending) && deferred.pending[released].round <= oldestQueued {
+		ack := deferred.pending[released]
+		c.balancer.Ack(ack.proxy, ack.number)
+		released++
 	}
-	a.pending = append(a.pending[:0], a.pending[n:]...)
+	deferred.pending = append(deferred.pending[:0], deferred.pending[released:]...)
 }
--- a/controller/channel.go
+++ b/controller/channel.go
@@ -1,130 +1,179 @@
 package controller
 
 import (
+	"iter"
 	"math"
 
 	"barleysail/routing"
 )
 
-// controlChannel is the way of a steward's orders to its proxies, as the module counts it: messages leave one after
-// the other at the pace of the settings, each costing its lines and its head. Of the messages that wait,
-// those with a removal go first; a proxy's own messages keep their order, since what waits for it is one
-// message that later orders join.
+// controlChannel is the path of updates to the proxies, as the balancer counts it: messages leave one after the other
+// at the rate of the settings, each at the cost of its entries and its overhead. Queued messages with a removal leave
+// before the others. The messages of one proxy keep their order, since it has one queued message at most, which later
+// updates join.
 type controlChannel struct {
-	entriesPerMs, messageOverhead float64 // lines a ms
-	cost                          float64 // of the pace, used all the time, as a part of the result
-	maxMessages                   int     // messages to a proxy within over; 0: no limit
-	messageWindowMs               float64
-	removals, updates             []*updateMessage
-	inFlight                      *updateMessage
-	busyUntilMs                   float64 // when it has left
-	queuedEntries                 float64 // that wait, heads included
-	peakBacklog                   float64 // the most that ever did
-	maxBacklog                    float64 // that may
-}
-
-// updateMessage is what waits for a proxy.
+	entriesPerMs    float64
+	messageOverhead float64 // of a message, in entries
+	cost            float64 // of the whole rate used all the time, as a part of the result
+	maxMessages     int     // to a proxy within messageWindowMs; 0: no limit
+	messageWindowMs float64
+	maxBacklog      float64 // in entries
+
+	removals, updates []*updateMessage // queues; a message stays in updates when a removal puts it into removals as well
+	inFlight          *updateMessage   // is leaving; nil: none is
+	busyUntilMs       float64          // when it has left
+	queuedEntries     float64          // of queued messages, with their overhead
+	peakBacklog       float64
+}
+
+// updateMessage is a message to a proxy.
 type updateMessage struct {
 	session     *session
 	entries     float64
 	stamps      []versionStamp
-	oldestRound int64 // the first round that ordered a part of it
+	oldestRound int64 // the first round with an update in the message
 	hasRemoval  bool
-	dropped     bool
+	dropped     bool // the proxy has disconnected
 }
 
-func newControlChannel(c routing.ControlChannel) controlChannel {
-	return controlChannel{entriesPerMs: c.EntriesPerSecond / 1000, messageOverhead: c.MessageOverhead, cost: c.Cost, maxBacklog: c.MaxBacklog, maxMessages: c.MaxMessages, messageWindowMs: c.MessageWindowMs,
-		busyUntilMs: math.Inf(-1)}
+func newControlChannel(settings routing.ControlChannel) controlChannel {
+	return controlChannel{
+		entriesPerMs:    settings.EntriesPerSecond / 1000,
+		messageOverhead: settings.MessageOverhead,
+		cost:            settings.Cost,
+		maxMessages:     settings.MaxMessages,
+		messageWindowMs: settings.MessageWindowMs,
+		maxBacklog:      settings.MaxBacklog,
+		busyUntilMs:     math.Inf(-1),
+	}
 }
 
-// enqueue adds lines to the message that waits for a proxy, or makes one.
-func (c *controlChannel) enqueue(m *session, lines float64, removal bool, k versionStamp) {
-	g := m.queuedMessage
-	if g == nil {
-		g = &updateMessage{session: m, oldestRound: k.round}
-		m.queuedMessage = g
-		c.updates = append(c.updates, g)
+// enqueue adds entries to the queued message of a proxy, or queues a new one.
+func (c *controlChannel) enqueue(session *session, entries float64, hasRemoval bool, stamp versionStamp) {
+	message := session.queuedMessage
+	if message == nil {
+		message = &updateMessage{session: session, oldestRound: stamp.round}
+		session.queuedMessage = message
+		c.updates = append(c.updates, message)
 		c.queuedEntries += c.messageOverhead
 	}
-	g.entries += lines
-	c.queuedEntries += lines
-	if k.number > 0 {
-		g.stamps = append(g.stamps, k)
+	message.entries += entries
+	c.queuedEntries += entries
+	if stamp.number > 0 {
+		message.stamps = append(message.stamps, stamp)
 	}
 	c.peakBacklog = max(c.peakBacklog, c.backlog())
-	if removal && !g.hasRemoval {
-		g.hasRemoval = true
-		c.removals = append(c.removals, g)
+	if hasRemoval && !message.hasRemoval {
+		message.hasRemoval = true
+		c.removals = append(c.removals, message)
 	}
 }
 
-// drop takes a proxy's message out of the channel; what is on its way is lost.
-func (c *controlChannel) drop(m *session) {
-	if g := m.queuedMessage; g != nil {
-		g.dropped, m.queuedMessage = true, nil
-		c.queuedEntries -= g.entries + c.messageOverhead
+// unqueue takes a message that is about to leave or to be dropped off the backlog. The queues skip it from then on.
+func (c *controlChannel) unqueue(message *updateMessage) {
+	message.session.queuedMessage = nil
+	c.queuedEntries -= message.entries + c.messageOverhead
+}
+
+// drop discards the messages to a proxy, the one in flight included.
+func (c *controlChannel) drop(session *session) {
+	if message := session.queuedMessage; message != nil {
+		message.dropped = true
+		c.unqueue(message)
 	}
-	if c.inFlight != nil && c.inFlight.session == m {
+	if c.inFlight != nil && c.inFlight.session == session {
 		c.inFlight.dropped = true
 	}
 }
 
-// dequeue takes the next message that may leave: removals first, each in the order it came, none that would
-// pass the cap on messages to its proxy.
-func (c *controlChannel) dequeue(now float64) *updateMessage {
-	for _, queue := range []*[]*updateMessage{&c.removals, &c.updates} {
-		kept, held := (*queue)[:0], (*updateMessage)(nil)
-		for i, g := range *queue {
-			if g.dropped || g.session.queuedMessage != g || queue == &c.updates && g.hasRemoval {
-				continue // left already, or stands in the other queue
-			}
-			if held == nil && c.canSend(g.session, now) {
-				if held = g; len(kept) == 0 {
-					kept = (*queue)[i+1:]
-				} else {
-					kept = append(kept, (*queue)[i+1:]...)
-				}
-				break
+// dequeue takes the next message that may leave: removals first, each queue in its order, none beyond the limit on
+// messages to its proxy. It gives nil where there is none.
+func (c *controlChannel) dequeue(nowMs float64) *updateMessage {
+	var message *updateMessage
+	message, c.removals = c.takeFrom(c.removals, nowMs, isQueued)
+	if message != nil {
+		return message
+	}
+	message, c.updates = c.takeFrom(c.updates, nowMs, isQueuedUpdate)
+	return message
+}
+
+// takeFrom takes the first message of a queue that may leave, and returns the rest of the queue without the messages
+// that are no longer valid in it.
+func (c *controlChannel) takeFrom(queue []*updateMessage, nowMs float64, valid func(*updateMessage) bool) (
+	taken *updateMessage, rest []*updateMessage) {
+	rest = queue[:0]
+	for i, message := range queue {
+		if !valid(message) {
+			continue
+		}
+		if !c.canSend(message.session, nowMs) {
+			rest = append(rest, message)
+			continue
+		}
+		if len(rest) == 0 {
+			return message, queue[i+1:]
+		}
+		return message, append(rest, queue[i+1:]...)
+	}
+	return nil, rest
+}
+
+// isQueued reports whether a message still waits in the channel.
+func isQueued(message *updateMessage) bool {
+	return !message.dropped && message.session.queuedMessage == message
+}
+
+// isQueuedUpdate reports whether a message still waits in the queue of messages without a removal.
+func isQueuedUpdate(message *updateMessage) bool { return isQueued(message) && !message.hasRemoval }
+
+// queued yields the messages that wait, each once.
+func (c *controlChannel) queued() iter.Seq[*updateMessage] {
+	return func(yield func(*updateMessage) bool) {
+		for _, message := range c.removals {
+			if isQueued(message) && !yield(message) {
+				return
 			}
-			kept = append(kept, g)
 		}
-		*queue = kept
-		if held != nil {
-			return held
+		for _, message := range c.updates {
+			if isQueuedUpdate(message) && !yield(message) {
+				return
+			}
 		}
 	}
-	return nil
 }
 
-// canSend tells whether a message more stays within the cap on messages to a proxy.
-func (c *controlChannel) canSend(m *session, now float64) bool {
-	for len(m.sentMs) > 0 && m.sentMs[0] <= now-c.messageWindowMs {
-		m.sentMs = m.sentMs[1:]
+// recentMessages counts the messages to a proxy within the window of the limit.
+func (c *controlChannel) recentMessages(session *session, nowMs float64) int {
+	for len(session.sentMs) > 0 && session.sentMs[0] <= nowMs-c.messageWindowMs {
+		session.sentMs = session.sentMs[1:]
 	}
-	return c.maxMessages == 0 || len(m.sentMs) < c.maxMessages
+	return len(session.sentMs)
+}
+
+// canSend reports whether one more message to a proxy stays within the limit.
+func (c *controlChannel) canSend(session *session, nowMs float64) bool {
+	recent := c.recentMessages(session, nowMs)
+	return c.maxMessages == 0 || recent < c.maxMessages
 }
 
-// nextMs is when a message has left, or when one may.
+// nextMs is the time at which the message in flight has left, or at which the next one may leave.
 func (c *controlChannel) nextMs() float64 {
 	if c.inFlight != nil {
 		return c.busyUntilMs
 	}
-	at := math.Inf(1)
-	for _, queue := range [][]*updateMessage{c.removals, c.updates} {
-		for _, g := range queue {
-			if !g.dropped && g.session.queuedMessage == g {
-				if len(g.session.sentMs) < c.maxMessages || c.maxMessages == 0 {
-					return math.Inf(-1)
-				}
-				at = math.Min(at, g.session.sentMs[0]+c.messageWindowMs)
-			}
+	next := math.Inf(1)
+	for message := range c.queued() {
+		sentMs := message.session.sentMs
+		if c.maxMessages == 0 || len(sentMs) < c.maxMessages {
+			return math.Inf(-1)
 		}
+		next = math.Min(next, sentMs[0]+c.messageWindowMs)
 	}
-	return at
+	return next
 }
 
-// backlog counts the lines that wait, heads and the message that is leaving included.
+// backlog counts the entries that wait or are in flight, with the overhead of their messages.
 func (c *controlChannel) backlog() float64 {
 	if c.inFlight != nil {
 		return c.queuedEntries + c.inFlight.entries + c.messageOverhead
@@ -132,63 +181,66 @@
 	return c.queuedEntries
 }
 
+// queuedMessages counts the messages that wait.
 func (c *controlChannel) queuedMessages() int {
-	n := 0
-	for _, g := range c.updates {
-		if !g.dropped && g.session.queuedMessage == g && !g.hasRemoval {
-			n++
-		}
+	count := 0
+	for range c.queued() {
+		count++
 	}
-	for _, g := range c.removals {
-		if !g.dropped && g.session.queuedMessage == g {
-			n++
-		}
-	}
-	return n
+	return count
 }
 
-// oldestRound is the first round of which a part has not left.
+// oldestRound is the first round with an update that has not left the channel.
 func (c *controlChannel) oldestRound() int64 {
-	first := int64(math.MaxInt64)
+	oldest := int64(math.MaxInt64)
 	if c.inFlight != nil && !c.inFlight.dropped {
-		first = c.inFlight.oldestRound
+		oldest = c.inFlight.oldestRound
 	}
-	for _, queue := range [][]*updateMessage{c.removals, c.updates} {
-		for _, g := range queue {
-			if !g.dropped && g.session.queuedMessage == g {
-				first = min(first, g.oldestRound)
-			}
-		}
+	for message := range c.queued() {
+		oldest = min(oldest, message.oldestRound)
+	}
+	return oldest
+}
+
+// startNext puts the next message that may leave in flight, and reports whether there is one.
+func (c *controlChannel) startNext(nowMs float64) bool {
+	message := c.dequeue(nowMs)
+	if message == nil {
+		return false
+	}
+	c.unqueue(message)
+	c.inFlight = message
+	c.busyUntilMs = math.Max(c.busyUntilMs, nowMs) + (message.entries+c.messageOverhead)/c.entriesPerMs
+	return true
+}
+
+// finish takes the message in flight where it has left by nowMs, else nil.
+func (c *controlChannel) finish(nowMs float64) *updateMessage {
+	if c.inFlight == nil || c.busyUntilMs > nowMs {
+		return nil
 	}
-	return first
+	message := c.inFlight
+	c.inFlight = nil
+	if !message.dropped && c.maxMessages > 0 {
+		message.session.sentMs = append(message.session.sentMs, nowMs)
+	}
+	return message
 }
 
-// sendUpdates lets leave what may have left by now. A message carries what its proxy's tables hold when it
-// leaves, so that one that waited names nothing outdated.
-func (s *Controller) sendUpdates() {
-	c := &s.channel
+// sendUpdates publishes the messages that have left the channel by now. A message carries the tables of its proxy as
+// they are when it leaves, so that one that has waited holds nothing outdated.
+func (c *Controller) sendUpdates() {
 	for {
-		if c.inFlight == nil {
-			g := c.dequeue(s.nowMs)
-			if g == nil {
-				return
-			}
-			g.session.queuedMessage = nil
-			c.queuedEntries -= g.entries + c.messageOverhead
-			c.inFlight = g
-			c.busyUntilMs = math.Max(c.busyUntilMs, s.nowMs) + (g.entries+c.messageOverhead)/c.entriesPerMs
+		if c.channel.inFlight == nil && !c.channel.startNext(c.nowMs) {
+			return
 		}
-		if c.busyUntilMs > s.nowMs {
+		message := c.channel.finish(c.nowMs)
+		if message == nil {
 			return
 		}
-		g := c.inFlight
-		c.inFlight = nil
-		if !g.dropped {
-			if c.maxMessages > 0 {
-				g.session.sentMs = append(g.session.sentMs, s.nowMs)
-			}
-			s.publish(g.session, g.stamps)
+		if !message.dropped {
+			c.publish(message.session, message.stamps)
 		}
-		s.releaseAcks()
+		c.releaseAcks()
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,11 +1,15 @@
-// Package steward is the control service as a library: it takes in the host list, joins, polls, sums, probe
-// results and acknowledgements at stated times, lets the decision module decide, and gives out tables as
-// numbered versions with deltas, probes to send and log lines. It does no I/O, reads no clock and starts no
-// goroutine, so the same calls give the same answers; a daemon or any other program calls it under a lock of
-// its own.
+// Package controller is the control plane as a library. Its input is the endpoint list, polls of proxies, their request
+// statistics, load reports of hosts, health check results, acknowledgements and overrides of operators, each with the
+// time at which it came. Package routing decides on the weights by it. Its output are numbered versions of the routing
+// tables, as snapshots or deltas, health checks to make, and log lines.
 //
-// Times are milliseconds with fractions on one clock that only advances. After each call the caller asks
-// Next when to call Advance.
+// The package owns the state of the proxies' sessions, the versions that they hold, the queue of updates to them, and
+// the endpoint list with the overrides of operators. It never does I/O, reads no clock and starts no goroutine, so the
+// same calls give the same answers. A Controller is not safe for concurrent use: a daemon calls it under a lock of its
+// own. Responses alone may be encoded by any goroutine.
+//
+// Times are milliseconds with fractions, as float64, on one clock that only advances; their names end in Ms. After each
+// call the caller asks Next when to call Advance.
 package controller
 
 import (
@@ -17,105 +21,132 @@
 	"barleysail/routing"
 )
 
-// Effects takes what a call on a Steward leads to. Its methods must not call the Steward.
+// Effects takes the output of a call on a Controller. Its methods must not call the Controller.
 type Effects interface {
-	Respond(poll int64, a Response) // answers a poll, once
-	CheckHealth(host string)        // asks for a probe; Probed tells how it ended
-	WatchEndpoints()                // asks for the list and its changes, where the list must be asked
-	Log(text string)                // a line for each change of mode
+	// Respond answers a poll, by the id that the caller gave it. Each poll is answered at most once.
+	Respond(poll int64, response Response)
+	// CheckHealth asks for a health check of a host; ObserveHealthCheck takes its result.
+	CheckHealth(host string)
+	// WatchEndpoints asks for the endpoint list and a watch of its changes, where a watch has to be opened.
+	WatchEndpoints()
+	// Log writes a line for a change of the controller's mode.
+	Log(text string)
 }
 
-// Controller serves the proxies that poll it. Make one with New.
+// Controller serves the proxies that poll it. New makes one.
 type Controller struct {
 	deployment Deployment
 	classes    []RequestClass
 	settings   Settings
-	balancer   *routing.Balancer
+	safety     routing.SafetyLimits
 	zoneIndex  map[string]int
 	classIndex map[string]int
 
-	nowMs     float64
+	balancer  *routing.Balancer
+	hostIndex interner.Interner // the balancer's indices of hosts
 	scheduler roundScheduler
-	hostIndex interner.Interner
 	endpoints endpointList
 	sessions  sessionStore
 	tables    tableStore
 	channel   controlChannel
+	acks      deferredAcks
+	ingest    ingestState
+	overrides overrideState
+	solver    solverWeights
+	restored  restoredState
 
-	ingest           ingestState
-	classRates       []float64 // of each class lately, for a proxy, a second
-	restored         restoredState
-	drainingSinceMs  map[string]float64 // since when hosts drain
-	solver           solverWeights
-	validation       tableValidation
-	collapseMultiple float64
-	overrides        *operator.OverrideStore
-	nextOverrideMs   float64 // when operators' orders are looked at next
-	drainGraceMs     float64
-	slowStartMs      float64
-	weightChanges    [][]WeightChange // by host
-	events           eventLog
-	acks             deferredAcks
-	effects          Effects // of the present call
+	validation    tableValidation
+	weightChanges weightHistory
+	events        eventLog
+	mode          modeStatus
 
-	modeText    string // the last line of the module
-	modeSinceMs float64
-	roundCount  int64
+	nowMs   float64 // of the present call
+	effects Effects // of the present call
 }
 
-// New makes a steward that knows no list and no proxy yet.
-func New(fleet Deployment, classes []RequestClass, channel routing.ControlChannel, guard routing.SafetyLimits, goal routing.Objective,
-	polls Settings) *Controller {
-	s := &Controller{deployment: fleet, classes: classes, settings: polls, zoneIndex: map[string]int{}, classIndex: map[string]int{}}
-	known := make([]routing.RequestClass, len(classes))
-	s.classRates, s.drainingSinceMs = make([]float64, len(classes)), map[string]float64{}
-	for i, c := range classes {
-		known[i], s.classIndex[c.Name] = c.RequestClass, i
+// New makes a controller that has neither an endpoint list nor a connected proxy yet.
+func New(deployment Deployment, classes []RequestClass, channel routing.ControlChannel, safety routing.SafetyLimits,
+	objective routing.Objective, settings Settings) *Controller {
+	c := &Controller{
+		deployment: deployment,
+		classes:    classes,
+		settings:   settings,
+		safety:     safety,
+		zoneIndex:  map[string]int{},
+		classIndex: map[string]int{},
+		hostIndex:  interner.New(),
+		scheduler:  newRoundScheduler(),
+		endpoints:  newEndpointList(),
+		sessions:   newSessionStore(),
+		tables:     newTableStore(len(classes), deployment.DefaultRetryPolicy),
+		channel:    newControlChannel(channel),
+		overrides:  overrideState{store: operator.New(), nextMs: math.Inf(1)},
+	}
+	balancerClasses := make([]routing.RequestClass, len(classes))
+	for i, class := range classes {
+		balancerClasses[i] = class.RequestClass
+		c.classIndex[class.Name] = i
 	}
-	for i, z := range fleet.Zones {
-		s.zoneIndex[z] = i
+	for i, zone := range deployment.Zones {
+		c.zoneIndex[zone] = i
 	}
-	s.balancer = routing.New(routing.Deployment{Controllers: fleet.Controllers, Zones: len(fleet.Zones), Proxies: fleet.Proxies,
-		Seed: fleet.Seed, ReportIntervalMs: fleet.ReportIntervalMs, ProxyEjectAfter: fleet.ProxyEjectAfter, DefaultRetryPolicy: fleet.DefaultRetryPolicy,
-		AdmissionControl: fleet.AdmissionControl, HealthChecks: fleet.HealthChecks, WatchesEndpoints: fleet.WatchesEndpoints}, known, channel, guard, goal)
-	s.overrides, s.nextOverrideMs, s.drainGraceMs, s.slowStartMs, s.collapseMultiple = operator.New(), math.Inf(1), guard.DrainGraceMs, guard.SlowStartMs, guard.CollapseMultiple
-	s.hostIndex, s.endpoints, s.sessions = interner.New(), newList(), newMembers()
-	s.tables = newTables(len(classes), fleet.DefaultRetryPolicy)
-	s.channel = newControlChannel(channel)
-	s.SetIngestLimits(intake.DefaultLimits())
-	s.scheduler = roundScheduler{requestedMs: math.Inf(-1), lastMs: math.Inf(-1), plannedMs: math.Inf(1)}
-	return s
+	c.balancer = routing.New(balancerDeployment(deployment), balancerClasses, channel, safety, objective)
+	c.SetIngestLimits(intake.DefaultLimits())
+	return c
 }
 
-// Advance does all that is due: it ends the polls that have waited long enough, lets proxies leave that were
-// not heard, sends what the channel may send, and decides a round.
-func (s *Controller) Advance(now float64, out Effects) {
-	s.nowMs, s.effects = now, out
-	s.expirePolls()
-	s.sendUpdates()
-	s.recheckHeldEndpoints()
-	if s.scheduler.due(now) {
-		s.runRound()
-		s.sendUpdates()
+// balancerDeployment is the part of a deployment that the balancer needs.
+func balancerDeployment(d Deployment) routing.Deployment {
+	return routing.Deployment{
+		Controllers:        d.Controllers,
+		Zones:              len(d.Zones),
+		Proxies:            d.Proxies,
+		Seed:               d.Seed,
+		ReportIntervalMs:   d.ReportIntervalMs,
+		ProxyEjectAfter:    d.ProxyEjectAfter,
+		DefaultRetryPolicy: d.DefaultRetryPolicy,
+		AdmissionControl:   d.AdmissionControl,
+		HealthChecks:       d.HealthChecks,
+		WatchesEndpoints:   d.WatchesEndpoints,
 	}
-	s.forgetRemovedHosts()
-	s.applyDueOverrides()
-	s.renewSolverWeights()
 }
 
-// Next is when Advance has something to do; it may lie in the past, as at first.
-func (s *Controller) Next() float64 {
-	return min(s.scheduler.nextMs(), s.channel.nextMs(), s.sessions.nextMs(), s.endpoints.nextMs(), s.solver.nextMs(), s.nextOverrideMs, s.validation.nextMs())
+// Advance does all that is due by nowMs: it answers polls whose wait is over, disconnects proxies that have not polled
+// in time, sends the updates that the channel has capacity for, runs a round of the balancer, forgets removed hosts,
+// and applies overrides and solver weights that are due.
+func (c *Controller) Advance(nowMs float64, effects Effects) {
+	c.nowMs = nowMs
+	c.effects = effects
+	c.expirePolls()
+	c.sendUpdates()
+	c.recheckHeldEndpoints()
+	if c.scheduler.due(nowMs) {
+		c.runRound()
+		c.sendUpdates()
+	}
+	c.forgetRemovedHosts()
+	c.applyDueOverrides()
+	c.renewSolverWeights()
+}
+
+// Next is the time at which Advance has something to do. It may lie in the past, as it does at first.
+func (c *Controller) Next() float64 {
+	return min(c.scheduler.nextMs(), c.channel.nextMs(), c.sessions.nextMs(), c.endpoints.nextMs(), c.solver.nextMs(),
+		c.overrides.nextMs, c.validation.nextMs())
+}
+
+// runRound runs a round of the balancer, with the table validator after it.
+func (c *Controller) runRound() {
+	c.observeLateness()
+	c.scheduler.start(c.nowMs)
+	c.tables.round++
+	c.processReports()
+	c.balancer.Round(c.nowMs, updateWriter{c})
+	c.validateRound()
+	c.enqueueUpdates()
 }
 
-// runRound runs a round of the module.
-func (s *Controller) runRound() {
-	s.observeLateness()
-	s.scheduler.start(s.nowMs)
-	s.roundCount++
-	s.tables.round++
-	s.processReports()
-	s.balancer.Round(s.nowMs, updateWriter{s})
-	s.validateRound()
-	s.enqueueUpdates()
+// requestRound asks for a round because of an input that should not wait for the balancer's own time.
+func (c *Controller) requestRound() {
+	c.scheduler.request(c.nowMs, c.settings.MinRoundIntervalMs)
 }
--- a/controller/dryrun.go
+++ b/controller/dryrun.go
@@ -8,89 +8,127 @@
 	"barleysail/guard"
 )
 
-// ValidationResult is what the guard says of tables that somebody would publish.
+// ValidationResult is what the table validator says of proposed tables.
 type ValidationResult struct {
-	Findings []guard.Finding               `json:"findings"`
-	Instead  map[string]map[string]float64 `json:"instead"` // by class, where it would refuse
-	Left     []guard.Finding               `json:"left"`    // in that
+	Findings []guard.Finding `json:"findings"`
+	// Instead holds the repaired weights by class and host, where there are findings.
+	Instead map[string]map[string]float64 `json:"instead"`
+	Left    []guard.Finding               `json:"left"` // in the repaired tables
 }
 
-// ValidateTables looks at tables by class and host that an operator would have published to a zone, or with "" to all, as
-// things stand. The limits are those of the settings, or the usual ones where the guard is off.
-func (s *Controller) ValidateTables(zone string, tables map[string]map[string]float64) (*ValidationResult, error) {
-	limits := s.validation.limits
-	if !s.validation.enabled {
-		limits = guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.5, SurviveZoneLoss: true}
+// defaultValidationLimits apply to proposed tables while the table validator is off.
+func defaultValidationLimits() guard.Limits {
+	return guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.5, SurviveZoneLoss: true}
+}
+
+// ValidateTables validates tables, by class and host, that an operator would have published to a zone, or with "" to
+// all zones, under the present demand. The limits are those of the settings, or the default ones while the table
+// validator is off. A zone, class or host that is not known gives a *FieldError.
+func (c *Controller) ValidateTables(zone string, tables map[string]map[string]float64) (*ValidationResult, error) {
+	limits := c.validation.limits
+	if !c.validation.enabled {
+		limits = defaultValidationLimits()
 	}
-	if _, ok := s.zoneIndex[zone]; !ok && zone != "" {
+	if _, ok := c.zoneIndex[zone]; !ok && zone != "" {
 		return nil, invalidField("zone", "%q is not among the zones", zone)
 	}
-	v := &guard.View{Hosts: slices.Clone(s.refreshValidatedHosts())}
-	var names []string
-	demand := s.fleetDemand()
-	for _, class := range slices.Sorted(maps.Keys(tables)) {
-		k, ok := s.classIndex[class]
-		if !ok {
-			return nil, invalidField(fmt.Sprintf("tables[%q]", class), "the class is not in the settings")
+	view := &guard.View{Hosts: slices.Clone(c.refreshValidatedHosts())}
+	classes := slices.Sorted(maps.Keys(tables))
+	demand := c.fleetDemand()
+	for _, class := range classes {
+		route, err := c.proposedRoute(zone, class, tables[class], len(view.Hosts), demand[class])
+		if err != nil {
+			return nil, err
 		}
-		row := make([]float64, len(v.Hosts))
-		for host, w := range tables[class] {
-			h, ok := s.hostIndex.IndexOf[host]
-			if !ok || h >= len(row) {
-				return nil, invalidField(fmt.Sprintf("tables[%q].hosts[%q]", class, host), "the host is not on the list")
-			}
-			row[h] = w
+		view.Routes = append(view.Routes, route)
+	}
+	if c.validation.enabled {
+		view.Routes = append(view.Routes, c.otherRoutes(zone, tables)...)
+	}
+	return validateProposed(view, limits, classes), nil
+}
+
+// proposedRoute is the route of a proposed table of a class; demand is that for the class by zone in requests a second.
+func (c *Controller) proposedRoute(zone, class string, weights map[string]float64, hosts int,
+	demand map[string]float64) (guard.Route, error) {
+	classIndex, ok := c.classIndex[class]
+	if !ok {
+		return guard.Route{}, invalidField(fmt.Sprintf("tables[%q]", class), "the class is not in the settings")
+	}
+	route := guard.Route{Decided: make([]float64, hosts)}
+	for host, weight := range weights {
+		index, ok := c.hostIndex.IndexOf[host]
+		if !ok || index >= hosts {
+			field := fmt.Sprintf("tables[%q].hosts[%q]", class, host)
+			return guard.Route{}, invalidField(field, "the host is not on the list")
 		}
-		r := guard.Route{Decided: row}
-		for z, name := range s.deployment.Zones {
-			if zone == "" || zone == name {
-				r.Demands = append(r.Demands, guard.Demand{Class: class, Zone: name, ZoneLocal: s.classes[k].ZoneLocal, Work: demand[class][name] * s.classes[k].MeanWorkMs / 1000})
-				r.Published = s.publishedWeights(z, k, len(v.Hosts))
-			}
+		route.Decided[index] = weight
+	}
+	for zoneIndex, name := range c.deployment.Zones {
+		if zone == "" || zone == name {
+			work := demand[name] * c.classes[classIndex].MeanWorkMs / msPerSecond
+			route.Demands = append(route.Demands, c.demandOf(zoneIndex, classIndex, work))
+			route.Published = c.publishedWeights(zoneIndex, classIndex, hosts)
 		}
-		v.Routes, names = append(v.Routes, r), append(names, class)
 	}
-	if s.validation.enabled { // what else the hosts carry
-		now, _ := s.validationView()
-		for _, r := range now.Routes {
-			r.ReadOnly = true
-			r.Demands = slices.DeleteFunc(slices.Clone(r.Demands), func(u guard.Demand) bool {
-				_, asked := tables[u.Class]
-				return asked && (zone == "" || u.Zone == zone)
-			})
-			if len(r.Demands) > 0 {
-				r.Published = nil
-				v.Routes = append(v.Routes, r)
-			}
+	return route, nil
+}
+
+// otherRoutes are the routes of all zones and classes that proposed tables leave as they are: what else the hosts
+// serve.
+func (c *Controller) otherRoutes(zone string, tables map[string]map[string]float64) []guard.Route {
+	present, _ := c.validationView()
+	replaced := func(demand guard.Demand) bool {
+		_, proposed := tables[demand.Class]
+		return proposed && (zone == "" || demand.Zone == zone)
+	}
+	var others []guard.Route
+	for _, route := range present.Routes {
+		route.Demands = slices.DeleteFunc(slices.Clone(route.Demands), replaced)
+		if len(route.Demands) == 0 {
+			continue
 		}
+		route.ReadOnly = true
+		route.Published = nil
+		others = append(others, route)
+	}
+	return others
+}
+
+// validateProposed checks a view whose first routes are the proposed tables of classes, and repairs them where there
+// are findings.
+func validateProposed(view *guard.View, limits guard.Limits, classes []string) *ValidationResult {
+	result := &ValidationResult{Findings: jsonFindings(guard.Check(view, limits)), Left: []guard.Finding{}}
+	if len(result.Findings) == 0 {
+		return result
 	}
-	a := &ValidationResult{Findings: jsonFindings(guard.Check(v, limits)), Left: []guard.Finding{}}
-	if len(a.Findings) > 0 {
-		rows, left := guard.Repair(v, limits)
-		a.Left, a.Instead = jsonFindings(left), map[string]map[string]float64{}
-		for i, class := range names {
-			a.Instead[class] = map[string]float64{}
-			for h, w := range rows[i] {
-				if w > 0 {
-					a.Instead[class][v.Hosts[h].Name] = round6(w)
-				}
+	repaired, remaining := guard.Repair(view, limits)
+	result.Left = jsonFindings(remaining)
+	result.Instead = map[string]map[string]float64{}
+	for i, class := range classes {
+		weights := map[string]float64{}
+		for host, weight := range repaired[i] {
+			if weight > 0 {
+				weights[view.Hosts[host].Name] = roundWeight(weight)
 			}
 		}
+		result.Instead[class] = weights
 	}
-	return a, nil
+	return result
 }
 
-// publishedWeights is what the first proxy of a zone with a table of a class was ordered, nil where there is none.
-func (s *Controller) publishedWeights(zone, class, hosts int) []float64 {
-	for _, m := range s.sessions.byIndex {
-		if m == nil || m.zone != zone || m.tableByClass[class] < 0 {
+// publishedWeights are the published weights, by the balancer's index of the host, of the first proxy of a zone with a
+// table of a class; nil where there is none.
+func (c *Controller) publishedWeights(zone, class, hosts int) []float64 {
+	for _, session := range c.sessions.byIndex {
+		if session == nil || session.zone != zone || session.tableByClass[class] == noTable {
 			continue
 		}
-		row := make([]float64, hosts)
-		for _, l := range s.entriesOf(s.tables.table(m.tableByClass[class])) {
-			row[s.hostIndex.IndexOf[l.host]] = l.weight
+		weights := make([]float64, hosts)
+		for _, entry := range c.entriesOf(c.tables.table(session.tableByClass[class])) {
+			weights[c.hostIndex.IndexOf[entry.host]] = entry.weight
 		}
-		return row
+		return weights
 	}
 	return nil
 }
--- a/controller/endpoint_loss.go
+++ b/controller/endpoint_loss.go
@@ -8,62 +8,83 @@
 	"barleysail/routing"
 )
 
-// holdsEndpoints tells whether a list is held back for now.
-func (s *Controller) holdsEndpoints(entries []Endpoint) bool {
-	g := &s.validation
-	if !g.enabled || !s.endpoints.known {
+// holdsEndpoints reports whether a new endpoint list is held back, since it loses too many hosts at once.
+func (c *Controller) holdsEndpoints(entries []Endpoint) bool {
+	validation := &c.validation
+	if !validation.enabled || !c.endpoints.known {
 		return false
 	}
-	stays := map[string]bool{}
-	for _, e := range entries {
-		stays[e.Host] = e.State == routing.Ready
+	loss := c.endpointLoss(entries)
+	wasHeld := validation.heldEndpoints != nil
+	if !validation.endpointLoss.Observe(c.nowMs, loss.ready, loss.lost, loss.confirmed) {
+		if wasHeld {
+			c.recordEvent("guard", fmt.Sprintf("the list is believed: %d of %d ready hosts are lost, %d of them confirmed",
+				loss.lost, loss.ready, loss.confirmed))
+		}
+		validation.heldEndpoints = nil
+		return false
+	}
+	if !wasHeld {
+		validation.report.ListHolds++
+		c.recordEvent("guard", fmt.Sprintf(
+			"the list is held back: %d of %d ready hosts are lost at once, %d of them confirmed",
+			loss.lost, loss.ready, loss.confirmed))
+	}
+	validation.heldEndpoints = append([]Endpoint{}, entries...)
+	return true
+}
+
+// endpointLoss counts the ready hosts of the endpoint list in effect and those that a new list loses.
+type endpointLoss struct {
+	ready     int // hosts on the list in effect
+	lost      int // of these, hosts that are not ready on the new list
+	confirmed int // of these, hosts that an operator took off or that fail their health checks
+}
+
+func (c *Controller) endpointLoss(entries []Endpoint) endpointLoss {
+	staysReady := map[string]bool{}
+	for _, endpoint := range entries {
+		staysReady[endpoint.Host] = endpoint.State == routing.Ready
 	}
-	ready, lost, confirmed := 0, 0, 0
-	for _, e := range s.endpoints.received {
-		if e.State != routing.Ready {
+	var loss endpointLoss
+	for _, endpoint := range c.endpoints.received {
+		if endpoint.State != routing.Ready {
 			continue
 		}
-		if ready++; stays[e.Host] {
+		loss.ready++
+		if staysReady[endpoint.Host] {
 			continue
 		}
-		lost++
-		if set, ok := s.overrides.Override(e.Host); ok && set.State != operator.Listed {
-			confirmed++
-		} else if x, ok := s.balancer.Explain(s.hostIndex.IndexOf[e.Host]); ok && x.ConsecutiveFailures > 0 {
-			confirmed++
-		}
-	}
-	was := g.heldEndpoints != nil
-	if !g.endpointLoss.Observe(s.nowMs, ready, lost, confirmed) {
-		if was {
-			s.recordEvent("guard", fmt.Sprintf("the list is believed: %d of %d ready hosts are lost, %d of them confirmed", lost, ready, confirmed))
+		loss.lost++
+		if c.confirmsLoss(endpoint.Host) {
+			loss.confirmed++
 		}
-		g.heldEndpoints = nil
-		return false
 	}
-	if !was {
-		g.report.ListHolds++
-		s.recordEvent("guard", fmt.Sprintf("the list is held back: %d of %d ready hosts are lost at once, %d of them confirmed", lost, ready, confirmed))
-	}
-	g.heldEndpoints = append([]Endpoint{}, entries...)
-	return true
+	return loss
 }
 
-// recheckHeldEndpoints looks again at a list that is held back: its hold may be over, or those lost confirmed.
-func (s *Controller) recheckHeldEndpoints() {
-	g := &s.validation
-	if g.heldEndpoints == nil {
-		return
+// confirmsLoss reports whether a host was lost for a reason that the controller knows.
+func (c *Controller) confirmsLoss(host string) bool {
+	if override, ok := c.overrides.store.Override(host); ok && override.State != operator.Listed {
+		return true
 	}
-	if entries := g.heldEndpoints; !s.holdsEndpoints(entries) {
-		s.acceptEndpoints(entries)
+	explanation, ok := c.balancer.Explain(c.hostIndex.IndexOf[host])
+	return ok && explanation.ConsecutiveFailures > 0
+}
+
+// recheckHeldEndpoints puts a list that was held back into effect once its time is over or the loss is confirmed.
+func (c *Controller) recheckHeldEndpoints() {
+	held := c.validation.heldEndpoints
+	if held != nil && !c.holdsEndpoints(held) {
+		c.acceptEndpoints(held)
 	}
 }
 
-func (g *tableValidation) nextMs() float64 {
-	if g.heldEndpoints == nil {
+// nextMs is the time at which a list that is held back has to be looked at again.
+func (v *tableValidation) nextMs() float64 {
+	if v.heldEndpoints == nil {
 		return math.Inf(1)
 	}
-	at, _ := g.endpointLoss.HeldUntil()
-	return at
+	untilMs, _ := v.endpointLoss.HeldUntil()
+	return untilMs
 }
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -8,18 +8,18 @@
 	"barleysail/routing"
 )
 
-// Endpoint of the host list.
+// Endpoint is a host on the endpoint list.
 type Endpoint struct {
 	Host      string // address:port, the address an IP address or a DNS name
 	Zone      string
-	State     routing.HostState
-	Weight    float64 // compared with those of other hosts; 0 says nothing
-	StartedMs float64 // time of the last start; 0: not told
-	Cores     float64 // for solved weights; 0: not told
-	Speed     float64 // of a core, against others; 0: not told, taken as 1
+	State     routing.HostState // Ready or Draining
+	Weight    float64           // relative to the other hosts; 0: not given
+	StartedMs float64           // time of the last start; 0: not given
+	Cores     float64           // for solver weights; 0: not given
+	Speed     float64           // of a core, relative to the other hosts; 0: not given, taken as 1
 }
 
-// speed of a core, 1 where it is not told.
+// speed of a core, 1 where it is not given.
 func (e Endpoint) speed() float64 {
 	if e.Speed == 0 {
 		return 1
@@ -27,24 +27,28 @@
 	return e.Speed
 }
 
-// endpointList is the host list as last told, and the hosts that left it.
+// endpointList is the endpoint list as it last came, and the hosts that were removed from it.
 type endpointList struct {
-	received    []Endpoint          // as it came
-	effective   map[string]Endpoint // with what operators set laid over it
-	removed     []removedHost       // by time
-	known       bool
-	watchFailed bool
-	receivedMs  float64
+	received        []Endpoint          // as it came
+	effective       map[string]Endpoint // with the overrides of operators, by host
+	drainingSinceMs map[string]float64  // by host
+	removed         []removedHost       // in the order in which they are to be forgotten
+	known           bool                // a list has come
+	watchFailed     bool                // the watch has failed since the list last came
+	receivedMs      float64
 }
 
-// removedHost is a host that left the list, to be forgotten at a time.
+// removedHost is a host that is no longer listed, to be forgotten at a time.
 type removedHost struct {
 	host       string
 	forgetAtMs float64
 }
 
-func newList() endpointList { return endpointList{effective: map[string]Endpoint{}} }
+func newEndpointList() endpointList {
+	return endpointList{effective: map[string]Endpoint{}, drainingSinceMs: map[string]float64{}}
+}
 
+// nextMs is the time at which the next removed host is to be forgotten.
 func (l *endpointList) nextMs() float64 {
 	if len(l.removed) == 0 {
 		return math.Inf(1)
@@ -52,140 +56,185 @@
 	return l.removed[0].forgetAtMs
 }
 
-// SetEndpoints notes the whole list as it now stands. The hosts of the first list that tell no start count as
-// started long ago; later a new host without one starts when it is listed. The error names the entry's field.
-func (s *Controller) SetEndpoints(now float64, entries []Endpoint) error {
-	s.nowMs = now
-	if err := s.checkEndpoints(entries); err != nil {
+// SetEndpoints takes the whole endpoint list as it now stands. Hosts of the first list without a time of their start
+// count as started long ago; a host that is added later without one counts as started when it is added. An invalid
+// entry gives a *FieldError that names its field, and the list stays as it was.
+func (c *Controller) SetEndpoints(nowMs float64, entries []Endpoint) error {
+	c.nowMs = nowMs
+	if err := c.checkEndpoints(entries); err != nil {
 		return err
 	}
-	if s.endpoints.receivedMs, s.endpoints.watchFailed = now, false; s.holdsEndpoints(entries) {
+	c.endpoints.receivedMs = nowMs
+	c.endpoints.watchFailed = false
+	if c.holdsEndpoints(entries) {
 		return nil
 	}
-	s.acceptEndpoints(entries)
+	c.acceptEndpoints(entries)
 	return nil
 }
 
-// acceptEndpoints takes a list for what is so.
-func (s *Controller) acceptEndpoints(entries []Endpoint) {
-	if before := len(s.endpoints.received); before != len(entries) || !s.endpoints.known {
-		s.recordEvent("list", fmt.Sprintf("the list has %d hosts, before %d", len(entries), before))
+// acceptEndpoints puts a list into effect.
+func (c *Controller) acceptEndpoints(entries []Endpoint) {
+	before := len(c.endpoints.received)
+	if before != len(entries) || !c.endpoints.known {
+		c.recordEvent("list", fmt.Sprintf("the list has %d hosts, before %d", len(entries), before))
 	}
-	s.endpoints.received = append([]Endpoint(nil), entries...)
-	s.observeEndpoints(s.withOverrides(s.endpoints.received))
-	s.scheduler.request(s.nowMs, s.settings.MinRoundIntervalMs)
+	c.endpoints.received = append([]Endpoint(nil), entries...)
+	c.applyEndpoints()
+}
+
+// applyEndpoints gives the balancer the list as it last came, with the overrides of operators.
+func (c *Controller) applyEndpoints() {
+	c.observeEndpoints(c.withOverrides(c.endpoints.received))
+	c.requestRound()
+}
+
+// ObserveWatchFailure notes that the endpoint list could not be had, or that the watch of its changes has ended.
+func (c *Controller) ObserveWatchFailure(nowMs float64) {
+	c.nowMs = nowMs
+	c.endpoints.watchFailed = true
+	c.recordEvent("list", "the list could not be had")
+	c.balancer.ObserveWatchFailure()
+	c.requestRound()
 }
 
-// ObserveWatchFailure notes that the list could not be had, or that it no longer sends its changes.
-func (s *Controller) ObserveWatchFailure(now float64) {
-	s.nowMs = now
-	s.endpoints.watchFailed = true
-	s.recordEvent("list", "the list could not be had")
-	s.balancer.ObserveWatchFailure()
-	s.scheduler.request(now, s.settings.MinRoundIntervalMs)
+// HasEndpoint reports whether a host is on the endpoint list, with the overrides of operators.
+func (c *Controller) HasEndpoint(host string) bool {
+	_, ok := c.endpoints.effective[host]
+	return ok
 }
 
-// observeEndpoints feeds the module what differs from the list before; a host that is no longer listed is gone. The first
-// list goes in twice, as a list of unknown age and as the present one, since only then does the module take a
-// later entry without a start for one that has just started.
-func (s *Controller) observeEndpoints(entries []Endpoint) {
+// EndpointsKnown reports whether an endpoint list has come yet. Before, the controller has learned nothing.
+func (c *Controller) EndpointsKnown() bool { return c.endpoints.known }
+
+// observeEndpoints gives the balancer what differs from the list before; a host that is no longer listed is removed.
+func (c *Controller) observeEndpoints(entries []Endpoint) {
 	sorted := append([]Endpoint(nil), entries...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Host < sorted[j].Host })
-	l := &s.endpoints
-	first := !l.known
-	l.known = true
-	if first {
-		for i := range sorted {
-			sorted[i].StartedMs = s.startMs(sorted[i])
-		}
-		s.balancer.ObserveSnapshot(true)
-		s.observeEntries(sorted)
-		s.balancer.ObserveSnapshot(false)
-		s.observeEntries(sorted)
-		s.restoreHosts(sorted)
-		for _, m := range s.sessions.byIndex { // until now an empty table was not told, see view
-			if m != nil && len(m.versions) > 0 {
-				s.channel.enqueue(m, 1, false, versionStamp{round: s.tables.round})
-			}
-		}
+	if !c.endpoints.known {
+		c.endpoints.known = true
+		c.observeFirstEndpoints(sorted)
 		return
 	}
-	s.balancer.ObserveDelta()
-	listed := make(map[string]bool, len(sorted))
+	c.balancer.ObserveDelta()
+	changed := c.changedEndpoints(sorted)
+	for _, endpoint := range c.missingEndpoints(sorted) {
+		c.observeRemoval(endpoint)
+	}
+	c.observeEntries(changed)
+}
+
+// observeFirstEndpoints gives the balancer the first list twice, as a list of unknown age and as the present one: only
+// after that does the balancer take a later entry without a start for a host that has just started.
+func (c *Controller) observeFirstEndpoints(sorted []Endpoint) {
+	for i := range sorted {
+		sorted[i].StartedMs = c.startMs(sorted[i])
+	}
+	c.balancer.ObserveSnapshot(true)
+	c.observeEntries(sorted)
+	c.balancer.ObserveSnapshot(false)
+	c.observeEntries(sorted)
+	c.restoreHosts(sorted)
+	// Until now an empty table was withheld from the proxies, see tableSetOf.
+	for _, session := range c.sessions.byIndex {
+		if session != nil && len(session.versions) > 0 {
+			c.channel.enqueue(session, 1, false, versionStamp{round: c.tables.round})
+		}
+	}
+}
+
+// changedEndpoints are the entries that are new or differ from the list before.
+func (c *Controller) changedEndpoints(sorted []Endpoint) []Endpoint {
 	var changed []Endpoint
-	for _, e := range sorted {
-		listed[e.Host] = true
-		if old, ok := l.effective[e.Host]; !ok || old != e {
-			changed = append(changed, e)
+	for _, endpoint := range sorted {
+		if old, ok := c.endpoints.effective[endpoint.Host]; !ok || old != endpoint {
+			changed = append(changed, endpoint)
 		}
 	}
-	var left []Endpoint
-	for host, e := range l.effective {
+	return changed
+}
+
+// missingEndpoints are the entries of the list before whose hosts are no longer listed, by name.
+func (c *Controller) missingEndpoints(sorted []Endpoint) []Endpoint {
+	listed := make(map[string]bool, len(sorted))
+	for _, endpoint := range sorted {
+		listed[endpoint.Host] = true
+	}
+	var missing []Endpoint
+	for host, endpoint := range c.endpoints.effective {
 		if !listed[host] {
-			left = append(left, e)
+			missing = append(missing, endpoint)
 		}
 	}
-	sort.Slice(left, func(i, j int) bool { return left[i].Host < left[j].Host })
-	for _, e := range left {
-		s.balancer.ObserveEndpoint(s.hostIndex.Index(e.Host), s.zoneIndex[e.Zone], routing.Removed, s.baseWeight(e), 0)
-		s.validation.hostsChanged = true
-		delete(l.effective, e.Host)
-		delete(s.drainingSinceMs, e.Host)
-		delete(s.restored.drainingSinceMs, e.Host)
-		l.removed = append(l.removed, removedHost{e.Host, s.nowMs + s.settings.RemovedHostRetentionMs})
-	}
-	s.observeEntries(changed)
+	sort.Slice(missing, func(i, j int) bool { return missing[i].Host < missing[j].Host })
+	return missing
 }
 
-// observeEntries gives entries to the module. A host that had left and is back without a start has started now.
-func (s *Controller) observeEntries(entries []Endpoint) {
-	for _, e := range entries {
-		started := e.StartedMs
-		_, known := s.hostIndex.IndexOf[e.Host]
-		if _, listed := s.endpoints.effective[e.Host]; known && !listed && started == 0 {
-			started = s.nowMs
-		}
-		h := s.hostIndex.Index(e.Host)
-		if old := s.endpoints.effective[e.Host]; started > 0 && started != old.StartedMs {
-			s.ingest.trust.Forget(e.Host)
+// observeRemoval tells the balancer that a host is no longer listed.
+func (c *Controller) observeRemoval(endpoint Endpoint) {
+	host := endpoint.Host
+	c.balancer.ObserveEndpoint(c.hostIndex.Index(host), c.zoneIndex[endpoint.Zone], routing.Removed,
+		c.baseWeight(endpoint), 0)
+	c.validation.hostsChanged = true
+	delete(c.endpoints.effective, host)
+	delete(c.endpoints.drainingSinceMs, host)
+	delete(c.restored.drainingSinceMs, host)
+	c.retainRemoved(host)
+}
+
+// retainRemoved schedules the forgetting of a removed host.
+func (c *Controller) retainRemoved(host string) {
+	forgetAtMs := c.nowMs + c.settings.RemovedHostRetentionMs
+	c.endpoints.removed = append(c.endpoints.removed, removedHost{host, forgetAtMs})
+}
+
+// observeEntries gives entries to the balancer. A host that was removed and is back without a start has started now.
+func (c *Controller) observeEntries(entries []Endpoint) {
+	for _, endpoint := range entries {
+		host := endpoint.Host
+		old, listed := c.endpoints.effective[host]
+		startedMs := endpoint.StartedMs
+		if _, known := c.hostIndex.IndexOf[host]; known && !listed && startedMs == 0 {
+			startedMs = c.nowMs
 		}
-		s.balancer.ObserveEndpoint(h, s.zoneIndex[e.Zone], e.State, s.baseWeight(e), started)
-		s.endpoints.effective[e.Host] = e
-		s.observeValidatedHost(h, e)
-		if e.State != routing.Draining {
-			delete(s.drainingSinceMs, e.Host)
-		} else if s.drainingSinceMs[e.Host] == 0 {
-			s.drainingSinceMs[e.Host] = s.nowMs
+		index := c.hostIndex.Index(host)
+		if startedMs > 0 && startedMs != old.StartedMs {
+			c.ingest.trust.Forget(host)
 		}
+		c.balancer.ObserveEndpoint(index, c.zoneIndex[endpoint.Zone], endpoint.State, c.baseWeight(endpoint), startedMs)
+		c.endpoints.effective[host] = endpoint
+		c.observeValidatedHost(index, endpoint)
+		c.observeDrain(endpoint)
+	}
+}
+
+// observeDrain notes since when a host is draining.
+func (c *Controller) observeDrain(endpoint Endpoint) {
+	if endpoint.State != routing.Draining {
+		delete(c.endpoints.drainingSinceMs, endpoint.Host)
+	} else if c.endpoints.drainingSinceMs[endpoint.Host] == 0 {
+		c.endpoints.drainingSinceMs[endpoint.Host] = c.nowMs
 	}
 }
 
-// forgetRemovedHosts gives up hosts that left the list long ago, so that their indices can be given to others. One that a
-// table or a probe still names, or that is back, waits for another turn.
-func (s *Controller) forgetRemovedHosts() {
-	l := &s.endpoints
-	for len(l.removed) > 0 && l.removed[0].forgetAtMs <= s.nowMs {
-		host := l.removed[0].host
-		l.removed = l.removed[1:]
-		h, ok := s.hostIndex.IndexOf[host]
-		if _, back := l.effective[host]; back || !ok {
+// forgetRemovedHosts forgets hosts that were removed long ago, so that their indices can be given to other hosts. A
+// host that a table or a health check still names is retained for another period.
+func (c *Controller) forgetRemovedHosts() {
+	list := &c.endpoints
+	for len(list.removed) > 0 && list.removed[0].forgetAtMs <= c.nowMs {
+		host := list.removed[0].host
+		list.removed = list.removed[1:]
+		index, known := c.hostIndex.IndexOf[host]
+		if c.HasEndpoint(host) || !known {
 			continue
 		}
-		if s.balancer.ForgetHost(h) {
-			s.hostIndex.Release(host)
-			s.ingest.trust.Forget(host)
-			s.ingest.queue.Forget(hostSource(host))
-			if h < len(s.weightChanges) {
-				s.weightChanges[h] = nil
-			}
-		} else {
-			l.removed = append(l.removed, removedHost{host, s.nowMs + s.settings.RemovedHostRetentionMs})
+		if !c.balancer.ForgetHost(index) {
+			c.retainRemoved(host)
+			continue
 		}
+		c.hostIndex.Release(host)
+		c.ingest.trust.Forget(host)
+		c.ingest.queue.Forget(hostSource(host))
+		c.weightChanges.forget(index)
 	}
 }
-
-// HasEndpoint tells whether a host is on the list, with what operators set laid over it.
-func (s *Controller) HasEndpoint(host string) bool { _, ok := s.endpoints.effective[host]; return ok }
-
-// EndpointsKnown tells whether a list has come yet: before, nothing was learned.
-func (s *Controller) EndpointsKnown() bool { return s.endpoints.known }
--- a/controller/events.go
+++ b/controller/events.go
@@ -7,48 +7,56 @@
 	"barleysail/routing"
 )
 
-// Event is what a steward did or was told, worth an operator's eye.
+// Event is something that the controller did or observed and that an operator may want to know.
 type Event struct {
 	Number int64   `json:"number"`
-	At     float64 `json:"at"`
-	Kind   string  `json:"kind"` // mode, list, operator, joined, left
+	At     float64 `json:"at"`   // ms
+	Kind   string  `json:"kind"` // mode, list, operator, joined, left, guard or intake
 	Text   string  `json:"text"`
 }
 
-// maxEvents are the newest ones.
+// maxEvents bounds the events that are retained.
 const maxEvents = 1024
 
+// eventLog holds the newest events.
 type eventLog struct {
 	lastNumber int64
-	newest     []Event
+	newest     []Event // by number
 }
 
-func (s *Controller) recordEvent(kind, text string) {
-	s.events.lastNumber++
-	e := Event{s.events.lastNumber, s.nowMs, kind, text}
-	if len(s.events.newest) == maxEvents {
-		s.events.newest = append(s.events.newest[:0], s.events.newest[1:]...)
+func (c *Controller) recordEvent(kind, text string) {
+	log := &c.events
+	log.lastNumber++
+	if len(log.newest) == maxEvents {
+		log.newest = append(log.newest[:0], log.newest[1:]...)
 	}
-	s.events.newest = append(s.events.newest, e)
+	log.newest = append(log.newest, Event{log.lastNumber, c.nowMs, kind, text})
 }
 
-// NewestEvent is the number of the newest one, 0 where there is none.
-func (s *Controller) NewestEvent() int64 { return s.events.lastNumber }
+// NewestEvent is the number of the newest event, 0 where there is none.
+func (c *Controller) NewestEvent() int64 { return c.events.lastNumber }
 
-// Events gives those after a number, as far as they are kept.
-func (s *Controller) Events(after int64) []Event {
-	i := sort.Search(len(s.events.newest), func(i int) bool { return s.events.newest[i].Number > after })
-	return slices.Clone(s.events.newest[i:])
+// Events gives the events after a number, as far as they are retained.
+func (c *Controller) Events(after int64) []Event {
+	newest := c.events.newest
+	first := sort.Search(len(newest), func(i int) bool { return newest[i].Number > after })
+	return slices.Clone(newest[first:])
 }
 
-// logEvent passes an event of the balancer on as a line, with the names of hosts.
-func (s *Controller) logEvent(event routing.Event) {
-	s.logMode(event.Text(func(host int) string { return s.hostIndex.Names[host] }))
+// modeStatus is the last change of the controller's mode.
+type modeStatus struct {
+	text    string // as logged, empty before the first change
+	sinceMs float64
 }
 
-// logMode notes a change of mode and passes its line on.
-func (s *Controller) logMode(line string) {
-	s.modeText, s.modeSinceMs = line, s.nowMs
-	s.recordEvent("mode", line)
-	s.effects.Log(line)
+// logEvent logs an event of the balancer, with the names of hosts.
+func (c *Controller) logEvent(event routing.Event) {
+	c.logMode(event.Text(func(host int) string { return c.hostIndex.Names[host] }))
+}
+
+// logMode notes a change of the mode, and logs it.
+func (c *Controller) logMode(text string) {
+	c.mode = modeStatus{text, c.nowMs}
+	c.recordEvent("mode", text)
+	c.effects.Log(text)
 }
--- a/controller/hostinfo.go
+++ b/controller/hostinfo.go
@@ -6,17 +6,18 @@
 	"slices"
 
 	"barleysail/intake"
+	"barleysail/operator"
 	"barleysail/routing"
 )
 
-// HostInfo is how a host stands.
+// HostInfo is the state of a host.
 type HostInfo struct {
 	Host      string              `json:"host"`
 	Zone      string              `json:"zone"`
-	Phase     string              `json:"phase"` // ready, draining or gone
-	Withdrawn bool                `json:"withdrawn"`
-	Listed    float64             `json:"listed_weight"`
-	Weight    float64             `json:"weight"` // as told to proxies
+	Phase     string              `json:"phase"`         // ready, draining or gone
+	Withdrawn bool                `json:"withdrawn"`     // ejected by the balancer
+	Listed    float64             `json:"listed_weight"` // base weight, with the overrides of operators
+	Weight    float64             `json:"weight"`        // as published
 	Operator  *OverrideInfo       `json:"operator,omitempty"`
 	Why       routing.Explanation `json:"why"`
 	Cores     float64             `json:"cores,omitempty"`
@@ -24,105 +25,180 @@
 	Reports   *intake.HostReport  `json:"reports,omitempty"`
 }
 
-// OverrideInfo is what an operator set on a host.
+// OverrideInfo is the override of a host.
 type OverrideInfo struct {
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight,omitempty"`
-	Part    float64 `json:"part,omitempty"`
+	Part    float64 `json:"part,omitempty"` // the weight as a ratio of the list's
 	Added   bool    `json:"added,omitempty"`
 	By      string  `json:"by,omitempty"`
-	At      float64 `json:"at"`
-	Until   float64 `json:"until,omitempty"`
-	Waiting bool    `json:"waiting,omitempty"` // for its turn
+	At      float64 `json:"at"`                // ms
+	Until   float64 `json:"until,omitempty"`   // ms; 0: it does not expire
+	Waiting bool    `json:"waiting,omitempty"` // queued, not applied yet
 }
 
-// HostInfos tells how the hosts stand, by name: those listed, and those that an operator took off the list.
-func (s *Controller) HostInfos() []HostInfo {
-	names := map[string]bool{}
-	for host := range s.endpoints.effective {
-		names[host] = true
+// WeightChange is a change of the weight of a host in a shared table, with the figures of its time.
+type WeightChange struct {
+	At   float64 `json:"at"` // ms
+	From float64 `json:"from"`
+	To   float64 `json:"to"`
+	Rate float64 `json:"rate"` // arrival rate
+	R    float64 `json:"r"`    // mean latency in ms
+	Cap  float64 `json:"cap"`  // capacity
+}
+
+// maxWeightChanges bounds the changes that are retained of each host.
+const maxWeightChanges = 4
+
+// weightHistory holds the last weight changes of each host, by the balancer's index.
+type weightHistory [][]WeightChange
+
+// add appends a change of a host, and drops the oldest one beyond the bound.
+func (h *weightHistory) add(host int, change WeightChange) {
+	for len(*h) <= host {
+		*h = append(*h, nil)
 	}
-	for _, e := range s.endpoints.received {
-		names[e.Host] = true
+	changes := append((*h)[host], change)
+	(*h)[host] = changes[max(len(changes)-maxWeightChanges, 0):]
+}
+
+// of gives the changes of a host, the newest last.
+func (h weightHistory) of(host int) []WeightChange {
+	if host >= len(h) {
+		return nil
+	}
+	return slices.Clone(h[host])
+}
+
+func (h weightHistory) forget(host int) {
+	if host < len(h) {
+		h[host] = nil
+	}
+}
+
+// recordWeightChange notes a change of a weight in a shared table.
+func (c *Controller) recordWeightChange(host int, from, to float64) {
+	explanation, _ := c.balancer.Explain(host)
+	c.weightChanges.add(host, WeightChange{
+		At:   c.nowMs,
+		From: from,
+		To:   to,
+		Rate: explanation.ArrivalRate,
+		R:    explanation.MeanLatencyMs,
+		Cap:  explanation.Capacity,
+	})
+}
+
+// HostInfos gives the state of all hosts, by name: those on the endpoint list, and those with an override.
+func (c *Controller) HostInfos() []HostInfo {
+	received := make(map[string]*Endpoint, len(c.endpoints.received))
+	names := map[string]bool{}
+	for i := range c.endpoints.received {
+		endpoint := &c.endpoints.received[i]
+		received[endpoint.Host] = endpoint
+		names[endpoint.Host] = true
 	}
-	for host := range s.overrides.Overrides() {
+	for host := range c.endpoints.effective {
 		names[host] = true
 	}
-	raw := map[string]Endpoint{}
-	for _, e := range s.endpoints.received {
-		raw[e.Host] = e
+	for host := range c.overrides.store.Overrides() {
+		names[host] = true
 	}
-	var all []HostInfo
+	var infos []HostInfo
 	for _, host := range slices.Sorted(maps.Keys(names)) {
-		if i, ok := s.hostInfo(host, func() (Endpoint, bool) { e, ok := raw[host]; return e, ok }); ok {
-			all = append(all, i)
+		if info, ok := c.hostInfo(host, received[host]); ok {
+			infos = append(infos, info)
 		}
 	}
-	return all
+	return infos
 }
 
-// HostInfo tells how one host stands; false where there is no such host.
-func (s *Controller) HostInfo(host string) (HostInfo, bool) {
-	return s.hostInfo(host, func() (Endpoint, bool) {
-		i := slices.IndexFunc(s.endpoints.received, func(e Endpoint) bool { return e.Host == host })
-		if i < 0 {
-			return Endpoint{}, false
-		}
-		return s.endpoints.received[i], true
-	})
+// HostInfo gives the state of a host; false where there is no such host.
+func (c *Controller) HostInfo(host string) (HostInfo, bool) {
+	i := slices.IndexFunc(c.endpoints.received, func(e Endpoint) bool { return e.Host == host })
+	if i < 0 {
+		return c.hostInfo(host, nil)
+	}
+	return c.hostInfo(host, &c.endpoints.received[i])
 }
 
-func (s *Controller) hostInfo(host string, raw func() (Endpoint, bool)) (HostInfo, bool) {
-	set, isSet := s.overrides.Override(host)
-	e, ok := s.endpoints.effective[host]
+// hostInfo gives the state of a host; received is its entry on the list as it came, nil where it has none.
+func (c *Controller) hostInfo(host string, received *Endpoint) (HostInfo, bool) {
+	override, hasOverride := c.overrides.store.Override(host)
+	endpoint, ok := c.shownEndpoint(host, received, override)
 	if !ok {
-		if e, ok = raw(); !ok && (!isSet || set.Added == nil) {
-			return HostInfo{}, false
-		} else if !ok {
-			e = Endpoint{Host: host, Zone: set.Added.Zone, Weight: set.Added.Weight}
-		}
-		e.State = routing.Removed
+		return HostInfo{}, false
 	}
-	i := HostInfo{Host: host, Zone: e.Zone, Phase: [...]string{"gone", "ready", "draining"}[e.State], Listed: e.Weight, Cores: e.Cores}
-	if h, ok := s.hostIndex.IndexOf[host]; ok {
-		if x, ok := s.balancer.Explain(h); ok {
-			i.Why, i.Withdrawn, i.Weight = x, x.Ejected, x.PublishedWeight
-		}
-		if h < len(s.weightChanges) {
-			i.Moves = slices.Clone(s.weightChanges[h])
+	info := HostInfo{
+		Host:   host,
+		Zone:   endpoint.Zone,
+		Phase:  hostStateName(endpoint.State),
+		Listed: endpoint.Weight,
+		Cores:  endpoint.Cores,
+	}
+	if index, ok := c.hostIndex.IndexOf[host]; ok {
+		if explanation, ok := c.balancer.Explain(index); ok {
+			info.Why = explanation
+			info.Withdrawn = explanation.Ejected
+			info.Weight = explanation.PublishedWeight
 		}
+		info.Moves = c.weightChanges.of(index)
 	}
-	if r, ok := s.ingest.trust.Host(s.nowMs, host, s.hostCapacity(host)); ok {
-		i.Reports = &r
+	if report, ok := c.ingest.trust.Host(c.nowMs, host, c.hostCapacity(host)); ok {
+		info.Reports = &report
 	}
-	if isSet {
-		i.Operator = &OverrideInfo{set.State.String(), set.Weight, set.WeightRatio, set.Added != nil, set.Operator, set.SetAtMs, set.ExpiresMs, false}
+	if hasOverride {
+		info.Operator = overrideInfo(override)
 	}
-	if o, ok := s.overrides.Pending(host); ok {
-		i.Operator = &OverrideInfo{State: o.State.String(), Weight: math.Max(o.Weight, 0), By: o.Operator, Waiting: true}
+	if command, ok := c.overrides.store.Pending(host); ok {
+		info.Operator = &OverrideInfo{
+			State:   command.State.String(),
+			Weight:  math.Max(command.Weight, 0),
+			By:      command.Operator,
+			Waiting: true,
+		}
 	}
-	return i, true
+	return info, true
 }
 
-// WeightChange is a change of a host's weight in the tables, with the figures of its moment.
-type WeightChange struct {
-	At   float64 `json:"at"`
-	From float64 `json:"from"`
-	To   float64 `json:"to"`
-	Rate float64 `json:"rate"`
-	R    float64 `json:"r"`
-	Cap  float64 `json:"cap"`
+// shownEndpoint is the entry by which a host is shown. One that an override keeps off the list is shown as removed.
+func (c *Controller) shownEndpoint(host string, received *Endpoint, override operator.Override) (Endpoint, bool) {
+	if endpoint, ok := c.endpoints.effective[host]; ok {
+		return endpoint, true
+	}
+	var endpoint Endpoint
+	switch {
+	case received != nil:
+		endpoint = *received
+	case override.Added != nil:
+		endpoint = Endpoint{Host: host, Zone: override.Added.Zone, Weight: override.Added.Weight}
+	default:
+		return Endpoint{}, false
+	}
+	endpoint.State = routing.Removed
+	return endpoint, true
 }
 
-// maxWeightChanges of each host.
-const maxWeightChanges = 4
+// hostStateName is the name of a state in the API.
+func hostStateName(state routing.HostState) string {
+	switch state {
+	case routing.Ready:
+		return "ready"
+	case routing.Draining:
+		return "draining"
+	default:
+		return "gone"
+	}
+}
 
-// recordWeightChange notes a line of a table that all proxies share.
-func (s *Controller) recordWeightChange(h int, from, to float64) {
-	for len(s.weightChanges) <= h {
-		s.weightChanges = append(s.weightChanges, nil)
+func overrideInfo(override operator.Override) *OverrideInfo {
+	return &OverrideInfo{
+		State:  override.State.String(),
+		Weight: override.Weight,
+		Part:   override.WeightRatio,
+		Added:  override.Added != nil,
+		By:     override.Operator,
+		At:     override.SetAtMs,
+		Until:  override.ExpiresMs,
 	}
-	x, _ := s.balancer.Explain(h)
-	m := append(s.weightChanges[h], WeightChange{s.nowMs, from, to, x.ArrivalRate, x.MeanLatencyMs, x.Capacity})
-	s.weightChanges[h] = m[max(len(m)-maxWeightChanges, 0):]
 }
--- a/controller/longpoll.go
+++ b/controller/longpoll.go
@@ -5,146 +5,181 @@
 	"strings"
 )
 
-// PollRequest is what a poll asks.
+// maxRequestRate bounds the request rate that a proxy may state, in requests a second.
+const maxRequestRate = 1e9
+
+// PollRequest is a proxy's poll for its tables.
 type PollRequest struct {
 	Proxy, Zone string
-	RequestRate float64       // transactions a second that the proxy usually gets; 0: not told
-	Tags        []string      // entity tags that the proxy holds, without quotes
-	AnyTag      bool          // whatever there is will do: If-None-Match: *
-	AcceptDelta bool          // a merge patch onto the tagged version will do
-	WaitMs      float64       // the poll may be held so long; below 0: not at all
-	Cached      *CachedTables // what the proxy holds, where it tells; used where the steward does not know it
+	RequestRate float64       // requests a second that the proxy usually gets; 0: not given
+	Tags        []string      // entity tags of the versions that the proxy holds, without quotes
+	AnyTag      bool          // the proxy takes any version for its own (If-None-Match: *)
+	AcceptDelta bool          // the proxy takes a merge patch onto the tagged version
+	WaitMs      float64       // longest time for which the poll may stay pending; below 0: it is answered at once
+	Cached      *CachedTables // what the proxy holds; nil: not given. Used where the controller does not know the proxy.
 }
 
-// CachedTables is what a proxy holds, under the tag that another steward gave it.
+// CachedTables are the tables that a proxy holds, under the tag that another controller gave them.
 type CachedTables struct {
 	Tag    string
 	Tables []Table
 }
 
-// pendingPoll is held until the tables change or its time is over.
+// pendingPoll is a poll that is answered when the tables change or its wait is over.
 type pendingPoll struct {
 	id          int64
-	baseVersion int64 // the version it names, 0 if none that is known
+	baseVersion int64 // the version that the proxy holds, 0 where it names none that is known
 	acceptDelta bool
 	deadlineMs  float64
 }
 
-// Poll joins the proxy if it has not joined, notes what the tag acknowledges, and answers by out: at once, or
-// later under the poll's id. Of two polls for a proxy the later one stays; the earlier is answered at once.
-func (s *Controller) Poll(now float64, id int64, q PollRequest, out Effects) error {
-	s.nowMs, s.effects = now, out
-	if err := checkName("proxy", q.Proxy); err != nil {
+// Poll starts the session of a proxy that has none, takes the acknowledgement in the tags, and answers through effects:
+// at once, or later under the poll's id. A proxy has one pending poll: a new one replaces it, and the one before is
+// answered at once. The error is a *FieldError where a field is invalid, or ErrDuplicateProxy.
+func (c *Controller) Poll(nowMs float64, id int64, request PollRequest, effects Effects) error {
+	c.nowMs = nowMs
+	c.effects = effects
+	if err := c.checkPoll(request); err != nil {
 		return err
 	}
-	z, ok := s.zoneIndex[q.Zone]
-	if !ok {
-		return invalidField("zone", "%q is not among the zones %s", q.Zone, strings.Join(s.deployment.Zones, ", "))
-	}
-	if !(q.RequestRate >= 0 && q.RequestRate <= 1e9) {
-		return invalidField("rate", "%g is not from 0 to 1e9", q.RequestRate)
-	}
-	if err := s.checkCachedTables(q.Cached); err != nil {
+	session, err := c.sessionOf(request)
+	if err != nil {
 		return err
 	}
-	m := s.sessions.byProxy[q.Proxy]
-	if m != nil && m.zone != z {
-		s.disconnect(m)
-		m = nil
-	}
-	if m == nil {
-		if len(s.sessions.byProxy) >= maxProxies {
-			return invalidField("proxy", "%d proxies have joined, no more can", maxProxies)
-		}
-		m = s.connect(q.Proxy, z, s.restoredRate(q.Proxy, q.RequestRate))
-		s.restoreProxy(m, q.Tags)
-	}
-	if o := q.Cached; o != nil && len(m.versions) == 0 {
-		s.carryOver(m, o.Tag, s.cachedTableSet(o.Tables))
+	if cached := request.Cached; cached != nil && len(session.versions) == 0 {
+		c.carryOver(session, cached.Tag, c.cachedTableSet(cached.Tables))
 	}
-	if m.pendingPoll != nil {
-		if !m.mayReplacePoll(now) {
+	if session.pendingPoll != nil {
+		if !session.mayReplacePoll(nowMs) {
 			return ErrDuplicateProxy
 		}
-		s.respond(m, m.pendingPoll)
-	}
-	base := s.acknowledge(m, q.Tags)
-	if n := len(m.versions); q.AnyTag && n > 0 {
-		base = m.versions[n-1].number
-	}
-	p := &pendingPoll{id: id, baseVersion: base, acceptDelta: q.AcceptDelta, deadlineMs: now + math.Min(q.WaitMs, s.settings.MaxPollWaitMs)}
-	if len(m.versions) == 0 {
-		p.deadlineMs = now + math.Min(math.Max(q.WaitMs, s.settings.MinFirstPollWaitMs), s.settings.MaxPollWaitMs)
-	} else if q.WaitMs < 0 || base != m.versions[len(m.versions)-1].number {
-		p.deadlineMs = now
-	}
-	m.pendingPoll, m.expiresMs = p, math.Inf(1)
-	s.sessions.pendingPolls++
-	if p.deadlineMs <= now {
-		s.respond(m, p)
+		c.respond(session, session.pendingPoll)
+	}
+	poll := c.newPoll(session, id, request)
+	session.pendingPoll = poll
+	session.expiresMs = math.Inf(1)
+	c.sessions.pendingPolls++
+	if poll.deadlineMs <= nowMs {
+		c.respond(session, poll)
 	} else {
-		s.sessions.scheduleCheck(m, p.deadlineMs)
+		c.sessions.scheduleCheck(session, poll.deadlineMs)
 	}
 	return nil
 }
 
-// Polls that take the place of a held one are answered so often, in so many ms: a proxy that lost its connection needs
-// one, two proxies under one name would else answer each other for ever.
+// checkPoll gives a *FieldError for the first invalid field of a poll.
+func (c *Controller) checkPoll(request PollRequest) error {
+	if err := checkName("proxy", request.Proxy); err != nil {
+		return err
+	}
+	if _, ok := c.zoneIndex[request.Zone]; !ok {
+		zones := strings.Join(c.deployment.Zones, ", ")
+		return invalidField("zone", "%q is not among the zones %s", request.Zone, zones)
+	}
+	if !(request.RequestRate >= 0 && request.RequestRate <= maxRequestRate) {
+		return invalidField("rate", "%g is not from 0 to 1e9", request.RequestRate)
+	}
+	return c.checkCachedTables(request.Cached)
+}
+
+// sessionOf is the session of the proxy that polls; one that has none, or that has moved to another zone, is connected.
+func (c *Controller) sessionOf(request PollRequest) (*session, error) {
+	zone := c.zoneIndex[request.Zone]
+	existing := c.sessions.byProxy[request.Proxy]
+	if existing != nil && existing.zone == zone {
+		return existing, nil
+	}
+	if existing != nil {
+		c.disconnect(existing)
+	}
+	if len(c.sessions.byProxy) >= maxProxies {
+		return nil, invalidField("proxy", "%d proxies have joined, no more can", maxProxies)
+	}
+	connected := c.connect(request.Proxy, zone, c.restoredRate(request.Proxy, request.RequestRate))
+	c.restoreProxy(connected, request.Tags)
+	return connected, nil
+}
+
+// newPoll takes the acknowledgement of a poll, and decides how long the poll stays pending.
+func (c *Controller) newPoll(session *session, id int64, request PollRequest) *pendingPoll {
+	base := c.acknowledge(session, request.Tags)
+	newest := session.newest()
+	if request.AnyTag && newest != nil {
+		base = newest.number
+	}
+	waitMs := request.WaitMs
+	if newest == nil {
+		waitMs = math.Max(waitMs, c.settings.MinFirstPollWaitMs)
+	}
+	deadlineMs := c.nowMs + math.Min(waitMs, c.settings.MaxPollWaitMs)
+	if newest != nil && (request.WaitMs < 0 || base != newest.number) {
+		deadlineMs = c.nowMs
+	}
+	return &pendingPoll{id: id, baseVersion: base, acceptDelta: request.AcceptDelta, deadlineMs: deadlineMs}
+}
+
+// The number of times that a new poll may replace a pending one, within a time: a proxy that has lost its connection
+// needs one, while two proxies under one name would answer each other's polls for ever.
 const (
 	maxPollReplacements     = 10
 	pollReplacementWindowMs = 10000.0
 )
 
-func (m *session) mayReplacePoll(now float64) bool {
-	for len(m.replacedPollsMs) > 0 && m.replacedPollsMs[0] < now-pollReplacementWindowMs {
-		m.replacedPollsMs = m.replacedPollsMs[1:]
+// mayReplacePoll reports whether a new poll may replace the pending one, and counts it.
+func (s *session) mayReplacePoll(nowMs float64) bool {
+	for len(s.replacedPollsMs) > 0 && s.replacedPollsMs[0] < nowMs-pollReplacementWindowMs {
+		s.replacedPollsMs = s.replacedPollsMs[1:]
 	}
-	if len(m.replacedPollsMs) >= maxPollReplacements {
+	if len(s.replacedPollsMs) >= maxPollReplacements {
 		return false
 	}
-	m.replacedPollsMs = append(m.replacedPollsMs, now)
+	s.replacedPollsMs = append(s.replacedPollsMs, nowMs)
 	return true
 }
 
-// CancelPoll notes that nobody waits for a poll's answer any more.
-func (s *Controller) CancelPoll(now float64, proxy string, id int64) {
-	s.nowMs = now
-	if m := s.sessions.byProxy[proxy]; m != nil && m.pendingPoll != nil && m.pendingPoll.id == id {
-		s.releasePoll(m)
+// CancelPoll notes that nobody waits for the answer of a poll any more, as after a lost connection.
+func (c *Controller) CancelPoll(nowMs float64, proxy string, id int64) {
+	c.nowMs = nowMs
+	session := c.sessions.byProxy[proxy]
+	if session != nil && session.pendingPoll != nil && session.pendingPoll.id == id {
+		c.releasePoll(session)
 	}
 }
 
-// ReleasePolls answers all polls that are held with what there is, as before the end of a steward.
-func (s *Controller) ReleasePolls(now float64, out Effects) {
-	s.nowMs, s.effects = now, out
-	for _, m := range s.sessions.byIndex {
-		if m != nil && m.pendingPoll != nil {
-			s.respond(m, m.pendingPoll)
+// ReleasePolls answers all pending polls with the tables as they are, as for a graceful shutdown.
+func (c *Controller) ReleasePolls(nowMs float64, effects Effects) {
+	c.nowMs = nowMs
+	c.effects = effects
+	for _, session := range c.sessions.byIndex {
+		if session != nil && session.pendingPoll != nil {
+			c.respond(session, session.pendingPoll)
 		}
 	}
 }
 
-// releasePoll ends the holding of a poll; from then on the proxy has to poll again.
-func (s *Controller) releasePoll(m *session) {
-	m.pendingPoll = nil
-	s.sessions.pendingPolls--
-	m.expiresMs = s.nowMs + s.settings.SessionTimeoutMs
-	s.sessions.scheduleCheck(m, m.expiresMs)
+// releasePoll ends the wait of a poll. From then on the proxy has the session timeout to poll again.
+func (c *Controller) releasePoll(session *session) {
+	session.pendingPoll = nil
+	c.sessions.pendingPolls--
+	session.expiresMs = c.nowMs + c.settings.SessionTimeoutMs
+	c.sessions.scheduleCheck(session, session.expiresMs)
 }
 
-// respond gives a poll the newest version: nothing if it has that already, a delta if its base is in the
-// history and it takes one, else the whole.
-func (s *Controller) respond(m *session, p *pendingPoll) {
-	s.releasePoll(m)
-	if len(m.versions) == 0 { // bound to no table yet
-		s.publish(m, nil)
-	}
-	newest := m.versions[len(m.versions)-1]
-	a := Response{Proxy: m.proxy, Tag: s.tagOf(&newest), view: newest.tables, Kind: Snapshot}
-	if p.baseVersion == newest.number {
-		a.Kind = NotModified
-	} else if base := m.version(p.baseVersion); base != nil && p.acceptDelta {
-		a.Kind, a.BaseTag, a.from = Delta, s.tagOf(base), base.tables
-	}
-	s.effects.Respond(p.id, a)
+// respond answers a poll with the newest version: NotModified where the proxy holds that already, a delta where it
+// takes one and its base is in the history, else a snapshot.
+func (c *Controller) respond(session *session, poll *pendingPoll) {
+	c.releasePoll(session)
+	if len(session.versions) == 0 { // no class has a table yet
+		c.publish(session, nil)
+	}
+	newest := session.newest()
+	response := Response{Kind: Snapshot, Proxy: session.proxy, Tag: c.tagOf(newest), tables: newest.tables}
+	if poll.baseVersion == newest.number {
+		response.Kind = NotModified
+	} else if base := session.version(poll.baseVersion); base != nil && poll.acceptDelta {
+		response.Kind = Delta
+		response.BaseTag = c.tagOf(base)
+		response.baseTables = base.tables
+	}
+	c.effects.Respond(poll.id, response)
 }
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -10,163 +10,219 @@
 	"barleysail/routing"
 )
 
-// ApplyOverrides takes operators' orders; several are carried out stepwise, each once the one before is through. An order
-// that would break a rule is refused with an *operator.Refusal, and nothing of it is done.
-func (s *Controller) ApplyOverrides(now float64, orders []operator.Command, out Effects) (waits bool, err error) {
-	s.nowMs, s.effects = now, out
-	if !s.endpoints.known {
+// overrideState holds the overrides of operators, and the time at which the next one is applied or expires.
+type overrideState struct {
+	store  *operator.OverrideStore
+	nextMs float64
+}
+
+// ApplyOverrides takes commands of operators. Of several commands each is applied once the one before has reached the
+// proxies; queued reports that one has to wait. A command that would break a rule gives an *operator.RejectedError, an
+// invalid host that is to be added a *FieldError; nothing is applied then.
+func (c *Controller) ApplyOverrides(nowMs float64, commands []operator.Command, effects Effects) (
+	queued bool, err error) {
+	c.nowMs = nowMs
+	c.effects = effects
+	if !c.endpoints.known {
 		return false, &operator.RejectedError{Host: "the list", Reason: "it is not known yet"}
 	}
-	for _, o := range orders {
-		if o.Add == nil {
-			continue
-		}
-		e := Endpoint{Host: o.Host, Zone: o.Add.Zone, State: routing.Ready, Weight: o.Add.Weight, Cores: o.Add.Cores, Speed: o.Add.Speed}
-		if err := s.checkEndpoints([]Endpoint{e}); err != nil {
+	for _, command := range commands {
+		if err := c.checkAddedHost(command); err != nil {
 			return false, err
 		}
 	}
-	if len(orders) > 1 {
-		waits, err = true, s.overrides.ApplyAll(s.overrideView(), orders)
-	} else if len(orders) == 1 {
-		waits, err = s.overrides.Apply(s.overrideView(), orders[0])
-	}
-	for _, o := range orders {
-		word := "set"
-		if err != nil {
-			word = "refused"
-		} else if waits {
-			word = "waits"
-		}
-		s.recordEvent("operator", describeCommand(o)+": "+word)
+	switch len(commands) {
+	case 0:
+	case 1:
+		queued, err = c.overrides.store.Apply(c.overrideView(), commands[0])
+	default:
+		queued = true
+		err = c.overrides.store.ApplyAll(c.overrideView(), commands)
 	}
+	c.recordCommands(commands, queued, err)
 	if err != nil {
 		return false, err
 	}
-	s.reapplyOverrides()
-	s.nextOverrideMs = now
-	return waits, nil
+	c.applyEndpoints()
+	c.overrides.nextMs = nowMs
+	return queued, nil
 }
 
-// describeCommand words an order.
-func describeCommand(o operator.Command) string {
-	text := o.Host + " " + o.State.String()
+// checkAddedHost checks the host that a command adds, if it adds one, like an entry of the endpoint list.
+func (c *Controller) checkAddedHost(command operator.Command) error {
+	added := command.Add
+	if added == nil {
+		return nil
+	}
+	return c.checkEndpoints([]Endpoint{{
+		Host:   command.Host,
+		Zone:   added.Zone,
+		State:  routing.Ready,
+		Weight: added.Weight,
+		Cores:  added.Cores,
+		Speed:  added.Speed,
+	}})
+}
+
+// recordCommands records an event for each command, with what became of them.
+func (c *Controller) recordCommands(commands []operator.Command, queued bool, err error) {
+	outcome := "set"
+	if err != nil {
+		outcome = "refused"
+	} else if queued {
+		outcome = "waits"
+	}
+	for _, command := range commands {
+		c.recordEvent("operator", describeCommand(command)+": "+outcome)
+	}
+}
+
+// describeCommand is the text of a command in events.
+func describeCommand(command operator.Command) string {
+	text := command.Host + " " + command.State.String()
 	switch {
-	case o.Add != nil:
-		text = o.Host + " add"
-	case o.Remove:
-		text = o.Host + " remove"
-	case o.ClearWeight:
+	case command.Add != nil:
+		text = command.Host + " add"
+	case command.Remove:
+		text = command.Host + " remove"
+	case command.ClearWeight:
 		text += ", the list's weight"
-	case o.Weight >= 0 && o.Relative:
-		text += fmt.Sprintf(", weight %g of the list's", o.Weight)
-	case o.Weight >= 0:
-		text += fmt.Sprintf(", weight %g", o.Weight)
+	case command.Weight >= 0 && command.Relative:
+		text += fmt.Sprintf(", weight %g of the list's", command.Weight)
+	case command.Weight >= 0:
+		text += fmt.Sprintf(", weight %g", command.Weight)
 	}
-	if o.DurationMs > 0 {
-		text += fmt.Sprintf(" for %g s", o.DurationMs/1000)
+	if command.DurationMs > 0 {
+		text += fmt.Sprintf(" for %g s", command.DurationMs/msPerSecond)
 	}
-	if o.Operator != "" {
-		text += " by " + o.Operator
+	if command.Operator != "" {
+		text += " by " + command.Operator
 	}
 	return text
 }
 
-// reapplyOverrides feeds the module the list with what operators set laid over it.
-func (s *Controller) reapplyOverrides() {
-	s.observeEndpoints(s.withOverrides(s.endpoints.received))
-	s.scheduler.request(s.nowMs, s.settings.MinRoundIntervalMs)
-}
-
-// withOverrides lays what operators set over a list.
-func (s *Controller) withOverrides(raw []Endpoint) []Endpoint {
-	sets := s.overrides.Overrides()
-	if len(sets) == 0 {
-		return raw
-	}
-	var all []Endpoint
+// withOverrides applies the overrides to a list. Hosts in maintenance are left out; hosts that operators added come
+// last, by name.
+func (c *Controller) withOverrides(received []Endpoint) []Endpoint {
+	overrides := c.overrides.store.Overrides()
+	if len(overrides) == 0 {
+		return received
+	}
+	var effective []Endpoint
 	listed := map[string]bool{}
-	laid := func(e Endpoint, set operator.Override) {
-		switch set.State {
-		case operator.Maintenance:
-			return
-		case operator.Draining:
-			e.State = routing.Draining
-		}
-		if set.Weight > 0 {
-			e.Weight = set.Weight
-		} else if set.WeightRatio > 0 {
-			e.Weight = math.Max(e.Weight, 0) * set.WeightRatio
-			if e.Weight == 0 { // a weight of 0 says nothing
-				e.Weight = set.WeightRatio
-			}
+	for _, endpoint := range received {
+		listed[endpoint.Host] = true
+		if override := overrides[endpoint.Host]; override.State != operator.Maintenance {
+			effective = append(effective, overridden(endpoint, override))
 		}
-		all = append(all, e)
 	}
-	for _, e := range raw {
-		listed[e.Host] = true
-		laid(e, sets[e.Host])
-	}
-	for _, host := range slices.Sorted(maps.Keys(sets)) {
-		if a := sets[host].Added; a != nil && !listed[host] {
-			laid(Endpoint{Host: host, Zone: a.Zone, State: routing.Ready, Weight: a.Weight, Cores: a.Cores, Speed: a.Speed,
-				StartedMs: a.StartedMs}, sets[host])
+	for _, host := range slices.Sorted(maps.Keys(overrides)) {
+		override := overrides[host]
+		if override.Added != nil && !listed[host] && override.State != operator.Maintenance {
+			effective = append(effective, overridden(addedEndpoint(host, override.Added), override))
 		}
 	}
-	return all
+	return effective
 }
 
-// overrideView is what decisions on operators' orders go by.
-func (s *Controller) overrideView() operator.View {
-	v := operator.View{Now: s.nowMs, NoUpdatePending: s.channel.backlog() == 0 && s.channel.queuedMessages() == 0, DrainGraceMs: s.drainGraceMs,
-		Known: func(host string) bool { _, ok := s.HostInfo(host); return ok }}
-	raw := map[string]float64{}
-	for _, e := range s.endpoints.received {
-		raw[e.Host] = e.Weight
-	}
-	for _, host := range slices.Sorted(maps.Keys(s.endpoints.effective)) {
-		e := s.endpoints.effective[host]
-		h := operator.Host{Name: host, Zone: e.Zone, Ready: e.State == routing.Ready, SlowStartFactor: 1, Weight: e.Weight}
-		if w, ok := raw[host]; ok {
-			h.Weight = w
-		}
-		if h.Weight == 0 {
-			h.Weight = 1
-		}
-		if x, ok := s.balancer.Explain(s.hostIndex.IndexOf[host]); ok {
-			h.SlowStartFactor = x.SlowStartFactor
-			if x.StartedMs >= 0 {
-				h.WarmAtMs = x.StartedMs + s.slowStartMs
-			}
-			h.Ready = h.Ready && !x.Ejected
+// addedEndpoint is the entry of a host that an operator added.
+func addedEndpoint(host string, added *operator.AddedHost) Endpoint {
+	return Endpoint{
+		Host:      host,
+		Zone:      added.Zone,
+		State:     routing.Ready,
+		Weight:    added.Weight,
+		Cores:     added.Cores,
+		Speed:     added.Speed,
+		StartedMs: added.StartedMs,
+	}
+}
+
+// overridden is an entry with the state and the weight of an override.
+func overridden(endpoint Endpoint, override operator.Override) Endpoint {
+	if override.State == operator.Draining {
+		endpoint.State = routing.Draining
+	}
+	if override.Weight > 0 {
+		endpoint.Weight = override.Weight
+	} else if override.WeightRatio > 0 {
+		endpoint.Weight = math.Max(endpoint.Weight, 0) * override.WeightRatio
+		if endpoint.Weight == 0 { // the list gives no weight: the ratio is one of the default weight 1
+			endpoint.Weight = override.WeightRatio
 		}
-		v.Hosts = append(v.Hosts, h)
 	}
-	for _, c := range s.classes {
-		if c.ZoneLocal {
-			v.ZoneLocalClasses = append(v.ZoneLocalClasses, c.Name)
+	return endpoint
+}
+
+// overrideView is the state of the hosts by which the rules for commands are checked.
+func (c *Controller) overrideView() operator.View {
+	view := operator.View{
+		Now:             c.nowMs,
+		NoUpdatePending: c.channel.backlog() == 0 && c.channel.queuedMessages() == 0,
+		DrainGraceMs:    c.safety.DrainGraceMs,
+		Known: func(host string) bool {
+			_, ok := c.HostInfo(host)
+			return ok
+		},
+	}
+	receivedWeights := map[string]float64{}
+	for _, endpoint := range c.endpoints.received {
+		receivedWeights[endpoint.Host] = endpoint.Weight
+	}
+	for _, host := range slices.Sorted(maps.Keys(c.endpoints.effective)) {
+		view.Hosts = append(view.Hosts, c.overrideHost(c.endpoints.effective[host], receivedWeights))
+	}
+	for _, class := range c.classes {
+		if class.ZoneLocal {
+			view.ZoneLocalClasses = append(view.ZoneLocalClasses, class.Name)
 		}
 	}
 	zones := map[string]bool{}
-	for _, m := range s.sessions.byIndex {
-		if m != nil {
-			zones[s.deployment.Zones[m.zone]] = true
+	for _, session := range c.sessions.byIndex {
+		if session != nil {
+			zones[c.deployment.Zones[session.zone]] = true
 		}
 	}
-	v.Zones = slices.Sorted(maps.Keys(zones))
-	return v
+	view.Zones = slices.Sorted(maps.Keys(zones))
+	return view
 }
 
-// applyDueOverrides carries out operators' orders that are due.
-func (s *Controller) applyDueOverrides() {
-	if s.nowMs < s.nextOverrideMs {
+// overrideHost is the state of a host by which the rules for commands are checked.
+func (c *Controller) overrideHost(endpoint Endpoint, receivedWeights map[string]float64) operator.Host {
+	host := operator.Host{
+		Name:            endpoint.Host,
+		Zone:            endpoint.Zone,
+		Ready:           endpoint.State == routing.Ready,
+		SlowStartFactor: 1,
+		Weight:          endpoint.Weight,
+	}
+	if weight, ok := receivedWeights[endpoint.Host]; ok {
+		host.Weight = weight
+	}
+	if host.Weight == 0 { // not given
+		host.Weight = 1
+	}
+	explanation, ok := c.balancer.Explain(c.hostIndex.IndexOf[endpoint.Host])
+	if !ok {
+		return host
+	}
+	host.SlowStartFactor = explanation.SlowStartFactor
+	if explanation.StartedMs >= 0 {
+		host.WarmAtMs = explanation.StartedMs + c.safety.SlowStartMs
+	}
+	host.Ready = host.Ready && !explanation.Ejected
+	return host
+}
+
+// applyDueOverrides applies queued commands whose turn it is, and ends overrides that have expired.
+func (c *Controller) applyDueOverrides() {
+	if c.nowMs < c.overrides.nextMs {
 		return
 	}
-	if done := s.overrides.ApplyDue(s.overrideView()); len(done) > 0 {
-		for _, o := range done {
-			s.recordEvent("operator", describeCommand(o)+": set")
-		}
-		s.reapplyOverrides()
+	applied := c.overrides.store.ApplyDue(c.overrideView())
+	if len(applied) > 0 {
+		c.recordCommands(applied, false, nil)
+		c.applyEndpoints()
 	}
-	s.nextOverrideMs = s.overrides.NextDeadline(s.nowMs, s.drainGraceMs)
+	c.overrides.nextMs = c.overrides.store.NextDeadline(c.nowMs, c.safety.DrainGraceMs)
 }
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -1,92 +1,190 @@
 package controller
 
 import (
+	"fmt"
 	"math"
 	"slices"
 
 	"barleysail/guard"
 )
 
-// reuseRepair gives the rows as they were last given where they are still sound and what was decided is the same, so that
-// nothing is told anew for a little more or less demand; nil where not.
-func (s *Controller) reuseRepair(v *guard.View, shared []int, l guard.Limits) (rows [][]float64) {
-	w := &guard.View{Hosts: v.Hosts, Routes: slices.Clone(v.Routes)}
-	for i := range w.Routes {
-		r := &w.Routes[i]
-		if i < len(shared) {
-			if b := s.tables.table(shared[i]); b.repaired != nil {
-				if lines, _ := guard.Changed(b.repairedFrom, r.Decided); lines > 0 {
-					return nil
-				}
-				r.Decided = b.repaired
-				for len(r.Decided) < len(v.Hosts) {
-					r.Decided = append(r.Decided, 0)
-				}
-			}
+// repairTables publishes the nearest valid tables in place of those decided where a finding demands it, else those
+// decided.
+func (c *Controller) repairTables(view *guard.View, sharedTables []int, findings []guard.Finding) {
+	validation := &c.validation
+	limits := validation.limits
+	limits.SurviveZoneLoss = limits.SurviveZoneLoss && validation.repair.SurviveZoneLoss
+
+	var repaired [][]float64 // by route; nil: what was decided is published
+	var remaining []guard.Finding
+	var cause guard.Finding
+	needsRepair := func(finding guard.Finding) bool {
+		return finding.Check != guard.OverCapacityWithoutZone || limits.SurviveZoneLoss
+	}
+	if i := slices.IndexFunc(findings, needsRepair); i >= 0 {
+		cause = findings[i]
+		repaired = c.reuseRepair(view, sharedTables, limits)
+		if repaired == nil {
+			repaired, remaining = guard.Repair(view, limits)
 		}
-		rows = append(rows, r.Decided)
 	}
-	if len(guard.Check(w, l)) > 0 {
-		return nil
+	differing := 0
+	for i, number := range sharedTables {
+		decided := view.Routes[i].Decided
+		weights := decided
+		if repaired != nil {
+			weights = repaired[i]
+		}
+		differing += c.publishRepaired(view.Hosts, number, decided, weights)
 	}
-	return rows
+	c.reportRepair(differing, remaining, cause)
 }
 
-// publishRepaired publishes a row for a shared table, and tells how many of its lines are other than decided. What the guard adds
-// to the channel by itself has to leave room for removals; where it does not, the row that was published stays, without
-// what may not stay in it.
-func (s *Controller) publishRepaired(v *guard.View, b *routingTable, number int, decided, row []float64) (other int) {
-	row = slices.Clone(row)
-	if other, _ = guard.Changed(decided, row); other > 0 {
-		for h := range row {
-			row[h] = round6(row[h])
+// reportRepair notes and logs when the published tables begin to differ from those decided, and when that ends.
+func (c *Controller) reportRepair(differing int, remaining []guard.Finding, cause guard.Finding) {
+	validation := &c.validation
+	wasRepairing := validation.report.Refusing
+	isRepairing := differing > 0
+	if isRepairing && !wasRepairing {
+		validation.repairingSinceMs = c.nowMs
+		validation.report.Refused++
+		c.logMode(fmt.Sprintf("guard refuses: %v; %d lines are others, %d findings left", cause, differing, len(remaining)))
+	} else if !isRepairing && wasRepairing {
+		c.logMode(fmt.Sprintf("guard refuses nothing again, after %.0f ms", c.nowMs-validation.repairingSinceMs))
+	}
+	validation.report.Refusing = isRepairing
+	validation.report.Left = remaining
+	c.reportInvalid(remaining)
+}
+
+// reportInvalid logs, once, that the repaired tables have been invalid for long.
+func (c *Controller) reportInvalid(remaining []guard.Finding) {
+	validation := &c.validation
+	if len(remaining) == 0 {
+		validation.invalidReported = false
+		validation.invalidSinceMs = c.nowMs
+		return
+	}
+	if !validation.invalidReported && c.nowMs >= validation.invalidSinceMs+invalidReportDelayMs {
+		validation.invalidReported = true
+		c.logMode(fmt.Sprintf("guard finds no sound table for %.0f ms, the least bad one is served: %v",
+			c.nowMs-validation.invalidSinceMs, remaining[0]))
+	}
+}
+
+// reuseRepair gives the weights of each route as they were last repaired, where they are still valid and what was
+// decided is the same, so that a small change of the demand causes no update. It gives nil where they cannot be
+// reused.
+func (c *Controller) reuseRepair(view *guard.View, sharedTables []int, limits guard.Limits) [][]float64 {
+	reused := &guard.View{Hosts: view.Hosts, Routes: slices.Clone(view.Routes)}
+	for i, number := range sharedTables {
+		table := c.tables.table(number)
+		if table.repaired == nil {
+			continue
 		}
+		route := &reused.Routes[i]
+		if changed, _ := guard.Changed(table.repairedFrom, route.Decided); changed > 0 {
+			return nil
+		}
+		route.Decided = padWeights(table.repaired, len(view.Hosts))
+	}
+	if len(guard.Check(reused, limits)) > 0 {
+		return nil
 	}
-	fresh := b.changedRound == s.tables.round
-	lines, removal := guard.Changed(b.published, row)
-	if own := float64(lines); b.published != nil && (other > 0 || b.repaired != nil) && lines > 0 {
-		if fresh {
-			own = math.Max(0, own-b.changedEntries)
+	weights := make([][]float64, len(reused.Routes))
+	for i := range reused.Routes {
+		weights[i] = reused.Routes[i].Decided
+	}
+	return weights
+}
+
+// padWeights appends weights of 0 for hosts that were added since.
+func padWeights(weights []float64, hosts int) []float64 {
+	for len(weights) < hosts {
+		weights = append(weights, 0)
+	}
+	return weights
+}
+
+// publishRepaired publishes weights for a shared table, and returns the number of entries that differ from those
+// decided. The updates that the validator causes by itself must leave room in the channel for removals; where they do
+// not, the weights that were published before stay, without hosts that must not stay in them.
+func (c *Controller) publishRepaired(hosts []guard.Host, number int, decided, weights []float64) (differing int) {
+	table := c.tables.table(number)
+	weights = slices.Clone(weights)
+	differing, _ = guard.Changed(decided, weights)
+	if differing > 0 {
+		for host := range weights {
+			weights[host] = roundWeight(weights[host])
 		}
-		if !s.fitsChannel(number, own, !fresh) {
-			if held, left := guard.MinimalUpdate(v.Hosts, b.published, decided); left {
-				row = held
-				lines, removal = guard.Changed(b.published, row)
-				other, _ = guard.Changed(decided, row)
-			}
+	}
+	if !c.repairFits(number, table, weights, differing) {
+		if minimal, ok := guard.MinimalUpdate(hosts, table.published, decided); ok {
+			weights = minimal
+			differing, _ = guard.Changed(decided, weights)
 		}
 	}
-	if was := b.repaired != nil; other > 0 {
-		b.repaired, b.repairedFrom = row, slices.Clone(decided)
-	} else if b.repaired = nil; !was {
-		b.published = row
-		return 0
+	wasRepaired := table.repaired != nil
+	if differing > 0 {
+		table.repaired = weights
+		table.repairedFrom = slices.Clone(decided)
+	} else {
+		table.repaired = nil
+		if !wasRepaired {
+			table.published = weights
+			return 0
+		}
 	}
-	if b.published != nil && lines > 0 {
-		if !fresh {
-			b.changedRound, b.changedEntries, b.hasRemoval = s.tables.round, 0, false
-			s.tables.changed = append(s.tables.changed, number)
+	if table.published != nil {
+		if changed, hasRemoval := guard.Changed(table.published, weights); changed > 0 {
+			c.tables.beginChange(number, table)
+			table.changedEntries = math.Max(table.changedEntries, float64(changed))
+			table.hasRemoval = table.hasRemoval || hasRemoval
 		}
-		b.changedEntries, b.hasRemoval = math.Max(b.changedEntries, float64(lines)), b.hasRemoval || removal
 	}
-	b.published, b.tableSet, b.entries = row, nil, nil
-	return other
+	table.published = weights
+	table.tableSet = nil
+	table.entries = nil
+	return differing
 }
 
-// fitsChannel tells whether the channel has room for lines of the guard's own to all proxies that use a table.
-func (s *Controller) fitsChannel(number int, lines float64, message bool) bool {
-	c := &s.channel
-	p := guard.ChannelBudget{Backlog: c.backlog(), MaxBacklog: c.maxBacklog, MaxMessages: c.maxMessages}
-	all := 0.0
-	for _, m := range s.sessions.byIndex {
-		if m == nil || !slices.Contains(m.tableByClass, number) {
+// repairFits reports whether the channel has room for the entries that repaired weights would change beside those that
+// the balancer has changed in this round.
+func (c *Controller) repairFits(number int, table *routingTable, weights []float64, differing int) bool {
+	if table.published == nil || differing == 0 && table.repaired == nil {
+		return true // nothing is sent for the sake of a repair
+	}
+	changed, _ := guard.Changed(table.published, weights)
+	if changed == 0 {
+		return true
+	}
+	entries := float64(changed)
+	needsMessage := table.changedRound != c.tables.round
+	if !needsMessage {
+		entries = math.Max(0, entries-table.changedEntries)
+	}
+	return c.fitsChannel(number, entries, needsMessage)
+}
+
+// fitsChannel reports whether the channel has room for entries to all proxies that use a table, each in a message of
+// its own where needsMessage is set.
+func (c *Controller) fitsChannel(number int, entries float64, needsMessage bool) bool {
+	channel := &c.channel
+	budget := guard.ChannelBudget{
+		Backlog:     channel.backlog(),
+		MaxBacklog:  channel.maxBacklog,
+		MaxMessages: channel.maxMessages,
+	}
+	total := 0.0
+	for _, session := range c.sessions.byIndex {
+		if session == nil || !slices.Contains(session.tableByClass, number) {
 			continue
 		}
-		if all += lines; message {
-			all += c.messageOverhead + 1
+		total += entries
+		if needsMessage {
+			total += channel.messageOverhead + 1
 		}
-		c.canSend(m, s.nowMs)
-		p.MessagesSent = max(p.MessagesSent, len(m.sentMs))
+		budget.MessagesSent = max(budget.MessagesSent, channel.recentMessages(session, c.nowMs))
 	}
-	return p.Fits(all, message)
+	return budget.Fits(total, needsMessage)
 }
--- a/controller/response.go
+++ b/controller/response.go
@@ -1,85 +1,95 @@
 package controller
 
 import (
-	"encoding/json"
 	"fmt"
 
 	"github.com/gowebpki/jcs"
 )
 
-// ResponseKind of an answer.
+// ResponseKind is the kind of an answer to a poll.
 type ResponseKind int
 
-// The tables as they stand, a merge patch onto the version named as base, or nothing new.
 const (
+	// Snapshot holds all tables.
 	Snapshot ResponseKind = iota
+	// Delta is a merge patch (RFC 7396) onto the version that BaseTag names.
 	Delta
+	// NotModified says that the proxy holds the newest version already.
 	NotModified
 )
 
-// Response to a poll. Body may be called from any goroutine.
+// Response answers a poll. Its methods may be called by any goroutine.
 type Response struct {
 	Kind         ResponseKind
 	Proxy        string
-	Tag, BaseTag string // without quotes
-	view         *tableSet
-	from         *tableSet
+	Tag, BaseTag string // entity tags, without quotes
+	tables       *tableSet
+	baseTables   *tableSet // for a Delta
 }
 
-// Body gives the JSON document: {"proxy":…,"tables":…}, or the RFC 7396 merge patch of it. A class that was
-// not ordered yet has no "hosts", and the proxy keeps what it has for it.
-func (a Response) Body() []byte {
-	switch a.Kind {
+// Body gives the JSON document: {"proxy":…,"tables":…}, or the RFC 7396 merge patch of it, or nil for NotModified. A
+// class without a table has no "hosts", and the proxy keeps what it has for it.
+func (r Response) Body() []byte {
+	switch r.Kind {
 	case NotModified:
 		return nil
 	case Delta:
-		return a.view.delta(a.from)
+		return r.tables.delta(r.baseTables)
 	}
-	name, _ := json.Marshal(a.Proxy)
-	tables := a.view.document()
-	body := make([]byte, 0, len(tables)+len(name)+24)
-	body = append(append(append(body, `{"proxy":`...), name...), `,"tables":`...)
-	return append(append(body, tables...), "}\n"...)
+	tables := r.tables.document()
+	const frameLength = len(`{"proxy":"","tables":}`) + 2 // and the line break, with some room
+	body := make([]byte, 0, len(tables)+len(r.Proxy)+frameLength)
+	body = append(body, `{"proxy":`...)
+	body = appendQuoted(body, r.Proxy)
+	body = append(body, `,"tables":`...)
+	body = append(body, tables...)
+	return append(body, "}\n"...)
 }
 
-// Canonical gives the tables that the proxy holds once it has taken the answer in, in the canonical form of RFC 8785, for
-// signatures. It may be called from any goroutine, and is made once for all proxies with the same tables.
-func (a Response) Canonical() ([]byte, error) {
-	v := a.view
-	whole := v.document()
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.canonical == nil {
-		text, err := jcs.Transform(whole)
+// Canonical gives the tables that the proxy holds once it has applied the response, in the canonical form of RFC 8785,
+// for signatures. It is made once for all proxies with the same tables.
+func (r Response) Canonical() ([]byte, error) {
+	tables := r.tables
+	document := tables.document()
+	tables.mu.Lock()
+	defer tables.mu.Unlock()
+	if tables.canonical == nil {
+		text, err := jcs.Transform(document)
 		if err != nil {
 			return nil, fmt.Errorf("writing tables in their canonical form: %w", err)
 		}
-		v.canonical = text
+		tables.canonical = text
 	}
-	return v.canonical, nil
+	return tables.canonical, nil
 }
 
-// Table is what an answer holds for a class, as a value: hosts in order, and whether any were ordered at all.
+// Table is the table of a request class as a value.
 type Table struct {
 	Class          string
-	Ordered        bool
+	Ordered        bool // the class has a table, be it an empty one
 	Hosts          []string
-	Weights        []float64
-	AdmissionRatio float64
+	Weights        []float64 // of Hosts
+	AdmissionRatio float64   // part of the requests to admit
 	RetryPolicy    int
 }
 
-// Tables gives what the proxy holds once it has taken the answer in, for callers that need no document.
-func (a Response) Tables() []Table {
-	var all []Table
-	for _, c := range a.view.classes {
-		t := Table{Class: c.name, Ordered: c.assigned, AdmissionRatio: c.policy.admissionRatio, RetryPolicy: c.policy.retryPolicy}
-		if c.assigned {
-			for _, l := range c.entries {
-				t.Hosts, t.Weights = append(t.Hosts, l.host), append(t.Weights, l.weight)
+// Tables gives the tables that the proxy holds once it has applied the response, for callers that need no document.
+func (r Response) Tables() []Table {
+	var tables []Table
+	for _, class := range r.tables.classes {
+		table := Table{
+			Class:          class.name,
+			Ordered:        class.assigned,
+			AdmissionRatio: class.policy.admissionRatio,
+			RetryPolicy:    class.policy.retryPolicy,
+		}
+		if class.assigned {
+			for _, entry := range class.entries {
+				table.Hosts = append(table.Hosts, entry.host)
+				table.Weights = append(table.Weights, entry.weight)
 			}
 		}
-		all = append(all, t)
+		tables = append(tables, table)
 	}
-	return all
+	return tables
 }
--- a/controller/restore.go
+++ b/controller/restore.go
@@ -11,198 +11,277 @@
 	"barleysail/state/statepb"
 )
 
-// restoredState is what an earlier life knew, until it is used.
+// restoredState is what an earlier incarnation knew, until it is used.
 type restoredState struct {
-	*state.Restored
-	hostCount, proxyCount, versionCount int // used so far
-	drainingSinceMs                     map[string]float64
-}
-
-// Restore tells a steward that has just been made what an earlier life knew and is still to be trusted. Hosts are recalled
-// with the first list, proxies as they come. The list tells of starts and drains more surely, and goes first.
-func (s *Controller) Restore(now float64, r *state.Restored) {
-	s.nowMs = now
-	s.restored = restoredState{Restored: r, drainingSinceMs: map[string]float64{}}
-	for _, x := range r.Overrides {
-		set := operator.Override{State: operator.State(x.State), Weight: x.Weight, WeightRatio: x.Part, Operator: x.By, SetAtMs: x.At, ExpiresMs: x.Until}
-		if a := x.Added; a != nil {
-			set.Added = &operator.AddedHost{Zone: a.Zone, Weight: a.Weight, Cores: a.Cores, Speed: a.Speed, StartedMs: a.Started}
-		}
-		if x.State >= int32(operator.Listed) && x.State <= int32(operator.Maintenance) {
-			s.overrides.Restore(x.Host, set)
-		}
+	*state.Restored     // nil: nothing was restored
+	hostCount       int // hosts used so far
+	proxyCount      int // proxies used so far
+	versionCount    int // versions of proxies carried over so far
+	drainingSinceMs map[string]float64
+}
+
+// Restore gives a new controller what an earlier incarnation knew and what can still be trusted of it. Hosts are
+// restored with the first endpoint list, proxies when they connect. What the list says of starts and drains is more
+// certain, and takes precedence.
+func (c *Controller) Restore(nowMs float64, restored *state.Restored) {
+	c.nowMs = nowMs
+	c.restored = restoredState{Restored: restored, drainingSinceMs: map[string]float64{}}
+	for _, setting := range restored.Overrides {
+		c.restoreOverride(setting)
 	}
-	s.nextOverrideMs = math.Min(s.nextOverrideMs, now)
-	if r.AdmissionRatio < 1 || r.MedianLatencyMs > 0 {
-		shares := make([]float64, len(s.classes))
-		for i, c := range s.classes {
-			if shares[i] = 1; r.AdmissionQuotas[c.Name] > 0 {
-				shares[i] = r.AdmissionQuotas[c.Name]
-			}
+	c.overrides.nextMs = math.Min(c.overrides.nextMs, nowMs)
+	if restored.AdmissionRatio < 1 || restored.MedianLatencyMs > 0 {
+		c.balancer.RestoreAdmission(restored.AdmissionRatio, c.restoredQuotas(), restored.MedianLatencyMs)
+	}
+}
+
+// restoreOverride sets an override again; one with a state that is not known is ignored.
+func (c *Controller) restoreOverride(setting *statepb.Setting) {
+	if setting.State < int32(operator.Listed) || setting.State > int32(operator.Maintenance) {
+		return
+	}
+	override := operator.Override{
+		State:       operator.State(setting.State),
+		Weight:      setting.Weight,
+		WeightRatio: setting.Part,
+		Operator:    setting.By,
+		SetAtMs:     setting.At,
+		ExpiresMs:   setting.Until,
+	}
+	if added := setting.Added; added != nil {
+		override.Added = &operator.AddedHost{
+			Zone:      added.Zone,
+			Weight:    added.Weight,
+			Cores:     added.Cores,
+			Speed:     added.Speed,
+			StartedMs: added.Started,
 		}
-		s.balancer.RestoreAdmission(r.AdmissionRatio, shares, r.MedianLatencyMs)
 	}
+	c.overrides.store.Restore(setting.Host, override)
 }
 
-// startMs is when a host started by the list, or else by what was recalled of it.
-func (s *Controller) startMs(e Endpoint) float64 {
-	if h := s.restoredHost(e.Host); e.StartedMs == 0 && h != nil {
-		return h.StartedMs
+// restoredQuotas are the admission quotas by class, 1 for a class of which none is known.
+func (c *Controller) restoredQuotas() []float64 {
+	quotas := make([]float64, len(c.classes))
+	for i, class := range c.classes {
+		quotas[i] = 1
+		if quota := c.restored.AdmissionQuotas[class.Name]; quota > 0 {
+			quotas[i] = quota
+		}
 	}
-	return e.StartedMs
+	return quotas
 }
 
-func (s *Controller) restoredHost(host string) *state.Host {
-	if s.restored.Restored == nil {
-		return nil
+// startMs is the time of a host's start by its entry, or else as it was restored.
+func (c *Controller) startMs(endpoint Endpoint) float64 {
+	if endpoint.StartedMs != 0 || c.restored.Restored == nil {
+		return endpoint.StartedMs
 	}
-	return s.restored.Hosts[host]
+	if host := c.restored.Hosts[endpoint.Host]; host != nil {
+		return host.StartedMs
+	}
+	return 0
 }
 
-// restoreHosts tells the module what was known of the hosts of the first list. One that started since is another.
-func (s *Controller) restoreHosts(entries []Endpoint) {
-	if s.restored.Restored == nil {
+// restoreHosts gives the balancer what was known of the hosts of the first list.
+func (c *Controller) restoreHosts(entries []Endpoint) {
+	if c.restored.Restored == nil {
 		return
 	}
-	for _, e := range entries {
-		h := s.restored.Hosts[e.Host]
-		if h == nil || h.Zone != e.Zone || e.StartedMs > 0 && h.StartedMs > 0 && e.StartedMs != h.StartedMs || e.StartedMs > s.nowMs-s.restored.ElapsedMs {
-			continue
+	for _, endpoint := range entries {
+		host := c.restored.Hosts[endpoint.Host]
+		if host != nil && c.isSameHost(endpoint, host) {
+			c.restoreHost(endpoint, host)
 		}
-		s.restored.hostCount++
-		i := s.hostIndex.Index(e.Host)
-		s.balancer.RestoreHost(i, h.Weight, h.MeanLatencyMs, h.Successes, h.Failures)
-		if h.Ejected && e.State == routing.Ready { // one strike: a probe is due soon, and two more prove it
-			how := routing.TimedOut
-			if h.Unreachable {
-				how = routing.Unreachable
-			}
-			s.balancer.ObserveHealthCheck(i, how, routing.UnknownLoad)
-		}
-		if h.ReportTrust < 1 {
-			s.ingest.trust.Restore(e.Host, h.ReportTrust)
-		}
-		if h.DrainingSinceMs > 0 && e.State == routing.Draining {
-			s.restored.drainingSinceMs[e.Host] = h.DrainingSinceMs
+	}
+	c.restored.Hosts = map[string]*state.Host{}
+}
+
+// isSameHost reports whether an entry is the host that was known, and not another one under its name: one in another
+// zone or that has started since.
+func (c *Controller) isSameHost(endpoint Endpoint, host *state.Host) bool {
+	if host.Zone != endpoint.Zone {
+		return false
+	}
+	if endpoint.StartedMs > 0 && host.StartedMs > 0 && endpoint.StartedMs != host.StartedMs {
+		return false
+	}
+	return endpoint.StartedMs <= c.nowMs-c.restored.ElapsedMs
+}
+
+func (c *Controller) restoreHost(endpoint Endpoint, host *state.Host) {
+	c.restored.hostCount++
+	index := c.hostIndex.Index(endpoint.Host)
+	c.balancer.RestoreHost(index, host.Weight, host.MeanLatencyMs, host.Successes, host.Failures)
+	if host.Ejected && endpoint.State == routing.Ready {
+		// One failed health check makes the next one due soon; two more are needed to eject the host again.
+		result := routing.TimedOut
+		if host.Unreachable {
+			result = routing.Unreachable
 		}
+		c.balancer.ObserveHealthCheck(index, result, routing.UnknownLoad)
+	}
+	if host.ReportTrust < 1 {
+		c.ingest.trust.Restore(endpoint.Host, host.ReportTrust)
+	}
+	if host.DrainingSinceMs > 0 && endpoint.State == routing.Draining {
+		c.restored.drainingSinceMs[endpoint.Host] = host.DrainingSinceMs
 	}
-	s.restored.Hosts = map[string]*state.Host{}
 }
 
-// restoreProxy takes up what was known of a proxy that joins: what lately came to it, and, where it still holds what the
-// earlier life gave it, that as a version, so that a delta goes on from there.
-func (s *Controller) restoreProxy(m *session, tags []string) {
-	if s.restored.Restored == nil {
+// restoreProxy gives a new session what was known of its proxy: the request rates, and, where the proxy still holds the
+// tables that the earlier incarnation gave it, these as a version, so that a delta onto them can be given.
+func (c *Controller) restoreProxy(session *session, tags []string) {
+	if c.restored.Restored == nil {
 		return
 	}
-	p := s.restored.Proxies[m.proxy]
-	if delete(s.restored.Proxies, m.proxy); p == nil || p.Zone != s.deployment.Zones[m.zone] {
+	proxy := c.restored.Proxies[session.proxy]
+	delete(c.restored.Proxies, session.proxy)
+	if proxy == nil || proxy.Zone != c.deployment.Zones[session.zone] {
 		return
 	}
-	s.restored.proxyCount++
-	if len(p.RequestRates) == len(m.requestRates) {
-		copy(m.requestRates, p.RequestRates)
+	c.restored.proxyCount++
+	if len(proxy.RequestRates) == len(session.requestRates) {
+		copy(session.requestRates, proxy.RequestRates)
 	}
-	if p.Tag == "" || !slices.Contains(tags, p.Tag) {
+	if proxy.Tag == "" || !slices.Contains(tags, proxy.Tag) {
 		return
 	}
-	if v := s.restoredTableSet(p.Tag, p.Tables); v != nil {
-		s.restored.versionCount++
-		s.carryOver(m, p.Tag, v)
+	if tables := c.restoredTableSet(proxy.Tag, proxy.Tables); tables != nil {
+		c.restored.versionCount++
+		c.carryOver(session, proxy.Tag, tables)
 	}
 }
 
-// checkCachedTables refuses what no proxy can hold.
-func (s *Controller) checkCachedTables(o *CachedTables) error {
-	if o == nil {
+// Bounds of cached tables. Any retry policy of the wire format is valid.
+const (
+	maxRetryPolicy      = 3
+	maxCachedHostLength = 300 // in bytes
+)
+
+// checkCachedTables gives a *FieldError for tables that no proxy can hold.
+func (c *Controller) checkCachedTables(cached *CachedTables) error {
+	if cached == nil {
 		return nil
 	}
-	if err := checkName("tag", o.Tag); err != nil {
+	if err := checkName("tag", cached.Tag); err != nil {
 		return err
 	}
 	seen := map[string]bool{}
-	for _, t := range o.Tables {
-		field := fmt.Sprintf("tables[%q]", t.Class)
-		if _, ok := s.classIndex[t.Class]; !ok || seen[t.Class] {
+	for i := range cached.Tables {
+		table := &cached.Tables[i]
+		field := fmt.Sprintf("tables[%q]", table.Class)
+		if _, known := c.classIndex[table.Class]; !known || seen[table.Class] {
 			return invalidField(field, "the class is not in the settings, or stands there twice")
 		}
-		if seen[t.Class] = true; !(t.AdmissionRatio >= 0) || math.IsInf(t.AdmissionRatio, 0) || t.RetryPolicy < 0 || t.RetryPolicy > 3 || len(t.Hosts) > maxHosts || len(t.Hosts) != len(t.Weights) {
-			return invalidField(field, "share %g, tries %d, %d hosts with %d weights", t.AdmissionRatio, t.RetryPolicy, len(t.Hosts), len(t.Weights))
+		seen[table.Class] = true
+		if err := checkCachedTable(field, table); err != nil {
+			return err
 		}
-		for i, host := range t.Hosts {
-			if w := t.Weights[i]; !(w > 0) || math.IsInf(w, 0) || i > 0 && host <= t.Hosts[i-1] || len(host) > 300 {
-				return invalidField(field+".hosts", "%.300q has the weight %g, or is not in order", host, w)
-			}
+	}
+	return nil
+}
+
+// checkCachedTable checks the values of a table; the comparisons are written so that NaN fails.
+func checkCachedTable(field string, table *Table) error {
+	validRatio := table.AdmissionRatio >= 0 && !math.IsInf(table.AdmissionRatio, 0)
+	validPolicy := table.RetryPolicy >= 0 && table.RetryPolicy <= maxRetryPolicy
+	if !validRatio || !validPolicy || len(table.Hosts) > maxHosts || len(table.Hosts) != len(table.Weights) {
+		return invalidField(field, "share %g, tries %d, %d hosts with %d weights",
+			table.AdmissionRatio, table.RetryPolicy, len(table.Hosts), len(table.Weights))
+	}
+	for i, host := range table.Hosts {
+		weight := table.Weights[i]
+		validWeight := weight > 0 && !math.IsInf(weight, 0)
+		inOrder := i == 0 || host > table.Hosts[i-1]
+		if !validWeight || !inOrder || len(host) > maxCachedHostLength {
+			return invalidField(field+".hosts", "%.300q has the weight %g, or is not in order", host, weight)
 		}
 	}
 	return nil
 }
 
-// cachedTableSet makes a view of tables that a proxy offers. A class it does not name was not ordered.
-func (s *Controller) cachedTableSet(tables []Table) *tableSet {
-	s.tables.lastTableSetID++
-	v := &tableSet{id: s.tables.lastTableSetID}
-	for _, c := range s.classes {
-		k := classTable{name: c.Name, policy: classPolicy{1, s.tables.defaultRetryPolicy, true}}
-		for _, t := range tables {
-			if t.Class != c.Name {
-				continue
-			}
-			k.assigned, k.policy = t.Ordered, classPolicy{t.AdmissionRatio, t.RetryPolicy, true}
-			for i, host := range t.Hosts {
-				k.entries = append(k.entries, weightEntry{host, t.Weights[i]})
+// cachedTableSet makes a table set of tables that a proxy holds. A class that is not among them has no table.
+func (c *Controller) cachedTableSet(tables []Table) *tableSet {
+	c.tables.lastTableSetID++
+	set := &tableSet{id: c.tables.lastTableSetID}
+	for _, class := range c.classes {
+		cached := classTable{name: class.Name, policy: classPolicy{1, c.tables.defaultRetryPolicy, true}}
+		i := slices.IndexFunc(tables, func(table Table) bool { return table.Class == class.Name })
+		if i >= 0 {
+			table := &tables[i]
+			cached.assigned = table.Ordered
+			cached.policy = classPolicy{table.AdmissionRatio, table.RetryPolicy, true}
+			for k, host := range table.Hosts {
+				cached.entries = append(cached.entries, weightEntry{host, table.Weights[k]})
 			}
 		}
-		v.classes = append(v.classes, k)
+		set.classes = append(set.classes, cached)
 	}
-	return v
+	return set
 }
 
-// restoredTableSet makes a view of kept tables; nil where they are of other classes, or cannot be.
-func (s *Controller) restoredTableSet(tag string, kept []*statepb.Class) *tableSet {
-	if len(kept) != len(s.classes) {
+// restoredTableSet makes a table set of persisted tables; nil where they are those of other classes, or are not valid.
+func (c *Controller) restoredTableSet(tag string, persisted []*statepb.Class) *tableSet {
+	if len(persisted) != len(c.classes) {
 		return nil
 	}
-	o := &CachedTables{Tag: tag}
-	for i, t := range kept {
-		if t.Name != s.classes[i].Name {
+	cached := &CachedTables{Tag: tag}
+	for i, class := range persisted {
+		if class.Name != c.classes[i].Name {
 			return nil
 		}
-		o.Tables = append(o.Tables, Table{Class: t.Name, Ordered: t.Ordered, Hosts: t.Hosts, Weights: t.Weights, AdmissionRatio: t.Share, RetryPolicy: int(t.Tries)})
+		cached.Tables = append(cached.Tables, Table{
+			Class:          class.Name,
+			Ordered:        class.Ordered,
+			Hosts:          class.Hosts,
+			Weights:        class.Weights,
+			AdmissionRatio: class.Share,
+			RetryPolicy:    int(class.Tries),
+		})
 	}
-	if s.checkCachedTables(o) != nil {
-		return nil
+	if c.checkCachedTables(cached) != nil {
+		return nil // the proxy gets a snapshot instead
 	}
-	return s.cachedTableSet(o.Tables)
+	return c.cachedTableSet(cached.Tables)
 }
 
-// restoredRate is what a proxy usually gets, by what it says or else by what was recalled of it.
-func (s *Controller) restoredRate(name string, rate float64) float64 {
-	if s.restored.Restored == nil || rate > 0 {
-		return rate
+// restoredRate is the usual request rate of a proxy in requests a second, as it gives it or else as it was restored.
+func (c *Controller) restoredRate(proxy string, givenRate float64) float64 {
+	if c.restored.Restored == nil || givenRate > 0 {
+		return givenRate
 	}
-	if p := s.restored.Proxies[name]; p != nil {
-		for _, x := range p.RequestRates {
-			rate += x
+	rate := givenRate
+	if restored := c.restored.Proxies[proxy]; restored != nil {
+		for _, classRate := range restored.RequestRates {
+			rate += classRate
 		}
 	}
 	return rate
 }
 
-// RestoreReport is what of an earlier life was used.
+// RestoreReport is what was used of the state of an earlier incarnation.
 type RestoreReport struct {
-	From     string  `json:"from"`      // the life; empty: nothing was known
-	PassedMs float64 `json:"passed_ms"` // between
-	Why      string  `json:"why"`       // less than all is known
-	Hosts    int     `json:"hosts"`     // recalled
-	Proxies  int     `json:"proxies"`
-	Versions int     `json:"versions"` // of proxies that went on from their old tables
+	From     string  `json:"from"`      // the incarnation; empty: none was known
+	PassedMs float64 `json:"passed_ms"` // between the two
+	Why      string  `json:"why"`       // not all of the state could be used
+	Hosts    int     `json:"hosts"`     // restored
+	Proxies  int     `json:"proxies"`   // restored
+	Versions int     `json:"versions"`  // of proxies that continued from the tables they held
 }
 
-func (s *Controller) restoreReport() *RestoreReport {
-	m := s.restored
-	if m.Restored == nil {
+// restoreReport gives nil where nothing was restored.
+func (c *Controller) restoreReport() *RestoreReport {
+	restored := &c.restored
+	if restored.Restored == nil {
 		return nil
 	}
-	return &RestoreReport{m.Incarnation, m.ElapsedMs, m.Reason, m.hostCount, m.proxyCount, m.versionCount}
+	return &RestoreReport{
+		From:     restored.Incarnation,
+		PassedMs: restored.ElapsedMs,
+		Why:      restored.Reason,
+		Hosts:    restored.hostCount,
+		Proxies:  restored.proxyCount,
+		Versions: restored.versionCount,
+	}
 }
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -10,127 +10,173 @@
 	"barleysail/internal/interner"
 )
 
-// session is a proxy that has joined.
+// Bounds of sessions.
+const (
+	maxProxies    = 60000 // connected at once; numbers of subset tables have to stay below routing.AllTables
+	maxNameLength = 128   // of a proxy or a reporter, in bytes
+)
+
+// noTable in place of a table's number: the class has no table yet.
+const noTable = -1
+
+// session is the state of a connected proxy.
 type session struct {
-	proxy              string
-	index              int
-	zone               int
-	tableByClass       []int // by class, -1 where none is bound
-	versions           []version
-	ackedVersion       int64          // the newest version that it has polled with
-	pendingPoll        *pendingPoll   // held now
-	expiresMs          float64        // where no poll is held
-	checkAtMs          float64        // when expire looks at it next
-	queuedMessage      *updateMessage // waiting in the channel
-	sentMs             []float64
-	reporters          intake.Reporters // of its sums
-	reporterClock      intake.Clock     // theirs
-	duplicateReporters bool             // two of them are at work
-	replacedPollsMs    []float64        // when polls of it took the place of one that was held
-	requestRates       []float64        // transactions a second that came lately, by class
+	proxy        string
+	index        int   // the balancer's index of the proxy
+	zone         int   // index of the zone
+	tableByClass []int // number of the table of each class, or noTable
+
+	versions     []version // the newest last, Settings.VersionHistory at most
+	ackedVersion int64     // the newest version that the proxy has acknowledged
+
+	pendingPoll     *pendingPoll // nil: the proxy is not polling
+	expiresMs       float64      // the end of the session where no poll is pending
+	checkAtMs       float64      // when expirePolls looks at the session next
+	replacedPollsMs []float64    // when a new poll replaced the pending one lately
+
+	queuedMessage *updateMessage // waits in the control channel; nil: none does
+	sentMs        []float64      // when messages were sent lately
+
+	reporters          intake.Reporters // that send statistics under the proxy's name
+	reporterClock      intake.Clock
+	duplicateReporters bool      // two of them are active
+	requestRates       []float64 // requests a second lately, by class
 }
 
-// sessionStore are the joined proxies, by name and in the order in which their polls and stays end.
+// sessionStore holds the sessions, and the order in which their polls and the sessions themselves expire.
 type sessionStore struct {
 	byProxy      map[string]*session
 	indices      interner.Interner
-	byIndex      []*session
-	lastVersion  int64 // of the newest version given out
+	byIndex      []*session // nil where an index is free
+	lastVersion  int64      // number of the newest version of any proxy
 	pendingPolls int
-	checks       deadlinequeue.Queue[string]
+	checks       deadlinequeue.Queue[string] // proxies, by session.checkAtMs
 }
 
-// maxProxies bounds the joined proxies: tables of their own are numbered below decide.AllTables.
-const maxProxies = 60000
-
-func newMembers() sessionStore {
+func newSessionStore() sessionStore {
 	return sessionStore{byProxy: map[string]*session{}, indices: interner.New()}
 }
 
-// scheduleCheck has expire look at a proxy at a time, if it does not do so sooner anyway. A proxy has one such time,
-// however often it polls.
-func (ms *sessionStore) scheduleCheck(m *session, at float64) {
-	if at < m.checkAtMs {
-		m.checkAtMs = at
-		ms.checks.Schedule(at, m.proxy)
+// scheduleCheck has expirePolls look at a session at a time, unless it does so sooner anyway. A session has one such
+// time, however often its proxy polls.
+func (s *sessionStore) scheduleCheck(session *session, atMs float64) {
+	if atMs < session.checkAtMs {
+		session.checkAtMs = atMs
+		s.checks.Schedule(atMs, session.proxy)
 	}
 }
 
-func (ms *sessionStore) nextMs() float64 { return ms.checks.Next() }
+func (s *sessionStore) nextMs() float64 { return s.checks.Next() }
 
-func (s *Controller) connect(name string, zone int, rate float64) *session {
-	ms := &s.sessions
-	m := &session{proxy: name, index: ms.indices.Index(name), zone: zone, requestRates: make([]float64, len(s.classes)), expiresMs: math.Inf(1), checkAtMs: math.Inf(1)}
-	for range s.classes {
-		m.tableByClass = append(m.tableByClass, -1)
+// add makes the session of a proxy and gives it an index.
+func (s *sessionStore) add(proxy string, zone, classes int) *session {
+	added := &session{
+		proxy:        proxy,
+		index:        s.indices.Index(proxy),
+		zone:         zone,
+		tableByClass: make([]int, classes),
+		requestRates: make([]float64, classes),
+		expiresMs:    math.Inf(1),
+		checkAtMs:    math.Inf(1),
+	}
+	for class := range added.tableByClass {
+		added.tableByClass[class] = noTable
+	}
+	for len(s.byIndex) <= added.index {
+		s.byIndex = append(s.byIndex, nil)
 	}
-	for len(ms.byIndex) <= m.index {
-		ms.byIndex = append(ms.byIndex, nil)
+	s.byProxy[proxy] = added
+	s.byIndex[added.index] = added
+	return added
+}
+
+// remove drops a session and frees its index.
+func (s *sessionStore) remove(session *session) {
+	delete(s.byProxy, session.proxy)
+	s.byIndex[session.index] = nil
+	s.indices.Release(session.proxy)
+}
+
+// newest is the newest version of a session, nil where it has none.
+func (s *session) newest() *version {
+	if len(s.versions) == 0 {
+		return nil
 	}
-	ms.byProxy[name], ms.byIndex[m.index] = m, m
-	s.balancer.ConnectProxy(m.index, zone, rate)
-	s.recordEvent("joined", name+" of "+s.deployment.Zones[zone])
-	s.scheduler.request(s.nowMs, s.settings.MinRoundIntervalMs)
-	return m
+	return &s.versions[len(s.versions)-1]
+}
+
+// connect starts the session of a proxy; requestRate is what it usually gets in requests a second, 0 where not known.
+func (c *Controller) connect(proxy string, zone int, requestRate float64) *session {
+	session := c.sessions.add(proxy, zone, len(c.classes))
+	c.balancer.ConnectProxy(session.index, zone, requestRate)
+	c.recordEvent("joined", proxy+" of "+c.deployment.Zones[zone])
+	c.requestRound()
+	return session
 }
 
-// Disconnect lets a proxy leave. It tells whether it had joined.
-func (s *Controller) Disconnect(now float64, proxy string, out Effects) bool {
-	s.nowMs, s.effects = now, out
-	m := s.sessions.byProxy[proxy]
-	if m != nil {
-		s.disconnect(m)
+// Disconnect ends the session of a proxy, and reports whether it had one. A pending poll is answered.
+func (c *Controller) Disconnect(nowMs float64, proxy string, effects Effects) bool {
+	c.nowMs = nowMs
+	c.effects = effects
+	session, connected := c.sessions.byProxy[proxy]
+	if connected {
+		c.disconnect(session)
 	}
-	return m != nil
+	return connected
 }
 
-func (s *Controller) disconnect(m *session) {
-	if m.pendingPoll != nil {
-		s.respond(m, m.pendingPoll)
+func (c *Controller) disconnect(session *session) {
+	if session.pendingPoll != nil {
+		c.respond(session, session.pendingPoll)
 	}
-	s.channel.drop(m)
-	s.ingest.queue.Forget(m.proxy)
-	s.recordEvent("left", m.proxy)
-	s.balancer.DisconnectProxy(m.index)
-	s.balancer.ForgetProxy(m.index)
-	s.tables.forget(s.balancer.SubsetTable(m.index))
-	delete(s.sessions.byProxy, m.proxy)
-	s.sessions.byIndex[m.index] = nil
-	s.sessions.indices.Release(m.proxy)
-	s.scheduler.request(s.nowMs, s.settings.MinRoundIntervalMs)
+	c.channel.drop(session)
+	c.ingest.queue.Forget(session.proxy)
+	c.recordEvent("left", session.proxy)
+	c.balancer.DisconnectProxy(session.index)
+	c.balancer.ForgetProxy(session.index)
+	c.tables.forget(c.balancer.SubsetTable(session.index))
+	c.sessions.remove(session)
+	c.requestRound()
 }
 
-// expirePolls answers polls whose time is over, and lets proxies leave that were not heard.
-func (s *Controller) expirePolls() {
+// expirePolls answers polls whose wait is over, and disconnects proxies that have not polled in time.
+func (c *Controller) expirePolls() {
 	for {
-		name, ok := s.sessions.checks.Pop(s.nowMs)
+		proxy, ok := c.sessions.checks.Pop(c.nowMs)
 		if !ok {
 			return
 		}
-		m := s.sessions.byProxy[name]
-		if m == nil {
-			continue
-		}
-		m.checkAtMs = math.Inf(1)
-		if m.pendingPoll != nil && m.pendingPoll.deadlineMs <= s.nowMs {
-			s.respond(m, m.pendingPoll)
-		} else if m.pendingPoll != nil {
-			s.sessions.scheduleCheck(m, m.pendingPoll.deadlineMs)
-		} else if m.expiresMs <= s.nowMs {
-			s.disconnect(m)
-		} else {
-			s.sessions.scheduleCheck(m, m.expiresMs)
+		if session := c.sessions.byProxy[proxy]; session != nil {
+			session.checkAtMs = math.Inf(1)
+			c.expireSession(session)
 		}
 	}
 }
 
+// expireSession answers the pending poll or ends the session where its time is over, else it schedules another check.
+func (c *Controller) expireSession(session *session) {
+	poll := session.pendingPoll
+	switch {
+	case poll != nil && poll.deadlineMs <= c.nowMs:
+		c.respond(session, poll)
+	case poll != nil:
+		c.sessions.scheduleCheck(session, poll.deadlineMs)
+	case session.expiresMs <= c.nowMs:
+		c.disconnect(session)
+	default:
+		c.sessions.scheduleCheck(session, session.expiresMs)
+	}
+}
+
+// checkName checks the name of a proxy or a reporter, or a tag: printable, and without the characters that URLs and
+// entity tags would have to escape.
 func checkName(field, name string) error {
-	if name == "" || len(name) > 128 {
+	if name == "" || len(name) > maxNameLength {
 		return invalidField(field, "a name has 1 to 128 characters")
 	}
-	for _, r := range name {
-		if !unicode.IsPrint(r) || strings.ContainsRune(`/\" `, r) || r == unicode.ReplacementChar {
-			return invalidField(field, "%q may not stand in a name", r)
+	for _, char := range name {
+		if !unicode.IsPrint(char) || strings.ContainsRune(`/\" `, char) || char == unicode.ReplacementChar {
+			return invalidField(field, "%q may not stand in a name", char)
 		}
 	}
 	return nil
--- a/controller/snapshot.go
+++ b/controller/snapshot.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"hash"
 	"hash/fnv"
 	"maps"
 	"math"
@@ -9,104 +10,171 @@
 	"strconv"
 	"strings"
 
+	"barleysail/operator"
 	"barleysail/routing"
 	"barleysail/state/statepb"
 )
 
-// Snapshot gives what the next life may go by. Times in it are by the clock of the calls; the caller makes them those of
-// the wall.
-func (s *Controller) Snapshot(now float64) *statepb.State {
-	r := &statepb.State{Life: s.deployment.Incarnation, At: now}
-	level, shares, median := s.balancer.Admission()
-	r.Fleet = &statepb.Fleet{Level: level, Shares: shares, Median: median, At: now}
-	for _, c := range s.classes {
-		r.Fleet.Classes = append(r.Fleet.Classes, c.Name)
-	}
-	for _, host := range slices.Sorted(maps.Keys(s.endpoints.effective)) {
-		e := s.endpoints.effective[host]
-		x, ok := s.balancer.Explain(s.hostIndex.IndexOf[host])
-		if !ok {
-			continue
-		}
-		h := &statepb.Host{Name: host, Zone: e.Zone, Started: math.Max(x.StartedMs, 0), Weight: 1, Rate: x.ArrivalRate, R: x.MeanLatencyMs, Won: x.Successes, Lost: x.Failures,
-			Out: x.Ejected, Absent: x.Unreachable, Trust: s.ingest.trust.Confidence(host), At: now}
-		if x.BaseWeight > 0 {
-			h.Weight = x.Weight / x.BaseWeight
-		}
-		if e.State == routing.Draining {
-			h.Drains = s.drainingSince(host)
-		}
-		r.Hosts = append(r.Hosts, h)
-	}
-	s.snapshotProxies(now, r)
-	sets := s.overrides.Overrides()
-	for _, host := range slices.Sorted(maps.Keys(sets)) {
-		set := sets[host]
-		x := &statepb.Setting{Host: host, State: int32(set.State), Weight: set.Weight, Part: set.WeightRatio, By: set.Operator, At: set.SetAtMs, Until: set.ExpiresMs}
-		if a := set.Added; a != nil {
-			x.Added = &statepb.Added{Zone: a.Zone, Weight: a.Weight, Cores: a.Cores, Speed: a.Speed, Started: a.StartedMs}
+// Snapshot gives the state from which the next incarnation can restore. Its times are by the clock of the calls; the
+// caller converts them to wall-clock time.
+func (c *Controller) Snapshot(nowMs float64) *statepb.State {
+	snapshot := &statepb.State{
+		Life:  c.deployment.Incarnation,
+		At:    nowMs,
+		Fleet: c.snapshotFleet(nowMs),
+	}
+	for _, host := range slices.Sorted(maps.Keys(c.endpoints.effective)) {
+		if persisted := c.snapshotHost(nowMs, c.endpoints.effective[host]); persisted != nil {
+			snapshot.Hosts = append(snapshot.Hosts, persisted)
 		}
-		r.Settings = append(r.Settings, x)
 	}
-	return r
+	c.snapshotProxies(nowMs, snapshot)
+	overrides := c.overrides.store.Overrides()
+	for _, host := range slices.Sorted(maps.Keys(overrides)) {
+		snapshot.Settings = append(snapshot.Settings, snapshotOverride(host, overrides[host]))
+	}
+	return snapshot
+}
+
+// snapshotFleet gives the state of the admission control.
+func (c *Controller) snapshotFleet(nowMs float64) *statepb.Fleet {
+	admissionRatio, quotas, medianLatencyMs := c.balancer.Admission()
+	fleet := &statepb.Fleet{Level: admissionRatio, Shares: quotas, Median: medianLatencyMs, At: nowMs}
+	for _, class := range c.classes {
+		fleet.Classes = append(fleet.Classes, class.Name)
+	}
+	return fleet
+}
+
+// snapshotHost gives what is known of a host, nil where the balancer does not know it.
+func (c *Controller) snapshotHost(nowMs float64, endpoint Endpoint) *statepb.Host {
+	explanation, ok := c.balancer.Explain(c.hostIndex.IndexOf[endpoint.Host])
+	if !ok {
+		return nil
+	}
+	host := &statepb.Host{
+		Name:    endpoint.Host,
+		Zone:    endpoint.Zone,
+		Started: math.Max(explanation.StartedMs, 0),
+		Weight:  1,
+		Rate:    explanation.ArrivalRate,
+		R:       explanation.MeanLatencyMs,
+		Won:     explanation.Successes,
+		Lost:    explanation.Failures,
+		Out:     explanation.Ejected,
+		Absent:  explanation.Unreachable,
+		Trust:   c.ingest.trust.Confidence(endpoint.Host),
+		At:      nowMs,
+	}
+	if explanation.BaseWeight > 0 {
+		host.Weight = explanation.Weight / explanation.BaseWeight
+	}
+	if endpoint.State == routing.Draining {
+		host.Drains = c.drainingSince(endpoint.Host)
+	}
+	return host
 }
 
-// snapshotProxies notes the newest version that each proxy has acknowledged, one table for all that hold the same.
-func (s *Controller) snapshotProxies(now float64, r *statepb.State) {
-	kept := map[*tableSet]string{}
-	ids := map[string]bool{}
-	for _, name := range slices.Sorted(maps.Keys(s.sessions.byProxy)) {
-		m := s.sessions.byProxy[name]
-		p := &statepb.Proxy{Name: name, Zone: s.deployment.Zones[m.zone], Rates: slices.Clone(m.requestRates), At: now}
-		if v := m.version(m.ackedVersion); v != nil {
-			id, ok := kept[v.tables]
-			if !ok {
-				t := v.tables.persist()
-				if id = t.Id; !ids[id] {
-					ids[id] = true
-					r.Tables = append(r.Tables, t)
+// drainingSince is the time at which a host was first seen draining, by this incarnation or an earlier one.
+func (c *Controller) drainingSince(host string) float64 {
+	if sinceMs, ok := c.restored.drainingSinceMs[host]; ok {
+		return sinceMs
+	}
+	return c.endpoints.drainingSinceMs[host]
+}
+
+// snapshotProxies gives the newest version that each proxy has acknowledged. Equal tables are stored once.
+func (c *Controller) snapshotProxies(nowMs float64, snapshot *statepb.State) {
+	idOfSet := map[*tableSet]string{}
+	stored := map[string]bool{} // by id
+	for _, name := range slices.Sorted(maps.Keys(c.sessions.byProxy)) {
+		session := c.sessions.byProxy[name]
+		proxy := &statepb.Proxy{
+			Name:  name,
+			Zone:  c.deployment.Zones[session.zone],
+			Rates: slices.Clone(session.requestRates),
+			At:    nowMs,
+		}
+		if acked := session.version(session.ackedVersion); acked != nil {
+			id, known := idOfSet[acked.tables]
+			if !known {
+				table := acked.tables.persist()
+				id = table.Id
+				idOfSet[acked.tables] = id
+				if !stored[id] {
+					stored[id] = true
+					snapshot.Tables = append(snapshot.Tables, table)
 				}
-				kept[v.tables] = id
 			}
-			p.Tag, p.Table = s.tagOf(v), id
+			proxy.Tag = c.tagOf(acked)
+			proxy.Table = id
 		}
-		r.Proxies = append(r.Proxies, p)
+		snapshot.Proxies = append(snapshot.Proxies, proxy)
 	}
-	slices.SortFunc(r.Tables, func(a, b *statepb.Table) int { return strings.Compare(a.Id, b.Id) })
+	slices.SortFunc(snapshot.Tables, func(a, b *statepb.Table) int { return strings.Compare(a.Id, b.Id) })
 }
 
-// persist gives a view as it is kept; views that hold the same have the same id.
-func (v *tableSet) persist() *statepb.Table {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.persisted != nil {
-		return v.persisted
-	}
-	t, sum := &statepb.Table{}, fnv.New64a()
-	note := func(text string, figures ...float64) {
-		sum.Write([]byte(text))
-		for _, x := range figures {
-			sum.Write(binary.LittleEndian.AppendUint64(nil, math.Float64bits(x)))
-		}
+// snapshotOverride gives the override of a host.
+func snapshotOverride(host string, override operator.Override) *statepb.Setting {
+	setting := &statepb.Setting{
+		Host:   host,
+		State:  int32(override.State),
+		Weight: override.Weight,
+		Part:   override.WeightRatio,
+		By:     override.Operator,
+		At:     override.SetAtMs,
+		Until:  override.ExpiresMs,
 	}
-	for _, c := range v.classes {
-		k := &statepb.Class{Name: c.name, Ordered: c.assigned, Share: c.policy.admissionRatio, Tries: int32(c.policy.retryPolicy)}
-		note(c.name, k.Share, float64(k.Tries))
-		for _, l := range c.entries {
-			k.Hosts, k.Weights = append(k.Hosts, l.host), append(k.Weights, l.weight)
-			note(l.host, l.weight)
+	if added := override.Added; added != nil {
+		setting.Added = &statepb.Added{
+			Zone:    added.Zone,
+			Weight:  added.Weight,
+			Cores:   added.Cores,
+			Speed:   added.Speed,
+			Started: added.StartedMs,
 		}
-		t.Classes = append(t.Classes, k)
 	}
-	t.Id = strconv.FormatUint(sum.Sum64(), 16)
-	v.persisted = t
-	return t
+	return setting
+}
+
+// persist gives a table set as it is stored; equal table sets have the same id. It is made once.
+func (s *tableSet) persist() *statepb.Table {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.persisted != nil {
+		return s.persisted
+	}
+	table := &statepb.Table{}
+	digest := fnv.New64a()
+	for i := range s.classes {
+		table.Classes = append(table.Classes, s.classes[i].persist(digest))
+	}
+	table.Id = strconv.FormatUint(digest.Sum64(), 16)
+	s.persisted = table
+	return table
+}
+
+// persist gives the table of a class as it is stored, and adds its content to a digest.
+func (t *classTable) persist(digest hash.Hash) *statepb.Class {
+	persisted := &statepb.Class{
+		Name:    t.name,
+		Ordered: t.assigned,
+		Share:   t.policy.admissionRatio,
+		Tries:   int32(t.policy.retryPolicy),
+	}
+	addToDigest(digest, t.name, persisted.Share, float64(persisted.Tries))
+	for _, entry := range t.entries {
+		persisted.Hosts = append(persisted.Hosts, entry.host)
+		persisted.Weights = append(persisted.Weights, entry.weight)
+		addToDigest(digest, entry.host, entry.weight)
+	}
+	return persisted
 }
 
-// drainingSince is when a host's drain was first told, in this life or before.
-func (s *Controller) drainingSince(host string) float64 {
-	if at, ok := s.restored.drainingSinceMs[host]; ok {
-		return at
+// addToDigest adds a text and numbers to a digest. Writing to a hash.Hash never fails.
+func addToDigest(digest hash.Hash, text string, numbers ...float64) {
+	digest.Write([]byte(text))
+	for _, number := range numbers {
+		digest.Write(binary.LittleEndian.AppendUint64(nil, math.Float64bits(number)))
 	}
-	return s.drainingSinceMs[host]
 }
--- a/controller/solver.go
+++ b/controller/solver.go
@@ -9,123 +9,146 @@
 	"barleysail/solver"
 )
 
-// solverWeights decides, where an operator switched it on, on the listed weights that the module starts from and drifts
-// back to: by the cap of each host, so that the one table fills all hosts alike. They are renewed slowly, and only
-// when what the demand lately heard would earn more by them is worth the orders. Off, the list's own weights stand.
+// solverWeights decides, where it is enabled, on the base weights that the balancer starts from and drifts back to: by
+// the capacity of each host, so that the one shared table loads all hosts alike. The weights are renewed slowly, and
+// only when they would gain more under the recent demand than the updates cost. While it is off, the weights of the
+// endpoint list stand.
 type solverWeights struct {
 	enabled          bool
 	intervalMs       float64
-	minGain          float64
-	nextRunMs        float64            // the next look
-	byHost           map[string]float64 // by host; a host without one has the list's
-	hostWithoutCores string             // the host that tells no cores, as logged
+	minGain          float64 // of the result, from 0 to 1
+	nextRunMs        float64
+	byHost           map[string]float64 // a host without an entry has its weight from the endpoint list
+	hostWithoutCores string             // as last logged; empty: none
 }
 
-// EnableSolver switches solved weights on: looked at so often (ms), renewed for so much of the result.
-func (s *Controller) EnableSolver(every, least float64) {
-	s.solver = solverWeights{enabled: true, intervalMs: every, minGain: least, nextRunMs: math.Inf(-1), byHost: map[string]float64{}}
+// EnableSolver switches solver weights on. They are computed every intervalMs, and take effect where the result gains
+// minGain by them.
+func (c *Controller) EnableSolver(intervalMs, minGain float64) {
+	c.solver = solverWeights{
+		enabled:    true,
+		intervalMs: intervalMs,
+		minGain:    minGain,
+		nextRunMs:  math.Inf(-1),
+		byHost:     map[string]float64{},
+	}
 }
 
-func (v *solverWeights) nextMs() float64 {
-	if !v.enabled {
+func (w *solverWeights) nextMs() float64 {
+	if !w.enabled {
 		return math.Inf(1)
 	}
-	return v.nextRunMs
+	return w.nextRunMs
 }
 
-// baseWeight is what the module is told as a host's listed weight.
-func (s *Controller) baseWeight(e Endpoint) float64 {
-	if w, ok := s.solver.byHost[e.Host]; ok && !s.overrides.HasWeight(e.Host) {
-		return w
+// baseWeight is the weight that the balancer is given for an entry: that of an override, of the solver, or of the list.
+func (c *Controller) baseWeight(endpoint Endpoint) float64 {
+	weight, solved := c.solver.byHost[endpoint.Host]
+	if solved && !c.overrides.store.HasWeight(endpoint.Host) {
+		return weight
 	}
-	return e.Weight
+	return endpoint.Weight
 }
 
-// minWeightChange is a change of a weight that is passed on.
+// minWeightChange is the least change of a weight, relative to it, that is sent to the proxies.
 const minWeightChange = 0.01
 
-// renewSolverWeights looks whether the solved weights are worth telling.
-func (s *Controller) renewSolverWeights() {
-	v := &s.solver
-	if !v.enabled || s.nowMs < v.nextRunMs {
+// renewSolverWeights computes the solver weights when they are due, and puts them into effect where that pays.
+func (c *Controller) renewSolverWeights() {
+	weights := &c.solver
+	if !weights.enabled || c.nowMs < weights.nextRunMs {
 		return
 	}
-	v.nextRunMs = s.nowMs + v.intervalMs
-	p, lacks := s.solverProblem()
-	if lacks != "" && lacks != v.hostWithoutCores {
-		s.effects.Log("no solved weights: " + lacks + " tells no cores")
+	weights.nextRunMs = c.nowMs + weights.intervalMs
+	problem, hostWithoutCores := c.solverProblem()
+	if hostWithoutCores != "" && hostWithoutCores != weights.hostWithoutCores {
+		c.effects.Log("no solved weights: " + hostWithoutCores + " tells no cores")
 	}
-	if v.hostWithoutCores = lacks; p == nil {
+	weights.hostWithoutCores = hostWithoutCores
+	if problem == nil {
 		return
 	}
-	fresh := s.capacityWeights(p)
-	now, then := p.Earn(s.uniformTables(p, s.baseWeights())), p.Earn(s.uniformTables(p, fresh))
-	if then-now < math.Max(v.minGain, s.updateCost(fresh)) {
+	solved := capacityWeights(problem)
+	before := problem.Earn(uniformTables(problem, c.baseWeights()))
+	after := problem.Earn(uniformTables(problem, solved))
+	changed := c.changedWeights(solved)
+	if after-before < math.Max(weights.minGain, c.updateCost(len(changed))) {
 		return
 	}
-	s.effects.Log(fmt.Sprintf("solved weights renewed: result %.4f to %.4f", now, then))
-	s.balancer.ObserveDelta()
-	changed := s.changedWeights(fresh)
-	for _, host := range changed {
-		e := s.endpoints.effective[host]
-		v.byHost[host] = fresh[host]
-		s.balancer.ObserveEndpoint(s.hostIndex.Index(host), s.zoneIndex[e.Zone], e.State, fresh[host], e.StartedMs)
+	c.effects.Log(fmt.Sprintf("solved weights renewed: result %.4f to %.4f", before, after))
+	c.applySolverWeights(solved, changed)
+}
+
+// applySolverWeights gives the weights of hosts to the balancer, and drops those of hosts that are no longer listed.
+func (c *Controller) applySolverWeights(solved map[string]float64, hosts []string) {
+	c.balancer.ObserveDelta()
+	for _, host := range hosts {
+		endpoint := c.endpoints.effective[host]
+		c.solver.byHost[host] = solved[host]
+		c.balancer.ObserveEndpoint(c.hostIndex.Index(host), c.zoneIndex[endpoint.Zone], endpoint.State, solved[host],
+			endpoint.StartedMs)
 	}
-	maps.DeleteFunc(v.byHost, func(host string, _ float64) bool { _, ok := s.endpoints.effective[host]; return !ok })
-	if len(changed) > 0 {
-		s.scheduler.request(s.nowMs, s.settings.MinRoundIntervalMs)
+	maps.DeleteFunc(c.solver.byHost, func(host string, _ float64) bool { return !c.HasEndpoint(host) })
+	if len(hosts) > 0 {
+		c.requestRound()
 	}
 }
 
-// updateCost is what telling other weights costs of the result until they may be told anew: lines for all joined proxies,
-// at the channel's price for its usual pace.
-func (s *Controller) updateCost(fresh map[string]float64) float64 {
-	lines := float64(len(s.sessions.byProxy)) * (float64(len(s.changedWeights(fresh))) + s.channel.messageOverhead)
-	return s.channel.cost * lines / math.Max(s.channel.entriesPerMs*s.solver.intervalMs, 1e-9)
+// updateCost is what sending changed weights to all connected proxies costs of the result, until weights may change
+// again: the channel's cost, by the part of its rate that the updates take.
+func (c *Controller) updateCost(changedWeights int) float64 {
+	channel := &c.channel
+	entries := float64(len(c.sessions.byProxy)) * (float64(changedWeights) + channel.messageOverhead)
+	return channel.cost * entries / math.Max(channel.entriesPerMs*c.solver.intervalMs, minDivisor)
 }
 
-// changedWeights are the hosts whose weights are other enough to be told anew, by name.
-func (s *Controller) changedWeights(fresh map[string]float64) (hosts []string) {
-	for _, host := range slices.Sorted(maps.Keys(fresh)) {
-		if old := s.baseWeight(s.endpoints.effective[host]); math.Abs(fresh[host]-old) > minWeightChange*old {
+// changedWeights are the hosts, by name, whose weights have changed enough to be sent.
+func (c *Controller) changedWeights(solved map[string]float64) []string {
+	var hosts []string
+	for _, host := range slices.Sorted(maps.Keys(solved)) {
+		old := c.baseWeight(c.endpoints.effective[host])
+		if math.Abs(solved[host]-old) > minWeightChange*old {
 			hosts = append(hosts, host)
 		}
 	}
 	return hosts
 }
 
-// capacityWeights gives each ready host a weight by its cap, 1 on average.
-func (s *Controller) capacityWeights(p *solver.Problem) map[string]float64 {
-	all := 0.0
-	for _, h := range p.Hosts {
-		all += p.HostCap(h)
+// capacityWeights gives each host of a problem a weight in proportion to its capacity, 1 on average.
+func capacityWeights(problem *solver.Problem) map[string]float64 {
+	total := 0.0
+	for _, host := range problem.Hosts {
+		total += problem.HostCap(host)
 	}
 	weights := map[string]float64{}
-	for _, h := range p.Hosts {
-		weights[h.Name] = round6(p.HostCap(h) / all * float64(len(p.Hosts)))
+	for _, host := range problem.Hosts {
+		weights[host.Name] = roundWeight(problem.HostCap(host) / total * float64(len(problem.Hosts)))
 	}
 	return weights
 }
 
-// baseWeights are those of the ready hosts as the module has them from the list.
-func (s *Controller) baseWeights() map[string]float64 {
-	all := map[string]float64{}
-	for host, e := range s.endpoints.effective {
-		if all[host] = s.baseWeight(e); all[host] == 0 {
-			all[host] = 1 // a weight of 0 says nothing
+// baseWeights are the weights that the balancer now has for the hosts of the endpoint list.
+func (c *Controller) baseWeights() map[string]float64 {
+	weights := map[string]float64{}
+	for host, endpoint := range c.endpoints.effective {
+		weight := c.baseWeight(endpoint)
+		if weight == 0 { // not given
+			weight = 1
 		}
+		weights[host] = weight
 	}
-	return all
+	return weights
 }
 
-// uniformTables are tables that hold the same weights for all classes and zones, as the design's one table does.
-func (s *Controller) uniformTables(p *solver.Problem, weights map[string]float64) solver.Tables {
-	t := solver.Tables{Weights: map[string]map[string]map[string]float64{}}
-	for _, c := range p.Classes {
-		t.Weights[c.Name] = map[string]map[string]float64{}
-		for _, z := range p.Zones {
-			t.Weights[c.Name][z] = weights
+// uniformTables are tables with the same weights for all classes and zones, as the shared table of the balancer is.
+func uniformTables(problem *solver.Problem, weights map[string]float64) solver.Tables {
+	tables := solver.Tables{Weights: map[string]map[string]map[string]float64{}}
+	for _, class := range problem.Classes {
+		byZone := map[string]map[string]float64{}
+		for _, zone := range problem.Zones {
+			byZone[zone] = weights
 		}
+		tables.Weights[class.Name] = byZone
 	}
-	return t
+	return tables
 }
--- a/controller/solver_problem.go
+++ b/controller/solver_problem.go
@@ -9,88 +9,113 @@
 	"barleysail/solver"
 )
 
-// deadlineMeans is the deadline d in mean times of a transaction, as the module has it.
-const deadlineMeans = 3.2
+const (
+	// deadlineMeans is the deadline of a request in multiples of its mean latency, the same as the balancer assumes.
+	deadlineMeans = 3.2
 
-// fleetDemand is what the proxies lately told, by class and zone, for the whole fleet: the joined ones are a part of it.
-func (s *Controller) fleetDemand() map[string]map[string]float64 {
-	share, all := s.connectedShare(), map[string]map[string]float64{}
-	for k, c := range s.classes {
-		by := map[string]float64{}
-		for _, m := range s.sessions.byIndex {
-			if m != nil {
-				by[s.deployment.Zones[m.zone]] += m.requestRates[k] / share
+	// minWorkMs stands in for the mean work of a class that gives none.
+	minWorkMs = 1e-3
+)
+
+// fleetDemand is the recent demand by class and zone in requests a second, scaled to the whole fleet by the share of
+// the proxies that are connected.
+func (c *Controller) fleetDemand() map[string]map[string]float64 {
+	share := c.connectedShare()
+	demand := map[string]map[string]float64{}
+	for i, class := range c.classes {
+		byZone := map[string]float64{}
+		for _, session := range c.sessions.byIndex {
+			if session != nil {
+				byZone[c.deployment.Zones[session.zone]] += session.requestRates[i] / share
 			}
 		}
-		all[c.Name] = by
+		demand[class.Name] = byZone
 	}
-	return all
+	return demand
 }
 
-// solverProblem is the fleet as listed, with the demand that the proxies lately told. Without any there is none, nor with
-// a host that tells no cores, which it names.
-func (s *Controller) solverProblem() (p *solver.Problem, lacks string) {
-	p = &solver.Problem{Zones: s.deployment.Zones, Demand: s.fleetDemand(), Goal: solver.Goal{Whole: 1},
-		Deadline: deadlineMeans, Proxies: map[string]int{}}
-	for _, m := range s.sessions.byIndex {
-		if m != nil {
-			p.Proxies[s.deployment.Zones[m.zone]]++
+// solverProblem is the solver's problem for the ready hosts of the endpoint list and the recent demand. It gives nil
+// where there is no demand or no host, and where a host gives no cores: hostWithoutCores names it.
+func (c *Controller) solverProblem() (problem *solver.Problem, hostWithoutCores string) {
+	problem = &solver.Problem{
+		Zones:    c.deployment.Zones,
+		Demand:   c.fleetDemand(),
+		Goal:     solver.Goal{Whole: 1},
+		Deadline: deadlineMeans,
+		Proxies:  map[string]int{},
+	}
+	for _, session := range c.sessions.byIndex {
+		if session != nil {
+			problem.Proxies[c.deployment.Zones[session.zone]]++
 		}
 	}
-	for _, host := range slices.Sorted(maps.Keys(s.endpoints.effective)) {
-		e := s.endpoints.effective[host]
-		if e.State != routing.Ready {
+	for _, host := range slices.Sorted(maps.Keys(c.endpoints.effective)) {
+		endpoint := c.endpoints.effective[host]
+		if endpoint.State != routing.Ready {
 			continue
 		}
-		if e.Cores == 0 {
+		if endpoint.Cores == 0 {
 			return nil, host
 		}
-		p.Hosts = append(p.Hosts, solver.Host{Name: host, Zone: e.Zone, Cores: e.Cores, Speed: e.speed(), Warm: 1})
+		problem.Hosts = append(problem.Hosts, solver.Host{
+			Name:  host,
+			Zone:  endpoint.Zone,
+			Cores: endpoint.Cores,
+			Speed: endpoint.speed(),
+			Warm:  1,
+		})
 	}
-	total := 0.0
-	for _, c := range s.classes {
-		for _, z := range s.deployment.Zones {
-			total += p.Demand[c.Name][z]
+	totalDemand := 0.0
+	for _, class := range c.classes {
+		for _, zone := range c.deployment.Zones {
+			totalDemand += problem.Demand[class.Name][zone]
 		}
-		p.Classes = append(p.Classes, solver.Class{Name: c.Name, Earnings: c.PriorityWeight, Work: math.Max(c.MeanWorkMs, 1e-3), Local: c.ZoneLocal})
+		problem.Classes = append(problem.Classes, solver.Class{
+			Name:     class.Name,
+			Earnings: class.PriorityWeight,
+			Work:     math.Max(class.MeanWorkMs, minWorkMs),
+			Local:    class.ZoneLocal,
+		})
 	}
-	if total == 0 || len(p.Hosts) == 0 {
+	if totalDemand == 0 || len(problem.Hosts) == 0 {
 		return nil, ""
 	}
-	return p, ""
+	return problem, ""
 }
 
-// ListedProblem gives the solver's problem for the fleet as listed and the demand lately heard, nil where there is none: a
-// host tells no cores, or no demand was heard.
-func (s *Controller) ListedProblem() *solver.Problem {
-	p, lacks := s.solverProblem()
-	if lacks != "" {
-		return nil
-	}
-	return p
+// ListedProblem gives the solver's problem for the endpoint list and the recent demand, nil where there is none: a host
+// gives no cores, or there is no demand.
+func (c *Controller) ListedProblem() *solver.Problem {
+	problem, _ := c.solverProblem()
+	return problem
 }
 
-// CurrentProblem gives the fleet as listed with the demand lately heard, and the tables that the proxies now have, put
-// together by zone; p is nil where hosts tell no cores or no demand was heard. The caller can measure the gap between
-// them by p.Measure, which may take long and needs no lock.
-func (s *Controller) CurrentProblem() (p *solver.Problem, t solver.Tables) {
-	if p = s.ListedProblem(); p == nil {
-		return nil, t
+// CurrentProblem gives the solver's problem for the endpoint list and the recent demand, and the tables that the
+// proxies now have, pooled by zone. The problem is nil where a host gives no cores or there is no demand. The caller
+// can measure the gap between the two by Problem.Measure, which may take long and needs no lock.
+func (c *Controller) CurrentProblem() (problem *solver.Problem, tables solver.Tables) {
+	problem = c.ListedProblem()
+	if problem == nil {
+		return nil, tables
 	}
 	pool := solver.NewPool()
-	for _, m := range s.sessions.byIndex {
-		if m == nil || len(m.versions) == 0 {
+	for _, session := range c.sessions.byIndex {
+		if session == nil || len(session.versions) == 0 {
 			continue
 		}
-		for _, c := range m.versions[len(m.versions)-1].tables.classes {
-			pool.Add(c.name, s.deployment.Zones[m.zone], c.policy.admissionRatio, func(yield func(string, float64) bool) {
-				for _, l := range c.entries {
-					if !yield(l.host, l.weight) {
-						return
-					}
-				}
-			})
+		zone := c.deployment.Zones[session.zone]
+		for _, class := range session.newest().tables.classes {
+			pool.Add(class.name, zone, class.policy.admissionRatio, class.weights)
+		}
+	}
+	return problem, pool.Tables()
+}
+
+// weights yields the hosts of the table and their weights.
+func (t *classTable) weights(yield func(host string, weight float64) bool) {
+	for _, entry := range t.entries {
+		if !yield(entry.host, entry.weight) {
+			return
 		}
 	}
-	return p, pool.Tables()
 }
--- a/controller/stats.go
+++ b/controller/stats.go
@@ -8,60 +8,92 @@
 	"barleysail/routing"
 )
 
-// HostStats is what a proxy met at a host: tries, those with no good answer, the mean time of the good ones,
-// the time over which it was counted, and the load that the host last reported.
+// HostStats are the statistics of a proxy about a host.
 type HostStats struct {
-	Attempts, Failed        int
-	MeanLatencyMs, WindowMs float64
-	Load                    routing.HostLoad
-	Latencies               []intake.LatencyBucket // how the times of the good ones spread; nil: not told
+	Attempts, Failed int                    // attempts sent to the host, and those without a good answer
+	MeanLatencyMs    float64                // of the successful attempts
+	WindowMs         float64                // in which the attempts were counted
+	Load             routing.HostLoad       // as the host last reported it
+	Latencies        []intake.LatencyBucket // distribution over the successful attempts; nil: not given
 }
 
-// ClassDemand is what came to a proxy of a class, repeats and refused transactions among it.
+// ClassDemand is the demand for a request class at a proxy.
 type ClassDemand struct {
-	Arrivals, Unanswered int
-	WindowMs             float64
+	Arrivals   int // requests that came, with rejected ones and those that a client repeats
+	Unanswered int
+	WindowMs   float64 // in which they were counted
 }
 
-// ProxyStats of a proxy, numbered by the sender. A sender that starts over gives itself another name.
+// ProxyStats is a report of a proxy's statistics, numbered by its sender. A sender that starts over takes another name.
 type ProxyStats struct {
 	Sender   string
 	Sequence int64
-	SentAtMs float64 // ms, when it was sent by the sender's clock, however wrong; 0: not told
+	SentAtMs float64 // by the sender's clock, however wrong that is; 0: not given
 	Hosts    map[string]HostStats
-	Demand   map[string]ClassDemand
+	Demand   map[string]ClassDemand // by class
 }
 
-// ObserveProxyStats notes the sums of a proxy, once for each number; the next round takes them in. It tells whether they were counted:
-// a repeat and one that comes after a newer one are not. The error names the field, and nothing is counted.
-func (s *Controller) ObserveProxyStats(now float64, proxy string, u ProxyStats) (counted bool, err error) {
-	s.nowMs = now
-	m := s.sessions.byProxy[proxy]
-	if m == nil {
+// ObserveProxyStats takes a report of a proxy, once for each number; the next round processes it. It reports whether
+// the report was counted: a repeated one, and one that comes after a newer one, is not. The error is ErrNotConnected,
+// or a *FieldError that names an invalid field; nothing is counted then.
+func (c *Controller) ObserveProxyStats(nowMs float64, proxy string, stats ProxyStats) (counted bool, err error) {
+	c.nowMs = nowMs
+	session := c.sessions.byProxy[proxy]
+	if session == nil {
 		return false, ErrNotConnected
 	}
-	if err := s.checkStats(u); err != nil {
+	if err := c.checkStats(stats); err != nil {
 		return false, err
 	}
-	news, twice := m.reporters.Accept(now, u.Sender, u.Sequence)
-	if twice && !m.duplicateReporters {
-		s.recordEvent("intake", "two senders send sums as "+proxy)
+	isNew, duplicate := session.reporters.Accept(nowMs, stats.Sender, stats.Sequence)
+	if duplicate && !session.duplicateReporters {
+		c.recordEvent("intake", "two senders send sums as "+proxy)
 	}
-	if m.duplicateReporters = twice; !news {
+	session.duplicateReporters = duplicate
+	if !isNew {
 		return false, nil
 	}
-	at := now
-	if u.SentAtMs > 0 {
-		at -= m.reporterClock.Age(now, u.SentAtMs)
+	observedMs := nowMs
+	if stats.SentAtMs > 0 {
+		observedMs -= session.reporterClock.Age(nowMs, stats.SentAtMs)
 	}
-	for _, host := range slices.Sorted(maps.Keys(u.Hosts)) {
-		v := u.Hosts[host]
-		s.ingest.queue.Add(intake.Report{Source: proxy, Subject: host, Attempts: v.Attempts, Failed: v.Failed, MeanLatencyMs: v.MeanLatencyMs, WindowMs: v.WindowMs,
-			Load: v.Load, Latencies: v.Latencies, ReceivedMs: now, ObservedMs: at})
+	c.queueHostStats(proxy, stats.Hosts, observedMs)
+	c.queueDemand(proxy, stats.Demand, observedMs)
+	return true, nil
+}
+
+// queueHostStats queues the statistics about hosts for the next round, in the order of the hosts' names.
+func (c *Controller) queueHostStats(proxy string, byHost map[string]HostStats, observedMs float64) {
+	for _, host := range slices.Sorted(maps.Keys(byHost)) {
+		stats := byHost[host]
+		c.ingest.queue.Add(intake.Report{
+			Source:        proxy,
+			Subject:       host,
+			Attempts:      stats.Attempts,
+			Failed:        stats.Failed,
+			MeanLatencyMs: stats.MeanLatencyMs,
+			WindowMs:      stats.WindowMs,
+			Load:          stats.Load,
+			Latencies:     stats.Latencies,
+			ReceivedMs:    c.nowMs,
+			ObservedMs:    observedMs,
+		})
 	}
-	for _, name := range slices.Sorted(maps.Keys(u.Demand)) {
-		v := u.Demand[name]
-		s.ingest.queue.Add(intake.Report{Source: proxy, Subject: name, IsDemand: true, Attempts: v.Arrivals, WindowMs: v.WindowMs, Load: routing.UnknownLoad, ReceivedMs: now, ObservedMs: at})
+}
+
+// queueDemand queues the demand of the classes for the next round, in the order of the classes' names.
+func (c *Controller) queueDemand(proxy string, byClass map[string]ClassDemand, observedMs float64) {
+	for _, class := range slices.Sorted(maps.Keys(byClass)) {
+		demand := byClass[class]
+		c.ingest.queue.Add(intake.Report{
+			Source:     proxy,
+			Subject:    class,
+			IsDemand:   true,
+			Attempts:   demand.Arrivals,
+			WindowMs:   demand.WindowMs,
+			Load:       routing.UnknownLoad,
+			ReceivedMs: c.nowMs,
+			ObservedMs: observedMs,
+		})
 	}
-	return true, nil
 }
--- a/controller/stats_check.go
+++ b/controller/stats_check.go
@@ -1,86 +1,107 @@
 package controller
 
-import (
-	"fmt"
-)
+import "fmt"
 
-// Bounds of what sums may say: anything beyond is a fault of the sender.
+// Bounds of what a report may say: anything beyond is a fault of its sender.
 const (
 	maxAttempts       = 1 << 30
-	maxWindowMs       = 3600e3
+	maxWindowMs       = 3600e3 // also of latencies
 	maxLoad           = 1e9
+	unknownLoadValue  = -1 // a value of a load report that the host does not give
 	maxLatencyBuckets = 512
 )
 
-// boundedValue is a figure of the sums with what it may be.
+// boundedValue is a value of a report with its bounds.
 type boundedValue struct {
 	name            string
 	value, min, max float64
 }
 
-// checkBounds refuses the first figure out of its bounds; the name of what it belongs to is put together only then.
-func checkBounds(what, name string, all ...boundedValue) error {
-	for _, b := range all {
-		if !(b.value >= b.min && b.value <= b.max) {
-			return invalidField(fmt.Sprintf("%s[%q].%s", what, name, b.name), "%g is not from %g to %g", b.value, b.min, b.max)
+// checkBounds gives a *FieldError for the first value out of its bounds. The name of the field is put together only
+// then, since a report has many values.
+func checkBounds(collection, key string, values ...boundedValue) error {
+	for _, v := range values {
+		if !(v.value >= v.min && v.value <= v.max) { // fails for NaN too
+			field := fmt.Sprintf("%s[%q].%s", collection, key, v.name)
+			return invalidField(field, "%g is not from %g to %g", v.value, v.min, v.max)
 		}
 	}
 	return nil
 }
 
-func (s *Controller) checkStats(u ProxyStats) error {
-	if u.Sequence < 1 {
-		return invalidField("number", "%d is not 1 or more", u.Sequence)
+// checkStats gives a *FieldError for an invalid field of a report. Of several invalid hosts or classes any one is
+// named: going through them in order would cost more than all else.
+func (c *Controller) checkStats(stats ProxyStats) error {
+	if stats.Sequence < 1 {
+		return invalidField("number", "%d is not 1 or more", stats.Sequence)
 	}
-	if !(u.SentAtMs >= 0 && u.SentAtMs <= 1e15) {
-		return invalidField("at", "%g is no time", u.SentAtMs)
+	if !(stats.SentAtMs >= 0 && stats.SentAtMs <= maxTimeMs) {
+		return invalidField("at", "%g is no time", stats.SentAtMs)
 	}
-	if u.Sender != "" {
-		if err := checkName("sender", u.Sender); err != nil {
+	if stats.Sender != "" {
+		if err := checkName("sender", stats.Sender); err != nil {
 			return err
 		}
 	}
-	// Of several faults any one is told: going through them in order would cost more than all else.
-	for host, v := range u.Hosts {
-		if _, ok := s.hostIndex.IndexOf[host]; !ok {
+	for host, hostStats := range stats.Hosts {
+		if _, ok := c.hostIndex.IndexOf[host]; !ok {
 			return invalidField(fmt.Sprintf("hosts[%q]", host), "the host is not on the list")
 		}
-		if err := checkBounds("hosts", host, boundedValue{"tries", float64(v.Attempts), 0, maxAttempts},
-			boundedValue{"failed", float64(v.Failed), 0, float64(v.Attempts)}, boundedValue{"mean", v.MeanLatencyMs, 0, maxWindowMs},
-			boundedValue{"span", v.WindowMs, 1, maxWindowMs}, boundedValue{"load.util", v.Load.Utilization, -1, maxLoad},
-			boundedValue{"load.rate", v.Load.RequestRate, -1, maxLoad}, boundedValue{"load.queue", v.Load.QueueLength, -1, maxLoad}); err != nil {
-			return err
-		}
-		if err := checkLatencies(host, v); err != nil {
+		if err := checkHostStats(host, hostStats); err != nil {
 			return err
 		}
 	}
-	for name, v := range u.Demand {
-		if _, ok := s.classIndex[name]; !ok {
-			return invalidField(fmt.Sprintf("usage[%q]", name), "the class is not in the settings")
+	for class, demand := range stats.Demand {
+		if _, ok := c.classIndex[class]; !ok {
+			return invalidField(fmt.Sprintf("usage[%q]", class), "the class is not in the settings")
 		}
-		if err := checkBounds("usage", name, boundedValue{"came", float64(v.Arrivals), 0, maxAttempts},
-			boundedValue{"unanswered", float64(v.Unanswered), 0, float64(v.Arrivals)}, boundedValue{"span", v.WindowMs, 1, maxWindowMs}); err != nil {
+		if err := checkDemand(class, demand); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkLatencies refuses a spread that does not count the good tries.
-func checkLatencies(host string, v HostStats) error {
-	if len(v.Latencies) > maxLatencyBuckets {
-		return invalidField(fmt.Sprintf("hosts[%q].times", host), "%d bars, %d at most", len(v.Latencies), maxLatencyBuckets)
+func checkHostStats(host string, stats HostStats) error {
+	err := checkBounds("hosts", host,
+		boundedValue{"tries", float64(stats.Attempts), 0, maxAttempts},
+		boundedValue{"failed", float64(stats.Failed), 0, float64(stats.Attempts)},
+		boundedValue{"mean", stats.MeanLatencyMs, 0, maxWindowMs},
+		boundedValue{"span", stats.WindowMs, 1, maxWindowMs},
+		boundedValue{"load.util", stats.Load.Utilization, unknownLoadValue, maxLoad},
+		boundedValue{"load.rate", stats.Load.RequestRate, unknownLoadValue, maxLoad},
+		boundedValue{"load.queue", stats.Load.QueueLength, unknownLoadValue, maxLoad},
+	)
+	if err != nil {
+		return err
+	}
+	return checkLatencies(host, stats)
+}
+
+func checkDemand(class string, demand ClassDemand) error {
+	return checkBounds("usage", class,
+		boundedValue{"came", float64(demand.Arrivals), 0, maxAttempts},
+		boundedValue{"unanswered", float64(demand.Unanswered), 0, float64(demand.Arrivals)},
+		boundedValue{"span", demand.WindowMs, 1, maxWindowMs},
+	)
+}
+
+// checkLatencies rejects a distribution with more attempts than were successful.
+func checkLatencies(host string, stats HostStats) error {
+	field := func() string { return fmt.Sprintf("hosts[%q].times", host) }
+	if len(stats.Latencies) > maxLatencyBuckets {
+		return invalidField(field(), "%d bars, %d at most", len(stats.Latencies), maxLatencyBuckets)
 	}
-	n := int64(0)
-	for i, b := range v.Latencies {
-		if !(b.Ms >= 0 && b.Ms <= maxWindowMs) || b.Count < 1 || b.Count > maxAttempts {
-			return invalidField(fmt.Sprintf("hosts[%q].times[%d]", host, i), "%d tries of %g ms", b.Count, b.Ms)
+	total := int64(0)
+	for i, bucket := range stats.Latencies {
+		if !(bucket.Ms >= 0 && bucket.Ms <= maxWindowMs) || bucket.Count < 1 || bucket.Count > maxAttempts {
+			return invalidField(fmt.Sprintf("%s[%d]", field(), i), "%d tries of %g ms", bucket.Count, bucket.Ms)
 		}
-		n += b.Count
+		total += bucket.Count
 	}
-	if n > int64(v.Attempts-v.Failed) {
-		return invalidField(fmt.Sprintf("hosts[%q].times", host), "%d tries, %d were good", n, v.Attempts-v.Failed)
+	successful := stats.Attempts - stats.Failed
+	if total > int64(successful) {
+		return invalidField(field(), "%d tries, %d were good", total, successful)
 	}
 	return nil
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -5,91 +5,118 @@
 	"slices"
 )
 
-// Status is what a steward says of itself.
+// Status is the state of a controller.
 type Status struct {
-	Life           string         `json:"life"`
+	Life           string         `json:"life"` // incarnation
 	Zones          []string       `json:"zones"`
 	Classes        []string       `json:"classes"`
-	ListAgeMs      float64        `json:"list_age_ms"` // since the list last came; below 0: never
-	ListFailed     bool           `json:"list_failed"` // the last try to get it
+	ListAgeMs      float64        `json:"list_age_ms"` // since the endpoint list last came; below 0: it never has
+	ListFailed     bool           `json:"list_failed"` // the watch has failed since
 	Hosts          int            `json:"hosts"`
-	Joined         int            `json:"joined"`
-	Polls          int            `json:"polls"` // held now
-	LinesWaiting   float64        `json:"lines_waiting"`
+	Joined         int            `json:"joined"`             // connected proxies
+	Polls          int            `json:"polls"`              // pending
+	LinesWaiting   float64        `json:"lines_waiting"`      // backlog of the control channel, in entries
 	LinesMost      float64        `json:"lines_waiting_most"` // since the start
 	Rounds         int64          `json:"rounds"`
-	Mode           string         `json:"mode"` // the last change of mode, as logged
+	Mode           string         `json:"mode"` // the last change of the mode, as logged
 	ModeForMs      float64        `json:"mode_for_ms"`
-	IndicesInUse   int            `json:"indices_in_use"` // hosts listed or not yet forgotten
+	IndicesInUse   int            `json:"indices_in_use"` // hosts that are listed or not yet forgotten
 	MessagesQueued int            `json:"messages_queued"`
 	Intake         IngestReport   `json:"intake"`
-	GuardRefused   int            `json:"guard_refused"`    // so often the table guard began to
-	Memory         *RestoreReport `json:"memory,omitempty"` // what an earlier life knew
+	GuardRefused   int            `json:"guard_refused"`    // number of times that tables had to be repaired
+	Memory         *RestoreReport `json:"memory,omitempty"` // what was restored of an earlier incarnation
 }
 
-// Status tells how things stand.
-func (s *Controller) Status(now float64) Status {
-	st := Status{Life: s.deployment.Incarnation, Zones: s.deployment.Zones, ListAgeMs: -1, ListFailed: s.endpoints.watchFailed,
-		Hosts: len(s.endpoints.effective), Joined: len(s.sessions.byProxy), Polls: s.sessions.pendingPolls,
-		LinesWaiting: s.channel.backlog(), LinesMost: s.channel.peakBacklog, Rounds: s.roundCount, Mode: "ordinary", IndicesInUse: len(s.hostIndex.IndexOf),
-		MessagesQueued: s.channel.queuedMessages(), Intake: s.ingestReport(now), GuardRefused: s.validation.report.Refused, Memory: s.restoreReport()}
-	for _, c := range s.classes {
-		st.Classes = append(st.Classes, c.Name)
+// initialMode is the mode before its first change.
+const initialMode = "ordinary"
+
+// Status gives the state of the controller.
+func (c *Controller) Status(nowMs float64) Status {
+	status := Status{
+		Life:           c.deployment.Incarnation,
+		Zones:          c.deployment.Zones,
+		ListAgeMs:      -1,
+		ListFailed:     c.endpoints.watchFailed,
+		Hosts:          len(c.endpoints.effective),
+		Joined:         len(c.sessions.byProxy),
+		Polls:          c.sessions.pendingPolls,
+		LinesWaiting:   c.channel.backlog(),
+		LinesMost:      c.channel.peakBacklog,
+		Rounds:         c.tables.round,
+		Mode:           initialMode,
+		IndicesInUse:   len(c.hostIndex.IndexOf),
+		MessagesQueued: c.channel.queuedMessages(),
+		Intake:         c.ingestReport(nowMs),
+		GuardRefused:   c.validation.report.Refused,
+		Memory:         c.restoreReport(),
+	}
+	for _, class := range c.classes {
+		status.Classes = append(status.Classes, class.Name)
 	}
-	if s.endpoints.known {
-		st.ListAgeMs = now - s.endpoints.receivedMs
+	if c.endpoints.known {
+		status.ListAgeMs = nowMs - c.endpoints.receivedMs
 	}
-	if s.modeText != "" {
-		st.Mode, st.ModeForMs = s.modeText, now-s.modeSinceMs
+	if c.mode.text != "" {
+		status.Mode = c.mode.text
+		status.ModeForMs = nowMs - c.mode.sinceMs
 	}
-	return st
+	return status
 }
 
-// ProxyZone is the zone of a proxy that has joined, empty where it has not.
-func (s *Controller) ProxyZone(proxy string) string {
-	if m := s.sessions.byProxy[proxy]; m != nil {
-		return s.deployment.Zones[m.zone]
+// ProxyInfo is the state of a connected proxy.
+type ProxyInfo struct {
+	Proxy   string             `json:"proxy"`
+	Zone    string             `json:"zone"`
+	Tag     string             `json:"tag"`           // of the newest version
+	Acked   bool               `json:"acked"`         // the proxy has acknowledged that version
+	Held    bool               `json:"held"`          // a poll is pending
+	Rates   map[string]float64 `json:"rates"`         // requests a second lately, by class
+	Waiting float64            `json:"lines_waiting"` // entries of its message in the control channel
+}
+
+// ProxyInfos gives the state of the connected proxies, by name.
+func (c *Controller) ProxyInfos() []ProxyInfo {
+	var infos []ProxyInfo
+	for _, proxy := range slices.Sorted(maps.Keys(c.sessions.byProxy)) {
+		infos = append(infos, c.proxyInfo(c.sessions.byProxy[proxy]))
 	}
-	return ""
+	return infos
 }
 
-// PublishedTables gives what a proxy was last given; false where it has not joined or has got nothing.
-func (s *Controller) PublishedTables(proxy string) (Response, bool) {
-	m := s.sessions.byProxy[proxy]
-	if m == nil || len(m.versions) == 0 {
-		return Response{}, false
+func (c *Controller) proxyInfo(session *session) ProxyInfo {
+	info := ProxyInfo{
+		Proxy: session.proxy,
+		Zone:  c.deployment.Zones[session.zone],
+		Held:  session.pendingPoll != nil,
+		Rates: map[string]float64{},
 	}
-	v := m.versions[len(m.versions)-1]
-	return Response{Kind: Snapshot, Proxy: proxy, Tag: s.tagOf(&v), view: v.tables}, true
+	if newest := session.newest(); newest != nil {
+		info.Tag = c.tagOf(newest)
+		info.Acked = session.ackedVersion == newest.number
+	}
+	if session.queuedMessage != nil {
+		info.Waiting = session.queuedMessage.entries
+	}
+	for i, class := range c.classes {
+		info.Rates[class.Name] = session.requestRates[i]
+	}
+	return info
 }
 
-// ProxyInfo is how a proxy stands.
-type ProxyInfo struct {
-	Proxy   string             `json:"proxy"`
-	Zone    string             `json:"zone"`
-	Tag     string             `json:"tag"`   // the newest version
-	Acked   bool               `json:"acked"` // it polled with that
-	Held    bool               `json:"held"`  // a poll of it is held
-	Rates   map[string]float64 `json:"rates"`
-	Waiting float64            `json:"lines_waiting"`
+// ProxyZone is the zone of a connected proxy, empty where it is not connected.
+func (c *Controller) ProxyZone(proxy string) string {
+	if session := c.sessions.byProxy[proxy]; session != nil {
+		return c.deployment.Zones[session.zone]
+	}
+	return ""
 }
 
-// ProxyInfos tells how the joined proxies stand, by name.
-func (s *Controller) ProxyInfos() []ProxyInfo {
-	var all []ProxyInfo
-	for _, name := range slices.Sorted(maps.Keys(s.sessions.byProxy)) {
-		m := s.sessions.byProxy[name]
-		i := ProxyInfo{Proxy: name, Zone: s.deployment.Zones[m.zone], Held: m.pendingPoll != nil, Rates: map[string]float64{}}
-		if n := len(m.versions); n > 0 {
-			i.Tag, i.Acked = s.tagOf(&m.versions[n-1]), m.ackedVersion == m.versions[n-1].number
-		}
-		if m.queuedMessage != nil {
-			i.Waiting = m.queuedMessage.entries
-		}
-		for k, c := range s.classes {
-			i.Rates[c.Name] = m.requestRates[k]
-		}
-		all = append(all, i)
+// PublishedTables gives the newest version of a proxy's tables; false where it is not connected or has no version yet.
+func (c *Controller) PublishedTables(proxy string) (Response, bool) {
+	session := c.sessions.byProxy[proxy]
+	if session == nil || len(session.versions) == 0 {
+		return Response{}, false
 	}
-	return all
+	newest := session.newest()
+	return Response{Kind: Snapshot, Proxy: proxy, Tag: c.tagOf(newest), tables: newest.tables}, true
 }
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -6,144 +6,201 @@
 	"strconv"
 )
 
-// weightEntry of a table: a host by name and its weight.
+// weightEntry is a host of a table and its weight.
 type weightEntry struct {
 	host   string
 	weight float64
 }
 
-// classPolicy of a class: the share let in, and the way of trying again.
+// classPolicy is the admission and retry policy of a request class.
 type classPolicy struct {
-	admissionRatio float64
+	admissionRatio float64 // part of the requests to admit
 	retryPolicy    int
-	set            bool
+	set            bool // by the balancer
 }
 
-// routingTable is a table as the module has it, by index, with the snapshot of it that versions share.
+// routingTable is a table as the balancer has decided it, by index of the host, and what is published of it.
 type routingTable struct {
-	weights        map[int]float64
-	decided        []float64 // the same by index, of a table that proxies share
-	published      []float64 // as last ordered, by index, while a guard refuses
-	repaired       []float64 // what the guard gives in their place; nil: nothing
-	repairedFrom   []float64 // the row that this was given for
-	policies       []classPolicy
-	entries        []weightEntry // nil: to be made anew
-	tableSet       *tableSet     // of the proxies that use it for all classes; nil: to be made anew
-	changedEntries float64
-	hasRemoval     bool
-	changedRound   int64 // the round of these two
-}
-
-// tableStore are all tables by number, the levels for all of them, and what the present round has ordered.
+	weights  map[int]float64 // decided, without hosts of weight 0
+	decided  []float64       // the same by index, only for tables that proxies share
+	policies []classPolicy   // by class
+
+	// The table validator maintains these for shared tables while repair is enabled, by index of the host.
+	published    []float64 // as last sent; nil: nothing yet
+	repaired     []float64 // published in place of the decided weights; nil: those are published
+	repairedFrom []float64 // the decided weights that were repaired
+
+	entries  []weightEntry // as published, by host; nil: to be made anew
+	tableSet *tableSet     // of proxies that use this table for all classes; nil: to be made anew
+
+	changedRound   int64   // the last round that changed the table; the next two are of that round
+	changedEntries float64 // entries that changed
+	hasRemoval     bool    // a host was removed
+}
+
+// tableStore holds the tables by number, the policies for all of them, and what the present round has changed.
 type tableStore struct {
-	byNumber            map[int]*routingTable
-	globalPolicies      []classPolicy
-	defaultRetryPolicy  int
-	round               int64
-	lastTableSetID      int64 // made so far
-	stamp               int
-	reassigned          map[*session]bool // proxies bound in this round
-	changed             []int
-	globalPolicyChanges float64 // lines of levels for all
-}
-
-func newTables(classes, usual int) tableStore {
-	return tableStore{byNumber: map[int]*routingTable{}, globalPolicies: make([]classPolicy, classes), defaultRetryPolicy: usual, reassigned: map[*session]bool{}}
-}
-
-func (t *tableStore) table(number int) *routingTable {
-	b := t.byNumber[number]
-	if b == nil {
-		b = &routingTable{weights: map[int]float64{}, policies: make([]classPolicy, len(t.globalPolicies))}
-		t.byNumber[number] = b
+	byNumber           map[int]*routingTable
+	globalPolicies     []classPolicy // by class
+	defaultRetryPolicy int
+	lastTableSetID     int64
+
+	round               int64             // rounds run so far
+	stamp               int               // of the round's messages, 0: none
+	reassigned          map[*session]bool // sessions that were assigned a table
+	changed             []int             // numbers of tables
+	globalPolicyChanges float64
+}
+
+func newTableStore(classes, defaultRetryPolicy int) tableStore {
+	return tableStore{
+		byNumber:           map[int]*routingTable{},
+		globalPolicies:     make([]classPolicy, classes),
+		defaultRetryPolicy: defaultRetryPolicy,
+		reassigned:         map[*session]bool{},
 	}
-	return b
 }
 
-// markChanged notes that a line of a table was ordered in this round.
-func (t *tableStore) markChanged(number int) *routingTable {
-	b := t.table(number)
-	if b.changedRound != t.round {
-		b.changedRound, b.changedEntries, b.hasRemoval = t.round, 0, false
-		t.changed = append(t.changed, number)
+// table is the table with a number, made where there is none.
+func (s *tableStore) table(number int) *routingTable {
+	table := s.byNumber[number]
+	if table == nil {
+		table = &routingTable{weights: map[int]float64{}, policies: make([]classPolicy, len(s.globalPolicies))}
+		s.byNumber[number] = table
 	}
-	b.changedEntries++
-	b.tableSet = nil
-	return b
+	return table
+}
+
+// markChanged notes that the present round changes an entry of a table.
+func (s *tableStore) markChanged(number int) *routingTable {
+	table := s.table(number)
+	s.beginChange(number, table)
+	table.changedEntries++
+	table.tableSet = nil
+	return table
+}
+
+// beginChange starts the count of changed entries of a table anew where the present round has not changed it yet.
+func (s *tableStore) beginChange(number int, table *routingTable) {
+	if table.changedRound == s.round {
+		return
+	}
+	table.changedRound = s.round
+	table.changedEntries = 0
+	table.hasRemoval = false
+	s.changed = append(s.changed, number)
+}
+
+// hasChanges reports whether the present round has changed anything that proxies have to be sent.
+func (s *tableStore) hasChanges() bool {
+	return len(s.changed) > 0 || len(s.reassigned) > 0 || s.globalPolicyChanges != 0
+}
+
+// clearChanges forgets the changes of the present round.
+func (s *tableStore) clearChanges() {
+	clear(s.reassigned)
+	s.changed = s.changed[:0]
+	s.globalPolicyChanges = 0
+	s.stamp = 0
 }
 
-func (t *tableStore) forget(number int) { delete(t.byNumber, number) }
+func (s *tableStore) forget(number int) { delete(s.byNumber, number) }
 
-// effectivePolicy gives the level that holds where a table's own and the one for all are set: the lower share, and the
-// table's own way of trying again.
-func (t *tableStore) effectivePolicy(own, all classPolicy) classPolicy {
-	l := classPolicy{1, t.defaultRetryPolicy, true}
-	if all.set {
-		l = all
+// effectivePolicy combines the policy of a table with the one for all tables: the lower admission ratio, and the
+// table's own retry policy where it has one.
+func (s *tableStore) effectivePolicy(own, global classPolicy) classPolicy {
+	policy := classPolicy{1, s.defaultRetryPolicy, true}
+	if global.set {
+		policy = global
 	}
 	if own.set {
-		l.admissionRatio, l.retryPolicy = min(l.admissionRatio, own.admissionRatio), own.retryPolicy
+		policy.admissionRatio = min(policy.admissionRatio, own.admissionRatio)
+		policy.retryPolicy = own.retryPolicy
 	}
-	return l
+	return policy
 }
 
-// setDecided notes a weight by index.
-func (b *routingTable) setDecided(host int, weight float64) {
-	for len(b.decided) <= host {
-		b.decided = append(b.decided, 0)
+// setDecided notes the decided weight of a host.
+func (t *routingTable) setDecided(host int, weight float64) {
+	for len(t.decided) <= host {
+		t.decided = append(t.decided, 0)
 	}
-	b.decided[host] = weight
+	t.decided[host] = weight
 }
 
-// publishedSize is the number of lines as published.
-func (b *routingTable) publishedSize() (n float64) {
-	if b.repaired == nil {
-		return float64(len(b.weights))
+// publishedSize is the number of entries as published.
+func (t *routingTable) publishedSize() float64 {
+	if t.repaired == nil {
+		return float64(len(t.weights))
 	}
-	for _, w := range b.repaired {
-		if w > 0 {
-			n++
+	size := 0.0
+	for _, weight := range t.repaired {
+		if weight > 0 {
+			size++
 		}
 	}
-	return n
-}
-
-// entriesOf gives the present lines of a table by name of host.
-func (s *Controller) entriesOf(b *routingTable) []weightEntry {
-	if b.entries == nil {
-		b.entries = make([]weightEntry, 0, len(b.weights))
-		if b.repaired != nil {
-			for h, weight := range b.repaired {
-				if weight > 0 {
-					b.entries = append(b.entries, weightEntry{s.hostIndex.Names[h], weight})
-				}
-			}
-		} else {
-			for h, weight := range b.weights {
-				b.entries = append(b.entries, weightEntry{s.hostIndex.Names[h], weight})
+	return size
+}
+
+// entriesOf gives the entries of a table as published, by name of the host.
+func (c *Controller) entriesOf(table *routingTable) []weightEntry {
+	if table.entries != nil {
+		return table.entries
+	}
+	entries := make([]weightEntry, 0, len(table.weights))
+	if table.repaired != nil {
+		for host, weight := range table.repaired {
+			if weight > 0 {
+				entries = append(entries, weightEntry{c.hostIndex.Names[host], weight})
 			}
 		}
-		sort.Slice(b.entries, func(i, j int) bool { return b.entries[i].host < b.entries[j].host })
+	} else {
+		for host, weight := range table.weights {
+			entries = append(entries, weightEntry{c.hostIndex.Names[host], weight})
+		}
 	}
-	return b.entries
+	sort.Slice(entries, func(i, j int) bool { return entries[i].host < entries[j].host })
+	table.entries = entries
+	return entries
 }
 
-// distinctTables gives the tables that a proxy is bound to, each once.
-func distinctTables(numbers []int) []int {
-	if len(numbers) > 0 && numbers[0] >= 0 && !slices.ContainsFunc(numbers, func(n int) bool { return n != numbers[0] }) {
-		return numbers[:1]
+// isShared reports whether a table is one that proxies share: number 0 is for all zones, then comes one for each zone.
+// Greater numbers are subset tables, of one proxy each.
+func (c *Controller) isShared(number int) bool { return number <= len(c.deployment.Zones) }
+
+// distinctTables gives the tables among those of the classes, each once.
+func distinctTables(tableByClass []int) []int {
+	if usesOneTable(tableByClass) {
+		return tableByClass[:1]
 	}
-	var some []int
-	for _, n := range numbers {
-		if n >= 0 && !slices.Contains(some, n) {
-			some = append(some, n)
+	var distinct []int
+	for _, number := range tableByClass {
+		if number != noTable && !slices.Contains(distinct, number) {
+			distinct = append(distinct, number)
 		}
 	}
-	return some
+	return distinct
 }
 
-// round6 keeps six digits, as many as matter to a proxy.
-func round6(x float64) float64 {
-	y, _ := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 6, 64), 64)
-	return y
+// usesOneTable reports whether all classes have the same table.
+func usesOneTable(tableByClass []int) bool {
+	if len(tableByClass) == 0 || tableByClass[0] == noTable {
+		return false
+	}
+	return !slices.ContainsFunc(tableByClass, func(number int) bool { return number != tableByClass[0] })
 }
+
+// weightDigits is the precision of published weights and ratios in significant digits, as many as matter to a proxy.
+const weightDigits = 6
+
+// roundWeight rounds a weight or ratio to the published precision.
+func roundWeight(weight float64) float64 {
+	text := strconv.FormatFloat(weight, 'g', weightDigits, 64)
+	// FormatFloat's own text parses; a weight out of range gives ±Inf along with an error, as it should.
+	rounded, _ := strconv.ParseFloat(text, 64)
+	return rounded
+}
+
+// classInMask reports whether a class is in a bit mask of classes as the balancer gives it: bit k is class k, and 0
+// stands for all classes, see routing.UpdateWriter.
+func classInMask(mask, class int) bool { return mask == 0 || mask&(1<<class) != 0 }
