--- a/controller/tableset.go
+++ b/controller/tableset.go
@@ -1,167 +1,171 @@
 package controller
 
 import (
-	"encoding/json"
 	"slices"
-	"strconv"
 	"sync"
 
 	"barleysail/state/statepb"
 )
 
-// tableSet is what a proxy's tables hold in a version. It never changes; proxies with the same tables share one,
-// and with it the bytes of its document and of the deltas from it.
+// tableSet is the content of the tables of a proxy in a version, and the documents made of it. The content never
+// changes. Proxies with the same tables share one, and with it the bytes of its snapshot and of the deltas from it;
+// any goroutine may encode it.
 type tableSet struct {
-	id            int64
-	classes       []classTable
-	once          sync.Once
+	id      int64
+	classes []classTable
+
+	documentOnce  sync.Once
 	documentBytes []byte
 
-	mu        sync.Mutex
-	deltas    map[int64][]byte // by base; not by pointer, which would keep every view there ever was
-	persisted *statepb.Table   // as it is kept for another life
-	canonical []byte
+	mu        sync.Mutex       // guards the fields below
+	deltas    map[int64][]byte // by id of the base: a pointer would retain every base there ever was
+	persisted *statepb.Table   // for a snapshot of the state
+	canonical []byte           // in the canonical form of RFC 8785
 }
 
+// classTable is the table of a request class.
 type classTable struct {
 	name     string
-	entries  []weightEntry
-	assigned bool
+	entries  []weightEntry // by host
+	assigned bool          // the class has a table, be it an empty one
 	policy   classPolicy
 }
 
-// tableSetOf makes the view of a proxy's present tables, or finds the one of the other proxies with the same table.
-func (s *Controller) tableSetOf(m *session) *tableSet {
-	numbers := distinctTables(m.tableByClass)
-	whole := len(numbers) == 1 && !slices.Contains(m.tableByClass, -1) && s.endpoints.known
-	if whole {
-		if v := s.tables.table(m.tableByClass[0]).tableSet; v != nil {
-			return v
+// tableSetOf is the content of the present tables of a proxy, shared with other proxies that use the same table.
+func (c *Controller) tableSetOf(session *session) *tableSet {
+	shareable := usesOneTable(session.tableByClass) && c.endpoints.known
+	if shareable {
+		if shared := c.tables.table(session.tableByClass[0]).tableSet; shared != nil {
+			return shared
 		}
 	}
-	s.tables.lastTableSetID++
-	v := &tableSet{id: s.tables.lastTableSetID, classes: make([]classTable, len(s.classes))}
-	for k, n := range m.tableByClass {
-		c := classTable{name: s.classes[k].Name, policy: s.tables.effectivePolicy(classPolicy{}, s.tables.globalPolicies[k])}
-		if n >= 0 {
-			b := s.tables.table(n)
-			c.entries, c.policy = s.entriesOf(b), s.tables.effectivePolicy(b.policies[k], s.tables.globalPolicies[k])
-			// A steward that knows no list yet must not empty the tables that a proxy brings.
-			c.assigned = s.endpoints.known || len(c.entries) > 0
-		}
-		v.classes[k] = c
+	c.tables.lastTableSetID++
+	made := &tableSet{id: c.tables.lastTableSetID, classes: make([]classTable, len(c.classes))}
+	for class, number := range session.tableByClass {
+		made.classes[class] = c.classTableOf(class, number)
+	}
+	if shareable {
+		c.tables.table(session.tableByClass[0]).tableSet = made
+	}
+	return made
+}
+
+// classTableOf is the content of a class that uses a table, or of one without a table.
+func (c *Controller) classTableOf(class, number int) classTable {
+	global := c.tables.globalPolicies[class]
+	if number == noTable {
+		return classTable{name: c.classes[class].Name, policy: c.tables.effectivePolicy(classPolicy{}, global)}
 	}
-	if whole {
-		s.tables.table(m.tableByClass[0]).tableSet = v
+	table := c.tables.table(number)
+	entries := c.entriesOf(table)
+	return classTable{
+		name:    c.classes[class].Name,
+		entries: entries,
+		// A controller without an endpoint list must not empty the tables that a proxy already has.
+		assigned: c.endpoints.known || len(entries) > 0,
+		policy:   c.tables.effectivePolicy(table.policies[class], global),
 	}
-	return v
 }
 
-func (v *tableSet) document() []byte {
-	v.once.Do(func() { v.documentBytes = v.encode(nil) })
-	return v.documentBytes
+// maxCachedDeltas bounds the deltas that are cached with a table set.
+const maxCachedDeltas = 8
+
+// document is the JSON object of all tables. It is encoded once.
+func (s *tableSet) document() []byte {
+	s.documentOnce.Do(func() { s.documentBytes = s.encode(nil) })
+	return s.documentBytes
 }
 
-// delta gives the merge patch from another view, and keeps it while the bases that ask for it are few.
-func (v *tableSet) delta(from *tableSet) []byte {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if body, ok := v.deltas[from.id]; ok {
-		return body
+// delta gives the merge patch from a base, and caches it.
+func (s *tableSet) delta(base *tableSet) []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if cached, ok := s.deltas[base.id]; ok {
+		return cached
 	}
-	tables := v.encode(from)
+	tables := s.encode(base)
 	body := append(append([]byte(`{"tables":`), tables...), "}\n"...)
-	if string(tables) == "{}" {
-		body = []byte("{}\n")
+	if string(tables) == emptyObject {
+		body = []byte(emptyObject + "\n")
 	}
-	if v.deltas == nil || len(v.deltas) >= maxCachedDeltas {
-		v.deltas = map[int64][]byte{}
+	if s.deltas == nil || len(s.deltas) >= maxCachedDeltas {
+		s.deltas = map[int64][]byte{}
 	}
-	v.deltas[from.id] = body
+	s.deltas[base.id] = body
 	return body
 }
 
-// maxCachedDeltas bounds the deltas kept with a view.
-const maxCachedDeltas = 8
-
-// encode writes the tables, or with a base what differs from it.
-func (v *tableSet) encode(from *tableSet) []byte {
-	out, first := []byte{'{'}, true
-	for i, c := range v.classes {
-		var old *classTable
-		if from != nil && i < len(from.classes) {
-			old = &from.classes[i]
+// encode gives the JSON object of all tables, or the merge patch (RFC 7396) from a base that is not nil.
+func (s *tableSet) encode(base *tableSet) []byte {
+	object := newObjectEncoder(nil)
+	for i := range s.classes {
+		class := &s.classes[i]
+		var classBase *classTable
+		if base != nil && i < len(base.classes) {
+			classBase = &base.classes[i]
 		}
-		body := c.encode(old)
-		if from != nil && string(body) == "{}" {
+		body := class.encode(classBase)
+		if base != nil && string(body) == emptyObject {
 			continue
 		}
-		out, first = appendKey(out, c.name, first), false
-		out = append(out, body...)
+		object.key(class.name)
+		object.out = append(object.out, body...)
 	}
-	return append(out, '}')
+	return object.end()
 }
 
-func (c *classTable) encode(old *classTable) []byte {
-	out, first := []byte{'{'}, true
-	if c.assigned && (old == nil || !old.assigned || !equalEntries(c.entries, old.entries)) {
-		out, first = appendKey(out, "hosts", first), false
+// encode gives the JSON object of the class's table, or the merge patch from a base that is not nil.
+func (t *classTable) encode(base *classTable) []byte {
+	object := newObjectEncoder(nil)
+	hasBase := base != nil && base.assigned
+	if t.assigned && (!hasBase || !equalEntries(t.entries, base.entries)) {
 		var before []weightEntry
-		if old != nil && old.assigned {
-			before = old.entries
+		if hasBase {
+			before = base.entries
 		}
-		out = appendEntries(out, c.entries, before)
+		object.key("hosts")
+		object.out = appendEntries(object.out, t.entries, before)
 	}
-	if old == nil || c.policy.admissionRatio != old.policy.admissionRatio {
-		out, first = appendNumber(appendKey(out, "share", first), c.policy.admissionRatio), false
+	if base == nil || t.policy.admissionRatio != base.policy.admissionRatio {
+		object.number("share", t.policy.admissionRatio)
 	}
-	if old == nil || c.policy.retryPolicy != old.policy.retryPolicy {
-		out = strconv.AppendInt(appendKey(out, "tries", first), int64(c.policy.retryPolicy), 10)
+	if base == nil || t.policy.retryPolicy != base.policy.retryPolicy {
+		object.integer("tries", t.policy.retryPolicy)
 	}
-	return append(out, '}')
+	return object.end()
 }
 
-// equalEntries tells whether two snapshots hold the same lines; those of one table that did not change are one.
+// equalEntries reports whether two lists hold the same entries. Lists of a table that did not change are the same
+// slice.
 func equalEntries(a, b []weightEntry) bool {
-	if len(a) != len(b) || len(a) == 0 || &a[0] == &b[0] {
-		return len(a) == len(b)
+	if len(a) != len(b) {
+		return false
 	}
-	for i := range a {
-		if a[i] != b[i] {
-			return false
-		}
+	if len(a) == 0 || &a[0] == &b[0] {
+		return true
 	}
-	return true
+	return slices.Equal(a, b)
 }
 
-// appendEntries writes the lines that differ from those before, a host that is gone as null.
-func appendEntries(out []byte, now, before []weightEntry) []byte {
-	out, first := append(out, '{'), true
-	for len(now) > 0 || len(before) > 0 {
+// appendEntries appends the object of the entries that differ from those before, with null for a host that is gone.
+// Both lists are in the order of their hosts.
+func appendEntries(out []byte, entries, before []weightEntry) []byte {
+	object := newObjectEncoder(out)
+	for len(entries) > 0 || len(before) > 0 {
 		switch {
-		case len(before) == 0 || len(now) > 0 && now[0].host < before[0].host:
-			out, first = appendNumber(appendKey(out, now[0].host, first), now[0].weight), false
-			now = now[1:]
-		case len(now) == 0 || before[0].host < now[0].host:
-			out, first = append(appendKey(out, before[0].host, first), "null"...), false
+		case len(before) == 0 || len(entries) > 0 && entries[0].host < before[0].host:
+			object.number(entries[0].host, entries[0].weight)
+			entries = entries[1:]
+		case len(entries) == 0 || before[0].host < entries[0].host:
+			object.null(before[0].host)
 			before = before[1:]
 		default:
-			if now[0].weight != before[0].weight {
-				out, first = appendNumber(appendKey(out, now[0].host, first), now[0].weight), false
+			if entries[0].weight != before[0].weight {
+				object.number(entries[0].host, entries[0].weight)
 			}
-			now, before = now[1:], before[1:]
+			entries = entries[1:]
+			before = before[1:]
 		}
 	}
-	return append(out, '}')
+	return object.end()
 }
-
-// appendKey begins a member of an object.
-func appendKey(out []byte, name string, first bool) []byte {
-	if !first {
-		out = append(out, ',')
-	}
-	quoted, _ := json.Marshal(name)
-	return append(append(out, quoted...), ':')
-}
-
-func appendNumber(out []byte, x float64) []byte { return strconv.AppendFloat(out, x, 'g', -1, 64) }
--- a/controller/updatewriter.go
+++ b/controller/updatewriter.go
@@ -6,96 +6,115 @@
 	"barleysail/routing"
 )
 
-// updateWriter takes the decisions of a round for a Steward.
+// updateWriter takes the decisions of a round of the balancer for a Controller.
 type updateWriter struct{ *Controller }
 
 var _ routing.UpdateWriter = updateWriter{}
 
+// SetWeight sets the weight of a host in a table; a weight of 0 or less removes it.
 func (w updateWriter) SetWeight(number, host int, weight float64) {
-	b := w.tables.markChanged(number)
-	if number <= len(w.deployment.Zones) {
-		w.recordWeightChange(host, b.weights[host], weight)
-		b.setDecided(host, round6(math.Max(weight, 0)))
+	table := w.tables.markChanged(number)
+	table.entries = nil
+	if w.isShared(number) {
+		w.recordWeightChange(host, table.weights[host], weight)
+		table.setDecided(host, roundWeight(math.Max(weight, 0)))
 	}
-	if b.entries = nil; weight > 0 {
-		b.weights[host] = round6(weight)
+	if weight > 0 {
+		table.weights[host] = roundWeight(weight)
 	} else {
-		delete(b.weights, host)
-		b.hasRemoval = true
+		delete(table.weights, host)
+		table.hasRemoval = true
 	}
 }
 
+// AssignTable has a proxy use a table for the classes of a mask.
 func (w updateWriter) AssignTable(proxy, number, classes int) {
-	m := w.sessions.byIndex[proxy]
-	if m == nil {
+	session := w.sessions.byIndex[proxy]
+	if session == nil {
 		return
 	}
-	w.tables.table(number)
-	w.tables.reassigned[m] = true
-	for k := range m.tableByClass {
-		if classes == 0 || classes&(1<<k) != 0 {
-			m.tableByClass[k] = number
+	w.tables.table(number) // it may have no entry yet
+	w.tables.reassigned[session] = true
+	for class := range session.tableByClass {
+		if classInMask(classes, class) {
+			session.tableByClass[class] = number
 		}
 	}
 }
 
-func (w updateWriter) SetAdmission(number, classes int, share float64, tries int) {
-	levels := w.tables.globalPolicies
+// SetAdmission sets the admission ratio and the retry policy of the classes of a mask, in one table or in all.
+func (w updateWriter) SetAdmission(number, classes int, admissionRatio float64, retryPolicy int) {
+	policies := w.tables.globalPolicies
 	if number == routing.AllTables {
 		w.tables.globalPolicyChanges++
-		for _, b := range w.tables.byNumber {
-			b.tableSet = nil
+		for _, table := range w.tables.byNumber {
+			table.tableSet = nil
 		}
 	} else {
-		levels = w.tables.markChanged(number).policies
+		policies = w.tables.markChanged(number).policies
 	}
-	for k := range levels {
-		if classes == 0 || classes&(1<<k) != 0 {
-			levels[k] = classPolicy{round6(share), tries, true}
+	for class := range policies {
+		if classInMask(classes, class) {
+			policies[class] = classPolicy{roundWeight(admissionRatio), retryPolicy, true}
 		}
 	}
 }
 
+// StampVersion gives the messages of the round a number that the proxies' acknowledgements refer to.
 func (w updateWriter) StampVersion(number int) { w.tables.stamp = number }
 
+// CheckHealth asks for a health check of a host.
 func (w updateWriter) CheckHealth(host int) { w.effects.CheckHealth(w.hostIndex.Names[host]) }
 
-func (w updateWriter) ScheduleRound(at float64) {
-	w.Controller.scheduler.plannedMs = w.nowMs + (at-w.nowMs)*w.ingest.pacer.IntervalFactor()
+// ScheduleRound plans the next round. While rounds come late, the time until it is stretched.
+func (w updateWriter) ScheduleRound(atMs float64) {
+	w.scheduler.plannedMs = w.nowMs + (atMs-w.nowMs)*w.ingest.pacer.IntervalFactor()
 }
 
+// WatchEndpoints asks for the endpoint list and a watch of its changes.
 func (w updateWriter) WatchEndpoints() { w.effects.WatchEndpoints() }
 
+// Log writes an event of the balancer as a log line.
 func (w updateWriter) Log(event routing.Event) { w.logEvent(event) }
 
-// enqueueUpdates puts what the round has ordered into the channel, a message for each proxy concerned.
-func (s *Controller) enqueueUpdates() {
-	t := &s.tables
-	if len(t.changed) == 0 && len(t.reassigned) == 0 && t.globalPolicyChanges == 0 {
-		t.stamp = 0
+// enqueueUpdates puts the changes of the present round into the control channel, a message for each proxy concerned.
+func (c *Controller) enqueueUpdates() {
+	if !c.tables.hasChanges() {
+		c.tables.stamp = 0
 		return
 	}
-	k := versionStamp{t.round, t.stamp}
-	for _, m := range s.sessions.byIndex {
-		if m == nil {
+	stamp := versionStamp{c.tables.round, c.tables.stamp}
+	for _, session := range c.sessions.byIndex {
+		if session == nil {
 			continue
 		}
-		lines, removal := t.globalPolicyChanges, false
-		if t.reassigned[m] {
-			for _, number := range distinctTables(m.tableByClass) {
-				lines += 1 + t.byNumber[number].publishedSize() + float64(len(s.classes))
-			}
-		} else if len(t.changed) > 0 {
-			for _, number := range distinctTables(m.tableByClass) {
-				if b := t.byNumber[number]; b != nil && b.changedRound == t.round {
-					lines, removal = lines+b.changedEntries, removal || b.hasRemoval
-				}
-			}
+		entries, hasRemoval := c.updateSize(session)
+		if entries > 0 {
+			c.channel.enqueue(session, entries+1, hasRemoval, stamp)
 		}
-		if lines > 0 {
-			s.channel.enqueue(m, lines+1, removal, k)
+	}
+	c.tables.clearChanges()
+}
+
+// updateSize counts the entries that the present round has changed for a proxy; all entries of its tables, each with an
+// entry of its own and one for each class, where the proxy was assigned a table.
+func (c *Controller) updateSize(session *session) (entries float64, hasRemoval bool) {
+	entries = c.tables.globalPolicyChanges
+	if c.tables.reassigned[session] {
+		for _, number := range distinctTables(session.tableByClass) {
+			entries += 1 + c.tables.byNumber[number].publishedSize() + float64(len(c.classes))
+		}
+		return entries, false
+	}
+	if len(c.tables.changed) == 0 {
+		return entries, false
+	}
+	for _, number := range distinctTables(session.tableByClass) {
+		table := c.tables.byNumber[number]
+		if table != nil && table.changedRound == c.tables.round {
+			entries += table.changedEntries
+			hasRemoval = hasRemoval || table.hasRemoval
 		}
 	}
-	clear(t.reassigned)
-	t.changed, t.globalPolicyChanges, t.stamp = t.changed[:0], 0, 0
+	return entries, hasRemoval
 }
--- a/controller/validation.go
+++ b/controller/validation.go
@@ -1,162 +1,157 @@
 package controller
 
 import (
-	"fmt"
 	"maps"
 	"math"
 
 	"barleysail/guard"
 )
 
-// tableValidation has the guard look at the tables, and at lists that lose many hosts at once.
+const (
+	// validationIntervalMs is the time after which the tables are validated though none changed, since the demand may
+	// have changed.
+	validationIntervalMs = 10000.0
+
+	// repairIntervalMs is the same while tables are repaired, so that a change that is made in steps goes on.
+	repairIntervalMs = 1000.0
+
+	// invalidReportDelayMs is the time after which it is logged that no valid tables were found.
+	invalidReportDelayMs = 10000.0
+)
+
+// tableValidation is the state of the table validator (package guard) and of the guard against endpoint lists that lose
+// many hosts at once.
 type tableValidation struct {
-	enabled          bool
-	limits           guard.Limits
-	repair           RepairSettings
-	endpointLoss     *guard.EndpointLossGuard
-	heldEndpoints    []Endpoint    // a list that is held back
-	hosts            []guard.Host  // by index
-	hostsChanged     bool          // since it looked
-	routes           []guard.Route // with what is asked of each, and the shared tables among them
-	sharedTables     []int
-	demandSummedMs   float64 // when that was summed up
-	hasSubsetTables  bool    // some have tables of their own
-	lastRunMs        float64 // when it looked last
-	repairingSinceMs float64 // since when it refuses
-	invalidSinceMs   float64 // since when what it serves is not sound
-	invalidReported  bool    // that this is so for long
-	report           ValidationReport
+	enabled bool
+	limits  guard.Limits
+	repair  RepairSettings
+	report  ValidationReport
+
+	endpointLoss  *guard.EndpointLossGuard
+	heldEndpoints []Endpoint // a list that is not in effect yet; nil: none
+
+	hosts        []guard.Host // by the balancer's index
+	hostsChanged bool         // since the last run
+	lastRunMs    float64
+
+	routes           []guard.Route // with the demand for each, those of the shared tables first
+	sharedTables     []int         // numbers of the tables of the first routes
+	demandSummedMs   float64       // when the demand for the routes was summed up
+	hasSubsetTables  bool          // a proxy uses a subset table
+	repairingSinceMs float64
+	invalidSinceMs   float64 // since when what is published is not valid
+	invalidReported  bool    // that this has lasted long
 }
 
-// RepairSettings says what the guard does about what it finds, besides telling.
+// RepairSettings says what the table validator does besides reporting its findings.
 type RepairSettings struct {
-	Enabled         bool // tables are mended before they are published
-	SurviveZoneLoss bool // also for what would come with the loss of a zone
+	Enabled         bool // tables are repaired before they are published
+	SurviveZoneLoss bool // also tables that would be invalid only after the loss of a zone
 }
 
-// ValidationReport is what the guard found since the steward began.
+// ValidationReport is what the table validator has found since the controller started.
 type ValidationReport struct {
 	On        bool            `json:"on"`
-	Refuses   bool            `json:"refuses"`  // by its settings
-	Refusing  bool            `json:"refusing"` // what is published differs from what was decided
-	Refused   int             `json:"refused"`  // so often that began
+	Refuses   bool            `json:"refuses"`  // repair is enabled
+	Refusing  bool            `json:"refusing"` // the published tables differ from those decided
+	Refused   int             `json:"refused"`  // number of times that this began
 	ForMs     float64         `json:"for_ms"`   // since it began
-	Left      []guard.Finding `json:"left"`     // in what is published in its place
-	Looked    int             `json:"looked"`   // so often
-	Found     map[string]int  `json:"found"`    // by check, when it began to be so
-	Standing  []guard.Finding `json:"standing"`
+	Left      []guard.Finding `json:"left"`     // in the repaired tables
+	Looked    int             `json:"looked"`   // number of validations
+	Found     map[string]int  `json:"found"`    // number of new findings, by check
+	Standing  []guard.Finding `json:"standing"` // in the decided tables
 	ListHeld  bool            `json:"list_held"`
-	ListHolds int             `json:"list_holds"`
+	ListHolds int             `json:"list_holds"` // number of endpoint lists that were held back
 }
 
-// EnableValidation switches the guard on. Findings in tables are told in events and by GuardReport; a list that loses too much
-// is held back for a time.
-func (s *Controller) EnableValidation(l guard.Limits, refuse RepairSettings, list guard.EndpointLossLimits) {
-	list.HoldMs = math.Min(list.HoldMs, s.drainGraceMs/2) // a removal is never held past its grace
-	s.validation = tableValidation{enabled: true, limits: l, repair: refuse, endpointLoss: guard.NewEndpointLossGuard(list), hosts: s.validation.hosts,
-		report: ValidationReport{On: true, Refuses: refuse.Enabled, Found: map[string]int{}}}
+// EnableValidation switches the table validator on. Its findings are recorded as events and in ValidationReport; with
+// repair enabled, invalid tables are repaired before they are published. An endpoint list that loses more hosts than
+// endpointLoss allows is held back for a time.
+func (c *Controller) EnableValidation(limits guard.Limits, repair RepairSettings,
+	endpointLoss guard.EndpointLossLimits) {
+	// A removal must not be held back beyond the time for which a host that left may still get requests.
+	endpointLoss.HoldMs = math.Min(endpointLoss.HoldMs, c.safety.DrainGraceMs/2)
+	c.validation = tableValidation{
+		enabled:      true,
+		limits:       limits,
+		repair:       repair,
+		endpointLoss: guard.NewEndpointLossGuard(endpointLoss),
+		hosts:        c.validation.hosts,
+		report:       ValidationReport{On: true, Refuses: repair.Enabled, Found: map[string]int{}},
+	}
 }
 
-// ValidationReport tells what the guard found.
-func (s *Controller) ValidationReport() ValidationReport {
-	r := s.validation.report
-	r.Found, r.ListHeld = maps.Clone(r.Found), s.validation.heldEndpoints != nil
-	r.Standing, r.Left = jsonFindings(r.Standing), jsonFindings(r.Left)
-	if r.Refusing {
-		r.ForMs = s.nowMs - s.validation.repairingSinceMs
+// ValidationReport reports what the table validator has found.
+func (c *Controller) ValidationReport() ValidationReport {
+	report := c.validation.report
+	report.Found = maps.Clone(report.Found)
+	report.ListHeld = c.validation.heldEndpoints != nil
+	report.Standing = jsonFindings(report.Standing)
+	report.Left = jsonFindings(report.Left)
+	if report.Refusing {
+		report.ForMs = c.nowMs - c.validation.repairingSinceMs
 	}
-	return r
+	return report
 }
 
-// jsonFindings are findings without what JSON cannot hold.
-func jsonFindings(found []guard.Finding) []guard.Finding {
-	all := append([]guard.Finding{}, found...)
-	for i, f := range all {
-		if math.IsNaN(f.Value) || math.IsInf(f.Value, 0) {
-			all[i].Value = 0
+// jsonFindings copies findings, with 0 for values that JSON cannot hold.
+func jsonFindings(findings []guard.Finding) []guard.Finding {
+	encodable := append([]guard.Finding{}, findings...)
+	for i, finding := range encodable {
+		if math.IsNaN(finding.Value) || math.IsInf(finding.Value, 0) {
+			encodable[i].Value = 0
 		}
 	}
-	return all
+	return encodable
 }
 
-// validationIntervalMs ms the tables are looked at though none changed, since the demand may have; more often while the guard
-// refuses, so that what it held back goes on in steps.
-const (
-	validationIntervalMs = 10000.0
-	repairIntervalMs     = 1000.0
-	invalidReportDelayMs = 10000.0 // that no sound table was found for so long
-)
-
-// validateRound has the guard look at the tables of the present round, and where it refuses puts the nearest sound ones in
-// their place.
-func (s *Controller) validateRound() {
-	g := &s.validation
-	every := validationIntervalMs
-	if g.report.Refusing {
-		every = repairIntervalMs
-	}
-	if !g.enabled || !g.hostsChanged && len(s.tables.changed) == 0 && len(s.tables.reassigned) == 0 && s.nowMs < g.lastRunMs+every {
+// validateRound validates the tables of the present round, and repairs them where that is enabled and needed.
+func (c *Controller) validateRound() {
+	validation := &c.validation
+	if !c.validationDue() {
 		return
 	}
-	g.lastRunMs = s.nowMs
-	v, shared := s.validationView()
-	if len(v.Routes) == 0 {
+	validation.lastRunMs = c.nowMs
+	view, sharedTables := c.validationView()
+	if len(view.Routes) == 0 {
 		return
 	}
-	g.report.Looked++
-	found := guard.Check(v, g.limits)
-	before := map[string]bool{}
-	for _, f := range g.report.Standing {
-		before[f.Check+f.Subject] = true
+	validation.report.Looked++
+	findings := guard.Check(view, validation.limits)
+	c.recordFindings(findings)
+	if validation.repair.Enabled {
+		c.repairTables(view, sharedTables, findings)
 	}
-	for _, f := range found {
-		if !before[f.Check+f.Subject] {
-			g.report.Found[f.Check]++
-			s.recordEvent("guard", f.String())
-		}
-	}
-	g.report.Standing = found
-	if !g.repair.Enabled {
-		return
+}
+
+// validationDue reports whether something changed that the validator looks at, or its interval is over.
+func (c *Controller) validationDue() bool {
+	validation := &c.validation
+	if !validation.enabled {
+		return false
 	}
-	limits := g.limits
-	limits.SurviveZoneLoss = limits.SurviveZoneLoss && g.repair.SurviveZoneLoss
-	rows, left, why := [][]float64(nil), []guard.Finding(nil), guard.Finding{}
-	for _, f := range found {
-		if f.Check != guard.OverCapacityWithoutZone || limits.SurviveZoneLoss {
-			why = f
-			if rows = s.reuseRepair(v, shared, limits); rows == nil {
-				rows, left = guard.Repair(v, limits)
-			}
-			break
-		}
+	if validation.hostsChanged || len(c.tables.changed) > 0 || len(c.tables.reassigned) > 0 {
+		return true
 	}
-	refused := 0
-	for i, number := range shared {
-		row := v.Routes[i].Decided
-		if rows != nil {
-			row = rows[i]
-		}
-		refused += s.publishRepaired(v, s.tables.table(number), number, v.Routes[i].Decided, row)
+	intervalMs := validationIntervalMs
+	if validation.report.Refusing {
+		intervalMs = repairIntervalMs
 	}
-	s.reportRepair(refused, left, why)
+	return c.nowMs >= validation.lastRunMs+intervalMs
 }
 
-// reportRepair notes and tells when the guard begins to put other tables in the place of those decided, and when it ends.
-func (s *Controller) reportRepair(lines int, left []guard.Finding, why guard.Finding) {
-	g := &s.validation
-	if was := g.report.Refusing; lines > 0 && !was {
-		g.repairingSinceMs = s.nowMs
-		g.report.Refused++
-		s.logMode(fmt.Sprintf("guard refuses: %v; %d lines are others, %d findings left", why, lines, len(left)))
-	} else if lines == 0 && was {
-		s.logMode(fmt.Sprintf("guard refuses nothing again, after %.0f ms", s.nowMs-g.repairingSinceMs))
+// recordFindings records an event for each finding that was not there in the validation before.
+func (c *Controller) recordFindings(findings []guard.Finding) {
+	report := &c.validation.report
+	standing := map[string]bool{}
+	for _, finding := range report.Standing {
+		standing[finding.Check+finding.Subject] = true
 	}
-	g.report.Refusing, g.report.Left = lines > 0, left
-	if len(left) == 0 {
-		g.invalidReported, g.invalidSinceMs = false, s.nowMs
-	} else if !g.invalidReported && s.nowMs >= g.invalidSinceMs+invalidReportDelayMs {
-		g.invalidReported = true
-		s.logMode(fmt.Sprintf("guard finds no sound table for %.0f ms, the least bad one is served: %v", s.nowMs-g.invalidSinceMs, left[0]))
+	for _, finding := range findings {
+		if !standing[finding.Check+finding.Subject] {
+			report.Found[finding.Check]++
+			c.recordEvent("guard", finding.String())
+		}
 	}
+	report.Standing = findings
 }
--- a/controller/validation_view.go
+++ b/controller/validation_view.go
@@ -7,144 +7,222 @@
 	"barleysail/guard"
 )
 
-// observeValidatedHost notes what the list now says of a host.
-func (s *Controller) observeValidatedHost(h int, e Endpoint) {
-	g := &s.validation
-	for len(g.hosts) <= h {
-		g.hosts = append(g.hosts, guard.Host{})
-	}
-	g.hosts[h] = guard.Host{Name: e.Host, Zone: e.Zone, Capacity: e.Cores * e.speed()}
-	g.hostsChanged = true
+// demandSumIntervalMs is the time for which the demand for the routes is not summed up anew, while no proxy is assigned
+// another table.
+const demandSumIntervalMs = 1000.0
+
+// observeValidatedHost notes what the endpoint list now says of a host.
+func (c *Controller) observeValidatedHost(index int, endpoint Endpoint) {
+	validation := &c.validation
+	for len(validation.hosts) <= index {
+		validation.hosts = append(validation.hosts, guard.Host{})
+	}
+	validation.hosts[index] = guard.Host{
+		Name:     endpoint.Host,
+		Zone:     endpoint.Zone,
+		Capacity: endpoint.Cores * endpoint.speed(),
+	}
+	validation.hostsChanged = true
 }
 
-// refreshValidatedHosts brings the hosts as the guard sees them up to date.
-func (s *Controller) refreshValidatedHosts() []guard.Host {
-	g := &s.validation
-	for h := range g.hosts {
-		x := &g.hosts[h]
-		if x.Ready, x.SlowStartFactor = s.balancer.HostStatus(h); x.Ready {
-			x.SlowStartLimit = s.collapseMultiple * x.SlowStartFactor * x.Capacity
+// refreshValidatedHosts updates the hosts by what the balancer knows of them.
+func (c *Controller) refreshValidatedHosts() []guard.Host {
+	validation := &c.validation
+	for index := range validation.hosts {
+		host := &validation.hosts[index]
+		host.Ready, host.SlowStartFactor = c.balancer.HostStatus(index)
+		if host.Ready {
+			host.SlowStartLimit = c.safety.CollapseMultiple * host.SlowStartFactor * host.Capacity
 		}
 	}
-	g.hostsChanged = false
-	return g.hosts
+	validation.hostsChanged = false
+	return validation.hosts
 }
 
-// demandSumIntervalMs ms what proxies ask is not summed up anew while none is bound elsewhere.
-const demandSumIntervalMs = 1000.0
+// validationView is what the table validator checks: a route for each shared table, those first and by their numbers;
+// one for each zone whose proxies use subset tables, all of these summed up; and one for each subset table that names
+// no host that is ready.
+func (c *Controller) validationView() (view *guard.View, sharedTables []int) {
+	validation := &c.validation
+	view = &guard.View{Hosts: c.refreshValidatedHosts()}
+	if len(view.Hosts) == 0 {
+		return view, nil
+	}
+	sumIsOld := c.nowMs >= validation.demandSummedMs+demandSumIntervalMs
+	if validation.hasSubsetTables || len(c.tables.reassigned) > 0 || sumIsOld {
+		validation.demandSummedMs = c.nowMs
+		c.sumRoutes(view.Hosts)
+	}
+	view.Routes = slices.Clone(validation.routes)
+	lastHost := len(view.Hosts) - 1
+	for i, number := range validation.sharedTables {
+		table := c.tables.table(number)
+		table.setDecided(lastHost, table.weights[lastHost]) // extends the slice to all hosts
+		if table.published != nil {
+			table.published = padWeights(table.published, len(view.Hosts))
+		}
+		view.Routes[i].Published = table.published
+		view.Routes[i].Decided = table.decided
+	}
+	return view, validation.sharedTables
+}
+
+// routeSums sums up the demand for the routes. Route numbers are those of the shared tables, then follows one route for
+// the subset tables of each zone.
+type routeSums struct {
+	zones, classes int
+	demand         [][]float64   // by route, then by zone and class as in demandIndex; nil: no proxy uses the route
+	subsetWeights  [][]float64   // by zone, then by host: subset tables weighted by their proxies' rates
+	emptySubsets   []guard.Route // subset tables without a ready host
+}
 
-// validationView is what the guard looks at: a row for each table that proxies share, those first and by their numbers; one
-// for each zone whose proxies have tables of their own, all of them together; and one for each of these that names
-// nobody who may stay.
-func (s *Controller) validationView() (v *guard.View, shared []int) {
-	g := &s.validation
-	v = &guard.View{Hosts: s.refreshValidatedHosts()}
-	if len(v.Hosts) == 0 {
-		return v, nil
-	}
-	if g.hasSubsetTables || len(s.tables.reassigned) > 0 || s.nowMs >= g.demandSummedMs+demandSumIntervalMs {
-		g.demandSummedMs = s.nowMs
-		s.sumRoutes(v)
-	}
-	v.Routes = slices.Clone(g.routes)
-	for i, number := range g.sharedTables {
-		b := s.tables.table(number)
-		b.setDecided(len(v.Hosts)-1, b.weights[len(v.Hosts)-1])
-		for b.published != nil && len(b.published) < len(v.Hosts) {
-			b.published = append(b.published, 0)
+// noDemand marks a zone and class whose proxies do not use a route.
+var noDemand = math.Inf(-1)
+
+func newRouteSums(zones, classes int) *routeSums {
+	sharedTables := zones + 1
+	return &routeSums{
+		zones:         zones,
+		classes:       classes,
+		demand:        make([][]float64, sharedTables+zones),
+		subsetWeights: make([][]float64, zones),
+	}
+}
+
+// routeOf is the number of the route of a table that a proxy of a zone uses.
+func (s *routeSums) routeOf(table, zone int) int {
+	if table > s.zones {
+		return s.zones + 1 + zone
+	}
+	return table
+}
+
+func (s *routeSums) demandIndex(zone, class int) int { return zone*s.classes + class }
+
+// addDemand adds work in ms a ms to the demand for a route.
+func (s *routeSums) addDemand(route, zone, class int, work float64) {
+	if s.demand[route] == nil {
+		s.demand[route] = make([]float64, s.zones*s.classes)
+		for i := range s.demand[route] {
+			s.demand[route][i] = noDemand
 		}
-		v.Routes[i].Published, v.Routes[i].Decided = b.published, b.decided
 	}
-	return v, g.sharedTables
+	total := &s.demand[route][s.demandIndex(zone, class)]
+	*total = math.Max(*total, 0) + work
 }
 
-// sumRoutes sums up what the proxies ask of each table.
-func (s *Controller) sumRoutes(v *guard.View) {
-	g := &s.validation
-	g.routes, g.sharedTables, g.hasSubsetTables = nil, nil, false
-	zones, classes := len(s.deployment.Zones), len(s.classes)
-	share := s.connectedShare()
-	asked := make([][]float64, 2*zones+1) // by table or zone of hands, then zone and class; nil: nobody uses it
-	hands := make([][]float64, zones)
-	var bare []guard.Route
-	for _, m := range s.sessions.byIndex {
-		if m == nil || m.tableByClass[0] < 0 {
+// sumRoutes sums up the demand of the proxies for each table, and makes the routes by it.
+func (c *Controller) sumRoutes(hosts []guard.Host) {
+	sums := newRouteSums(len(c.deployment.Zones), len(c.classes))
+	share := c.connectedShare()
+	c.validation.hasSubsetTables = false
+	for _, session := range c.sessions.byIndex {
+		if session == nil || session.tableByClass[0] == noTable {
 			continue
 		}
-		rate := 0.0
-		for k, number := range m.tableByClass {
-			if rate += m.requestRates[k]; number > zones {
-				number = zones + 1 + m.zone
-			}
-			if number < 0 {
-				continue
-			}
-			if asked[number] == nil {
-				asked[number] = make([]float64, zones*classes)
-				for i := range asked[number] {
-					asked[number][i] = math.Inf(-1)
-				}
-			}
-			a := &asked[number][m.zone*classes+k]
-			*a = math.Max(*a, 0) + m.requestRates[k]/share*s.classes[k].MeanWorkMs/1000
-		}
-		if number := m.tableByClass[0]; number > zones {
-			if g.hasSubsetTables = true; hands[m.zone] == nil {
-				hands[m.zone] = make([]float64, len(v.Hosts))
-			}
-			if !s.addSubsetTable(v, hands[m.zone], s.tables.table(number), rate+1e-9) {
-				r := guard.Route{Demands: s.demands(nil, m.zone, 0), Decided: make([]float64, len(v.Hosts)), ReadOnly: true}
-				bare = append(bare, r)
-			}
+		c.sumDemand(sums, session, share)
+		if number := session.tableByClass[0]; !c.isShared(number) {
+			c.validation.hasSubsetTables = true
+			c.sumSubsetTable(sums, hosts, session)
 		}
 	}
-	for number, by := range asked {
-		if by == nil {
+	c.makeRoutes(sums)
+}
+
+// sumDemand adds the demand at a proxy, scaled to the whole fleet by the share of the proxies that are connected.
+func (c *Controller) sumDemand(sums *routeSums, session *session, share float64) {
+	for class, number := range session.tableByClass {
+		if number == noTable {
 			continue
 		}
-		r := guard.Route{ReadOnly: number > zones}
-		for z := range zones {
-			r.Demands = append(r.Demands, s.demands(by, z, z*classes)...)
+		work := session.requestRates[class] / share * c.classes[class].MeanWorkMs / msPerSecond
+		sums.addDemand(sums.routeOf(number, session.zone), session.zone, class, work)
+	}
+}
+
+// sumSubsetTable adds the subset table of a proxy to those of its zone, in proportion to the proxy's request rate.
+func (c *Controller) sumSubsetTable(sums *routeSums, hosts []guard.Host, session *session) {
+	rate := 0.0
+	for _, classRate := range session.requestRates {
+		rate += classRate
+	}
+	rate += minDivisor // a proxy without requests counts for a little
+	zone := session.zone
+	if sums.subsetWeights[zone] == nil {
+		sums.subsetWeights[zone] = make([]float64, len(hosts))
+	}
+	weights := c.tables.table(session.tableByClass[0]).weights
+	if !addSubsetTable(sums.subsetWeights[zone], weights, rate, hosts) {
+		sums.emptySubsets = append(sums.emptySubsets, guard.Route{
+			Demands:  c.unknownDemands(zone),
+			Decided:  make([]float64, len(hosts)),
+			ReadOnly: true,
+		})
+	}
+}
+
+// addSubsetTable adds the weights of a subset table to a sum by host, scaled to the request rate of its proxy. It
+// reports whether one of its hosts is ready.
+func addSubsetTable(sum []float64, weights map[int]float64, rate float64, hosts []guard.Host) (hasReady bool) {
+	total := 0.0
+	for _, weight := range weights {
+		total += weight
+	}
+	for host, weight := range weights {
+		sum[host] += rate * weight / total
+		hasReady = hasReady || hosts[host].Ready
+	}
+	return hasReady
+}
+
+// makeRoutes makes the routes of the tables that proxies use.
+func (c *Controller) makeRoutes(sums *routeSums) {
+	validation := &c.validation
+	validation.routes = nil
+	validation.sharedTables = nil
+	for number, demand := range sums.demand {
+		if demand == nil {
+			continue
 		}
-		if r.ReadOnly {
-			r.Decided = hands[number-zones-1]
+		route := guard.Route{Demands: c.demands(sums, demand)}
+		if c.isShared(number) {
+			validation.sharedTables = append(validation.sharedTables, number)
 		} else {
-			g.sharedTables = append(g.sharedTables, number)
+			route.ReadOnly = true
+			route.Decided = sums.subsetWeights[number-sums.zones-1]
 		}
-		g.routes = append(g.routes, r)
+		validation.routes = append(validation.routes, route)
 	}
-	g.routes = append(g.routes, bare...)
-}
-
-// connectedShare is the part of all proxies that have joined here.
-func (s *Controller) connectedShare() float64 {
-	return math.Max(float64(len(s.sessions.byProxy))/float64(s.deployment.Proxies), 1e-9)
+	validation.routes = append(validation.routes, sums.emptySubsets...)
 }
 
-// demands are the classes of a zone whose proxies use a row; all of them where it is not told what they ask.
-func (s *Controller) demands(asked []float64, zone, from int) (all []guard.Demand) {
-	for k, c := range s.classes {
-		u := guard.Demand{Class: c.Name, Zone: s.deployment.Zones[zone], ZoneLocal: c.ZoneLocal}
-		if asked != nil {
-			if u.Work = asked[from+k]; u.Work < 0 {
-				continue
+// demands are the zones and classes whose proxies use a route, with their work.
+func (c *Controller) demands(sums *routeSums, demand []float64) []guard.Demand {
+	var demands []guard.Demand
+	for zone := range c.deployment.Zones {
+		for class := range c.classes {
+			if work := demand[sums.demandIndex(zone, class)]; work >= 0 {
+				demands = append(demands, c.demandOf(zone, class, work))
 			}
 		}
-		all = append(all, u)
 	}
-	return all
+	return demands
 }
 
-// addSubsetTable adds a table of a proxy's own to those of its zone, by the proxy's rate. It tells whether somebody is in it
-// who may stay.
-func (s *Controller) addSubsetTable(v *guard.View, to []float64, b *routingTable, rate float64) (able bool) {
-	sum := 0.0
-	for _, w := range b.weights {
-		sum += w
+// unknownDemands are all classes of a zone, their work not known.
+func (c *Controller) unknownDemands(zone int) []guard.Demand {
+	demands := make([]guard.Demand, 0, len(c.classes))
+	for class := range c.classes {
+		demands = append(demands, c.demandOf(zone, class, 0))
 	}
-	for h, w := range b.weights {
-		to[h] += rate * w / sum
-		able = able || v.Hosts[h].Ready
+	return demands
+}
+
+func (c *Controller) demandOf(zone, class int, work float64) guard.Demand {
+	return guard.Demand{
+		Class:     c.classes[class].Name,
+		Zone:      c.deployment.Zones[zone],
+		ZoneLocal: c.classes[class].ZoneLocal,
+		Work:      work,
 	}
-	return able
 }
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -1,67 +1,74 @@
 package controller
 
-import (
-	"strconv"
-)
+import "strconv"
 
-// version is a numbered state of a proxy's tables. Numbers are never given twice in a steward's life, so a
-// tag of a proxy that left and came back names no version of its new stay.
+// version is a numbered state of the tables of a proxy. A controller gives each number once, so that the tag of a proxy
+// that disconnected and came back names no version of its new session.
 type version struct {
-	number       int64
-	tables       *tableSet
-	stamps       []versionStamp
-	inheritedTag string // the tag it has from an earlier life; empty: that of its number
+	number int64
+	tables *tableSet
+	stamps []versionStamp // to be acknowledged with this version
+	// inheritedTag is the tag that another incarnation or controller gave the version; empty: the tag of its number.
+	inheritedTag string
 }
 
-// version finds a version in the history.
-func (m *session) version(number int64) *version {
-	for i := range m.versions {
-		if m.versions[i].number == number {
-			return &m.versions[i]
+// version finds a version in the history, nil where it is not retained.
+func (s *session) version(number int64) *version {
+	for i := range s.versions {
+		if s.versions[i].number == number {
+			return &s.versions[i]
 		}
 	}
 	return nil
 }
 
-// versionByInheritedTag finds the version that has a tag from an earlier life.
-func (m *session) versionByInheritedTag(tag string) *version {
-	for i := range m.versions {
-		if v := &m.versions[i]; v.inheritedTag != "" && v.inheritedTag == tag {
-			return v
+// versionByInheritedTag finds the version that was carried over under a tag, nil where there is none.
+func (s *session) versionByInheritedTag(tag string) *version {
+	for i := range s.versions {
+		candidate := &s.versions[i]
+		if candidate.inheritedTag != "" && candidate.inheritedTag == tag {
+			return candidate
 		}
 	}
 	return nil
 }
 
-// tag names a version in a steward's life.
-func (s *Controller) tag(number int64) string {
-	return s.deployment.Incarnation + "-" + strconv.FormatInt(number, 10)
+// tag is the entity tag of a version of this incarnation.
+func (c *Controller) tag(number int64) string {
+	return c.deployment.Incarnation + "-" + strconv.FormatInt(number, 10)
 }
 
-// tagOf names a version as the proxy knows it.
-func (s *Controller) tagOf(v *version) string {
-	if v.inheritedTag != "" {
-		return v.inheritedTag
+// tagOf is the entity tag by which the proxy knows a version.
+func (c *Controller) tagOf(version *version) string {
+	if version.inheritedTag != "" {
+		return version.inheritedTag
 	}
-	return s.tag(v.number)
+	return c.tag(version.number)
 }
 
-// publish makes what the tables now hold for a proxy its newest version.
-func (s *Controller) publish(m *session, marks []versionStamp) {
-	s.sessions.lastVersion++
-	m.versions = append(m.versions, version{number: s.sessions.lastVersion, tables: s.tableSetOf(m), stamps: marks})
-	for len(m.versions) > s.settings.VersionHistory {
-		m.versions[1].stamps = append(m.versions[0].stamps, m.versions[1].stamps...)
-		m.versions = append(m.versions[:0], m.versions[1:]...)
+// publish makes the present tables of a proxy its newest version, and answers its pending poll. Stamps of a version
+// that leaves the history pass to the next one.
+func (c *Controller) publish(session *session, stamps []versionStamp) {
+	c.sessions.lastVersion++
+	session.versions = append(session.versions, version{
+		number: c.sessions.lastVersion,
+		tables: c.tableSetOf(session),
+		stamps: stamps,
+	})
+	for len(session.versions) > c.settings.VersionHistory {
+		session.versions[1].stamps = append(session.versions[0].stamps, session.versions[1].stamps...)
+		session.versions = append(session.versions[:0], session.versions[1:]...)
 	}
-	if m.pendingPoll != nil {
-		s.respond(m, m.pendingPoll)
+	if session.pendingPoll != nil {
+		c.respond(session, session.pendingPoll)
 	}
 }
 
-// carryOver makes what a proxy holds from elsewhere its version, so that a delta goes on from there.
-func (s *Controller) carryOver(m *session, tag string, v *tableSet) {
-	s.sessions.lastVersion++
-	m.versions = append(m.versions, version{number: s.sessions.lastVersion, tables: v, inheritedTag: tag})
-	m.ackedVersion = s.sessions.lastVersion
+// carryOver makes the tables that a proxy holds from another incarnation or controller its version, so that a delta
+// onto them can be given.
+func (c *Controller) carryOver(session *session, tag string, tables *tableSet) {
+	c.sessions.lastVersion++
+	number := c.sessions.lastVersion
+	session.versions = append(session.versions, version{number: number, tables: tables, inheritedTag: tag})
+	session.ackedVersion = number
 }
