--- a/controller/acks.go
+++ b/controller/acks.go
@@ -1,48 +1,24 @@
 package controller
 
 import (
-	"slices"
 	"strconv"
 	"strings"
 )
 
-// versionStamp is a number that the balancer gave the messages of a round. The balancer's numbers repeat, rounds do
-// not.
-type versionStamp struct {
-	round  int64
-	number int
-}
-
-// deferredAcks holds acknowledgements back until all messages of earlier rounds have left the channel, since messages
-// with removals overtake others there.
-type deferredAcks struct{ pending []deferredAck }
-
-// deferredAck is the acknowledgement of a version stamp by a proxy.
-type deferredAck struct {
-	versionStamp
-	proxy int // the balancer's index
-}
+// noStamp in place of a version stamp: the message needs no acknowledgement.
+const noStamp = 0
 
 // acknowledge takes the newest version that the tags name as applied by the proxy, with all before it, and returns its
-// number, 0 where no tag names a version of the history. A version is acknowledged once. A tag of another incarnation
-// that was not carried over, or of a version that this proxy was never given, acknowledges nothing.
+// number, 0 where no tag names a version of the history. A tag of another incarnation that was not carried over, or of a
+// version that this proxy was never given, acknowledges nothing.
+//
+// The balancer learns of each stamp at once: it counts the messages to each proxy by themselves until that proxy
+// acknowledges them, so what waits in the channel for other proxies does not matter.
 func (c *Controller) acknowledge(session *session, tags []string) int64 {
 	newest := c.newestTagged(session, tags)
-	if newest <= session.ackedVersion {
-		return newest
+	for _, stamp := range session.acknowledge(newest) {
+		c.balancer.Ack(session.index, stamp)
 	}
-	for i := range session.versions {
-		acked := &session.versions[i]
-		if acked.number > newest {
-			continue
-		}
-		for _, stamp := range acked.stamps {
-			c.acks.pending = append(c.acks.pending, deferredAck{stamp, session.index})
-		}
-		acked.stamps = nil
-	}
-	session.ackedVersion = newest
-	c.releaseAcks()
 	return newest
 }
 
@@ -62,19 +38,20 @@
 	return newest
 }
 
-// releaseAcks passes on to the balancer the acknowledgements that need not be deferred any more, by round.
-func (c *Controller) releaseAcks() {
-	deferred := &c.acks
-	if len(deferred.pending) == 0 {
-		return
+// acknowledge notes that the proxy has applied a version, with all before it, and returns their stamps in the order in
+// which they were sent. Each stamp is returned once.
+func (s *session) acknowledge(number int64) []int {
+	if number <= s.ackedVersion {
+		return nil
 	}
-	slices.SortStableFunc(deferred.pending, func(a, b deferredAck) int { return int(a.round - b.round) })
-	oldestQueued := c.channel.oldestRound()
-	released := 0
-	for released < len(deferred.pending) && deferred.pending[released].round <= oldestQueued {
-		ack := deferred.pending[released]
-		c.balancer.Ack(ack.proxy, ack.number)
-		released++
+	s.ackedVersion = number
+	var stamps []int
+	for i := range s.versions {
+		acked := &s.versions[i]
+		if acked.number <= number {
+			stamps = append(stamps, acked.stamps...)
+			acked.stamps = nil
+		}
 	}
-	deferred.pending = append(deferred.pending[:0], deferred.pending[released:]...)
+	return stamps
 }
--- a/controller/channel.go
+++ b/controller/channel.go
@@ -28,12 +28,11 @@
 
 // updateMessage is a message to a proxy.
 type updateMessage struct {
-	session     *session
-	entries     float64
-	stamps      []versionStamp
-	oldestRound int64 // the first round with an update in the message
-	hasRemoval  bool
-	dropped     bool // the proxy has disconnected
+	session    *session
+	entries    float64
+	stamps     []int // of the rounds with an update in the message
+	hasRemoval bool
+	dropped    bool // the proxy has disconnected
 }
 
 func newControlChannel(settings routing.ControlChannel) controlChannel {
@@ -48,18 +47,18 @@
 	}
 }
 
-// enqueue adds entries to the queued message of a proxy, or queues a new one.
-func (c *controlChannel) enqueue(session *session, entries float64, hasRemoval bool, stamp versionStamp) {
+// enqueue adds entries to the queued message of a proxy, or queues a new one. The stamp is acknowledged with the message.
+func (c *controlChannel) enqueue(session *session, entries float64, hasRemoval bool, stamp int) {
 	message := session.queuedMessage
 	if message == nil {
-		message = &updateMessage{session: session, oldestRound: stamp.round}
+		message = &updateMessage{session: session}
 		session.queuedMessage = message
 		c.updates = append(c.updates, message)
 		c.queuedEntries += c.messageOverhead
 	}
 	message.entries += entries
 	c.queuedEntries += entries
-	if stamp.number > 0 {
+	if stamp != noStamp {
 		message.stamps = append(message.stamps, stamp)
 	}
 	c.peakBacklog = max(c.peakBacklog, c.backlog())
@@ -190,18 +189,6 @@
 	return count
 }
 
-// oldestRound is the first round with an update that has not left the channel.
-func (c *controlChannel) oldestRound() int64 {
-	oldest := int64(math.MaxInt64)
-	if c.inFlight != nil && !c.inFlight.dropped {
-		oldest = c.inFlight.oldestRound
-	}
-	for message := range c.queued() {
-		oldest = min(oldest, message.oldestRound)
-	}
-	return oldest
-}
-
 // startNext puts the next message that may leave in flight, and reports whether there is one.
 func (c *controlChannel) startNext(nowMs float64) bool {
 	message := c.dequeue(nowMs)
@@ -241,6 +228,5 @@
 		if !message.dropped {
 			c.publish(message.session, message.stamps)
 		}
-		c.releaseAcks()
 	}
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -49,7 +49,6 @@
 	sessions  sessionStore
 	tables    tableStore
 	channel   controlChannel
-	acks      deferredAcks
 	ingest    ingestState
 	overrides overrideState
 	solver    solverWeights
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -7,6 +7,7 @@
 	"math"
 	"reflect"
 	"runtime"
+	"slices"
 	"testing"
 
 	jsonpatch "github.com/evanphx/json-patch/v5"
@@ -198,18 +199,18 @@
 	d.checkTrace()
 }
 
-// Removals leave the channel before weights, a proxy's message takes in what is ordered while it waits, and the
-// answer to a later mark is held back until what was ordered before has left.
+// Messages with a removal leave the channel before others, and the queued message of a proxy takes in what is enqueued
+// while it waits, its stamps in order.
 func TestChannel(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
 	c := newControlChannel(routing.ControlChannel{EntriesPerSecond: 1000, MessageOverhead: 5, MaxMessages: 2, MessageWindowMs: 1000})
 	one, two, three := &session{proxy: "one"}, &session{proxy: "two"}, &session{proxy: "three"}
-	c.enqueue(one, 10, false, versionStamp{1, 1})
-	c.enqueue(two, 10, false, versionStamp{1, 1})
-	c.enqueue(three, 10, false, versionStamp{1, 1})
+	c.enqueue(one, 10, false, 1)
+	c.enqueue(two, 10, false, 1)
+	c.enqueue(three, 10, false, 1)
 	d.printf("waiting %.0f lines in %d messages", c.backlog(), c.queuedMessages())
-	c.enqueue(three, 3, true, versionStamp{2, 2})
-	d.printf("a removal for three: waiting %.0f in %d, oldest round %d", c.backlog(), c.queuedMessages(), c.oldestRound())
+	c.enqueue(three, 3, true, 2)
+	d.printf("a removal for three: waiting %.0f in %d", c.backlog(), c.queuedMessages())
 	for range 4 {
 		g := c.dequeue(0)
 		if g == nil {
@@ -217,14 +218,13 @@
 			continue
 		}
 		d.printf("%s leaves with %.0f lines and marks %v", g.session.proxy, g.entries, g.stamps)
-		g.session.queuedMessage = nil
-		c.queuedEntries -= g.entries + c.messageOverhead
+		c.unqueue(g)
 		g.session.sentMs = append(g.session.sentMs, 0)
 	}
-	d.printf("waiting %.0f in %d, oldest none: %v", c.backlog(), c.queuedMessages(), c.oldestRound() == math.MaxInt64)
-	c.enqueue(one, 1, false, versionStamp{3, 3})
+	d.printf("waiting %.0f in %d", c.backlog(), c.queuedMessages())
+	c.enqueue(one, 1, false, 3)
 	one.sentMs = append(one.sentMs, 0)
-	c.enqueue(two, 1, false, versionStamp{3, 3})
+	c.enqueue(two, 1, false, 3)
 	d.printf("one has had two messages, as many as it may: %s goes", c.dequeue(1).session.proxy)
 	c.drop(two)
 	d.printf("two leaves: waiting %.0f in %d, next at %.0f", c.backlog(), c.queuedMessages(), c.nextMs())
@@ -232,20 +232,60 @@
 	d.checkTrace()
 }
 
-// The answer to a mark counts only when all that was ordered before it has left.
-func TestAnswersInOrder(t *testing.T) {
+// A version acknowledges its own stamps and those of all versions before it, in the order in which they were sent, each
+// once.
+func TestStampsOfAcknowledgedVersions(t *testing.T) {
+	tests := []struct {
+		name string
+		acks []int64
+		want [][]int
+	}{
+		{"each version by itself", []int64{3, 5, 9}, [][]int{{1, 2}, nil, {3}}},
+		{"a later version counts for earlier ones", []int64{9}, [][]int{{1, 2, 3}}},
+		{"a version is acknowledged once", []int64{5, 5, 3, 9}, [][]int{{1, 2}, nil, nil, {3}}},
+		{"no version", []int64{0, 9}, [][]int{nil, {1, 2, 3}}},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			proxy := &session{versions: []version{{number: 3, stamps: []int{1, 2}}, {number: 5}, {number: 9, stamps: []int{3}}}}
+			for i, number := range test.acks {
+				if got := proxy.acknowledge(number); !slices.Equal(got, test.want[i]) {
+					t.Errorf("version %d acknowledges the stamps %v, want %v", number, got, test.want[i])
+				}
+			}
+		})
+	}
+}
+
+// An acknowledgement counts at once, also while a message of the same round waits for another proxy; that proxy's own
+// stamps stay unacknowledged.
+func TestAcknowledgeAtOnce(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
 	d.setEndpoints(d.readyEndpoints(2))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	d.poll(PollRequest{Proxy: "q", WaitMs: 30000})
+	for len(d.responses) == 0 {
+		d.advance(1)
+	}
+	p, q := d.sessions.byProxy["p"], d.sessions.byProxy["q"]
+	if d.channel.inFlight == nil || d.channel.inFlight.session != q {
+		t.Fatalf("in flight is %+v, want the message to q", d.channel.inFlight)
+	}
+	sent := slices.Clone(d.channel.inFlight.stamps)
+	if len(sent) == 0 || !slices.Equal(p.versions[0].stamps, sent) {
+		t.Fatalf("p was sent the stamps %v, q %v: want those of one round", p.versions[0].stamps, sent)
+	}
+	d.poll(PollRequest{Proxy: "p", Tags: []string{d.tagOf("p")}, WaitMs: 30000})
+	if p.ackedVersion != p.versions[0].number || len(p.versions[0].stamps) != 0 {
+		t.Errorf("p acknowledged version %d, its stamps %v are left", p.ackedVersion, p.versions[0].stamps)
+	}
+	if !slices.Equal(d.channel.inFlight.stamps, sent) {
+		t.Errorf("the message to q has the stamps %v, want %v", d.channel.inFlight.stamps, sent)
+	}
 	d.advance(100)
-	m := d.sessions.byProxy["q"]
-	d.channel.enqueue(m, 5, false, versionStamp{d.tables.round, 77})
-	d.acks.pending = append(d.acks.pending, deferredAck{versionStamp{d.tables.round + 1, 78}, m.index})
-	d.releaseAcks()
-	d.printf("while a message of an earlier round waits: %d held back", len(d.acks.pending))
-	d.advance(100)
-	d.printf("after it left: %d held back", len(d.acks.pending))
+	if !slices.Equal(q.versions[0].stamps, sent) || q.ackedVersion != 0 {
+		t.Errorf("q acknowledged version %d, its stamps %v are left", q.ackedVersion, q.versions[0].stamps)
+	}
 	d.checkTrace()
 }
 
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -138,7 +138,7 @@
 	// Until now an empty table was withheld from the proxies, see tableSetOf.
 	for _, session := range c.sessions.byIndex {
 		if session != nil && len(session.versions) > 0 {
-			c.channel.enqueue(session, 1, false, versionStamp{round: c.tables.round})
+			c.channel.enqueue(session, 1, false, noStamp)
 		}
 	}
 }
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -46,7 +46,7 @@
 	lastTableSetID     int64
 
 	round               int64             // rounds run so far
-	stamp               int               // of the round's messages, 0: none
+	stamp               int               // of the round's messages, or noStamp
 	reassigned          map[*session]bool // sessions that were assigned a table
 	changed             []int             // numbers of tables
 	globalPolicyChanges float64
@@ -101,7 +101,7 @@
 	clear(s.reassigned)
 	s.changed = s.changed[:0]
 	s.globalPolicyChanges = 0
-	s.stamp = 0
+	s.stamp = noStamp
 }
 
 func (s *tableStore) forget(number int) { delete(s.byNumber, number) }
--- a/controller/updatewriter.go
+++ b/controller/updatewriter.go
@@ -80,17 +80,16 @@
 // enqueueUpdates puts the changes of the present round into the control channel, a message for each proxy concerned.
 func (c *Controller) enqueueUpdates() {
 	if !c.tables.hasChanges() {
-		c.tables.stamp = 0
+		c.tables.stamp = noStamp
 		return
 	}
-	stamp := versionStamp{c.tables.round, c.tables.stamp}
 	for _, session := range c.sessions.byIndex {
 		if session == nil {
 			continue
 		}
 		entries, hasRemoval := c.updateSize(session)
 		if entries > 0 {
-			c.channel.enqueue(session, entries+1, hasRemoval, stamp)
+			c.channel.enqueue(session, entries+1, hasRemoval, c.tables.stamp)
 		}
 	}
 	c.tables.clearChanges()
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -7,7 +7,7 @@
 type version struct {
 	number int64
 	tables *tableSet
-	stamps []versionStamp // to be acknowledged with this version
+	stamps []int // numbers of the balancer that are acknowledged with this version, in the order of their rounds
 	// inheritedTag is the tag that another incarnation or controller gave the version; empty: the tag of its number.
 	inheritedTag string
 }
@@ -48,7 +48,7 @@
 
 // publish makes the present tables of a proxy its newest version, and answers its pending poll. Stamps of a version
 // that leaves the history pass to the next one.
-func (c *Controller) publish(session *session, stamps []versionStamp) {
+func (c *Controller) publish(session *session, stamps []int) {
 	c.sessions.lastVersion++
 	session.versions = append(session.versions, version{
 		number: c.sessions.lastVersion,
