--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -20,7 +20,7 @@
 // A proxy joins, holds a poll, and gets what changed as a delta onto what it holds.
 func TestLongPoll(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
-	d.setEndpoints(d.readyEndpoints(2))
+	d.mustSetEndpoints(d.readyEndpoints(2))
 	d.printf("a proxy joins")
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000, AcceptDelta: true})
 	d.advance(100)
@@ -31,7 +31,7 @@
 	d.advance(500)
 	list := d.readyEndpoints(2)
 	list[1].State = routing.Draining
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.advance(500)
 	d.printf("the same without deltas, onto a tag of the history: the whole")
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
@@ -46,9 +46,9 @@
 
 // Of two polls for a proxy the later one stays, and the earlier is answered at once. A version is acknowledged
 // once, whatever tags come after.
-func TestTwoPolls(t *testing.T) {
+func TestReplacedPoll(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
-	d.setEndpoints(d.readyEndpoints(2))
+	d.mustSetEndpoints(d.readyEndpoints(2))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	d.advance(100)
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
@@ -67,9 +67,9 @@
 }
 
 // A proxy that comes back after it left gets a fresh stay: its old tag names nothing.
-func TestComesBack(t *testing.T) {
+func TestReconnect(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
-	d.setEndpoints(d.readyEndpoints(2))
+	d.mustSetEndpoints(d.readyEndpoints(2))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	d.advance(100)
 	d.printf("leaves: %v, again: %v", d.Disconnect(d.nowMs, "p", d), d.Disconnect(d.nowMs, "p", d))
@@ -84,7 +84,7 @@
 
 // A steward without a list orders no hosts, not even none: a proxy keeps what it brought. With the first list
 // it does.
-func TestNoList(t *testing.T) {
+func TestEndpointsUnknown(t *testing.T) {
 	set := defaultTestSettings()
 	set.WatchesEndpoints = true
 	d := newHarness(t, set)
@@ -94,18 +94,18 @@
 	d.printf("the list cannot be had")
 	d.ObserveWatchFailure(d.nowMs)
 	d.advance(1000)
-	d.setEndpoints(d.readyEndpoints(1))
+	d.mustSetEndpoints(d.readyEndpoints(1))
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 5000, AcceptDelta: true})
 	d.advance(1000)
 	d.checkTrace()
 }
 
 // A delta never fits another base, and any of the history onto any later version gives that version.
-func TestDeltasGiveTheWhole(t *testing.T) {
+func TestDeltasApplyToBase(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		d := newHarness(t, defaultTestSettings())
 		list := d.readyEndpoints(6)
-		d.setEndpoints(list)
+		d.mustSetEndpoints(list)
 		docs := map[string][]byte{}
 		tags := []string{}
 		for range rapid.IntRange(2, 12).Draw(r, "rounds") {
@@ -139,16 +139,16 @@
 				list[i].State = rapid.SampledFrom([]routing.HostState{routing.Ready, routing.Draining}).Draw(r, "phase")
 				list[i].Weight = rapid.Float64Range(0.5, 2).Draw(r, "weight")
 			}
-			d.setEndpoints(list[:rapid.IntRange(1, 6).Draw(r, "listed")])
+			d.mustSetEndpoints(list[:rapid.IntRange(1, 6).Draw(r, "listed")])
 			d.advance(3000)
 		}
 	})
 }
 
 // Refused inputs leave everything as it was.
-func TestRefused(t *testing.T) {
+func TestInvalidInputs(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
-	d.setEndpoints(d.readyEndpoints(2))
+	d.mustSetEndpoints(d.readyEndpoints(2))
 	for _, list := range [][]Endpoint{
 		{{Host: "nonsense", Zone: "a", State: routing.Ready}}, {{Host: "10.0.0.1:0", Zone: "a", State: routing.Ready}},
 		{{Host: "10.0.0.999:80", Zone: "a", State: routing.Ready}},
@@ -186,9 +186,9 @@
 }
 
 // Sums are counted once for each number; a sender that starts over begins anew.
-func TestSumsOnce(t *testing.T) {
+func TestStatsCountedOnce(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
-	d.setEndpoints(d.readyEndpoints(1))
+	d.mustSetEndpoints(d.readyEndpoints(1))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	d.advance(100)
 	for _, u := range []ProxyStats{{Sender: "x", Sequence: 1}, {Sender: "x", Sequence: 1}, {Sender: "x", Sequence: 3}, {Sender: "x", Sequence: 2}, {Sender: "y", Sequence: 1}} {
@@ -261,7 +261,7 @@
 // stamps stay unacknowledged.
 func TestAcknowledgeAtOnce(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
-	d.setEndpoints(d.readyEndpoints(2))
+	d.mustSetEndpoints(d.readyEndpoints(2))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	d.poll(PollRequest{Proxy: "q", WaitMs: 30000})
 	for len(d.responses) == 0 {
@@ -275,7 +275,7 @@
 	if len(sent) == 0 || !slices.Equal(p.versions[0].stamps, sent) {
 		t.Fatalf("p was sent the stamps %v, q %v: want those of one round", p.versions[0].stamps, sent)
 	}
-	d.poll(PollRequest{Proxy: "p", Tags: []string{d.tagOf("p")}, WaitMs: 30000})
+	d.poll(PollRequest{Proxy: "p", Tags: []string{d.newestTag("p")}, WaitMs: 30000})
 	if p.ackedVersion != p.versions[0].number || len(p.versions[0].stamps) != 0 {
 		t.Errorf("p acknowledged version %d, its stamps %v are left", p.ackedVersion, p.versions[0].stamps)
 	}
@@ -291,20 +291,20 @@
 
 // A host that is gone is forgotten when no table names it, and its index is given to another; a host that
 // comes back without a start has started now.
-func TestForget(t *testing.T) {
+func TestForgetRemovedHost(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
-	d.setEndpoints(d.readyEndpoints(3))
+	d.mustSetEndpoints(d.readyEndpoints(3))
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.advance(200)
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 60000, AcceptDelta: true})
-	d.setEndpoints(d.readyEndpoints(2))
+	d.mustSetEndpoints(d.readyEndpoints(2))
 	d.advance(1000)
 	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-2"}, WaitMs: 60000, AcceptDelta: true})
 	d.printf("indices %d", d.Status(d.nowMs).IndicesInUse)
 	d.advance(60000)
 	d.printf("indices %d", d.Status(d.nowMs).IndicesInUse)
 	list := append(d.readyEndpoints(2), Endpoint{Host: "new.addis:80", Zone: "b", State: routing.Ready, Weight: 1})
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.printf("the new host has index %d", d.Controller.hostIndex.IndexOf["new.addis:80"])
 	d.advance(100)
 	d.checkTrace()
@@ -326,7 +326,7 @@
 	d.Controller = New(set.Deployment, set.classes, set.channel, set.guard, routing.Objective{TotalWeight: 1}, set.Settings)
 	d.t = &testing.T{}
 	list := d.readyEndpoints(20)
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	heap := func() uint64 {
 		runtime.GC()
 		var m runtime.MemStats
@@ -338,7 +338,7 @@
 			before = heap()
 		}
 		list[i%len(list)].Host = fmt.Sprintf("10.%d.%d.%d:80", i>>16+1, i>>8&255, i&255)
-		d.setEndpoints(list)
+		d.mustSetEndpoints(list)
 		p := fmt.Sprintf("p%d", i)
 		d.poll(PollRequest{Proxy: p, WaitMs: 30000})
 		d.advance(50)
@@ -375,7 +375,7 @@
 	for i := range 506 {
 		list = append(list, Endpoint{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: set.Zones[i%2], State: routing.Ready, Weight: 1, Cores: 4})
 	}
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	for i := range 607 {
 		d.poll(PollRequest{Proxy: fmt.Sprint("p", i), WaitMs: 60000})
 	}
@@ -399,7 +399,7 @@
 					b.StopTimer()
 					for i := range 607 / 5 {
 						p := fmt.Sprint("p", (n%5)*121+i)
-						d.poll(PollRequest{Proxy: p, WaitMs: 60000, Tags: []string{d.tagOf(p)}, AcceptDelta: true})
+						d.poll(PollRequest{Proxy: p, WaitMs: 60000, Tags: []string{d.newestTag(p)}, AcceptDelta: true})
 						hosts := map[string]HostStats{}
 						for k := range 20 {
 							hosts[list[(i*20+n*7+k)%len(list)].Host] = HostStats{Attempts: 4, MeanLatencyMs: 100 + float64(k), WindowMs: 1000, Load: routing.HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}}
@@ -410,7 +410,7 @@
 					}
 					if changing > 0 && n%changing == 0 {
 						list[n%506].State, list[(n+505)%506].State = routing.Draining, routing.Ready
-						d.setEndpoints(list)
+						d.mustSetEndpoints(list)
 					}
 					b.StartTimer()
 					d.advance(200)
@@ -422,8 +422,8 @@
 	}
 }
 
-// BenchmarkSums measures the intake of one proxy's sums of 20 hosts.
-func BenchmarkSums(b *testing.B) {
+// BenchmarkStats measures the intake of one proxy's sums of 20 hosts.
+func BenchmarkStats(b *testing.B) {
 	d, list := newLargestHarness(func(*Controller) {})
 	hosts := map[string]HostStats{}
 	for k := range 20 {
--- a/controller/helper_test.go
+++ b/controller/helper_test.go
@@ -71,7 +71,7 @@
 	return list
 }
 
-func (d *harness) setEndpoints(entries []Endpoint) {
+func (d *harness) mustSetEndpoints(entries []Endpoint) {
 	d.t.Helper()
 	if err := d.SetEndpoints(d.nowMs, entries); err != nil {
 		d.t.Fatal(err)
--- a/controller/intake_test.go
+++ b/controller/intake_test.go
@@ -10,10 +10,10 @@
 
 // A host's own reports reach the module beside the next sums; repeats and reports on strangers do not, and what it tells
 // falsely is not believed.
-func TestHostLoad(t *testing.T) {
+func TestLoadReports(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
 	list := d.readyEndpoints(2)
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.advance(500)
 	host := list[0].Host
@@ -34,7 +34,7 @@
 		}
 		d.ObserveProxyStats(d.nowMs, "p", ProxyStats{Sequence: number, SentAtMs: d.nowMs + 7200e3, Hosts: map[string]HostStats{host: {Attempts: 40, MeanLatencyMs: 50, WindowMs: 1000, Load: routing.UnknownLoad}}})
 		d.advance(1000)
-		d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.tagOf("p")}})
+		d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.newestTag("p")}})
 	}
 	told := func(what string) {
 		i, _ := d.HostInfo(host)
@@ -58,17 +58,17 @@
 
 // Two proxies with one name are told, both are counted, and the one that holds a poll keeps it: they do not answer each
 // other's polls for ever.
-func TestTwoProxiesWithOneName(t *testing.T) {
+func TestDuplicateProxyName(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
 	list := d.readyEndpoints(1)
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.advance(500)
 	d.hideNotModified = true
 	refused, answered := 0, len(d.responses)
 	for i := range 100 {
 		d.lastPoll++
-		err := d.Poll(d.nowMs, d.lastPoll, PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000, Tags: []string{d.tagOf("p")}}, d)
+		err := d.Poll(d.nowMs, d.lastPoll, PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000, Tags: []string{d.newestTag("p")}}, d)
 		if err == ErrDuplicateProxy {
 			refused++
 		}
@@ -102,7 +102,7 @@
 
 // A flood of reports while the steward starts holds up neither joins nor a drain, takes no more room than its share, and
 // is counted.
-func TestFloodAtStart(t *testing.T) {
+func TestReportFloodAtStart(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
 	l := intake.DefaultLimits()
 	l.MaxQueued, l.MaxPerRound = 50, 10
@@ -121,7 +121,7 @@
 		}
 	}
 	flood(1) // nobody has joined, nothing is listed
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.poll(PollRequest{Proxy: "flood", WaitMs: 60000})
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	before := d.nowMs
@@ -132,9 +132,9 @@
 	if d.nowMs-before > 400 {
 		t.Errorf("the first tables took %.0f ms", d.nowMs-before)
 	}
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{d.tagOf("p")}})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{d.newestTag("p")}})
 	list[5].State = routing.Draining
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	before = d.nowMs
 	h := d.Controller.hostIndex.IndexOf[list[5].Host]
 	for n := 1000; d.tables.table(0).weights[h] > 0 || d.sessions.byProxy["p"].pendingPoll != nil; n++ {
@@ -155,11 +155,11 @@
 
 // A steward whose rounds come late sheds reports, then lengthens its rounds, says so, and comes back; a drain is carried
 // out in the next round all the same.
-func TestBehind(t *testing.T) {
+func TestLateRounds(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
 	d.hideNotModified = true
 	list := d.readyEndpoints(4)
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.advance(1000)
 	for range 12 { // each round 150 ms late
@@ -167,9 +167,9 @@
 		d.Advance(d.nowMs, d)
 	}
 	d.printf("level %d, %.3f of the intake, rounds each %.0f ms", d.Status(d.nowMs).Intake.Level, d.IngestRatio(), d.scheduler.plannedMs-d.scheduler.lastMs)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{d.tagOf("p")}})
+	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{d.newestTag("p")}})
 	list[0].State = routing.Draining
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	before := d.nowMs
 	d.advance(600)
 	d.printf("drained: %v, after %s", d.tables.table(0).weights[0] == 0, fmt.Sprintf("%.0f ms at most", d.nowMs-before))
--- a/controller/operate_test.go
+++ b/controller/operate_test.go
@@ -14,16 +14,16 @@
 
 // pollAgain polls until the proxy has what is newest.
 func (d *harness) pollAgain(q PollRequest) {
-	q.Tags = []string{d.tagOf(q.Proxy)}
+	q.Tags = []string{d.newestTag(q.Proxy)}
 	d.poll(q)
 }
 
 // What operators set is laid over the list, survives a changed list, is told to proxies as the list's own would be, and
 // ends at its time; a zone's drain goes host by host.
-func TestOperate(t *testing.T) {
+func TestOverrides(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
 	d.applyOverrides(operator.Command{Host: "10.0.0.0:80", State: operator.Draining, Weight: -1})
-	d.setEndpoints(d.readyEndpoints(4))
+	d.mustSetEndpoints(d.readyEndpoints(4))
 	q := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
 	d.poll(q)
 	d.advance(3000)
@@ -34,7 +34,7 @@
 	list := d.readyEndpoints(4)
 	list[1].Weight = 2
 	d.pollAgain(q)
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.advance(3000)
 	d.printf("maint is a removal, a host that is added joins")
 	d.pollAgain(q)
@@ -66,12 +66,12 @@
 }
 
 // A withdrawal in the same round as an operator's weight is carried out: the weight is an input, not a way round.
-func TestWeightAndWithdrawal(t *testing.T) {
+func TestWeightOverrideOfEjectedHost(t *testing.T) {
 	set := defaultTestSettings()
 	set.HealthChecks = true
 	d := newHarness(t, set)
 	d.hideNotModified = true
-	d.setEndpoints(d.readyEndpoints(4))
+	d.mustSetEndpoints(d.readyEndpoints(4))
 	q := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
 	d.poll(q)
 	d.advance(3000)
@@ -99,10 +99,10 @@
 }
 
 // An order that ends or waits is looked at in time though nothing else happens.
-func TestOrdersInTheirTime(t *testing.T) {
+func TestOverrideExpiresInTime(t *testing.T) {
 	d := newHarness(t, defaultTestSettings())
 	d.hideNotModified = true
-	d.setEndpoints(d.readyEndpoints(4))
+	d.mustSetEndpoints(d.readyEndpoints(4))
 	d.advance(3000)
 	d.applyOverrides(operator.Command{Host: "10.0.0.0:80", State: operator.Draining, Weight: -1, DurationMs: 7500})
 	if d.Next() > d.nowMs+7500 {
--- a/controller/refusing_test.go
+++ b/controller/refusing_test.go
@@ -22,8 +22,8 @@
 	return d, list, new(int64)
 }
 
-// publishedWeights is what a zone's first proxy was last given, in words.
-func (d *harness) publishedWeights(proxy string) string {
+// describeTable is what a zone's first proxy was last given, in words.
+func (d *harness) describeTable(proxy string) string {
 	a, _ := d.PublishedTables(proxy)
 	var all []string
 	for i, t := 0, a.Tables()[0]; i < len(t.Hosts); i++ {
@@ -34,42 +34,42 @@
 
 // Hosts over their capacity get less than the module decided, as little as does, and a drain is through in time: it is
 // taken out of what the guard gives too.
-func TestRefuseOver(t *testing.T) {
+func TestRepairOverCapacity(t *testing.T) {
 	d, list, n := newRepairHarness(t, guard.Limits{CapacityMultiple: 0.85})
 	d.reportDemand(30, 22, n)
-	d.printf("decided %.3g, published %s", d.tables.table(0).decided, d.publishedWeights("p"))
+	d.printf("decided %.3g, published %s", d.tables.table(0).decided, d.describeTable("p"))
 	if g := d.solverGap(); g == nil || g.Result < 0.85 { // 0.71 without the guard
 		t.Errorf("gap %+v", g)
 	}
 	d.printf("a large host drains")
 	list[1].State = routing.Draining
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.reportDemand(1, 22, n)
-	d.printf("published %s", d.publishedWeights("p"))
+	d.printf("published %s", d.describeTable("p"))
 	d.printf("with little demand nothing is refused")
 	list[1].State = routing.Ready
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.reportDemand(30, 2, n)
-	d.printf("decided %.3g, published %s", d.tables.table(0).decided, d.publishedWeights("p"))
+	d.printf("decided %.3g, published %s", d.tables.table(0).decided, d.describeTable("p"))
 	d.checkTrace()
 }
 
 // A jump is made in steps, each once the one before is out.
-func TestRefuseJump(t *testing.T) {
+func TestRepairTrafficShift(t *testing.T) {
 	d, _, n := newRepairHarness(t, guard.Limits{MaxTrafficShift: 0.1})
 	d.reportDemand(3, 2, n)
 	d.printf("an operator wants three times the weight for a host")
 	d.applyOverrides(operator.Command{Host: "10.0.0.1:80", Weight: 9})
 	for range 8 {
 		d.reportDemand(1, 2, n)
-		d.printf("published %s", d.publishedWeights("q"))
+		d.printf("published %s", d.describeTable("q"))
 	}
 	d.printf("refused %d times, refusing %v", d.ValidationReport().Refused, d.ValidationReport().Refusing)
 	d.checkTrace()
 }
 
 // A guard that can find nothing sound says so and serves the least bad.
-func TestRefuseAll(t *testing.T) {
+func TestRepairWithoutValidTables(t *testing.T) {
 	set := defaultTestSettings()
 	set.classes[0].ZoneLocal = true
 	d, n := newHarness(t, set), new(int64)
@@ -80,34 +80,34 @@
 		list[i].Zone, list[i].Cores = "a", 4
 	}
 	list[0].Zone, list[0].Cores = "b", 1 // alone in its zone
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.reportDemand(30, 10, n)
-	d.printf("published %s", d.publishedWeights("p"))
+	d.printf("published %s", d.describeTable("p"))
 	r := d.ValidationReport()
 	d.printf("refusing %v, left %v", r.Refusing, r.Left)
 	d.checkTrace()
 }
 
 // Where the channel has no room for the guard's own lines, what was published stays but for removals.
-func TestRefuseWithoutRoom(t *testing.T) {
+func TestRepairWithoutChannelCapacity(t *testing.T) {
 	d, list, n := newRepairHarness(t, guard.Limits{CapacityMultiple: 1})
 	d.reportDemand(14, 22, n)
-	before := d.publishedWeights("p")
+	before := d.describeTable("p")
 	d.channel.maxBacklog = 10
 	d.reportDemand(10, 10, n)
-	if after := d.publishedWeights("p"); after != before {
+	if after := d.describeTable("p"); after != before {
 		t.Errorf("without room %s became %s", before, after)
 	}
 	list[3].State = routing.Draining
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.reportDemand(1, 10, n)
-	if after := d.publishedWeights("p"); strings.Contains(after, "10.0.0.3:80") || !strings.Contains(after, "10.0.0.1:80") {
+	if after := d.describeTable("p"); strings.Contains(after, "10.0.0.3:80") || !strings.Contains(after, "10.0.0.1:80") {
 		t.Errorf("after a drain %s", after)
 	}
 }
 
 // What an operator would publish is looked at beforehand.
-func TestGuardCheck(t *testing.T) {
+func TestValidateTables(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		d, list := newUnevenHarness(t, false)
 		if on {
@@ -137,7 +137,7 @@
 
 // Whatever happens, what is published while the guard refuses holds no host that may not stay, none that the module left
 // out unless nobody were left, is nowhere worse than decided, and the caps of the channel hold.
-func TestRefusingKeepsRules(t *testing.T) {
+func TestRepairKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		set := defaultTestSettings()
 		set.channel.MaxMessages = 20
@@ -148,7 +148,7 @@
 		for i := range list {
 			list[i].Cores = rapid.SampledFrom([]float64{1, 2, 4}).Draw(r, "cores")
 		}
-		d.setEndpoints(list)
+		d.mustSetEndpoints(list)
 		sent := map[string][]float64{}
 		for step := range rapid.IntRange(5, 30).Draw(r, "steps") {
 			h := rapid.IntRange(0, 5).Draw(r, "host")
@@ -160,10 +160,10 @@
 			case 2:
 				list[h].StartedMs = d.nowMs
 			}
-			d.setEndpoints(list)
+			d.mustSetEndpoints(list)
 			came := rapid.SampledFrom([]int{1, 10, 40}).Draw(r, "came")
 			for i, p := range []string{"p", "q"} {
-				d.poll(PollRequest{Proxy: p, Zone: d.deployment.Zones[i], WaitMs: 900, Tags: []string{d.tagOf(p)}, AcceptDelta: true})
+				d.poll(PollRequest{Proxy: p, Zone: d.deployment.Zones[i], WaitMs: 900, Tags: []string{d.newestTag(p)}, AcceptDelta: true})
 				d.ObserveProxyStats(d.nowMs, p, ProxyStats{Sequence: int64(step + 1), Demand: map[string]ClassDemand{"sheet": {Arrivals: came, WindowMs: 1000}, "finish": {Arrivals: came, WindowMs: 1000}}})
 			}
 			for range 5 {
--- a/controller/remember_test.go
+++ b/controller/remember_test.go
@@ -45,7 +45,7 @@
 			hosts[e.Host] = HostStats{Attempts: 20, MeanLatencyMs: 50, WindowMs: 1000, Load: routing.UnknownLoad}
 		}
 		hosts[bad] = HostStats{Attempts: 20, Failed: 20, WindowMs: 1000, Load: routing.UnknownLoad}
-		d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.tagOf("p")}, AcceptDelta: true})
+		d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.newestTag("p")}, AcceptDelta: true})
 		d.ObserveProxyStats(d.nowMs, "p", ProxyStats{Sequence: *number, Hosts: hosts, Demand: map[string]ClassDemand{"sheet": {Arrivals: 80, WindowMs: 1000}, "finish": {Arrivals: 10, WindowMs: 1000}}})
 		d.advance(1000)
 	}
@@ -53,30 +53,30 @@
 
 // A life after another goes on with deltas onto what the proxies hold, gives a host that failed less from the first table,
 // and forgets both in time.
-func TestNextLife(t *testing.T) {
+func TestNextIncarnation(t *testing.T) {
 	set := defaultTestSettings()
 	d := newHarness(t, set)
 	d.hideNotModified = true
 	list := d.readyEndpoints(4)
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, RequestRate: 90})
 	n := int64(0)
 	d.reportFailures(list, list[1].Host, 6, &n)
-	d.printf("the first life gave %s", d.publishedWeights("p"))
-	tag := d.tagOf("p")
+	d.printf("the first life gave %s", d.describeTable("p"))
+	tag := d.newestTag("p")
 	for _, later := range []float64{1000, 60e3, 3600e3} {
 		x := d.restart(t, set, "M", later)
 		x.printf("after %.0f s", later/1000)
-		x.setEndpoints(list)
+		x.mustSetEndpoints(list)
 		x.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
 		x.advance(500)
-		x.printf("it gives %s, rate %.0f", x.publishedWeights("p"), x.sessions.byProxy["p"].requestRates[0])
+		x.printf("it gives %s, rate %.0f", x.describeTable("p"), x.sessions.byProxy["p"].requestRates[0])
 		m := x.Status(x.nowMs).Memory
 		x.printf("recalled %d hosts, %d proxies, %d versions; %s", m.Hosts, m.Proxies, m.Versions, m.Why)
 		d.trace.WriteString(x.trace.String())
 	}
 	x := d.restart(t, set, "M", -5000)
-	x.setEndpoints(list)
+	x.mustSetEndpoints(list)
 	x.printf("%s", x.Status(x.nowMs).Memory.Why)
 	d.trace.WriteString(x.trace.String())
 	d.checkTrace()
@@ -84,15 +84,15 @@
 
 // A proxy with a tag of neither life, or whose kept table is of other classes, gets the whole; one that is in another zone
 // now is another.
-func TestStrangersTags(t *testing.T) {
+func TestUnknownTags(t *testing.T) {
 	set := defaultTestSettings()
 	d := newHarness(t, set)
 	list := d.readyEndpoints(2)
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.advance(100)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.tagOf("p")}})
-	tag := d.tagOf("p")
+	d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.newestTag("p")}})
+	tag := d.newestTag("p")
 	for _, x := range []struct {
 		what string
 		q    PollRequest
@@ -109,7 +109,7 @@
 		other := defaultTestSettings()
 		x.set(&other)
 		n := d.restart(t, other, "M", 1000)
-		n.setEndpoints(list[:1]) // one host is gone, so there is something to tell
+		n.mustSetEndpoints(list[:1]) // one host is gone, so there is something to tell
 		x.q.WaitMs = 60000
 		id := n.poll(x.q)
 		n.advance(400)
@@ -121,33 +121,33 @@
 
 // A host that started shortly before the restart is still cold after it, though the list tells no start; one that the list
 // says started since is cold anew.
-func TestRestartWhileAHostWarms(t *testing.T) {
+func TestRestartDuringSlowStart(t *testing.T) {
 	set := defaultTestSettings()
 	d := newHarness(t, set)
 	list := d.readyEndpoints(3)
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.advance(1000)
 	fresh := Endpoint{Host: "10.0.0.9:80", Zone: "a", State: routing.Ready, Weight: 1}
-	d.setEndpoints(append(list, fresh))
+	d.mustSetEndpoints(append(list, fresh))
 	d.advance(2000)
 	warmth := func(x *harness, host string) float64 { i, _ := x.HostInfo(host); return i.Why.SlowStartFactor }
 	was := warmth(d, fresh.Host)
 	x := d.restart(t, set, "M", 1000)
-	x.setEndpoints(append(list, fresh))
+	x.mustSetEndpoints(append(list, fresh))
 	x.advance(10)
 	if got := warmth(x, fresh.Host); got <= was || got > was+0.1 || got >= 1 {
 		t.Errorf("warmth %.2f before, %.2f a second later", was, got)
 	}
 	cold := newHarness(t, set)
 	cold.nowMs = x.nowMs
-	cold.setEndpoints(append(list, fresh))
+	cold.mustSetEndpoints(append(list, fresh))
 	if got := warmth(cold, fresh.Host); got != 1 {
 		t.Errorf("without a state it counts as started long ago, but has %.2f", got)
 	}
 	list[0].StartedMs = d.nowMs + 500
 	y := d.restart(t, set, "M", 1000)
-	y.setEndpoints(append(list, fresh))
+	y.mustSetEndpoints(append(list, fresh))
 	y.advance(10)
 	if got := warmth(y, list[0].Host); got > 0.3 {
 		t.Errorf("it started anew and has %.2f", got)
@@ -156,20 +156,20 @@
 
 // Restarted within a drain's grace: proxies that come back with the table of before are told the removal in what is left of
 // it, and the drain counts from when it was first told.
-func TestRestartInADrainsGrace(t *testing.T) {
+func TestRestartDuringDrain(t *testing.T) {
 	set := defaultTestSettings()
 	d := newHarness(t, set)
 	list := d.readyEndpoints(3)
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.advance(1000)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{d.tagOf("p")}})
-	tag := d.tagOf("p")
+	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{d.newestTag("p")}})
+	tag := d.newestTag("p")
 	list[1].State = routing.Draining
 	first := d.nowMs
-	d.setEndpoints(list) // and nothing of it gets out: the steward is killed
+	d.mustSetEndpoints(list) // and nothing of it gets out: the steward is killed
 	x := d.restart(t, set, "M", 800)
-	x.setEndpoints(list)
+	x.mustSetEndpoints(list)
 	x.advance(200)
 	id := x.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
 	x.advance(set.guard.DrainGraceMs - 1000)
@@ -182,13 +182,13 @@
 }
 
 // Restarted while a third is let in: a little more is at once, not all.
-func TestRestartDuringALevel(t *testing.T) {
+func TestRestartDuringAdmissionControl(t *testing.T) {
 	set := defaultTestSettings()
 	kept := &statepb.State{Life: "L", At: 50000, Fleet: &statepb.Fleet{Level: 0.3, Classes: []string{"sheet", "finish"}, Shares: []float64{0.2, 0.9}, At: 50000}}
 	text, _ := proto.Marshal(kept)
 	for _, x := range []struct{ later, level, sheet float64 }{{1000, 0.32, 0.23}, {20000, 0.65, 0.6}, {300e3, 1, 1}} {
 		d := restoreHarness(t, set, "M", text, 50000+x.later)
-		d.setEndpoints(d.readyEndpoints(2))
+		d.mustSetEndpoints(d.readyEndpoints(2))
 		d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 		d.advance(1500)
 		a, _ := d.PublishedTables("p")
@@ -200,11 +200,11 @@
 }
 
 // What operators set is set again, and ends at its time.
-func TestSettingsLast(t *testing.T) {
+func TestOverridesSurviveRestart(t *testing.T) {
 	set := defaultTestSettings()
 	d := newHarness(t, set)
 	list := d.readyEndpoints(4)
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	d.advance(1000)
 	for _, o := range []operator.Command{{Host: list[0].Host, State: operator.Draining, Weight: -1, DurationMs: 20000, Operator: "ann"}, {Host: list[1].Host, Weight: 3},
@@ -212,7 +212,7 @@
 		d.applyOverrides(o)
 	}
 	x := d.restart(t, set, "M", 5000)
-	x.setEndpoints(list)
+	x.mustSetEndpoints(list)
 	x.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	x.advance(1000)
 	describe := func() (all []string) {
@@ -229,19 +229,19 @@
 
 // Six hundred proxies come back within a second, half with the tables of before: the caps of the channel hold, all have
 // tables in time, and those with a tag are told less.
-func TestManyReturn(t *testing.T) {
+func TestManyProxiesReconnect(t *testing.T) {
 	set := defaultTestSettings()
 	set.Deployment.Proxies, set.channel.EntriesPerSecond, set.channel.MaxBacklog = 600, 8000, 16000
 	d := newHarness(t, set)
 	d.hideNotModified = true
 	list := d.readyEndpoints(40)
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	name := func(i int) string { return fmt.Sprintf("p%03d", i) }
 	join := func(x *harness, tagged bool) {
 		for i := range 600 {
 			q := PollRequest{Proxy: name(i), Zone: set.Zones[i%2], WaitMs: 60000, AcceptDelta: true, RequestRate: 1 + float64(i%50)}
 			if tagged && i%2 == 0 {
-				q.Tags = []string{d.tagOf(q.Proxy)}
+				q.Tags = []string{d.newestTag(q.Proxy)}
 			}
 			x.poll(q)
 			if i%6 == 5 {
@@ -256,12 +256,12 @@
 	for range 15 { // until all hold the whole table, and have acknowledged it
 		d.advance(3000)
 		for i := range 600 {
-			d.poll(PollRequest{Proxy: name(i), Zone: set.Zones[i%2], WaitMs: 60000, Tags: []string{d.tagOf(name(i))}, AcceptDelta: true})
+			d.poll(PollRequest{Proxy: name(i), Zone: set.Zones[i%2], WaitMs: 60000, Tags: []string{d.newestTag(name(i))}, AcceptDelta: true})
 		}
 	}
 	x := d.restart(t, set, "M", 3000)
 	x.hideNotModified = true
-	x.setEndpoints(list[1:]) // one is gone meanwhile
+	x.mustSetEndpoints(list[1:]) // one is gone meanwhile
 	began := x.nowMs
 	join(x, true)
 	for x.nowMs < began+10000 {
@@ -291,7 +291,7 @@
 }
 
 // What is remembered at full size, and how long it takes.
-func BenchmarkRemember(b *testing.B) {
+func BenchmarkSnapshot(b *testing.B) {
 	d, _ := newLargestHarness(func(*Controller) {})
 	size := 0
 	for range b.N {
--- a/controller/solved_test.go
+++ b/controller/solved_test.go
@@ -18,7 +18,7 @@
 	for i := range list {
 		list[i].Cores, list[i].Speed = float64(2+4*(i%2)), 1
 	}
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true})
 	d.poll(PollRequest{Proxy: "q", Zone: "b", WaitMs: 60000, AcceptDelta: true})
 	return d, list
@@ -37,8 +37,8 @@
 	return g
 }
 
-// tagOf is the tag of a proxy's newest version, as it would poll with.
-func (d *harness) tagOf(name string) string {
+// newestTag is the tag of a proxy's newest version, as it would poll with.
+func (d *harness) newestTag(name string) string {
 	if m := d.sessions.byProxy[name]; m != nil && len(m.versions) > 0 {
 		return d.tag(m.versions[len(m.versions)-1].number)
 	}
@@ -50,7 +50,7 @@
 	for range seconds {
 		*numbers++
 		for i, p := range []string{"p", "q"} {
-			d.poll(PollRequest{Proxy: p, Zone: d.deployment.Zones[i], WaitMs: 900, Tags: []string{d.tagOf(p)}, AcceptDelta: true})
+			d.poll(PollRequest{Proxy: p, Zone: d.deployment.Zones[i], WaitMs: 900, Tags: []string{d.newestTag(p)}, AcceptDelta: true})
 			d.ObserveProxyStats(d.nowMs, p, ProxyStats{Sequence: *numbers, Demand: map[string]ClassDemand{"sheet": {Arrivals: came, WindowMs: 1000}, "finish": {Arrivals: came, WindowMs: 1000}}})
 		}
 		d.advance(1000)
@@ -59,7 +59,7 @@
 
 // Solved weights are told when the demand makes them worth it, once, and go by the hosts' caps; switched off, or
 // without cores told, the list's own stand.
-func TestSolvedWeights(t *testing.T) {
+func TestSolverWeights(t *testing.T) {
 	d, list := newUnevenHarness(t, true)
 	n := int64(0)
 	d.hideNotModified = true
@@ -73,7 +73,7 @@
 	}
 	d.printf("a host that tells no cores")
 	list = append(list, Endpoint{Host: "10.0.0.9:80", Zone: "a", State: routing.Ready, Weight: 1})
-	d.setEndpoints(list)
+	d.mustSetEndpoints(list)
 	d.reportDemand(12, 22, &n)
 	d.checkTrace()
 	off, _ := newUnevenHarness(t, false)
@@ -88,7 +88,7 @@
 }
 
 // Where the channel is dear a renewal that gains less than its lines cost is not told.
-func TestSolvedWeightsAtAPrice(t *testing.T) {
+func TestSolverWeightsAtCost(t *testing.T) {
 	for _, dear := range []bool{false, true} {
 		d, _ := newUnevenHarness(t, true)
 		n := int64(0)
