--- a/controller/intake_test.go
+++ b/controller/ingest_test.go
@@ -56,50 +56,6 @@
 	d.checkTrace()
 }
 
-// Two proxies with one name are told, both are counted, and the one that holds a poll keeps it: they do not answer each
-// other's polls for ever.
-func TestDuplicateProxyName(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	list := d.readyEndpoints(1)
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	d.advance(500)
-	d.hideNotModified = true
-	refused, answered := 0, len(d.responses)
-	for i := range 100 {
-		d.lastPoll++
-		err := d.Poll(d.nowMs, d.lastPoll, PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000, Tags: []string{d.newestTag("p")}}, d)
-		if err == ErrDuplicateProxy {
-			refused++
-		}
-		d.advance(10)
-		if i%20 == 0 {
-			for _, sender := range []string{"one", "two"} {
-				counted, err := d.ObserveProxyStats(d.nowMs, "p", ProxyStats{Sender: sender, Sequence: int64(i + 1), Hosts: map[string]HostStats{list[0].Host: {Attempts: 1, MeanLatencyMs: 5, WindowMs: 1000, Load: routing.UnknownLoad}}})
-				if !counted || err != nil {
-					t.Errorf("sums of %s: %v, %v", sender, counted, err)
-				}
-			}
-		}
-	}
-	if refused < 80 || len(d.responses)-answered > 15 || d.Status(d.nowMs).Polls != 1 {
-		t.Errorf("%d refused, %d answered, %d held", refused, len(d.responses)-answered, d.Status(d.nowMs).Polls)
-	}
-	told := 0
-	for _, e := range d.Events(0) {
-		if e.Kind == "intake" {
-			told++
-		}
-	}
-	if told != 1 {
-		t.Errorf("told %d times", told)
-	}
-	d.advance(11000)
-	if err := d.Poll(d.nowMs, 1e6, PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000}, d); err != nil {
-		t.Errorf("later one poll may take another's place: %v", err)
-	}
-}
-
 // A flood of reports while the steward starts holds up neither joins nor a drain, takes no more room than its share, and
 // is counted.
 func TestReportFloodAtStart(t *testing.T) {
--- a/controller/operate_test.go
+++ b/controller/overrides_test.go
@@ -7,17 +7,6 @@
 	"barleysail/routing"
 )
 
-func (d *harness) applyOverrides(orders ...operator.Command) {
-	waits, err := d.ApplyOverrides(d.nowMs, orders, d)
-	d.printf("%s: waits %v, %v", describeCommand(orders[0]), waits, err)
-}
-
-// pollAgain polls until the proxy has what is newest.
-func (d *harness) pollAgain(q PollRequest) {
-	q.Tags = []string{d.newestTag(q.Proxy)}
-	d.poll(q)
-}
-
 // What operators set is laid over the list, survives a changed list, is told to proxies as the list's own would be, and
 // ends at its time; a zone's drain goes host by host.
 func TestOverrides(t *testing.T) {
--- a/controller/refusing_test.go
+++ b/controller/repair_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"fmt"
 	"math"
 	"slices"
 	"strings"
@@ -14,24 +13,6 @@
 	"barleysail/routing"
 )
 
-// newRepairHarness is a steward with uneven hosts under a demand that fills the small ones, the guard refusing.
-func newRepairHarness(t *testing.T, l guard.Limits) (*harness, []Endpoint, *int64) {
-	d, list := newUnevenHarness(t, false)
-	d.hideNotModified = true
-	d.EnableValidation(l, RepairSettings{Enabled: true}, guard.EndpointLossLimits{})
-	return d, list, new(int64)
-}
-
-// describeTable is what a zone's first proxy was last given, in words.
-func (d *harness) describeTable(proxy string) string {
-	a, _ := d.PublishedTables(proxy)
-	var all []string
-	for i, t := 0, a.Tables()[0]; i < len(t.Hosts); i++ {
-		all = append(all, fmt.Sprintf("%s %.3g", t.Hosts[i], t.Weights[i]))
-	}
-	return strings.Join(all, ", ")
-}
-
 // Hosts over their capacity get less than the module decided, as little as does, and a drain is through in time: it is
 // taken out of what the guard gives too.
 func TestRepairOverCapacity(t *testing.T) {
@@ -106,35 +87,6 @@
 	}
 }
 
-// What an operator would publish is looked at beforehand.
-func TestValidateTables(t *testing.T) {
-	for _, on := range []bool{false, true} {
-		d, list := newUnevenHarness(t, false)
-		if on {
-			d.EnableValidation(guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.5}, RepairSettings{}, guard.EndpointLossLimits{})
-		}
-		n := int64(0)
-		d.hideNotModified = true
-		d.reportDemand(10, 22, &n)
-		a, err := d.ValidateTables("a", map[string]map[string]float64{"sheet": {list[0].Host: 1}})
-		if err != nil || len(a.Findings) == 0 || a.Findings[0].Check != guard.OverCapacity {
-			t.Errorf("on %v: %+v %v", on, a, err)
-		}
-		a, err = d.ValidateTables("", map[string]map[string]float64{"sheet": {list[1].Host: 1, list[3].Host: 1, list[0].Host: 0.3, list[2].Host: 0.3}})
-		if err != nil || len(a.Findings) != 0 || a.Instead != nil {
-			t.Errorf("on %v: %+v %v", on, a, err)
-		}
-		for _, x := range []map[string]map[string]float64{{"other": {}}, {"sheet": {"10.9.9.9:80": 1}}} {
-			if _, err := d.ValidateTables("a", x); err == nil {
-				t.Errorf("%v was taken", x)
-			}
-		}
-		if _, err := d.ValidateTables("z", nil); err == nil {
-			t.Error("zone z was taken")
-		}
-	}
-}
-
 // Whatever happens, what is published while the guard refuses holds no host that may not stay, none that the module left
 // out unless nobody were left, is nowhere worse than decided, and the caps of the channel hold.
 func TestRepairKeepsInvariants(t *testing.T) {
--- a/controller/remember_test.go
+++ b/controller/restore_test.go
@@ -36,21 +36,6 @@
 	return n
 }
 
-// reportFailures lets a host fail all its tries for some seconds while the others serve.
-func (d *harness) reportFailures(list []Endpoint, bad string, seconds int, number *int64) {
-	for range seconds {
-		*number++
-		hosts := map[string]HostStats{}
-		for _, e := range list {
-			hosts[e.Host] = HostStats{Attempts: 20, MeanLatencyMs: 50, WindowMs: 1000, Load: routing.UnknownLoad}
-		}
-		hosts[bad] = HostStats{Attempts: 20, Failed: 20, WindowMs: 1000, Load: routing.UnknownLoad}
-		d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.newestTag("p")}, AcceptDelta: true})
-		d.ObserveProxyStats(d.nowMs, "p", ProxyStats{Sequence: *number, Hosts: hosts, Demand: map[string]ClassDemand{"sheet": {Arrivals: 80, WindowMs: 1000}, "finish": {Arrivals: 10, WindowMs: 1000}}})
-		d.advance(1000)
-	}
-}
-
 // A life after another goes on with deltas onto what the proxies hold, gives a host that failed less from the first table,
 // and forgets both in time.
 func TestNextIncarnation(t *testing.T) {
@@ -289,13 +274,3 @@
 	}
 	t.Logf("%d went on from their old tables; %d bytes of deltas, %d of wholes", deltas, bytes[0], bytes[1])
 }
-
-// What is remembered at full size, and how long it takes.
-func BenchmarkSnapshot(b *testing.B) {
-	d, _ := newLargestHarness(func(*Controller) {})
-	size := 0
-	for range b.N {
-		size = proto.Size(d.Snapshot(d.nowMs))
-	}
-	b.ReportMetric(float64(size), "B")
-}
--- a/controller/solved_test.go
+++ b/controller/solver_test.go
@@ -5,58 +5,8 @@
 	"testing"
 
 	"barleysail/routing"
-	"barleysail/solver"
 )
 
-// newUnevenHarness is a steward whose hosts differ, though the list weighs them alike, under a demand that fills the small ones.
-func newUnevenHarness(t *testing.T, on bool) (*harness, []Endpoint) {
-	d := newHarness(t, defaultTestSettings())
-	if on {
-		d.EnableSolver(5000, 0.01)
-	}
-	list := d.readyEndpoints(4)
-	for i := range list {
-		list[i].Cores, list[i].Speed = float64(2+4*(i%2)), 1
-	}
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true})
-	d.poll(PollRequest{Proxy: "q", Zone: "b", WaitMs: 60000, AcceptDelta: true})
-	return d, list
-}
-
-// solverGap of the tables that the proxies have.
-func (d *harness) solverGap() *solver.Gap {
-	p, t := d.CurrentProblem()
-	if p == nil {
-		return nil
-	}
-	g, err := p.Measure(t)
-	if err != nil {
-		d.t.Fatal(err)
-	}
-	return g
-}
-
-// newestTag is the tag of a proxy's newest version, as it would poll with.
-func (d *harness) newestTag(name string) string {
-	if m := d.sessions.byProxy[name]; m != nil && len(m.versions) > 0 {
-		return d.tag(m.versions[len(m.versions)-1].number)
-	}
-	return ""
-}
-
-// reportDemand lets seconds pass in which each proxy tells of so many transactions of either class.
-func (d *harness) reportDemand(seconds, came int, numbers *int64) {
-	for range seconds {
-		*numbers++
-		for i, p := range []string{"p", "q"} {
-			d.poll(PollRequest{Proxy: p, Zone: d.deployment.Zones[i], WaitMs: 900, Tags: []string{d.newestTag(p)}, AcceptDelta: true})
-			d.ObserveProxyStats(d.nowMs, p, ProxyStats{Sequence: *numbers, Demand: map[string]ClassDemand{"sheet": {Arrivals: came, WindowMs: 1000}, "finish": {Arrivals: came, WindowMs: 1000}}})
-		}
-		d.advance(1000)
-	}
-}
-
 // Solved weights are told when the demand makes them worth it, once, and go by the hosts' caps; switched off, or
 // without cores told, the list's own stand.
 func TestSolverWeights(t *testing.T) {
