--- a/controller/acks.go
+++ b/controller/acks.go
@@ -9,8 +9,8 @@
 const noStamp = 0
 
 // acknowledge takes the newest version that the tags name as applied by the proxy, with all before it, and returns its
-// number, 0 where no tag names a version of the history. A tag of another incarnation that was not carried over, or of a
-// version that this proxy was never given, acknowledges nothing.
+// number, 0 where no tag names a version of the history. A tag of another incarnation that was not carried over, or of
+// a version that this proxy was never given, acknowledges nothing.
 //
 // The balancer learns of each stamp at once: it counts the messages to each proxy by themselves until that proxy
 // acknowledges them, so what waits in the channel for other proxies does not matter.
--- a/controller/acks_test.go
+++ b/controller/acks_test.go
@@ -20,7 +20,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			proxy := &session{versions: []version{{number: 3, stamps: []int{1, 2}}, {number: 5}, {number: 9, stamps: []int{3}}}}
+			proxy := &session{versions: []version{
+				{number: 3, stamps: []int{1, 2}},
+				{number: 5},
+				{number: 9, stamps: []int{3}},
+			}}
 			for i, number := range test.acks {
 				if got := proxy.acknowledge(number); !slices.Equal(got, test.want[i]) {
 					t.Errorf("version %d acknowledges the stamps %v, want %v", number, got, test.want[i])
@@ -33,31 +37,32 @@
 // An acknowledgement counts at once, also while a message of the same round waits for another proxy; that proxy's own
 // stamps stay unacknowledged.
 func TestAcknowledgeAtOnce(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	d.mustSetEndpoints(d.readyEndpoints(2))
-	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
-	d.poll(PollRequest{Proxy: "q", WaitMs: 30000})
-	for len(d.responses) == 0 {
-		d.advance(1)
-	}
-	p, q := d.sessions.byProxy["p"], d.sessions.byProxy["q"]
-	if d.channel.inFlight == nil || d.channel.inFlight.session != q {
-		t.Fatalf("in flight is %+v, want the message to q", d.channel.inFlight)
-	}
-	sent := slices.Clone(d.channel.inFlight.stamps)
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
+	h.poll(PollRequest{Proxy: "q", WaitMs: 30000})
+	for len(h.responses) == 0 {
+		h.advance(1)
+	}
+	p := h.sessions.byProxy["p"]
+	q := h.sessions.byProxy["q"]
+	if h.channel.inFlight == nil || h.channel.inFlight.session != q {
+		t.Fatalf("in flight is %+v, want the message to q", h.channel.inFlight)
+	}
+	sent := slices.Clone(h.channel.inFlight.stamps)
 	if len(sent) == 0 || !slices.Equal(p.versions[0].stamps, sent) {
 		t.Fatalf("p was sent the stamps %v, q %v: want those of one round", p.versions[0].stamps, sent)
 	}
-	d.poll(PollRequest{Proxy: "p", Tags: []string{d.newestTag("p")}, WaitMs: 30000})
+	h.poll(PollRequest{Proxy: "p", Tags: []string{h.newestTag("p")}, WaitMs: 30000})
 	if p.ackedVersion != p.versions[0].number || len(p.versions[0].stamps) != 0 {
 		t.Errorf("p acknowledged version %d, its stamps %v are left", p.ackedVersion, p.versions[0].stamps)
 	}
-	if !slices.Equal(d.channel.inFlight.stamps, sent) {
-		t.Errorf("the message to q has the stamps %v, want %v", d.channel.inFlight.stamps, sent)
+	if !slices.Equal(h.channel.inFlight.stamps, sent) {
+		t.Errorf("the message to q has the stamps %v, want %v", h.channel.inFlight.stamps, sent)
 	}
-	d.advance(100)
+	h.advance(100)
 	if !slices.Equal(q.versions[0].stamps, sent) || q.ackedVersion != 0 {
 		t.Errorf("q acknowledged version %d, its stamps %v are left", q.ackedVersion, q.versions[0].stamps)
 	}
-	d.checkTrace()
+	h.checkTrace()
 }
--- a/controller/channel.go
+++ b/controller/channel.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// enqueue adds entries to the queued message of a proxy, or queues a new one. The stamp is acknowledged with the message.
+// enqueue adds entries to the queued message of a proxy, or queues a new one. The stamp is acknowledged with the
+// message.
 func (c *controlChannel) enqueue(session *session, entries float64, hasRemoval bool, stamp int) {
 	message := session.queuedMessage
 	if message == nil {
--- a/controller/channel_test.go
+++ b/controller/channel_test.go
@@ -9,32 +9,37 @@
 // Messages with a removal leave the channel before others, and the queued message of a proxy takes in what is enqueued
 // while it waits, its stamps in order.
 func TestChannel(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	c := newControlChannel(routing.ControlChannel{EntriesPerSecond: 1000, MessageOverhead: 5, MaxMessages: 2, MessageWindowMs: 1000})
-	one, two, three := &session{proxy: "one"}, &session{proxy: "two"}, &session{proxy: "three"}
-	c.enqueue(one, 10, false, 1)
-	c.enqueue(two, 10, false, 1)
-	c.enqueue(three, 10, false, 1)
-	d.printf("waiting %.0f lines in %d messages", c.backlog(), c.queuedMessages())
-	c.enqueue(three, 3, true, 2)
-	d.printf("a removal for three: waiting %.0f in %d", c.backlog(), c.queuedMessages())
+	h := newHarness(t, defaultTestSettings())
+	channel := newControlChannel(routing.ControlChannel{
+		EntriesPerSecond: 1000, MessageOverhead: 5, MaxMessages: 2, MessageWindowMs: 1000,
+	})
+	one := &session{proxy: "one"}
+	two := &session{proxy: "two"}
+	three := &session{proxy: "three"}
+	channel.enqueue(one, 10, false, 1)
+	channel.enqueue(two, 10, false, 1)
+	channel.enqueue(three, 10, false, 1)
+	h.printf("waiting %.0f lines in %d messages", channel.backlog(), channel.queuedMessages())
+	channel.enqueue(three, 3, true, 2)
+	h.printf("a removal for three: waiting %.0f in %d", channel.backlog(), channel.queuedMessages())
 	for range 4 {
-		g := c.dequeue(0)
-		if g == nil {
-			d.printf("nothing")
+		message := channel.dequeue(0)
+		if message == nil {
+			h.printf("nothing")
 			continue
 		}
-		d.printf("%s leaves with %.0f lines and marks %v", g.session.proxy, g.entries, g.stamps)
-		c.unqueue(g)
-		g.session.sentMs = append(g.session.sentMs, 0)
+		h.printf("%s leaves with %.0f lines and marks %v", message.session.proxy, message.entries, message.stamps)
+		channel.unqueue(message)
+		message.session.sentMs = append(message.session.sentMs, 0)
 	}
-	d.printf("waiting %.0f in %d", c.backlog(), c.queuedMessages())
-	c.enqueue(one, 1, false, 3)
+	h.printf("waiting %.0f in %d", channel.backlog(), channel.queuedMessages())
+	channel.enqueue(one, 1, false, 3)
 	one.sentMs = append(one.sentMs, 0)
-	c.enqueue(two, 1, false, 3)
-	d.printf("one has had two messages, as many as it may: %s goes", c.dequeue(1).session.proxy)
-	c.drop(two)
-	d.printf("two leaves: waiting %.0f in %d, next at %.0f", c.backlog(), c.queuedMessages(), c.nextMs())
-	d.printf("after a second: %s", c.dequeue(1000).session.proxy)
-	d.checkTrace()
+	channel.enqueue(two, 1, false, 3)
+	h.printf("one has had two messages, as many as it may: %s goes", channel.dequeue(1).session.proxy)
+	channel.drop(two)
+	h.printf("two leaves: waiting %.0f in %d, next at %.0f", channel.backlog(), channel.queuedMessages(),
+		channel.nextMs())
+	h.printf("after a second: %s", channel.dequeue(1000).session.proxy)
+	h.checkTrace()
 }
--- a/controller/churn_test.go
+++ b/controller/churn_test.go
@@ -8,55 +8,66 @@
 	"barleysail/routing"
 )
 
-// A steward runs for months: what it keeps stays bounded while hosts are replaced and proxies come and go.
+// A controller runs for months: its memory stays bounded while hosts are replaced, and proxies connect and disconnect.
 func TestChurnIsBounded(t *testing.T) {
-	before, after, st := churn(t, 3000)
-	if st.IndicesInUse > 40 || after > before+4<<20 {
-		t.Errorf("%d indices in use, heap %d to %d bytes", st.IndicesInUse, before, after)
+	const maxGrowth = 4 << 20 // bytes
+	result := runChurn(t, 3000)
+	if result.indicesInUse > 40 || result.heapAfter > result.heapBefore+maxGrowth {
+		t.Errorf("%d indices in use, heap %d to %d bytes", result.indicesInUse, result.heapBefore, result.heapAfter)
 	}
 }
 
-// churn replaces hosts and lets proxies join and leave, n times each.
-func churn(t testing.TB, n int) (before, after uint64, st Status) {
+// churnResult is the memory after a tenth of the churn and after all of it.
+type churnResult struct {
+	heapBefore, heapAfter uint64 // bytes
+	indicesInUse          int
+}
+
+// runChurn replaces so many hosts, and connects as many proxies, of which every second one is disconnected again.
+func runChurn(t testing.TB, count int) churnResult {
 	set := defaultTestSettings()
-	set.RemovedHostRetentionMs = 1000
-	d := &harness{nowMs: 1000, responses: map[int64]Response{}}
-	d.Controller = New(set.Deployment, set.classes, set.channel, set.guard, routing.Objective{TotalWeight: 1}, set.Settings)
-	d.t = &testing.T{}
-	list := d.readyEndpoints(20)
-	d.mustSetEndpoints(list)
-	heap := func() uint64 {
-		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		return m.HeapAlloc
-	}
-	for i := range n {
-		if i == n/10 {
-			before = heap()
+	set.settings.RemovedHostRetentionMs = 1000
+	set.objective = routing.Objective{TotalWeight: 1}
+	h := newHarness(t, set)
+	list := h.readyEndpoints(20)
+	h.mustSetEndpoints(list)
+	var result churnResult
+	for i := range count {
+		if i == count/10 {
+			result.heapBefore = heapInUse()
 		}
 		list[i%len(list)].Host = fmt.Sprintf("10.%d.%d.%d:80", i>>16+1, i>>8&255, i&255)
-		d.mustSetEndpoints(list)
-		p := fmt.Sprintf("p%d", i)
-		d.poll(PollRequest{Proxy: p, WaitMs: 30000})
-		d.advance(50)
-		d.poll(PollRequest{Proxy: p, WaitMs: 30000, Tags: []string{fmt.Sprintf("L-%d", d.sessions.lastVersion)}})
-		d.advance(50)
+		h.mustSetEndpoints(list)
+		proxy := fmt.Sprintf("p%d", i)
+		h.poll(PollRequest{Proxy: proxy, WaitMs: 30000})
+		h.advance(50)
+		h.poll(PollRequest{Proxy: proxy, WaitMs: 30000, Tags: []string{h.tag(h.sessions.lastVersion)}})
+		h.advance(50)
 		if i%2 == 0 {
-			d.Disconnect(d.nowMs, p, d)
+			h.Disconnect(h.nowMs, proxy, h)
 		}
-		clear(d.responses)
-		d.trace.Reset()
+		clear(h.responses)
+		h.trace.Reset()
 	}
-	after = heap()
-	return before, after, d.Status(d.nowMs)
+	result.heapAfter = heapInUse()
+	result.indicesInUse = h.Status(h.nowMs).IndicesInUse
+	return result
+}
+
+// heapInUse is the size of the live heap in bytes.
+func heapInUse() uint64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
 
+// BenchmarkChurn measures the memory over a long churn.
 func BenchmarkChurn(b *testing.B) {
 	for range b.N {
-		before, after, st := churn(b, 100000)
-		b.ReportMetric(float64(before)/1024, "KiB-before")
-		b.ReportMetric(float64(after)/1024, "KiB-after")
-		b.ReportMetric(float64(st.IndicesInUse), "indices")
+		result := runChurn(b, 100000)
+		b.ReportMetric(float64(result.heapBefore)/1024, "KiB-before")
+		b.ReportMetric(float64(result.heapAfter)/1024, "KiB-after")
+		b.ReportMetric(float64(result.indicesInUse), "indices")
 	}
 }
--- a/controller/dryrun_test.go
+++ b/controller/dryrun_test.go
@@ -1,36 +1,56 @@
 package controller
 
 import (
+	"errors"
 	"testing"
 
 	"barleysail/guard"
 )
 
-// What an operator would publish is looked at beforehand.
+// Proposed tables are validated under the present demand, whether the table validator is on or off.
 func TestValidateTables(t *testing.T) {
-	for _, on := range []bool{false, true} {
-		d, list := newUnevenHarness(t, false)
-		if on {
-			d.EnableValidation(guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.5}, RepairSettings{}, guard.EndpointLossLimits{})
-		}
-		n := int64(0)
-		d.hideNotModified = true
-		d.reportDemand(10, 22, &n)
-		a, err := d.ValidateTables("a", map[string]map[string]float64{"sheet": {list[0].Host: 1}})
-		if err != nil || len(a.Findings) == 0 || a.Findings[0].Check != guard.OverCapacity {
-			t.Errorf("on %v: %+v %v", on, a, err)
-		}
-		a, err = d.ValidateTables("", map[string]map[string]float64{"sheet": {list[1].Host: 1, list[3].Host: 1, list[0].Host: 0.3, list[2].Host: 0.3}})
-		if err != nil || len(a.Findings) != 0 || a.Instead != nil {
-			t.Errorf("on %v: %+v %v", on, a, err)
-		}
-		for _, x := range []map[string]map[string]float64{{"other": {}}, {"sheet": {"10.9.9.9:80": 1}}} {
-			if _, err := d.ValidateTables("a", x); err == nil {
-				t.Errorf("%v was taken", x)
+	for _, test := range []struct {
+		name    string
+		enabled bool
+	}{{"off", false}, {"on", true}} {
+		t.Run(test.name, func(t *testing.T) {
+			h, list := newUnevenHarness(t, false)
+			if test.enabled {
+				limits := guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.5}
+				h.EnableValidation(limits, RepairSettings{}, guard.EndpointLossLimits{})
 			}
-		}
-		if _, err := d.ValidateTables("z", nil); err == nil {
-			t.Error("zone z was taken")
+			h.hideNotModified = true
+			h.reportDemand(10, 22)
+			checkProposedTables(t, h, list)
+		})
+	}
+}
+
+func checkProposedTables(t *testing.T, h *harness, list []Endpoint) {
+	t.Helper()
+	type tables = map[string]map[string]float64
+	result, err := h.ValidateTables("a", tables{"sheet": {list[0].Host: 1}})
+	if err != nil || len(result.Findings) == 0 || result.Findings[0].Check != guard.OverCapacity {
+		t.Errorf("all requests to a small host: %+v %v", result, err)
+	}
+	even := map[string]float64{list[1].Host: 1, list[3].Host: 1, list[0].Host: 0.3, list[2].Host: 0.3}
+	result, err = h.ValidateTables("", tables{"sheet": even})
+	if err != nil || len(result.Findings) != 0 || result.Instead != nil {
+		t.Errorf("weights by capacity: %+v %v", result, err)
+	}
+	for _, test := range []struct {
+		name, zone string
+		tables     tables
+		field      string
+	}{
+		{"unknown class", "a", tables{"other": {}}, `tables["other"]`},
+		{"unknown host", "a", tables{"sheet": {"10.9.9.9:80": 1}}, `tables["sheet"].hosts["10.9.9.9:80"]`},
+		{"unknown zone", "z", nil, "zone"},
+	} {
+		_, err := h.ValidateTables(test.zone, test.tables)
+		var invalid *FieldError
+		if !errors.As(err, &invalid) || invalid.Field != test.field {
+			t.Errorf("%s: %v, want an error of the field %s", test.name, err, test.field)
 		}
 	}
 }
--- a/controller/endpoints_test.go
+++ b/controller/endpoints_test.go
@@ -6,41 +6,41 @@
 	"barleysail/routing"
 )
 
-// A steward without a list orders no hosts, not even none: a proxy keeps what it brought. With the first list
-// it does.
+// A controller without an endpoint list publishes no hosts, not even an empty table: a proxy keeps the one that it has.
+// With the first list it does.
 func TestEndpointsUnknown(t *testing.T) {
 	set := defaultTestSettings()
-	set.WatchesEndpoints = true
-	d := newHarness(t, set)
-	d.advance(100)
-	d.poll(PollRequest{Proxy: "p", WaitMs: -1})
-	d.advance(1000)
-	d.printf("the list cannot be had")
-	d.ObserveWatchFailure(d.nowMs)
-	d.advance(1000)
-	d.mustSetEndpoints(d.readyEndpoints(1))
-	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 5000, AcceptDelta: true})
-	d.advance(1000)
-	d.checkTrace()
+	set.deployment.WatchesEndpoints = true
+	h := newHarness(t, set)
+	h.advance(100)
+	h.poll(PollRequest{Proxy: "p", WaitMs: -1})
+	h.advance(1000)
+	h.printf("the list cannot be had")
+	h.ObserveWatchFailure(h.nowMs)
+	h.advance(1000)
+	h.mustSetEndpoints(h.readyEndpoints(1))
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 5000, AcceptDelta: true})
+	h.advance(1000)
+	h.checkTrace()
 }
 
-// A host that is gone is forgotten when no table names it, and its index is given to another; a host that
-// comes back without a start has started now.
+// A removed host is forgotten when no table names it, and its index is given to another host; a host that comes back
+// without a time of its start has started now.
 func TestForgetRemovedHost(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	d.mustSetEndpoints(d.readyEndpoints(3))
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	d.advance(200)
-	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 60000, AcceptDelta: true})
-	d.mustSetEndpoints(d.readyEndpoints(2))
-	d.advance(1000)
-	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-2"}, WaitMs: 60000, AcceptDelta: true})
-	d.printf("indices %d", d.Status(d.nowMs).IndicesInUse)
-	d.advance(60000)
-	d.printf("indices %d", d.Status(d.nowMs).IndicesInUse)
-	list := append(d.readyEndpoints(2), Endpoint{Host: "new.addis:80", Zone: "b", State: routing.Ready, Weight: 1})
-	d.mustSetEndpoints(list)
-	d.printf("the new host has index %d", d.Controller.hostIndex.IndexOf["new.addis:80"])
-	d.advance(100)
-	d.checkTrace()
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(3))
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	h.advance(200)
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 60000, AcceptDelta: true})
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	h.advance(1000)
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-2"}, WaitMs: 60000, AcceptDelta: true})
+	h.printf("indices %d", h.Status(h.nowMs).IndicesInUse)
+	h.advance(60000)
+	h.printf("indices %d", h.Status(h.nowMs).IndicesInUse)
+	added := Endpoint{Host: "new.addis:80", Zone: "b", State: routing.Ready, Weight: 1}
+	h.mustSetEndpoints(append(h.readyEndpoints(2), added))
+	h.printf("the new host has index %d", h.hostIndex.IndexOf[added.Host])
+	h.advance(100)
+	h.checkTrace()
 }
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -13,218 +13,337 @@
 	"barleysail/solver"
 )
 
-// harness drives a Steward on a scripted clock, and prints what comes out.
+// harness drives a Controller on a clock of the test, and prints its effects into a trace.
 type harness struct {
 	*Controller
-	t               *testing.T
+	t               testing.TB
 	nowMs           float64
 	trace           strings.Builder
-	lastPoll        int64
-	responses       map[int64]Response
-	hideNotModified bool // leave out answers with nothing new
-	healthChecks    []string
+	lastPoll        int64              // id
+	responses       map[int64]Response // by id of the poll
+	hideNotModified bool               // leave responses with nothing new out of the trace
+	healthChecks    []string           // hosts to check
+	lastSequence    int64              // of the reports by reportDemand and reportFailures
 }
 
-func (d *harness) printf(format string, args ...any) {
-	fmt.Fprintf(&d.trace, "%7.1f  %s\n", d.nowMs, fmt.Sprintf(format, args...))
+// printf adds a line to the trace.
+func (h *harness) printf(format string, args ...any) {
+	fmt.Fprintf(&h.trace, "%7.1f  %s\n", h.nowMs, fmt.Sprintf(format, args...))
 }
 
-func (d *harness) Respond(poll int64, a Response) {
-	d.responses[poll] = a
-	if d.hideNotModified && a.Kind == NotModified {
+// checkTrace compares the trace with the golden file of the test.
+func (h *harness) checkTrace() {
+	h.t.Helper()
+	golden.Trace(h.t, h.trace.String())
+}
+
+// Respond implements Effects.
+func (h *harness) Respond(poll int64, response Response) {
+	h.responses[poll] = response
+	if h.hideNotModified && response.Kind == NotModified {
 		return
 	}
-	d.printf("poll %d: %s tag %s base %q %s", poll, [...]string{"whole", "delta", "same"}[a.Kind], a.Tag, a.BaseTag,
-		strings.TrimSpace(string(a.Body())))
+	kind := [...]string{Snapshot: "whole", Delta: "delta", NotModified: "same"}[response.Kind]
+	body := strings.TrimSpace(string(response.Body()))
+	h.printf("poll %d: %s tag %s base %q %s", poll, kind, response.Tag, response.BaseTag, body)
 }
 
-func (d *harness) CheckHealth(host string) { d.healthChecks = append(d.healthChecks, host) }
+// CheckHealth implements Effects.
+func (h *harness) CheckHealth(host string) { h.healthChecks = append(h.healthChecks, host) }
 
-func (d *harness) WatchEndpoints() { d.printf("watch the list") }
+// WatchEndpoints implements Effects.
+func (h *harness) WatchEndpoints() { h.printf("watch the list") }
 
-func (d *harness) Log(text string) { d.printf("log: %s", text) }
+// Log implements Effects.
+func (h *harness) Log(text string) { h.printf("log: %s", text) }
 
-// testSettings are the settings of a small deployment; a test changes what it is about.
+// testSettings are the arguments of New; a test changes those that it is about.
 type testSettings struct {
-	Deployment
-	classes []RequestClass
-	channel routing.ControlChannel
-	guard   routing.SafetyLimits
-	Settings
+	deployment Deployment
+	classes    []RequestClass
+	channel    routing.ControlChannel
+	safety     routing.SafetyLimits
+	objective  routing.Objective
+	settings   Settings
 }
 
+// defaultTestSettings are those of a small deployment.
 func defaultTestSettings() testSettings {
 	return testSettings{
-		Deployment{Incarnation: "L", Seed: 7, Zones: []string{"a", "b"}, Controllers: 1, Proxies: 2, ReportIntervalMs: 1000, DefaultRetryPolicy: 1, AdmissionControl: true},
-		[]RequestClass{{"sheet", routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 3000, PriorityWeight: 1}, 200}, {"finish", routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1500, PriorityWeight: 5}, 100}},
-		routing.ControlChannel{EntriesPerSecond: 1000, MessageOverhead: 5, MaxBacklog: 2000, PropagationDelayMs: 20, MaxMessages: 20, MessageWindowMs: 10000},
-		routing.SafetyLimits{EmptyTableMs: 5000, DrainGraceMs: 3000, SlowStartInitialFactor: 0.2, SlowStartMs: 10000, CollapseMultiple: 4},
-		Settings{MinRoundIntervalMs: 10, MaxPollWaitMs: 60000, MinFirstPollWaitMs: 300, SessionTimeoutMs: 5000, RemovedHostRetentionMs: 60000, VersionHistory: 4}}
+		deployment: Deployment{
+			Incarnation:        "L",
+			Seed:               7,
+			Zones:              []string{"a", "b"},
+			Controllers:        1,
+			Proxies:            2,
+			ReportIntervalMs:   1000,
+			DefaultRetryPolicy: 1,
+			AdmissionControl:   true,
+		},
+		classes: []RequestClass{
+			{"sheet", routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 3000, PriorityWeight: 1}, 200},
+			{"finish", routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1500, PriorityWeight: 5}, 100},
+		},
+		channel: routing.ControlChannel{
+			EntriesPerSecond:   1000,
+			MessageOverhead:    5,
+			MaxBacklog:         2000,
+			PropagationDelayMs: 20,
+			MaxMessages:        20,
+			MessageWindowMs:    10000,
+		},
+		safety: routing.SafetyLimits{
+			EmptyTableMs:           5000,
+			DrainGraceMs:           3000,
+			SlowStartInitialFactor: 0.2,
+			SlowStartMs:            10000,
+			CollapseMultiple:       4,
+		},
+		objective: routing.Objective{TotalWeight: 0.9, WorstClassWeight: 0.1, HealthCheckCost: 0.02},
+		settings: Settings{
+			MinRoundIntervalMs:     10,
+			MaxPollWaitMs:          60000,
+			MinFirstPollWaitMs:     300,
+			SessionTimeoutMs:       5000,
+			RemovedHostRetentionMs: 60000,
+			VersionHistory:         4,
+		},
+	}
 }
 
-func newHarness(t *testing.T, set testSettings) *harness {
-	d := &harness{t: t, nowMs: 1000, responses: map[int64]Response{}}
-	d.Controller = New(set.Deployment, set.classes, set.channel, set.guard, routing.Objective{TotalWeight: 0.9, WorstClassWeight: 0.1, HealthCheckCost: 0.02}, set.Settings)
-	return d
+// harnessStartMs is the time at which each harness starts.
+const harnessStartMs = 1000
+
+func newHarness(t testing.TB, set testSettings) *harness {
+	return &harness{
+		Controller: New(set.deployment, set.classes, set.channel, set.safety, set.objective, set.settings),
+		t:          t,
+		nowMs:      harnessStartMs,
+		responses:  map[int64]Response{},
+	}
 }
 
-// newUnevenHarness is a steward whose hosts differ, though the list weighs them alike, under a demand that fills the small ones.
-func newUnevenHarness(t *testing.T, on bool) (*harness, []Endpoint) {
-	d := newHarness(t, defaultTestSettings())
-	if on {
-		d.EnableSolver(5000, 0.01)
+// newUnevenHarness has hosts that differ in their cores, though the endpoint list gives them equal weights, and a proxy
+// in each zone.
+func newUnevenHarness(t testing.TB, withSolver bool) (*harness, []Endpoint) {
+	h := newHarness(t, defaultTestSettings())
+	if withSolver {
+		h.EnableSolver(5000, 0.01)
 	}
-	list := d.readyEndpoints(4)
+	list := h.readyEndpoints(4)
 	for i := range list {
-		list[i].Cores, list[i].Speed = float64(2+4*(i%2)), 1
+		list[i].Cores = float64(2 + 4*(i%2))
+		list[i].Speed = 1
 	}
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true})
-	d.poll(PollRequest{Proxy: "q", Zone: "b", WaitMs: 60000, AcceptDelta: true})
-	return d, list
+	h.mustSetEndpoints(list)
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true})
+	h.poll(PollRequest{Proxy: "q", Zone: "b", WaitMs: 60000, AcceptDelta: true})
+	return h, list
 }
 
-// newRepairHarness is a steward with uneven hosts under a demand that fills the small ones, the guard refusing.
-func newRepairHarness(t *testing.T, l guard.Limits) (*harness, []Endpoint, *int64) {
-	d, list := newUnevenHarness(t, false)
-	d.hideNotModified = true
-	d.EnableValidation(l, RepairSettings{Enabled: true}, guard.EndpointLossLimits{})
-	return d, list, new(int64)
+// newRepairHarness is an uneven harness whose tables are repaired.
+func newRepairHarness(t testing.TB, limits guard.Limits) (*harness, []Endpoint) {
+	h, list := newUnevenHarness(t, false)
+	h.hideNotModified = true
+	h.EnableValidation(limits, RepairSettings{Enabled: true}, guard.EndpointLossLimits{})
+	return h, list
 }
 
-// newLargestHarness is a steward at the size of the largest deployment, all proxies joined and bound.
-func newLargestHarness(before func(*Controller)) (*harness, []Endpoint) {
+const (
+	largestProxies = 607
+	largestHosts   = 506
+)
+
+// newLargestHarness has the size of the largest deployment, all proxies connected and with tables.
+func newLargestHarness(t testing.TB, configure func(*Controller)) (*harness, []Endpoint) {
 	set := defaultTestSettings()
-	set.Deployment.Proxies, set.channel.EntriesPerSecond, set.channel.MaxBacklog = 607, 1e6, 1e6
+	set.deployment.Proxies = largestProxies
+	set.channel.EntriesPerSecond = 1e6
+	set.channel.MaxBacklog = 1e6
 	set.channel.MaxMessages = 0
-	d := &harness{nowMs: 1000, responses: map[int64]Response{}, t: &testing.T{}}
-	d.Controller = New(set.Deployment, set.classes, set.channel, set.guard, routing.Objective{TotalWeight: 1}, set.Settings)
-	before(d.Controller)
+	set.objective = routing.Objective{TotalWeight: 1}
+	h := newHarness(t, set)
+	configure(h.Controller)
 	var list []Endpoint
-	for i := range 506 {
-		list = append(list, Endpoint{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: set.Zones[i%2], State: routing.Ready, Weight: 1, Cores: 4})
+	for i := range largestHosts {
+		list = append(list, Endpoint{
+			Host:   fmt.Sprintf("10.0.%d.%d:80", i/250, i%250),
+			Zone:   set.deployment.Zones[i%2],
+			State:  routing.Ready,
+			Weight: 1,
+			Cores:  4,
+		})
 	}
-	d.mustSetEndpoints(list)
-	for i := range 607 {
-		d.poll(PollRequest{Proxy: fmt.Sprint("p", i), WaitMs: 60000})
+	h.mustSetEndpoints(list)
+	for i := range largestProxies {
+		h.poll(PollRequest{Proxy: fmt.Sprint("p", i), WaitMs: 60000})
 	}
-	d.advance(2000)
-	return d, list
+	h.advance(2000)
+	return h, list
 }
 
-// readyEndpoints lists so many ready hosts, the even ones in zone a.
-func (d *harness) readyEndpoints(n int) []Endpoint {
+// hostName is the address of a host by its number on the list of readyEndpoints.
+func hostName(number int) string { return fmt.Sprintf("10.0.0.%d:80", number) }
+
+// readyEndpoints lists ready hosts, those with even numbers in zone a.
+func (h *harness) readyEndpoints(count int) []Endpoint {
 	var list []Endpoint
-	for i := range n {
-		list = append(list, Endpoint{Host: fmt.Sprintf("10.0.0.%d:80", i), Zone: d.deployment.Zones[i%2], State: routing.Ready, Weight: 1})
+	for i := range count {
+		zone := h.deployment.Zones[i%2]
+		list = append(list, Endpoint{Host: hostName(i), Zone: zone, State: routing.Ready, Weight: 1})
 	}
 	return list
 }
 
-func (d *harness) mustSetEndpoints(entries []Endpoint) {
-	d.t.Helper()
-	if err := d.SetEndpoints(d.nowMs, entries); err != nil {
-		d.t.Fatal(err)
+func (h *harness) mustSetEndpoints(list []Endpoint) {
+	h.t.Helper()
+	if err := h.SetEndpoints(h.nowMs, list); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-// advance lets time pass, calling Advance whenever it is due.
-func (d *harness) advance(ms float64) {
-	for end := d.nowMs + ms; ; {
-		next := math.Max(d.Next(), d.nowMs)
-		if next > end {
-			d.nowMs = end
+// advance lets time pass, with a call of Advance whenever one is due.
+func (h *harness) advance(durationMs float64) {
+	endMs := h.nowMs + durationMs
+	for {
+		nextMs := math.Max(h.Next(), h.nowMs)
+		if nextMs > endMs {
+			h.nowMs = endMs
 			return
 		}
-		d.nowMs = next
-		d.Advance(d.nowMs, d)
+		h.nowMs = nextMs
+		h.Advance(h.nowMs, h)
 	}
 }
 
-// poll polls for a proxy, with the tag of its last answer or with the tags given.
-func (d *harness) poll(q PollRequest) int64 {
-	d.t.Helper()
-	d.lastPoll++
-	if q.Zone == "" {
-		q.Zone = "a"
+// poll polls for a proxy, in zone a where the request gives none, and returns the id. An error is printed.
+func (h *harness) poll(request PollRequest) int64 {
+	h.t.Helper()
+	h.lastPoll++
+	if request.Zone == "" {
+		request.Zone = "a"
 	}
-	if err := d.Poll(d.nowMs, d.lastPoll, q, d); err != nil {
-		d.printf("poll %d refused: %v", d.lastPoll, err)
+	if err := h.Poll(h.nowMs, h.lastPoll, request, h); err != nil {
+		h.printf("poll %d refused: %v", h.lastPoll, err)
 	}
-	return d.lastPoll
+	return h.lastPoll
 }
 
-// pollAgain polls until the proxy has what is newest.
-func (d *harness) pollAgain(q PollRequest) {
-	q.Tags = []string{d.newestTag(q.Proxy)}
-	d.poll(q)
+// pollAgain polls with the tag of the proxy's newest version.
+func (h *harness) pollAgain(request PollRequest) {
+	request.Tags = []string{h.newestTag(request.Proxy)}
+	h.poll(request)
 }
 
-// newestTag is the tag of a proxy's newest version, as it would poll with.
-func (d *harness) newestTag(name string) string {
-	if m := d.sessions.byProxy[name]; m != nil && len(m.versions) > 0 {
-		return d.tag(m.versions[len(m.versions)-1].number)
+// newestTag is the tag of a proxy's newest version.
+func (h *harness) newestTag(proxy string) string {
+	if session := h.sessions.byProxy[proxy]; session != nil && len(session.versions) > 0 {
+		return h.tag(session.newest().number)
 	}
 	return ""
 }
 
-func (d *harness) applyOverrides(orders ...operator.Command) {
-	waits, err := d.ApplyOverrides(d.nowMs, orders, d)
-	d.printf("%s: waits %v, %v", describeCommand(orders[0]), waits, err)
+// applyOverrides applies commands and prints the outcome.
+func (h *harness) applyOverrides(commands ...operator.Command) {
+	queued, err := h.ApplyOverrides(h.nowMs, commands, h)
+	h.printf("%s: waits %v, %v", describeCommand(commands[0]), queued, err)
+}
+
+// observeStats reports statistics, which have to be valid and new.
+func (h *harness) observeStats(proxy string, stats ProxyStats) {
+	h.t.Helper()
+	counted, err := h.ObserveProxyStats(h.nowMs, proxy, stats)
+	if err != nil || !counted {
+		h.t.Fatalf("statistics of %s: counted %v, %v", proxy, counted, err)
+	}
 }
 
-// reportDemand lets seconds pass in which each proxy tells of so many transactions of either class.
-func (d *harness) reportDemand(seconds, came int, numbers *int64) {
+// demandOf is a report of a second in which each class of defaultTestSettings got so many requests.
+func demandOf(sequence int64, arrivals int) ProxyStats {
+	demand := ClassDemand{Arrivals: arrivals, WindowMs: 1000}
+	return ProxyStats{Sequence: sequence, Demand: map[string]ClassDemand{"sheet": demand, "finish": demand}}
+}
+
+// reportDemand lets seconds pass in each of which a proxy of either zone reports so many requests of each class.
+func (h *harness) reportDemand(seconds, arrivals int) {
+	h.t.Helper()
 	for range seconds {
-		*numbers++
-		for i, p := range []string{"p", "q"} {
-			d.poll(PollRequest{Proxy: p, Zone: d.deployment.Zones[i], WaitMs: 900, Tags: []string{d.newestTag(p)}, AcceptDelta: true})
-			d.ObserveProxyStats(d.nowMs, p, ProxyStats{Sequence: *numbers, Demand: map[string]ClassDemand{"sheet": {Arrivals: came, WindowMs: 1000}, "finish": {Arrivals: came, WindowMs: 1000}}})
+		h.lastSequence++
+		for i, proxy := range []string{"p", "q"} {
+			h.pollAgain(PollRequest{Proxy: proxy, Zone: h.deployment.Zones[i], WaitMs: 900, AcceptDelta: true})
+			h.observeStats(proxy, demandOf(h.lastSequence, arrivals))
 		}
-		d.advance(1000)
+		h.advance(1000)
 	}
 }
 
-// reportFailures lets a host fail all its tries for some seconds while the others serve.
-func (d *harness) reportFailures(list []Endpoint, bad string, seconds int, number *int64) {
+// reportFailures lets seconds pass in which a host fails all attempts while the others serve theirs.
+func (h *harness) reportFailures(list []Endpoint, failing string, seconds int) {
+	h.t.Helper()
 	for range seconds {
-		*number++
+		h.lastSequence++
 		hosts := map[string]HostStats{}
-		for _, e := range list {
-			hosts[e.Host] = HostStats{Attempts: 20, MeanLatencyMs: 50, WindowMs: 1000, Load: routing.UnknownLoad}
+		for _, endpoint := range list {
+			hosts[endpoint.Host] = HostStats{
+				Attempts: 20, MeanLatencyMs: 50, WindowMs: 1000, Load: routing.UnknownLoad,
+			}
 		}
-		hosts[bad] = HostStats{Attempts: 20, Failed: 20, WindowMs: 1000, Load: routing.UnknownLoad}
-		d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.newestTag("p")}, AcceptDelta: true})
-		d.ObserveProxyStats(d.nowMs, "p", ProxyStats{Sequence: *number, Hosts: hosts, Demand: map[string]ClassDemand{"sheet": {Arrivals: 80, WindowMs: 1000}, "finish": {Arrivals: 10, WindowMs: 1000}}})
-		d.advance(1000)
+		hosts[failing] = HostStats{Attempts: 20, Failed: 20, WindowMs: 1000, Load: routing.UnknownLoad}
+		h.pollAgain(PollRequest{Proxy: "p", WaitMs: 900, AcceptDelta: true})
+		h.observeStats("p", ProxyStats{
+			Sequence: h.lastSequence,
+			Hosts:    hosts,
+			Demand: map[string]ClassDemand{
+				"sheet":  {Arrivals: 80, WindowMs: 1000},
+				"finish": {Arrivals: 10, WindowMs: 1000},
+			},
+		})
+		h.advance(1000)
 	}
 }
 
-// describeTable is what a zone's first proxy was last given, in words.
-func (d *harness) describeTable(proxy string) string {
-	a, _ := d.PublishedTables(proxy)
-	var all []string
-	for i, t := 0, a.Tables()[0]; i < len(t.Hosts); i++ {
-		all = append(all, fmt.Sprintf("%s %.3g", t.Hosts[i], t.Weights[i]))
+// describeTable is the published table of a proxy for the first class.
+func (h *harness) describeTable(proxy string) string {
+	response, _ := h.PublishedTables(proxy)
+	table := response.Tables()[0]
+	var entries []string
+	for i, host := range table.Hosts {
+		entries = append(entries, fmt.Sprintf("%s %.3g", host, table.Weights[i]))
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(entries, ", ")
 }
 
-// solverGap of the tables that the proxies have.
-func (d *harness) solverGap() *solver.Gap {
-	p, t := d.CurrentProblem()
-	if p == nil {
+// solverGap is the gap between the published tables and the best ones, nil where the solver has no problem.
+func (h *harness) solverGap() *solver.Gap {
+	h.t.Helper()
+	problem, tables := h.CurrentProblem()
+	if problem == nil {
 		return nil
 	}
-	g, err := p.Measure(t)
+	gap, err := problem.Measure(tables)
 	if err != nil {
-		d.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return g
+	return gap
 }
 
-// checkTrace compares the trace with the kept one.
-func (d *harness) checkTrace() {
-	d.t.Helper()
-	golden.Trace(d.t, d.trace.String())
+// mustHostInfo is the state of a host that has to be known.
+func (h *harness) mustHostInfo(host string) HostInfo {
+	h.t.Helper()
+	info, ok := h.HostInfo(host)
+	if !ok {
+		h.t.Fatalf("%s is not known", host)
+	}
+	return info
+}
+
+// countEvents counts the events of a kind whose text has a prefix.
+func (h *harness) countEvents(kind, prefix string) int {
+	count := 0
+	for _, event := range h.Events(0) {
+		if event.Kind == kind && strings.HasPrefix(event.Text, prefix) {
+			count++
+		}
+	}
+	return count
 }
--- a/controller/ingest_test.go
+++ b/controller/ingest_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"errors"
 	"fmt"
 	"testing"
 
@@ -8,128 +9,181 @@
 	"barleysail/routing"
 )
 
-// A host's own reports reach the module beside the next sums; repeats and reports on strangers do not, and what it tells
-// falsely is not believed.
+// A host's own reports reach the balancer beside the next statistics of a proxy. Repeated ones and those about unknown
+// hosts do not, and an implausible load is not trusted.
 func TestLoadReports(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	list := d.readyEndpoints(2)
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	d.advance(500)
+	h := newHarness(t, defaultTestSettings())
+	list := h.readyEndpoints(2)
+	h.mustSetEndpoints(list)
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	h.advance(500)
 	host := list[0].Host
 	load := routing.HostLoad{Utilization: 0.4, RequestRate: 30, QueueLength: 1}
-	for _, x := range []struct {
-		host string
-		r    LoadReport
-	}{{host, LoadReport{"a", 1, 0, load}}, {host, LoadReport{"a", 1, 0, load}}, {"10.9.9.9:80", LoadReport{"a", 1, 0, load}},
-		{host, LoadReport{"a", 0, 0, load}}, {host, LoadReport{"a", 2, -1, load}}} {
-		counted, err := d.ObserveLoadReport(d.nowMs, x.host, x.r)
-		d.printf("%s number %d: counted %v, %v", x.host, x.r.Sequence, counted, err)
-	}
-	number := int64(0)
-	second := func(util float64, report bool) {
-		number++
-		if report {
-			d.ObserveLoadReport(d.nowMs, host, LoadReport{Sender: "b", Sequence: number, SentAtMs: d.nowMs + 3600e3, Load: routing.HostLoad{Utilization: util, RequestRate: util * 100, QueueLength: 0}})
-		}
-		d.ObserveProxyStats(d.nowMs, "p", ProxyStats{Sequence: number, SentAtMs: d.nowMs + 7200e3, Hosts: map[string]HostStats{host: {Attempts: 40, MeanLatencyMs: 50, WindowMs: 1000, Load: routing.UnknownLoad}}})
-		d.advance(1000)
-		d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.newestTag("p")}})
+	for _, test := range []struct {
+		host   string
+		report LoadReport
+	}{
+		{host, LoadReport{"a", 1, 0, load}},
+		{host, LoadReport{"a", 1, 0, load}},
+		{"10.9.9.9:80", LoadReport{"a", 1, 0, load}},
+		{host, LoadReport{"a", 0, 0, load}},
+		{host, LoadReport{"a", 2, -1, load}},
+	} {
+		counted, err := h.ObserveLoadReport(h.nowMs, test.host, test.report)
+		h.printf("%s number %d: counted %v, %v", test.host, test.report.Sequence, counted, err)
 	}
-	told := func(what string) {
-		i, _ := d.HostInfo(host)
-		d.printf("%s: the module has %.2f, trust %.2f, age %.0f, silent %v, doubted %q", what, i.Why.Load.Utilization, i.Reports.Trust, i.Reports.AgeMs, i.Reports.Silent, i.Reports.DistrustReason)
+	describe := func(what string) {
+		info := h.mustHostInfo(host)
+		reports := info.Reports
+		h.printf("%s: the module has %.2f, trust %.2f, age %.0f, silent %v, doubted %q", what,
+			info.Why.Load.Utilization, reports.Trust, reports.AgeMs, reports.Silent, reports.DistrustReason)
 	}
-	d.hideNotModified = true
+	h.hideNotModified = true
 	for i := range 5 {
-		second(0.4+float64(i)/100, true) // 40 a second, as our proxies had
+		h.reportLoad(host, 0.4+float64(i)/100) // 40 requests a second, as many as the proxy sends
+		h.reportAttempts(host)
 	}
-	told("as it is")
+	describe("as it is")
 	for i := range 5 {
-		second(0.02+float64(i)/1000, true)
+		h.reportLoad(host, 0.02+float64(i)/1000)
+		h.reportAttempts(host)
 	}
-	told("2 a second told, 40 fulfilled")
+	describe("2 a second told, 40 fulfilled")
 	for range 8 {
-		second(0, false)
+		h.reportAttempts(host)
+	}
+	describe("told no more")
+	h.checkTrace()
+}
+
+// reportLoad has a host report a utilization and the request rate that belongs to it, by a clock that is an hour fast.
+func (h *harness) reportLoad(host string, utilization float64) {
+	h.t.Helper()
+	report := LoadReport{
+		Sender:   "b",
+		Sequence: h.lastSequence + 1,
+		SentAtMs: h.nowMs + 3600e3,
+		Load:     routing.HostLoad{Utilization: utilization, RequestRate: utilization * 100, QueueLength: 0},
+	}
+	if counted, err := h.ObserveLoadReport(h.nowMs, host, report); !counted || err != nil {
+		h.t.Fatalf("load report of %s: counted %v, %v", host, counted, err)
 	}
-	told("told no more")
-	d.checkTrace()
 }
 
-// A flood of reports while the steward starts holds up neither joins nor a drain, takes no more room than its share, and
-// is counted.
+// reportAttempts lets a second pass for which proxy p reports 40 attempts at a host, by a clock that is two hours fast.
+func (h *harness) reportAttempts(host string) {
+	h.t.Helper()
+	h.lastSequence++
+	stats := HostStats{Attempts: 40, MeanLatencyMs: 50, WindowMs: 1000, Load: routing.UnknownLoad}
+	h.observeStats("p", ProxyStats{
+		Sequence: h.lastSequence,
+		SentAtMs: h.nowMs + 7200e3,
+		Hosts:    map[string]HostStats{host: stats},
+	})
+	h.advance(1000)
+	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 900})
+}
+
+// A flood of reports while the controller starts delays neither new sessions nor a drain, takes no more of the queue
+// than its share, and is counted.
 func TestReportFloodAtStart(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	l := intake.DefaultLimits()
-	l.MaxQueued, l.MaxPerRound = 50, 10
-	d.SetIngestLimits(l)
-	d.hideNotModified = true
-	list := d.readyEndpoints(40)
-	flood := func(n int) {
-		hosts := map[string]HostStats{}
-		for _, e := range list {
-			hosts[e.Host] = HostStats{Attempts: n%7 + 1, MeanLatencyMs: 5, WindowMs: 1000, Load: routing.UnknownLoad}
-		}
-		d.ObserveProxyStats(d.nowMs, "flood", ProxyStats{Sequence: int64(n), Hosts: hosts})
-		d.ObserveProxyStats(d.nowMs, "p", ProxyStats{Sequence: int64(n), Hosts: map[string]HostStats{list[0].Host: {Attempts: 3, MeanLatencyMs: 5, WindowMs: 1000, Load: routing.UnknownLoad}}})
-		for _, e := range list {
-			d.ObserveLoadReport(d.nowMs, e.Host, LoadReport{Sender: "x", Sequence: int64(n), Load: routing.HostLoad{Utilization: 0.1, RequestRate: -1, QueueLength: -1}})
+	h := newHarness(t, defaultTestSettings())
+	limits := intake.DefaultLimits()
+	limits.MaxQueued = 50
+	limits.MaxPerRound = 10
+	h.SetIngestLimits(limits)
+	h.hideNotModified = true
+	list := h.readyEndpoints(40)
+	h.flood(list, 1, ErrNotConnected, ErrUnknownHost) // neither a proxy nor a host is known
+	h.mustSetEndpoints(list)
+	h.poll(PollRequest{Proxy: "flood", WaitMs: 60000})
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	beganMs := h.nowMs
+	for sequence := 2; len(h.sessions.byProxy["p"].versions) == 0; sequence++ {
+		h.flood(list, sequence, nil, nil)
+		h.advance(1)
+	}
+	if h.nowMs-beganMs > 400 {
+		t.Errorf("the first tables took %.0f ms", h.nowMs-beganMs)
+	}
+	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 60000})
+	list[5].State = routing.Draining
+	h.mustSetEndpoints(list)
+	beganMs = h.nowMs
+	draining := h.hostIndex.IndexOf[list[5].Host]
+	drainIsPublished := func() bool {
+		return h.tables.table(0).weights[draining] <= 0 && h.sessions.byProxy["p"].pendingPoll == nil
+	}
+	for sequence := 1000; !drainIsPublished(); sequence++ {
+		h.flood(list, sequence, nil, nil)
+		h.advance(1)
+		if h.nowMs > beganMs+1000 {
+			t.Fatal("the drain is not published after a second")
 		}
 	}
-	flood(1) // nobody has joined, nothing is listed
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "flood", WaitMs: 60000})
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	before := d.nowMs
-	for n := 2; len(d.sessions.byProxy["p"].versions) == 0; n++ {
-		flood(n)
-		d.advance(1)
+	report := h.Status(h.nowMs).Intake
+	if report.Waiting > 50 || report.Dropped[intake.QueueFull] == 0 || report.Taken == 0 {
+		t.Errorf("%+v", report)
 	}
-	if d.nowMs-before > 400 {
-		t.Errorf("the first tables took %.0f ms", d.nowMs-before)
+	if explanation, _ := h.balancer.Explain(0); explanation.Successes == 0 {
+		t.Error("the statistics of the other proxy did not reach the balancer")
 	}
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{d.newestTag("p")}})
-	list[5].State = routing.Draining
-	d.mustSetEndpoints(list)
-	before = d.nowMs
-	h := d.Controller.hostIndex.IndexOf[list[5].Host]
-	for n := 1000; d.tables.table(0).weights[h] > 0 || d.sessions.byProxy["p"].pendingPoll != nil; n++ {
-		flood(n)
-		d.advance(1)
-		if d.nowMs > before+1000 {
-			t.Fatal("the drain is not through after a second")
+}
+
+// flood reports statistics about all hosts by one proxy, about the first host by another one, and the load of each
+// host. All reports have to end with the errors wanted.
+func (h *harness) flood(list []Endpoint, sequence int, wantStatsErr, wantLoadErr error) {
+	h.t.Helper()
+	hosts := map[string]HostStats{}
+	for _, endpoint := range list {
+		hosts[endpoint.Host] = HostStats{
+			Attempts: sequence%7 + 1, MeanLatencyMs: 5, WindowMs: 1000, Load: routing.UnknownLoad,
 		}
 	}
-	st := d.Status(d.nowMs)
-	if st.Intake.Waiting > 50 || st.Intake.Dropped[intake.QueueFull] == 0 || st.Intake.Taken == 0 {
-		t.Errorf("%+v", st.Intake)
+	first := HostStats{Attempts: 3, MeanLatencyMs: 5, WindowMs: 1000, Load: routing.UnknownLoad}
+	h.floodStats("flood", ProxyStats{Sequence: int64(sequence), Hosts: hosts}, wantStatsErr)
+	h.floodStats("p", ProxyStats{
+		Sequence: int64(sequence), Hosts: map[string]HostStats{list[0].Host: first},
+	}, wantStatsErr)
+	load := routing.HostLoad{Utilization: 0.1, RequestRate: -1, QueueLength: -1}
+	for _, endpoint := range list {
+		report := LoadReport{Sender: "x", Sequence: int64(sequence), Load: load}
+		if _, err := h.ObserveLoadReport(h.nowMs, endpoint.Host, report); !errors.Is(err, wantLoadErr) {
+			h.t.Fatalf("load report of %s: %v, want %v", endpoint.Host, err, wantLoadErr)
+		}
 	}
-	if x, _ := d.balancer.Explain(0); x.Successes == 0 {
-		t.Error("the other proxy's sums did not come through")
+}
+
+func (h *harness) floodStats(proxy string, stats ProxyStats, wantErr error) {
+	h.t.Helper()
+	if _, err := h.ObserveProxyStats(h.nowMs, proxy, stats); !errors.Is(err, wantErr) {
+		h.t.Fatalf("statistics of %s: %v, want %v", proxy, err, wantErr)
 	}
 }
 
-// A steward whose rounds come late sheds reports, then lengthens its rounds, says so, and comes back; a drain is carried
-// out in the next round all the same.
+// A controller whose rounds come late sheds reports, then stretches the time between rounds, logs it, and recovers. A
+// drain is carried out in the next round all the same.
 func TestLateRounds(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	d.hideNotModified = true
-	list := d.readyEndpoints(4)
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	d.advance(1000)
+	h := newHarness(t, defaultTestSettings())
+	h.hideNotModified = true
+	list := h.readyEndpoints(4)
+	h.mustSetEndpoints(list)
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	h.advance(1000)
 	for range 12 { // each round 150 ms late
-		d.nowMs = max(d.Next(), d.nowMs) + 150
-		d.Advance(d.nowMs, d)
+		h.nowMs = max(h.Next(), h.nowMs) + 150
+		h.Advance(h.nowMs, h)
 	}
-	d.printf("level %d, %.3f of the intake, rounds each %.0f ms", d.Status(d.nowMs).Intake.Level, d.IngestRatio(), d.scheduler.plannedMs-d.scheduler.lastMs)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{d.newestTag("p")}})
+	h.printf("level %d, %.3f of the intake, rounds each %.0f ms", h.Status(h.nowMs).Intake.Level, h.IngestRatio(),
+		h.scheduler.plannedMs-h.scheduler.lastMs)
+	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 60000})
 	list[0].State = routing.Draining
-	d.mustSetEndpoints(list)
-	before := d.nowMs
-	d.advance(600)
-	d.printf("drained: %v, after %s", d.tables.table(0).weights[0] == 0, fmt.Sprintf("%.0f ms at most", d.nowMs-before))
-	d.advance(30000)
-	d.printf("level %d, %.3f of the intake", d.Status(d.nowMs).Intake.Level, d.IngestRatio())
-	d.checkTrace()
+	h.mustSetEndpoints(list)
+	beganMs := h.nowMs
+	h.advance(600)
+	duration := fmt.Sprintf("%.0f ms at most", h.nowMs-beganMs)
+	h.printf("drained: %v, after %s", h.tables.table(0).weights[0] == 0, duration)
+	h.advance(30000)
+	h.printf("level %d, %.3f of the intake", h.Status(h.nowMs).Intake.Level, h.IngestRatio())
+	h.checkTrace()
 }
--- a/controller/longpoll_test.go
+++ b/controller/longpoll_test.go
@@ -1,116 +1,148 @@
 package controller
 
 import (
+	"errors"
 	"testing"
 
 	"barleysail/routing"
 )
 
-// A proxy joins, holds a poll, and gets what changed as a delta onto what it holds.
+// A proxy connects, leaves a poll pending, and gets what changed as a delta onto the version that it holds.
 func TestLongPoll(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	d.mustSetEndpoints(d.readyEndpoints(2))
-	d.printf("a proxy joins")
-	d.poll(PollRequest{Proxy: "p", WaitMs: 30000, AcceptDelta: true})
-	d.advance(100)
-	d.printf("without the preference to wait: nothing new, at once")
-	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: -1})
-	d.printf("it waits; a host drains")
-	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
-	d.advance(500)
-	list := d.readyEndpoints(2)
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	h.printf("a proxy joins")
+	h.poll(PollRequest{Proxy: "p", WaitMs: 30000, AcceptDelta: true})
+	h.advance(100)
+	h.printf("without the preference to wait: nothing new, at once")
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: -1})
+	h.printf("it waits; a host drains")
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
+	h.advance(500)
+	list := h.readyEndpoints(2)
 	list[1].State = routing.Draining
-	d.mustSetEndpoints(list)
-	d.advance(500)
-	d.printf("the same without deltas, onto a tag of the history: the whole")
-	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
-	d.printf("onto a tag of another life, and onto one that was never given: the whole")
-	d.poll(PollRequest{Proxy: "p", Tags: []string{"K-1"}, WaitMs: 30000, AcceptDelta: true})
-	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-9"}, WaitMs: 30000, AcceptDelta: true})
-	d.printf("whatever there is will do: held for 2 s")
-	d.poll(PollRequest{Proxy: "p", AnyTag: true, WaitMs: 2000})
-	d.advance(2500)
-	d.checkTrace()
+	h.mustSetEndpoints(list)
+	h.advance(500)
+	h.printf("the same without deltas, onto a tag of the history: the whole")
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
+	h.printf("onto a tag of another life, and onto one that was never given: the whole")
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"K-1"}, WaitMs: 30000, AcceptDelta: true})
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-9"}, WaitMs: 30000, AcceptDelta: true})
+	h.printf("whatever there is will do: held for 2 s")
+	h.poll(PollRequest{Proxy: "p", AnyTag: true, WaitMs: 2000})
+	h.advance(2500)
+	h.checkTrace()
 }
 
-// Of two polls for a proxy the later one stays, and the earlier is answered at once. A version is acknowledged
-// once, whatever tags come after.
+// Of two polls of a proxy the later one stays pending, and the earlier one is answered at once. A version is
+// acknowledged once, whatever tags come later.
 func TestReplacedPoll(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	d.mustSetEndpoints(d.readyEndpoints(2))
-	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
-	d.advance(100)
-	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
-	d.advance(50)
-	d.printf("a second poll")
-	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
-	d.printf("acked %d, marks left %d", d.sessions.byProxy["p"].ackedVersion, len(d.sessions.byProxy["p"].versions[0].stamps))
-	d.printf("the caller of the first is gone: nothing happens; of the second: the proxy has to poll again")
-	d.CancelPoll(d.nowMs, "p", 2)
-	d.printf("held %d", d.Status(d.nowMs).Polls)
-	d.CancelPoll(d.nowMs, "p", 3)
-	d.printf("held %d joined %d", d.Status(d.nowMs).Polls, d.Status(d.nowMs).Joined)
-	d.advance(5100)
-	d.printf("joined %d", d.Status(d.nowMs).Joined)
-	d.checkTrace()
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
+	h.advance(100)
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
+	h.advance(50)
+	h.printf("a second poll")
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
+	session := h.sessions.byProxy["p"]
+	h.printf("acked %d, marks left %d", session.ackedVersion, len(session.versions[0].stamps))
+	h.printf("the caller of the first is gone: nothing happens; of the second: the proxy has to poll again")
+	h.CancelPoll(h.nowMs, "p", 2)
+	h.printf("held %d", h.Status(h.nowMs).Polls)
+	h.CancelPoll(h.nowMs, "p", 3)
+	status := h.Status(h.nowMs)
+	h.printf("held %d joined %d", status.Polls, status.Joined)
+	h.advance(5100)
+	h.printf("joined %d", h.Status(h.nowMs).Joined)
+	h.checkTrace()
 }
 
-// A proxy that comes back after it left gets a fresh stay: its old tag names nothing.
+// A proxy that comes back after it was disconnected gets a new session: its old tag names no version.
 func TestReconnect(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	d.mustSetEndpoints(d.readyEndpoints(2))
-	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
-	d.advance(100)
-	d.printf("leaves: %v, again: %v", d.Disconnect(d.nowMs, "p", d), d.Disconnect(d.nowMs, "p", d))
-	d.advance(100)
-	d.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
-	d.advance(100)
-	d.printf("in another zone it is another stay")
-	d.poll(PollRequest{Proxy: "p", Zone: "b", Tags: []string{"L-2"}, WaitMs: 30000, AcceptDelta: true})
-	d.advance(100)
-	d.checkTrace()
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
+	h.advance(100)
+	h.printf("leaves: %v, again: %v", h.Disconnect(h.nowMs, "p", h), h.Disconnect(h.nowMs, "p", h))
+	h.advance(100)
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
+	h.advance(100)
+	h.printf("in another zone it is another stay")
+	h.poll(PollRequest{Proxy: "p", Zone: "b", Tags: []string{"L-2"}, WaitMs: 30000, AcceptDelta: true})
+	h.advance(100)
+	h.checkTrace()
 }
 
-// Two proxies with one name are told, both are counted, and the one that holds a poll keeps it: they do not answer each
-// other's polls for ever.
+// Two proxies under one name are recorded once, the statistics of both count, and the one whose poll is pending keeps
+// its session: they do not answer each other's polls for ever.
 func TestDuplicateProxyName(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	list := d.readyEndpoints(1)
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	d.advance(500)
-	d.hideNotModified = true
-	refused, answered := 0, len(d.responses)
+	h := newHarness(t, defaultTestSettings())
+	list := h.readyEndpoints(1)
+	h.mustSetEndpoints(list)
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	h.advance(500)
+	h.hideNotModified = true
+	rejected := 0
+	responsesBefore := len(h.responses)
 	for i := range 100 {
-		d.lastPoll++
-		err := d.Poll(d.nowMs, d.lastPoll, PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000, Tags: []string{d.newestTag("p")}}, d)
-		if err == ErrDuplicateProxy {
-			refused++
+		h.lastPoll++
+		request := PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000, Tags: []string{h.newestTag("p")}}
+		if err := h.Poll(h.nowMs, h.lastPoll, request, h); errors.Is(err, ErrDuplicateProxy) {
+			rejected++
 		}
-		d.advance(10)
+		h.advance(10)
 		if i%20 == 0 {
-			for _, sender := range []string{"one", "two"} {
-				counted, err := d.ObserveProxyStats(d.nowMs, "p", ProxyStats{Sender: sender, Sequence: int64(i + 1), Hosts: map[string]HostStats{list[0].Host: {Attempts: 1, MeanLatencyMs: 5, WindowMs: 1000, Load: routing.UnknownLoad}}})
-				if !counted || err != nil {
-					t.Errorf("sums of %s: %v, %v", sender, counted, err)
-				}
-			}
+			reportAsTwoSenders(t, h, int64(i+1), list[0].Host)
 		}
 	}
-	if refused < 80 || len(d.responses)-answered > 15 || d.Status(d.nowMs).Polls != 1 {
-		t.Errorf("%d refused, %d answered, %d held", refused, len(d.responses)-answered, d.Status(d.nowMs).Polls)
+	responses := len(h.responses) - responsesBefore
+	pending := h.Status(h.nowMs).Polls
+	if rejected < 80 || responses > 15 || pending != 1 {
+		t.Errorf("%d polls rejected, %d answered, %d pending", rejected, responses, pending)
 	}
-	told := 0
-	for _, e := range d.Events(0) {
-		if e.Kind == "intake" {
-			told++
+	if count := h.countEvents("intake", ""); count != 1 {
+		t.Errorf("%d events, want 1", count)
+	}
+	h.advance(11000)
+	if err := h.Poll(h.nowMs, 1e6, PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000}, h); err != nil {
+		t.Errorf("after the window a poll may replace another one again: %v", err)
+	}
+}
+
+// reportAsTwoSenders reports the statistics of two senders under one proxy's name; both have to count.
+func reportAsTwoSenders(t *testing.T, h *harness, sequence int64, host string) {
+	t.Helper()
+	stats := HostStats{Attempts: 1, MeanLatencyMs: 5, WindowMs: 1000, Load: routing.UnknownLoad}
+	for _, sender := range []string{"one", "two"} {
+		report := ProxyStats{Sender: sender, Sequence: sequence, Hosts: map[string]HostStats{host: stats}}
+		counted, err := h.ObserveProxyStats(h.nowMs, "p", report)
+		if !counted || err != nil {
+			t.Errorf("statistics of %s: counted %v, %v", sender, counted, err)
 		}
 	}
-	if told != 1 {
-		t.Errorf("told %d times", told)
+}
+
+// Before a graceful shutdown all pending polls are answered with what there is.
+func TestReleasePolls(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	var polls []int64
+	for _, proxy := range []string{"p", "q"} {
+		h.poll(PollRequest{Proxy: proxy, WaitMs: 60000})
+	}
+	h.advance(100)
+	for _, proxy := range []string{"p", "q"} {
+		polls = append(polls, h.poll(PollRequest{Proxy: proxy, WaitMs: 60000, Tags: []string{h.newestTag(proxy)}}))
+	}
+	h.Disconnect(h.nowMs, "p", h)
+	h.ReleasePolls(h.nowMs, h)
+	for _, poll := range polls {
+		if response, ok := h.responses[poll]; !ok || response.Kind != NotModified {
+			t.Errorf("poll %d has the response %+v, want one without changes", poll, response.Kind)
+		}
 	}
-	d.advance(11000)
-	if err := d.Poll(d.nowMs, 1e6, PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000}, d); err != nil {
-		t.Errorf("later one poll may take another's place: %v", err)
+	if pending := h.Status(h.nowMs).Polls; pending != 0 {
+		t.Errorf("%d polls are pending, want none", pending)
 	}
 }
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -7,102 +7,140 @@
 	"barleysail/routing"
 )
 
-// What operators set is laid over the list, survives a changed list, is told to proxies as the list's own would be, and
-// ends at its time; a zone's drain goes host by host.
+// Overrides take precedence over the endpoint list, survive a changed list, reach the proxies as entries of the list
+// would, and end at their time. The hosts of a zone drain one after the other.
 func TestOverrides(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	d.applyOverrides(operator.Command{Host: "10.0.0.0:80", State: operator.Draining, Weight: -1})
-	d.mustSetEndpoints(d.readyEndpoints(4))
-	q := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
-	d.poll(q)
-	d.advance(3000)
-	d.pollAgain(q)
-	d.applyOverrides(operator.Command{Host: "10.0.0.0:80", State: operator.Draining, Weight: -1, DurationMs: 20000, Operator: "x"})
-	d.advance(3000)
-	d.printf("the list changes: the drain stays")
-	list := d.readyEndpoints(4)
+	h := newHarness(t, defaultTestSettings())
+	h.applyOverrides(operator.Command{Host: hostName(0), State: operator.Draining, Weight: -1})
+	h.mustSetEndpoints(h.readyEndpoints(4))
+	request := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
+	h.poll(request)
+	h.advance(3000)
+	h.pollAgain(request)
+	h.applyOverrides(operator.Command{
+		Host: hostName(0), State: operator.Draining, Weight: -1, DurationMs: 20000, Operator: "x",
+	})
+	h.advance(3000)
+	h.printf("the list changes: the drain stays")
+	list := h.readyEndpoints(4)
 	list[1].Weight = 2
-	d.pollAgain(q)
-	d.mustSetEndpoints(list)
-	d.advance(3000)
-	d.printf("maint is a removal, a host that is added joins")
-	d.pollAgain(q)
-	d.applyOverrides(operator.Command{Host: "10.0.0.2:80", State: operator.Maintenance, Weight: -1})
-	d.applyOverrides(operator.Command{Host: "10.0.0.9:80", Weight: -1, Add: &operator.AddedHost{Zone: "a", Weight: 1, StartedMs: 1}})
-	d.applyOverrides(operator.Command{Host: "10.0.0.9:81", Weight: -1, Add: &operator.AddedHost{Zone: "c", Weight: 1}})
-	d.advance(6000)
-	d.pollAgain(q)
-	d.advance(12000)
-	d.pollAgain(q)
-	d.printf("hosts")
-	for _, h := range d.HostInfos() {
-		word := ""
-		if h.Operator != nil {
-			word = h.Operator.State
-		}
-		d.printf("%s %s listed %g told %g %s", h.Host, h.Phase, h.Listed, h.Weight, word)
-	}
-	d.printf("a zone")
-	d.applyOverrides(operator.Command{Host: "10.0.0.1:80", State: operator.Draining, Weight: -1, Queue: true}, operator.Command{Host: "10.0.0.3:80", State: operator.Draining, Weight: -1, Queue: true})
+	h.pollAgain(request)
+	h.mustSetEndpoints(list)
+	h.advance(3000)
+	h.printf("maint is a removal, a host that is added joins")
+	h.pollAgain(request)
+	h.applyOverrides(operator.Command{Host: hostName(2), State: operator.Maintenance, Weight: -1})
+	added := &operator.AddedHost{Zone: "a", Weight: 1, StartedMs: 1}
+	h.applyOverrides(operator.Command{Host: hostName(9), Weight: -1, Add: added})
+	invalid := &operator.AddedHost{Zone: "c", Weight: 1}
+	h.applyOverrides(operator.Command{Host: "10.0.0.9:81", Weight: -1, Add: invalid})
+	h.advance(6000)
+	h.pollAgain(request)
+	h.advance(12000)
+	h.pollAgain(request)
+	h.printf("hosts")
+	h.printHosts()
+	h.printf("a zone")
+	h.applyOverrides(
+		operator.Command{Host: hostName(1), State: operator.Draining, Weight: -1, Queue: true},
+		operator.Command{Host: hostName(3), State: operator.Draining, Weight: -1, Queue: true},
+	)
 	for range 5 {
-		d.pollAgain(q)
-		d.advance(2000)
+		h.pollAgain(request)
+		h.advance(2000)
+	}
+	for _, event := range h.Events(2) {
+		h.printf("event %d %s: %s", event.Number, event.Kind, event.Text)
 	}
-	for _, e := range d.Events(2) {
-		d.printf("event %d %s: %s", e.Number, e.Kind, e.Text)
+	h.checkTrace()
+}
+
+// printHosts prints the state of all hosts.
+func (h *harness) printHosts() {
+	for _, info := range h.HostInfos() {
+		override := ""
+		if info.Operator != nil {
+			override = info.Operator.State
+		}
+		h.printf("%s %s listed %g told %g %s", info.Host, info.Phase, info.Listed, info.Weight, override)
 	}
-	d.checkTrace()
 }
 
-// A withdrawal in the same round as an operator's weight is carried out: the weight is an input, not a way round.
+// A host is ejected although an operator sets its weight in the same round: the weight is an input of the balancer,
+// not a way around it.
 func TestWeightOverrideOfEjectedHost(t *testing.T) {
 	set := defaultTestSettings()
-	set.HealthChecks = true
-	d := newHarness(t, set)
-	d.hideNotModified = true
-	d.mustSetEndpoints(d.readyEndpoints(4))
-	q := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
-	d.poll(q)
-	d.advance(3000)
+	set.deployment.HealthChecks = true
+	h := newHarness(t, set)
+	h.hideNotModified = true
+	h.mustSetEndpoints(h.readyEndpoints(4))
+	request := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
+	h.poll(request)
+	h.advance(3000)
+	failing := hostName(0)
 	for range 6 {
-		d.pollAgain(q)
-		for _, host := range d.healthChecks {
-			how := routing.Healthy
-			if host == "10.0.0.0:80" {
-				how = routing.Unreachable
+		h.pollAgain(request)
+		for _, host := range h.healthChecks {
+			result := routing.Healthy
+			if host == failing {
+				result = routing.Unreachable
 			}
-			d.ObserveHealthCheck(d.nowMs, host, how, routing.UnknownLoad)
+			h.ObserveHealthCheck(h.nowMs, host, result, routing.UnknownLoad)
 		}
-		d.healthChecks = nil
-		d.ApplyOverrides(d.nowMs, []operator.Command{{Host: "10.0.0.0:80", Weight: 1.5, KeepState: true}}, d)
-		d.advance(1500)
-	}
-	for _, h := range d.HostInfos() {
-		if h.Host == "10.0.0.0:80" && (!h.Withdrawn || h.Weight != 0 || h.Listed != 1.5) {
-			t.Errorf("%+v", h)
+		h.healthChecks = nil
+		command := operator.Command{Host: failing, Weight: 1.5, KeepState: true}
+		if _, err := h.ApplyOverrides(h.nowMs, []operator.Command{command}, h); err != nil {
+			t.Fatal(err)
 		}
+		h.advance(1500)
+	}
+	info := h.mustHostInfo(failing)
+	if !info.Withdrawn || info.Weight != 0 || info.Listed != 1.5 {
+		t.Errorf("%+v", info)
 	}
-	if len(d.HostInfos()[1].Moves) == 0 || d.HostInfos()[0].Why.ConsecutiveFailures == 0 {
-		t.Errorf("%+v", d.HostInfos()[:2])
+	infos := h.HostInfos()
+	if len(infos[1].Moves) == 0 || infos[0].Why.ConsecutiveFailures == 0 {
+		t.Errorf("%+v", infos[:2])
 	}
 }
 
-// An order that ends or waits is looked at in time though nothing else happens.
+// An override that expires or is queued is looked at in time though nothing else happens.
 func TestOverrideExpiresInTime(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	d.hideNotModified = true
-	d.mustSetEndpoints(d.readyEndpoints(4))
-	d.advance(3000)
-	d.applyOverrides(operator.Command{Host: "10.0.0.0:80", State: operator.Draining, Weight: -1, DurationMs: 7500})
-	if d.Next() > d.nowMs+7500 {
-		t.Errorf("next at %.0f of %.0f", d.Next(), d.nowMs)
+	h := newHarness(t, defaultTestSettings())
+	h.hideNotModified = true
+	h.mustSetEndpoints(h.readyEndpoints(4))
+	h.advance(3000)
+	host := hostName(0)
+	h.applyOverrides(operator.Command{Host: host, State: operator.Draining, Weight: -1, DurationMs: 7500})
+	if h.Next() > h.nowMs+7500 {
+		t.Errorf("next at %.0f of %.0f", h.Next(), h.nowMs)
+	}
+	h.advance(7400)
+	if info := h.mustHostInfo(host); info.Phase != "draining" {
+		t.Errorf("%+v", info)
 	}
-	d.advance(7400)
-	if h, _ := d.HostInfo("10.0.0.0:80"); h.Phase != "draining" {
-		t.Errorf("%+v", h)
+	h.advance(101)
+	if info := h.mustHostInfo(host); info.Phase != "ready" {
+		t.Errorf("%+v", info)
 	}
-	d.advance(101)
-	if h, _ := d.HostInfo("10.0.0.0:80"); h.Phase != "ready" {
-		t.Errorf("%+v", h)
+}
+
+// The text of a command in events names what it sets, for how long, and who gave it.
+func TestDescribeCommand(t *testing.T) {
+	for _, test := range []struct {
+		command operator.Command
+		want    string
+	}{
+		{operator.Command{Host: "h:1", Weight: -1, Add: &operator.AddedHost{}}, "h:1 add"},
+		{operator.Command{Host: "h:1", Weight: -1, Remove: true}, "h:1 remove"},
+		{operator.Command{Host: "h:1", ClearWeight: true}, "h:1 listed, the list's weight"},
+		{operator.Command{Host: "h:1", Weight: 0.5, Relative: true}, "h:1 listed, weight 0.5 of the list's"},
+		{operator.Command{Host: "h:1", Weight: 2}, "h:1 listed, weight 2"},
+		{operator.Command{Host: "h:1", State: operator.Draining, Weight: -1, DurationMs: 1500, Operator: "ann"},
+			"h:1 drain for 1.5 s by ann"},
+	} {
+		if got := describeCommand(test.command); got != test.want {
+			t.Errorf("the text is %q, want %q", got, test.want)
+		}
 	}
 }
--- a/controller/restore_test.go
+++ b/controller/restore_test.go
@@ -14,263 +14,328 @@
 	"barleysail/state/statepb"
 )
 
-// restart is another life of a steward, which starts so much later with what the one before kept, as it comes from a file.
-func (d *harness) restart(t *testing.T, set testSettings, life string, later float64) *harness {
-	kept := d.Snapshot(d.nowMs)
-	text, err := proto.Marshal(kept)
+// restart starts the next incarnation "M" some time later, from the snapshot of this one as it comes from a file.
+func (h *harness) restart(set testSettings, laterMs float64) *harness {
+	h.t.Helper()
+	return restoreHarness(h.t, set, h.Snapshot(h.nowMs), h.nowMs+laterMs)
+}
+
+// restoreHarness starts the incarnation "M" from a snapshot.
+func restoreHarness(t testing.TB, set testSettings, snapshot *statepb.State, nowMs float64) *harness {
+	t.Helper()
+	encoded, err := proto.Marshal(snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return restoreHarness(t, set, life, text, d.nowMs+later)
-}
-
-func restoreHarness(t *testing.T, set testSettings, life string, text []byte, at float64) *harness {
-	kept := &statepb.State{}
-	if err := proto.Unmarshal(text, kept); err != nil {
+	decoded := &statepb.State{}
+	if err := proto.Unmarshal(encoded, decoded); err != nil {
 		t.Fatal(err)
 	}
-	set.Incarnation = life
-	n := newHarness(t, set)
-	n.nowMs = at
-	n.Restore(at, state.ApplyDecay(kept, at, state.DefaultLimits(set.guard.SlowStartMs)))
-	return n
+	set.deployment.Incarnation = "M"
+	h := newHarness(t, set)
+	h.nowMs = nowMs
+	h.Restore(nowMs, state.ApplyDecay(decoded, nowMs, state.DefaultLimits(set.safety.SlowStartMs)))
+	return h
 }
 
-// A life after another goes on with deltas onto what the proxies hold, gives a host that failed less from the first table,
-// and forgets both in time.
+// The next incarnation continues with deltas onto what the proxies hold, gives a host that has failed less weight from
+// the first table on, and forgets both in time.
 func TestNextIncarnation(t *testing.T) {
 	set := defaultTestSettings()
-	d := newHarness(t, set)
-	d.hideNotModified = true
-	list := d.readyEndpoints(4)
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, RequestRate: 90})
-	n := int64(0)
-	d.reportFailures(list, list[1].Host, 6, &n)
-	d.printf("the first life gave %s", d.describeTable("p"))
-	tag := d.newestTag("p")
-	for _, later := range []float64{1000, 60e3, 3600e3} {
-		x := d.restart(t, set, "M", later)
-		x.printf("after %.0f s", later/1000)
-		x.mustSetEndpoints(list)
-		x.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
-		x.advance(500)
-		x.printf("it gives %s, rate %.0f", x.describeTable("p"), x.sessions.byProxy["p"].requestRates[0])
-		m := x.Status(x.nowMs).Memory
-		x.printf("recalled %d hosts, %d proxies, %d versions; %s", m.Hosts, m.Proxies, m.Versions, m.Why)
-		d.trace.WriteString(x.trace.String())
+	h := newHarness(t, set)
+	h.hideNotModified = true
+	list := h.readyEndpoints(4)
+	h.mustSetEndpoints(list)
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000, RequestRate: 90})
+	h.reportFailures(list, list[1].Host, 6)
+	h.printf("the first life gave %s", h.describeTable("p"))
+	tag := h.newestTag("p")
+	for _, laterMs := range []float64{1000, 60e3, 3600e3} {
+		next := h.restart(set, laterMs)
+		next.printf("after %.0f s", laterMs/1000)
+		next.mustSetEndpoints(list)
+		next.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
+		next.advance(500)
+		next.printf("it gives %s, rate %.0f", next.describeTable("p"), next.sessions.byProxy["p"].requestRates[0])
+		report := next.Status(next.nowMs).Memory
+		next.printf("recalled %d hosts, %d proxies, %d versions; %s", report.Hosts, report.Proxies, report.Versions,
+			report.Why)
+		h.trace.WriteString(next.trace.String())
 	}
-	x := d.restart(t, set, "M", -5000)
-	x.mustSetEndpoints(list)
-	x.printf("%s", x.Status(x.nowMs).Memory.Why)
-	d.trace.WriteString(x.trace.String())
-	d.checkTrace()
+	earlier := h.restart(set, -5000)
+	earlier.mustSetEndpoints(list)
+	earlier.printf("%s", earlier.Status(earlier.nowMs).Memory.Why)
+	h.trace.WriteString(earlier.trace.String())
+	h.checkTrace()
 }
 
-// A proxy with a tag of neither life, or whose kept table is of other classes, gets the whole; one that is in another zone
-// now is another.
+// A proxy whose tag is of neither incarnation, or whose persisted tables are those of other classes, gets a snapshot;
+// one that is now in another zone is another proxy.
 func TestUnknownTags(t *testing.T) {
-	set := defaultTestSettings()
-	d := newHarness(t, set)
-	list := d.readyEndpoints(2)
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	d.advance(100)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 900, Tags: []string{d.newestTag("p")}})
-	tag := d.newestTag("p")
-	for _, x := range []struct {
-		what string
-		q    PollRequest
-		want ResponseKind
-		set  func(s *testSettings)
+	h := newHarness(t, defaultTestSettings())
+	list := h.readyEndpoints(2)
+	h.mustSetEndpoints(list)
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	h.advance(100)
+	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 900})
+	tag := h.newestTag("p")
+	oneClass := func(set *testSettings) { set.classes = set.classes[:1] }
+	for _, test := range []struct {
+		name    string
+		request PollRequest
+		want    ResponseKind
+		change  func(set *testSettings) // nil: the settings stay
 	}{
-		{"its own", PollRequest{Proxy: "p", Tags: []string{tag}, AcceptDelta: true}, Delta, func(*testSettings) {}},
-		{"without deltas", PollRequest{Proxy: "p", Tags: []string{tag}}, Snapshot, func(*testSettings) {}},
-		{"another's", PollRequest{Proxy: "p", Tags: []string{"L-999"}, AcceptDelta: true}, Snapshot, func(*testSettings) {}},
-		{"another proxy's", PollRequest{Proxy: "q", Tags: []string{tag}, AcceptDelta: true}, Snapshot, func(*testSettings) {}},
-		{"another zone", PollRequest{Proxy: "p", Zone: "b", Tags: []string{tag}, AcceptDelta: true}, Snapshot, func(*testSettings) {}},
-		{"other classes", PollRequest{Proxy: "p", Tags: []string{tag}, AcceptDelta: true}, Snapshot, func(s *testSettings) { s.classes = s.classes[:1] }},
+		{"its own", PollRequest{Proxy: "p", Tags: []string{tag}, AcceptDelta: true}, Delta, nil},
+		{"without deltas", PollRequest{Proxy: "p", Tags: []string{tag}}, Snapshot, nil},
+		{"an unknown one", PollRequest{Proxy: "p", Tags: []string{"L-999"}, AcceptDelta: true}, Snapshot, nil},
+		{"another proxy's", PollRequest{Proxy: "q", Tags: []string{tag}, AcceptDelta: true}, Snapshot, nil},
+		{"another zone", PollRequest{Proxy: "p", Zone: "b", Tags: []string{tag}, AcceptDelta: true}, Snapshot, nil},
+		{"other classes", PollRequest{Proxy: "p", Tags: []string{tag}, AcceptDelta: true}, Snapshot, oneClass},
 	} {
-		other := defaultTestSettings()
-		x.set(&other)
-		n := d.restart(t, other, "M", 1000)
-		n.mustSetEndpoints(list[:1]) // one host is gone, so there is something to tell
-		x.q.WaitMs = 60000
-		id := n.poll(x.q)
-		n.advance(400)
-		if a, ok := n.responses[id]; !ok || a.Kind != x.want || a.Kind == Delta && a.BaseTag != tag {
-			t.Errorf("%s: %+v", x.what, a)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			set := defaultTestSettings()
+			if test.change != nil {
+				test.change(&set)
+			}
+			next := h.restart(set, 1000)
+			next.mustSetEndpoints(list[:1]) // one host is removed, so that there is something to send
+			request := test.request
+			request.WaitMs = 60000
+			poll := next.poll(request)
+			next.advance(400)
+			response, ok := next.responses[poll]
+			if !ok || response.Kind != test.want || response.Kind == Delta && response.BaseTag != tag {
+				t.Errorf("the response is %+v", response)
+			}
+		})
 	}
 }
 
-// A host that started shortly before the restart is still cold after it, though the list tells no start; one that the list
-// says started since is cold anew.
+// A host that started shortly before the restart is still warming up after it, though the endpoint list gives no
+// start; one that has started since by the list begins its slow start anew.
 func TestRestartDuringSlowStart(t *testing.T) {
 	set := defaultTestSettings()
-	d := newHarness(t, set)
-	list := d.readyEndpoints(3)
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	d.advance(1000)
-	fresh := Endpoint{Host: "10.0.0.9:80", Zone: "a", State: routing.Ready, Weight: 1}
-	d.mustSetEndpoints(append(list, fresh))
-	d.advance(2000)
-	warmth := func(x *harness, host string) float64 { i, _ := x.HostInfo(host); return i.Why.SlowStartFactor }
-	was := warmth(d, fresh.Host)
-	x := d.restart(t, set, "M", 1000)
-	x.mustSetEndpoints(append(list, fresh))
-	x.advance(10)
-	if got := warmth(x, fresh.Host); got <= was || got > was+0.1 || got >= 1 {
-		t.Errorf("warmth %.2f before, %.2f a second later", was, got)
+	h := newHarness(t, set)
+	list := h.readyEndpoints(3)
+	h.mustSetEndpoints(list)
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	h.advance(1000)
+	added := Endpoint{Host: hostName(9), Zone: "a", State: routing.Ready, Weight: 1}
+	h.mustSetEndpoints(append(list, added))
+	h.advance(2000)
+	slowStartFactor := func(of *harness, host string) float64 { return of.mustHostInfo(host).Why.SlowStartFactor }
+	before := slowStartFactor(h, added.Host)
+
+	restored := h.restart(set, 1000)
+	restored.mustSetEndpoints(append(list, added))
+	restored.advance(10)
+	if got := slowStartFactor(restored, added.Host); got <= before || got > before+0.1 || got >= 1 {
+		t.Errorf("the slow-start factor is %.2f before, %.2f a second later", before, got)
 	}
-	cold := newHarness(t, set)
-	cold.nowMs = x.nowMs
-	cold.mustSetEndpoints(append(list, fresh))
-	if got := warmth(cold, fresh.Host); got != 1 {
-		t.Errorf("without a state it counts as started long ago, but has %.2f", got)
+
+	unrestored := newHarness(t, set)
+	unrestored.nowMs = restored.nowMs
+	unrestored.mustSetEndpoints(append(list, added))
+	if got := slowStartFactor(unrestored, added.Host); got != 1 {
+		t.Errorf("without a state the host counts as started long ago, but its factor is %.2f", got)
 	}
-	list[0].StartedMs = d.nowMs + 500
-	y := d.restart(t, set, "M", 1000)
-	y.mustSetEndpoints(append(list, fresh))
-	y.advance(10)
-	if got := warmth(y, list[0].Host); got > 0.3 {
-		t.Errorf("it started anew and has %.2f", got)
+
+	list[0].StartedMs = h.nowMs + 500
+	startedSince := h.restart(set, 1000)
+	startedSince.mustSetEndpoints(append(list, added))
+	startedSince.advance(10)
+	if got := slowStartFactor(startedSince, list[0].Host); got > 0.3 {
+		t.Errorf("the host has started anew, and its factor is %.2f", got)
 	}
 }
 
-// Restarted within a drain's grace: proxies that come back with the table of before are told the removal in what is left of
-// it, and the drain counts from when it was first told.
+// After a restart within a drain's grace time, proxies that come back with the earlier tables get the removal in what
+// is left of it, and the drain counts from when it was first seen.
 func TestRestartDuringDrain(t *testing.T) {
 	set := defaultTestSettings()
-	d := newHarness(t, set)
-	list := d.readyEndpoints(3)
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	d.advance(1000)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{d.newestTag("p")}})
-	tag := d.newestTag("p")
+	h := newHarness(t, set)
+	list := h.readyEndpoints(3)
+	h.mustSetEndpoints(list)
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	h.advance(1000)
+	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 60000})
+	tag := h.newestTag("p")
 	list[1].State = routing.Draining
-	first := d.nowMs
-	d.mustSetEndpoints(list) // and nothing of it gets out: the steward is killed
-	x := d.restart(t, set, "M", 800)
-	x.mustSetEndpoints(list)
-	x.advance(200)
-	id := x.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
-	x.advance(set.guard.DrainGraceMs - 1000)
-	if a, ok := x.responses[id]; !ok || !strings.Contains(string(a.Body()), `"10.0.0.1:80":null`) {
-		t.Errorf("not told within the grace: %v", x.trace.String())
+	drainingSinceMs := h.nowMs
+	h.mustSetEndpoints(list) // and nothing of it reaches the proxies: the controller is killed
+
+	next := h.restart(set, 800)
+	next.mustSetEndpoints(list)
+	next.advance(200)
+	poll := next.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
+	next.advance(set.safety.DrainGraceMs - 1000)
+	response, ok := next.responses[poll]
+	if !ok || !strings.Contains(string(response.Body()), `"10.0.0.1:80":null`) {
+		t.Errorf("not sent within the grace time: %v", next.trace.String())
 	}
-	if kept := x.Snapshot(x.nowMs); kept.Hosts[1].Drains != first {
-		t.Errorf("it drains since %g, not %g", kept.Hosts[1].Drains, first)
+	if snapshot := next.Snapshot(next.nowMs); snapshot.Hosts[1].Drains != drainingSinceMs {
+		t.Errorf("it drains since %g, not %g", snapshot.Hosts[1].Drains, drainingSinceMs)
 	}
 }
 
-// Restarted while a third is let in: a little more is at once, not all.
+// After a restart while a third of the requests is admitted, a little more is admitted at first, not all.
 func TestRestartDuringAdmissionControl(t *testing.T) {
-	set := defaultTestSettings()
-	kept := &statepb.State{Life: "L", At: 50000, Fleet: &statepb.Fleet{Level: 0.3, Classes: []string{"sheet", "finish"}, Shares: []float64{0.2, 0.9}, At: 50000}}
-	text, _ := proto.Marshal(kept)
-	for _, x := range []struct{ later, level, sheet float64 }{{1000, 0.32, 0.23}, {20000, 0.65, 0.6}, {300e3, 1, 1}} {
-		d := restoreHarness(t, set, "M", text, 50000+x.later)
-		d.mustSetEndpoints(d.readyEndpoints(2))
-		d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-		d.advance(1500)
-		a, _ := d.PublishedTables("p")
-		level, _, _ := d.balancer.Admission()
-		if math.Abs(level-x.level) > 0.02 || math.Abs(a.Tables()[0].AdmissionRatio-x.sheet) > 0.02 {
-			t.Errorf("after %g ms: level %.2f, share %.2f", x.later, level, a.Tables()[0].AdmissionRatio)
-		}
+	const snapshotMs = 50000
+	snapshot := &statepb.State{
+		Life: "L",
+		At:   snapshotMs,
+		Fleet: &statepb.Fleet{
+			Level: 0.3, Classes: []string{"sheet", "finish"}, Shares: []float64{0.2, 0.9}, At: snapshotMs,
+		},
+	}
+	for _, test := range []struct{ laterMs, admissionRatio, sheetRatio float64 }{
+		{1000, 0.32, 0.23},
+		{20000, 0.65, 0.6},
+		{300e3, 1, 1},
+	} {
+		t.Run(fmt.Sprintf("after %g ms", test.laterMs), func(t *testing.T) {
+			h := restoreHarness(t, defaultTestSettings(), snapshot, snapshotMs+test.laterMs)
+			h.mustSetEndpoints(h.readyEndpoints(2))
+			h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+			h.advance(1500)
+			response, _ := h.PublishedTables("p")
+			sheetRatio := response.Tables()[0].AdmissionRatio
+			admissionRatio, _, _ := h.balancer.Admission()
+			if math.Abs(admissionRatio-test.admissionRatio) > 0.02 || math.Abs(sheetRatio-test.sheetRatio) > 0.02 {
+				t.Errorf("the admission ratio is %.2f, that of sheet %.2f", admissionRatio, sheetRatio)
+			}
+		})
 	}
 }
 
-// What operators set is set again, and ends at its time.
+// Overrides survive a restart, and end at their time.
 func TestOverridesSurviveRestart(t *testing.T) {
 	set := defaultTestSettings()
-	d := newHarness(t, set)
-	list := d.readyEndpoints(4)
-	d.mustSetEndpoints(list)
-	d.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	d.advance(1000)
-	for _, o := range []operator.Command{{Host: list[0].Host, State: operator.Draining, Weight: -1, DurationMs: 20000, Operator: "ann"}, {Host: list[1].Host, Weight: 3},
-		{Host: "10.0.0.8:80", Weight: -1, Add: &operator.AddedHost{Zone: "b", Weight: 1, Cores: 4}}} {
-		d.applyOverrides(o)
+	h := newHarness(t, set)
+	list := h.readyEndpoints(4)
+	h.mustSetEndpoints(list)
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	h.advance(1000)
+	for _, command := range []operator.Command{
+		{Host: list[0].Host, State: operator.Draining, Weight: -1, DurationMs: 20000, Operator: "ann"},
+		{Host: list[1].Host, Weight: 3},
+		{Host: hostName(8), Weight: -1, Add: &operator.AddedHost{Zone: "b", Weight: 1, Cores: 4}},
+	} {
+		h.applyOverrides(command)
 	}
-	x := d.restart(t, set, "M", 5000)
-	x.mustSetEndpoints(list)
-	x.poll(PollRequest{Proxy: "p", WaitMs: 60000})
-	x.advance(1000)
-	describe := func() (all []string) {
-		for _, i := range x.HostInfos() {
-			all = append(all, fmt.Sprintf("%s %s listed %g", i.Host, i.Phase, i.Listed))
+	next := h.restart(set, 5000)
+	next.mustSetEndpoints(list)
+	next.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	next.advance(1000)
+	describeHosts := func() string {
+		var descriptions []string
+		for _, info := range next.HostInfos() {
+			descriptions = append(descriptions, fmt.Sprintf("%s %s listed %g", info.Host, info.Phase, info.Listed))
 		}
-		return all
+		return strings.Join(descriptions, "; ")
 	}
-	x.printf("%s", strings.Join(describe(), "; "))
-	x.advance(20000)
-	x.printf("later %s", strings.Join(describe(), "; "))
-	x.checkTrace()
+	next.printf("%s", describeHosts())
+	next.advance(20000)
+	next.printf("later %s", describeHosts())
+	next.checkTrace()
 }
 
-// Six hundred proxies come back within a second, half with the tables of before: the caps of the channel hold, all have
-// tables in time, and those with a tag are told less.
-func TestManyProxiesReconnect(t *testing.T) {
+// reconnectingFleet is a deployment of 600 proxies, which reconnect within a second after a restart.
+type reconnectingFleet struct {
+	set testSettings
+	h   *harness // the first incarnation
+}
+
+const reconnectingProxies = 600
+
+func newReconnectingFleet(t testing.TB) *reconnectingFleet {
 	set := defaultTestSettings()
-	set.Deployment.Proxies, set.channel.EntriesPerSecond, set.channel.MaxBacklog = 600, 8000, 16000
-	d := newHarness(t, set)
-	d.hideNotModified = true
-	list := d.readyEndpoints(40)
-	d.mustSetEndpoints(list)
-	name := func(i int) string { return fmt.Sprintf("p%03d", i) }
-	join := func(x *harness, tagged bool) {
-		for i := range 600 {
-			q := PollRequest{Proxy: name(i), Zone: set.Zones[i%2], WaitMs: 60000, AcceptDelta: true, RequestRate: 1 + float64(i%50)}
-			if tagged && i%2 == 0 {
-				q.Tags = []string{d.newestTag(q.Proxy)}
-			}
-			x.poll(q)
-			if i%6 == 5 {
-				x.advance(10)
-			}
-			if w := x.channel.backlog(); w > set.channel.MaxBacklog {
-				t.Fatalf("%g lines wait", w)
-			}
-		}
+	set.deployment.Proxies = reconnectingProxies
+	set.channel.EntriesPerSecond = 8000
+	set.channel.MaxBacklog = 16000
+	h := newHarness(t, set)
+	h.hideNotModified = true
+	return &reconnectingFleet{set, h}
+}
+
+func (f *reconnectingFleet) request(number int) PollRequest {
+	return PollRequest{
+		Proxy:       fmt.Sprintf("p%03d", number),
+		Zone:        f.set.deployment.Zones[number%2],
+		WaitMs:      60000,
+		AcceptDelta: true,
 	}
-	join(d, false)
-	for range 15 { // until all hold the whole table, and have acknowledged it
-		d.advance(3000)
-		for i := range 600 {
-			d.poll(PollRequest{Proxy: name(i), Zone: set.Zones[i%2], WaitMs: 60000, Tags: []string{d.newestTag(name(i))}, AcceptDelta: true})
+}
+
+// connect has the proxies poll an incarnation within a second, every second one with its tag of the first incarnation
+// where withTags is set.
+func (f *reconnectingFleet) connect(to *harness, withTags bool) {
+	to.t.Helper()
+	for i := range reconnectingProxies {
+		request := f.request(i)
+		request.RequestRate = 1 + float64(i%50)
+		if withTags && i%2 == 0 {
+			request.Tags = []string{f.h.newestTag(request.Proxy)}
 		}
-	}
-	x := d.restart(t, set, "M", 3000)
-	x.hideNotModified = true
-	x.mustSetEndpoints(list[1:]) // one is gone meanwhile
-	began := x.nowMs
-	join(x, true)
-	for x.nowMs < began+10000 {
-		x.advance(100)
-		if w := x.channel.backlog(); w > set.channel.MaxBacklog {
-			t.Fatalf("%g lines wait", w)
+		to.poll(request)
+		if i%6 == 5 {
+			to.advance(10)
 		}
+		f.checkBacklog(to)
 	}
-	deltas, bytes := x.Status(x.nowMs).Memory.Versions, [2]int{}
-	for _, m := range x.sessions.byProxy {
-		a, ok := x.PublishedTables(m.proxy)
-		if !ok || len(a.Tables()[0].Hosts) == 0 {
-			t.Fatalf("%s holds nothing", m.proxy)
+}
+
+func (f *reconnectingFleet) checkBacklog(of *harness) {
+	of.t.Helper()
+	if backlog := of.channel.backlog(); backlog > f.set.channel.MaxBacklog {
+		of.t.Fatalf("%g entries wait", backlog)
+	}
+}
+
+// acknowledgeAll lets time pass until all proxies hold the complete table and have acknowledged it.
+func (f *reconnectingFleet) acknowledgeAll() {
+	f.h.t.Helper()
+	for range 15 {
+		f.h.advance(3000)
+		for i := range reconnectingProxies {
+			f.h.pollAgain(f.request(i))
 		}
 	}
-	for _, a := range x.responses {
-		if a.Kind == Delta {
-			bytes[0] += len(a.Body())
-		} else if a.Kind == Snapshot {
-			bytes[1] += len(a.Body())
+}
+
+// 600 proxies reconnect within a second, half of them with the earlier tables: the limits of the channel hold, all
+// proxies have tables in time, and those with a tag get less.
+func TestManyProxiesReconnect(t *testing.T) {
+	fleet := newReconnectingFleet(t)
+	list := fleet.h.readyEndpoints(40)
+	fleet.h.mustSetEndpoints(list)
+	fleet.connect(fleet.h, false)
+	fleet.acknowledgeAll()
+
+	next := fleet.h.restart(fleet.set, 3000)
+	next.hideNotModified = true
+	next.mustSetEndpoints(list[1:]) // a host was removed meanwhile
+	beganMs := next.nowMs
+	fleet.connect(next, true)
+	for next.nowMs < beganMs+10000 {
+		next.advance(100)
+		fleet.checkBacklog(next)
+	}
+	for _, session := range next.sessions.byProxy {
+		response, ok := next.PublishedTables(session.proxy)
+		if !ok || len(response.Tables()[0].Hosts) == 0 {
+			t.Fatalf("%s holds nothing", session.proxy)
 		}
 	}
-	if deltas < 290 {
-		t.Errorf("%d went on from their old tables", deltas)
+	bytes := map[ResponseKind]int{}
+	for _, response := range next.responses {
+		bytes[response.Kind] += len(response.Body())
+	}
+	carriedOver := next.Status(next.nowMs).Memory.Versions
+	if carriedOver < 290 {
+		t.Errorf("%d proxies continued from their earlier tables, want 290 or more", carriedOver)
 	}
-	t.Logf("%d went on from their old tables; %d bytes of deltas, %d of wholes", deltas, bytes[0], bytes[1])
+	t.Logf("%d continued from their earlier tables; %d bytes of deltas, %d of snapshots",
+		carriedOver, bytes[Delta], bytes[Snapshot])
 }
--- a/controller/rounds_test.go
+++ b/controller/rounds_test.go
@@ -8,41 +8,66 @@
 	"barleysail/routing"
 )
 
-// BenchmarkRounds measures rounds of decisions while sums of 20 hosts a second come from every proxy, without the table
-// guard and with it: while no table changes, and while hosts drain.
+// BenchmarkRounds measures rounds of the balancer while every proxy reports statistics about 20 hosts a second, without
+// the table validator and with it: while no table changes, and while hosts drain.
 func BenchmarkRounds(b *testing.B) {
-	for _, changing := range []int{0, 5, 1} { // a host drains and another is back: never, each second, in each round
-		for i, name := range []string{"off", "tells", "refuses"} {
-			b.Run(fmt.Sprintf("changing=%d/guard=%s", changing, name), func(b *testing.B) {
-				d, list := newLargestHarness(func(s *Controller) {
-					if i > 0 {
-						s.EnableValidation(guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.5, SurviveZoneLoss: true}, RepairSettings{Enabled: i > 1}, guard.EndpointLossLimits{})
-					}
-				})
-				b.ResetTimer()
-				for n := range b.N {
-					b.StopTimer()
-					for i := range 607 / 5 {
-						p := fmt.Sprint("p", (n%5)*121+i)
-						d.poll(PollRequest{Proxy: p, WaitMs: 60000, Tags: []string{d.newestTag(p)}, AcceptDelta: true})
-						hosts := map[string]HostStats{}
-						for k := range 20 {
-							hosts[list[(i*20+n*7+k)%len(list)].Host] = HostStats{Attempts: 4, MeanLatencyMs: 100 + float64(k), WindowMs: 1000, Load: routing.HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}}
-						}
-						if _, err := d.ObserveProxyStats(d.nowMs, p, ProxyStats{Sequence: int64(n + 1), Hosts: hosts, Demand: map[string]ClassDemand{"sheet": {Arrivals: 3, WindowMs: 1000}}}); err != nil {
-							b.Fatal(err)
-						}
-					}
-					if changing > 0 && n%changing == 0 {
-						list[n%506].State, list[(n+505)%506].State = routing.Draining, routing.Ready
-						d.mustSetEndpoints(list)
-					}
-					b.StartTimer()
-					d.advance(200)
-					d.trace.Reset()
-					clear(d.responses)
-				}
+	validations := []struct {
+		name   string
+		enable func(*Controller)
+	}{
+		{"off", func(*Controller) {}},
+		{"tells", func(c *Controller) { enableValidation(c, false) }},
+		{"refuses", func(c *Controller) { enableValidation(c, true) }},
+	}
+	for _, changeEvery := range []int{0, 5, 1} { // rounds until a host drains and another one is back; 0: never
+		for _, validation := range validations {
+			b.Run(fmt.Sprintf("changing=%d/guard=%s", changeEvery, validation.name), func(b *testing.B) {
+				benchmarkRounds(b, changeEvery, validation.enable)
 			})
 		}
 	}
 }
+
+func enableValidation(c *Controller, repair bool) {
+	limits := guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.5, SurviveZoneLoss: true}
+	c.EnableValidation(limits, RepairSettings{Enabled: repair}, guard.EndpointLossLimits{})
+}
+
+func benchmarkRounds(b *testing.B, changeEvery int, configure func(*Controller)) {
+	h, list := newLargestHarness(b, configure)
+	b.ResetTimer()
+	for n := range b.N {
+		b.StopTimer()
+		h.reportFifth(list, n)
+		if changeEvery > 0 && n%changeEvery == 0 {
+			list[n%largestHosts].State = routing.Draining
+			list[(n+largestHosts-1)%largestHosts].State = routing.Ready
+			h.mustSetEndpoints(list)
+		}
+		b.StartTimer()
+		h.advance(200)
+		h.trace.Reset()
+		clear(h.responses)
+	}
+}
+
+// reportFifth has a fifth of the proxies poll and report, another one in each round.
+func (h *harness) reportFifth(list []Endpoint, round int) {
+	h.t.Helper()
+	const fifth = largestProxies / 5
+	load := routing.HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}
+	for i := range fifth {
+		proxy := fmt.Sprint("p", (round%5)*fifth+i)
+		h.pollAgain(PollRequest{Proxy: proxy, WaitMs: 60000, AcceptDelta: true})
+		hosts := map[string]HostStats{}
+		for k := range 20 {
+			host := list[(i*20+round*7+k)%len(list)].Host
+			hosts[host] = HostStats{Attempts: 4, MeanLatencyMs: 100 + float64(k), WindowMs: 1000, Load: load}
+		}
+		h.observeStats(proxy, ProxyStats{
+			Sequence: int64(round + 1),
+			Hosts:    hosts,
+			Demand:   map[string]ClassDemand{"sheet": {Arrivals: 3, WindowMs: 1000}},
+		})
+	}
+}
--- a/controller/snapshot_test.go
+++ b/controller/snapshot_test.go
@@ -6,12 +6,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// What is remembered at full size, and how long it takes.
+// BenchmarkSnapshot measures the size of a snapshot of the largest deployment, and the time that it takes.
 func BenchmarkSnapshot(b *testing.B) {
-	d, _ := newLargestHarness(func(*Controller) {})
+	h, _ := newLargestHarness(b, func(*Controller) {})
 	size := 0
 	for range b.N {
-		size = proto.Size(d.Snapshot(d.nowMs))
+		size = proto.Size(h.Snapshot(h.nowMs))
 	}
 	b.ReportMetric(float64(size), "B")
 }
--- a/controller/solver_test.go
+++ b/controller/solver_test.go
@@ -7,48 +7,53 @@
 	"barleysail/routing"
 )
 
-// Solved weights are told when the demand makes them worth it, once, and go by the hosts' caps; switched off, or
-// without cores told, the list's own stand.
+// Solver weights take effect once the demand makes them worth the updates, once, and follow the capacity of the hosts.
+// While the solver is off, or a host gives no cores, the weights of the endpoint list stand.
 func TestSolverWeights(t *testing.T) {
-	d, list := newUnevenHarness(t, true)
-	n := int64(0)
-	d.hideNotModified = true
-	d.printf("little demand: nothing is worth an order")
-	d.reportDemand(6, 1, &n)
-	d.printf("much")
-	d.reportDemand(30, 22, &n)
-	d.printf("weights %v", d.baseWeights())
-	if g := d.solverGap(); g == nil || g.Best < 0.98 || g.Result < 0.92 || g.Over["10.0.0.0:80"] > 1.1 {
-		t.Errorf("gap %+v", g)
+	h, list := newUnevenHarness(t, true)
+	h.hideNotModified = true
+	h.printf("little demand: nothing is worth an order")
+	h.reportDemand(6, 1)
+	h.printf("much")
+	h.reportDemand(30, 22)
+	h.printf("weights %v", h.baseWeights())
+	gap := h.solverGap()
+	if gap == nil || gap.Best < 0.98 || gap.Result < 0.92 || gap.Over[hostName(0)] > 1.1 {
+		t.Errorf("gap %+v", gap)
 	}
-	d.printf("a host that tells no cores")
-	list = append(list, Endpoint{Host: "10.0.0.9:80", Zone: "a", State: routing.Ready, Weight: 1})
-	d.mustSetEndpoints(list)
-	d.reportDemand(12, 22, &n)
-	d.checkTrace()
+	h.printf("a host that tells no cores")
+	list = append(list, Endpoint{Host: hostName(9), Zone: "a", State: routing.Ready, Weight: 1})
+	h.mustSetEndpoints(list)
+	h.reportDemand(12, 22)
+	h.checkTrace()
+
 	off, _ := newUnevenHarness(t, false)
-	n = 0
-	off.reportDemand(30, 22, &n)
-	if g := off.solverGap(); g == nil || g.Result > 0.8 || g.Over["10.0.0.0:80"] < 2 {
-		t.Errorf("without solved weights: gap %+v", g)
+	off.reportDemand(30, 22)
+	if gap := off.solverGap(); gap == nil || gap.Result > 0.8 || gap.Over[hostName(0)] < 2 {
+		t.Errorf("without solver weights: gap %+v", gap)
 	}
-	if strings.Contains(off.trace.String(), "solved") || off.baseWeights()["10.0.0.1:80"] != 1 {
+	if strings.Contains(off.trace.String(), "solved") || off.baseWeights()[hostName(1)] != 1 {
 		t.Errorf("switched off:\n%s", off.trace.String())
 	}
 }
 
-// Where the channel is dear a renewal that gains less than its lines cost is not told.
+// Where the control channel is expensive, weights that gain less than their updates cost do not take effect.
 func TestSolverWeightsAtCost(t *testing.T) {
-	for _, dear := range []bool{false, true} {
-		d, _ := newUnevenHarness(t, true)
-		n := int64(0)
-		d.hideNotModified = true
-		if dear {
-			d.channel.cost = 2000 // two messages of ten lines in five seconds at this price cost more than all
-		}
-		d.reportDemand(30, 22, &n)
-		if told := strings.Contains(d.trace.String(), "solved weights renewed"); told == dear {
-			t.Errorf("dear %v, told %v:\n%s", dear, told, d.trace.String())
-		}
+	for _, test := range []struct {
+		name        string
+		expensive   bool
+		wantRenewed bool
+	}{{"cheap", false, true}, {"expensive", true, false}} {
+		t.Run(test.name, func(t *testing.T) {
+			h, _ := newUnevenHarness(t, true)
+			h.hideNotModified = true
+			if test.expensive {
+				h.channel.cost = 2000 // two messages of ten entries in five seconds cost more than the whole result
+			}
+			h.reportDemand(30, 22)
+			if renewed := strings.Contains(h.trace.String(), "solved weights renewed"); renewed != test.wantRenewed {
+				t.Errorf("renewed %v, want %v:\n%s", renewed, test.wantRenewed, h.trace.String())
+			}
+		})
 	}
 }
--- a/controller/stats_test.go
+++ b/controller/stats_test.go
@@ -3,34 +3,76 @@
 import (
 	"testing"
 
+	"barleysail/intake"
 	"barleysail/routing"
 )
 
-// Sums are counted once for each number; a sender that starts over begins anew.
+// Statistics count once for each number; a sender that starts over takes another name.
 func TestStatsCountedOnce(t *testing.T) {
-	d := newHarness(t, defaultTestSettings())
-	d.mustSetEndpoints(d.readyEndpoints(1))
-	d.poll(PollRequest{Proxy: "p", WaitMs: 30000})
-	d.advance(100)
-	for _, u := range []ProxyStats{{Sender: "x", Sequence: 1}, {Sender: "x", Sequence: 1}, {Sender: "x", Sequence: 3}, {Sender: "x", Sequence: 2}, {Sender: "y", Sequence: 1}} {
-		u.Hosts = map[string]HostStats{"10.0.0.0:80": {Attempts: 10, MeanLatencyMs: 20, WindowMs: 1000, Load: routing.UnknownLoad}}
-		counted, err := d.ObserveProxyStats(d.nowMs, "p", u)
-		d.printf("sums %s %d: counted %v, %v", u.Sender, u.Sequence, counted, err)
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(1))
+	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
+	h.advance(100)
+	for _, stats := range []ProxyStats{
+		{Sender: "x", Sequence: 1},
+		{Sender: "x", Sequence: 1},
+		{Sender: "x", Sequence: 3},
+		{Sender: "x", Sequence: 2},
+		{Sender: "y", Sequence: 1},
+	} {
+		stats.Hosts = map[string]HostStats{
+			hostName(0): {Attempts: 10, MeanLatencyMs: 20, WindowMs: 1000, Load: routing.UnknownLoad},
+		}
+		counted, err := h.ObserveProxyStats(h.nowMs, "p", stats)
+		h.printf("sums %s %d: counted %v, %v", stats.Sender, stats.Sequence, counted, err)
+	}
+	h.checkTrace()
+}
+
+// A distribution of latencies has valid buckets, and no more attempts than were successful.
+func TestCheckLatencies(t *testing.T) {
+	stats := func(buckets ...intake.LatencyBucket) HostStats {
+		return HostStats{Attempts: 5, Failed: 2, Latencies: buckets}
+	}
+	valid := intake.LatencyBucket{Ms: 1, Count: 1}
+	tests := []struct {
+		name  string
+		stats HostStats
+		want  string // the error; empty: valid
+	}{
+		{"none", stats(), ""},
+		{"as many as were successful", stats(valid, intake.LatencyBucket{Ms: 2, Count: 2}), ""},
+		{"too many", stats(intake.LatencyBucket{Ms: 1, Count: 4}), `hosts["h"].times: 4 tries, 3 were good`},
+		{"no count", stats(intake.LatencyBucket{Ms: 1}), `hosts["h"].times[0]: 0 tries of 1 ms`},
+		{"a negative time", stats(valid, intake.LatencyBucket{Ms: -1, Count: 1}),
+			`hosts["h"].times[1]: 1 tries of -1 ms`},
+		{"too many buckets", stats(make([]intake.LatencyBucket, 513)...), `hosts["h"].times: 513 bars, 512 at most`},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			got := ""
+			if err := checkLatencies("h", test.stats); err != nil {
+				got = err.Error()
+			}
+			if got != test.want {
+				t.Errorf("the error is %q, want %q", got, test.want)
+			}
+		})
 	}
-	d.checkTrace()
 }
 
-// BenchmarkStats measures the intake of one proxy's sums of 20 hosts.
+// BenchmarkStats measures the intake of one proxy's statistics about 20 hosts.
 func BenchmarkStats(b *testing.B) {
-	d, list := newLargestHarness(func(*Controller) {})
+	h, list := newLargestHarness(b, func(*Controller) {})
+	load := routing.HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}
 	hosts := map[string]HostStats{}
-	for k := range 20 {
-		hosts[list[k].Host] = HostStats{Attempts: 4, MeanLatencyMs: 100, WindowMs: 1000, Load: routing.HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}}
+	for i := range 20 {
+		hosts[list[i].Host] = HostStats{Attempts: 4, MeanLatencyMs: 100, WindowMs: 1000, Load: load}
 	}
 	b.ResetTimer()
 	b.ReportAllocs()
 	for n := range b.N {
-		if _, err := d.ObserveProxyStats(d.nowMs, "p1", ProxyStats{Sequence: int64(n + 1), Hosts: hosts}); err != nil {
+		if _, err := h.ObserveProxyStats(h.nowMs, "p1", ProxyStats{Sequence: int64(n + 1), Hosts: hosts}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/controller/tableset_test.go
+++ b/controller/tableset_test.go
@@ -11,47 +11,79 @@
 	"barleysail/routing"
 )
 
-// A delta never fits another base, and any of the history onto any later version gives that version.
+// A delta is onto the version that the proxy holds, and applied to any version of the history it gives the newest one.
 func TestDeltasApplyToBase(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		d := newHarness(t, defaultTestSettings())
-		list := d.readyEndpoints(6)
-		d.mustSetEndpoints(list)
-		docs := map[string][]byte{}
-		tags := []string{}
+		h := newHarness(t, defaultTestSettings())
+		list := h.readyEndpoints(6)
+		h.mustSetEndpoints(list)
+		documents := map[string][]byte{}
+		var tags []string
 		for range rapid.IntRange(2, 12).Draw(r, "rounds") {
-			id := d.poll(PollRequest{Proxy: "p", WaitMs: -1, Tags: tags})
-			d.advance(400)
-			whole := d.poll(PollRequest{Proxy: "p", WaitMs: -1})
-			a := d.responses[whole]
-			docs[a.Tag] = a.Body()
-			tags = append(tags, a.Tag)
+			h.poll(PollRequest{Proxy: "p", WaitMs: -1, Tags: tags})
+			h.advance(400)
+			snapshot := h.responses[h.poll(PollRequest{Proxy: "p", WaitMs: -1})]
+			documents[snapshot.Tag] = snapshot.Body()
+			tags = append(tags, snapshot.Tag)
 			base := rapid.SampledFrom(tags).Draw(r, "base")
-			id = d.poll(PollRequest{Proxy: "p", WaitMs: -1, Tags: []string{base}, AcceptDelta: true})
-			got := d.responses[id]
-			body := got.Body()
-			switch got.Kind {
-			case NotModified:
-				body = docs[base]
-			case Delta:
-				if got.BaseTag != base {
-					r.Fatalf("a delta onto %s for a proxy that holds %s", got.BaseTag, base)
-				}
-				var err error
-				if body, err = jsonpatch.MergePatch(docs[base], body); err != nil {
-					r.Fatal(err)
-				}
-			}
-			var x, y any
-			if json.Unmarshal(body, &x) != nil || json.Unmarshal(docs[a.Tag], &y) != nil || !reflect.DeepEqual(x, y) {
-				r.Fatalf("from %s: %s\nnot %s", base, body, docs[a.Tag])
+			poll := h.poll(PollRequest{Proxy: "p", WaitMs: -1, Tags: []string{base}, AcceptDelta: true})
+			applied := applyResponse(r, h.responses[poll], base, documents[base])
+			if !equalJSON(applied, documents[snapshot.Tag]) {
+				r.Fatalf("from %s: %s\nnot %s", base, applied, documents[snapshot.Tag])
 			}
 			for i := range list {
-				list[i].State = rapid.SampledFrom([]routing.HostState{routing.Ready, routing.Draining}).Draw(r, "phase")
+				states := []routing.HostState{routing.Ready, routing.Draining}
+				list[i].State = rapid.SampledFrom(states).Draw(r, "phase")
 				list[i].Weight = rapid.Float64Range(0.5, 2).Draw(r, "weight")
 			}
-			d.mustSetEndpoints(list[:rapid.IntRange(1, 6).Draw(r, "listed")])
-			d.advance(3000)
+			h.mustSetEndpoints(list[:rapid.IntRange(1, 6).Draw(r, "listed")])
+			h.advance(3000)
 		}
 	})
 }
+
+// applyResponse is the document of a proxy that holds the document of a base and gets a response.
+func applyResponse(r *rapid.T, response Response, base string, document []byte) []byte {
+	switch response.Kind {
+	case NotModified:
+		return document
+	case Delta:
+		if response.BaseTag != base {
+			r.Fatalf("a delta onto %s for a proxy that holds %s", response.BaseTag, base)
+		}
+		patched, err := jsonpatch.MergePatch(document, response.Body())
+		if err != nil {
+			r.Fatal(err)
+		}
+		return patched
+	default:
+		return response.Body()
+	}
+}
+
+// equalJSON reports whether two texts are JSON documents of the same content.
+func equalJSON(a, b []byte) bool {
+	var x, y any
+	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && reflect.DeepEqual(x, y)
+}
+
+// The canonical form holds the same tables as the snapshot, its members in the order of their names, and is the same
+// for a delta.
+func TestCanonicalTables(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	h.advance(100)
+	response, ok := h.PublishedTables("p")
+	if !ok {
+		t.Fatal("p has no tables")
+	}
+	const want = `{"finish":{"hosts":{"10.0.0.0:80":1,"10.0.0.1:80":1},"share":1,"tries":1},` +
+		`"sheet":{"hosts":{"10.0.0.0:80":1,"10.0.0.1:80":1},"share":1,"tries":1}}`
+	for range 2 { // made, then cached
+		canonical, err := response.Canonical()
+		if err != nil || string(canonical) != want {
+			t.Errorf("the canonical form is %s, %v, want %s", canonical, err, want)
+		}
+	}
+}
