--- a/controller/channel.go
+++ b/controller/channel.go
@@ -26,6 +26,12 @@
 	peakBacklog       float64
 }
 
+// Entries that a message holds besides those of the tables, as the balancer counts them.
+const (
+	stampEntries      = 1 // the version stamp of a message
+	assignmentEntries = 1 // the assignment of a table
+)
+
 // updateMessage is a message to a proxy.
 type updateMessage struct {
 	session    *session
--- a/controller/churn_test.go
+++ b/controller/churn_test.go
@@ -50,7 +50,7 @@
 		h.trace.Reset()
 	}
 	result.heapAfter = heapInUse()
-	result.indicesInUse = h.Status(h.nowMs).IndicesInUse
+	result.indicesInUse = h.Status(h.nowMs).HostIndices
 	return result
 }
 
--- a/controller/endpoint_loss.go
+++ b/controller/endpoint_loss.go
@@ -18,15 +18,15 @@
 	wasHeld := validation.heldEndpoints != nil
 	if !validation.endpointLoss.Observe(c.nowMs, loss.ready, loss.lost, loss.confirmed) {
 		if wasHeld {
-			c.recordEvent("guard", fmt.Sprintf("the list is believed: %d of %d ready hosts are lost, %d of them confirmed",
+			c.recordEvent(eventValidation, fmt.Sprintf("the list is believed: %d of %d ready hosts are lost, %d of them confirmed",
 				loss.lost, loss.ready, loss.confirmed))
 		}
 		validation.heldEndpoints = nil
 		return false
 	}
 	if !wasHeld {
-		validation.report.ListHolds++
-		c.recordEvent("guard", fmt.Sprintf(
+		validation.report.EndpointHolds++
+		c.recordEvent(eventValidation, fmt.Sprintf(
 			"the list is held back: %d of %d ready hosts are lost at once, %d of them confirmed",
 			loss.lost, loss.ready, loss.confirmed))
 	}
--- a/controller/endpoint_loss_test.go
+++ b/controller/endpoint_loss_test.go
@@ -26,9 +26,9 @@
 	h.printf("a list with one host that stays so")
 	h.mustSetEndpoints(h.readyEndpoints(1))
 	h.advance(1490)
-	h.printf("held %v", h.ValidationReport().ListHeld)
+	h.printf("held %v", h.ValidationReport().EndpointsHeld)
 	h.advance(100)
-	h.printf("held %v", h.ValidationReport().ListHeld)
+	h.printf("held %v", h.ValidationReport().EndpointsHeld)
 	h.pollAgain(request)
 	h.mustSetEndpoints(h.readyEndpoints(4))
 	h.advance(12000)
@@ -38,6 +38,6 @@
 		h.applyOverrides(operator.Command{Host: host, State: operator.Maintenance, Weight: -1})
 	}
 	h.mustSetEndpoints(h.readyEndpoints(1))
-	h.printf("held %v", h.ValidationReport().ListHeld)
+	h.printf("held %v", h.ValidationReport().EndpointsHeld)
 	h.checkTrace()
 }
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -77,7 +77,7 @@
 func (c *Controller) acceptEndpoints(entries []Endpoint) {
 	before := len(c.endpoints.received)
 	if before != len(entries) || !c.endpoints.known {
-		c.recordEvent("list", fmt.Sprintf("the list has %d hosts, before %d", len(entries), before))
+		c.recordEvent(eventEndpoints, fmt.Sprintf("the list has %d hosts, before %d", len(entries), before))
 	}
 	c.endpoints.received = append([]Endpoint(nil), entries...)
 	c.applyEndpoints()
@@ -93,7 +93,7 @@
 func (c *Controller) ObserveWatchFailure(nowMs float64) {
 	c.nowMs = nowMs
 	c.endpoints.watchFailed = true
-	c.recordEvent("list", "the list could not be had")
+	c.recordEvent(eventEndpoints, "the list could not be had")
 	c.balancer.ObserveWatchFailure()
 	c.requestRound()
 }
@@ -138,7 +138,7 @@
 	// Until now an empty table was withheld from the proxies, see tableSetOf.
 	for _, session := range c.sessions.byIndex {
 		if session != nil && len(session.versions) > 0 {
-			c.channel.enqueue(session, 1, false, noStamp)
+			c.channel.enqueue(session, assignmentEntries, false, noStamp)
 		}
 	}
 }
--- a/controller/endpoints_test.go
+++ b/controller/endpoints_test.go
@@ -35,9 +35,9 @@
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	h.advance(1000)
 	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-2"}, WaitMs: 60000, AcceptDelta: true})
-	h.printf("indices %d", h.Status(h.nowMs).IndicesInUse)
+	h.printf("indices %d", h.Status(h.nowMs).HostIndices)
 	h.advance(60000)
-	h.printf("indices %d", h.Status(h.nowMs).IndicesInUse)
+	h.printf("indices %d", h.Status(h.nowMs).HostIndices)
 	added := Endpoint{Host: "new.addis:80", Zone: "b", State: routing.Ready, Weight: 1}
 	h.mustSetEndpoints(append(h.readyEndpoints(2), added))
 	h.printf("the new host has index %d", h.hostIndex.IndexOf[added.Host])
--- a/controller/events.go
+++ b/controller/events.go
@@ -11,10 +11,21 @@
 type Event struct {
 	Number int64   `json:"number"`
 	At     float64 `json:"at"`   // ms
-	Kind   string  `json:"kind"` // mode, list, operator, joined, left, guard or intake
+	Kind   string  `json:"kind"` // one of the kinds below
 	Text   string  `json:"text"`
 }
 
+// Kinds of events.
+const (
+	eventMode         = "mode"     // the mode has changed, as logged
+	eventEndpoints    = "list"     // the endpoint list has changed, or could not be had
+	eventOverride     = "operator" // an operator's command was applied, queued or rejected
+	eventConnected    = "joined"   // a proxy was connected
+	eventDisconnected = "left"     // a proxy was disconnected
+	eventValidation   = "guard"    // the table validator has a finding, or an endpoint list is held back
+	eventIngest       = "intake"   // reports are duplicated or not plausible
+)
+
 // maxEvents bounds the events that are retained.
 const maxEvents = 1024
 
@@ -57,6 +68,6 @@
 // logMode notes a change of the mode, and logs it.
 func (c *Controller) logMode(text string) {
 	c.mode = modeStatus{text, c.nowMs}
-	c.recordEvent("mode", text)
+	c.recordEvent(eventMode, text)
 	c.effects.Log(text)
 }
--- a/controller/hostinfo.go
+++ b/controller/hostinfo.go
@@ -78,7 +78,7 @@
 
 // recordWeightChange notes a change of a weight in a shared table.
 func (c *Controller) recordWeightChange(host int, from, to float64) {
-	explanation, _ := c.balancer.Explain(host)
+	explanation, _ := c.balancer.Explain(host) // zero for a host that the balancer has no figures of
 	c.weightChanges.add(host, WeightChange{
 		At:   c.nowMs,
 		From: from,
--- a/controller/ingest.go
+++ b/controller/ingest.go
@@ -143,7 +143,7 @@
 		}
 	}
 	for _, text := range ingest.trust.DrainChanges() {
-		c.recordEvent("intake", text)
+		c.recordEvent(eventIngest, text)
 	}
 }
 
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -73,7 +73,7 @@
 		outcome = "waits"
 	}
 	for _, command := range commands {
-		c.recordEvent("operator", describeCommand(command)+": "+outcome)
+		c.recordEvent(eventOverride, describeCommand(command)+": "+outcome)
 	}
 }
 
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -43,17 +43,17 @@
 // reportRepair notes and logs when the published tables begin to differ from those decided, and when that ends.
 func (c *Controller) reportRepair(differing int, remaining []guard.Finding, cause guard.Finding) {
 	validation := &c.validation
-	wasRepairing := validation.report.Refusing
+	wasRepairing := validation.report.Repairing
 	isRepairing := differing > 0
 	if isRepairing && !wasRepairing {
 		validation.repairingSinceMs = c.nowMs
-		validation.report.Refused++
+		validation.report.Repairs++
 		c.logMode(fmt.Sprintf("guard refuses: %v; %d lines are others, %d findings left", cause, differing, len(remaining)))
 	} else if !isRepairing && wasRepairing {
 		c.logMode(fmt.Sprintf("guard refuses nothing again, after %.0f ms", c.nowMs-validation.repairingSinceMs))
 	}
-	validation.report.Refusing = isRepairing
-	validation.report.Left = remaining
+	validation.report.Repairing = isRepairing
+	validation.report.Remaining = remaining
 	c.reportInvalid(remaining)
 }
 
@@ -135,6 +135,12 @@
 			return 0
 		}
 	}
+	c.replacePublished(number, table, weights)
+	return differing
+}
+
+// replacePublished publishes weights of a shared table in place of those before, and counts the entries that change.
+func (c *Controller) replacePublished(number int, table *routingTable, weights []float64) {
 	if table.published != nil {
 		if changed, hasRemoval := guard.Changed(table.published, weights); changed > 0 {
 			c.tables.beginChange(number, table)
@@ -145,7 +151,6 @@
 	table.published = weights
 	table.tableSet = nil
 	table.entries = nil
-	return differing
 }
 
 // repairFits reports whether the channel has room for the entries that repaired weights would change beside those that
@@ -182,7 +187,7 @@
 		}
 		total += entries
 		if needsMessage {
-			total += channel.messageOverhead + 1
+			total += channel.messageOverhead + stampEntries
 		}
 		budget.MessagesSent = max(budget.MessagesSent, channel.recentMessages(session, c.nowMs))
 	}
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -46,7 +46,7 @@
 		h.printf("published %s", h.describeTable("q"))
 	}
 	report := h.ValidationReport()
-	h.printf("refused %d times, refusing %v", report.Refused, report.Refusing)
+	h.printf("refused %d times, refusing %v", report.Repairs, report.Repairing)
 	h.checkTrace()
 }
 
@@ -69,7 +69,7 @@
 	h.reportDemand(30, 10)
 	h.printf("published %s", h.describeTable("p"))
 	report := h.ValidationReport()
-	h.printf("refusing %v, left %v", report.Refusing, report.Left)
+	h.printf("refusing %v, left %v", report.Repairing, report.Remaining)
 	h.checkTrace()
 }
 
--- a/controller/restore.go
+++ b/controller/restore.go
@@ -262,12 +262,12 @@
 
 // RestoreReport is what was used of the state of an earlier incarnation.
 type RestoreReport struct {
-	From     string  `json:"from"`      // the incarnation; empty: none was known
-	PassedMs float64 `json:"passed_ms"` // between the two
-	Why      string  `json:"why"`       // not all of the state could be used
-	Hosts    int     `json:"hosts"`     // restored
-	Proxies  int     `json:"proxies"`   // restored
-	Versions int     `json:"versions"`  // of proxies that continued from the tables they held
+	Incarnation string  `json:"from"`      // the incarnation; empty: none was known
+	PassedMs    float64 `json:"passed_ms"` // between the two
+	Reason      string  `json:"why"`       // not all of the state could be used
+	Hosts       int     `json:"hosts"`     // restored
+	Proxies     int     `json:"proxies"`   // restored
+	Versions    int     `json:"versions"`  // of proxies that continued from the tables they held
 }
 
 // restoreReport gives nil where nothing was restored.
@@ -277,11 +277,11 @@
 		return nil
 	}
 	return &RestoreReport{
-		From:     restored.Incarnation,
-		PassedMs: restored.ElapsedMs,
-		Why:      restored.Reason,
-		Hosts:    restored.hostCount,
-		Proxies:  restored.proxyCount,
-		Versions: restored.versionCount,
+		Incarnation: restored.Incarnation,
+		PassedMs:    restored.ElapsedMs,
+		Reason:      restored.Reason,
+		Hosts:       restored.hostCount,
+		Proxies:     restored.proxyCount,
+		Versions:    restored.versionCount,
 	}
 }
--- a/controller/restore_test.go
+++ b/controller/restore_test.go
@@ -59,12 +59,12 @@
 		next.printf("it gives %s, rate %.0f", next.describeTable("p"), next.sessions.byProxy["p"].requestRates[0])
 		report := next.Status(next.nowMs).Memory
 		next.printf("recalled %d hosts, %d proxies, %d versions; %s", report.Hosts, report.Proxies, report.Versions,
-			report.Why)
+			report.Reason)
 		h.trace.WriteString(next.trace.String())
 	}
 	earlier := h.restart(set, -5000)
 	earlier.mustSetEndpoints(list)
-	earlier.printf("%s", earlier.Status(earlier.nowMs).Memory.Why)
+	earlier.printf("%s", earlier.Status(earlier.nowMs).Memory.Reason)
 	h.trace.WriteString(earlier.trace.String())
 	h.checkTrace()
 }
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -109,7 +109,7 @@
 func (c *Controller) connect(proxy string, zone int, requestRate float64) *session {
 	session := c.sessions.add(proxy, zone, len(c.classes))
 	c.balancer.ConnectProxy(session.index, zone, requestRate)
-	c.recordEvent("joined", proxy+" of "+c.deployment.Zones[zone])
+	c.recordEvent(eventConnected, proxy+" of "+c.deployment.Zones[zone])
 	c.requestRound()
 	return session
 }
@@ -131,7 +131,7 @@
 	}
 	c.channel.drop(session)
 	c.ingest.queue.Forget(session.proxy)
-	c.recordEvent("left", session.proxy)
+	c.recordEvent(eventDisconnected, session.proxy)
 	c.balancer.DisconnectProxy(session.index)
 	c.balancer.ForgetProxy(session.index)
 	c.tables.forget(c.balancer.SubsetTable(session.index))
--- a/controller/stats.go
+++ b/controller/stats.go
@@ -47,7 +47,7 @@
 	}
 	isNew, duplicate := session.reporters.Accept(nowMs, stats.Sender, stats.Sequence)
 	if duplicate && !session.duplicateReporters {
-		c.recordEvent("intake", "two senders send sums as "+proxy)
+		c.recordEvent(eventIngest, "two senders send sums as "+proxy)
 	}
 	session.duplicateReporters = duplicate
 	if !isNew {
--- a/controller/status.go
+++ b/controller/status.go
@@ -10,7 +10,7 @@
 	Life           string         `json:"life"` // incarnation
 	Zones          []string       `json:"zones"`
 	Classes        []string       `json:"classes"`
-	ListAgeMs      float64        `json:"list_age_ms"` // since the endpoint list last came; below 0: it never has
+	EndpointsAgeMs float64        `json:"list_age_ms"` // since the endpoint list last came; below 0: it never has
 	ListFailed     bool           `json:"list_failed"` // the watch has failed since
 	Hosts          int            `json:"hosts"`
 	Joined         int            `json:"joined"`             // connected proxies
@@ -20,7 +20,7 @@
 	Rounds         int64          `json:"rounds"`
 	Mode           string         `json:"mode"` // the last change of the mode, as logged
 	ModeForMs      float64        `json:"mode_for_ms"`
-	IndicesInUse   int            `json:"indices_in_use"` // hosts that are listed or not yet forgotten
+	HostIndices    int            `json:"indices_in_use"` // hosts that are listed or not yet forgotten
 	MessagesQueued int            `json:"messages_queued"`
 	Intake         IngestReport   `json:"intake"`
 	GuardRefused   int            `json:"guard_refused"`    // number of times that tables had to be repaired
@@ -35,7 +35,7 @@
 	status := Status{
 		Life:           c.deployment.Incarnation,
 		Zones:          c.deployment.Zones,
-		ListAgeMs:      -1,
+		EndpointsAgeMs: -1,
 		ListFailed:     c.endpoints.watchFailed,
 		Hosts:          len(c.endpoints.effective),
 		Joined:         len(c.sessions.byProxy),
@@ -44,17 +44,17 @@
 		LinesMost:      c.channel.peakBacklog,
 		Rounds:         c.tables.round,
 		Mode:           initialMode,
-		IndicesInUse:   len(c.hostIndex.IndexOf),
+		HostIndices:    len(c.hostIndex.IndexOf),
 		MessagesQueued: c.channel.queuedMessages(),
 		Intake:         c.ingestReport(nowMs),
-		GuardRefused:   c.validation.report.Refused,
+		GuardRefused:   c.validation.report.Repairs,
 		Memory:         c.restoreReport(),
 	}
 	for _, class := range c.classes {
 		status.Classes = append(status.Classes, class.Name)
 	}
 	if c.endpoints.known {
-		status.ListAgeMs = nowMs - c.endpoints.receivedMs
+		status.EndpointsAgeMs = nowMs - c.endpoints.receivedMs
 	}
 	if c.mode.text != "" {
 		status.Mode = c.mode.text
--- a/controller/updatewriter.go
+++ b/controller/updatewriter.go
@@ -89,19 +89,19 @@
 		}
 		entries, hasRemoval := c.updateSize(session)
 		if entries > 0 {
-			c.channel.enqueue(session, entries+1, hasRemoval, c.tables.stamp)
+			c.channel.enqueue(session, entries+stampEntries, hasRemoval, c.tables.stamp)
 		}
 	}
 	c.tables.clearChanges()
 }
 
-// updateSize counts the entries that the present round has changed for a proxy; all entries of its tables, each with an
-// entry of its own and one for each class, where the proxy was assigned a table.
+// updateSize counts the entries that the present round has changed for a proxy: all entries of its tables, each table
+// with its assignment and a policy for each class, where the proxy was assigned a table.
 func (c *Controller) updateSize(session *session) (entries float64, hasRemoval bool) {
 	entries = c.tables.globalPolicyChanges
 	if c.tables.reassigned[session] {
 		for _, number := range distinctTables(session.tableByClass) {
-			entries += 1 + c.tables.byNumber[number].publishedSize() + float64(len(c.classes))
+			entries += assignmentEntries + c.tables.byNumber[number].publishedSize() + float64(len(c.classes))
 		}
 		return entries, false
 	}
--- a/controller/validation.go
+++ b/controller/validation.go
@@ -51,17 +51,17 @@
 
 // ValidationReport is what the table validator has found since the controller started.
 type ValidationReport struct {
-	On        bool            `json:"on"`
-	Refuses   bool            `json:"refuses"`  // repair is enabled
-	Refusing  bool            `json:"refusing"` // the published tables differ from those decided
-	Refused   int             `json:"refused"`  // number of times that this began
-	ForMs     float64         `json:"for_ms"`   // since it began
-	Left      []guard.Finding `json:"left"`     // in the repaired tables
-	Looked    int             `json:"looked"`   // number of validations
-	Found     map[string]int  `json:"found"`    // number of new findings, by check
-	Standing  []guard.Finding `json:"standing"` // in the decided tables
-	ListHeld  bool            `json:"list_held"`
-	ListHolds int             `json:"list_holds"` // number of endpoint lists that were held back
+	Enabled        bool            `json:"on"`
+	RepairEnabled  bool            `json:"refuses"`  // repair is enabled
+	Repairing      bool            `json:"refusing"` // the published tables differ from those decided
+	Repairs        int             `json:"refused"`  // number of times that this began
+	RepairingForMs float64         `json:"for_ms"`   // since it began
+	Remaining      []guard.Finding `json:"left"`     // in the repaired tables
+	Looked         int             `json:"looked"`   // number of validations
+	Found          map[string]int  `json:"found"`    // number of new findings, by check
+	Findings       []guard.Finding `json:"standing"` // in the decided tables
+	EndpointsHeld  bool            `json:"list_held"`
+	EndpointHolds  int             `json:"list_holds"` // number of endpoint lists that were held back
 }
 
 // EnableValidation switches the table validator on. Its findings are recorded as events and in ValidationReport; with
@@ -77,7 +77,7 @@
 		repair:       repair,
 		endpointLoss: guard.NewEndpointLossGuard(endpointLoss),
 		hosts:        c.validation.hosts,
-		report:       ValidationReport{On: true, Refuses: repair.Enabled, Found: map[string]int{}},
+		report:       ValidationReport{Enabled: true, RepairEnabled: repair.Enabled, Found: map[string]int{}},
 	}
 }
 
@@ -85,11 +85,11 @@
 func (c *Controller) ValidationReport() ValidationReport {
 	report := c.validation.report
 	report.Found = maps.Clone(report.Found)
-	report.ListHeld = c.validation.heldEndpoints != nil
-	report.Standing = jsonFindings(report.Standing)
-	report.Left = jsonFindings(report.Left)
-	if report.Refusing {
-		report.ForMs = c.nowMs - c.validation.repairingSinceMs
+	report.EndpointsHeld = c.validation.heldEndpoints != nil
+	report.Findings = jsonFindings(report.Findings)
+	report.Remaining = jsonFindings(report.Remaining)
+	if report.Repairing {
+		report.RepairingForMs = c.nowMs - c.validation.repairingSinceMs
 	}
 	return report
 }
@@ -134,7 +134,7 @@
 		return true
 	}
 	intervalMs := validationIntervalMs
-	if validation.report.Refusing {
+	if validation.report.Repairing {
 		intervalMs = repairIntervalMs
 	}
 	return c.nowMs >= validation.lastRunMs+intervalMs
@@ -144,14 +144,14 @@
 func (c *Controller) recordFindings(findings []guard.Finding) {
 	report := &c.validation.report
 	standing := map[string]bool{}
-	for _, finding := range report.Standing {
+	for _, finding := range report.Findings {
 		standing[finding.Check+finding.Subject] = true
 	}
 	for _, finding := range findings {
 		if !standing[finding.Check+finding.Subject] {
 			report.Found[finding.Check]++
-			c.recordEvent("guard", finding.String())
+			c.recordEvent(eventValidation, finding.String())
 		}
 	}
-	report.Standing = findings
+	report.Findings = findings
 }
