--- a/controller/controller.go
+++ b/controller/controller.go
@@ -42,19 +42,20 @@
 	zoneIndex  map[string]int
 	classIndex map[string]int
 
-	balancer  *routing.Balancer
+	balancer  *routing.Balancer // decides on the weights
 	hostIndex interner.Interner // the balancer's indices of hosts
-	scheduler roundScheduler
-	endpoints endpointList
-	sessions  sessionStore
-	tables    tableStore
-	channel   controlChannel
-	ingest    ingestState
-	overrides overrideState
-	solver    solverWeights
-	restored  restoredState
+	scheduler roundScheduler    // when the balancer decides
+
+	endpoints  endpointList    // input: hosts
+	overrides  overrideState   // input: commands of operators
+	ingest     ingestState     // input: reports of proxies and hosts
+	solver     solverWeights   // base weights in place of the list's
+	restored   restoredState   // state of an earlier incarnation
+	sessions   sessionStore    // connected proxies and their versions
+	tables     tableStore      // decided and published tables
+	validation tableValidation // checks and repairs tables before they are published
+	channel    controlChannel  // updates on their way to the proxies
 
-	validation    tableValidation
 	weightChanges weightHistory
 	events        eventLog
 	mode          modeStatus
--- a/controller/endpoint_loss.go
+++ b/controller/endpoint_loss.go
@@ -18,22 +18,24 @@
 	wasHeld := validation.heldEndpoints != nil
 	if !validation.endpointLoss.Observe(c.nowMs, loss.ready, loss.lost, loss.confirmed) {
 		if wasHeld {
-			c.recordEvent(eventValidation, fmt.Sprintf("the list is believed: %d of %d ready hosts are lost, %d of them confirmed",
-				loss.lost, loss.ready, loss.confirmed))
+			c.recordLoss("the list is believed: %d of %d ready hosts are lost, %d of them confirmed", loss)
 		}
 		validation.heldEndpoints = nil
 		return false
 	}
 	if !wasHeld {
 		validation.report.EndpointHolds++
-		c.recordEvent(eventValidation, fmt.Sprintf(
-			"the list is held back: %d of %d ready hosts are lost at once, %d of them confirmed",
-			loss.lost, loss.ready, loss.confirmed))
+		c.recordLoss("the list is held back: %d of %d ready hosts are lost at once, %d of them confirmed", loss)
 	}
 	validation.heldEndpoints = append([]Endpoint{}, entries...)
 	return true
 }
 
+// recordLoss records an event with the numbers of lost, ready and confirmed hosts.
+func (c *Controller) recordLoss(format string, loss endpointLoss) {
+	c.recordEvent(eventValidation, fmt.Sprintf(format, loss.lost, loss.ready, loss.confirmed))
+}
+
 // endpointLoss counts the ready hosts of the endpoint list in effect and those that a new list loses.
 type endpointLoss struct {
 	ready     int // hosts on the list in effect
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -125,6 +125,34 @@
 	}
 }
 
+// An override sets the state and the weight of an entry; a ratio is one of the list's weight, or of 1 where it has
+// none.
+func TestOverridden(t *testing.T) {
+	endpoint := Endpoint{Host: "h:1", State: routing.Ready, Weight: 2}
+	unweighted := Endpoint{Host: "h:1", State: routing.Ready}
+	for _, test := range []struct {
+		name     string
+		endpoint Endpoint
+		override operator.Override
+		want     Endpoint
+	}{
+		{"nothing", endpoint, operator.Override{}, endpoint},
+		{"draining", endpoint, operator.Override{State: operator.Draining},
+			Endpoint{Host: "h:1", State: routing.Draining, Weight: 2}},
+		{"weight", endpoint, operator.Override{Weight: 5}, Endpoint{Host: "h:1", State: routing.Ready, Weight: 5}},
+		{"ratio", endpoint, operator.Override{WeightRatio: 0.5},
+			Endpoint{Host: "h:1", State: routing.Ready, Weight: 1}},
+		{"ratio without a weight", unweighted, operator.Override{WeightRatio: 0.5},
+			Endpoint{Host: "h:1", State: routing.Ready, Weight: 0.5}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := overridden(test.endpoint, test.override); got != test.want {
+				t.Errorf("the entry is %+v, want %+v", got, test.want)
+			}
+		})
+	}
+}
+
 // The text of a command in events names what it sets, for how long, and who gave it.
 func TestDescribeCommand(t *testing.T) {
 	for _, test := range []struct {
--- a/controller/restore_test.go
+++ b/controller/restore_test.go
@@ -241,6 +241,50 @@
 	next.checkTrace()
 }
 
+// A host that was ejected is restored with one failed health check against it, so that it is checked soon; a host that
+// is now in another zone, or has started since, is another one.
+func TestRestoreEjectedHost(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		known        state.Host
+		wantFailures int
+		wantRestored int
+	}{
+		{"timed out", state.Host{Zone: "a", Weight: 1, Ejected: true, ReportTrust: 1}, 1, 1},
+		{"unreachable", state.Host{Zone: "a", Weight: 1, Ejected: true, Unreachable: true, ReportTrust: 0.2}, 1, 1},
+		{"not ejected", state.Host{Zone: "a", Weight: 1, ReportTrust: 1}, 0, 1},
+		{"in another zone", state.Host{Zone: "b", Weight: 1, Ejected: true, ReportTrust: 1}, 0, 0},
+		{"another start", state.Host{Zone: "a", Weight: 1, StartedMs: 400, Ejected: true, ReportTrust: 1}, 0, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			set := defaultTestSettings()
+			set.deployment.HealthChecks = true
+			h := newHarness(t, set)
+			list := h.readyEndpoints(1)
+			list[0].StartedMs = 300
+			known := test.known
+			h.Restore(h.nowMs, &state.Restored{
+				Incarnation:    "K",
+				ElapsedMs:      500,
+				AdmissionRatio: 1,
+				Hosts:          map[string]*state.Host{list[0].Host: &known},
+			})
+			h.mustSetEndpoints(list)
+			info := h.mustHostInfo(list[0].Host)
+			if got := info.Why.ConsecutiveFailures; got != test.wantFailures {
+				t.Errorf("%d failed health checks, want %d", got, test.wantFailures)
+			}
+			if got := h.Status(h.nowMs).Memory.Hosts; got != test.wantRestored {
+				t.Errorf("%d hosts restored, want %d", got, test.wantRestored)
+			}
+			distrusted := info.Reports != nil && info.Reports.DistrustReason != ""
+			if want := test.known.ReportTrust < 1; distrusted != want {
+				t.Errorf("the reports are distrusted: %v, want %v", distrusted, want)
+			}
+		})
+	}
+}
+
 // reconnectingFleet is a deployment of 600 proxies, which reconnect within a second after a restart.
 type reconnectingFleet struct {
 	set testSettings
--- /dev/null
+++ b/controller/validation_view_test.go
@@ -0,0 +1,84 @@
+package controller
+
+import (
+	"math"
+	"testing"
+
+	"barleysail/guard"
+	"barleysail/routing"
+)
+
+// Subset tables are summed up by zone, in proportion to their proxies' request rates, and a subset table without a
+// ready host is a route of its own.
+func TestRoutesOfSubsetTables(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	list := h.readyEndpoints(4)
+	list[2].State = routing.Draining
+	h.mustSetEndpoints(list)
+	for i, proxy := range []string{"p", "empty", "q"} {
+		h.poll(PollRequest{Proxy: proxy, Zone: []string{"a", "a", "b"}[i], WaitMs: 60000})
+	}
+	h.advance(1000)
+	h.deployment.Proxies = 3
+	writer := updateWriter{h.Controller}
+	assignSubset := func(proxy string, rates []float64, weights map[string]float64) {
+		session := h.sessions.byProxy[proxy]
+		number := h.balancer.SubsetTable(session.index)
+		for host, weight := range weights {
+			writer.SetWeight(number, h.hostIndex.IndexOf[host], weight)
+		}
+		writer.AssignTable(session.index, number, 0)
+		copy(session.requestRates, rates)
+	}
+	assignSubset("p", []float64{10, 20}, map[string]float64{hostName(0): 1, hostName(1): 3})
+	assignSubset("empty", []float64{2, 0}, map[string]float64{hostName(2): 1})
+	copy(h.sessions.byProxy["q"].requestRates, []float64{5, 0})
+
+	h.sumRoutes(h.refreshValidatedHosts())
+
+	if !h.validation.hasSubsetTables || len(h.validation.sharedTables) != 1 {
+		t.Fatalf("subset tables %v, shared tables %v", h.validation.hasSubsetTables, h.validation.sharedTables)
+	}
+	demand := func(class, zone string, work float64) guard.Demand {
+		return guard.Demand{Class: class, Zone: zone, Work: work}
+	}
+	want := []guard.Route{
+		{Demands: []guard.Demand{demand("sheet", "b", 1), demand("finish", "b", 0)}},
+		{
+			Demands:  []guard.Demand{demand("sheet", "a", 2.4), demand("finish", "a", 2)},
+			Decided:  []float64{7.5, 22.5, 2, 0},
+			ReadOnly: true,
+		},
+		{
+			Demands:  []guard.Demand{demand("sheet", "a", 0), demand("finish", "a", 0)},
+			Decided:  []float64{0, 0, 0, 0},
+			ReadOnly: true,
+		},
+	}
+	if len(h.validation.routes) != len(want) {
+		t.Fatalf("%d routes, want %d: %+v", len(h.validation.routes), len(want), h.validation.routes)
+	}
+	for i, route := range h.validation.routes {
+		checkRoute(t, i, route, want[i])
+	}
+}
+
+// checkRoute compares a route with the one wanted, its figures but for rounding.
+func checkRoute(t *testing.T, number int, got, want guard.Route) {
+	t.Helper()
+	const tolerance = 1e-6
+	if got.ReadOnly != want.ReadOnly || len(got.Demands) != len(want.Demands) || len(got.Decided) != len(want.Decided) {
+		t.Fatalf("route %d is %+v, want %+v", number, got, want)
+	}
+	for i, demand := range got.Demands {
+		wanted := want.Demands[i]
+		if demand.Class != wanted.Class || demand.Zone != wanted.Zone || math.Abs(demand.Work-wanted.Work) > tolerance {
+			t.Errorf("route %d has the demand %+v, want %+v", number, demand, wanted)
+		}
+	}
+	for host, weight := range got.Decided {
+		if math.Abs(weight-want.Decided[host]) > tolerance {
+			t.Errorf("route %d has the weight %g of host %d, want %g", number, weight, host, want.Decided[host])
+		}
+	}
+}
