--- a/controller/acks.go
+++ b/controller/acks.go
@@ -1,69 +1,57 @@
 package controller
 
 import (
-	"slices"
 	"strconv"
 	"strings"
 )
 
-// versionStamp is a number that the module gave the messages of a round; rounds count on where its numbers repeat.
-type versionStamp struct {
-	round  int64
-	number int
-}
-
-// deferredAcks holds the answers to marks back until all that was ordered before has left the channel, since withdrawals go in
-// front of weights here. The module takes an answer as proof only of what was written to the same proxy.
-type deferredAcks struct{ pending []deferredAck }
+// noStamp in place of a version stamp: the message needs no acknowledgement.
+const noStamp = 0
 
-// deferredAck is a proxy's to a mark.
-type deferredAck struct {
-	versionStamp
-	proxy int
+// acknowledge takes the newest version that the tags name as applied by the proxy, with all before it, and returns its
+// number, 0 where no tag names a version of the history. A tag of another incarnation that was not carried over, or of
+// a version that this proxy was never given, acknowledges nothing.
+//
+// The balancer learns of each stamp at once: it counts the messages to each proxy by themselves until that proxy
+// acknowledges them, so what waits in the channel for other proxies does not matter.
+func (c *Controller) acknowledge(session *session, tags []string) int64 {
+	newest := c.newestTagged(session, tags)
+	for _, stamp := range session.acknowledge(newest) {
+		c.balancer.Ack(session.index, stamp)
+	}
+	return newest
 }
 
-// acknowledge takes the newest version that the tags name as applied by the proxy, with all before it, and
-// gives its number, or 0 where no tag names a version of the history. A version is acknowledged once; a tag of
-// another life, or of a version never given to this proxy, acknowledges nothing.
-func (s *Controller) acknowledge(m *session, tags []string) int64 {
+// newestTagged is the number of the newest version of the history that one of the tags names, 0 where none does.
+func (c *Controller) newestTagged(session *session, tags []string) int64 {
 	newest := int64(0)
 	for _, tag := range tags {
-		rest, ours := strings.CutPrefix(tag, s.deployment.Incarnation+"-")
-		n, err := strconv.ParseInt(rest, 10, 64)
-		if ours && err == nil && n > newest && m.version(n) != nil {
-			newest = n
+		suffix, ours := strings.CutPrefix(tag, c.deployment.Incarnation+"-")
+		number, err := strconv.ParseInt(suffix, 10, 64)
+		if ours && err == nil && number > newest && session.version(number) != nil {
+			newest = number
 		}
-		if v := m.versionByInheritedTag(tag); v != nil && v.number > newest {
-			newest = v.number
+		if inherited := session.versionByInheritedTag(tag); inherited != nil {
+			newest = max(newest, inherited.number)
 		}
 	}
-	if newest > m.ackedVersion {
-		for i := range m.versions {
-			if v := &m.versions[i]; v.number <= newest {
-				for _, k := range v.stamps {
-					s.acks.pending = append(s.acks.pending, deferredAck{k, m.index})
-				}
-				v.stamps = nil
-			}
-		}
-		m.ackedVersion = newest
-		s.releaseAcks()
-	}
 	return newest
 }
 
-// releaseAcks gives the module the answers that prove what it takes them for.
-func (s *Controller) releaseAcks() {
-	a := &s.acks
-	if len(a.pending) == 0 {
-		return
+// acknowledge notes that the proxy has applied a version, with all before it, and returns their stamps in the order in
+// which they were sent. Each stamp is returned once.
+func (s *session) acknowledge(number int64) []int {
+	if number <= s.ackedVersion {
+		return nil
 	}
-	slices.SortStableFunc(a.pending, func(x, y deferredAck) int { return int(x.round - y.round) })
-	waiting := s.channel.oldestRound()
-	n := 0
-	for n < len(a.pending) && a.pending[n].round <= waiting {
-		s.balancer.Ack(a.pending[n].proxy, a.pending[n].number)
-		n++
+	s.ackedVersion = number
+	var stamps []int
+	for i := range s.versions {
+		acked := &s.versions[i]
+		if acked.number <= number {
+			stamps = append(stamps, acked.stamps...)
+			acked.stamps = nil
+		}
 	}
-	a.pending = append(a.pending[:0], a.pending[n:]...)
+	return stamps
 }
--- /dev/null
+++ b/controller/endpoint_loss_test.go
@@ -0,0 +1,43 @@
+package controller
+
+import (
+	"testing"
+
+	"barleysail/guard"
+	"barleysail/operator"
+)
+
+// An endpoint list that loses most of its hosts at once is held back, for half the drain's grace time at most, unless
+// an operator took them off. Where the next list is complete again, nothing has changed.
+func TestEndpointLossIsHeldBack(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	endpointLoss := guard.EndpointLossLimits{MaxLossRatio: 0.5, HoldMs: 60000}
+	h.EnableValidation(guard.Limits{MaxTrafficShift: 0.5}, RepairSettings{}, endpointLoss)
+	h.mustSetEndpoints(h.readyEndpoints(4))
+	request := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
+	h.poll(request)
+	h.advance(2000)
+	h.pollAgain(request)
+	h.printf("a list with one host, whole again after a second")
+	h.mustSetEndpoints(h.readyEndpoints(1))
+	h.advance(1000)
+	h.mustSetEndpoints(h.readyEndpoints(4))
+	h.advance(1000)
+	h.printf("a list with one host that stays so")
+	h.mustSetEndpoints(h.readyEndpoints(1))
+	h.advance(1490)
+	h.printf("held %v", h.ValidationReport().EndpointsHeld)
+	h.advance(100)
+	h.printf("held %v", h.ValidationReport().EndpointsHeld)
+	h.pollAgain(request)
+	h.mustSetEndpoints(h.readyEndpoints(4))
+	h.advance(12000)
+	h.pollAgain(request)
+	h.printf("confirmed by an operator")
+	for _, host := range []string{hostName(1), hostName(2)} {
+		h.applyOverrides(operator.Command{Host: host, State: operator.Maintenance, Weight: -1})
+	}
+	h.mustSetEndpoints(h.readyEndpoints(1))
+	h.printf("held %v", h.ValidationReport().EndpointsHeld)
+	h.checkTrace()
+}
--- /dev/null
+++ b/controller/endpoints_test.go
@@ -0,0 +1,46 @@
+package controller
+
+import (
+	"testing"
+
+	"barleysail/routing"
+)
+
+// A controller without an endpoint list publishes no hosts, not even an empty table: a proxy keeps the one that it has.
+// With the first list it does.
+func TestEndpointsUnknown(t *testing.T) {
+	set := defaultTestSettings()
+	set.deployment.WatchesEndpoints = true
+	h := newHarness(t, set)
+	h.advance(100)
+	h.poll(PollRequest{Proxy: "p", WaitMs: -1})
+	h.advance(1000)
+	h.printf("the list cannot be had")
+	h.ObserveWatchFailure(h.nowMs)
+	h.advance(1000)
+	h.mustSetEndpoints(h.readyEndpoints(1))
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 5000, AcceptDelta: true})
+	h.advance(1000)
+	h.checkTrace()
+}
+
+// A removed host is forgotten when no table names it, and its index is given to another host; a host that comes back
+// without a time of its start has started now.
+func TestForgetRemovedHost(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(3))
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	h.advance(200)
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 60000, AcceptDelta: true})
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	h.advance(1000)
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-2"}, WaitMs: 60000, AcceptDelta: true})
+	h.printf("indices %d", h.Status(h.nowMs).HostIndices)
+	h.advance(60000)
+	h.printf("indices %d", h.Status(h.nowMs).HostIndices)
+	added := Endpoint{Host: "new.addis:80", Zone: "b", State: routing.Ready, Weight: 1}
+	h.mustSetEndpoints(append(h.readyEndpoints(2), added))
+	h.printf("the new host has index %d", h.hostIndex.IndexOf[added.Host])
+	h.advance(100)
+	h.checkTrace()
+}
--- /dev/null
+++ b/controller/longpoll_test.go
@@ -0,0 +1,148 @@
+package controller
+
+import (
+	"errors"
+	"testing"
+
+	"barleysail/routing"
+)
+
+// A proxy connects, leaves a poll pending, and gets what changed as a delta onto the version that it holds.
+func TestLongPoll(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	h.printf("a proxy joins")
+	h.poll(PollRequest{Proxy: "p", WaitMs: 30000, AcceptDelta: true})
+	h.advance(100)
+	h.printf("without the preference to wait: nothing new, at once")
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: -1})
+	h.printf("it waits; a host drains")
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
+	h.advance(500)
+	list := h.readyEndpoints(2)
+	list[1].State = routing.Draining
+	h.mustSetEndpoints(list)
+	h.advance(500)
+	h.printf("the same without deltas, onto a tag of the history: the whole")
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
+	h.printf("onto a tag of another life, and onto one that was never given: the whole")
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"K-1"}, WaitMs: 30000, AcceptDelta: true})
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-9"}, WaitMs: 30000, AcceptDelta: true})
+	h.printf("whatever there is will do: held for 2 s")
+	h.poll(PollRequest{Proxy: "p", AnyTag: true, WaitMs: 2000})
+	h.advance(2500)
+	h.checkTrace()
+}
+
+// Of two polls of a proxy the later one stays pending, and the earlier one is answered at once. A version is
+// acknowledged once, whatever tags come later.
+func TestReplacedPoll(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
+	h.advance(100)
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
+	h.advance(50)
+	h.printf("a second poll")
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
+	session := h.sessions.byProxy["p"]
+	h.printf("acked %d, marks left %d", session.ackedVersion, len(session.versions[0].stamps))
+	h.printf("the caller of the first is gone: nothing happens; of the second: the proxy has to poll again")
+	h.CancelPoll(h.nowMs, "p", 2)
+	h.printf("held %d", h.Status(h.nowMs).Polls)
+	h.CancelPoll(h.nowMs, "p", 3)
+	status := h.Status(h.nowMs)
+	h.printf("held %d joined %d", status.Polls, status.Joined)
+	h.advance(5100)
+	h.printf("joined %d", h.Status(h.nowMs).Joined)
+	h.checkTrace()
+}
+
+// A proxy that comes back after it was disconnected gets a new session: its old tag names no version.
+func TestReconnect(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
+	h.advance(100)
+	h.printf("leaves: %v, again: %v", h.Disconnect(h.nowMs, "p", h), h.Disconnect(h.nowMs, "p", h))
+	h.advance(100)
+	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
+	h.advance(100)
+	h.printf("in another zone it is another stay")
+	h.poll(PollRequest{Proxy: "p", Zone: "b", Tags: []string{"L-2"}, WaitMs: 30000, AcceptDelta: true})
+	h.advance(100)
+	h.checkTrace()
+}
+
+// Two proxies under one name are recorded once, the statistics of both count, and the one whose poll is pending keeps
+// its session: they do not answer each other's polls for ever.
+func TestDuplicateProxyName(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	list := h.readyEndpoints(1)
+	h.mustSetEndpoints(list)
+	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
+	h.advance(500)
+	h.hideNotModified = true
+	rejected := 0
+	responsesBefore := len(h.responses)
+	for i := range 100 {
+		h.lastPoll++
+		request := PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000, Tags: []string{h.newestTag("p")}}
+		if err := h.Poll(h.nowMs, h.lastPoll, request, h); errors.Is(err, ErrDuplicateProxy) {
+			rejected++
+		}
+		h.advance(10)
+		if i%20 == 0 {
+			reportAsTwoSenders(t, h, int64(i+1), list[0].Host)
+		}
+	}
+	responses := len(h.responses) - responsesBefore
+	pending := h.Status(h.nowMs).Polls
+	if rejected < 80 || responses > 15 || pending != 1 {
+		t.Errorf("%d polls rejected, %d answered, %d pending", rejected, responses, pending)
+	}
+	if count := h.countEvents("intake", ""); count != 1 {
+		t.Errorf("%d events, want 1", count)
+	}
+	h.advance(11000)
+	if err := h.Poll(h.nowMs, 1e6, PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000}, h); err != nil {
+		t.Errorf("after the window a poll may replace another one again: %v", err)
+	}
+}
+
+// reportAsTwoSenders reports the statistics of two senders under one proxy's name; both have to count.
+func reportAsTwoSenders(t *testing.T, h *harness, sequence int64, host string) {
+	t.Helper()
+	stats := HostStats{Attempts: 1, MeanLatencyMs: 5, WindowMs: 1000, Load: routing.UnknownLoad}
+	for _, sender := range []string{"one", "two"} {
+		report := ProxyStats{Sender: sender, Sequence: sequence, Hosts: map[string]HostStats{host: stats}}
+		counted, err := h.ObserveProxyStats(h.nowMs, "p", report)
+		if !counted || err != nil {
+			t.Errorf("statistics of %s: counted %v, %v", sender, counted, err)
+		}
+	}
+}
+
+// Before a graceful shutdown all pending polls are answered with what there is.
+func TestReleasePolls(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	h.mustSetEndpoints(h.readyEndpoints(2))
+	var polls []int64
+	for _, proxy := range []string{"p", "q"} {
+		h.poll(PollRequest{Proxy: proxy, WaitMs: 60000})
+	}
+	h.advance(100)
+	for _, proxy := range []string{"p", "q"} {
+		polls = append(polls, h.poll(PollRequest{Proxy: proxy, WaitMs: 60000, Tags: []string{h.newestTag(proxy)}}))
+	}
+	h.Disconnect(h.nowMs, "p", h)
+	h.ReleasePolls(h.nowMs, h)
+	for _, poll := range polls {
+		if response, ok := h.responses[poll]; !ok || response.Kind != NotModified {
+			t.Errorf("poll %d has the response %+v, want one without changes", poll, response.Kind)
+		}
+	}
+	if pending := h.Status(h.nowMs).Polls; pending != 0 {
+		t.Errorf("%d polls are pending, want none", pending)
+	}
+}
--- /dev/null
+++ b/controller/overrides_test.go
@@ -0,0 +1,174 @@
+package controller
+
+import (
+	"testing"
+
+	"barleysail/operator"
+	"barleysail/routing"
+)
+
+// Overrides take precedence over the endpoint list, survive a changed list, reach the proxies as entries of the list
+// would, and end at their time. The hosts of a zone drain one after the other.
+func TestOverrides(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	h.applyOverrides(operator.Command{Host: hostName(0), State: operator.Draining, Weight: -1})
+	h.mustSetEndpoints(h.readyEndpoints(4))
+	request := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
+	h.poll(request)
+	h.advance(3000)
+	h.pollAgain(request)
+	h.applyOverrides(operator.Command{
+		Host: hostName(0), State: operator.Draining, Weight: -1, DurationMs: 20000, Operator: "x",
+	})
+	h.advance(3000)
+	h.printf("the list changes: the drain stays")
+	list := h.readyEndpoints(4)
+	list[1].Weight = 2
+	h.pollAgain(request)
+	h.mustSetEndpoints(list)
+	h.advance(3000)
+	h.printf("maint is a removal, a host that is added joins")
+	h.pollAgain(request)
+	h.applyOverrides(operator.Command{Host: hostName(2), State: operator.Maintenance, Weight: -1})
+	added := &operator.AddedHost{Zone: "a", Weight: 1, StartedMs: 1}
+	h.applyOverrides(operator.Command{Host: hostName(9), Weight: -1, Add: added})
+	invalid := &operator.AddedHost{Zone: "c", Weight: 1}
+	h.applyOverrides(operator.Command{Host: "10.0.0.9:81", Weight: -1, Add: invalid})
+	h.advance(6000)
+	h.pollAgain(request)
+	h.advance(12000)
+	h.pollAgain(request)
+	h.printf("hosts")
+	h.printHosts()
+	h.printf("a zone")
+	h.applyOverrides(
+		operator.Command{Host: hostName(1), State: operator.Draining, Weight: -1, Queue: true},
+		operator.Command{Host: hostName(3), State: operator.Draining, Weight: -1, Queue: true},
+	)
+	for range 5 {
+		h.pollAgain(request)
+		h.advance(2000)
+	}
+	for _, event := range h.Events(2) {
+		h.printf("event %d %s: %s", event.Number, event.Kind, event.Text)
+	}
+	h.checkTrace()
+}
+
+// printHosts prints the state of all hosts.
+func (h *harness) printHosts() {
+	for _, info := range h.HostInfos() {
+		override := ""
+		if info.Operator != nil {
+			override = info.Operator.State
+		}
+		h.printf("%s %s listed %g told %g %s", info.Host, info.Phase, info.Listed, info.Weight, override)
+	}
+}
+
+// A host is ejected although an operator sets its weight in the same round: the weight is an input of the balancer,
+// not a way around it.
+func TestWeightOverrideOfEjectedHost(t *testing.T) {
+	set := defaultTestSettings()
+	set.deployment.HealthChecks = true
+	h := newHarness(t, set)
+	h.hideNotModified = true
+	h.mustSetEndpoints(h.readyEndpoints(4))
+	request := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
+	h.poll(request)
+	h.advance(3000)
+	failing := hostName(0)
+	for range 6 {
+		h.pollAgain(request)
+		for _, host := range h.healthChecks {
+			result := routing.Healthy
+			if host == failing {
+				result = routing.Unreachable
+			}
+			h.ObserveHealthCheck(h.nowMs, host, result, routing.UnknownLoad)
+		}
+		h.healthChecks = nil
+		command := operator.Command{Host: failing, Weight: 1.5, KeepState: true}
+		if _, err := h.ApplyOverrides(h.nowMs, []operator.Command{command}, h); err != nil {
+			t.Fatal(err)
+		}
+		h.advance(1500)
+	}
+	info := h.mustHostInfo(failing)
+	if !info.Withdrawn || info.Weight != 0 || info.Listed != 1.5 {
+		t.Errorf("%+v", info)
+	}
+	infos := h.HostInfos()
+	if len(infos[1].Moves) == 0 || infos[0].Why.ConsecutiveFailures == 0 {
+		t.Errorf("%+v", infos[:2])
+	}
+}
+
+// An override that expires or is queued is looked at in time though nothing else happens.
+func TestOverrideExpiresInTime(t *testing.T) {
+	h := newHarness(t, defaultTestSettings())
+	h.hideNotModified = true
+	h.mustSetEndpoints(h.readyEndpoints(4))
+	h.advance(3000)
+	host := hostName(0)
+	h.applyOverrides(operator.Command{Host: host, State: operator.Draining, Weight: -1, DurationMs: 7500})
+	if h.Next() > h.nowMs+7500 {
+		t.Errorf("next at %.0f of %.0f", h.Next(), h.nowMs)
+	}
+	h.advance(7400)
+	if info := h.mustHostInfo(host); info.Phase != "draining" {
+		t.Errorf("%+v", info)
+	}
+	h.advance(101)
+	if info := h.mustHostInfo(host); info.Phase != "ready" {
+		t.Errorf("%+v", info)
+	}
+}
+
+// An override sets the state and the weight of an entry; a ratio is one of the list's weight, or of 1 where it has
+// none.
+func TestOverridden(t *testing.T) {
+	endpoint := Endpoint{Host: "h:1", State: routing.Ready, Weight: 2}
+	unweighted := Endpoint{Host: "h:1", State: routing.Ready}
+	for _, test := range []struct {
+		name     string
+		endpoint Endpoint
+		override operator.Override
+		want     Endpoint
+	}{
+		{"nothing", endpoint, operator.Override{}, endpoint},
+		{"draining", endpoint, operator.Override{State: operator.Draining},
+			Endpoint{Host: "h:1", State: routing.Draining, Weight: 2}},
+		{"weight", endpoint, operator.Override{Weight: 5}, Endpoint{Host: "h:1", State: routing.Ready, Weight: 5}},
+		{"ratio", endpoint, operator.Override{WeightRatio: 0.5},
+			Endpoint{Host: "h:1", State: routing.Ready, Weight: 1}},
+		{"ratio without a weight", unweighted, operator.Override{WeightRatio: 0.5},
+			Endpoint{Host: "h:1", State: routing.Ready, Weight: 0.5}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := overridden(test.endpoint, test.override); got != test.want {
+				t.Errorf("the entry is %+v, want %+v", got, test.want)
+			}
+		})
+	}
+}
+
+// The text of a command in events names what it sets, for how long, and who gave it.
+func TestDescribeCommand(t *testing.T) {
+	for _, test := range []struct {
+		command operator.Command
+		want    string
+	}{
+		{operator.Command{Host: "h:1", Weight: -1, Add: &operator.AddedHost{}}, "h:1 add"},
+		{operator.Command{Host: "h:1", Weight: -1, Remove: true}, "h:1 remove"},
+		{operator.Command{Host: "h:1", ClearWeight: true}, "h:1 listed, the list's weight"},
+		{operator.Command{Host: "h:1", Weight: 0.5, Relative: true}, "h:1 listed, weight 0.5 of the list's"},
+		{operator.Command{Host: "h:1", Weight: 2}, "h:1 listed, weight 2"},
+		{operator.Command{Host: "h:1", State: operator.Draining, Weight: -1, DurationMs: 1500, Operator: "ann"},
+			"h:1 drain for 1.5 s by ann"},
+	} {
+		if got := describeCommand(test.command); got != test.want {
+			t.Errorf("the text is %q, want %q", got, test.want)
+		}
+	}
+}
--- /dev/null
+++ b/controller/validation_test.go
@@ -0,0 +1,29 @@
+package controller
+
+import (
+	"testing"
+
+	"barleysail/guard"
+)
+
+// Without repair each finding is recorded once, and the same tables are published as without the table validator.
+func TestFindingsAreOnlyReported(t *testing.T) {
+	without, _ := newUnevenHarness(t, false)
+	without.reportDemand(20, 22)
+
+	with, _ := newUnevenHarness(t, false)
+	limits := guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.3}
+	with.EnableValidation(limits, RepairSettings{}, guard.EndpointLossLimits{})
+	with.reportDemand(20, 22)
+
+	report := with.ValidationReport()
+	if report.Looked == 0 || report.Found[guard.OverCapacity] == 0 || len(report.Findings) == 0 {
+		t.Errorf("the small hosts are over their capacity, and the report is %+v", report)
+	}
+	if count := with.countEvents("guard", guard.OverCapacity+": "+hostName(0)); count != 1 {
+		t.Errorf("the finding was recorded %d times, want once", count)
+	}
+	if with.trace.String() != without.trace.String() {
+		t.Error("with the table validator other tables are published")
+	}
+}
