--- a/auth/action.go
+++ b/auth/action.go
@@ -8,8 +8,8 @@
 const (
 	// Poll reads the routing tables of a proxy of a zone, and removes the proxy when it shuts down.
 	Poll Action = "poll"
-	// Sums posts the request statistics of a proxy.
-	Sums Action = "sums"
+	// Stats posts the request statistics of a proxy.
+	Stats Action = "sums"
 	// Report posts the load of a host.
 	Report Action = "report"
 	// See reads hosts, proxies, tables, events and status.
@@ -21,7 +21,7 @@
 )
 
 // actions holds all actions, in the order of the documentation.
-var actions = []Action{Poll, Sums, Report, See, Set, Follow}
+var actions = []Action{Poll, Stats, Report, See, Set, Follow}
 
 // ParseAction returns the action with a name, or an *UnknownActionError.
 func ParseAction(name string) (Action, error) {
@@ -36,7 +36,7 @@
 // identity that acts for a proxy or a host must name it.
 func (a Action) requiredCapture() string {
 	switch a {
-	case Poll, Sums:
+	case Poll, Stats:
 		return captureProxy
 	case Report:
 		return captureHost
--- a/auth/policy_test.go
+++ b/auth/policy_test.go
@@ -15,7 +15,7 @@
 func newTestPolicy(t *testing.T) *Policy {
 	t.Helper()
 	return NewPolicy(
-		mustRule(t, "spiffe://race.example/forwarder/{zone}/{proxy}", Poll, Sums),
+		mustRule(t, "spiffe://race.example/forwarder/{zone}/{proxy}", Poll, Stats),
 		mustRule(t, "spiffe://race.example/host/{host}", Report),
 		mustRule(t, "spiffe://race.example/operator/*", See, Set),
 		mustRule(t, "spiffe://race.example/watch", See),
@@ -51,7 +51,7 @@
 		{proxyID, Request{Action: Poll, Proxy: "f1", Zone: "addis"}},
 		{proxyID, Request{Action: Poll, Proxy: "f2", Zone: "addis"}},
 		{proxyID, Request{Action: Poll, Proxy: "f1", Zone: "adama"}},
-		{proxyID, Request{Action: Sums, Proxy: "f1", Zone: "addis"}},
+		{proxyID, Request{Action: Stats, Proxy: "f1", Zone: "addis"}},
 		{proxyID, Request{Action: Set, Host: host}},
 		{hostID, Request{Action: Report, Host: host}},
 		{hostID, Request{Action: Report, Host: otherHost}},
@@ -62,7 +62,7 @@
 		{"spiffe://race.example/steward/two", Request{Action: Follow}},
 		{"spiffe://other.example/operator/ann", Request{Action: Set}},
 		{clubID, Request{Action: Poll, Proxy: "f9", Zone: "addis"}},
-		{clubID, Request{Action: Sums, Proxy: "f9", Zone: "addis"}},
+		{clubID, Request{Action: Stats, Proxy: "f9", Zone: "addis"}},
 		{"spiffe://race.example", Request{Action: See}},
 	}
 	policy := newTestPolicy(t)
@@ -110,7 +110,7 @@
 			request.Proxy = proxy
 			request.Zone = zone
 		}
-		isProxyAction := request.Action == Poll || request.Action == Sums
+		isProxyAction := request.Action == Poll || request.Action == Stats
 		want := isProxyAction && request.Proxy == proxy && request.Zone == zone
 		if got := policy.Decide(id, request).Allowed; got != want {
 			t.Fatalf("%s %+v: allowed %v, want %v", id, request, got, want)
--- a/auth/rule_test.go
+++ b/auth/rule_test.go
@@ -75,15 +75,15 @@
 		t.Errorf("segment %q with the cause %v, want .. and a cause", segment.Segment, segment.Err)
 	}
 	var missing *MissingCaptureError
-	if _, err := NewRule("spiffe://race.example/x", []Action{Sums}); !errors.As(err, &missing) {
+	if _, err := NewRule("spiffe://race.example/x", []Action{Stats}); !errors.As(err, &missing) {
 		t.Errorf("error %v, want a MissingCaptureError", err)
-	} else if missing.Action != Sums || missing.Capture != "{proxy}" {
+	} else if missing.Action != Stats || missing.Capture != "{proxy}" {
 		t.Errorf("%s needs %s, want sums and {proxy}", missing.Action, missing.Capture)
 	}
 }
 
 func TestParseAction(t *testing.T) {
-	for _, want := range []Action{Poll, Sums, Report, See, Set, Follow} {
+	for _, want := range []Action{Poll, Stats, Report, See, Set, Follow} {
 		if got, err := ParseAction(string(want)); err != nil || got != want {
 			t.Errorf("%s is parsed as %q, error %v", want, got, err)
 		}
--- a/client/client.go
+++ b/client/client.go
@@ -6,7 +6,7 @@
 // so a request that is not idempotent must not be sent as a GET.
 //
 // While no controller answers, the proxy continues with its last tables, and before it has any, with the fallback
-// hosts of [Options.Standing].
+// hosts of [Options.FallbackHosts].
 package client
 
 import (
@@ -27,38 +27,38 @@
 type Options struct {
 	// Stewards are the base URLs of the controllers. The first one is polled, and the next ones if it does not
 	// answer. Without any, tables come from Client.Load only.
-	Stewards []string
-	Proxy    string   // name of this proxy, the same after each restart
-	Zone     string   // zone of this proxy
-	Rate     float64  // requests per second that the proxy usually receives; 0: unknown
-	Standing []string // hosts to use until the first tables arrive
+	Controllers   []string
+	Proxy         string   // name of this proxy, the same after each restart
+	Zone          string   // zone of this proxy
+	RequestRate   float64  // requests per second that the proxy usually receives; 0: unknown
+	FallbackHosts []string // hosts to use until the first tables arrive
 
 	// Offer sends the tables that this proxy has to a controller that takes over, so that it can continue with
 	// deltas.
-	Offer bool
+	OfferTables bool
 	// Signed verifies the certificate chain that signed a table. If it is not nil, only tables with a signature that
 	// it accepts are applied, and none that is older than the last one.
-	Signed func(chain []*x509.Certificate) error
+	VerifySigner func(chain []*x509.Certificate) error
 
-	HTTP   *http.Client  // nil: one of the client's own
-	Wait   time.Duration // time for which a controller may hold a long poll; 0: 30 s
-	Period time.Duration // interval between reports of request stats; 0: 1 s
-	Least  time.Duration // first backoff after a failed poll, doubled up to Most; 0: 100 ms
-	Most   time.Duration // longest backoff; 0: 4 s
+	HTTP           *http.Client  // nil: one of the client's own
+	PollTimeout    time.Duration // time for which a controller may hold a long poll; 0: 30 s
+	ReportInterval time.Duration // interval between reports of request stats; 0: 1 s
+	MinBackoff     time.Duration // first backoff after a failed poll, doubled up to Most; 0: 100 ms
+	MaxBackoff     time.Duration // longest backoff; 0: 4 s
 
-	Ejects  int           // failures in a row after which this proxy ejects a host; 0: never
-	Shuns   time.Duration // time for which an ejected host is not picked; 0: UsualShuns
-	Repeats []string      // idempotent request classes; others are retried only after NeverRan
+	EjectAfterFailures int           // failures in a row after which this proxy ejects a host; 0: never
+	EjectionTime       time.Duration // time for which an ejected host is not picked; 0: UsualShuns
+	IdempotentClasses  []string      // idempotent request classes; others are retried only after NeverRan
 
-	Ended   func(Transaction) // called at the end of each request; nil: not called
-	Applied func(tag string)  // called with the tag of each version of the tables that is applied; nil: not called
+	OnRequestEnd    func(Request)    // called at the end of each request; nil: not called
+	OnTablesApplied func(tag string) // called with the tag of each version of the tables that is applied; nil: not called
 
 	Log func(text string) // called with a line for each change of the connection; nil: not called
 	Now func() time.Time  // nil: time.Now
 }
 
-// UsualShuns is the time for which an ejected host is not picked where Options.Shuns is 0.
-const UsualShuns = 5 * time.Second
+// DefaultEjectionTime is the time for which an ejected host is not picked where Options.EjectionTime is 0.
+const DefaultEjectionTime = 5 * time.Second
 
 // Defaults of Options.
 const (
@@ -113,10 +113,10 @@
 		idempotent: map[string]bool{},
 		ejections:  map[string]*ejection{},
 	}
-	for _, address := range o.Standing {
+	for _, address := range o.FallbackHosts {
 		client.fallbackHosts = append(client.fallbackHosts, Host{Address: address, Weight: 1})
 	}
-	for _, class := range o.Repeats {
+	for _, class := range o.IdempotentClasses {
 		client.idempotent[class] = true
 	}
 	client.stats.reset(o.Now())
@@ -127,7 +127,7 @@
 	if o.Proxy == "" || o.Zone == "" {
 		return errors.New("a client needs the proxy's name and its zone")
 	}
-	for _, controllerURL := range o.Stewards {
+	for _, controllerURL := range o.Controllers {
 		parsed, err := url.Parse(controllerURL)
 		isHTTP := err == nil && (parsed.Scheme == "http" || parsed.Scheme == "https")
 		if !isHTTP || parsed.Host == "" {
@@ -139,11 +139,11 @@
 
 // setDefaults replaces zero values by the defaults.
 func setDefaults(o *Options) {
-	setDefault(&o.Wait, defaultWait)
-	setDefault(&o.Period, defaultPeriod)
-	setDefault(&o.Least, defaultMinBackoff)
-	setDefault(&o.Most, defaultMaxBackoff)
-	setDefault(&o.Shuns, UsualShuns)
+	setDefault(&o.PollTimeout, defaultWait)
+	setDefault(&o.ReportInterval, defaultPeriod)
+	setDefault(&o.MinBackoff, defaultMinBackoff)
+	setDefault(&o.MaxBackoff, defaultMaxBackoff)
+	setDefault(&o.EjectionTime, DefaultEjectionTime)
 	if o.HTTP == nil {
 		o.HTTP = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}}
 	}
@@ -165,9 +165,9 @@
 func (c *Client) table(class string) Table {
 	table, ok := c.tables.byClass[class]
 	if !ok {
-		table = Table{Share: 1, Tries: retryNeverRan}
+		table = Table{AdmissionRatio: 1, RetryPolicy: retryNeverRan}
 	}
-	if !table.Ordered {
+	if !table.HasHosts {
 		table.Hosts = c.fallbackHosts
 	}
 	return table
@@ -191,12 +191,12 @@
 	return c.tables.setSnapshot("", tag, doc, func([]byte) error { return nil })
 }
 
-// Steward returns the base URL of the controller that answered the last poll, "" while none answers.
-func (c *Client) Steward() string {
+// Controller returns the base URL of the controller that answered the last poll, "" while none answers.
+func (c *Client) Controller() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.joined {
 		return ""
 	}
-	return strings.TrimRight(c.options.Stewards[c.current], "/")
+	return strings.TrimRight(c.options.Controllers[c.current], "/")
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -13,7 +13,7 @@
 // newTestClient returns a client with a fixed seed and the tables of a document; "" for none.
 func newTestClient(t *testing.T, options Options, document string) *Client {
 	t.Helper()
-	options.Stewards = []string{"http://127.0.0.1:1"}
+	options.Controllers = []string{"http://127.0.0.1:1"}
 	options.Proxy = "p"
 	options.Zone = "a"
 	client, err := New(options)
@@ -39,12 +39,12 @@
 		options Options
 		want    string // part of the error; "" for none
 	}{
-		{"complete", Options{Proxy: "p", Zone: "a", Stewards: []string{"https://controller:1/"}}, ""},
+		{"complete", Options{Proxy: "p", Zone: "a", Controllers: []string{"https://controller:1/"}}, ""},
 		{"no proxy", Options{Zone: "a"}, "proxy's name"},
 		{"no zone", Options{Proxy: "p"}, "its zone"},
-		{"no scheme", Options{Proxy: "p", Zone: "a", Stewards: []string{"controller:1"}}, "controller:1"},
-		{"no host", Options{Proxy: "p", Zone: "a", Stewards: []string{"http://"}}, "http://"},
-		{"no URL", Options{Proxy: "p", Zone: "a", Stewards: []string{"http://%"}}, "no URL"},
+		{"no scheme", Options{Proxy: "p", Zone: "a", Controllers: []string{"controller:1"}}, "controller:1"},
+		{"no host", Options{Proxy: "p", Zone: "a", Controllers: []string{"http://"}}, "http://"},
+		{"no URL", Options{Proxy: "p", Zone: "a", Controllers: []string{"http://%"}}, "no URL"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := New(test.options)
@@ -71,7 +71,7 @@
 	if len(client.Tables()) != 2 {
 		t.Error("Tables returned the client's own map")
 	}
-	if controller := client.Steward(); controller != "" {
+	if controller := client.Controller(); controller != "" {
 		t.Errorf("%q answered no poll", controller)
 	}
 	if err := client.Load("2", []byte(`{}`)); err == nil {
--- a/client/picker.go
+++ b/client/picker.go
@@ -50,8 +50,8 @@
 	return state != nil && now.Before(state.until)
 }
 
-// updateEjection counts a host's failures in a row, and ejects it after Options.Ejects of them. The caller holds the
-// lock.
+// updateEjection counts a host's failures in a row, and ejects it after Options.EjectAfterFailures of them. The caller
+// holds the lock.
 func (c *Client) updateEjection(host string, result Result) {
 	if result == Fulfilled {
 		delete(c.ejections, host)
@@ -63,9 +63,9 @@
 		c.ejections[host] = state
 	}
 	state.consecutiveFailures++
-	if state.consecutiveFailures >= c.options.Ejects {
+	if state.consecutiveFailures >= c.options.EjectAfterFailures {
 		state.consecutiveFailures = 0
-		state.until = c.options.Now().Add(c.options.Shuns)
+		state.until = c.options.Now().Add(c.options.EjectionTime)
 	}
 }
 
--- a/client/picker_test.go
+++ b/client/picker_test.go
@@ -33,13 +33,13 @@
 func TestEjection(t *testing.T) {
 	now := time.Unix(0, 0)
 	client := newTestClient(t, Options{
-		Standing: []string{"x:1", "y:1"},
-		Ejects:   2,
-		Shuns:    time.Second,
-		Now:      func() time.Time { return now },
+		FallbackHosts:      []string{"x:1", "y:1"},
+		EjectAfterFailures: 2,
+		EjectionTime:       time.Second,
+		Now:                func() time.Time { return now },
 	}, "")
 	for range 2 {
-		client.observeAttempt("x:1", Try{Result: Failed}, 0)
+		client.observeAttempt("x:1", Outcome{Result: Failed}, 0)
 	}
 	for range 50 {
 		if host, ok := client.Pick("sheet"); !ok || host != "y:1" {
@@ -57,9 +57,9 @@
 
 // A success between failures restarts the count of failures in a row.
 func TestEjectionNeedsFailuresInARow(t *testing.T) {
-	client := newTestClient(t, Options{Standing: []string{"x:1", "y:1"}, Ejects: 2}, "")
+	client := newTestClient(t, Options{FallbackHosts: []string{"x:1", "y:1"}, EjectAfterFailures: 2}, "")
 	for _, result := range []Result{Failed, Fulfilled, Failed} {
-		client.observeAttempt("x:1", Try{Result: result}, 0)
+		client.observeAttempt("x:1", Outcome{Result: result}, 0)
 	}
 	if counts := countPicks(client, "sheet", 100); len(counts) != 2 {
 		t.Errorf("ejected: %v", counts)
--- a/client/poll.go
+++ b/client/poll.go
@@ -50,14 +50,14 @@
 func (c *Client) failOver(cause error, failures int) (backoff time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	controllers := c.options.Stewards
+	controllers := c.options.Controllers
 	if c.joined || failures == 0 {
 		c.options.Log(fmt.Sprintf("controller %s lost, continuing with the last tables: %v", controllers[c.current], cause))
 	}
 	c.joined = false
 	c.current = (c.current + 1) % len(controllers)
-	backoff = c.options.Least << min(failures/len(controllers), maxBackoffShift)
-	backoff = min(backoff, c.options.Most)
+	backoff = c.options.MinBackoff << min(failures/len(controllers), maxBackoffShift)
+	backoff = min(backoff, c.options.MaxBackoff)
 	return time.Duration(float64(backoff) * (minJitter + c.random()))
 }
 
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	timeout, cancel := context.WithTimeout(ctx, c.options.Wait+pollGrace)
+	timeout, cancel := context.WithTimeout(ctx, c.options.PollTimeout+pollGrace)
 	defer cancel()
 	request, err := c.httpRequest(timeout, poll)
 	if err != nil {
@@ -96,7 +96,7 @@
 func (c *Client) newPollRequest() (*pollRequest, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	poll := &pollRequest{controller: c.options.Stewards[c.current], proxyURL: c.proxyURL()}
+	poll := &pollRequest{controller: c.options.Controllers[c.current], proxyURL: c.proxyURL()}
 	if c.tables.source == poll.controller {
 		poll.tag = c.tables.tag
 	}
@@ -109,7 +109,7 @@
 // caller holds the lock.
 func (c *Client) tableOffer(controller string) ([]byte, error) {
 	hasTables := c.tables.document != nil && c.tables.tag != ""
-	if !c.options.Offer || !hasTables || c.tables.source == controller {
+	if !c.options.OfferTables || !hasTables || c.tables.source == controller {
 		return nil, nil
 	}
 	var document map[string]json.RawMessage
@@ -130,8 +130,8 @@
 // httpRequest returns the HTTP request of a poll: a GET, or a POST with the offered tables.
 func (c *Client) httpRequest(ctx context.Context, poll *pollRequest) (*http.Request, error) {
 	target := poll.proxyURL + "/tables?zone=" + url.QueryEscape(c.options.Zone)
-	if c.options.Rate > 0 {
-		target += "&rate=" + strconv.FormatFloat(c.options.Rate, 'g', -1, 64)
+	if c.options.RequestRate > 0 {
+		target += "&rate=" + strconv.FormatFloat(c.options.RequestRate, 'g', -1, 64)
 	}
 	method := http.MethodGet
 	var body io.Reader
@@ -146,7 +146,7 @@
 	if poll.offer != nil {
 		request.Header.Set("Content-Type", "application/json")
 	}
-	request.Header.Set("Prefer", "wait="+strconv.Itoa(int(c.options.Wait.Seconds())))
+	request.Header.Set("Prefer", "wait="+strconv.Itoa(int(c.options.PollTimeout.Seconds())))
 	request.Header.Set("A-IM", deltaFormat)
 	if poll.tag != "" {
 		request.Header.Set("If-None-Match", poll.tag)
@@ -168,8 +168,8 @@
 		return err
 	}
 	c.newestTag = unquoted(c.tables.tag)
-	if c.options.Applied != nil && c.tables.tag != poll.tag {
-		c.options.Applied(c.newestTag)
+	if c.options.OnTablesApplied != nil && c.tables.tag != poll.tag {
+		c.options.OnTablesApplied(c.newestTag)
 	}
 	if !c.joined {
 		c.joined = true
@@ -204,7 +204,7 @@
 // last ones.
 func (c *Client) signatureCheck(tag, signature string) documentCheck {
 	return func(document []byte) error {
-		if c.options.Signed == nil {
+		if c.options.VerifySigner == nil {
 			return nil
 		}
 		version := unquoted(tag)
@@ -212,6 +212,6 @@
 		if sameIncarnation && !isNewer && version != c.newestTag {
 			return fmt.Errorf("the table %s is older than %s", version, c.newestTag)
 		}
-		return tablesig.Check(signature, c.options.Proxy, version, document, c.options.Now(), c.options.Signed)
+		return tablesig.Check(signature, c.options.Proxy, version, document, c.options.Now(), c.options.VerifySigner)
 	}
 }
--- a/client/transaction.go
+++ b/client/request.go
@@ -20,28 +20,28 @@
 	NeverRan
 )
 
-// Try is the outcome of one attempt.
-type Try struct {
+// Outcome is the outcome of one attempt.
+type Outcome struct {
 	Result  Result
 	Metrics string // value of the response header endpoint-load-metrics (ORCA); "" without one
 	Err     error  // why the attempt failed; may be nil
 }
 
-// Transaction is the outcome of one request.
-type Transaction struct {
+// Request is the outcome of one request.
+type Request struct {
 	Class     string    // request class
-	Came      time.Time // instant of arrival
-	LetIn     bool      // admitted by the admission ratio (Table.Share)
-	Tries     []Attempt // in order
+	ArrivedAt time.Time // instant of arrival
+	Admitted  bool      // admitted by the admission ratio (Table.AdmissionRatio)
+	Attempts  []Attempt // in order
 	Fulfilled bool
 }
 
-// Attempt is one attempt of a Transaction.
+// Attempt is one attempt of a Request.
 type Attempt struct {
-	Host   string
-	Began  time.Time
-	Took   time.Duration
-	Result Result
+	Host      string
+	StartedAt time.Time
+	Duration  time.Duration
+	Result    Result
 }
 
 // Values of Table.Tries: the retry policy of a request class.
@@ -53,8 +53,8 @@
 )
 
 var (
-	// ErrNotLetIn is returned for a request that the admission ratio (Table.Share) did not admit.
-	ErrNotLetIn = errors.New("not let in")
+	// ErrNotAdmitted is returned for a request that the admission ratio (Table.AdmissionRatio) did not admit.
+	ErrNotAdmitted = errors.New("not let in")
 	// ErrNoHost is returned for a request if no host remains for it.
 	ErrNoHost = errors.New("no host to pick")
 
@@ -62,31 +62,31 @@
 )
 
 // Do executes a request of a class: it admits it by the table's admission ratio, calls try with a picked host, and
-// retries at other hosts by the table's retry policy, until the context ends. It returns ErrNotLetIn, ErrNoHost, or
+// retries at other hosts by the table's retry policy, until the context ends. It returns ErrNotAdmitted, ErrNoHost, or
 // an error that wraps that of the last attempt.
-func (c *Client) Do(ctx context.Context, class string, try func(ctx context.Context, host string) Try) error {
+func (c *Client) Do(ctx context.Context, class string, try func(ctx context.Context, host string) Outcome) error {
 	c.mu.Lock()
 	table := c.table(class)
-	admitted := table.Share >= 1 || c.random() < table.Share
+	admitted := table.AdmissionRatio >= 1 || c.random() < table.AdmissionRatio
 	c.stats.countArrival(class)
 	c.mu.Unlock()
 
-	transaction := Transaction{Class: class, Came: c.options.Now(), LetIn: admitted}
-	err := ErrNotLetIn
+	request := Request{Class: class, ArrivedAt: c.options.Now(), Admitted: admitted}
+	err := ErrNotAdmitted
 	if admitted {
-		err = c.attempt(ctx, &transaction, table.Tries, try)
+		err = c.attempt(ctx, &request, table.RetryPolicy, try)
 	}
-	transaction.Fulfilled = err == nil
-	if c.options.Ended != nil {
-		c.options.Ended(transaction)
+	request.Fulfilled = err == nil
+	if c.options.OnRequestEnd != nil {
+		c.options.OnRequestEnd(request)
 	}
 	return err
 }
 
-// attempt makes the attempts of an admitted request and appends them to the transaction.
-func (c *Client) attempt(ctx context.Context, transaction *Transaction, retryPolicy int,
-	try func(ctx context.Context, host string) Try) error {
-	class := transaction.Class
+// attempt makes the attempts of an admitted request and appends them to the request.
+func (c *Client) attempt(ctx context.Context, request *Request, retryPolicy int,
+	try func(ctx context.Context, host string) Outcome) error {
+	class := request.Class
 	var tried []string
 	for {
 		host, ok := c.Pick(class, tried...)
@@ -97,8 +97,8 @@
 		began := c.options.Now()
 		outcome := try(ctx, host)
 		took := c.options.Now().Sub(began)
-		attempt := Attempt{Host: host, Began: began, Took: took, Result: outcome.Result}
-		transaction.Tries = append(transaction.Tries, attempt)
+		attempt := Attempt{Host: host, StartedAt: began, Duration: took, Result: outcome.Result}
+		request.Attempts = append(request.Attempts, attempt)
 		c.observeAttempt(host, outcome, took)
 		if outcome.Result == Fulfilled {
 			return nil
@@ -135,11 +135,11 @@
 }
 
 // observeAttempt counts an attempt in the request stats, and ejects a host after too many failures in a row.
-func (c *Client) observeAttempt(host string, outcome Try, took time.Duration) {
+func (c *Client) observeAttempt(host string, outcome Outcome, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stats.countAttempt(host, outcome, took)
-	if c.options.Ejects != 0 {
+	if c.options.EjectAfterFailures != 0 {
 		c.updateEjection(host, outcome.Result)
 	}
 }
--- a/client/request_stats.go
+++ b/client/request_stats.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func (s *requestStats) countAttempt(host string, outcome Try, latency time.Duration) {
+func (s *requestStats) countAttempt(host string, outcome Outcome, latency time.Duration) {
 	stats := s.hostStats(host)
 	stats.Tries++
 	if outcome.Result == Fulfilled {
--- a/client/request_stats_test.go
+++ b/client/request_stats_test.go
@@ -15,14 +15,14 @@
 	client := newTestClient(t, Options{Now: func() time.Time { return now }}, testDocument)
 	rejected := 0
 	for i := range 1000 {
-		err := client.Do(context.Background(), "finish", func(context.Context, string) Try {
+		err := client.Do(context.Background(), "finish", func(context.Context, string) Outcome {
 			now = now.Add(time.Millisecond)
 			if i%10 == 0 {
-				return Try{Result: Failed}
+				return Outcome{Result: Failed}
 			}
-			return Try{Metrics: "TEXT cpu_utilization=0.5, named_metrics.queue=3, odd=x"}
+			return Outcome{Metrics: "TEXT cpu_utilization=0.5, named_metrics.queue=3, odd=x"}
 		})
-		if errors.Is(err, ErrNotLetIn) {
+		if errors.Is(err, ErrNotAdmitted) {
 			rejected++
 		}
 	}
@@ -60,12 +60,12 @@
 	now := time.Unix(0, 0)
 	var stats requestStats
 	stats.reset(now)
-	stats.countAttempt("gone:1", Try{}, time.Millisecond)
+	stats.countAttempt("gone:1", Outcome{}, time.Millisecond)
 	hosts, _ := stats.take(now, func(string) bool { return false })
 	if len(hosts) != 0 || len(stats.spareHistograms) != 1 {
 		t.Errorf("%v, %d spare histograms", hosts, len(stats.spareHistograms))
 	}
-	stats.countAttempt("a:1", Try{}, time.Millisecond)
+	stats.countAttempt("a:1", Outcome{}, time.Millisecond)
 	hosts, _ = stats.take(now, func(string) bool { return true })
 	if len(hosts["a:1"].Times) != 1 || hosts["a:1"].Tries != 1 {
 		t.Errorf("a reused histogram was not empty: %+v", hosts["a:1"])
--- a/client/transaction_test.go
+++ b/client/request_test.go
@@ -33,11 +33,11 @@
 		{retryOnce, "once", Failed, 1},
 	} {
 		t.Run(fmt.Sprintf("policy %d of %s after result %d", test.retryPolicy, test.class, test.result), func(t *testing.T) {
-			client := newTestClient(t, Options{Repeats: []string{"safe"}}, retryDocument(test.retryPolicy))
+			client := newTestClient(t, Options{IdempotentClasses: []string{"safe"}}, retryDocument(test.retryPolicy))
 			hosts := map[string]bool{}
-			err := client.Do(context.Background(), test.class, func(_ context.Context, host string) Try {
+			err := client.Do(context.Background(), test.class, func(_ context.Context, host string) Outcome {
 				hosts[host] = true
-				return Try{Result: test.result}
+				return Outcome{Result: test.result}
 			})
 			if len(hosts) != test.want || !errors.Is(err, errNoAnswer) {
 				t.Errorf("%d hosts, want %d, and the error %v", len(hosts), test.want, err)
@@ -46,26 +46,26 @@
 	}
 }
 
-// The error of the last attempt is wrapped, and the recorded transaction has all attempts.
+// The error of the last attempt is wrapped, and the recorded request has all attempts.
 func TestDoRecordsTransaction(t *testing.T) {
-	var recorded Transaction
+	var recorded Request
 	options := Options{
-		Repeats: []string{"safe"},
-		Ended:   func(transaction Transaction) { recorded = transaction },
+		IdempotentClasses: []string{"safe"},
+		OnRequestEnd:      func(request Request) { recorded = request },
 	}
 	client := newTestClient(t, options, retryDocument(retryOnce))
 	errBroken := errors.New("broken")
-	err := client.Do(context.Background(), "safe", func(context.Context, string) Try {
-		return Try{Result: Failed, Err: errBroken}
+	err := client.Do(context.Background(), "safe", func(context.Context, string) Outcome {
+		return Outcome{Result: Failed, Err: errBroken}
 	})
 	if !errors.Is(err, errBroken) {
 		t.Errorf("the error is %v", err)
 	}
-	if !recorded.LetIn || recorded.Fulfilled || len(recorded.Tries) != 2 {
+	if !recorded.Admitted || recorded.Fulfilled || len(recorded.Attempts) != 2 {
 		t.Errorf("recorded %+v", recorded)
 	}
-	err = client.Do(context.Background(), "safe", func(context.Context, string) Try { return Try{} })
-	if err != nil || !recorded.Fulfilled || len(recorded.Tries) != 1 {
+	err = client.Do(context.Background(), "safe", func(context.Context, string) Outcome { return Outcome{} })
+	if err != nil || !recorded.Fulfilled || len(recorded.Attempts) != 1 {
 		t.Errorf("the error is %v, recorded %+v", err, recorded)
 	}
 }
@@ -73,18 +73,18 @@
 // A request without any host, or after whose first attempt the context has ended, is not retried.
 func TestDoWithoutHostOrContext(t *testing.T) {
 	client := newTestClient(t, Options{}, "")
-	err := client.Do(context.Background(), "safe", func(context.Context, string) Try { return Try{} })
+	err := client.Do(context.Background(), "safe", func(context.Context, string) Outcome { return Outcome{} })
 	if !errors.Is(err, ErrNoHost) {
 		t.Errorf("the error is %v, want ErrNoHost", err)
 	}
 
-	client = newTestClient(t, Options{Repeats: []string{"safe"}}, retryDocument(retryTwice))
+	client = newTestClient(t, Options{IdempotentClasses: []string{"safe"}}, retryDocument(retryTwice))
 	ctx, cancel := context.WithCancel(context.Background())
 	attempts := 0
-	err = client.Do(ctx, "safe", func(context.Context, string) Try {
+	err = client.Do(ctx, "safe", func(context.Context, string) Outcome {
 		attempts++
 		cancel()
-		return Try{Result: NeverRan}
+		return Outcome{Result: NeverRan}
 	})
 	if err == nil || attempts != 1 {
 		t.Errorf("%d attempts, the error is %v", attempts, err)
--- a/client/run.go
+++ b/client/run.go
@@ -19,7 +19,7 @@
 // Run polls the controllers and sends request stats until the context ends, and then notifies the controller of the
 // proxy's shutdown. It returns the context's error, or an error if the options name no controller.
 func (c *Client) Run(ctx context.Context) error {
-	if len(c.options.Stewards) == 0 {
+	if len(c.options.Controllers) == 0 {
 		return errNoController
 	}
 	var workers sync.WaitGroup
@@ -42,7 +42,7 @@
 
 // proxyURL returns the URL of this proxy at the controller that is polled. The caller holds the lock.
 func (c *Client) proxyURL() string {
-	controllerURL := strings.TrimRight(c.options.Stewards[c.current], "/")
+	controllerURL := strings.TrimRight(c.options.Controllers[c.current], "/")
 	return controllerURL + "/v1/proxies/" + url.PathEscape(c.options.Proxy)
 }
 
--- a/client/run_test.go
+++ b/client/run_test.go
@@ -96,8 +96,8 @@
 	tags := make(chan string, 100)
 	options.Proxy = "p"
 	options.Zone = "a"
-	options.Least = time.Millisecond
-	options.Applied = func(tag string) { tags <- tag }
+	options.MinBackoff = time.Millisecond
+	options.OnTablesApplied = func(tag string) { tags <- tag }
 	client, err := New(options)
 	if err != nil {
 		t.Fatal(err)
@@ -141,10 +141,10 @@
 	}
 	controller := newFakeController(t, answerPoll, answerStats)
 	client, applied, stop := start(t, Options{
-		Stewards: []string{controller.URL + "/"},
-		Rate:     7.5,
-		Period:   time.Millisecond,
-		Wait:     time.Minute,
+		Controllers:    []string{controller.URL + "/"},
+		RequestRate:    7.5,
+		ReportInterval: time.Millisecond,
+		PollTimeout:    time.Minute,
 	})
 	poll := receive(t, controller.polls)
 	if query := poll.URL.RawQuery; query != "zone=a&rate=7.5" {
@@ -158,8 +158,8 @@
 			t.Errorf("the tables %q were applied, want %q", tag, want)
 		}
 	}
-	if hosts := client.Tables()["sheet"].Hosts; len(hosts) != 1 || client.Steward() != controller.URL {
-		t.Errorf("hosts %v of %s", hosts, client.Steward())
+	if hosts := client.Tables()["sheet"].Hosts; len(hosts) != 1 || client.Controller() != controller.URL {
+		t.Errorf("hosts %v of %s", hosts, client.Controller())
 	}
 	for _, want := range []int64{1, 1, 1, 2} { // a 429, a 500, accepted, and the next one
 		if report := receive(t, controller.stats); report.Number != want || report.Sender != client.sender {
@@ -188,9 +188,9 @@
 	}, acceptStats)
 	logs := make(chan string, 100)
 	client, applied, stop := start(t, Options{
-		Stewards: []string{first.URL, second.URL},
-		Offer:    true,
-		Log:      func(text string) { logs <- text },
+		Controllers: []string{first.URL, second.URL},
+		OfferTables: true,
+		Log:         func(text string) { logs <- text },
 	})
 	if tag := receive(t, applied); tag != "1" {
 		t.Errorf("the tables %q were applied", tag)
@@ -206,8 +206,8 @@
 		t.Errorf("offered %+v", offered)
 	}
 	receive(t, second.offers) // the next poll, after the response was taken
-	if client.Steward() != second.URL {
-		t.Errorf("%q is polled", client.Steward())
+	if client.Controller() != second.URL {
+		t.Errorf("%q is polled", client.Controller())
 	}
 	stop()
 	for _, want := range []string{"joined ", "going down", "joined "} {
@@ -227,7 +227,7 @@
 		w.Header().Set("IM", "zip")
 		respond(t, w, http.StatusIMUsed, `"2"`, "{}")
 	}, acceptStats)
-	_, applied, stop := start(t, Options{Stewards: []string{controller.URL}})
+	_, applied, stop := start(t, Options{Controllers: []string{controller.URL}})
 	for range 2 {
 		if tag := receive(t, applied); tag != "1" {
 			t.Errorf("the tables %q were applied", tag)
--- a/client/stats_sender.go
+++ b/client/stats_sender.go
@@ -37,7 +37,7 @@
 // sendStats sends request stats each period until the context ends.
 func (c *Client) sendStats(ctx context.Context) {
 	sender := &statsSender{client: c}
-	ticker := time.NewTicker(c.options.Period)
+	ticker := time.NewTicker(c.options.ReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/client/tables.go
+++ b/client/tables.go
@@ -13,10 +13,10 @@
 
 // Table is the routing table of a request class.
 type Table struct {
-	Hosts   []Host  // with a weight above 0, sorted by address
-	Ordered bool    // the controller has sent the hosts, even if there are none
-	Share   float64 // fraction of the requests to admit; 1 or more: all
-	Tries   int     // retries. 0: none; 1: one, after NeverRan; 2, 3: one, two after any failure
+	Hosts          []Host  // with a weight above 0, sorted by address
+	HasHosts       bool    // the controller has sent the hosts, even if there are none
+	AdmissionRatio float64 // fraction of the requests to admit; 1 or more: all
+	RetryPolicy    int     // retries. 0: none; 1: one, after NeverRan; 2, 3: one, two after any failure
 }
 
 // Host is an entry of a Table.
@@ -103,12 +103,12 @@
 
 // table returns the new table of a class, given the applied one.
 func (d *classDocument) table(class string, applied Table) (Table, error) {
-	table := Table{Hosts: applied.Hosts, Ordered: applied.Ordered, Share: 1, Tries: retryNeverRan}
+	table := Table{Hosts: applied.Hosts, HasHosts: applied.HasHosts, AdmissionRatio: 1, RetryPolicy: retryNeverRan}
 	if d.Share != nil {
-		table.Share = *d.Share
+		table.AdmissionRatio = *d.Share
 	}
 	if d.Tries != nil {
-		table.Tries = *d.Tries
+		table.RetryPolicy = *d.Tries
 	}
 	if d.Hosts != nil {
 		hosts, err := sortedHosts(d.Hosts)
@@ -116,11 +116,11 @@
 			return Table{}, err
 		}
 		table.Hosts = hosts
-		table.Ordered = true
+		table.HasHosts = true
 	}
-	isValid := table.Share >= 0 && table.Tries >= noRetry && table.Tries <= retryTwice
+	isValid := table.AdmissionRatio >= 0 && table.RetryPolicy >= noRetry && table.RetryPolicy <= retryTwice
 	if !isValid {
-		return Table{}, fmt.Errorf("%s has the share %g and tries %d", class, table.Share, table.Tries)
+		return Table{}, fmt.Errorf("%s has the share %g and tries %d", class, table.AdmissionRatio, table.RetryPolicy)
 	}
 	return table, nil
 }
--- a/cmd/barleysail/compare.go
+++ b/cmd/barleysail/compare.go
@@ -178,7 +178,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return config.Steward(config.Of(changed, start.Format), start.Life, start.Seed), nil
+			return config.NewController(config.Of(changed, start.Format), start.Life, start.Seed), nil
 		},
 	}
 	for _, class := range settings.Classes {
--- a/cmd/barleysail/config.go
+++ b/cmd/barleysail/config.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return "", err
 	}
-	if err := config.Steward(settings, "check", 1).SetEndpoints(1, endpoints); err != nil {
+	if err := config.NewController(settings, "check", 1).SetEndpoints(1, endpoints); err != nil {
 		return "", config.Refused(file, text, err)
 	}
 	return fmt.Sprintf("%d hosts", len(endpoints)), nil
--- a/cmd/barleysail/recordings_test.go
+++ b/cmd/barleysail/recordings_test.go
@@ -43,8 +43,8 @@
 	poll()
 	for range 10 {
 		began := time.Now()
-		recorder.Ended(client.Transaction{Class: "sheet", Came: began, LetIn: true, Fulfilled: true,
-			Tries: []client.Attempt{{Host: "10.0.0.1:80", Began: began, Took: time.Millisecond}}})
+		recorder.Ended(client.Request{Class: "sheet", ArrivedAt: began, Admitted: true, Fulfilled: true,
+			Attempts: []client.Attempt{{Host: "10.0.0.1:80", StartedAt: began, Duration: time.Millisecond}}})
 	}
 	if err := recorder.Close(); err != nil {
 		t.Fatal(err)
--- a/cmd/barleysail/state_show.go
+++ b/cmd/barleysail/state_show.go
@@ -78,11 +78,11 @@
 	for _, kept := range hosts {
 		now := restored.Hosts[kept.Name]
 		if now == nil {
-			now = &state.Host{Weight: 1, ReportTrust: 1}
+			now = &state.Host{Weight: 1, ReportConfidence: 1}
 		}
 		columns.printf("%s\t%s\t%.3g\t%.3g\t%.4g\t%.4g\t%.3g\t%.3g\t%v\t%v\t%.2f\t%.2f\t%s\t%s\n", kept.Name, kept.Zone,
 			kept.Weight, now.Weight, kept.R, now.MeanLatencyMs, kept.Lost, now.Failures, kept.Out, now.Ejected,
-			kept.Trust, now.ReportTrust, formatAge(kept.Started, nowMs), formatAge(kept.Drains, nowMs))
+			kept.Trust, now.ReportConfidence, formatAge(kept.Started, nowMs), formatAge(kept.Drains, nowMs))
 	}
 }
 
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -157,7 +157,7 @@
 // overrideView is the state of the hosts by which the rules for commands are checked.
 func (c *Controller) overrideView() operator.View {
 	view := operator.View{
-		Now:             c.nowMs,
+		NowMs:           c.nowMs,
 		NoUpdatePending: c.channel.backlog() == 0 && c.channel.queuedMessages() == 0,
 		DrainGraceMs:    c.safety.DrainGraceMs,
 		Known: func(host string) bool {
@@ -207,8 +207,8 @@
 		return host
 	}
 	host.SlowStartFactor = explanation.SlowStartFactor
-	if explanation.StartedMs >= 0 {
-		host.WarmAtMs = explanation.StartedMs + c.safety.SlowStartMs
+	if explanation.StartedAtMs >= 0 {
+		host.WarmAtMs = explanation.StartedAtMs + c.safety.SlowStartMs
 	}
 	host.Ready = host.Ready && !explanation.Ejected
 	return host
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		route := &reused.Routes[i]
-		if changed, _ := guard.Changed(table.repairedFrom, route.Decided); changed > 0 {
+		if changed, _ := guard.CountChanges(table.repairedFrom, route.Decided); changed > 0 {
 			return nil
 		}
 		route.Decided = padWeights(table.repaired, len(view.Hosts))
@@ -112,7 +112,7 @@
 func (c *Controller) publishRepaired(hosts []guard.Host, number int, decided, weights []float64) (differing int) {
 	table := c.tables.table(number)
 	weights = slices.Clone(weights)
-	differing, _ = guard.Changed(decided, weights)
+	differing, _ = guard.CountChanges(decided, weights)
 	if differing > 0 {
 		for host := range weights {
 			weights[host] = roundWeight(weights[host])
@@ -121,7 +121,7 @@
 	if !c.repairFits(number, table, weights, differing) {
 		if minimal, ok := guard.MinimalUpdate(hosts, table.published, decided); ok {
 			weights = minimal
-			differing, _ = guard.Changed(decided, weights)
+			differing, _ = guard.CountChanges(decided, weights)
 		}
 	}
 	wasRepaired := table.repaired != nil
@@ -142,7 +142,7 @@
 // replacePublished publishes weights of a shared table in place of those before, and counts the entries that change.
 func (c *Controller) replacePublished(number int, table *routingTable, weights []float64) {
 	if table.published != nil {
-		if changed, hasRemoval := guard.Changed(table.published, weights); changed > 0 {
+		if changed, hasRemoval := guard.CountChanges(table.published, weights); changed > 0 {
 			c.tables.beginChange(number, table)
 			table.changedEntries = math.Max(table.changedEntries, float64(changed))
 			table.hasRemoval = table.hasRemoval || hasRemoval
@@ -159,7 +159,7 @@
 	if table.published == nil || differing == 0 && table.repaired == nil {
 		return true // nothing is sent for the sake of a repair
 	}
-	changed, _ := guard.Changed(table.published, weights)
+	changed, _ := guard.CountChanges(table.published, weights)
 	if changed == 0 {
 		return true
 	}
--- a/controller/restore.go
+++ b/controller/restore.go
@@ -121,8 +121,8 @@
 		}
 		c.balancer.ObserveHealthCheck(index, result, routing.UnknownLoad)
 	}
-	if host.ReportTrust < 1 {
-		c.ingest.trust.Restore(endpoint.Host, host.ReportTrust)
+	if host.ReportConfidence < 1 {
+		c.ingest.trust.Restore(endpoint.Host, host.ReportConfidence)
 	}
 	if host.DrainingSinceMs > 0 && endpoint.State == routing.Draining {
 		c.restored.drainingSinceMs[endpoint.Host] = host.DrainingSinceMs
--- a/controller/restore_test.go
+++ b/controller/restore_test.go
@@ -250,11 +250,11 @@
 		wantFailures int
 		wantRestored int
 	}{
-		{"timed out", state.Host{Zone: "a", Weight: 1, Ejected: true, ReportTrust: 1}, 1, 1},
-		{"unreachable", state.Host{Zone: "a", Weight: 1, Ejected: true, Unreachable: true, ReportTrust: 0.2}, 1, 1},
-		{"not ejected", state.Host{Zone: "a", Weight: 1, ReportTrust: 1}, 0, 1},
-		{"in another zone", state.Host{Zone: "b", Weight: 1, Ejected: true, ReportTrust: 1}, 0, 0},
-		{"another start", state.Host{Zone: "a", Weight: 1, StartedMs: 400, Ejected: true, ReportTrust: 1}, 0, 0},
+		{"timed out", state.Host{Zone: "a", Weight: 1, Ejected: true, ReportConfidence: 1}, 1, 1},
+		{"unreachable", state.Host{Zone: "a", Weight: 1, Ejected: true, Unreachable: true, ReportConfidence: 0.2}, 1, 1},
+		{"not ejected", state.Host{Zone: "a", Weight: 1, ReportConfidence: 1}, 0, 1},
+		{"in another zone", state.Host{Zone: "b", Weight: 1, Ejected: true, ReportConfidence: 1}, 0, 0},
+		{"another start", state.Host{Zone: "a", Weight: 1, StartedMs: 400, Ejected: true, ReportConfidence: 1}, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			set := defaultTestSettings()
@@ -278,7 +278,7 @@
 				t.Errorf("%d hosts restored, want %d", got, test.wantRestored)
 			}
 			distrusted := info.Reports != nil && info.Reports.DistrustReason != ""
-			if want := test.known.ReportTrust < 1; distrusted != want {
+			if want := test.known.ReportConfidence < 1; distrusted != want {
 				t.Errorf("the reports are distrusted: %v, want %v", distrusted, want)
 			}
 		})
--- a/controller/snapshot.go
+++ b/controller/snapshot.go
@@ -55,7 +55,7 @@
 	host := &statepb.Host{
 		Name:    endpoint.Host,
 		Zone:    endpoint.Zone,
-		Started: math.Max(explanation.StartedMs, 0),
+		Started: math.Max(explanation.StartedAtMs, 0),
 		Weight:  1,
 		Rate:    explanation.ArrivalRate,
 		R:       explanation.MeanLatencyMs,
--- a/guard/update.go
+++ b/guard/update.go
@@ -21,9 +21,9 @@
 	return row, warmHostLeft
 }
 
-// Changed returns the number of weight entries that differ between two rows, and whether one of them is a removal. A
-// host beyond the end of a row has no weight in it.
-func Changed(published, decided []float64) (entries int, removal bool) {
+// CountChanges returns the number of weight entries that differ between two rows, and whether one of them is a removal.
+// A host beyond the end of a row has no weight in it.
+func CountChanges(published, decided []float64) (entries int, removal bool) {
 	for i := range max(len(published), len(decided)) {
 		before := weightAt(published, i)
 		after := weightAt(decided, i)
--- a/guard/update_test.go
+++ b/guard/update_test.go
@@ -56,7 +56,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			entries, removal := Changed(test.published, test.decided)
+			entries, removal := CountChanges(test.published, test.decided)
 			if entries != test.entries || removal != test.removal {
 				t.Errorf("got %d, %v, want %d, %v", entries, removal, test.entries, test.removal)
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -399,8 +399,8 @@
 	return c
 }
 
-// Steward makes the steward that a checked configuration describes.
-func Steward(c *configpb.Config, life string, seed uint64) *controller.Controller {
+// NewController makes the steward that a checked configuration describes.
+func NewController(c *configpb.Config, life string, seed uint64) *controller.Controller {
 	var classes []controller.RequestClass
 	for _, k := range c.Classes {
 		classes = append(classes, controller.RequestClass{Name: k.Name, RequestClass: routing.RequestClass{LatencyObjectiveMs: *k.DueMs, DeadlineMs: *k.PatienceMs,
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -7,13 +7,13 @@
 
 // Rules gives the figures by which the rules are reckoned for a configuration; a cold host that is pushed for so
 // many ms falls over.
-func Rules(c *configpb.Config, fall float64) rules.Figures {
-	f := rules.Figures{Fall: fall, Once: map[string]bool{}, Bare: *c.Guard.BareMs, Grace: *c.Guard.GraceMs,
-		ColdFrom: *c.Guard.ColdFrom, Cold: *c.Guard.ColdMs, Multiple: *c.Guard.FallMultiple,
-		LinesPerS: *c.Channel.LinesPerS, Head: *c.Channel.HeadLines, MostWaiting: *c.Channel.MostWaiting,
-		MessagesMost: int(*c.Channel.MessagesMost), MessagesOver: *c.Channel.MessagesOverMs}
+func Rules(c *configpb.Config, fall float64) rules.Limits {
+	f := rules.Limits{CollapseMs: fall, NonIdempotentClasses: map[string]bool{}, EmptyTableMs: *c.Guard.BareMs, DrainGraceMs: *c.Guard.GraceMs,
+		SlowStartInitialFactor: *c.Guard.ColdFrom, SlowStartMs: *c.Guard.ColdMs, CollapseMultiple: *c.Guard.FallMultiple,
+		EntriesPerSecond: *c.Channel.LinesPerS, MessageOverhead: *c.Channel.HeadLines, MaxBacklog: *c.Channel.MostWaiting,
+		MaxMessages: int(*c.Channel.MessagesMost), MessageWindowMs: *c.Channel.MessagesOverMs}
 	for _, k := range c.Classes {
-		f.Once[k.Name] = k.Once
+		f.NonIdempotentClasses[k.Name] = k.Once
 	}
 	return f
 }
--- a/internal/daemon/api.go
+++ b/internal/daemon/api.go
@@ -49,7 +49,7 @@
 	post("/v1/proxies/{proxy}/tables", auth.Poll, a.pollTables, serverLimit)
 	mux.Handle(http.MethodDelete, "/v1/proxies/{proxy}",
 		http1.Route{Serve: a.authorizer.authorize(auth.Poll, a.disconnect)})
-	post("/v1/proxies/{proxy}/sums", auth.Sums, a.postProxyStats, serverLimit)
+	post("/v1/proxies/{proxy}/sums", auth.Stats, a.postProxyStats, serverLimit)
 	post("/v1/hosts/{host}/load", auth.Report, a.postLoadReport, maxSmallBodyBytes)
 	get(statePath, auth.Follow, a.statePublisher.serve)
 
--- a/internal/daemon/api_test.go
+++ b/internal/daemon/api_test.go
@@ -212,12 +212,12 @@
 
 	// The same by the client library: it uses the first controller's tables, then the second's.
 	proxy, _ := runClient(t, client.Options{
-		Stewards: []string{first.url, second.url},
-		Proxy:    "q",
-		Zone:     "a",
-		Offer:    true,
-		Wait:     time.Second,
-		Least:    5 * time.Millisecond,
+		Controllers: []string{first.url, second.url},
+		Proxy:       "q",
+		Zone:        "a",
+		OfferTables: true,
+		PollTimeout: time.Second,
+		MinBackoff:  5 * time.Millisecond,
 	})
 	eventually(t, "the first's tables", func() bool { return hostWeight(proxy, "10.0.0.2:80") == 0.5 })
 	first.Kill()
--- a/internal/daemon/credentials_test.go
+++ b/internal/daemon/credentials_test.go
@@ -158,22 +158,22 @@
 	transport := &http.Transport{TLSClientConfig: source.Client(expectID(controllerID))}
 	d.t.Cleanup(transport.CloseIdleConnections)
 	return runClient(d.t, client.Options{
-		Stewards: []string{d.url},
-		Proxy:    "f1",
-		Zone:     "a",
-		HTTP:     &http.Client{Transport: transport},
-		Wait:     5 * time.Second,
-		Period:   50 * time.Millisecond,
-		Least:    5 * time.Millisecond,
-		Most:     20 * time.Millisecond,
-		Log:      logLine,
+		Controllers:    []string{d.url},
+		Proxy:          "f1",
+		Zone:           "a",
+		HTTP:           &http.Client{Transport: transport},
+		PollTimeout:    5 * time.Second,
+		ReportInterval: 50 * time.Millisecond,
+		MinBackoff:     5 * time.Millisecond,
+		MaxBackoff:     20 * time.Millisecond,
+		Log:            logLine,
 	})
 }
 
 // sendRequestsUntil sends requests by the client library; each has to find a host.
 func sendRequestsUntil(t *testing.T, proxy *client.Client, end time.Time) {
 	t.Helper()
-	attempt := func(context.Context, string) client.Try { return client.Try{} }
+	attempt := func(context.Context, string) client.Outcome { return client.Outcome{} }
 	for time.Now().Before(end) {
 		if err := proxy.Do(context.Background(), "sheet", attempt); err != nil {
 			t.Fatal(err)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -115,7 +115,7 @@
 		PerSource: *d.config.Intake.SourceLinesPerS,
 		Total:     *d.config.Intake.LinesPerS,
 	})
-	instance := config.Steward(d.config, d.incarnation, d.seed)
+	instance := config.NewController(d.config, d.incarnation, d.seed)
 	d.loop = newControllerLoop(instance, limiter, d.log, recorder)
 	d.startHealthChecker(ctx)
 	if err := d.recordStart(); err != nil {
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -25,17 +25,17 @@
 func TestRestartWithPendingPoll(t *testing.T) {
 	d := startDaemon(t, "")
 	proxy, stop := runClient(t, client.Options{
-		Stewards: []string{d.url},
-		Proxy:    "p",
-		Zone:     "a",
-		Least:    time.Millisecond,
-		Most:     10 * time.Millisecond,
+		Controllers: []string{d.url},
+		Proxy:       "p",
+		Zone:        "a",
+		MinBackoff:  time.Millisecond,
+		MaxBackoff:  10 * time.Millisecond,
 	})
 	eventually(t, "tables", func() bool { return len(proxy.Tables()["sheet"].Hosts) == 2 })
 	d.waitForPolls(1)
 	incarnation := d.loop.status().Life
 	d.Kill()
-	eventually(t, "the loss", func() bool { return proxy.Steward() == "" })
+	eventually(t, "the loss", func() bool { return proxy.Controller() == "" })
 	if host, ok := proxy.Pick("finish"); !ok {
 		t.Errorf("no host without a controller, %q", host)
 	}
--- a/internal/daemon/operator_api.go
+++ b/internal/daemon/operator_api.go
@@ -171,7 +171,7 @@
 }
 
 func (a *api) applyCommands(commands ...operator.Command) http1.Reply {
-	queued, err := a.operators.Order(commands...)
+	queued, err := a.operators.ApplyCommands(commands...)
 	if err != nil {
 		return errorReply(err)
 	}
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -41,9 +41,9 @@
 // Status gives the controller's status.
 func (o *Operators) Status() controller.Status { return o.loop.status() }
 
-// Order applies commands; waits tells that some of them are queued for their turn. A command that would break a rule
-// is a *operator.RejectedError.
-func (o *Operators) Order(commands ...operator.Command) (waits bool, err error) {
+// ApplyCommands applies commands; waits tells that some of them are queued for their turn. A command that would break a
+// rule is a *operator.RejectedError.
+func (o *Operators) ApplyCommands(commands ...operator.Command) (waits bool, err error) {
 	return o.loop.applyOverrides(commands)
 }
 
--- a/internal/daemon/persister.go
+++ b/internal/daemon/persister.go
@@ -141,7 +141,7 @@
 		}
 	}
 	p.report.Failed = failed
-	p.report.Dropped = p.store.DroppedEntries
+	p.report.Dropped = p.store.ShrinkSteps
 	p.report.TookMs = wholeMicroseconds(took)
 	p.report.LockedMs = wholeMicroseconds(locked)
 }
--- a/internal/daemon/recording_test.go
+++ b/internal/daemon/recording_test.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return config.Steward(cfg, start.Life, start.Seed), nil
+	return config.NewController(cfg, start.Life, start.Seed), nil
 }
 
 func readFile(t *testing.T, path string) []byte {
--- a/internal/daemon/socket_proxies.go
+++ b/internal/daemon/socket_proxies.go
@@ -29,7 +29,7 @@
 // localController lets the drivers poll the controller in the same process.
 type localController struct{ loop *controllerLoop }
 
-var _ socketproxy.Steward = localController{}
+var _ socketproxy.Controller = localController{}
 
 // Poll implements socketproxy.Steward.
 func (c localController) Poll(request controller.PollRequest, deliver func(controller.Response)) (int64, error) {
--- a/internal/daemon/table_signature_test.go
+++ b/internal/daemon/table_signature_test.go
@@ -77,14 +77,14 @@
 	d.t.Helper()
 	c := &signatureClient{}
 	c.proxy, c.stop = runClient(d.t, client.Options{
-		Stewards: []string{d.url},
-		Proxy:    "f1",
-		Zone:     "a",
-		HTTP:     &http.Client{Transport: cache},
-		Wait:     time.Second,
-		Least:    5 * time.Millisecond,
-		Most:     20 * time.Millisecond,
-		Signed:   verify,
+		Controllers:  []string{d.url},
+		Proxy:        "f1",
+		Zone:         "a",
+		HTTP:         &http.Client{Transport: cache},
+		PollTimeout:  time.Second,
+		MinBackoff:   5 * time.Millisecond,
+		MaxBackoff:   20 * time.Millisecond,
+		VerifySigner: verify,
 		Log: func(line string) {
 			for _, reason := range []string{"older", "judging", "not signed"} {
 				if strings.Contains(line, reason) {
--- a/internal/fake/forwarder.go
+++ b/internal/fake/forwarder.go
@@ -41,10 +41,10 @@
 	Wait       time.Duration
 	Period     time.Duration
 	Ejects     int
-	Journal    *rules.Journal
+	Journal    *rules.EventLog
 	Ended      func(class string, came, took float64, err error) // of each transaction
 	Log        func(string)
-	Transacted func(client.Transaction) // told to the client, for a recording; nil: none
+	Transacted func(client.Request) // told to the client, for a recording; nil: none
 	Applied    func(tag string)
 	TLS        *tls.Config                     // to stewards; nil: plain
 	Signed     func([]*x509.Certificate) error // judges who signed tables; nil: they need no signature
@@ -66,12 +66,12 @@
 
 // Options are those of the client that a forwarder is built on.
 func (set ForwarderSettings) Options() client.Options {
-	o := client.Options{Stewards: set.Stewards, Proxy: set.Name, Zone: set.Zone, Standing: set.Standing, Wait: set.Wait,
-		Period: set.Period, Ejects: set.Ejects, Signed: set.Signed}
+	o := client.Options{Controllers: set.Stewards, Proxy: set.Name, Zone: set.Zone, FallbackHosts: set.Standing, PollTimeout: set.Wait,
+		ReportInterval: set.Period, EjectAfterFailures: set.Ejects, VerifySigner: set.Signed}
 	for _, t := range set.Traffic {
-		o.Rate += t.Rate
+		o.RequestRate += t.Rate
 		if t.Repeats {
-			o.Repeats = append(o.Repeats, t.Class)
+			o.IdempotentClasses = append(o.IdempotentClasses, t.Class)
 		}
 	}
 	return o
@@ -85,19 +85,19 @@
 	var err error
 	o := set.Options()
 	if set.Socket {
-		o.Stewards = nil
+		o.Controllers = nil
 		if f.socket, err = newSocket(f); err != nil {
 			return nil, err
 		}
 		told := set.Transacted
-		set.Transacted = func(t client.Transaction) {
+		set.Transacted = func(t client.Request) {
 			f.socket.count(t)
 			if told != nil {
 				told(t)
 			}
 		}
 	}
-	o.HTTP, o.Log, o.Ended, o.Applied = steward, set.Log, set.Transacted, set.Applied
+	o.HTTP, o.Log, o.OnRequestEnd, o.OnTablesApplied = steward, set.Log, set.Transacted, set.Applied
 	if f.Client, err = client.New(o); err == nil && set.Socket {
 		f.socket.begin()
 	}
@@ -175,12 +175,12 @@
 		r.Body.Close()
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		if err == nil {
-			j.Answered(Now(), t.f.set.Name, steward, r.StatusCode, r.Header.Get("ETag"), r.Header.Get("Delta-Base"),
+			j.LogPollResponse(Now(), t.f.set.Name, steward, r.StatusCode, r.Header.Get("ETag"), r.Header.Get("Delta-Base"),
 				q.Header.Get("If-None-Match"), body)
 			return r, nil
 		}
 	}
-	j.Answered(Now(), t.f.set.Name, steward, 0, "", "", "", nil)
+	j.LogPollResponse(Now(), t.f.set.Name, steward, 0, "", "", "", nil)
 	return nil, err
 }
 
@@ -223,7 +223,7 @@
 	came := Now()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(t.Patience*float64(time.Millisecond)))
 	defer cancel()
-	err := f.Client.Do(ctx, t.Class, func(ctx context.Context, host string) client.Try {
+	err := f.Client.Do(ctx, t.Class, func(ctx context.Context, host string) client.Outcome {
 		return f.try(ctx, host, t, id, work)
 	})
 	if f.set.Ended != nil {
@@ -231,23 +231,23 @@
 	}
 }
 
-func (f *Forwarder) try(ctx context.Context, host string, t Traffic, id string, work float64) client.Try {
+func (f *Forwarder) try(ctx context.Context, host string, t Traffic, id string, work float64) client.Outcome {
 	// POST, since net/http repeats a GET by itself when a connection breaks: the effect might come twice.
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost,
 		fmt.Sprintf("http://%s/t/%s?id=%s&work=%.3f", host, t.Class, id, work), nil)
 	if err != nil {
-		return client.Try{Result: client.NeverRan, Err: err}
+		return client.Outcome{Result: client.NeverRan, Err: err}
 	}
 	q.Header.Set("Proxy", f.set.Name)
 	r, err := f.hosts.Do(q)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return client.Try{Result: client.NeverRan, Err: err}
+		return client.Outcome{Result: client.NeverRan, Err: err}
 	} else if err != nil {
-		return client.Try{Result: client.Failed, Err: err}
+		return client.Outcome{Result: client.Failed, Err: err}
 	}
 	io.Copy(io.Discard, r.Body)
 	r.Body.Close()
-	a := client.Try{Metrics: r.Header.Get(orca.Field)}
+	a := client.Outcome{Metrics: r.Header.Get(orca.Field)}
 	if r.StatusCode == http.StatusServiceUnavailable {
 		a.Result, a.Err = client.NeverRan, errors.New(r.Status)
 	} else if r.StatusCode != http.StatusOK {
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -37,7 +37,7 @@
 type Host struct {
 	Address string
 	set     HostSettings
-	journal *rules.Journal
+	journal *rules.EventLog
 
 	mu      sync.Mutex
 	server  *http.Server
@@ -57,7 +57,7 @@
 type burst struct{ at, work float64 }
 
 // NewHost starts a host at a free port.
-func NewHost(set HostSettings, j *rules.Journal) (*Host, error) {
+func NewHost(set HostSettings, j *rules.EventLog) (*Host, error) {
 	h := &Host{set: set, journal: j, slow: 1, seen: map[string]bool{}}
 	h.woken = sync.NewCond(&h.mu)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 	}
 	h.Address = l.Addr().String()
 	if j != nil {
-		j.Capacity(h.Address, float64(set.Cores)*set.Speed)
+		j.LogCapacity(h.Address, float64(set.Cores)*set.Speed)
 	}
 	h.serve(l)
 	return h, nil
@@ -234,7 +234,7 @@
 		h.seen[id] = true
 	}
 	if h.journal != nil {
-		h.journal.Arrived(now, h.Address, proxy, class, id, work, !full && !repeat)
+		h.journal.LogAttempt(now, h.Address, proxy, class, id, work, !full && !repeat)
 	}
 	if full {
 		h.mu.Unlock()
--- a/internal/fake/socket.go
+++ b/internal/fake/socket.go
@@ -172,7 +172,7 @@
 	doc := map[string]map[string]table{"tables": {}}
 	for _, c := range s.classes {
 		t := table{map[string]float64{}, 1, 1}
-		if x, err := strconv.ParseFloat(s.vars["proc."+publisher.ShareVariable+c], 64); err == nil {
+		if x, err := strconv.ParseFloat(s.vars["proc."+publisher.AdmissionRatioVariablePrefix+c], 64); err == nil {
 			t.Share = x / 1000
 		}
 		for _, v := range s.taking(c) {
@@ -199,11 +199,11 @@
 		}
 	}
 	life, _, _ := strings.Cut(s.vars["proc."+publisher.OwnerVariable], ":")
-	j.Holds(Now(), s.f.set.Name, life, lines, more, hosts, joined)
+	j.LogProxyState(Now(), s.f.set.Name, life, lines, more, hosts, joined)
 }
 
 // count takes a transaction into the counters.
-func (s *socket) count(t client.Transaction) {
+func (s *socket) count(t client.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.backend[t.Class]
@@ -211,7 +211,7 @@
 		return
 	}
 	b.total++
-	for _, try := range t.Tries {
+	for _, try := range t.Attempts {
 		for _, v := range s.servers[t.Class] {
 			if v.address != try.Host {
 				continue
@@ -219,7 +219,7 @@
 			switch try.Result {
 			case client.Fulfilled:
 				v.total++
-				v.times[v.timed%socketTimes] = try.Took.Seconds() * 1000
+				v.times[v.timed%socketTimes] = try.Duration.Seconds() * 1000
 				v.timed++
 			case client.NeverRan:
 				v.econ++
@@ -228,7 +228,7 @@
 			}
 		}
 	}
-	if !t.Fulfilled && t.LetIn {
+	if !t.Fulfilled && t.Admitted {
 		b.eresp++
 	}
 }
@@ -314,7 +314,7 @@
 		v = strings.TrimSuffix(v[strings.IndexByte(v, '(')+1:], ")")
 		old := s.vars[w[2]]
 		s.vars[w[2]] = v
-		return "", old != v && strings.Contains(w[2], publisher.ShareVariable)
+		return "", old != v && strings.Contains(w[2], publisher.AdmissionRatioVariablePrefix)
 	}
 	at := 2
 	if command != "add server" && command != "del server" && command != "set server" && command != "set weight" || len(w) < 3 {
--- a/internal/record/proxy.go
+++ b/internal/record/proxy.go
@@ -21,12 +21,12 @@
 // NewProxy begins a proxy's recording. The options are those of its client.
 func NewProxy(w io.Writer, program string, o client.Options) *Proxy {
 	p := &Proxy{w: NewWriter(w)}
-	if o.Shuns == 0 {
-		o.Shuns = client.UsualShuns
+	if o.EjectionTime == 0 {
+		o.EjectionTime = client.DefaultEjectionTime
 	}
 	p.write(&recordpb.Record{At: unixMs(time.Now()), What: &recordpb.Record_ProxyStart{ProxyStart: &recordpb.ProxyStart{
-		Format: Format, Program: program, Proxy: o.Proxy, Zone: o.Zone, Ejects: int32(o.Ejects),
-		Shuns: o.Shuns.Seconds() * 1000, Repeats: o.Repeats}}})
+		Format: Format, Program: program, Proxy: o.Proxy, Zone: o.Zone, Ejects: int32(o.EjectAfterFailures),
+		Shuns: o.EjectionTime.Seconds() * 1000, Repeats: o.IdempotentClasses}}})
 	return p
 }
 
@@ -37,10 +37,10 @@
 }
 
 // Ended records a transaction.
-func (p *Proxy) Ended(x client.Transaction) {
-	t := &recordpb.Transaction{Class: x.Class, Came: unixMs(x.Came), LetIn: x.LetIn, Fulfilled: x.Fulfilled}
-	for _, a := range x.Tries {
-		t.Tries = append(t.Tries, &recordpb.Try{At: unixMs(a.Began), Host: a.Host, Took: a.Took.Seconds() * 1000,
+func (p *Proxy) Ended(x client.Request) {
+	t := &recordpb.Transaction{Class: x.Class, Came: unixMs(x.ArrivedAt), LetIn: x.Admitted, Fulfilled: x.Fulfilled}
+	for _, a := range x.Attempts {
+		t.Tries = append(t.Tries, &recordpb.Try{At: unixMs(a.StartedAt), Host: a.Host, Took: a.Duration.Seconds() * 1000,
 			Result: int32(a.Result)})
 	}
 	p.write(&recordpb.Record{At: unixMs(time.Now()), What: &recordpb.Record_Transaction{Transaction: t}})
--- a/internal/rehearse/day.go
+++ b/internal/rehearse/day.go
@@ -45,7 +45,7 @@
 	out        io.Writer
 	log        zerolog.Logger
 	start      time.Time
-	journal    *rules.Journal
+	journal    *rules.EventLog
 	service    *service
 
 	gaps       gaps
@@ -85,19 +85,19 @@
 	if err := prototext.Unmarshal(text, script); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return playDay(ctx, script, version, records, program, out, log, func(*rules.Figures) {})
+	return playDay(ctx, script, version, records, program, out, log, func(*rules.Limits) {})
 }
 
 // playDay plays a script; judge may change the figures that the rules are reckoned by.
 func playDay(ctx context.Context, script *daypb.Day, version, records, program string, out io.Writer,
-	log zerolog.Logger, judge func(*rules.Figures)) (*Result, error) {
+	log zerolog.Logger, judge func(*rules.Limits)) (*Result, error) {
 	return playing(ctx, script, version, records, program, out, log, judge, func(*day) {})
 }
 
 // playing plays a script, and shows the day before it is taken down.
 func playing(ctx context.Context, script *daypb.Day, version, records, program string, out io.Writer,
-	log zerolog.Logger, judge func(*rules.Figures), show func(*day)) (*Result, error) {
-	d := &day{script: script, version: version, records: records, program: program, out: out, log: log, journal: rules.NewJournal(),
+	log zerolog.Logger, judge func(*rules.Limits), show func(*day)) (*Result, error) {
+	d := &day{script: script, version: version, records: records, program: program, out: out, log: log, journal: rules.NewEventLog(),
 		taken: taken{client: &http.Client{Timeout: time.Second}}}
 	if err := d.check(); err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 }
 
 // figures are the rules' figures by the configuration.
-func (d *day) figures() rules.Figures {
+func (d *day) figures() rules.Limits {
 	return config.Rules(d.config, d.script.FallMs)
 }
 
@@ -185,7 +185,7 @@
 	f := d.figures()
 	for _, g := range d.script.Hosts {
 		set := fake.HostSettings{Zone: g.Zone, Cores: max(int(g.Cores), 1), Speed: g.Speed, Queue: int(g.Queue),
-			ColdFrom: f.ColdFrom, Cold: f.Cold, Multiple: f.Multiple, Fall: f.Fall, Once: f.Once, Rate: g.ReportMs > 0}
+			ColdFrom: f.SlowStartInitialFactor, Cold: f.SlowStartMs, Multiple: f.CollapseMultiple, Fall: f.CollapseMs, Once: f.NonIdempotentClasses, Rate: g.ReportMs > 0}
 		if g.Cores == 0 {
 			set.Cores = 4
 		}
@@ -313,7 +313,7 @@
 			d.forwarders = append(d.forwarders, f)
 			if set.Socket {
 				d.config.Sockets = append(d.config.Sockets, &configpb.SocketProxy{Proxy: set.Name, Zone: set.Zone, Address: f.SocketAddress(),
-					Rate: proto.Float64(set.Options().Rate)})
+					Rate: proto.Float64(set.Options().RequestRate)})
 			}
 			n++
 		}
@@ -376,7 +376,7 @@
 	if err := os.WriteFile(next, text, 0o644); err != nil {
 		return fmt.Errorf("writing the host list: %w", err)
 	}
-	d.journal.Gave(fake.Now(), seen)
+	d.journal.LogEndpoints(fake.Now(), seen)
 	return os.Rename(next, d.config.List.File)
 }
 
@@ -443,7 +443,7 @@
 	d.note += fmt.Sprintf(format, args...)
 }
 
-func (d *day) report(f rules.Figures) *Result {
+func (d *day) report(f rules.Limits) *Result {
 	r := &Result{Kept: true, Verdicts: d.journal.Check(f, fake.Now())}
 	r.Service, _ = d.service.share(0, 1<<30)
 	for _, h := range d.hosts {
--- a/internal/rehearse/gap.go
+++ b/internal/rehearse/gap.go
@@ -84,7 +84,7 @@
 	pool := solver.NewPool()
 	for _, f := range d.forwarders {
 		for class, table := range f.Client.Tables() {
-			pool.Add(class, f.Zone(), table.Share, func(yield func(string, float64) bool) {
+			pool.Add(class, f.Zone(), table.AdmissionRatio, func(yield func(string, float64) bool) {
 				for _, h := range table.Hosts {
 					if !yield(h.Address, h.Weight) {
 						return
--- a/internal/rehearse/intake.go
+++ b/internal/rehearse/intake.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		t.level, t.late, t.wait = max(t.level, x.Level), math.Max(t.late, x.LateMs), math.Max(t.wait, x.WaitP99Ms)
-		d.journal.Waited(address, x.LinesMost)
+		d.journal.LogMaxBacklog(address, x.LinesMost)
 		if i == 0 {
 			t.samples = append(t.samples, x)
 		}
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -31,7 +31,7 @@
 steps { at_s: 1 for_s: 3 what: HANG zone: "a" count: 1 } steps { at_s: 2 for_s: 2 what: DRAIN zone: "b" first: 2 count: 1 }
 steps { at_s: 4.5 for_s: 1.5 what: LOSE zone: "b" count: 2 } steps { at_s: 6 for_s: 1 what: KILL steward: 1 }`
 
-func play(t *testing.T, judge func(*rules.Figures)) (*Result, string) {
+func play(t *testing.T, judge func(*rules.Limits)) (*Result, string) {
 	t.Helper()
 	script := &daypb.Day{}
 	if err := prototext.Unmarshal([]byte(short), script); err != nil {
@@ -48,7 +48,7 @@
 // A short bad day through real sockets keeps all rules, though one steward is killed and hosts hang and die.
 func TestShortDay(t *testing.T) {
 	t.Parallel()
-	if r, out := play(t, func(*rules.Figures) {}); !r.Kept || r.Service < 0.5 {
+	if r, out := play(t, func(*rules.Limits) {}); !r.Kept || r.Service < 0.5 {
 		t.Error(out)
 	}
 }
@@ -56,7 +56,7 @@
 // Judged by figures stricter than the stewards were told, the same day breaks them: the checks look.
 func TestStricterFiguresBreak(t *testing.T) {
 	t.Parallel()
-	r, out := play(t, func(f *rules.Figures) { f.MessagesMost, f.Grace = 1, 0.001 })
+	r, out := play(t, func(f *rules.Limits) { f.MaxMessages, f.DrainGraceMs = 1, 0.001 })
 	broken := map[string]bool{}
 	for _, v := range r.Verdicts {
 		broken[v.Rule] = !v.Kept
@@ -74,7 +74,7 @@
 	if err := prototext.Unmarshal([]byte(short), script); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := playDay(context.Background(), script, "test", dir, "", io.Discard, zerolog.Nop(), func(*rules.Figures) {}); err != nil {
+	if _, err := playDay(context.Background(), script, "test", dir, "", io.Discard, zerolog.Nop(), func(*rules.Limits) {}); err != nil {
 		t.Fatal(err)
 	}
 	names, _ := filepath.Glob(filepath.Join(dir, "*.day"))
@@ -94,7 +94,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return config.Steward(c, s.Life, s.Seed), nil
+		return config.NewController(c, s.Life, s.Seed), nil
 	}
 	sources, _ := open()
 	lives, answers := 0, 0
--- a/internal/rehearse/reports_test.go
+++ b/internal/rehearse/reports_test.go
@@ -23,7 +23,7 @@
 	}
 	var out strings.Builder
 	var seen *day
-	r, err := playing(context.Background(), script, "test", "", "", &out, zerolog.New(io.Discard), func(*rules.Figures) {}, func(d *day) {
+	r, err := playing(context.Background(), script, "test", "", "", &out, zerolog.New(io.Discard), func(*rules.Limits) {}, func(d *day) {
 		seen = d
 		for _, f := range look {
 			f(d)
--- a/internal/rehearse/service.go
+++ b/internal/rehearse/service.go
@@ -45,7 +45,7 @@
 	c := &s.counts[class][i]
 	c.came++
 	switch {
-	case errors.Is(err, client.ErrNotLetIn):
+	case errors.Is(err, client.ErrNotAdmitted):
 		c.refused++
 	case err != nil:
 		c.lost++
--- a/internal/rules/channel.go
+++ b/internal/rules/channel.go
@@ -33,12 +33,12 @@
 }
 
 // extend adds an update with entries to its controller's burst, or begins a new burst after a pause.
-func (b bursts) extend(figures Figures, update *proxyUpdate) {
+func (b bursts) extend(limits Limits, update *proxyUpdate) {
 	cost := float64(update.entries)
 	if !update.continued {
-		cost = float64(update.entries) + figures.Head + 1
+		cost = float64(update.entries) + limits.MessageOverhead + 1
 	}
-	pauseMs := pauseMultiple * cost / figures.LinesPerS * msPerSecond
+	pauseMs := pauseMultiple * cost / limits.EntriesPerSecond * msPerSecond
 	if update.atMs-b.lastSentMs[update.controller] > math.Max(pauseMs, minPauseMs) {
 		b.entries[update.controller] = 0
 	}
@@ -47,11 +47,11 @@
 }
 
 // burstsAfter returns the bursts after the given updates.
-func (j *Journal) burstsAfter(figures Figures, updates []proxyUpdate) bursts {
-	after := j.compacted.bursts.clone()
+func (l *EventLog) burstsAfter(limits Limits, updates []proxyUpdate) bursts {
+	after := l.compacted.bursts.clone()
 	for i := range updates {
 		if updates[i].entries > 0 {
-			after.extend(figures, &updates[i])
+			after.extend(limits, &updates[i])
 		}
 	}
 	return after
@@ -61,49 +61,49 @@
 // empties at the channel's throughput shows as a burst, so the queue was never longer than the longest burst. A
 // channel in constant use has a long burst even with a short queue; where a burst exceeds the limit, the controller's
 // own figure is checked instead, if there is one.
-func (j *Journal) checkChannel(figures Figures) Verdict {
+func (l *EventLog) checkChannel(limits Limits) Verdict {
 	worst := worstCase{seen: "nothing was sent"}
-	sessions := j.sessions()
+	sessions := l.sessions()
 	sent := map[string][]float64{} // by proxy: times of the messages that count
-	current := j.burstsAfter(figures, nil)
-	for i := range j.updates {
-		update := &j.updates[i]
+	current := l.burstsAfter(limits, nil)
+	for i := range l.updates {
+		update := &l.updates[i]
 		if update.entries == 0 {
 			continue
 		}
-		current.extend(figures, update)
-		j.observeQueue(figures, update.controller, current.entries[update.controller], &worst)
-		if figures.MessagesMost == 0 || update.continued {
+		current.extend(limits, update)
+		l.observeQueue(limits, update.controller, current.entries[update.controller], &worst)
+		if limits.MaxMessages == 0 || update.continued {
 			continue
 		}
-		times := recentMessages(figures, append(sent[update.proxy], update.atMs), sessions[update.proxy])
+		times := recentMessages(limits, append(sent[update.proxy], update.atMs), sessions[update.proxy])
 		sent[update.proxy] = times
-		worst.observe(float64(len(times))/float64(figures.MessagesMost),
-			"%s got %d messages in %.0f s, %d are allowed", update.proxy, len(times), figures.MessagesOver/msPerSecond,
-			figures.MessagesMost)
+		worst.observe(float64(len(times))/float64(limits.MaxMessages),
+			"%s got %d messages in %.0f s, %d are allowed", update.proxy, len(times), limits.MessageWindowMs/msPerSecond,
+			limits.MaxMessages)
 	}
 	return newVerdict(ruleChannel, worst.size, worst.seen)
 }
 
 // observeQueue records the entries that may have been queued at a controller during a burst.
-func (j *Journal) observeQueue(figures Figures, controller string, burst float64, worst *worstCase) {
-	used := burst / figures.MostWaiting
-	waited, known := j.maxWaiting[controller]
+func (l *EventLog) observeQueue(limits Limits, controller string, burst float64, worst *worstCase) {
+	used := burst / limits.MaxBacklog
+	waited, known := l.maxWaiting[controller]
 	if !known || used <= 1 {
-		worst.observe(used, "%.0f lines in one stretch, %.0f may wait", burst, figures.MostWaiting)
+		worst.observe(used, "%.0f lines in one stretch, %.0f may wait", burst, limits.MaxBacklog)
 		return
 	}
-	worst.observe(waited/figures.MostWaiting,
+	worst.observe(waited/limits.MaxBacklog,
 		"%.0f lines waited by the steward's own word, %.0f may: in a stretch of %.0f it never paused", waited,
-		figures.MostWaiting, burst)
+		limits.MaxBacklog, burst)
 }
 
 // recentMessages returns the times of a proxy's messages that count against the limit at its newest message: those
 // within the window of the limit and in the proxy's session at that time. timesMs is sorted by time.
-func recentMessages(figures Figures, timesMs, sessions []float64) []float64 {
+func recentMessages(limits Limits, timesMs, sessions []float64) []float64 {
 	nowMs := timesMs[len(timesMs)-1]
 	sessionMs, connected := sessionAt(sessions, nowMs+afterBoundaryMs)
-	for len(timesMs) > 0 && (timesMs[0] <= nowMs-figures.MessagesOver || connected && timesMs[0] < sessionMs) {
+	for len(timesMs) > 0 && (timesMs[0] <= nowMs-limits.MessageWindowMs || connected && timesMs[0] < sessionMs) {
 		timesMs = timesMs[1:]
 	}
 	return timesMs
--- a/internal/rules/check.go
+++ b/internal/rules/check.go
@@ -44,29 +44,29 @@
 }
 
 // Check checks all invariants over the events that were logged up to endMs.
-func (j *Journal) Check(figures Figures, endMs float64) []Verdict {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	verdicts, _ := j.check(figures, endMs)
+func (l *EventLog) Check(limits Limits, endMs float64) []Verdict {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	verdicts, _ := l.check(limits, endMs)
 	return verdicts
 }
 
 // check checks all invariants, and counts the requests that hosts got while they were draining or removed.
-func (j *Journal) check(figures Figures, endMs float64) (verdicts []Verdict, afterNotice int) {
-	slices.SortStableFunc(j.updates, func(a, b proxyUpdate) int { return cmp.Compare(a.atMs, b.atMs) })
-	slices.SortStableFunc(j.requests, func(a, b request) int { return cmp.Compare(a.atMs, b.atMs) })
-	drains, afterNotice := j.checkDrains(figures)
+func (l *EventLog) check(limits Limits, endMs float64) (verdicts []Verdict, afterNotice int) {
+	slices.SortStableFunc(l.updates, func(a, b proxyUpdate) int { return cmp.Compare(a.atMs, b.atMs) })
+	slices.SortStableFunc(l.requests, func(a, b request) int { return cmp.Compare(a.atMs, b.atMs) })
+	drains, afterNotice := l.checkDrains(limits)
 	verdicts = []Verdict{
-		j.checkEmptyTables(figures, endMs),
-		j.checkDuplicates(figures),
+		l.checkEmptyTables(limits, endMs),
+		l.checkDuplicates(limits),
 		drains,
-		j.checkSlowStarts(figures),
-		j.checkChannel(figures),
+		l.checkSlowStarts(limits),
+		l.checkChannel(limits),
 	}
-	if j.deltaFault != "" {
-		verdicts = append(verdicts, Verdict{Rule: ruleDelta, Kept: false, Margin: -1, Seen: j.deltaFault})
+	if l.deltaFault != "" {
+		verdicts = append(verdicts, Verdict{Rule: ruleDelta, Kept: false, Margin: -1, Seen: l.deltaFault})
 	}
-	return mergeWorse(j.compacted.verdicts, verdicts), afterNotice
+	return mergeWorse(l.compacted.verdicts, verdicts), afterNotice
 }
 
 // mergeWorse returns the worse of two checks' verdicts on each invariant.
@@ -83,13 +83,13 @@
 	return merged
 }
 
-// checkDuplicates checks that no request of a class in Figures.Once was executed twice.
-func (j *Journal) checkDuplicates(figures Figures) Verdict {
+// checkDuplicates checks that no request of a class in Limits.NonIdempotentClasses was executed twice.
+func (l *EventLog) checkDuplicates(limits Limits) Verdict {
 	hostOf := map[string]string{} // of the last execution, by request
 	duplicates := 0
 	last := ""
-	for _, r := range j.requests {
-		if !r.executed || !figures.Once[r.class] {
+	for _, r := range l.requests {
+		if !r.executed || !limits.NonIdempotentClasses[r.class] {
 			continue
 		}
 		if host, executed := hostOf[r.id]; executed {
--- a/internal/rules/compact.go
+++ b/internal/rules/compact.go
@@ -19,41 +19,41 @@
 	bursts           bursts
 }
 
-// Fold checks the invariants over the events logged so far and drops the events that no later check needs, so that a
+// Compact checks the invariants over the events logged so far and drops the events that no later check needs, so that a
 // long log fits into memory: it keeps the longest time that a check looks back. Since a request may be executed again
-// after any time, duplicates across calls of Fold are not found. The figures must be those of the last Check, and no
+// after any time, duplicates across calls of Fold are not found. The limits must be those of the last Check, and no
 // event with a time before nowMs may be logged later.
-func (j *Journal) Fold(figures Figures, nowMs float64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.compacted.verdicts, j.compacted.afterNotice = j.check(figures, nowMs)
-	lookBackMs := max(figures.Bare, figures.Grace, figures.Cold, figures.MessagesOver)
-	cutMs := nowMs - lookBackMs - figures.Fall - compactionSlackMs
-	emptySinceMs := j.compactUpdates(figures, cutMs)
-	j.compactLists(math.Min(cutMs, emptySinceMs))
-	firstKept := sort.Search(len(j.requests), func(i int) bool { return j.requests[i].atMs >= cutMs })
-	j.requests = slices.Clone(j.requests[firstKept:])
-	j.compacted.atMs = nowMs
+func (l *EventLog) Compact(limits Limits, nowMs float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.compacted.verdicts, l.compacted.afterNotice = l.check(limits, nowMs)
+	lookBackMs := max(limits.EmptyTableMs, limits.DrainGraceMs, limits.SlowStartMs, limits.MessageWindowMs)
+	cutMs := nowMs - lookBackMs - limits.CollapseMs - compactionSlackMs
+	emptySinceMs := l.compactUpdates(limits, cutMs)
+	l.compactLists(math.Min(cutMs, emptySinceMs))
+	firstKept := sort.Search(len(l.requests), func(i int) bool { return l.requests[i].atMs >= cutMs })
+	l.requests = slices.Clone(l.requests[firstKept:])
+	l.compacted.atMs = nowMs
 }
 
 // compactLists drops the lists before the one in force at cutMs. It keeps the times since which hosts were draining
 // or removed then.
-func (j *Journal) compactLists(cutMs float64) {
-	inForce := sort.Search(len(j.lists), func(i int) bool { return j.lists[i].atMs > cutMs }) - 1
+func (l *EventLog) compactLists(cutMs float64) {
+	inForce := sort.Search(len(l.lists), func(i int) bool { return l.lists[i].atMs > cutMs }) - 1
 	if inForce <= 0 {
 		return
 	}
 	sinceMs := map[string]float64{}
-	for host, spans := range j.listedSpans(isDrainingOrRemoved) {
-		if beganMs, found := spanAt(spans, j.lists[inForce].atMs); found {
+	for host, spans := range l.listedSpans(isDrainingOrRemoved) {
+		if beganMs, found := spanAt(spans, l.lists[inForce].atMs); found {
 			sinceMs[host] = beganMs
 		}
 	}
-	if j.compacted.noTrafficSinceMs == nil {
-		j.compacted.firstListMs = j.lists[0].atMs
+	if l.compacted.noTrafficSinceMs == nil {
+		l.compacted.firstListMs = l.lists[0].atMs
 	}
-	j.compacted.noTrafficSinceMs = sinceMs
-	j.lists = slices.Clone(j.lists[inForce:])
+	l.compacted.noTrafficSinceMs = sinceMs
+	l.lists = slices.Clone(l.lists[inForce:])
 }
 
 const noUpdate = -1 // replaces the index of an update where there is none
@@ -106,10 +106,10 @@
 // compactUpdates drops the updates before cutMs, except each proxy's last one, the one with which its session began,
 // and those since which some class has had no host. It returns the earliest time since which a class has had no host,
 // or infinity if there is none.
-func (j *Journal) compactUpdates(figures Figures, cutMs float64) (emptySinceMs float64) {
+func (l *EventLog) compactUpdates(limits Limits, cutMs float64) (emptySinceMs float64) {
 	emptySinceMs = math.Inf(1)
-	cut := sort.Search(len(j.updates), func(i int) bool { return j.updates[i].atMs >= cutMs })
-	before := j.updates[:cut]
+	cut := sort.Search(len(l.updates), func(i int) bool { return l.updates[i].atMs >= cutMs })
+	before := l.updates[:cut]
 	histories := proxyHistories(before)
 	var kept []proxyUpdate
 	for i, update := range before {
@@ -126,7 +126,7 @@
 		update.entries = 0 // already counted in bursts and in messages
 		kept = append(kept, update)
 	}
-	j.compacted.bursts = j.burstsAfter(figures, before)
-	j.updates = append(kept, j.updates[cut:]...)
+	l.compacted.bursts = l.burstsAfter(limits, before)
+	l.updates = append(kept, l.updates[cut:]...)
 	return emptySinceMs
 }
--- a/internal/rules/compact_test.go
+++ b/internal/rules/compact_test.go
@@ -11,14 +11,14 @@
 
 // journalPair logs random events in two logs, one of which is compacted now and then.
 type journalPair struct {
-	whole     *Journal
-	compacted *Journal
+	whole     *EventLog
+	compacted *EventLog
 	hosts     map[string]Listed // the present list
 	nowMs     float64
 }
 
 // both logs an event in both.
-func (p *journalPair) both(add func(journal *Journal)) {
+func (p *journalPair) both(add func(log *EventLog)) {
 	add(p.whole)
 	add(p.compacted)
 }
@@ -33,21 +33,21 @@
 	case what == 0 || number == 0:
 		p.changeList(t, host)
 	case what == 1:
-		p.both(func(journal *Journal) { journal.Answered(p.nowMs, proxy, "s", 0, "", "", "", nil) })
+		p.both(func(log *EventLog) { log.LogPollResponse(p.nowMs, proxy, "s", 0, "", "", "", nil) })
 	case what == 2:
 		empty := []byte(`{"tables":{"finish":{"hosts":{}}}}`)
-		p.both(func(journal *Journal) { journal.Answered(p.nowMs, proxy, "s", 200, "1", "", "", empty) })
+		p.both(func(log *EventLog) { log.LogPollResponse(p.nowMs, proxy, "s", 200, "1", "", "", empty) })
 	case what <= 4:
 		controller := rapid.SampledFrom([]string{"s", "t"}).Draw(t, "steward")
-		p.both(func(journal *Journal) {
-			journal.Answered(p.nowMs, proxy, controller, 200, "1", "", "", []byte(twoHosts))
+		p.both(func(log *EventLog) {
+			log.LogPollResponse(p.nowMs, proxy, controller, 200, "1", "", "", []byte(twoHosts))
 		})
 	case what == 5:
-		p.compacted.Fold(testFigures, p.nowMs)
+		p.compacted.Compact(testLimits, p.nowMs)
 	default:
 		work := rapid.SampledFrom([]float64{50, 4000}).Draw(t, "work")
-		p.both(func(journal *Journal) {
-			journal.Arrived(p.nowMs, host, proxy, "sheet", fmt.Sprint("t", number), work, true)
+		p.both(func(log *EventLog) {
+			log.LogAttempt(p.nowMs, host, proxy, "sheet", fmt.Sprint("t", number), work, true)
 		})
 	}
 }
@@ -66,25 +66,25 @@
 		next[host] = Listed{Ready: true, Started: next[host].Started}
 	}
 	p.hosts = next
-	p.both(func(journal *Journal) { journal.Gave(p.nowMs, next) })
+	p.both(func(log *EventLog) { log.LogEndpoints(p.nowMs, next) })
 }
 
 // Checks of a log that is compacted again and again come to the same as those of one that keeps all.
 func TestFold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pair := &journalPair{whole: NewJournal(), compacted: NewJournal(), hosts: map[string]Listed{}, nowMs: 1000}
+		pair := &journalPair{whole: NewEventLog(), compacted: NewEventLog(), hosts: map[string]Listed{}, nowMs: 1000}
 		for _, host := range []string{"x", "y", "z"} {
-			pair.both(func(journal *Journal) { journal.Capacity(host, 4) })
+			pair.both(func(log *EventLog) { log.LogCapacity(host, 4) })
 		}
 		for number := range rapid.IntRange(20, 400).Draw(t, "steps") {
 			pair.step(t, number)
 		}
-		pair.compacted.Fold(testFigures, pair.nowMs)
+		pair.compacted.Compact(testLimits, pair.nowMs)
 		got := map[string]Verdict{}
-		for _, verdict := range pair.compacted.Check(testFigures, pair.nowMs+10) {
+		for _, verdict := range pair.compacted.Check(testLimits, pair.nowMs+10) {
 			got[verdict.Rule] = verdict
 		}
-		for _, want := range pair.whole.Check(testFigures, pair.nowMs+10) {
+		for _, want := range pair.whole.Check(testLimits, pair.nowMs+10) {
 			verdict, found := got[want.Rule]
 			if !found {
 				t.Fatalf("no verdict on %s", want.Rule)
@@ -99,16 +99,16 @@
 
 // What a compacted log keeps does not grow with time.
 func TestFoldedStaysSmall(t *testing.T) {
-	journal := newTestJournal()
+	log := newTestLog()
 	for i := range 100000 {
 		atMs := 1000 + 100*float64(i)
-		journal.Answered(atMs, "p", "s", 226, "2", "1", "1", []byte(twoHosts))
-		journal.Arrived(atMs, "x", "p", "sheet", fmt.Sprint("t", i), 50, true)
+		log.LogPollResponse(atMs, "p", "s", 226, "2", "1", "1", []byte(twoHosts))
+		log.LogAttempt(atMs, "x", "p", "sheet", fmt.Sprint("t", i), 50, true)
 		if i%500 == 0 {
-			journal.Fold(testFigures, atMs)
+			log.Compact(testLimits, atMs)
 		}
 	}
-	if len(journal.updates) > 2000 || len(journal.requests) > 2000 {
-		t.Errorf("%d updates and %d requests are kept", len(journal.updates), len(journal.requests))
+	if len(log.updates) > 2000 || len(log.requests) > 2000 {
+		t.Errorf("%d updates and %d requests are kept", len(log.updates), len(log.requests))
 	}
 }
--- a/internal/rules/drain.go
+++ b/internal/rules/drain.go
@@ -8,36 +8,36 @@
 
 // checkDrains checks for how long connected proxies still send requests to a host after it is draining or removed on
 // the endpoint list. It also counts these requests.
-func (j *Journal) checkDrains(figures Figures) (verdict Verdict, afterNotice int) {
-	sessions := j.sessions()
-	noTraffic := j.listedSpans(isDrainingOrRemoved)
-	afterNotice = j.compacted.afterNotice
+func (l *EventLog) checkDrains(limits Limits) (verdict Verdict, afterNotice int) {
+	sessions := l.sessions()
+	noTraffic := l.listedSpans(isDrainingOrRemoved)
+	afterNotice = l.compacted.afterNotice
 	var worst worstCase
-	for _, r := range j.requests {
+	for _, r := range l.requests {
 		noticeMs, draining := spanAt(noTraffic[r.host], r.atMs)
 		sessionMs, connected := sessionAt(sessions[r.proxy], r.atMs)
 		if !draining || !connected {
 			continue
 		}
-		if r.atMs >= j.compacted.atMs {
+		if r.atMs >= l.compacted.atMs {
 			afterNotice++
 		}
 		lateMs := r.atMs - math.Max(noticeMs, sessionMs)
 		worst.observe(lateMs, "; the last by %s at %s, %.0f ms of %.0f", r.proxy, r.host, lateMs,
-			figures.Grace)
+			limits.DrainGraceMs)
 	}
 	seen := fmt.Sprintf("%d transactions after the word%s", afterNotice, worst.seen)
-	return newVerdict(ruleDrain, worst.size/figures.Grace, seen), afterNotice
+	return newVerdict(ruleDrain, worst.size/limits.DrainGraceMs, seen), afterNotice
 }
 
 // isDrainingOrRemoved reports whether a host must get no request by its state on the endpoint list.
 func isDrainingOrRemoved(host Listed, listed bool) bool { return !listed || !host.Ready }
 
 // sessions returns for each proxy the alternating start and end times of its sessions with a controller.
-func (j *Journal) sessions() map[string][]float64 {
+func (l *EventLog) sessions() map[string][]float64 {
 	boundaries := map[string][]float64{}
 	current := map[string]string{} // by proxy: the controller; empty: none
-	for _, update := range j.updates {
+	for _, update := range l.updates {
 		controller := update.controller
 		if update.status == statusDisconnected {
 			controller = ""
@@ -81,41 +81,41 @@
 }
 
 // listedSpans returns for each host the spans in which it is in a state on the endpoint lists.
-func (j *Journal) listedSpans(inState func(host Listed, listed bool) bool) map[string][]span {
+func (l *EventLog) listedSpans(inState func(host Listed, listed bool) bool) map[string][]span {
 	spans := map[string][]span{}
-	for host := range j.knownHosts() {
-		spans[host] = j.hostSpans(host, inState)
+	for host := range l.knownHosts() {
+		spans[host] = l.hostSpans(host, inState)
 	}
 	return spans
 }
 
 // knownHosts returns all hosts that were on a list or got a request. A host that was on no list counts as removed
 // from the beginning.
-func (j *Journal) knownHosts() map[string]bool {
+func (l *EventLog) knownHosts() map[string]bool {
 	hosts := map[string]bool{}
-	for _, list := range j.lists {
+	for _, list := range l.lists {
 		for host := range list.hosts {
 			hosts[host] = true
 		}
 	}
-	for host := range j.compacted.noTrafficSinceMs {
+	for host := range l.compacted.noTrafficSinceMs {
 		hosts[host] = true
 	}
-	for _, r := range j.requests {
+	for _, r := range l.requests {
 		hosts[r.host] = true
 	}
 	return hosts
 }
 
 // hostSpans returns the spans in which a host is in a state on the endpoint lists.
-func (j *Journal) hostSpans(host string, inState func(host Listed, listed bool) bool) []span {
+func (l *EventLog) hostSpans(host string, inState func(host Listed, listed bool) bool) []span {
 	var spans []span
 	wasInState := false
-	for i, list := range j.lists {
+	for i, list := range l.lists {
 		state, listed := list.hosts[host]
 		isInState := inState(state, listed)
 		if isInState && !wasInState {
-			spans = append(spans, span{j.spanBegin(i, host), math.Inf(1)})
+			spans = append(spans, span{l.spanBegin(i, host), math.Inf(1)})
 		}
 		if !isInState && wasInState {
 			spans[len(spans)-1].toMs = list.atMs
@@ -127,13 +127,13 @@
 
 // spanBegin returns the start of the state that a host has on a list and not on the one before. For the first list
 // after a compaction it is that of the dropped lists.
-func (j *Journal) spanBegin(listIndex int, host string) float64 {
-	list := j.lists[listIndex]
-	if listIndex > 0 || j.compacted.noTrafficSinceMs == nil {
+func (l *EventLog) spanBegin(listIndex int, host string) float64 {
+	list := l.lists[listIndex]
+	if listIndex > 0 || l.compacted.noTrafficSinceMs == nil {
 		return list.atMs
 	}
-	if sinceMs, known := j.compacted.noTrafficSinceMs[host]; known {
+	if sinceMs, known := l.compacted.noTrafficSinceMs[host]; known {
 		return sinceMs
 	}
-	return j.compacted.firstListMs
+	return l.compacted.firstListMs
 }
--- a/internal/rules/empty_table.go
+++ b/internal/rules/empty_table.go
@@ -6,10 +6,10 @@
 )
 
 // checkEmptyTables checks for how long connected proxies had no host for a class while a warm host was ready.
-func (j *Journal) checkEmptyTables(figures Figures, endMs float64) Verdict {
+func (l *EventLog) checkEmptyTables(limits Limits, endMs float64) Verdict {
 	worst := worstCase{seen: "no joined proxy was ever without a line"}
-	for proxy, updates := range j.updatesByProxy() {
-		empty := emptyTables{journal: j, figures: figures, proxy: proxy, sinceMs: map[string]float64{}}
+	for proxy, updates := range l.updatesByProxy() {
+		empty := emptyTables{log: l, limits: limits, proxy: proxy, sinceMs: map[string]float64{}}
 		for i := range updates {
 			untilMs := endMs
 			if i+1 < len(updates) {
@@ -18,12 +18,12 @@
 			empty.observe(&updates[i], untilMs, &worst)
 		}
 	}
-	return newVerdict(ruleEmptyTable, worst.size/figures.Bare, worst.seen)
+	return newVerdict(ruleEmptyTable, worst.size/limits.EmptyTableMs, worst.seen)
 }
 
-func (j *Journal) updatesByProxy() map[string][]proxyUpdate {
+func (l *EventLog) updatesByProxy() map[string][]proxyUpdate {
 	byProxy := map[string][]proxyUpdate{}
-	for _, update := range j.updates {
+	for _, update := range l.updates {
 		byProxy[update.proxy] = append(byProxy[update.proxy], update)
 	}
 	return byProxy
@@ -31,8 +31,8 @@
 
 // emptyTables tracks the classes for which a proxy has no host.
 type emptyTables struct {
-	journal *Journal
-	figures Figures
+	log     *EventLog
+	limits  Limits
 	proxy   string
 	sinceMs map[string]float64 // by class without a host
 }
@@ -51,26 +51,26 @@
 
 // observeClass records that a class has no host from an update until untilMs.
 func (e *emptyTables) observeClass(class string, update *proxyUpdate, untilMs float64, worst *worstCase) {
-	if update.status == statusDisconnected || !e.journal.hasWarmHost(e.figures, update.atMs) {
+	if update.status == statusDisconnected || !e.log.hasWarmHost(e.limits, update.atMs) {
 		delete(e.sinceMs, class)
 		return
 	}
 	if _, known := e.sinceMs[class]; !known {
 		e.sinceMs[class] = update.atMs
 	}
-	lastMs := e.journal.warmHostUntil(e.figures, update.atMs, untilMs)
+	lastMs := e.log.warmHostUntil(e.limits, update.atMs, untilMs)
 	lengthMs := lastMs - e.sinceMs[class]
 	worst.observe(lengthMs, "%s had no line for %s for %.0f ms of %.0f", e.proxy, class, lengthMs,
-		e.figures.Bare)
+		e.limits.EmptyTableMs)
 	if lastMs < untilMs {
 		delete(e.sinceMs, class)
 	}
 }
 
 // hasWarmHost reports whether a host is ready and past its slow start at a time.
-func (j *Journal) hasWarmHost(figures Figures, atMs float64) bool {
-	for _, host := range j.hostsAt(atMs) {
-		if host.Ready && (host.Started == 0 || atMs >= host.Started+figures.Cold) {
+func (l *EventLog) hasWarmHost(limits Limits, atMs float64) bool {
+	for _, host := range l.hostsAt(atMs) {
+		if host.Ready && (host.Started == 0 || atMs >= host.Started+limits.SlowStartMs) {
 			return true
 		}
 	}
@@ -79,13 +79,13 @@
 
 // warmHostUntil returns the first time after fromMs at which no host is ready and past its slow start, but at most
 // toMs. There must be such a host at fromMs.
-func (j *Journal) warmHostUntil(figures Figures, fromMs, toMs float64) float64 {
-	next := sort.Search(len(j.lists), func(i int) bool { return j.lists[i].atMs > fromMs })
-	for _, list := range j.lists[next:] {
+func (l *EventLog) warmHostUntil(limits Limits, fromMs, toMs float64) float64 {
+	next := sort.Search(len(l.lists), func(i int) bool { return l.lists[i].atMs > fromMs })
+	for _, list := range l.lists[next:] {
 		if list.atMs >= toMs {
 			break
 		}
-		if !j.hasWarmHost(figures, list.atMs) {
+		if !l.hasWarmHost(limits, list.atMs) {
 			return list.atMs
 		}
 	}
--- a/internal/runtimeapi/change.go
+++ b/internal/runtimeapi/change.go
@@ -62,7 +62,7 @@
 	if command.Operator == "" {
 		command.Operator = defaultOperator
 	}
-	waits, err := s.server.controller.Order(command)
+	waits, err := s.server.controller.ApplyCommands(command)
 	var rejected *operator.RejectedError
 	if errors.As(err, &rejected) {
 		return "", commandError("Refused: " + rejected.Reason + ".")
--- a/internal/runtimeapi/commands_test.go
+++ b/internal/runtimeapi/commands_test.go
@@ -135,7 +135,7 @@
 	}{
 		{"user", runtimeapi.User, []string{"show stat", "show info", "get weight sheet/10.0.0.1:80"},
 			[]string{"show errors", "show table", "show servers state", "set weight sheet/10.0.0.1:80 1"}},
-		{"operator", runtimeapi.OperatorLevel, []string{"show stat", "show errors", "show table", "show events"},
+		{"operator", runtimeapi.Operator, []string{"show stat", "show errors", "show table", "show events"},
 			[]string{"set weight sheet/10.0.0.1:80 1", "disable server sheet/10.0.0.1:80"}},
 		{"admin", runtimeapi.Admin, []string{"show errors", "set weight sheet/10.0.0.1:80 1"}, nil},
 	}
--- a/internal/runtimeapi/fake_test.go
+++ b/internal/runtimeapi/fake_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func (f *fakeController) Order(commands ...operator.Command) (waits bool, err error) {
+func (f *fakeController) ApplyCommands(commands ...operator.Command) (waits bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.commands = append(f.commands, commands...)
@@ -173,7 +173,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	publisher := config.Steward(settings, "L", 7)
+	publisher := config.NewController(settings, "L", 7)
 	if err := publisher.SetEndpoints(0, []controller.Endpoint{
 		{Host: "10.0.0.1:80", Zone: "a", State: routing.Ready, Weight: 1},
 		{Host: "10.0.0.2:80", Zone: "a", State: routing.Ready, Weight: 0.5},
--- a/internal/runtimeapi/server.go
+++ b/internal/runtimeapi/server.go
@@ -29,7 +29,7 @@
 
 	// Order applies commands, or reports that they are queued. The error of a rejection is an
 	// *operator.RejectedError.
-	Order(commands ...operator.Command) (waits bool, err error)
+	ApplyCommands(commands ...operator.Command) (waits bool, err error)
 
 	// Events calls notify once with the events after a number, and waits up to wait for one if there is none yet.
 	Events(after int64, wait time.Duration, notify func([]controller.Event)) (cancel func())
@@ -40,12 +40,12 @@
 
 // The levels of the management guide. Each also permits what the levels before it permit.
 const (
-	User          Level = iota // reads what is not sensitive
-	OperatorLevel              // read everything
-	Admin                      // change things
+	User     Level = iota // reads what is not sensitive
+	Operator              // read everything
+	Admin                 // change things
 )
 
-var levelNames = [...]string{User: "user", OperatorLevel: "operator", Admin: "admin"}
+var levelNames = [...]string{User: "user", Operator: "operator", Admin: "admin"}
 
 // ParseLevel returns the level of a name in the settings. ok is false for an unknown name.
 func ParseLevel(name string) (level Level, ok bool) {
--- a/internal/socketproxy/socketproxy.go
+++ b/internal/socketproxy/socketproxy.go
@@ -19,8 +19,8 @@
 	"barleysail/publisher"
 )
 
-// Steward is what a driver needs of one.
-type Steward interface {
+// Controller is what a driver needs of one.
+type Controller interface {
 	Poll(q controller.PollRequest, to func(controller.Response)) (id int64, err error)
 	PollGone(proxy string, id int64)
 	Sums(proxy string, u controller.ProxyStats) (counted bool, err error)
@@ -46,7 +46,7 @@
 // Driver drives one proxy.
 type Driver struct {
 	set     Config
-	steward Steward
+	steward Controller
 	proxy   *publisher.ProxyUpdater
 	counts  *publisher.Counters
 	owner   *publisher.SocketOwner
@@ -55,14 +55,14 @@
 }
 
 // New makes a driver; Run starts it.
-func New(s Steward, set Config) *Driver {
+func New(s Controller, set Config) *Driver {
 	if set.Timeout == 0 {
 		set.Timeout = 2 * time.Second
 	}
 	if set.Log == nil {
 		set.Log = func(string) {}
 	}
-	return &Driver{set: set, steward: s, proxy: publisher.New(set.Grace), counts: publisher.NewCounters(set.Life),
+	return &Driver{set: set, steward: s, proxy: publisher.NewProxyUpdater(set.Grace), counts: publisher.NewCounters(set.Life),
 		owner: publisher.NewSocketOwner(set.Life)}
 }
 
@@ -328,7 +328,7 @@
 			s.hear()
 		}
 	}
-	if s.newest != "" && s.proxy.Settled(s.steward.Now()) {
+	if s.newest != "" && s.proxy.Converged(s.steward.Now()) {
 		s.tag = s.newest
 	}
 	if s.poll == 0 && (s.tag == s.newest || time.Since(s.polled) > time.Second) {
--- a/internal/statefile/store.go
+++ b/internal/statefile/store.go
@@ -43,7 +43,7 @@
 	snapshotBytes    int
 
 	// DroppedEntries counts the steps of state.Shrink that were needed for snapshots to fit.
-	DroppedEntries int
+	ShrinkSteps int
 }
 
 // NewStore returns a store for a folder that was loaded. Its first save begins a generation with a number above all
@@ -116,7 +116,7 @@
 	snapshot := proto.CloneOf(current)
 	snapshot.Major = state.FormatMajor
 	snapshot.Minor = state.FormatMinor
-	s.DroppedEntries += state.Shrink(snapshot, s.maxSnapshotBytes)
+	s.ShrinkSteps += state.Shrink(snapshot, s.maxSnapshotBytes)
 	body, err := proto.Marshal(snapshot)
 	if err != nil {
 		return fmt.Errorf("encoding the state: %w", err)
--- a/internal/statefile/store_test.go
+++ b/internal/statefile/store_test.go
@@ -81,7 +81,7 @@
 	if len(loaded.Settings) != 1 || len(loaded.Tables) != 0 || len(loaded.Hosts) < 100 {
 		t.Errorf("%d hosts, %d tables, %d overrides", len(loaded.Hosts), len(loaded.Tables), len(loaded.Settings))
 	}
-	if store.DroppedEntries == 0 {
+	if store.ShrinkSteps == 0 {
 		t.Error("no dropped entries were counted")
 	}
 }
--- a/operator/due.go
+++ b/operator/due.go
@@ -17,8 +17,8 @@
 // one at a time: the next only once all proxies acknowledged the last one and its drain grace is over. It returns the
 // commands that were applied; an expired override is returned as a command back to Listed.
 func (s *OverrideStore) ApplyDue(view View) []Command {
-	applied := s.expire(view.Now)
-	if !view.NoUpdatePending || view.Now < s.lastPendingAppliedMs+view.DrainGraceMs {
+	applied := s.expire(view.NowMs)
+	if !view.NoUpdatePending || view.NowMs < s.lastPendingAppliedMs+view.DrainGraceMs {
 		return applied
 	}
 	next := slices.IndexFunc(s.pending, func(command Command) bool { return checkRules(&view, &command) == nil })
@@ -27,8 +27,8 @@
 	}
 	command := s.pending[next]
 	s.pending = slices.Delete(s.pending, next, next+1)
-	s.applyNow(view.Now, command)
-	s.lastPendingAppliedMs = view.Now
+	s.applyNow(view.NowMs, command)
+	s.lastPendingAppliedMs = view.NowMs
 	return append(applied, command)
 }
 
--- a/operator/rules.go
+++ b/operator/rules.go
@@ -58,7 +58,7 @@
 	limit := math.Max(host.Weight, minListedWeight) * host.SlowStartFactor
 	if weight > limit {
 		const msPerSecond = 1000
-		return reject(host.Name, reasonWarmingUp, host.SlowStartFactor, (host.WarmAtMs-view.Now)/msPerSecond)
+		return reject(host.Name, reasonWarmingUp, host.SlowStartFactor, (host.WarmAtMs-view.NowMs)/msPerSecond)
 	}
 	return nil
 }
--- a/operator/simulation_test.go
+++ b/operator/simulation_test.go
@@ -37,7 +37,7 @@
 // view returns the hosts with the overrides applied.
 func (s *simulation) view() View {
 	view := View{
-		Now:              s.nowMs,
+		NowMs:            s.nowMs,
 		ZoneLocalClasses: s.zoneLocalClasses,
 		Zones:            []string{"a", "b"},
 		NoUpdatePending:  true,
--- a/operator/store.go
+++ b/operator/store.go
@@ -62,7 +62,7 @@
 	}
 	err = checkRules(&view, &command)
 	if err == nil {
-		s.applyNow(view.Now, command)
+		s.applyNow(view.NowMs, command)
 		return false, nil
 	}
 	if command.Queue && s.canSucceedLater(&view, &command) {
--- a/operator/view.go
+++ b/operator/view.go
@@ -20,7 +20,7 @@
 
 // View is the state by which commands are checked.
 type View struct {
-	Now              float64  // current instant, ms
+	NowMs            float64  // current instant, ms
 	Hosts            []Host   // hosts on the endpoint list or added by operators, except those in maintenance
 	ZoneLocalClasses []string // request classes whose requests stay in their zone
 	Zones            []string // zones that have proxies
--- a/publisher/command.go
+++ b/publisher/command.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// ShareVariable is the prefix of the proxy's process variables that hold the admission ratio of a request class in
-// thousandths, for the proxy's own rules. The class name follows it.
-const ShareVariable = "share_"
+// AdmissionRatioVariablePrefix is the prefix of the proxy's process variables that hold the admission ratio of a
+// request class in thousandths, for the proxy's own rules. The class name follows it.
+const AdmissionRatioVariablePrefix = "share_"
 
 // ratioUnits is the number of units in which an admission ratio of 1 is written.
 const ratioUnits = 1000
@@ -60,7 +60,7 @@
 		return fmt.Sprintf("del server %s", c.server)
 	default:
 		units := int(math.Round(c.ratio * ratioUnits))
-		return fmt.Sprintf("set var proc.%s%s int(%d)", ShareVariable, c.class, units)
+		return fmt.Sprintf("set var proc.%s%s int(%d)", AdmissionRatioVariablePrefix, c.class, units)
 	}
 }
 
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -39,9 +39,9 @@
 	drainedMs   float64 // instant of the drain, or of the first observation if that is unknown
 }
 
-// New returns an updater for a proxy whose state has not been read. drainGraceMs is the time from the drain of a
-// server to its removal.
-func New(drainGraceMs float64) *ProxyUpdater {
+// NewProxyUpdater returns an updater for a proxy whose state has not been read. drainGraceMs is the time from the drain
+// of a server to its removal.
+func NewProxyUpdater(drainGraceMs float64) *ProxyUpdater {
 	return &ProxyUpdater{
 		drainGraceMs:    drainGraceMs,
 		servers:         map[string]map[string]server{},
@@ -140,8 +140,8 @@
 	p.target[table.Class] = weights
 }
 
-// Settled reports whether the proxy has reached its target, apart from drained servers that are not removed yet.
-func (p *ProxyUpdater) Settled(nowMs float64) bool {
+// Converged reports whether the proxy has reached its target, apart from drained servers that are not removed yet.
+func (p *ProxyUpdater) Converged(nowMs float64) bool {
 	if !p.observed || p.inFlight != nil {
 		return false
 	}
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -35,12 +35,12 @@
 // first, weights, drains, and after the drain grace the removals.
 func TestReconcile(t *testing.T) {
 	proxy := newFakeProxy(t, "old:80", "a:80")
-	updater := New(3000)
+	updater := NewProxyUpdater(3000)
 	var out strings.Builder
 	step := func(title string, nowMs float64) {
 		proxy.commands = nil
 		proxy.drive(updater, nowMs, 100)
-		fmt.Fprintf(&out, "%s at %.0f, settled %v\n", title, nowMs, updater.Settled(nowMs))
+		fmt.Fprintf(&out, "%s at %.0f, settled %v\n", title, nowMs, updater.Converged(nowMs))
 		for _, command := range proxy.commands {
 			fmt.Fprintln(&out, "  "+command)
 		}
@@ -74,7 +74,7 @@
 func TestRejectedRatio(t *testing.T) {
 	proxy := newFakeProxy(t, "a:80")
 	proxy.rejectsRatios = true
-	updater := New(3000)
+	updater := NewProxyUpdater(3000)
 	if err := updater.ObserveResponse(0, "without a command"); err != nil {
 		t.Errorf("a response without a command: %v", err)
 	}
@@ -84,7 +84,7 @@
 	if !ok {
 		t.Fatal("no command")
 	}
-	if _, ok := updater.NextCommand(0); ok || updater.Settled(0) {
+	if _, ok := updater.NextCommand(0); ok || updater.Converged(0) {
 		t.Error("a second command, or settled, while one is in flight")
 	}
 	err := updater.ObserveResponse(0, proxy.execute(command))
@@ -95,7 +95,7 @@
 	if want := "set var proc.share_sheet int(500): unknown command."; err.Error() != want {
 		t.Errorf("%q, want %q", err, want)
 	}
-	if command, ok := updater.NextCommand(0); ok || !updater.Settled(0) {
+	if command, ok := updater.NextCommand(0); ok || !updater.Converged(0) {
 		t.Errorf("%q is sent after the ratio was rejected", command)
 	}
 }
@@ -103,7 +103,7 @@
 // The deadline is the end of the drain grace of a server that is drained, and none after its removal.
 func TestNextDeadline(t *testing.T) {
 	proxy := newFakeProxy(t, "old:80", "a:80")
-	updater := New(3000)
+	updater := NewProxyUpdater(3000)
 	updater.ObserveServers(0, proxy.states())
 	expect := func(wantMs float64) {
 		t.Helper()
@@ -115,7 +115,7 @@
 	updater.SetTarget(routingTables(1, weightedHost{"a:80", 1}))
 	proxy.drive(updater, 1000, 100)
 	expect(4000)
-	if !updater.Settled(4000) {
+	if !updater.Converged(4000) {
 		t.Error("a drained server counts as unsettled")
 	}
 	proxy.drive(updater, 4000, 100)
@@ -125,11 +125,11 @@
 // A backend without any server gets its first one.
 func TestFirstServerOfBackend(t *testing.T) {
 	proxy := newFakeProxy(t)
-	updater := New(3000)
+	updater := NewProxyUpdater(3000)
 	updater.ObserveServers(0, proxy.states())
 	updater.SetTarget(routingTables(1, weightedHost{"a:80", 1}))
 	proxy.drive(updater, 0, 100)
-	if !proxy.takesTraffic("sheet") || !updater.Settled(0) {
+	if !proxy.takesTraffic("sheet") || !updater.Converged(0) {
 		t.Errorf("%v after %v", proxy.servers, proxy.commands)
 	}
 }
@@ -200,7 +200,7 @@
 	if len(got) != len(want) || len(u.proxy.servers) != len(want) {
 		u.t.Fatalf("the proxy has %v, want %v of %v", u.proxy.servers, want, u.target.Hosts)
 	}
-	if !u.updater.Settled(u.nowMs) {
+	if !u.updater.Converged(u.nowMs) {
 		u.t.Fatalf("not settled with %v", u.proxy.servers)
 	}
 }
@@ -209,7 +209,7 @@
 // server that takes traffic, and in the end the proxy has what it should.
 func TestBackendIsNeverEmpty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		test := &updaterTest{t: t, proxy: newFakeProxy(t, "h0:80"), updater: New(1000)}
+		test := &updaterTest{t: t, proxy: newFakeProxy(t, "h0:80"), updater: NewProxyUpdater(1000)}
 		test.updater.ObserveServers(test.nowMs, test.proxy.states())
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			test.nowMs += rapid.SampledFrom([]float64{1, 400, 1500}).Draw(t, "pauseMs")
--- a/replay/other.go
+++ b/replay/other.go
@@ -22,7 +22,7 @@
 type Setting struct {
 	Make    Make // of a steward, by the start of its life
 	Classes []controller.RequestClass
-	Figures rules.Figures
+	Figures rules.Limits
 	Probes  float64 // ms until a probe without an answer is given up
 }
 
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &engine{set: set, scan: sc, hosts: response.NewHosts(sc.model), journal: rules.NewJournal(),
+	e := &engine{set: set, scan: sc, hosts: response.NewHosts(sc.model), journal: rules.NewEventLog(),
 		lives: map[string]*life{}, proxies: map[string]*proxy{}, class: map[string]int{},
 		out: &Outcome{From: sc.from, Offsets: map[string][]Offset{}}}
 	e.journal.Lean()
@@ -105,7 +105,7 @@
 	set     Setting
 	scan    *scan
 	hosts   *response.Hosts
-	journal *rules.Journal
+	journal *rules.EventLog
 	out     *Outcome
 
 	now     float64
@@ -271,7 +271,7 @@
 			p.repeats[class] = true
 		}
 		for _, k := range e.set.Classes {
-			if s.Format < 3 && !e.set.Figures.Once[k.Name] {
+			if s.Format < 3 && !e.set.Figures.NonIdempotentClasses[k.Name] {
 				p.repeats[k.Name] = true
 			}
 		}
@@ -308,7 +308,7 @@
 		p.life.steward.CancelPoll(p.life.e.now, p.name, p.poll)
 		p.poll = 0
 	}
-	p.life.e.journal.Answered(p.life.e.now, p.name, p.life.name, 0, "", "", "", nil)
+	p.life.e.journal.LogPollResponse(p.life.e.now, p.name, p.life.name, 0, "", "", "", nil)
 	p.life = nil
 }
 
@@ -341,9 +341,9 @@
 		ready := x.State == routing.Ready
 		l.e.listed[x.Host], seen[x.Host] = listedHost{x.Zone, ready}, rules.Listed{Ready: ready, Started: x.StartedMs}
 		fit := l.e.scan.model.Host(x.Host)
-		l.e.journal.Capacity(x.Host, float64(fit.Cores)/fit.Speed)
+		l.e.journal.LogCapacity(x.Host, float64(fit.Cores)/fit.Speed)
 	}
-	l.e.journal.Gave(l.e.now, seen)
+	l.e.journal.LogEndpoints(l.e.now, seen)
 	l.steward.SetEndpoints(l.e.now, entries)
 }
 
@@ -436,7 +436,7 @@
 	case controller.Delta:
 		status = 226
 	}
-	p.life.e.journal.Answered(p.life.e.now, p.name, p.life.name, status, a.Tag, a.BaseTag, p.tag, a.Body())
+	p.life.e.journal.LogPollResponse(p.life.e.now, p.name, p.life.name, status, a.Tag, a.BaseTag, p.tag, a.Body())
 	if a.Kind != controller.NotModified {
 		for _, t := range a.Tables() {
 			if old, ok := p.tables[t.Class]; ok && !t.Ordered {
@@ -453,7 +453,7 @@
 const foldEvery = 60000.0
 
 func (e *engine) fold() {
-	e.journal.Fold(e.set.Figures, e.now)
+	e.journal.Compact(e.set.Figures, e.now)
 	e.after(foldEvery, e.fold)
 }
 
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return config.Steward(c, s.Life, s.Seed), nil
+	return config.NewController(c, s.Life, s.Seed), nil
 }
 
 // recorder plays a day on a scripted clock, and passes on what a daemon would record.
@@ -336,7 +336,7 @@
 	set := Setting{Make: build, Probes: 250, Classes: []controller.RequestClass{{Name: "sheet", RequestClass: routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 2500, PriorityWeight: 3}},
 		{Name: "finish", RequestClass: routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1200, PriorityWeight: 9}}}}
 	f := &set.Figures
-	f.Bare, f.Grace, f.Cold, f.Multiple, f.Fall, f.LinesPerS, f.MostWaiting = 5000, 3000, 18000, 4, 3000, 1e6, 1e6
+	f.EmptyTableMs, f.DrainGraceMs, f.SlowStartMs, f.CollapseMultiple, f.CollapseMs, f.EntriesPerSecond, f.MaxBacklog = 5000, 3000, 18000, 4, 3000, 1e6, 1e6
 	return set
 }
 
--- a/replay/transactions.go
+++ b/replay/transactions.go
@@ -109,15 +109,15 @@
 	began := e.now
 	done, how := e.hosts.Answer(x.class, host, e.now, x.work, x.came+x.patience-e.now)
 	fit := e.scan.model.Host(host)
-	e.journal.Arrived(e.now, host, p.name, x.class, x.id, e.scan.model.Takes(x.class, host, e.now)/fit.Speed*x.work, how != response.NeverRan)
+	e.journal.LogAttempt(e.now, host, p.name, x.class, x.id, e.scan.model.Takes(x.class, host, e.now)/fit.Speed*x.work, how != response.NeverRan)
 	x.tried = append(x.tried, host)
 	if how != response.NeverRan {
 		x.ran++
 	}
-	if e.set.Figures.Once[x.class] && len(x.tried) == 1 {
+	if e.set.Figures.NonIdempotentClasses[x.class] && len(x.tried) == 1 {
 		e.once++
 	}
-	if e.set.Figures.Once[x.class] && x.ran == 2 {
+	if e.set.Figures.NonIdempotentClasses[x.class] && x.ran == 2 {
 		e.doubled++
 	}
 	e.dues.Schedule(done, func() { e.ended(p, x, host, began, how) })
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -28,7 +28,7 @@
 	SlowStartFactor float64 `json:"Warmth"`  // fraction of its capacity that it has after its start
 	RecoveryFactor  float64 `json:"Trial"`   // fraction of its weight on the recovery ramp after an ejection
 	CooldownUntilMs float64 `json:"Hold"`    // no weight transfer before
-	StartedMs       float64 `json:"Started"` // -1: not seen to start
+	StartedAtMs     float64 `json:"Started"` // -1: not seen to start
 
 	ConsecutiveFailures  int  `json:"Strikes"` // health checks in a row without an answer
 	Unreachable          bool `json:"Absent"`  // the last of them found nothing listening
@@ -64,7 +64,7 @@
 		SlowStartFactor:      b.slowStartFactor(record),
 		RecoveryFactor:       b.recoveryFactor(record),
 		CooldownUntilMs:      record.balance.cooldownUntilMs,
-		StartedMs:            record.endpoint.startedAtMs,
+		StartedAtMs:          record.endpoint.startedAtMs,
 		ConsecutiveFailures:  record.health.consecutiveFailures,
 		Unreachable:          record.health.unreachable,
 		ConsecutiveSuccesses: record.health.consecutiveSuccesses,
--- a/routing/explain_test.go
+++ b/routing/explain_test.go
@@ -37,7 +37,7 @@
 		{"capacity", explanation.Capacity, 20.319},
 		{"slow-start factor", explanation.SlowStartFactor, 1},
 		{"recovery factor", explanation.RecoveryFactor, 1},
-		{"started", explanation.StartedMs, -1},
+		{"started", explanation.StartedAtMs, -1},
 	} {
 		if math.Abs(figure.got-figure.want) > 0.001 {
 			t.Errorf("%s is %.4f, not %.4f", figure.name, figure.got, figure.want)
--- a/state/restore.go
+++ b/state/restore.go
@@ -54,7 +54,7 @@
 	Successes, Failures float64 // decayed counts of attempts
 	Ejected             bool    // it was ejected as an outlier; it is not ejected again, but checked early
 	Unreachable         bool    // when it was ejected
-	ReportTrust         float64 // confidence in its load reports; 1 where nothing is known
+	ReportConfidence    float64 // confidence in its load reports; 1 where nothing is known
 }
 
 // Proxy is the restored knowledge about one proxy.
@@ -157,7 +157,7 @@
 
 // restoreHost returns what is still known of a host, and whether anything is.
 func (d *decayer) restoreHost(stored *statepb.Host) (host *Host, known bool) {
-	host = &Host{Zone: stored.Zone, Weight: 1, ReportTrust: 1}
+	host = &Host{Zone: stored.Zone, Weight: 1, ReportConfidence: 1}
 	ageMs := d.nowMs - stored.At
 	lifecycleKnown := d.restoreLifecycle(host, stored)
 	estimatesKnown := d.restoreEstimates(host, stored, ageMs)
@@ -214,7 +214,7 @@
 	if !(confidence > 0 && stored.Trust > 0) { // also where the trust is NaN
 		return false
 	}
-	host.ReportTrust = decayToward(1, clamp(stored.Trust, 0, 1), confidence)
+	host.ReportConfidence = decayToward(1, clamp(stored.Trust, 0, 1), confidence)
 	return true
 }
 
--- a/state/restore_test.go
+++ b/state/restore_test.go
@@ -66,7 +66,7 @@
 		if host := restored.Hosts[name]; host != nil {
 			fmt.Fprintf(trace, "  %s: weight %.2f, r %.0f, %.1f of %.1f lost, out %v, trust %.2f, started %.0f, drains %.0f\n",
 				name, host.Weight, host.MeanLatencyMs, host.Failures, host.Successes+host.Failures, host.Ejected,
-				host.ReportTrust, host.StartedMs, host.DrainingSinceMs)
+				host.ReportConfidence, host.StartedMs, host.DrainingSinceMs)
 		}
 	}
 	if proxy := restored.Proxies["p"]; proxy != nil {
@@ -138,7 +138,7 @@
 	checkWithin(t, "mean latency", host.MeanLatencyMs, 0, 2e7)
 	checkWithin(t, "successes", host.Successes, 0, 1e6)
 	checkWithin(t, "failures", host.Failures, 0, 1e6)
-	checkWithin(t, "report confidence", host.ReportTrust, 0, 1)
+	checkWithin(t, "report confidence", host.ReportConfidence, 0, 1)
 	if host.StartedMs > nowMs || host.DrainingSinceMs > nowMs {
 		t.Errorf("started at %g, draining since %g, both should be before %g", host.StartedMs, host.DrainingSinceMs, nowMs)
 	}
