--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -65,7 +65,7 @@
 	}
 	peer, err := d.credentials.Peer(state)
 	if err != nil {
-		d.log.Warn().Err(err).Msg("a connection was refused")
+		d.log.Warn().Err(err).Msg("connection rejected")
 		return nil, err // not peer: a nil *identity.Peer in the interface would not be nil
 	}
 	return peer, nil
--- a/internal/daemon/endpoint_file.go
+++ b/internal/daemon/endpoint_file.go
@@ -82,7 +82,7 @@
 		case <-timer.C:
 			timer.Reset(recheckInterval)
 			if err := f.reload(); err != nil {
-				f.log.Error().Err(err).Msg("host list refused, the last one stands")
+				f.log.Error().Err(err).Msg("endpoint list rejected, the last list stays in force")
 			}
 		}
 	}
--- a/internal/daemon/persister.go
+++ b/internal/daemon/persister.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	for _, warning := range found.Warnings {
-		p.log.Warn().Str("note", warning).Msg("a part of the state is left out")
+		p.log.Warn().Str("note", warning).Msg("part of the state was dropped")
 		p.report.Notes += warning + "; "
 	}
 	p.store = statefile.NewStore(p.folder, found, cfg.maxBytes)
@@ -88,7 +88,7 @@
 		Int("hosts", len(restored.Hosts)).
 		Int("proxies", len(restored.Proxies)).
 		Str("why", restored.Reason).
-		Msg("an earlier life is recalled")
+		Msg("state restored")
 	return nil
 }
 
@@ -135,9 +135,9 @@
 	}
 	if failed != p.report.Failed {
 		if err != nil {
-			p.log.Error().Err(err).Msg("the state is not kept")
+			p.log.Error().Err(err).Msg("saving the state failed")
 		} else {
-			p.log.Info().Msg("the state is kept again")
+			p.log.Info().Msg("saving the state succeeded again")
 		}
 	}
 	p.report.Failed = failed
--- a/internal/daemon/recorder.go
+++ b/internal/daemon/recorder.go
@@ -46,5 +46,5 @@
 		return
 	}
 	r.failed = true
-	r.log.Error().Err(err).Msg("the recording ends here")
+	r.log.Error().Err(err).Msg("recording stopped")
 }
--- a/internal/daemon/standby.go
+++ b/internal/daemon/standby.go
@@ -113,9 +113,9 @@
 	}
 	switch {
 	case err != nil && !failedBefore:
-		s.log.Warn().Err(err).Msg("the first steward is not heard")
+		s.log.Warn().Err(err).Msg("the leader is unreachable")
 	case err == nil && failedBefore:
-		s.log.Info().Msg("the first steward is heard")
+		s.log.Info().Msg("the leader is reachable")
 	}
 }
 
