--- a/controller/validation_view.go
+++ b/controller/validation_view.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"maps"
 	"math"
 	"slices"
 
@@ -165,8 +166,8 @@
 // reports whether one of its hosts is ready.
 func addSubsetTable(sum []float64, weights map[int]float64, rate float64, hosts []guard.Host) (hasReady bool) {
 	total := 0.0
-	for _, weight := range weights {
-		total += weight
+	for _, host := range slices.Sorted(maps.Keys(weights)) { // in one order, since the order decides on the rounding
+		total += weights[host]
 	}
 	for host, weight := range weights {
 		sum[host] += rate * weight / total
--- a/controller/validation_view_test.go
+++ b/controller/validation_view_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"testing"
 
 	"barleysail/guard"
@@ -82,3 +83,24 @@
 		}
 	}
 }
+
+// The same subset table gives the same sum to the last bit, whatever the order of its map.
+func TestSubsetTableSumIsDeterministic(t *testing.T) {
+	const hosts = 12
+	weights := map[int]float64{}
+	ready := make([]guard.Host, hosts)
+	for host := range hosts {
+		weights[host] = 1 / float64(3*host+1)
+	}
+	sumOnce := func() []float64 {
+		sum := make([]float64, hosts)
+		addSubsetTable(sum, weights, 10, ready)
+		return sum
+	}
+	want := sumOnce()
+	for range 100 {
+		if got := sumOnce(); !slices.Equal(got, want) {
+			t.Fatalf("the sum is %v, before it was %v", got, want)
+		}
+	}
+}
