--- a/controller/acks.go
+++ b/controller/acks.go
@@ -14,7 +14,7 @@
 //
 // The balancer learns of each stamp at once: it counts the messages to each proxy by themselves until that proxy
 // acknowledges them, so what waits in the channel for other proxies does not matter.
-func (c *Controller) acknowledge(session *session, tags []string) int64 {
+func (c *Controller) acknowledge(session *proxySession, tags []string) int64 {
 	newest := c.newestTagged(session, tags)
 	for _, stamp := range session.acknowledge(newest) {
 		c.balancer.Ack(session.index, stamp)
@@ -23,7 +23,7 @@
 }
 
 // newestTagged is the number of the newest version of the history that one of the tags names, 0 where none does.
-func (c *Controller) newestTagged(session *session, tags []string) int64 {
+func (c *Controller) newestTagged(session *proxySession, tags []string) int64 {
 	newest := int64(0)
 	for _, tag := range tags {
 		suffix, ours := strings.CutPrefix(tag, c.deployment.Incarnation+"-")
@@ -40,7 +40,7 @@
 
 // acknowledge notes that the proxy has applied a version, with all before it, and returns their stamps in the order in
 // which they were sent. Each stamp is returned once.
-func (s *session) acknowledge(number int64) []int {
+func (s *proxySession) acknowledge(number int64) []int {
 	if number <= s.ackedVersion {
 		return nil
 	}
--- a/controller/acks_test.go
+++ b/controller/acks_test.go
@@ -20,7 +20,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			proxy := &session{versions: []version{
+			proxy := &proxySession{versions: []version{
 				{number: 3, stamps: []int{1, 2}},
 				{number: 5},
 				{number: 9, stamps: []int{3}},
--- a/controller/channel.go
+++ b/controller/channel.go
@@ -34,7 +34,7 @@
 
 // updateMessage is a message to a proxy.
 type updateMessage struct {
-	session    *session
+	session    *proxySession
 	entries    float64
 	stamps     []int // of the rounds with an update in the message
 	hasRemoval bool
@@ -55,7 +55,7 @@
 
 // enqueue adds entries to the queued message of a proxy, or queues a new one. The stamp is acknowledged with the
 // message.
-func (c *controlChannel) enqueue(session *session, entries float64, hasRemoval bool, stamp int) {
+func (c *controlChannel) enqueue(session *proxySession, entries float64, hasRemoval bool, stamp int) {
 	message := session.queuedMessage
 	if message == nil {
 		message = &updateMessage{session: session}
@@ -82,7 +82,7 @@
 }
 
 // drop discards the messages to a proxy, the one in flight included.
-func (c *controlChannel) drop(session *session) {
+func (c *controlChannel) drop(session *proxySession) {
 	if message := session.queuedMessage; message != nil {
 		message.dropped = true
 		c.unqueue(message)
@@ -150,7 +150,7 @@
 }
 
 // recentMessages counts the messages to a proxy within the window of the limit.
-func (c *controlChannel) recentMessages(session *session, nowMs float64) int {
+func (c *controlChannel) recentMessages(session *proxySession, nowMs float64) int {
 	for len(session.sentMs) > 0 && session.sentMs[0] <= nowMs-c.messageWindowMs {
 		session.sentMs = session.sentMs[1:]
 	}
@@ -158,7 +158,7 @@
 }
 
 // canSend reports whether one more message to a proxy stays within the limit.
-func (c *controlChannel) canSend(session *session, nowMs float64) bool {
+func (c *controlChannel) canSend(session *proxySession, nowMs float64) bool {
 	recent := c.recentMessages(session, nowMs)
 	return c.maxMessages == 0 || recent < c.maxMessages
 }
--- a/controller/channel_test.go
+++ b/controller/channel_test.go
@@ -13,9 +13,9 @@
 	channel := newControlChannel(routing.ControlChannel{
 		EntriesPerSecond: 1000, MessageOverhead: 5, MaxMessages: 2, MessageWindowMs: 1000,
 	})
-	one := &session{proxy: "one"}
-	two := &session{proxy: "two"}
-	three := &session{proxy: "three"}
+	one := &proxySession{proxy: "one"}
+	two := &proxySession{proxy: "two"}
+	three := &proxySession{proxy: "three"}
 	channel.enqueue(one, 10, false, 1)
 	channel.enqueue(two, 10, false, 1)
 	channel.enqueue(three, 10, false, 1)
--- a/controller/longpoll.go
+++ b/controller/longpoll.go
@@ -83,7 +83,7 @@
 }
 
 // sessionOf is the session of the proxy that polls; one that has none, or that has moved to another zone, is connected.
-func (c *Controller) sessionOf(request PollRequest) (*session, error) {
+func (c *Controller) sessionOf(request PollRequest) (*proxySession, error) {
 	zone := c.zoneIndex[request.Zone]
 	existing := c.sessions.byProxy[request.Proxy]
 	if existing != nil && existing.zone == zone {
@@ -101,7 +101,7 @@
 }
 
 // newPoll takes the acknowledgement of a poll, and decides how long the poll stays pending.
-func (c *Controller) newPoll(session *session, id int64, request PollRequest) *pendingPoll {
+func (c *Controller) newPoll(session *proxySession, id int64, request PollRequest) *pendingPoll {
 	base := c.acknowledge(session, request.Tags)
 	newest := session.newest()
 	if request.AnyTag && newest != nil {
@@ -126,7 +126,7 @@
 )
 
 // mayReplacePoll reports whether a new poll may replace the pending one, and counts it.
-func (s *session) mayReplacePoll(nowMs float64) bool {
+func (s *proxySession) mayReplacePoll(nowMs float64) bool {
 	for len(s.replacedPollsMs) > 0 && s.replacedPollsMs[0] < nowMs-pollReplacementWindowMs {
 		s.replacedPollsMs = s.replacedPollsMs[1:]
 	}
@@ -158,7 +158,7 @@
 }
 
 // releasePoll ends the wait of a poll. From then on the proxy has the session timeout to poll again.
-func (c *Controller) releasePoll(session *session) {
+func (c *Controller) releasePoll(session *proxySession) {
 	session.pendingPoll = nil
 	c.sessions.pendingPolls--
 	session.expiresMs = c.nowMs + c.settings.SessionTimeoutMs
@@ -167,7 +167,7 @@
 
 // respond answers a poll with the newest version: NotModified where the proxy holds that already, a delta where it
 // takes one and its base is in the history, else a snapshot.
-func (c *Controller) respond(session *session, poll *pendingPoll) {
+func (c *Controller) respond(session *proxySession, poll *pendingPoll) {
 	c.releasePoll(session)
 	if len(session.versions) == 0 { // no class has a table yet
 		c.publish(session, nil)
--- a/controller/restore.go
+++ b/controller/restore.go
@@ -131,7 +131,7 @@
 
 // restoreProxy gives a new session what was known of its proxy: the request rates, and, where the proxy still holds the
 // tables that the earlier incarnation gave it, these as a version, so that a delta onto them can be given.
-func (c *Controller) restoreProxy(session *session, tags []string) {
+func (c *Controller) restoreProxy(session *proxySession, tags []string) {
 	if c.restored.Restored == nil {
 		return
 	}
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -19,8 +19,8 @@
 // noTable in place of a table's number: the class has no table yet.
 const noTable = -1
 
-// session is the state of a connected proxy.
-type session struct {
+// proxySession is the state of a connected proxy.
+type proxySession struct {
 	proxy        string
 	index        int   // the balancer's index of the proxy
 	zone         int   // index of the zone
@@ -45,21 +45,21 @@
 
 // sessionStore holds the sessions, and the order in which their polls and the sessions themselves expire.
 type sessionStore struct {
-	byProxy      map[string]*session
+	byProxy      map[string]*proxySession
 	indices      interner.Interner
-	byIndex      []*session // nil where an index is free
-	lastVersion  int64      // number of the newest version of any proxy
+	byIndex      []*proxySession // nil where an index is free
+	lastVersion  int64           // number of the newest version of any proxy
 	pendingPolls int
-	checks       deadlinequeue.Queue[string] // proxies, by session.checkAtMs
+	checks       deadlinequeue.Queue[string] // proxies, by checkAtMs of their sessions
 }
 
 func newSessionStore() sessionStore {
-	return sessionStore{byProxy: map[string]*session{}, indices: interner.New()}
+	return sessionStore{byProxy: map[string]*proxySession{}, indices: interner.New()}
 }
 
 // scheduleCheck has expirePolls look at a session at a time, unless it does so sooner anyway. A session has one such
 // time, however often its proxy polls.
-func (s *sessionStore) scheduleCheck(session *session, atMs float64) {
+func (s *sessionStore) scheduleCheck(session *proxySession, atMs float64) {
 	if atMs < session.checkAtMs {
 		session.checkAtMs = atMs
 		s.checks.Schedule(atMs, session.proxy)
@@ -69,8 +69,8 @@
 func (s *sessionStore) nextMs() float64 { return s.checks.Next() }
 
 // add makes the session of a proxy and gives it an index.
-func (s *sessionStore) add(proxy string, zone, classes int) *session {
-	added := &session{
+func (s *sessionStore) add(proxy string, zone, classes int) *proxySession {
+	added := &proxySession{
 		proxy:        proxy,
 		index:        s.indices.Index(proxy),
 		zone:         zone,
@@ -91,14 +91,14 @@
 }
 
 // remove drops a session and frees its index.
-func (s *sessionStore) remove(session *session) {
+func (s *sessionStore) remove(session *proxySession) {
 	delete(s.byProxy, session.proxy)
 	s.byIndex[session.index] = nil
 	s.indices.Release(session.proxy)
 }
 
 // newest is the newest version of a session, nil where it has none.
-func (s *session) newest() *version {
+func (s *proxySession) newest() *version {
 	if len(s.versions) == 0 {
 		return nil
 	}
@@ -106,7 +106,7 @@
 }
 
 // connect starts the session of a proxy; requestRate is what it usually gets in requests a second, 0 where not known.
-func (c *Controller) connect(proxy string, zone int, requestRate float64) *session {
+func (c *Controller) connect(proxy string, zone int, requestRate float64) *proxySession {
 	session := c.sessions.add(proxy, zone, len(c.classes))
 	c.balancer.ConnectProxy(session.index, zone, requestRate)
 	c.recordEvent(eventConnected, proxy+" of "+c.deployment.Zones[zone])
@@ -125,7 +125,7 @@
 	return connected
 }
 
-func (c *Controller) disconnect(session *session) {
+func (c *Controller) disconnect(session *proxySession) {
 	if session.pendingPoll != nil {
 		c.respond(session, session.pendingPoll)
 	}
@@ -154,7 +154,7 @@
 }
 
 // expireSession answers the pending poll or ends the session where its time is over, else it schedules another check.
-func (c *Controller) expireSession(session *session) {
+func (c *Controller) expireSession(session *proxySession) {
 	poll := session.pendingPoll
 	switch {
 	case poll != nil && poll.deadlineMs <= c.nowMs:
--- a/controller/status.go
+++ b/controller/status.go
@@ -83,7 +83,7 @@
 	return infos
 }
 
-func (c *Controller) proxyInfo(session *session) ProxyInfo {
+func (c *Controller) proxyInfo(session *proxySession) ProxyInfo {
 	info := ProxyInfo{
 		Proxy: session.proxy,
 		Zone:  c.deployment.Zones[session.zone],
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -45,10 +45,10 @@
 	defaultRetryPolicy int
 	lastTableSetID     int64
 
-	round               int64             // rounds run so far
-	stamp               int               // of the round's messages, or noStamp
-	reassigned          map[*session]bool // sessions that were assigned a table
-	changed             []int             // numbers of tables
+	round               int64                  // rounds run so far
+	stamp               int                    // of the round's messages, or noStamp
+	reassigned          map[*proxySession]bool // sessions that were assigned a table
+	changed             []int                  // numbers of tables
 	globalPolicyChanges float64
 }
 
@@ -57,7 +57,7 @@
 		byNumber:           map[int]*routingTable{},
 		globalPolicies:     make([]classPolicy, classes),
 		defaultRetryPolicy: defaultRetryPolicy,
-		reassigned:         map[*session]bool{},
+		reassigned:         map[*proxySession]bool{},
 	}
 }
 
--- a/controller/tableset.go
+++ b/controller/tableset.go
@@ -32,7 +32,7 @@
 }
 
 // tableSetOf is the content of the present tables of a proxy, shared with other proxies that use the same table.
-func (c *Controller) tableSetOf(session *session) *tableSet {
+func (c *Controller) tableSetOf(session *proxySession) *tableSet {
 	shareable := usesOneTable(session.tableByClass) && c.endpoints.known
 	if shareable {
 		if shared := c.tables.table(session.tableByClass[0]).tableSet; shared != nil {
--- a/controller/updatewriter.go
+++ b/controller/updatewriter.go
@@ -97,7 +97,7 @@
 
 // updateSize counts the entries that the present round has changed for a proxy: all entries of its tables, each table
 // with its assignment and a policy for each class, where the proxy was assigned a table.
-func (c *Controller) updateSize(session *session) (entries float64, hasRemoval bool) {
+func (c *Controller) updateSize(session *proxySession) (entries float64, hasRemoval bool) {
 	entries = c.tables.globalPolicyChanges
 	if c.tables.reassigned[session] {
 		for _, number := range distinctTables(session.tableByClass) {
--- a/controller/validation_view.go
+++ b/controller/validation_view.go
@@ -131,7 +131,7 @@
 }
 
 // sumDemand adds the demand at a proxy, scaled to the whole fleet by the share of the proxies that are connected.
-func (c *Controller) sumDemand(sums *routeSums, session *session, share float64) {
+func (c *Controller) sumDemand(sums *routeSums, session *proxySession, share float64) {
 	for class, number := range session.tableByClass {
 		if number == noTable {
 			continue
@@ -142,7 +142,7 @@
 }
 
 // sumSubsetTable adds the subset table of a proxy to those of its zone, in proportion to the proxy's request rate.
-func (c *Controller) sumSubsetTable(sums *routeSums, hosts []guard.Host, session *session) {
+func (c *Controller) sumSubsetTable(sums *routeSums, hosts []guard.Host, session *proxySession) {
 	rate := 0.0
 	for _, classRate := range session.requestRates {
 		rate += classRate
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -13,7 +13,7 @@
 }
 
 // version finds a version in the history, nil where it is not retained.
-func (s *session) version(number int64) *version {
+func (s *proxySession) version(number int64) *version {
 	for i := range s.versions {
 		if s.versions[i].number == number {
 			return &s.versions[i]
@@ -23,7 +23,7 @@
 }
 
 // versionByInheritedTag finds the version that was carried over under a tag, nil where there is none.
-func (s *session) versionByInheritedTag(tag string) *version {
+func (s *proxySession) versionByInheritedTag(tag string) *version {
 	for i := range s.versions {
 		candidate := &s.versions[i]
 		if candidate.inheritedTag != "" && candidate.inheritedTag == tag {
@@ -48,7 +48,7 @@
 
 // publish makes the present tables of a proxy its newest version, and answers its pending poll. Stamps of a version
 // that leaves the history pass to the next one.
-func (c *Controller) publish(session *session, stamps []int) {
+func (c *Controller) publish(session *proxySession, stamps []int) {
 	c.sessions.lastVersion++
 	session.versions = append(session.versions, version{
 		number: c.sessions.lastVersion,
@@ -66,7 +66,7 @@
 
 // carryOver makes the tables that a proxy holds from another incarnation or controller its version, so that a delta
 // onto them can be given.
-func (c *Controller) carryOver(session *session, tag string, tables *tableSet) {
+func (c *Controller) carryOver(session *proxySession, tag string, tables *tableSet) {
 	c.sessions.lastVersion++
 	number := c.sessions.lastVersion
 	session.versions = append(session.versions, version{number: number, tables: tables, inheritedTag: tag})
