--- a/controller/validation_view.go
+++ b/controller/validation_view.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"maps"
 	"math"
 	"slices"
 
@@ -130,7 +131,7 @@
 }
 
 // sumDemand adds the demand at a proxy, scaled to the whole fleet by the share of the proxies that are connected.
-func (c *Controller) sumDemand(sums *routeSums, session *session, share float64) {
+func (c *Controller) sumDemand(sums *routeSums, session *proxySession, share float64) {
 	for class, number := range session.tableByClass {
 		if number == noTable {
 			continue
@@ -141,7 +142,7 @@
 }
 
 // sumSubsetTable adds the subset table of a proxy to those of its zone, in proportion to the proxy's request rate.
-func (c *Controller) sumSubsetTable(sums *routeSums, hosts []guard.Host, session *session) {
+func (c *Controller) sumSubsetTable(sums *routeSums, hosts []guard.Host, session *proxySession) {
 	rate := 0.0
 	for _, classRate := range session.requestRates {
 		rate += classRate
@@ -165,8 +166,8 @@
 // reports whether one of its hosts is ready.
 func addSubsetTable(sum []float64, weights map[int]float64, rate float64, hosts []guard.Host) (hasReady bool) {
 	total := 0.0
-	for _, weight := range weights {
-		total += weight
+	for _, host := range slices.Sorted(maps.Keys(weights)) { // in one order, since the order decides on the rounding
+		total += weights[host]
 	}
 	for host, weight := range weights {
 		sum[host] += rate * weight / total
