--- a/internal/platform/balancer_output.go
+++ b/internal/platform/balancer_output.go
@@ -6,8 +6,8 @@
 	"barleysail/routing"
 )
 
-// balancerOutput is the routing.UpdateWriter of a node. What is for proxies goes to the update encoder, until the
-// round ends; the rest is done at once.
+// balancerOutput is the routing.UpdateWriter of a node. The update encoder collects the updates for proxies until the
+// round ends; other output takes effect at once.
 type balancerOutput struct {
 	*updateEncoder
 	node *Node
@@ -22,14 +22,15 @@
 // WatchEndpoints has nothing to start: the endpoint list is watched from the node's start.
 func (o *balancerOutput) WatchEndpoints() {}
 
-// Log writes the balancer's log event.
+// Log logs an event of the balancer at info level, with the names of its hosts.
 func (o *balancerOutput) Log(event routing.Event) {
 	o.node.log.Info().Msg(event.Text(o.node.balancer.HostID))
 }
 
-// CheckHealth starts a health check of a host as the endpoint list has it now. The goroutine waits for one of the
-// node's health check slots, so the descriptors in use are bounded; the balancer has at most one check of a host in
-// flight, which bounds the goroutines by the number of hosts. The node's context ends it.
+// CheckHealth starts a health check of a host at its current address and returns at once. The check runs in a goroutine
+// that first waits for one of the node's health check slots, which bounds the file descriptors in use. The balancer has
+// at most one check of a host in flight, which bounds the goroutines by the number of hosts. They end with the node's
+// context.
 func (o *balancerOutput) CheckHealth(host int) {
 	node := o.node
 	target := healthCheckTarget{host, node.balancer.HostID(host), node.hosts.processes[host]}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -14,7 +14,7 @@
 	"barleysail/internal/simwire"
 )
 
-// What holds where the settings say nothing.
+// Defaults of settings that are 0 or absent.
 const (
 	defaultRoundDelay  = 5 * time.Millisecond
 	defaultDialTimeout = 400 * time.Millisecond
@@ -25,20 +25,20 @@
 // Config is the configuration of a node.
 type Config struct {
 	Name      string
-	Listen    string // address to listen on
-	Discovery string // address of the endpoint list
+	Listen    string // address:port to listen on
+	Discovery string // address:port of the discovery service, which serves the endpoint list
 	Seed      uint64 // of the balancer's random draws
 	Limits    Limits
 	Settings  *simwire.Settings
 
-	RoundDelay         time.Duration // from an event to the round that decides on it
-	HealthCheckTimeout time.Duration
+	RoundDelay         time.Duration // from the first event of a batch to the round that decides on the batch
+	HealthCheckTimeout time.Duration // of a health check, from its first connection attempt to the end of its response
 
-	knownEndpoints watchEvent // to start from; their age is unknown
+	knownEndpoints watchEvent // the last known endpoint list, to start from; its age is unknown
 	settingsText   []byte     // the settings as they were written, without white space
 }
 
-// ConfigError says which field of a configuration is wrong.
+// ConfigError is the error of an invalid field of a configuration.
 type ConfigError struct {
 	Field string
 	Err   error // its text names the field
@@ -48,8 +48,9 @@
 
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// LoadConfig reads and checks a configuration file. The error is one line that names the field which is wrong: a
-// *ConfigError, or the error of simwire.ReadSettings.
+// LoadConfig reads and validates a configuration file. The error for an invalid field is one line that names the field:
+// a *ConfigError, or the error of simwire.ReadSettings. A file that cannot be read, or is not JSON, returns the error
+// of package os or encoding/json. All errors are wrapped.
 func LoadConfig(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// microseconds makes a duration of a setting; 0 means the default.
+// microseconds converts a setting in microseconds to a duration; 0 stands for the default.
 func microseconds(us float64, byDefault time.Duration) time.Duration {
 	if us > 0 {
 		return time.Duration(us * nanosecondsPerMicrosecond)
@@ -122,9 +123,9 @@
 	return byDefault
 }
 
-// healthCheckTimeout is half of the shortest latency objective: a health check is served like a request, and a host
-// that has not answered by then would hardly keep the objective. A connection must have had the time to be
-// established.
+// healthCheckTimeout returns half of the shortest latency objective: a host serves a health check like a request, and
+// one that has not answered by then would hardly meet the objective. The timeout is never shorter than the dial
+// timeout, so that there is time to establish the connection.
 func healthCheckTimeout(settings *simwire.Settings) time.Duration {
 	objectiveUs := math.Inf(1)
 	for _, service := range settings.Services {
@@ -134,7 +135,8 @@
 	return max(time.Duration(objectiveUs/2*nanosecondsPerMicrosecond), dialTimeout)
 }
 
-// restartFields names what differs in another configuration and takes effect only after a restart.
+// restartFields returns the names of the fields that differ in the other configuration and that a reload cannot change:
+// they take effect only after a restart.
 func (c *Config) restartFields(other *Config) []string {
 	var names []string
 	if c.Name != other.Name {
--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -8,30 +8,34 @@
 )
 
 const (
-	// maxQueuedBytes bounds what may wait to be written to one connection: a peer that leaves more unread is
-	// disconnected.
+	// maxQueuedBytes bounds the bytes that wait to be written to one connection. A peer that leaves more unread is
+	// disconnected: its write queue is full.
 	maxQueuedBytes = 512 << 10
-	// writeTimeout bounds one write: the time a peer has to read what was queued when the write began.
+	// writeTimeout bounds one write. It is the time in which a peer has to read the bytes that were queued when the
+	// write began.
 	writeTimeout = 5 * time.Second
 )
 
-// connection is an accepted connection with a bounded queue of messages to write. While messages wait, a goroutine
-// writes them, so that a slow peer holds up neither the event loop nor another peer; it ends with the queue.
+// connection is an accepted connection with a bounded queue of messages to write. While messages are queued, one
+// goroutine writes them, so that a slow peer delays neither the event loop nor another peer. The goroutine ends when
+// the queue is empty or the connection is closed.
 type connection struct {
 	net.Conn
 	acceptNumber uint64          // counts the accepted connections
-	goroutines   *sync.WaitGroup // the node's
+	goroutines   *sync.WaitGroup // the node's, which waits for the goroutine that writes
 	admittedAt   time.Time       // set by the connection limiter
-	lastReadMs   atomic.Int64    // when a message last came, in ms of the node's clock
+	lastReadMs   atomic.Int64    // when the last message was read, in ms of the node's clock
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	writeQueue  net.Buffers
-	queuedBytes int  // in writeQueue and in the write under way
-	writing     bool // a goroutine writes
+	queuedBytes int  // in writeQueue and in the write in progress
+	writing     bool // a goroutine runs writeQueued
 	closed      bool
 }
 
-// enqueue queues a message, or closes the connection where too much waits. It never blocks on the peer.
+// enqueue queues a message to be written. If the queue is full, that is, the message would take it beyond
+// maxQueuedBytes, enqueue drops the message and closes the connection: the peer has to connect again and then gets a
+// snapshot. It never blocks on the peer, and does nothing on a closed connection.
 func (c *connection) enqueue(message []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,7 +54,7 @@
 	}
 }
 
-// writeQueued writes until the queue is empty or the connection closed.
+// writeQueued writes until the queue is empty or the connection is closed.
 func (c *connection) writeQueued() {
 	for {
 		queue, size := c.takeQueue()
@@ -70,7 +74,8 @@
 	}
 }
 
-// takeQueue takes what is queued to write it. Where that is nothing, the writing is over.
+// takeQueue removes and returns the queued messages, with their size in bytes. If there are none, or the connection is
+// closed, it returns 0 and marks the writing as ended.
 func (c *connection) takeQueue() (queue net.Buffers, size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +89,7 @@
 	return queue, c.queuedBytes
 }
 
-// terminate closes the connection and drops what is queued. The goroutines that read and write it end.
+// terminate closes the connection and drops the queued messages. The goroutines that read and write it then end.
 func (c *connection) terminate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/platform/connection_limiter.go
+++ b/internal/platform/connection_limiter.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// minUnidentified is how many unidentified connections there may be at least.
+	// minUnidentified is the least number of unidentified connections that are always allowed.
 	minUnidentified = 8
-	// minUnidentifiedTime is how long a connection may take to identify itself however many others come.
+	// minUnidentifiedTime is how long a connection may take to identify itself before it may be evicted for a newer
+	// one.
 	minUnidentifiedTime = 150 * time.Millisecond
-	// evictionWait is how long an evicted connection has to release its descriptor before it is looked at again.
+	// evictionWait is how long admit waits for an evicted connection to release its descriptor before it tries again.
 	evictionWait = 5 * time.Millisecond
 )
 
-// connectionLimiter bounds the open connections by the descriptors there are for them. When these run out, it evicts
-// the oldest unresponsive connection or, when it has had its time, the oldest unidentified one. It is safe for
-// concurrent use.
+// connectionLimiter bounds the open connections by the number of file descriptors that are available for them. When
+// these run out, it evicts the oldest unresponsive connection, or else the oldest unidentified one once it has been
+// open for minUnidentifiedTime. It is safe for concurrent use.
 type connectionLimiter struct {
 	released chan struct{} // holds one element when a connection has ended since admit last looked
 
-	mu           sync.Mutex           // guards what follows
+	mu           sync.Mutex           // guards the fields below
 	limit        int                  // of open connections
 	open         map[*connection]bool // admitted and not yet released
 	unidentified []*connection        // oldest first
-	unresponsive []*connection        // likewise
+	unresponsive []*connection        // oldest first
 	closed       bool
 }
 
@@ -34,20 +35,21 @@
 	return &connectionLimiter{limit: limit, open: map[*connection]bool{}, released: make(chan struct{}, 1)}
 }
 
-// unidentifiedLimit keeps half of the descriptors for connections that have identified themselves.
+// unidentifiedLimit returns how many unidentified connections may be open: half of the limit, since the other half is
+// reserved for connections that have identified themselves.
 func (l *connectionLimiter) unidentifiedLimit() int { return max(l.limit/2, minUnidentified) }
 
-// admitDecision is what the limiter decides on a connection.
+// admitDecision is the limiter's decision on a new connection.
 type admitDecision struct {
 	admitted bool
 	rejected bool          // sessions in use hold all descriptors, or the limiter is closed
-	evict    *connection   // to be terminated, so that a descriptor is released
-	wait     time.Duration // until the next try, where neither admitted nor rejected
+	evict    *connection   // to be terminated, so that a descriptor is released; nil: none
+	wait     time.Duration // until the next attempt, if neither admitted nor rejected
 }
 
-// admit waits until there is room for a connection, and evicts another one for it if need be. It returns false where
-// sessions in use hold all descriptors, so that the peer may dial another controller at once, and when the context or
-// the limiter has ended.
+// admit waits until there is a descriptor for a connection, evicts another connection if necessary, and reports whether
+// the connection is admitted. It is not if sessions in use hold all descriptors, so that the peer can dial another
+// controller at once, or if the context has ended or the limiter is closed.
 func (l *connectionLimiter) admit(ctx context.Context, conn *connection) bool {
 	for {
 		decision := l.tryAdmit(conn)
@@ -66,7 +68,7 @@
 	}
 }
 
-// tryAdmit admits a connection if there is room, or says what else is to be done.
+// tryAdmit admits or rejects a connection, or returns what to do before the next attempt.
 func (l *connectionLimiter) tryAdmit(conn *connection) admitDecision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,6 +93,7 @@
 	return l.evict(oldest)
 }
 
+// evict returns the decision to terminate an open connection and then to try again.
 func (l *connectionLimiter) evict(victim *connection) admitDecision {
 	l.removeEvictable(victim)
 	return admitDecision{evict: victim, wait: evictionWait}
@@ -105,14 +108,15 @@
 	}
 }
 
-// markActive notes that a connection is in use: it has identified itself, or its peer has spoken again.
+// markActive records that a connection is in use, so that it is not evicted: it has identified itself, or its peer has
+// become responsive again.
 func (l *connectionLimiter) markActive(conn *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.removeEvictable(conn)
 }
 
-// markUnresponsive notes that the session of a connection counts as disconnected.
+// markUnresponsive records that a connection may be evicted, since its session counts as disconnected.
 func (l *connectionLimiter) markUnresponsive(conn *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +125,7 @@
 	}
 }
 
-// release notes that a connection has ended.
+// release records that a connection has ended and its descriptor is free.
 func (l *connectionLimiter) release(conn *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +137,7 @@
 	}
 }
 
-// setLimit sets another limit; connections that are open beyond it stay.
+// setLimit changes the limit. Connections that are already open beyond a lower limit stay open.
 func (l *connectionLimiter) setLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -9,17 +9,17 @@
 	"barleysail/routing"
 )
 
-// endpointEntry is a host in the endpoint list.
+// endpointEntry is one host of the endpoint list, as the discovery service encodes it in JSON.
 type endpointEntry struct {
 	Name        string  `json:"instanceId"`
 	Address     string  `json:"hostPort"`
-	Zone        string  `json:"zone"`      // name
-	Lifecycle   string  `json:"lifecycle"` // a key of lifecycleStates
-	Weight      float64 `json:"weight"`
+	Zone        string  `json:"zone"`        // name of the zone
+	Lifecycle   string  `json:"lifecycle"`   // a key of lifecycleStates
+	Weight      float64 `json:"weight"`      // base weight, relative to the other hosts
 	StartedAtMs float64 `json:"startedAtMs"` // when the host last started, in ms since 1970; 0: long ago
 }
 
-// lifecycleStates are the states of a host by the words of the endpoint list.
+// lifecycleStates maps the lifecycle values of the endpoint list to host states.
 var lifecycleStates = map[string]routing.HostState{
 	"Ready":       routing.Ready,
 	"Terminating": routing.Draining,
@@ -29,15 +29,15 @@
 // watchEvent is a snapshot of the endpoint list, or a delta: the entries that have changed.
 type watchEvent struct {
 	Generation int64 // version of the list
-	Snapshot   bool  // Endpoints are all that there are
+	Snapshot   bool  // Endpoints is the whole list: hosts that it does not name are removed
 	Endpoints  []endpointEntry
 }
 
-// isEmpty reports whether there is nothing new in an event.
+// isEmpty reports whether an event changes nothing.
 func (e watchEvent) isEmpty() bool { return !e.Snapshot && len(e.Endpoints) == 0 }
 
-// decodeWatchEvent decodes an answer of the discovery service. One without a generation, or that does not say whether
-// it is a snapshot, is refused.
+// decodeWatchEvent decodes a response of the discovery service. It returns an error if the response has no generation
+// or does not say whether it is a snapshot.
 func decodeWatchEvent(body []byte) (watchEvent, error) {
 	var raw struct {
 		Generation *int64
@@ -56,9 +56,9 @@
 	return watchEvent{Generation: *raw.Generation, Snapshot: *raw.Reset, Endpoints: raw.Instances}, nil
 }
 
-// decodeKnownEndpoints decodes the snapshot that a configuration brings. What cannot be read of it becomes an empty
-// entry, to be reported and dropped with those that are malformed: nothing in an old list may keep a node from its
-// start.
+// decodeKnownEndpoints decodes the last known endpoint list of a configuration. An entry that cannot be decoded becomes
+// an empty one, which is later logged and dropped like any malformed entry: nothing in an old list may prevent a node
+// from starting.
 func decodeKnownEndpoints(text json.RawMessage) watchEvent {
 	if len(text) == 0 {
 		return watchEvent{}
@@ -68,9 +68,9 @@
 		return watchEvent{Endpoints: []endpointEntry{{}}}
 	}
 	var known watchEvent
-	for _, text := range raw.Instances {
+	for _, entryText := range raw.Instances {
 		var decoded endpointEntry
-		if json.Unmarshal(text, &decoded) != nil {
+		if json.Unmarshal(entryText, &decoded) != nil {
 			decoded = endpointEntry{}
 		}
 		known.Endpoints = append(known.Endpoints, decoded)
@@ -78,8 +78,8 @@
 	return known
 }
 
-// validate refuses an event that holds any malformed entry: to leave out entries of a snapshot would remove their
-// hosts. The error is an *endpointError, wrapped.
+// validate returns an error for an event with any malformed entry. The whole event is then a rejected list: if only the
+// malformed entries of a snapshot were dropped, their hosts would be removed. The error wraps an *endpointError.
 func (e watchEvent) validate(zoneIndex func(string) (int, bool)) error {
 	for _, endpoint := range e.Endpoints {
 		if err := endpoint.validate(zoneIndex); err != nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// endpointError says what of an entry of the endpoint list is malformed.
+// endpointError is the error of a malformed entry of the endpoint list.
 type endpointError struct {
 	host    string
 	problem string
@@ -97,7 +97,7 @@
 
 func (e *endpointError) Error() string { return fmt.Sprintf("host %.40q: %s", e.host, e.problem) }
 
-// validate returns an *endpointError for an entry that makes no sense. A removed host needs no zone and no address.
+// validate returns an *endpointError for a malformed entry. A removed host needs neither a zone nor an address.
 func (e endpointEntry) validate(zoneIndex func(string) (int, bool)) error {
 	state, known := lifecycleStates[e.Lifecycle]
 	if e.Name == "" || !known || e.Weight < 0 || e.StartedAtMs < 0 {
--- a/internal/platform/endpoint_watcher.go
+++ b/internal/platform/endpoint_watcher.go
@@ -16,23 +16,23 @@
 const (
 	endpointListPath = "/catalog/members"
 
-	// longPollWait is how long the discovery service may hold a watch call for something new. It is short, since a
-	// connection that has become unresponsive shows only after it: what the list has to say counts as delivered 2 s
-	// after the wait is over.
+	// longPollWait is how long the discovery service may hold a long poll until the list changes. It is short, since an
+	// unresponsive connection is detected only when the wait is over, and the platform counts a change as delivered 2 s
+	// after that.
 	longPollWait = 1500 * time.Millisecond
-	// longPollSlack is the time for the answer to arrive after that.
+	// longPollSlack is the time for the response to arrive after the wait.
 	longPollSlack = 400 * time.Millisecond
 	// snapshotTimeout bounds a call for a snapshot.
 	snapshotTimeout = time.Second
-	// minPollInterval keeps a service that does not hold watch calls from being called in a tight loop.
+	// minPollInterval limits the rate of calls to a service that responds to long polls at once.
 	minPollInterval = 50 * time.Millisecond
 
-	// staleSnapshotLimit is when a list that is still older than the one held is accepted: what the list has to say
-	// counts as delivered by then, so the service must have begun a new count of generations.
+	// staleSnapshotLimit is how long snapshots with an older generation than the one in force are rejected. By then the
+	// platform counts every change as delivered, so the service must have restarted its generations.
 	staleSnapshotLimit = 6 * time.Second
 
-	minBackoff = 50 * time.Millisecond
-	maxBackoff = 400 * time.Millisecond
+	minBackoff = 50 * time.Millisecond  // pause after the first failed call
+	maxBackoff = 400 * time.Millisecond // longest pause after repeated failures
 )
 
 var (
@@ -40,20 +40,23 @@
 	errNoSnapshot      = errors.New("endpoint list: a delta came where a snapshot is due")
 )
 
-// endpointWatcher watches the endpoint list at an address that may change. One goroutine runs it, with one follower
-// at a time, and one connection.
+// endpointWatcher watches the endpoint list at an address that may change. It asks for a snapshot, then long-polls for
+// deltas, and retries with backoff after a failure. A rejected list, that is, one with a malformed entry or of an older
+// generation, is logged as "endpoint list call failed"; the endpoint list in force stays. No valid list is held back,
+// however many hosts it removes: only "barleysail run" does that, see package guard. One goroutine runs the watcher,
+// with one follower at a time, and one connection.
 type endpointWatcher struct {
 	client     *http1.Client
 	log        zerolog.Logger
 	warnings   *rateLimitedLog
 	zoneIndex  func(name string) (int, bool)
-	newAddress chan string      // holds the newest address, until it is followed
-	deliver    func(watchEvent) // takes valid events, in order
-	staleLimit time.Duration    // staleSnapshotLimit but in tests
+	newAddress chan string      // holds the newest address until the watcher uses it
+	deliver    func(watchEvent) // is called with each valid event, in order
+	staleLimit time.Duration    // staleSnapshotLimit, except in tests
 
-	// What follows belongs to the follower.
-	generation int64     // of the last event
-	staleSince time.Time // when an older list first came; zero: the last one was not older
+	// The fields below belong to the follower.
+	generation int64     // of the last accepted event
+	staleSince time.Time // when an older list was first received; zero: the last one was not older
 }
 
 func newEndpointWatcher(log zerolog.Logger, warnings *rateLimitedLog, zoneIndex func(string) (int, bool),
@@ -69,8 +72,8 @@
 	}
 }
 
-// setAddress has the list followed at another address. Of several the newest counts. It is safe to call from any
-// goroutine.
+// setAddress makes the watcher watch the list at another address; only the newest of several addresses counts. It never
+// blocks and is safe to call from any goroutine.
 func (w *endpointWatcher) setAddress(address string) {
 	for {
 		select {
@@ -85,7 +88,7 @@
 	}
 }
 
-// run follows the list until the context ends, at each new address from a snapshot on.
+// run watches the list until the context ends. At each new address it begins with a snapshot.
 func (w *endpointWatcher) run(ctx context.Context, address string) {
 	for ctx.Err() == nil {
 		followCtx, cancel := context.WithCancel(ctx)
@@ -104,7 +107,8 @@
 	}
 }
 
-// follow asks for a snapshot, then for changes, until the context ends.
+// follow polls one address for a snapshot, then for deltas, until the context ends. After a failure it keeps the list
+// in force and retries with backoff; after an older list it asks for a snapshot again.
 func (w *endpointWatcher) follow(ctx context.Context, address string) {
 	retries := backoff{min: minBackoff, max: maxBackoff}
 	snapshotDue := true
@@ -135,7 +139,8 @@
 	}
 }
 
-// poll makes one call and returns an event that is valid and follows on the last one.
+// poll makes one call and returns an event that is valid and not older than the last one. The error says why there is
+// none: errStaleGeneration, errNoSnapshot, or that of fetch.
 func (w *endpointWatcher) poll(ctx context.Context, address string, snapshotDue bool) (watchEvent, error) {
 	target := endpointListPath
 	timeout := snapshotTimeout
@@ -150,9 +155,10 @@
 	return event, w.accept(event, snapshotDue)
 }
 
-// accept checks that a valid event follows on the last one, and notes its generation. An agent that has yet to catch
-// up, after a change of address, a restart or a partition, answers with an older list, which would bring back hosts
-// that have drained: that is errStaleGeneration. A snapshot that stays older for the stale limit is accepted.
+// accept checks that a valid event is not older than the last one, and records its generation. After a change of
+// address, a restart or a partition, a replica of the discovery service that has not caught up responds with an older
+// list, which would bring back hosts that have drained: that is errStaleGeneration. If snapshots stay older for the
+// stale limit, the next one is accepted.
 func (w *endpointWatcher) accept(event watchEvent, snapshotDue bool) error {
 	if snapshotDue && !event.Snapshot {
 		return errNoSnapshot
@@ -174,7 +180,7 @@
 	return nil
 }
 
-// fetch calls the discovery service and returns its answer, decoded and valid.
+// fetch calls the discovery service and returns its response, decoded and validated. The timeout bounds the whole call.
 func (w *endpointWatcher) fetch(ctx context.Context, address, target string, timeout time.Duration) (
 	watchEvent, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -205,5 +211,5 @@
 	return b.last
 }
 
-// reset notes a success.
+// reset makes the next pause the shortest one, after a success.
 func (b *backoff) reset() { b.last = 0 }
--- a/internal/platform/event_loop.go
+++ b/internal/platform/event_loop.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// maxQueuedEvents bounds the events that wait for the event loop. Readers of connections wait while it is full,
-	// and TCP then holds back their peers.
+	// maxQueuedEvents bounds the events that are queued for the event loop. While the queue is full, no event is
+	// dropped: the goroutines that read connections block in post, and TCP flow control slows down their peers.
 	maxQueuedEvents = 1024
 
-	// maintenanceIntervalMs is the least time between looks for what has expired.
+	// maintenanceIntervalMs is the shortest time between two checks for expired hosts and sessions.
 	maintenanceIntervalMs = 500.0
 
 	nanosecondsPerMs = 1e6
 )
 
-// post queues an event for the event loop, and waits while the queue is full. Events posted after the loop has ended
-// are dropped.
+// post queues an event for the event loop. It blocks while the queue is full (maxQueuedEvents); events that are posted
+// after the loop has ended are dropped.
 func (n *Node) post(event func()) {
 	select {
 	case n.events <- event:
@@ -25,8 +25,8 @@
 	}
 }
 
-// runEventLoop is the one goroutine that owns the balancer. After an event it gathers further ones for the round
-// delay; then the balancer decides on all of them in one round. It returns when the context ends.
+// runEventLoop runs events until the context ends. It is the one goroutine that owns the balancer. After an event it
+// collects further ones for the round delay, and then the balancer decides on the batch in one round.
 func (n *Node) runEventLoop(ctx context.Context) {
 	output := &balancerOutput{updateEncoder: n.updates, node: n, ctx: ctx}
 	timer := time.NewTimer(0)
@@ -48,7 +48,7 @@
 	}
 }
 
-// gatherEvents runs events until the timer fires; false means that the context has ended.
+// gatherEvents runs events until the timer fires, and reports false if the context ends first.
 func (n *Node) gatherEvents(ctx context.Context, timer *time.Timer) bool {
 	for {
 		select {
@@ -62,7 +62,7 @@
 	}
 }
 
-// runRound has the balancer decide on what it has observed, and queues the updates that come of it.
+// runRound runs one round of the balancer and queues the updates that it publishes on the proxies' connections.
 func (n *Node) runRound(output *balancerOutput) {
 	nowMs := n.clock.Now()
 	n.maintain(nowMs)
@@ -80,7 +80,7 @@
 	n.traceHosts(nowMs)
 }
 
-// maintain drops hosts and sessions that have expired, from time to time.
+// maintain drops expired hosts and sessions, at most once per maintenanceIntervalMs.
 func (n *Node) maintain(nowMs float64) {
 	if nowMs < n.lastMaintenanceMs+maintenanceIntervalMs {
 		return
@@ -90,7 +90,7 @@
 	n.expireSessions(nowMs)
 }
 
-// untilNextRound is how long it is until the round that the balancer has scheduled.
+// untilNextRound returns the time until the round that the balancer has scheduled, 0 if that time has passed.
 func (n *Node) untilNextRound() time.Duration {
 	return time.Duration(max(n.nextRoundMs-n.clock.Now(), 0) * nanosecondsPerMs)
 }
--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -17,20 +17,20 @@
 const (
 	healthCheckPath = "/_load"
 
-	// maxHealthCheckAttempts bounds the calls of one health check: a network that resets connections proves nothing
-	// about the host.
+	// maxHealthCheckAttempts bounds the attempts of one health check. A connection that was reset is retried, since a
+	// fault of the network says nothing about the host.
 	maxHealthCheckAttempts = 3
 )
 
-// healthCheckTarget is a host as the endpoint list had it when its health check was scheduled.
+// healthCheckTarget is a host with the address and process that it had when its health check was scheduled.
 type healthCheckTarget struct {
-	host    int
+	host    int // index
 	name    string
 	process hostProcess
 }
 
-// checkHealth checks a host and passes on the outcome to the event loop. Where the host has moved, restarted or was
-// removed meanwhile, what its former process or address answered proves nothing: that counts as a rejected check.
+// checkHealth checks a host and posts the result to the event loop. If the host has meanwhile changed its address,
+// restarted or been removed, the answer of its former process says nothing about it: the result is then Rejected.
 func (n *Node) checkHealth(ctx context.Context, target healthCheckTarget) {
 	began := time.Now()
 	result, load, err := healthCheck(ctx, n.healthClient, target.process.address, n.config.HealthCheckTimeout)
@@ -50,11 +50,12 @@
 	})
 }
 
-// healthCheck calls a host and returns the result with the load report in the answer. Only a refused connection
-// proves that nothing is there. A reset one may be the network's doing and is retried: where a process has just
-// ended, the retry is refused. A host that answers with an error status rejects the check; one that does so only
-// after half of the timeout could not serve it, which counts as a timeout. The error says why a check was not
-// healthy.
+// healthCheck calls a host and returns the result with the load report of the response.
+//
+// Only a refused connection is Unreachable: nothing listens there. A reset connection may be a fault of the network and
+// is retried; if the process has just ended, the retry is refused. An error status is Rejected, or TimedOut if it took
+// more than half of the timeout, since the host was then too slow to serve the check. The error says why the result is
+// not Healthy.
 func healthCheck(ctx context.Context, client *http1.Client, address string, timeout time.Duration) (
 	routing.HealthCheckResult, routing.HostLoad, error) {
 	began := time.Now()
@@ -76,7 +77,7 @@
 	}
 }
 
-// callWithRetries calls a host again where the connection broke.
+// callWithRetries calls a host, and retries at once if the connection broke, up to maxHealthCheckAttempts attempts.
 func callWithRetries(ctx context.Context, client *http1.Client, address string) (*http1.Response, error) {
 	header := http1.Header("Connection", "close")
 	var response *http1.Response
@@ -90,8 +91,8 @@
 	return response, err
 }
 
-// decodeLoad decodes the load report that a host answers with, a JSON object of numbers. What it cannot use counts as
-// not reported.
+// decodeLoad decodes the load report in a response, a JSON object of numbers. A value that is malformed or out of range
+// counts as not reported.
 func decodeLoad(body []byte) routing.HostLoad {
 	var values map[string]json.RawMessage
 	if json.Unmarshal(body, &values) != nil {
@@ -103,7 +104,7 @@
 	})
 }
 
-// healthCheckResultName is the standard term for a result.
+// healthCheckResultName returns the name of a result in log lines.
 func healthCheckResultName(result routing.HealthCheckResult) string {
 	switch result {
 	case routing.Healthy:
--- a/internal/platform/host_registry.go
+++ b/internal/platform/host_registry.go
@@ -7,22 +7,24 @@
 	"barleysail/routing"
 )
 
-// removedHostRetentionMs is how long a removed host is remembered: it may come back, and reports on it be under way.
+// removedHostRetentionMs is how long a removed host is retained, since it may come back, and reports on it may still be
+// in flight.
 const removedHostRetentionMs = 30000.0
 
-// hostProcess is what runs at a host at present. A health check judges only the process that it was sent to.
+// hostProcess identifies the process that a host currently runs. The result of a health check holds only for the
+// process that was checked.
 type hostProcess struct {
 	address     string
-	startedMs   float64 // in ms since 1970; 0: long ago
-	incarnation int     // how often the host came back after it was removed
+	startedMs   float64 // when the process started, in ms since 1970; 0: long ago
+	incarnation int     // number of times that the host has come back after a removal
 }
 
-// hostRegistry is what the node knows of hosts besides the balancer, by host index. It belongs to the event loop.
-// Hosts that were removed long ago are dropped from it, so a fleet that is replaced host by host does not fill the
-// memory.
+// hostRegistry holds, by host index, what the node itself has to know about hosts besides the balancer. It belongs to
+// the event loop. Hosts that were removed long ago are dropped, so that a fleet whose hosts are replaced one by one
+// does not grow the memory in use.
 type hostRegistry struct {
 	processes   map[int]hostProcess
-	removedAtMs map[int]float64 // when hosts were removed that have not come back
+	removedAtMs map[int]float64 // when a host was removed, for those that have not come back
 }
 
 func newHostRegistry() hostRegistry {
@@ -35,8 +37,9 @@
 	return removed
 }
 
-// applyWatchEvent gives a valid watch event to the balancer; cached means that its age is unknown. The first event
-// that brings hosts is given twice, first as a cached one: its hosts without a start time are old, not new.
+// applyWatchEvent passes a valid watch event to the balancer; cached says that its age is unknown. The first event with
+// hosts is passed twice, first as a cached one, so that its hosts without a start time count as started long ago and
+// not as new.
 func (n *Node) applyWatchEvent(event watchEvent, cached bool) {
 	first := n.balancer.HostIndexCount() == 0
 	if first && !cached {
@@ -63,7 +66,7 @@
 	}
 }
 
-// applyEndpoint gives one entry to the balancer. The removal of a host that was never there is left out.
+// applyEndpoint passes one entry to the balancer. It ignores the removal of a host that is not known.
 func (n *Node) applyEndpoint(endpoint endpointEntry) {
 	state := lifecycleStates[endpoint.Lifecycle]
 	host, known := n.balancer.LookupHost(endpoint.Name)
@@ -85,7 +88,7 @@
 	n.balancer.ObserveEndpoint(host, zone, state, endpoint.Weight, endpoint.StartedAtMs)
 }
 
-// connectEarlyProxies connects the proxies that came while no host was known, if there is one now.
+// connectEarlyProxies connects the proxies whose sessions began before any host was known, if one is known now.
 func (n *Node) connectEarlyProxies() {
 	if n.balancer.HostIndexCount() == 0 {
 		return
@@ -96,15 +99,15 @@
 	}
 }
 
-// markRemoved notes that a host is removed, unless it was already or its index is free.
+// markRemoved records when a host was removed, unless it was removed before or its index is free.
 func (n *Node) markRemoved(host int) {
 	if !n.hosts.isRemoved(host) && n.balancer.HostID(host) != "" {
 		n.hosts.removedAtMs[host] = n.clock.Now()
 	}
 }
 
-// releaseRemovedHosts forgets hosts that were removed long ago, with their indices, once the balancer lets go of
-// them.
+// releaseRemovedHosts forgets hosts that were removed more than removedHostRetentionMs ago and frees their indices. A
+// host that a table or a health check in flight still refers to is retained until the next call.
 func (n *Node) releaseRemovedHosts(nowMs float64) {
 	for host, removedAtMs := range n.hosts.removedAtMs {
 		if nowMs > removedAtMs+removedHostRetentionMs && n.balancer.ReleaseHost(host) {
--- a/internal/platform/host_trace.go
+++ b/internal/platform/host_trace.go
@@ -6,10 +6,10 @@
 	"barleysail/routing"
 )
 
-// traceIntervalMs is how often a node that logs at debug level writes the balancer's view of the hosts.
+// traceIntervalMs is the shortest time between two traces of the hosts, which are logged at debug level.
 const traceIntervalMs = 1000.0
 
-// traceHosts logs the balancer's view of the hosts, to be compared with what passes on the network.
+// traceHosts logs the balancer's view of the hosts at debug level, to be compared with the traffic on the network.
 func (n *Node) traceHosts(nowMs float64) {
 	if n.log.GetLevel() > zerolog.DebugLevel || nowMs < n.lastTraceMs+traceIntervalMs {
 		return
@@ -58,7 +58,7 @@
 		Int("consecutive_failures", h.view.ConsecutiveFailures)
 }
 
-// hostStateName is the standard term for a host's state.
+// hostStateName returns the name of a host's state in log lines.
 func hostStateName(state routing.HostState) string {
 	switch state {
 	case routing.Ready:
--- a/internal/platform/load_report.go
+++ b/internal/platform/load_report.go
@@ -11,11 +11,11 @@
 
 const (
 	utilizationName = "util"
-	maxUtilization  = 4.0 // a part of 1; reports are noisy
-	maxLoadValue    = 1e9 // of any other value; to stay below
+	maxUtilization  = 4.0 // as a ratio of the capacity; above 1 since reports are noisy
+	maxLoadValue    = 1e9 // exclusive bound of any value
 )
 
-// parseLoad reads the load report in a host report: name:value pairs, separated by commas. The error is a
+// parseLoad parses the load report in a host report: name:value pairs, separated by commas. The error is a
 // *fieldError.
 func parseLoad(text string) (routing.HostLoad, error) {
 	values := map[string]float64{}
@@ -33,12 +33,13 @@
 	}), nil
 }
 
-// validLoad reports whether a value of a load report is in its range; NaN is not.
+// validLoad reports whether a value of a load report is in its range. It is false for NaN.
 func validLoad(name string, value float64) bool {
 	return value >= 0 && value < maxLoadValue && (name != utilizationName || value <= maxUtilization)
 }
 
-// newHostLoad makes a load report of the values that lookup has and that are in range.
+// newHostLoad returns a load report with the values that lookup finds and that are in range; the others count as not
+// reported.
 func newHostLoad(lookup func(name string) (float64, bool)) routing.HostLoad {
 	const notReported = -1
 	return instance.Load(func(name string) float64 {
--- a/internal/platform/message_decoder.go
+++ b/internal/platform/message_decoder.go
@@ -10,27 +10,28 @@
 	"barleysail/routing"
 )
 
-// Bounds of what a message may say. What is beyond them is malformed: it would distort a host's figures for long.
+// Bounds of the values in messages. A value beyond its bound makes the message malformed: it would distort the
+// statistics of a host for a long time.
 const (
-	// maxAttemptsPerMs bounds the attempts of a zone's proxies at one host, and the requests that come to one proxy.
+	// maxAttemptsPerMs bounds the attempts of a zone's proxies at one host, and the requests that arrive at one proxy.
 	maxAttemptsPerMs = 1000.0
 	maxIntervalMs    = 600e3
-	maxStamp         = 65535 // the protocol's
+	maxStamp         = 65535 // limit of the protocol
 	maxWeight        = 1e6   // requests per second
 
-	// latencyTolerance is how far beyond the deadline a mean latency may be: attempts that did not fail kept it, give
-	// or take the noise of reports.
+	// latencyTolerance bounds a mean latency, as a multiple of the longest deadline: an attempt that took longer than
+	// its deadline would have failed, but reports are noisy.
 	latencyTolerance = 2
 )
 
-// layoutError says that the words of a message are not a kind followed by names and values.
+// layoutError is the error of a message whose words are not a kind followed by pairs of a name and a value.
 type layoutError struct {
 	problem string
 }
 
 func (e *layoutError) Error() string { return e.problem }
 
-// fieldError says which field of a message is missing, malformed, out of range or names something unknown.
+// fieldError is the error of a field that is missing, malformed or out of range, or that names something unknown.
 type fieldError struct {
 	field   string
 	problem string // follows the field's name
@@ -38,50 +39,51 @@
 
 func (e *fieldError) Error() string { return e.field + " " + e.problem }
 
-// invalidValue is the error of a field whose value cannot be used. The value is cut, since a peer chooses its length.
+// invalidValue returns the error of a field with an invalid value. Its text truncates the value, whose length the peer
+// chooses.
 func invalidValue(field, value string) error {
 	return &fieldError{field, fmt.Sprintf("is %.20q", value)}
 }
 
-// unknownKindError says that a message is none that a session may send.
+// unknownKindError is the error of a message of a kind that a session may not send.
 type unknownKindError struct {
 	kind string
 }
 
 func (e *unknownKindError) Error() string { return fmt.Sprintf("unknown kind %.20q", e.kind) }
 
-// fieldReader reads the values of a message by their names. It keeps its first error, after which values mean
-// nothing: the caller reads all that the message should have, and then looks at err.
+// fieldReader reads the fields of a message by name. It keeps its first error, like bufio.Scanner: the caller reads all
+// fields of the message and then checks err; after an error the values are meaningless.
 type fieldReader struct {
 	values map[string]string // an absent field has the empty value
 	err    error
 }
 
-// newFieldReader takes the names and values that follow a message's kind; each name may stand once. The error is a
-// *layoutError.
+// newFieldReader returns a reader of the fields that follow a message's kind. The error is a *layoutError: words are
+// missing, or a name occurs twice.
 func newFieldReader(words []string) (*fieldReader, error) {
 	if len(words)%2 != 1 {
 		return nil, &layoutError{fmt.Sprintf("%d words", len(words))}
 	}
 	values := make(map[string]string, len(words)/2)
 	for i := 1; i < len(words); i += 2 {
-		name, value := words[i], words[i+1]
+		name := words[i]
 		if _, duplicate := values[name]; duplicate {
 			return nil, &layoutError{fmt.Sprintf("%.20q stands twice", name)}
 		}
-		values[name] = value
+		values[name] = words[i+1]
 	}
 	return &fieldReader{values: values}, nil
 }
 
-// fail notes an error, unless there was one before.
+// fail records an error unless there was one before.
 func (r *fieldReader) fail(err error) {
 	if r.err == nil {
 		r.err = err
 	}
 }
 
-// integer reads a whole number from 0 to the limit.
+// integer reads an integer field from 0 to limit.
 func (r *fieldReader) integer(name string, limit int) int {
 	value, err := strconv.ParseUint(r.values[name], 10, 63)
 	if err != nil || value > uint64(limit) {
@@ -91,7 +93,7 @@
 	return int(value)
 }
 
-// number reads a number from 0 to the limit.
+// number reads a floating-point field from 0 to limit.
 func (r *fieldReader) number(name string, limit float64) float64 {
 	value, err := strconv.ParseFloat(r.values[name], 64)
 	inRange := value >= 0 && value <= limit // false for NaN
@@ -102,7 +104,7 @@
 	return value
 }
 
-// index reads a name and returns the index that lookup has for it.
+// index reads a field that holds a name and returns the index that lookup finds for the name.
 func (r *fieldReader) index(name string, lookup func(string) (int, bool)) int {
 	index, known := lookup(r.values[name])
 	if !known {
@@ -111,7 +113,7 @@
 	return index
 }
 
-// yesOrNo reads a field that must be one of the two.
+// yesOrNo reads a boolean field, which must be valueYes or valueNo.
 func (r *fieldReader) yesOrNo(name string) bool {
 	value := r.values[name]
 	if value != valueNo && value != valueYes {
@@ -120,7 +122,7 @@
 	return value == valueYes
 }
 
-// attemptCounts reads what host reports and demand reports have in common.
+// attemptCounts reads the counters that host reports and demand reports have in common.
 func (r *fieldReader) attemptCounts() attemptCounts {
 	intervalMs := r.number(fieldIntervalMs, maxIntervalMs)
 	if intervalMs == 0 {
@@ -134,13 +136,13 @@
 	}
 }
 
-// messageDecoder decodes the words of messages into typed ones, checked against the settings. It holds only what
-// never changes, so each connection's reader uses it from its own goroutine.
+// messageDecoder decodes the words of messages into typed messages and validates them against the settings. It is
+// immutable, so the goroutines that read connections share it.
 type messageDecoder struct {
 	zoneIndex  func(name string) (int, bool)
 	classIndex func(name string) (int, bool)
 	maxProxy   int
-	maxMeanMs  float64
+	maxMeanMs  float64 // largest valid mean latency, in ms
 }
 
 func newMessageDecoder(settings *simwire.Settings, names *instance.Instance) *messageDecoder {
@@ -156,8 +158,8 @@
 	return decoder
 }
 
-// decodeSessionMessage decodes a message that is not the first one of its connection. The error is a *layoutError, a
-// *fieldError or an *unknownKindError.
+// decodeSessionMessage decodes a message of an identified connection. The error is a *layoutError, a *fieldError or an
+// *unknownKindError.
 func (d *messageDecoder) decodeSessionMessage(words []string) (sessionMessage, error) {
 	reader, err := newFieldReader(words)
 	if err != nil {
@@ -186,7 +188,7 @@
 		zone:   reader.index(fieldZone, d.zoneIndex),
 		weight: reader.number(fieldWeight, maxWeight),
 	}
-	reader.yesOrNo(fieldFresh) // checked only: a proxy gets a snapshot in any case
+	reader.yesOrNo(fieldFresh) // only validated: a proxy always gets a snapshot
 	return message
 }
 
@@ -195,7 +197,7 @@
 }
 
 func (d *messageDecoder) readHostReport(reader *fieldReader) hostReport {
-	reader.index(fieldZone, d.zoneIndex) // checked only: the balancer takes a host's reports of all zones alike
+	reader.index(fieldZone, d.zoneIndex) // only validated: the balancer treats the reports of all zones alike
 	message := hostReport{
 		host:          reader.values[fieldHost],
 		attemptCounts: reader.attemptCounts(),
@@ -229,6 +231,6 @@
 		proxy: reader.integer(fieldProxy, d.maxProxy),
 		stamp: reader.integer(fieldStamp, maxStamp),
 	}
-	reader.number(fieldAckTookMs, maxIntervalMs) // checked only
+	reader.number(fieldAckTookMs, maxIntervalMs) // only validated
 	return message
 }
--- a/internal/platform/message_handler.go
+++ b/internal/platform/message_handler.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// handleMessage observes a message that came on a session, or returns why it was dropped. An unresponsive session is
-// connected again by any message that has at least a kind and fields.
+// handleMessage passes a message of a session to the balancer. The error says why the message was dropped; decodeErr is
+// that of decoding it. Any message with a kind and fields, even a malformed one, reconnects an unresponsive session.
 func (n *Node) handleMessage(session *peerSession, message sessionMessage, decodeErr error) error {
 	var badLayout *layoutError
 	hasFields := !errors.As(decodeErr, &badLayout)
@@ -29,6 +29,7 @@
 	}
 }
 
+// observeHostReport passes a host report to the balancer. It returns a *fieldError for an unknown host.
 func (n *Node) observeHostReport(message hostReport) error {
 	host, known := n.balancer.LookupHost(message.host)
 	if !known {
@@ -38,7 +39,8 @@
 	return nil
 }
 
-// observeDemandReport takes a proxy's report from its own session or from a collector's.
+// observeDemandReport passes a demand report to the balancer. It returns a *fieldError for a report that comes neither
+// from the session of its proxy nor from a collector.
 func (n *Node) observeDemandReport(session *peerSession, message demandReport) error {
 	if session.proxy != noProxy && session.proxy != message.proxy {
 		return wrongProxy(message.proxy, session)
@@ -47,8 +49,9 @@
 	return nil
 }
 
-// acknowledge notes that a stamp is acknowledged, and with it all sent before: updates keep their order on a
-// connection, and an acknowledgement may have come malformed.
+// acknowledge records that a proxy has acknowledged a version stamp and all that were sent before it: updates keep
+// their order on a connection, and an earlier acknowledgement may have been malformed. It returns a *fieldError for a
+// stamp that is not unacknowledged, or of another proxy.
 func (n *Node) acknowledge(session *peerSession, message ackMessage) error {
 	if session.proxy != message.proxy {
 		return wrongProxy(message.proxy, session)
@@ -68,7 +71,7 @@
 	return nil
 }
 
-// wrongProxy is the error of a message that speaks for another proxy than the session's.
+// wrongProxy returns the error of a message that names a proxy other than the one of its session.
 func wrongProxy(proxy int, session *peerSession) error {
 	return &fieldError{fieldProxy, fmt.Sprintf("is %d on the session of proxy %d", proxy, session.proxy)}
 }
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -1,12 +1,12 @@
 // Package platform runs a controller as a node of the users' platform. Proxies and collectors connect to it and
-// exchange RESP2 messages, the endpoint list is watched and hosts are health checked over HTTP/1.1. The package owns
-// connections, encodings and timeouts; it never decides on routing: that is package routing's, whose Balancer it
-// gives what comes in and asks for one round after each batch of events.
+// exchange RESP2 messages; the node watches the endpoint list and checks the health of hosts over HTTP/1.1. The package
+// owns connections, encodings and timeouts. It never makes a routing decision: it passes its inputs to the Balancer of
+// package routing, and runs one round of it after each batch of events.
 //
-// One goroutine, the event loop, owns the balancer and all state about sessions and hosts, and never waits on a
-// socket. Other goroutines read and write connections, watch the endpoint list and check hosts; they pass on what
-// they find as events. Queues, goroutines and descriptors are bounded by the configuration, as said where each is
-// made.
+// One goroutine, the event loop, owns the balancer and all state about sessions and hosts, and never waits for a
+// socket. Other goroutines read and write connections, watch the endpoint list and check hosts; they post their results
+// to the loop as events. The configuration bounds queues, goroutines and file descriptors, as documented where each is
+// created.
 package platform
 
 import (
@@ -29,12 +29,12 @@
 const (
 	microsecondsPerMs = 1000
 
-	// noIdleConnections has each health check use a connection of its own: one that was kept and has become
-	// unresponsive would look like an unresponsive host.
+	// noIdleConnections makes each health check use a new connection: an idle one that has become unresponsive would
+	// look like an unresponsive host.
 	noIdleConnections = -1
 )
 
-// Node is a controller in service.
+// Node is a controller on the platform. Run serves, and Reload changes part of the configuration meanwhile.
 type Node struct {
 	config *Config
 	log    zerolog.Logger
@@ -49,19 +49,20 @@
 
 	events     chan func()    // run by the event loop, in order
 	done       chan struct{}  // closed when the event loop has ended
-	goroutines sync.WaitGroup // all but the event loop
+	goroutines sync.WaitGroup // all except the event loop, which runs in the goroutine that calls Run
 
-	// What follows belongs to the event loop.
+	// The fields below belong to the event loop.
 	balancer          *instance.Instance
 	updates           *updateEncoder
 	sessions          sessionRegistry
 	hosts             hostRegistry
-	nextRoundMs       float64 // when the balancer wants its next round
-	lastMaintenanceMs float64 // when maintain last looked
-	lastTraceMs       float64 // when the hosts were last logged
+	nextRoundMs       float64 // when the balancer has scheduled its next round, in ms of the clock
+	lastMaintenanceMs float64 // when maintain last checked for expired hosts and sessions
+	lastTraceMs       float64 // when the hosts were last traced
 }
 
-// New makes a node that does not run yet. The error is that of instance.New.
+// New returns a node that does not serve yet. The error wraps that of instance.New: the settings ask for something that
+// is not supported.
 func New(config *Config, log zerolog.Logger) (*Node, error) {
 	balancer, err := instance.New(config.Settings, config.Seed)
 	if err != nil {
@@ -96,15 +97,17 @@
 	return names
 }
 
-// connectedProxies returns the proxies that have a session, in no order.
+// connectedProxies returns the proxies that have a session, in no particular order.
 func (n *Node) connectedProxies() iter.Seq[int] { return maps.Keys(n.sessions.active) }
 
 func (n *Node) postWatchEvent(event watchEvent) {
 	n.post(func() { n.applyWatchEvent(event, false) })
 }
 
-// Run listens and serves until the context ends, and waits for all that it has started. The error says that the
-// address cannot be listened on.
+// Run listens and serves until the context ends, which "barleysail node" does on SIGTERM or SIGINT. The graceful
+// shutdown closes the listener and all connections and waits for all goroutines. Updates that are still queued are
+// dropped; proxies keep their tables and connect to another controller, so nothing has to be saved. Run returns an
+// error only if it cannot listen on the address.
 func (n *Node) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", n.config.Listen)
 	if err != nil {
@@ -114,7 +117,8 @@
 	return nil
 }
 
-// serveListener serves on a listener, which it closes, until the context ends, and waits for all that it has started.
+// serveListener serves on a listener until the context ends, closes the listener, and waits for all goroutines that it
+// has started.
 func (n *Node) serveListener(ctx context.Context, listener net.Listener) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -124,7 +128,7 @@
 	n.goroutines.Go(func() { n.acceptConnections(ctx, listener) })
 	n.runEventLoop(ctx)
 	close(n.done)
-	_ = listener.Close() // ends acceptConnections, whatever it returns
+	_ = listener.Close() // ends acceptConnections even if it returns an error
 	n.connections.close()
 	n.goroutines.Wait()
 }
@@ -147,8 +151,8 @@
 		Msg("in service")
 }
 
-// applyKnownEndpoints starts from the endpoints of the configuration. No older list could stand in for theirs, so a
-// malformed entry is left out alone.
+// applyKnownEndpoints starts with the endpoint list of the configuration. Unlike a rejected list from the discovery
+// service, this one has no older list to fall back to, so only its malformed entries are dropped.
 func (n *Node) applyKnownEndpoints() {
 	known := n.config.knownEndpoints
 	known.Snapshot = true
@@ -163,9 +167,10 @@
 	n.config.knownEndpoints = watchEvent{}
 }
 
-// Reload takes over what a new configuration may change while the node serves: the address of the endpoint list and
-// the limits. The list is watched anew, from a snapshot on, also where its address is the same. The number of health
-// checks in flight stays as it is. It is safe to call from any goroutine.
+// Reload applies the part of a new configuration that may change while the node serves: the discovery address and the
+// limits; "barleysail node" calls it on SIGHUP. It restarts the watch of the endpoint list with a snapshot, even if the
+// address is the same. The limit of health checks in flight does not change. The log line "configuration reloaded"
+// names the changed fields that need a restart. It is safe to call from any goroutine.
 func (n *Node) Reload(config *Config) {
 	limits := config.Limits
 	limits.Apply()
--- a/internal/platform/protocol.go
+++ b/internal/platform/protocol.go
@@ -14,7 +14,7 @@
 	kindUpdate       = "CONFIG"
 )
 
-// Names of the fields that follow the kind, each with its value.
+// Names of the fields that follow the kind, each followed by its value.
 const (
 	fieldZone       = "zone"
 	fieldHost       = "server"
@@ -39,7 +39,7 @@
 	fieldUpdateStamp    = "stamp" // in an update
 )
 
-// Values of yes-or-no fields.
+// Values of boolean fields.
 const (
 	valueNo  = "0"
 	valueYes = "1"
--- a/internal/platform/rate_limited_log.go
+++ b/internal/platform/rate_limited_log.go
@@ -7,16 +7,17 @@
 	"github.com/rs/zerolog"
 )
 
-// minLogInterval is the least time between two warnings with the same text.
+// minLogInterval is the shortest time between two log lines of the same warning.
 const minLogInterval = 5 * time.Second
 
-// rateLimitedLog writes warnings at a limited rate: a peer that does something wrong often must not fill the log. It
-// keeps a count for each text, so texts must be constants of this package. It is safe for concurrent use.
+// rateLimitedLog logs warnings at a limited rate, since a peer that often does something wrong must not fill the log.
+// It keeps a count for each text and never drops one, so texts must be constants of this package. It is safe for
+// concurrent use.
 type rateLimitedLog struct {
 	log zerolog.Logger
 	now func() time.Time
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	warnings map[string]*warningCount
 }
 
@@ -30,8 +31,8 @@
 	return &rateLimitedLog{log: log, now: now, warnings: map[string]*warningCount{}}
 }
 
-// warn counts a warning and logs it with its cause, which may be nil, and with the count so far, unless the same text
-// was logged within minLogInterval.
+// warn counts a warning, and logs it with its cause, which may be nil, and the count so far, unless the same text was
+// logged less than minLogInterval ago.
 func (l *rateLimitedLog) warn(text string, cause error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/platform/serve.go
+++ b/internal/platform/serve.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// acceptRetryDelay is the pause after a failed accept, most likely for want of descriptors: unidentified
-	// connections run into their timeout meanwhile.
+	// acceptRetryDelay is the pause after a failed accept. The process has most likely run out of file descriptors, and
+	// unidentified connections release theirs when they time out.
 	acceptRetryDelay = 20 * time.Millisecond
 	// identifyTimeout is how long a connection may take to identify itself. A client sends its first message within
 	// 1 s.
@@ -27,11 +27,12 @@
 	messageLimits = resp.Limits{Words: 256, Bytes: 1 << 20}
 )
 
-// errNotIdentified says that a connection has ended, timed out or sent something else before it identified itself.
+// errNotIdentified is the error of a connection that has ended, timed out or sent another message before it identified
+// itself.
 var errNotIdentified = errors.New("the connection does not identify itself")
 
-// acceptConnections serves connections until the listener is closed, each in a goroutine of its own. The connection
-// limiter bounds their number, and ends them with the node.
+// acceptConnections accepts connections until the listener is closed and serves each in its own goroutine. The
+// connection limiter bounds their number, and closes them when the node shuts down.
 func (n *Node) acceptConnections(ctx context.Context, listener net.Listener) {
 	for number := uint64(1); ; number++ {
 		accepted, err := listener.Accept()
@@ -57,7 +58,8 @@
 	}
 }
 
-// serve reads a connection until it ends. Its descriptor is released before the event loop learns of the end.
+// serve reads a connection until it ends. It releases the descriptor before it posts the end of the session, since the
+// event loop may be busy.
 func (n *Node) serve(conn *connection) {
 	reader := resp.NewReader(conn)
 	session, err := n.identify(reader, conn)
@@ -77,8 +79,8 @@
 	}
 }
 
-// identify reads the message by which a connection becomes a session. The error is errNotIdentified, or a *fieldError
-// where the message is malformed.
+// identify reads the first message of a connection and returns the session that it begins. The error is
+// errNotIdentified, or a *fieldError if the message is malformed.
 func (n *Node) identify(reader *resp.Reader, conn *connection) (*peerSession, error) {
 	setReadDeadline(conn, time.Now().Add(identifyTimeout))
 	words, err := readFirstMessage(reader, conn)
@@ -105,12 +107,13 @@
 	return session, nil
 }
 
-// setReadDeadline sets when reads time out; the zero time means never.
+// setReadDeadline sets the time at which reads time out; with the zero time they never do.
 func setReadDeadline(conn *connection, deadline time.Time) {
 	_ = conn.SetReadDeadline(deadline) // it fails only on a closed connection, which the next read reports
 }
 
-// readFirstMessage reads the first message that is no PING; pings are answered meanwhile.
+// readFirstMessage returns the first message other than PING, and answers each PING before it. The error is
+// errNotIdentified.
 func readFirstMessage(reader *resp.Reader, conn *connection) ([]string, error) {
 	var words []string
 	for range maxPingsBeforeIdentify {
@@ -127,8 +130,8 @@
 	return nil, errNotIdentified
 }
 
-// readMessages reads what a session sends until it ends, and passes on the decoded messages to the event loop. A
-// malformed message is dropped by itself; bytes that are no message end the session.
+// readMessages reads the messages of a session until its connection ends, and posts them to the event loop. A malformed
+// message is dropped alone; bytes that are not a message end the session.
 func (n *Node) readMessages(reader *resp.Reader, session *peerSession) {
 	var words []string
 	for {
@@ -151,7 +154,7 @@
 	}
 }
 
-// postMessage decodes a message and passes it on to the event loop.
+// postMessage decodes a message and posts it to the event loop.
 func (n *Node) postMessage(session *peerSession, words []string) {
 	kind := words[0]
 	message, decodeErr := n.decoder.decodeSessionMessage(words)
@@ -163,8 +166,8 @@
 	})
 }
 
-// droppedMessageText is the log message for a message that was dropped. It quotes only kinds that there are, since
-// the warnings keep a count for each text.
+// droppedMessageText returns the text of the warning for a dropped message. It quotes only known kinds, since
+// rateLimitedLog keeps a count for each text.
 func droppedMessageText(kind string) string {
 	switch kind {
 	case kindHostReport, kindDemandReport, kindAck:
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -3,42 +3,42 @@
 import "slices"
 
 const (
-	noProxy = -1 // in session.proxy: a collector's
+	noProxy = -1 // in peerSession.proxy: the session of a collector
 
-	// maxCollectorsPerZone is how many sessions a zone's collector may have: an old one may not have been seen to
-	// end.
+	// maxCollectorsPerZone bounds the sessions of a zone's collector. More than one is allowed, since the end of an old
+	// connection may not have been detected yet.
 	maxCollectorsPerZone = 3
 
-	// maxUnacknowledged bounds the version stamps that are kept for one session: minutes of updates at the balancer's
-	// pace.
+	// maxUnacknowledged bounds the version stamps that are kept for one session. The balancer takes minutes to send as
+	// many.
 	maxUnacknowledged = 256
 
-	// A session is unresponsive when a version stamp has been unacknowledged for minAckTimeoutMs and
-	// ackLatencyFactor times the longest acknowledgement lately, and nothing came since.
+	// A session is unresponsive if a version stamp has been unacknowledged for longer than minAckTimeoutMs plus
+	// ackLatencyFactor times the longest recent acknowledgement latency, and no message was received since it was sent.
 	minAckTimeoutMs  = 3000.0
 	ackLatencyFactor = 2
-	// ackLatencyDecay is the part of the longest acknowledgement latency that stays from check to check.
+	// ackLatencyDecay is the factor by which the longest acknowledgement latency decays at each check.
 	ackLatencyDecay = 0.95
 
-	// unresponsiveRetentionMs is how long after its oldest unacknowledged stamp the connection of an unresponsive
+	// unresponsiveRetentionMs is the age of the oldest unacknowledged stamp at which the connection of an unresponsive
 	// session is closed.
 	unresponsiveRetentionMs = 20000.0
 )
 
-// peerSession is a connection that has identified itself as a proxy's or as a zone's collector's. Its fields below
-// the connection belong to the event loop; proxy never changes.
+// peerSession is the session of a proxy or of a zone's collector: a connection that has identified itself. Its proxy,
+// zone and weight never change; the unacknowledged stamps belong to the event loop.
 type peerSession struct {
 	*connection
-	proxy          int // noProxy: a collector's
-	zone           int
-	weight         float64        // rough requests per second that come to the proxy
+	proxy          int            // index; noProxy: a collector
+	zone           int            // index
+	weight         float64        // approximate request rate of the proxy, in requests per second
 	unacknowledged []versionStamp // oldest first, at most maxUnacknowledged
 }
 
 // versionStamp is a stamp that a proxy was asked to acknowledge.
 type versionStamp struct {
 	number int
-	sentMs float64
+	sentMs float64 // when it was sent, in ms of the node's clock
 }
 
 func newProxySession(conn *connection, message subscribeMessage) *peerSession {
@@ -49,15 +49,15 @@
 	return &peerSession{connection: conn, proxy: noProxy, zone: message.zone}
 }
 
-// recordStamp notes a stamp that was sent. Of those never acknowledged the newest are kept.
+// recordStamp records a stamp that was sent. If too many are unacknowledged, the oldest are dropped.
 func (s *peerSession) recordStamp(number int, nowMs float64) {
 	s.unacknowledged = append(s.unacknowledged, versionStamp{number, nowMs})
 	excess := max(len(s.unacknowledged)-maxUnacknowledged, 0)
 	s.unacknowledged = slices.Delete(s.unacknowledged, 0, excess)
 }
 
-// isUnresponsive reports whether a stamp has been unacknowledged for too long, by the longest acknowledgement lately,
-// and nothing came since it was sent.
+// isUnresponsive reports whether the oldest stamp has been unacknowledged for too long, given the longest recent
+// acknowledgement latency, and no message was received since it was sent.
 func (s *peerSession) isUnresponsive(nowMs, maxAckLatencyMs float64) bool {
 	if len(s.unacknowledged) == 0 {
 		return false
@@ -67,14 +67,14 @@
 	return float64(s.lastReadMs.Load()) < sentMs && nowMs > deadlineMs
 }
 
-// sessionRegistry is the sessions that there are. It belongs to the event loop. The proxies of the settings bound the
-// proxy sessions; maxCollectorsPerZone the collectors'.
+// sessionRegistry holds the current sessions. It belongs to the event loop. The number of proxies in the settings
+// bounds the proxy sessions, and maxCollectorsPerZone those of collectors.
 type sessionRegistry struct {
 	active       map[int]*peerSession   // by proxy
-	unresponsive map[int]*peerSession   // by proxy; they count as disconnected, their connections are kept for a while
+	unresponsive map[int]*peerSession   // by proxy; they count as disconnected, but their connections stay open for a time
 	collectors   map[int][]*peerSession // by zone, oldest first
 
-	maxAckLatencyMs float64 // from update to acknowledgement, the longest lately
+	maxAckLatencyMs float64 // longest recent time from an update to its acknowledgement
 }
 
 func newSessionRegistry() sessionRegistry {
@@ -85,7 +85,7 @@
 	}
 }
 
-// others returns the sessions of the same proxy besides the one given.
+// others returns the other sessions of the same proxy.
 func (r *sessionRegistry) others(session *peerSession) []*peerSession {
 	var others []*peerSession
 	for _, other := range []*peerSession{r.active[session.proxy], r.unresponsive[session.proxy]} {
@@ -96,7 +96,7 @@
 	return others
 }
 
-// addCollector notes a collector's session and ends the oldest one of a zone that has too many.
+// addCollector adds the session of a collector, and ends the oldest one of the zone if there are too many.
 func (r *sessionRegistry) addCollector(session *peerSession) {
 	sessions := r.collectors[session.zone]
 	if len(sessions) >= maxCollectorsPerZone {
@@ -110,7 +110,7 @@
 	r.collectors[session.zone] = slices.DeleteFunc(sessions, func(other *peerSession) bool { return other == session })
 }
 
-// connect begins a session.
+// connect starts a session.
 func (n *Node) connect(session *peerSession) {
 	if session.proxy == noProxy {
 		n.sessions.addCollector(session)
@@ -131,8 +131,9 @@
 	}
 }
 
-// connectProxy makes a session the proxy's present one and ends earlier ones. The connection accepted last counts, in
-// whatever order the first messages are read: each connection is read by a goroutine of its own.
+// connectProxy makes a session the active one of its proxy and ends the proxy's earlier sessions. The order in which
+// the connections were accepted decides which is earlier, since their first messages are read by different goroutines
+// and may arrive here in any order.
 func (n *Node) connectProxy(session *peerSession) {
 	others := n.sessions.others(session)
 	for _, other := range others {
@@ -149,12 +150,12 @@
 	n.sessions.active[session.proxy] = session
 	session.unacknowledged = nil
 	n.updates.forgetProxy(session.proxy)
-	if n.balancer.HostIndexCount() > 0 { // until a host is known the proxy keeps its table: ours would be empty
+	if n.balancer.HostIndexCount() > 0 { // before a host is known the table would be empty: the proxy keeps its own
 		n.balancer.ConnectProxy(session.proxy, session.zone, session.weight)
 	}
 }
 
-// disconnectProxy ends the session of a proxy where it is the present one.
+// disconnectProxy ends a session if it is the active one of its proxy.
 func (n *Node) disconnectProxy(session *peerSession) {
 	if n.sessions.active[session.proxy] != session {
 		return
@@ -164,8 +165,8 @@
 	n.balancer.DisconnectProxy(session.proxy)
 }
 
-// expireSessions looks for unresponsive sessions. Such a proxy counts as disconnected, but its connection is kept for
-// a while: when a message comes after all, the session is connected again.
+// expireSessions disconnects the proxies of unresponsive sessions. Their connections stay open for
+// unresponsiveRetentionMs: if a message arrives in that time, the session is connected again.
 func (n *Node) expireSessions(nowMs float64) {
 	n.sessions.maxAckLatencyMs *= ackLatencyDecay
 	for _, session := range n.sessions.active {
--- a/internal/platform/update_encoder.go
+++ b/internal/platform/update_encoder.go
@@ -13,46 +13,46 @@
 
 const (
 	noTable = -1 // in updateContent: no weight entries
-	noStamp = 0  // in roundChanges: no proxy is asked for an acknowledgement
+	noStamp = 0  // in roundChanges: no acknowledgement is requested
 
 	// unsetRatio is the admission ratio of a class for which none was ever set.
 	unsetRatio = -1
 
-	// significantDigits of weights and ratios in an update.
+	// significantDigits is the precision of weights and ratios in an update, in decimal digits.
 	significantDigits = 6
 )
 
-// admissionPolicy is the part of a request class that proxies admit, and how they retry its requests.
+// admissionPolicy says which part of the requests of a class proxies admit, and how they retry them.
 type admissionPolicy struct {
-	ratio       float64 // unsetRatio: not set
+	ratio       float64 // admission ratio from 0 to 1; unsetRatio: not set
 	retryPolicy int     // 0 to 3, as the protocol numbers them
 }
 
-// routeTable is a routing table as the balancer has written it, by its number.
+// routeTable is a routing table as the balancer has written it.
 type routeTable struct {
 	weights     map[int]float64 // by host; a weight of 0 is absent
 	changed     []int           // hosts whose weight was written this round
 	subscribers map[int]bool    // proxies that the table is assigned to
 }
 
-// updateContent is what an update holds. Proxies with the same content in a round share one message.
+// updateContent describes the content of an update. Proxies with the same content in a round share one message.
 type updateContent struct {
-	table    int  // its weight entries; noTable: none
-	snapshot bool // all entries of the table in place of those written this round
-	policies bool // the admission policies
+	table    int  // number of the table whose weight entries it has; noTable: none
+	snapshot bool // it has all entries of the table, not only those written this round
+	policies bool // it has the admission policies
 }
 
-// roundChanges is what the balancer has written since the last flush.
+// roundChanges holds what the balancer has written since the last flush.
 type roundChanges struct {
-	tables   []int // with weights written, in the order of their first change
-	assigned []int // proxies that a table was assigned to
+	tables   []int // tables with weights written, in the order of their first change
+	assigned []int // proxies to which a table was assigned
 	policies bool  // an admission policy was set
 	stamp    int   // version stamp; noStamp: none
 }
 
-// updateEncoder collects what the balancer writes in a round and encodes it as one update for each proxy concerned.
-// What a proxy holds it knows only from what it has sent on the proxy's present session. It belongs to the event
-// loop. With balancerOutput it implements routing.UpdateWriter.
+// updateEncoder collects what the balancer writes in a round and encodes it as one update for each affected proxy. It
+// tracks what it has sent on the current session of each proxy, and assumes nothing else about the proxy's tables. It
+// belongs to the event loop. Together with balancerOutput it implements routing.UpdateWriter.
 type updateEncoder struct {
 	hostName   func(host int) string
 	classNames []string             // of all request classes, by index
@@ -60,7 +60,7 @@
 	tables     map[int]*routeTable  // by number
 	policies   []admissionPolicy    // by request class; they hold for all tables
 	assigned   map[int]int          // by proxy: the table sent as a snapshot on its session
-	updated    map[int]bool         // proxies that were sent the policies on their session
+	updated    map[int]bool         // proxies to which the policies were sent on their session
 	round      roundChanges
 }
 
@@ -79,7 +79,7 @@
 	return encoder
 }
 
-// table returns the routing table with the number and makes an empty one where there is none.
+// table returns the routing table with a number, and creates an empty one if there is none.
 func (e *updateEncoder) table(number int) *routeTable {
 	table := e.tables[number]
 	if table == nil {
@@ -89,7 +89,7 @@
 	return table
 }
 
-// forgetProxy drops what was sent on a proxy's session, which has ended.
+// forgetProxy drops the record of what was sent on a proxy's session, which has ended.
 func (e *updateEncoder) forgetProxy(proxy int) {
 	if number, ok := e.assigned[proxy]; ok {
 		delete(e.tables[number].subscribers, proxy)
@@ -98,7 +98,7 @@
 	delete(e.updated, proxy)
 }
 
-// SetWeight writes the weight of a host in a table; 0 removes the host.
+// SetWeight sets the weight of a host in a table; 0 removes the host from it.
 func (e *updateEncoder) SetWeight(number, host int, weight float64) {
 	table := e.table(number)
 	if weight == 0 {
@@ -112,7 +112,8 @@
 	table.changed = append(table.changed, host)
 }
 
-// AssignTable has a proxy use a table, of which it gets a snapshot. Tables here hold for all request classes.
+// AssignTable assigns a table to a proxy, which then gets a snapshot of it. The request class is ignored, since a table
+// of the platform applies to all classes.
 func (e *updateEncoder) AssignTable(proxy, number, _ int) {
 	if previous, ok := e.assigned[proxy]; ok {
 		delete(e.tables[previous].subscribers, proxy)
@@ -122,8 +123,8 @@
 	e.round.assigned = append(e.round.assigned, proxy)
 }
 
-// SetAdmission sets the admission ratio and retry policy of the request classes in a bit set, of all where it is
-// empty. They hold for all tables.
+// SetAdmission sets the admission ratio and retry policy of the request classes in a bit set, or of all classes if the
+// set is empty. They apply to all tables.
 func (e *updateEncoder) SetAdmission(_, classes int, ratio float64, retryPolicy int) {
 	for class := range e.policies {
 		if classes == 0 || classes>>class&1 == 1 {
@@ -133,17 +134,17 @@
 	e.round.policies = true
 }
 
-// StampVersion has each update of the round ask for an acknowledgement of the stamp.
+// StampVersion adds a version stamp, which proxies acknowledge, to each update of the round.
 func (e *updateEncoder) StampVersion(number int) { e.round.stamp = number }
 
-// flush ends a round: it calls send for each proxy concerned, by ascending number, with its update and with the
-// version stamp in it. Proxies with the same content get the same bytes.
+// flush ends a round: it calls send for each affected proxy, in ascending order, with its update and the version stamp
+// in it. Proxies with the same content get the same bytes.
 func (e *updateEncoder) flush(send func(proxy int, message []byte, stamp int)) {
 	contents := e.roundContents()
 	messages := map[updateContent][]byte{}
 	for _, proxy := range slices.Sorted(maps.Keys(contents)) {
 		content := contents[proxy]
-		if !e.updated[proxy] { // the first update on a session brings the policies
+		if !e.updated[proxy] { // the first update on a session has the policies
 			content.policies = true
 			e.updated[proxy] = true
 		}
@@ -159,8 +160,8 @@
 	e.startRound()
 }
 
-// roundContents returns what each proxy concerned by the round's changes is to get. A snapshot brings the policies,
-// since a proxy drops them with the table that is replaced.
+// roundContents returns the content of the update for each proxy that the round's changes affect. A snapshot has the
+// policies, since a proxy drops them together with the table that it replaces.
 func (e *updateEncoder) roundContents() map[int]updateContent {
 	contents := map[int]updateContent{}
 	if e.round.policies {
@@ -179,7 +180,7 @@
 	return contents
 }
 
-// startRound drops the changes of the round that has ended and keeps their memory.
+// startRound clears the changes of the last round and reuses their memory.
 func (e *updateEncoder) startRound() {
 	for _, number := range e.round.tables {
 		table := e.tables[number]
@@ -188,7 +189,8 @@
 	e.round = roundChanges{tables: e.round.tables[:0], assigned: e.round.assigned[:0], stamp: noStamp}
 }
 
-// encode makes an update, in as many parts as the policies take. It returns nil where there is nothing to say.
+// encode encodes an update, in one part or, if classes have different policies, in several. It returns nil if the
+// update would be empty.
 func (e *updateEncoder) encode(content updateContent) []byte {
 	parts := e.updateParts(content)
 	if len(parts) == 0 {
@@ -209,8 +211,8 @@
 	return message
 }
 
-// updateParts returns the fields of each part of an update: first the weight entries, together with the policy where
-// one holds for all request classes; then what differs by class.
+// updateParts returns the fields of each part of an update: the weight entries together with the policy if all request
+// classes have the same one, else first the weight entries and then one part for each policy.
 func (e *updateEncoder) updateParts(content updateContent) [][]string {
 	tableFields := e.tableFields(content)
 	var policies []policyGroup
@@ -230,7 +232,7 @@
 	return parts
 }
 
-// tableFields returns the fields that bring weight entries.
+// tableFields returns the fields for the weight entries.
 func (e *updateEncoder) tableFields(content updateContent) []string {
 	var fields []string
 	if content.snapshot {
@@ -245,7 +247,8 @@
 	return fields
 }
 
-// weightEntries spells the weight entries of a whole table, or those written this round, as host:weight pairs.
+// weightEntries formats the weight entries of the whole table, or only those written this round, as host:weight pairs
+// separated by commas.
 func (e *updateEncoder) weightEntries(content updateContent) string {
 	table := e.tables[content.table]
 	hosts := slices.Values(table.changed)
@@ -270,7 +273,7 @@
 	classes []string
 }
 
-// policyGroups returns the policies that were ever set, by ascending ratio and retry policy.
+// policyGroups returns the distinct policies that were set, in ascending order of ratio and retry policy.
 func (e *updateEncoder) policyGroups() []policyGroup {
 	classes := map[admissionPolicy][]string{}
 	for class, policy := range e.policies {
@@ -293,7 +296,7 @@
 	return len(group.classes) == len(e.classNames)
 }
 
-// policyFields returns the fields that bring a policy, with its request classes where not all have it.
+// policyFields returns the fields for a policy, with its request classes unless all classes have it.
 func (e *updateEncoder) policyFields(group policyGroup) []string {
 	var fields []string
 	if !e.holdsForAll(group) {
@@ -303,10 +306,10 @@
 		fieldRetryPolicy, strconv.Itoa(group.retryPolicy))
 }
 
-// formatFloat spells a number with the significant digits of an update and without an exponent, which the protocol
-// does not know.
+// formatFloat formats a number with significantDigits digits and without an exponent, which the protocol does not
+// allow.
 func formatFloat(value float64) string {
 	digits := strconv.FormatFloat(value, 'g', significantDigits, 64)
-	rounded, _ := strconv.ParseFloat(digits, 64) // no error: FormatFloat spells numbers that can be read
+	rounded, _ := strconv.ParseFloat(digits, 64) // no error: ParseFloat accepts the output of FormatFloat
 	return strconv.FormatFloat(rounded, 'f', -1, 64)
 }
