--- a/internal/daemon/controller_state.go
+++ b/internal/daemon/controller_state.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"time"
 
 	"google.golang.org/protobuf/proto"
 
@@ -13,10 +12,6 @@
 	"barleysail/state/statepb"
 )
 
-// wallClockMs is the wall clock's time in ms since 1970. Persisted times are by this clock, since the controller's
-// clock starts anew with each process.
-func wallClockMs() float64 { return float64(time.Now().UnixMicro()) / 1000 }
-
 // restore gives the controller the part of an earlier state that is still valid; coldMs is the configuration's
 // guard.cold_ms. It must come before any other input.
 func (l *controllerLoop) restore(saved *statepb.State, coldMs float64) (*state.Restored, error) {
@@ -82,6 +77,3 @@
 	}
 	return gap
 }
-
-// milliseconds converts a configured or computed number of ms to a duration.
-func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -101,5 +101,5 @@
 	if err != nil {
 		return &IdentityReport{Failed: err.Error()}
 	}
-	return &IdentityReport{ID: id.String(), LeftMs: math.Round(time.Until(expiry).Seconds() * 1000)}
+	return &IdentityReport{ID: id.String(), LeftMs: math.Round(time.Until(expiry).Seconds() * msPerSecond)}
 }
--- a/internal/daemon/persister.go
+++ b/internal/daemon/persister.go
@@ -154,7 +154,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	report := p.report
-	report.LockedMs = math.Round(report.LockedMs*1000) / 1000
+	report.LockedMs = math.Round(report.LockedMs*microsecondsPerMs) / microsecondsPerMs
 	return &report
 }
 
@@ -165,8 +165,3 @@
 		p.log.Warn().Err(err).Msg("closing the state folder failed")
 	}
 }
-
-// wholeMicroseconds converts a duration to ms, cut to whole microseconds.
-func wholeMicroseconds(duration time.Duration) float64 {
-	return float64(duration.Microseconds()) / 1000
-}
--- a/internal/daemon/request_headers.go
+++ b/internal/daemon/request_headers.go
@@ -84,7 +84,7 @@
 	if !ok {
 		return waitMs
 	}
-	remainingMs := time.Until(retiresAt).Seconds() * 1000
+	remainingMs := time.Until(retiresAt).Seconds() * msPerSecond
 	return math.Min(waitMs, math.Max(remainingMs, 0))
 }
 
--- a/internal/daemon/table_polls.go
+++ b/internal/daemon/table_polls.go
@@ -72,7 +72,7 @@
 	}
 	poll.Tags, poll.AnyTag = entityTags(request.Header)
 	if seconds, ok := preferredWait(request.Header); ok {
-		poll.WaitMs = seconds * 1000
+		poll.WaitMs = seconds * msPerSecond
 	}
 	if text := request.Query.Get("rate"); text != "" {
 		rate, err := strconv.ParseFloat(text, 64)
