--- a/internal/daemon/api.go
+++ b/internal/daemon/api.go
@@ -11,11 +11,11 @@
 	"barleysail/operator"
 )
 
-// maxSmallBodyBytes bounds the bodies of host load reports and operators' commands.
+// maxSmallBodyBytes bounds the bodies of load reports of hosts and of operators' commands.
 const maxSmallBodyBytes = 4096
 
-// api is the HTTP API for proxies, hosts, standbys and operators. Its handlers translate requests into calls on the
-// controller loop, and results into replies.
+// api is the HTTP API for proxies, hosts, standbys and operators. Its handlers translate requests to calls on the
+// controller loop, and their results to replies.
 type api struct {
 	loop           *controllerLoop
 	authorizer     *authorizer
@@ -27,10 +27,10 @@
 	version        string
 }
 
-// handler serves a request that was authorized.
+// handler serves an authorized request.
 type handler func(*http1.Request) http1.Reply
 
-// routes gives the routes of the API, each with the action that a caller has to be allowed.
+// routes returns the routes of the API, each with the action for which a caller needs permission.
 func (a *api) routes() *http1.Mux {
 	mux := &http1.Mux{}
 	get := func(path string, action auth.Action, serve handler) {
@@ -43,7 +43,7 @@
 			MaxBody: maxBodyBytes,
 		})
 	}
-	const serverLimit = 0 // of a body
+	const serverLimit = 0 // no bound of its own: the server's limit of bodies applies
 
 	get("/v1/proxies/{proxy}/tables", auth.Poll, a.pollTables)
 	post("/v1/proxies/{proxy}/tables", auth.Poll, a.pollTables, serverLimit)
@@ -69,7 +69,7 @@
 	return mux
 }
 
-// errorReply gives the problem document (RFC 9457) of an error, with the status that its type calls for.
+// errorReply returns the problem document (RFC 9457) for an error, with the status for its type.
 func errorReply(err error) http1.Reply {
 	var field *controller.FieldError
 	if errors.As(err, &field) {
@@ -84,7 +84,7 @@
 	return problem.Reply()
 }
 
-// errorStatus gives the HTTP status of an error that names no field.
+// errorStatus returns the HTTP status for an error other than a *controller.FieldError.
 func errorStatus(err error) int {
 	var rejected *operator.RejectedError
 	switch {
@@ -104,7 +104,7 @@
 	return http.StatusInternalServerError
 }
 
-// notFound gives a reply with status 404.
+// notFound returns a reply with status 404.
 func notFound(detail string) http1.Reply {
 	return http1.Problem{Status: http.StatusNotFound, Detail: detail}.Reply()
 }
--- a/internal/daemon/authorization.go
+++ b/internal/daemon/authorization.go
@@ -14,7 +14,7 @@
 	"barleysail/internal/identity"
 )
 
-// Errors of authentication; the HTTP API sends their texts.
+// Errors of authentication. The HTTP API sends their texts with status 401.
 var (
 	errNoPeerIdentity = errors.New("the connection proves nobody")
 	errNoCredentials  = errors.New("neither a certificate nor a token was shown")
@@ -22,12 +22,12 @@
 		"the token was used on another connection, or is over: a fresh one is needed")
 )
 
-// maxUsedTokens bounds the tokens that are remembered until they expire, so that none is used on two connections.
+// maxUsedTokens bounds the used tokens that are kept until they expire, so that no token is used on two connections.
 const maxUsedTokens = 100000
 
-// authorizer decides for each request who sent it, and whether the sender may do what it asks.
+// authorizer authenticates the sender of each request, and authorizes the requested action by the policy.
 type authorizer struct {
-	policy      *auth.Policy     // nil: everybody may do everything
+	policy      *auth.Policy     // nil: all requests are authorized
 	credentials *identity.Source // nil: connections are plain
 	tokens      *identity.Tokens // nil: bearer tokens are not accepted
 	loop        *controllerLoop
@@ -47,8 +47,8 @@
 	}
 }
 
-// authorize wraps a handler so that it serves only senders that may do the action. Others get 401 Unauthorized where
-// they are not known, and 403 Forbidden where they are.
+// authorize wraps a handler so that it serves only senders that may perform the action. A sender that cannot be
+// authenticated gets 401 Unauthorized, and one that may not perform the action gets 403 Forbidden.
 func (a *authorizer) authorize(action auth.Action, serve handler) func(*http1.Request) http1.Reply {
 	return func(request *http1.Request) http1.Reply {
 		if a.policy == nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// policyRequest gives what the policy has to decide on. A zone that a request names counts only for the poll that
-// connects a proxy; for other requests it is the zone of the proxy's session.
+// policyRequest returns the input for the policy's decision. The zone that the request names counts only for a poll,
+// which may connect the proxy; for other requests it is the zone of the proxy's session.
 func (a *authorizer) policyRequest(action auth.Action, request *http1.Request) auth.Request {
 	asked := auth.Request{
 		Action: action,
@@ -86,7 +86,7 @@
 	return asked
 }
 
-// authenticate gives the SPIFFE ID of a request's sender: by its connection's certificate, or else by its bearer
+// authenticate returns the SPIFFE ID of a request's sender, by its connection's certificate or else by its bearer
 // token.
 func (a *authorizer) authenticate(request *http1.Request) (spiffeid.ID, error) {
 	peer, ok := request.Peer.(*identity.Peer)
@@ -99,8 +99,9 @@
 	return a.authenticateToken(request)
 }
 
-// authenticateToken gives the SPIFFE ID of a request's bearer token (RFC 6750, section 2.1). The token has to be for
-// this daemon alone, and is bound to the connection that it was first used on. The request ends with it.
+// authenticateToken returns the SPIFFE ID of a request's bearer token (RFC 6750, section 2.1). The audience of the
+// token has to be this daemon alone, and the token is bound to the connection on which it was first used. A pending
+// request ends when the token expires.
 func (a *authorizer) authenticateToken(request *http1.Request) (spiffeid.ID, error) {
 	scheme, token, _ := strings.Cut(request.Header.Get("Authorization"), " ")
 	if a.tokens == nil || !strings.EqualFold(scheme, "Bearer") {
--- a/internal/daemon/controller_inputs.go
+++ b/internal/daemon/controller_inputs.go
@@ -8,8 +8,8 @@
 	"barleysail/routing"
 )
 
-// setEndpoints replaces the controller's endpoint list. The error is a *controller.FieldError for an entry that was
-// rejected; the list is then unchanged.
+// setEndpoints replaces the controller's endpoint list. The error for a rejected list is a *controller.FieldError that
+// names the invalid field; the list in force then stays.
 func (l *controllerLoop) setEndpoints(endpoints []controller.Endpoint) (err error) {
 	l.recordedCall(
 		func(nowMs float64) *recordpb.Record { return record.Listed(nowMs, endpoints) },
@@ -17,20 +17,20 @@
 	return err
 }
 
-// observeWatchFailure reports that watching the endpoint list failed.
+// observeWatchFailure notifies the controller that the watch of the endpoint list has failed.
 func (l *controllerLoop) observeWatchFailure() {
 	l.recordedCall(record.ListFailed, l.controller.ObserveWatchFailure)
 }
 
-// observeHealthCheck reports the result of a health check.
+// observeHealthCheck passes the result of a health check to the controller.
 func (l *controllerLoop) observeHealthCheck(host string, result routing.HealthCheckResult, load routing.HostLoad) {
 	l.recordedCall(
 		func(nowMs float64) *recordpb.Record { return record.Probed(nowMs, host, result, load) },
 		func(nowMs float64) { l.controller.ObserveHealthCheck(nowMs, host, result, load) })
 }
 
-// poll starts a long poll and gives its id. deliver is called once with the response unless the poll is canceled; it
-// is never called where poll gives an error.
+// poll starts a long poll and returns its id. deliver is called once with the response, unless the poll is canceled or
+// poll returns an error: errStopping, or that of controller.Controller.Poll.
 func (l *controllerLoop) poll(request controller.PollRequest, deliver func(controller.Response)) (id int64, err error) {
 	err = errStopping
 	l.call(func(nowMs float64) {
@@ -48,7 +48,7 @@
 	return id, err
 }
 
-// cancelPoll ends a pending poll whose proxy closed the connection.
+// cancelPoll ends a pending poll whose proxy has closed the connection.
 func (l *controllerLoop) cancelPoll(proxy string, id int64) {
 	l.recordedCall(
 		func(nowMs float64) *recordpb.Record { return record.PollGone(nowMs, proxy, id) },
@@ -58,7 +58,7 @@
 		})
 }
 
-// disconnect ends a proxy's session and tells whether it had one.
+// disconnect ends a proxy's session and reports whether it had one.
 func (l *controllerLoop) disconnect(proxy string) (connected bool) {
 	l.recordedCall(
 		func(nowMs float64) *recordpb.Record { return record.Leave(nowMs, proxy) },
@@ -66,7 +66,8 @@
 	return connected
 }
 
-// observeProxyStats passes on a proxy's request statistics; counted is false for a repeated report.
+// observeProxyStats passes a proxy's request stats to the controller. counted is false for a report that is repeated or
+// older than one that was counted. The error is errStopping, or that of controller.Controller.ObserveProxyStats.
 func (l *controllerLoop) observeProxyStats(proxy string, stats controller.ProxyStats) (counted bool, err error) {
 	err = errStopping
 	l.recordedCall(
@@ -75,7 +76,8 @@
 	return counted, err
 }
 
-// observeLoadReport passes on a host's own load report; counted is false for a repeated report.
+// observeLoadReport passes a host's own load report to the controller. counted is false for a report that is repeated
+// or older than one that was counted. The error is errStopping, or that of controller.Controller.ObserveLoadReport.
 func (l *controllerLoop) observeLoadReport(host string, report controller.LoadReport) (counted bool, err error) {
 	err = errStopping
 	l.recordedCall(
@@ -84,7 +86,8 @@
 	return counted, err
 }
 
-// applyOverrides passes operators' commands on; queued tells that some of them wait for their turn.
+// applyOverrides passes commands of operators to the controller, and reports whether any of them is queued. The error
+// is errStopping, or that of controller.Controller.ApplyOverrides.
 func (l *controllerLoop) applyOverrides(commands []operator.Command) (queued bool, err error) {
 	err = errStopping
 	l.recordedCall(
--- a/internal/daemon/controller_loop.go
+++ b/internal/daemon/controller_loop.go
@@ -15,37 +15,38 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// errStopping is the error of every call that reaches a controller after its loop was stopped.
+// errStopping is the error of a call on a controller whose loop has stopped.
 var errStopping = errors.New("the steward is stopping")
 
 const (
 	// initialTimerDelay is the timer's delay before the first call sets it to the controller's next deadline.
 	initialTimerDelay = time.Hour
 
-	// minTimerDelayMs is the shortest delay of the timer, so that deadlines close together share a call.
+	// minTimerDelayMs is the shortest delay of the timer, so that one call serves several deadlines that are close
+	// together.
 	minTimerDelayMs = 0.2
 )
 
-// controllerLoop runs one controller: it serializes all calls under a mutex, passes them the clock's time, wakes the
-// controller at its next deadline, and applies the effects of a call after the mutex is released. It makes no
+// controllerLoop runs one controller: it serializes all calls by a mutex, passes the clock's time to them, calls the
+// controller at its next deadline, and applies the effects of a call after it has released the mutex. It makes no
 // routing decision.
 //
-// The timer's goroutine is owned by the loop; stop ends it.
+// The loop owns its timer, whose function runs in a goroutine of its own; stop ends it.
 type controllerLoop struct {
 	clock            clock.Clock
 	log              zerolog.Logger
-	rateLimiter      *intake.RateLimiter // asked before the mutex is taken, so that rejected reports cost no lock time
+	rateLimiter      *intake.RateLimiter // is called without the mutex, so that rejected reports do not contend for it
 	startHealthCheck func(host string)   // set before the first call; must not block
 	startWatch       func()              // set before the first call; must not block
 
 	mu           sync.Mutex
 	controller   *controller.Controller
-	ingestRatio  float64 // the share of reports that the rate limiter admits, as last set
-	lastCallMs   float64 // time of the last call; the controller's time never goes back
+	ingestRatio  float64 // ratio of the reports that the rate limiter admits, as last set
+	lastCallMs   float64 // time of the last call, in ms of the clock; the controller's time never decreases
 	timer        *time.Timer
 	stopped      bool
 	recorder     *recorder // nil: nothing is recorded
-	lastID       int64     // last id given to a poll or an event subscriber
+	lastID       int64     // the last id that was assigned to a poll or an event subscriber
 	pendingPolls map[int64]func(controller.Response)
 	effects      pendingEffects // of the call in progress
 
@@ -53,8 +54,8 @@
 	lastEvent        int64            // number of the newest event that subscribers were notified of
 }
 
-// newControllerLoop makes a loop that is not yet connected to health checks and endpoint watches: the caller sets
-// startHealthCheck and startWatch before the first call.
+// newControllerLoop returns a loop without health checks and endpoint watches: the caller has to set startHealthCheck
+// and startWatch before the first call.
 func newControllerLoop(instance *controller.Controller, limiter *intake.RateLimiter, log zerolog.Logger,
 	recorder *recorder) *controllerLoop {
 	loop := &controllerLoop{
@@ -71,11 +72,11 @@
 	return loop
 }
 
-// wake makes a call that does nothing but the work that is due.
+// wake makes a call that only runs the controller's work that is due.
 func (l *controllerLoop) wake() { l.call(func(float64) {}) }
 
-// call runs operation under the mutex with the present time in ms, then advances the controller to its deadlines
-// that have passed, and applies the effects after the mutex is released. Once the loop is stopped it does nothing.
+// call runs operation under the mutex with the current time in ms, then runs the controller's work that is due, and
+// applies the effects after it has released the mutex. Once the loop has stopped it does nothing.
 func (l *controllerLoop) call(operation func(nowMs float64)) {
 	l.mu.Lock()
 	if l.stopped {
@@ -95,8 +96,8 @@
 	l.apply(effects, subscribers)
 }
 
-// recordedCall is call for an input of the controller: where a recording is made, the record of the input is written
-// before operation runs.
+// recordedCall is call for an input of the controller: if there is a recording, it writes the record of the input
+// before it runs operation.
 func (l *controllerLoop) recordedCall(input func(nowMs float64) *recordpb.Record, operation func(nowMs float64)) {
 	l.call(func(nowMs float64) {
 		if l.recorder != nil {
@@ -106,7 +107,7 @@
 	})
 }
 
-// advanceClock gives the time of a call in ms. The caller holds the mutex.
+// advanceClock returns the time of a call in ms, never less than that of the call before. The caller holds the mutex.
 func (l *controllerLoop) advanceClock() float64 {
 	l.lastCallMs = math.Max(l.clock.Now(), l.lastCallMs)
 	return l.lastCallMs
@@ -123,7 +124,7 @@
 	l.controller.Advance(nowMs, l)
 }
 
-// updateIngestRatio passes the controller's ingest ratio to the rate limiter when it changed. The caller holds the
+// updateIngestRatio passes the controller's ingest ratio to the rate limiter if it has changed. The caller holds the
 // mutex.
 func (l *controllerLoop) updateIngestRatio() {
 	ratio := l.controller.IngestRatio()
@@ -143,8 +144,8 @@
 	l.timer.Reset(milliseconds(math.Max(delayMs, minTimerDelayMs)))
 }
 
-// stop ends the loop: later calls do nothing. With release, pending polls get a response first and the recording is
-// closed; without it the loop ends as if the process had been killed.
+// stop ends the loop: later calls do nothing. With release it first responds to pending polls, and closes the
+// recording, as a graceful shutdown has to; without release the loop ends as if the process were killed.
 func (l *controllerLoop) stop(release bool) {
 	if release {
 		l.recordedCall(record.Release, func(nowMs float64) { l.controller.ReleasePolls(nowMs, l) })
--- a/internal/daemon/controller_state.go
+++ b/internal/daemon/controller_state.go
@@ -12,8 +12,9 @@
 	"barleysail/state/statepb"
 )
 
-// restore gives the controller the part of an earlier state that is still valid; coldMs is the configuration's
-// guard.cold_ms. It must come before any other input.
+// restore passes the part of an earlier state that is still valid to the controller, and returns it; coldMs is the
+// guard.cold_ms setting. It must be the controller's first input. The error says that the state cannot be encoded for
+// the recording.
 func (l *controllerLoop) restore(saved *statepb.State, coldMs float64) (*state.Restored, error) {
 	text, err := proto.Marshal(saved)
 	if err != nil {
@@ -31,8 +32,8 @@
 	return restored, nil
 }
 
-// snapshot gives the controller's state with its times by the wall clock, nil once the loop is stopped.
-// endpointsKnown tells whether the controller has had an endpoint list yet.
+// snapshot returns the controller's state with its times on the wall clock, or nil once the loop has stopped, and
+// reports whether the controller has received an endpoint list yet.
 func (l *controllerLoop) snapshot() (snapshot *statepb.State, endpointsKnown bool) {
 	l.call(func(nowMs float64) {
 		snapshot = l.controller.Snapshot(nowMs)
@@ -44,25 +45,25 @@
 	return snapshot, endpointsKnown
 }
 
-// query reads a value from the controller under the loop's mutex; the zero value once the loop is stopped.
+// query reads a value from the controller under the loop's mutex. It returns the zero value once the loop has stopped.
 func query[T any](loop *controllerLoop, read func(*controller.Controller) T) (value T) {
 	loop.call(func(float64) { value = read(loop.controller) })
 	return value
 }
 
-// status gives the controller's status at the present time.
+// status returns the controller's current status.
 func (l *controllerLoop) status() (status controller.Status) {
 	l.call(func(nowMs float64) { status = l.controller.Status(nowMs) })
 	return status
 }
 
-// listedProblem gives the fleet as the solver's problem; nil where hosts state no cores or no demand is known.
+// listedProblem returns the fleet as the solver's problem, or nil if a host states no cores or no demand is known.
 func (l *controllerLoop) listedProblem() *solver.Problem {
 	return query(l, (*controller.Controller).ListedProblem)
 }
 
-// optimalityGap measures the published tables against the best ones; nil where the problem is not known. It solves
-// after the mutex is released, since that may take long.
+// optimalityGap compares the published tables with the optimal ones. It returns nil if the problem is not known or
+// cannot be solved. It solves the problem without the mutex, since that may take long.
 func (l *controllerLoop) optimalityGap() *solver.Gap {
 	var problem *solver.Problem
 	var tables solver.Tables
--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -15,12 +15,12 @@
 	"barleysail/internal/identity"
 )
 
-// firstCredentialsTimeout is how long a start waits for the first credentials from the SPIFFE Workload API.
+// firstCredentialsTimeout is how long the daemon waits for its first credentials from the SPIFFE Workload API.
 const firstCredentialsTimeout = 30 * time.Second
 
-// openCredentials takes the daemon's own SPIFFE credentials from the configured Workload API, and follows their
-// renewals until the context ends. It gives the authorization policy and the TLS settings of the HTTP API; both are
-// nil where no Workload API is configured.
+// openCredentials gets the daemon's own SPIFFE credentials from the configured Workload API and applies their renewals
+// until the context ends. It returns the authorization policy and the TLS settings of the HTTP API, which are both nil
+// if no Workload API is configured.
 func (d *Daemon) openCredentials(ctx context.Context) (*auth.Policy, *http1.Secure, error) {
 	policy, err := config.Policy(d.config)
 	settings := d.config.Identity
@@ -44,7 +44,7 @@
 	return policy, &http1.Secure{TLS: serverTLS, AtOnce: int(*settings.Handshakes), Peer: d.authenticatePeer}, nil
 }
 
-// logCredentials logs the credentials in use. sameKey tells that a renewal brought the key that was in use before.
+// logCredentials logs the credentials in use. sameKey says that the renewed credentials have the same key as before.
 func (d *Daemon) logCredentials(sameKey bool) {
 	if sameKey {
 		d.log.Warn().Msg("the issuer handed out the same key again: whoever has copied it can prove this identity too")
@@ -57,8 +57,8 @@
 	d.log.Info().Str("id", id.String()).Time("until", expiry).Msg("credentials loaded")
 }
 
-// authenticatePeer gives the identity of a connection's other end, by its certificate. Without a certificate the peer
-// is anonymous: each of its requests has to bear a token.
+// authenticatePeer returns the identity of a connection's peer by its certificate. A peer without a certificate is
+// anonymous: each of its requests has to carry a bearer token. A connection with an invalid certificate is rejected.
 func (d *Daemon) authenticatePeer(state tls.ConnectionState) (http1.Peer, error) {
 	if len(state.PeerCertificates) == 0 {
 		return d.credentials.Anonymous()
@@ -66,13 +66,13 @@
 	peer, err := d.credentials.Peer(state)
 	if err != nil {
 		d.log.Warn().Err(err).Msg("connection rejected")
-		return nil, err // not peer: a nil *identity.Peer in the interface would not be nil
+		return nil, err // not peer, since an interface with a nil *identity.Peer is not nil
 	}
 	return peer, nil
 }
 
-// clientTLS gives the TLS settings for calls to a server whose SPIFFE ID is expectedID; nil where the daemon has no
-// credentials, and calls are plain.
+// clientTLS returns the TLS settings for calls to a server with the SPIFFE ID expectedID. It returns nil if the daemon
+// has no credentials: calls are then plain HTTP.
 func (d *Daemon) clientTLS(expectedID string) *tls.Config {
 	if d.credentials == nil {
 		return nil
@@ -92,7 +92,7 @@
 	Failed string  `json:"failed"`  // why there are none
 }
 
-// identityReport gives the report; nil where the daemon has no credentials.
+// identityReport returns the report, or nil if the daemon has no credentials.
 func identityReport(credentials *identity.Source) *IdentityReport {
 	if credentials == nil {
 		return nil
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,7 @@
-// Package daemon runs a controller as a network service. It owns the sockets (the HTTP API, the runtime sockets and
-// the drivers of proxies' sockets), the endpoint sources, health checks, the persisted state, the standby role, the
-// clock, the log and the recording. It never makes a routing decision: those come from packages controller and
-// routing, which do no I/O.
+// Package daemon runs a controller as a network service ("barleysail run"). It owns the sockets (the HTTP API, the
+// runtime sockets, and the drivers that program proxies by their own runtime sockets), the endpoint sources, health
+// checks, the persisted state, the standby role, the clock, the log and the recording. It never makes a routing
+// decision: packages controller and routing make them, and do no I/O.
 package daemon
 
 import (
@@ -29,8 +29,8 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// Daemon is a running controller with its sockets and background work. Stop or Kill ends it, and with it every
-// goroutine that it started.
+// Daemon is a running controller with its sockets and background work. Stop or Kill ends it together with all
+// goroutines that it started.
 type Daemon struct {
 	config      *configpb.Config
 	version     string
@@ -54,12 +54,13 @@
 
 	closeOnce     sync.Once
 	servers       sync.WaitGroup // goroutines that accept connections; closing their listeners ends them
-	socketDrivers sync.WaitGroup // canceling the context ends them
-	background    sync.WaitGroup // canceling the context ends them
+	socketDrivers sync.WaitGroup // goroutines of socket drivers; canceling the context ends them
+	background    sync.WaitGroup // all other goroutines; canceling the context ends them
 }
 
-// Start starts a controller by a checked configuration and serves it; version is reported in the status. After an
-// error nothing is left running.
+// Start starts a controller with a validated configuration, and returns when its sockets are open. The program's
+// version is reported in the status. The error is the first one of opening a file, a socket, the credentials or the
+// state folder, or of reading the endpoint list; nothing is left running then.
 func Start(cfg *configpb.Config, version string, log zerolog.Logger) (*Daemon, error) {
 	if err := config.MayStart(cfg); err != nil {
 		return nil, err
@@ -83,8 +84,8 @@
 	seedBytes        = 8
 )
 
-// newIncarnation draws the name of this incarnation, which no earlier or other controller has, and the seed of the
-// controller's random draws where the configuration gives none.
+// newIncarnation returns a random name for this incarnation, unique among all controllers and restarts, and the seed of
+// the controller's random draws: the configured one, or a random one if that is 0.
 func newIncarnation(configuredSeed uint64) (incarnation string, seed uint64, err error) {
 	var random [2 * seedBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -97,8 +98,8 @@
 	return incarnation, binary.LittleEndian.Uint64(random[seedBytes:]), nil
 }
 
-// start opens all that the configuration names, in the order in which one part needs another. What it opened before
-// an error is left to close.
+// start opens everything that the configuration names, in the order of dependencies. After an error the caller has to
+// call close.
 func (d *Daemon) start(ctx context.Context) error {
 	recorder, err := d.openRecording()
 	if err != nil {
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// openRecording creates the recording's file; nil where nothing is recorded.
+// openRecording creates the file of the recording. It returns nil if nothing is to be recorded.
 func (d *Daemon) openRecording() (*recorder, error) {
 	if d.config.Record == "" {
 		return nil, nil
@@ -152,7 +153,7 @@
 	return &recorder{writer: record.NewWriter(d.recordingFile), log: d.log}, nil
 }
 
-// recordStart writes the first record: all that a replay needs to make the same controller.
+// recordStart writes the first record, which holds all that a replay needs to create the same controller.
 func (d *Daemon) recordStart() error {
 	if d.loop.recorder == nil {
 		return nil
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// openPersister opens the state folder, where one is configured, and restores what it holds.
+// openPersister opens the state folder, if one is configured, and restores the state in it.
 func (d *Daemon) openPersister() (err error) {
 	settings := d.config.State
 	if settings.Folder == "" {
@@ -188,7 +189,7 @@
 	return err
 }
 
-// openStandby makes this controller a standby, where the configuration names its leader.
+// openStandby makes this controller a standby if the configuration names its leader.
 func (d *Daemon) openStandby() (err error) {
 	settings := d.config.Standby
 	if settings.Of == "" {
@@ -226,7 +227,7 @@
 	})
 }
 
-// newAPI makes the handlers of the HTTP API.
+// newAPI returns the handlers of the HTTP API.
 func (d *Daemon) newAPI(policy *auth.Policy) *api {
 	return &api{
 		loop:           d.loop,
@@ -250,19 +251,21 @@
 	}
 }
 
-// Operators gives the operators' view of the controller, for any front end.
+// Operators returns the operators' view of the controller, for any front end.
 func (d *Daemon) Operators() *Operators { return &Operators{loop: d.loop} }
 
-// Addr is the address of the HTTP API.
+// Addr returns the address:port of the HTTP API.
 func (d *Daemon) Addr() string { return d.listener.Addr().String() }
 
-// RuntimeAddr is the address of a runtime socket, by its index in the configuration.
+// RuntimeAddr returns the address of the runtime socket with this index in the configuration.
 func (d *Daemon) RuntimeAddr(index int) string {
 	return d.runtimeSockets[index].listener.Addr().String()
 }
 
-// Stop shuts down gracefully: it accepts no more connections, saves the state, responds to pending polls and waits
-// until open requests are done. When the context ends first, connections are cut and its error is given.
+// Stop is the graceful shutdown, by which "barleysail run" ends on the first SIGTERM or SIGINT. It accepts no more
+// connections, saves the state, responds to pending polls with the current tables, closes the recording, and waits
+// until requests in progress are done. If the context ends first, Stop closes the remaining connections and returns the
+// context's error.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.closeAndLog("listener", d.listener)
 	if d.persister != nil {
@@ -274,8 +277,9 @@
 	return err
 }
 
-// Kill ends at once, as the end of the process would: connections are cut, pending polls get no response, and neither
-// state nor recording is completed.
+// Kill ends the daemon at once, without a graceful shutdown, as if the process were killed: it closes all connections,
+// pending polls get no response, and neither the state is saved nor the recording completed. "barleysail run" calls it
+// on a second SIGTERM or SIGINT.
 func (d *Daemon) Kill() {
 	d.closeAndLog("listener", d.listener)
 	d.server.Cut()
@@ -283,14 +287,14 @@
 	d.close()
 }
 
-// close ends all goroutines of the daemon, waits for them, and closes what was opened. It also ends a daemon that
-// was started in part. Later calls do nothing.
+// close ends all goroutines of the daemon, waits for them, and closes all resources. It also works for a daemon whose
+// start failed halfway. Only the first call has an effect.
 func (d *Daemon) close() { d.closeOnce.Do(d.closeAll) }
 
 func (d *Daemon) closeAll() {
 	d.cancel()
 	if d.server != nil {
-		d.server.Cut() // after a failed start; Stop and Kill have ended the connections
+		d.server.Cut() // needed after a failed start: Stop and Kill have closed the connections before
 	}
 	if d.loop != nil {
 		d.loop.stop(false)
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -5,10 +5,10 @@
 	"barleysail/internal/record"
 )
 
-// The loop collects the effects of the call in progress; apply carries them out after the mutex is released.
+// The loop collects the effects of the call in progress, and apply applies them after the mutex is released.
 var _ controller.Effects = (*controllerLoop)(nil)
 
-// pendingEffects are the effects that a call on the controller asked for.
+// pendingEffects holds the effects of a call on the controller until they are applied.
 type pendingEffects struct {
 	responses    []pendingResponse
 	healthChecks []string // hosts
@@ -16,13 +16,13 @@
 	logLines     []string
 }
 
-// pendingResponse is a response to a poll that is delivered after the mutex is released.
+// pendingResponse is a response to a poll that is yet to be delivered.
 type pendingResponse struct {
 	deliver  func(controller.Response)
 	response controller.Response
 }
 
-// Respond implements controller.Effects. A poll that was canceled meanwhile gets nothing.
+// Respond implements controller.Effects. It records the response, and drops it if the poll was canceled meanwhile.
 func (l *controllerLoop) Respond(pollID int64, response controller.Response) {
 	if l.recorder != nil {
 		l.recorder.write(record.Published(l.lastCallMs, pollID, response))
@@ -46,7 +46,7 @@
 // Log implements controller.Effects.
 func (l *controllerLoop) Log(text string) { l.effects.logLines = append(l.effects.logLines, text) }
 
-// apply carries out the effects of a call. The caller must not hold the mutex: callbacks may call the loop again.
+// apply applies the effects of a call. The caller must not hold the mutex, since callbacks may call the loop again.
 func (l *controllerLoop) apply(effects pendingEffects, subscribers []func()) {
 	for _, line := range effects.logLines {
 		l.log.Info().Msg(line)
@@ -65,8 +65,8 @@
 	}
 }
 
-// subscribeEvents calls notify once, when there is an event with a number greater than after: at once where there is
-// one already. notify may be called with the mutex held, so it must not block or call the loop. cancel ends the
+// subscribeEvents calls notify once: at once if there is an event with a number greater than after, and otherwise at
+// the next event. notify may be called with the mutex held, so it must not block or call the loop. cancel ends the
 // subscription.
 func (l *controllerLoop) subscribeEvents(after int64, notify func()) (cancel func()) {
 	l.mu.Lock()
@@ -85,8 +85,8 @@
 	}
 }
 
-// takeNotifiedSubscribers removes and gives all event subscribers when there are new events. The caller holds the
-// mutex.
+// takeNotifiedSubscribers removes and returns all event subscribers if there are new events, and returns nil otherwise.
+// The caller holds the mutex.
 func (l *controllerLoop) takeNotifiedSubscribers() []func() {
 	newest := l.controller.NewestEvent()
 	if newest == l.lastEvent {
--- a/internal/daemon/endpoint_file.go
+++ b/internal/daemon/endpoint_file.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	// settleDelay is the time from a notification of a change until the file is read, since an editor may write it in
+	// settleDelay is the delay from a notification of a change to the read of the file, since an editor may write it in
 	// several steps.
 	settleDelay = 50 * time.Millisecond
 
-	// recheckInterval is the time between reads of the file without a notification, for file systems that send none.
+	// recheckInterval is the time between reads of the file without notifications, for file systems that send none.
 	recheckInterval = 2 * time.Second
 )
 
-// endpointFile is the source of an endpoint list that is a file. A file that cannot be read, does not parse or is
-// empty leaves the last valid list in force.
+// endpointFile watches an endpoint list in a file. A list that cannot be read, does not parse, is empty or is invalid
+// is a rejected list: the error is logged, once for each text, and the last valid list stays in force. The file is read
+// again when it changes; no signal is needed.
 type endpointFile struct {
 	path     string
 	log      zerolog.Logger
@@ -33,7 +34,8 @@
 	lastText []byte // as last read, valid or not; nil: never read
 }
 
-// reload reads the file and publishes the list where the text changed.
+// reload reads the file and publishes the list if the text has changed. The error says why the list was rejected, and
+// for a parsed file in which line.
 func (f *endpointFile) reload() error {
 	text, err := os.ReadFile(f.path)
 	if err != nil {
@@ -59,7 +61,7 @@
 
 // watch reloads the file whenever it changes, until the context ends.
 func (f *endpointFile) watch(ctx context.Context) {
-	var events chan fsnotify.Event // nil, so that nothing is received, where there are no notifications
+	var events chan fsnotify.Event // nil if there are no notifications: nothing is then received from it
 	watcher, err := f.newWatcher()
 	if err != nil {
 		f.log.Warn().Err(err).Msg("no notifications for the folder of the endpoint list; reading it every two seconds")
@@ -88,7 +90,7 @@
 	}
 }
 
-// newWatcher watches the file's folder rather than the file, which may be replaced by a rename.
+// newWatcher returns a watcher of the file's folder, since the file itself may be replaced by a rename.
 func (f *endpointFile) newWatcher() (*fsnotify.Watcher, error) {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
@@ -101,7 +103,7 @@
 	return watcher, nil
 }
 
-// closeWatcher closes a watcher; a failure is only logged, since the file is still read at intervals.
+// closeWatcher closes a watcher. A failure is only logged, since the file is still read every recheckInterval.
 func (f *endpointFile) closeWatcher(watcher *fsnotify.Watcher) {
 	if err := watcher.Close(); err != nil {
 		f.log.Warn().Err(err).Msg("closing the watcher of the endpoint list failed")
--- a/internal/daemon/endpoint_service.go
+++ b/internal/daemon/endpoint_service.go
@@ -21,24 +21,25 @@
 )
 
 const (
-	// endpointListBytes is the largest body that is read of a list service's response.
+	// endpointListBytes is the largest body of a response of the list service that is read.
 	endpointListBytes = 64 << 20
 
-	// endpointPollGrace is how much longer than the long poll itself a response may take.
+	// endpointPollGrace is how much longer than the long poll's wait a response may take.
 	endpointPollGrace = 10 * time.Second
 
 	// mergePatch names the instance manipulation (RFC 3229) whose body is a JSON merge patch (RFC 7396).
 	mergePatch = "merge-patch"
 )
 
-// endpointService is the source of an endpoint list that is an HTTP service. It uses the protocol that proxies use:
-// long polls with an entity tag, whose responses are snapshots or deltas. The controller starts the watch; after a
-// failure the watch ends, and the controller's backoff decides when it starts again. The last valid list stays in
-// force meanwhile.
+// endpointService watches an endpoint list that an HTTP service serves. The protocol is the one by which proxies get
+// their tables: long polls with an entity tag, whose responses are snapshots or deltas. The controller starts the
+// watch. A failed poll or a rejected list ends it, and the controller starts it again with backoff; the last valid list
+// stays in force meanwhile. Whether a valid list is held back, since it loses too many hosts at once, is up to
+// controller.Controller.SetEndpoints.
 //
-// It owns the goroutine of the watch; close ends it.
+// It owns the goroutine of the watch, for which close waits.
 type endpointService struct {
-	ctx           context.Context // canceling it ends the watch
+	ctx           context.Context // ends the watch
 	address       string
 	target        string // request target: the URL's path and query
 	wait          time.Duration
@@ -54,7 +55,7 @@
 
 	// Only the goroutine of the watch uses these.
 	tag      string // entity tag of document; empty: the next poll asks for a snapshot
-	document []byte
+	document []byte // the last valid endpointDocument
 }
 
 // endpointDocument is the JSON document of an endpoint list: hosts by address.
@@ -62,16 +63,19 @@
 	Hosts map[string]endpointEntry `json:"hosts"`
 }
 
+// defaultWeight is the base weight of an entry that states none.
+const defaultWeight = 1.0
+
 // endpointEntry is one host of an endpointDocument.
 type endpointEntry struct {
 	Zone    string   `json:"zone"`
-	Phase   string   `json:"phase"` // ready or draining; empty: ready
-	Weight  *float64 `json:"weight"`
-	Started float64  `json:"started"` // time of the last start, ms
+	Phase   string   `json:"phase"`   // ready or draining; empty: ready
+	Weight  *float64 `json:"weight"`  // base weight; absent: defaultWeight
+	Started float64  `json:"started"` // time of the host's last start, in ms
 }
 
-// newEndpointService makes the source for the list.url setting; the caller sets the fields that connect it to the
-// daemon.
+// newEndpointService returns the source for the list.url setting. The caller has to set the fields that connect it to
+// the daemon. The error names the setting.
 func newEndpointService(listURL string, secure bool, wait time.Duration) (*endpointService, error) {
 	service, address, err := parseServiceURL("list.url", listURL, secure)
 	if err != nil {
@@ -85,8 +89,8 @@
 	}, nil
 }
 
-// startWatch polls for the list and then for its changes, until a poll fails. It returns at once, and does nothing
-// while a watch is running or after close.
+// startWatch starts a goroutine that polls for a snapshot of the list and then for deltas, until a poll fails. It
+// returns at once, and does nothing while a watch is running or after close.
 func (s *endpointService) startWatch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +116,7 @@
 	s.reportFailure()
 }
 
-// close waits until the watch has ended. The context has to be canceled before.
+// close waits until the watch has ended. The caller has to cancel the context before.
 func (s *endpointService) close() {
 	s.mu.Lock()
 	s.closed = true
@@ -120,8 +124,8 @@
 	s.running.Wait()
 }
 
-// poll makes one long poll and publishes the list where it changed. After a response that cannot be used the next
-// poll asks for a snapshot.
+// poll makes one long poll and publishes the list if it has changed. After a response that cannot be used, or whose
+// list is rejected, the next poll asks for a snapshot.
 func (s *endpointService) poll() error {
 	ctx, cancel := context.WithTimeout(s.ctx, s.wait+endpointPollGrace)
 	defer cancel()
@@ -161,7 +165,7 @@
 	return header
 }
 
-// applyDelta gives the document that a delta leads to.
+// applyDelta returns the document after a delta. The error says that the delta is not based on the current document.
 func (s *endpointService) applyDelta(response *http1.Response) ([]byte, error) {
 	baseTag := response.Header.Get("Delta-Base")
 	if s.tag == "" || baseTag != s.tag || !strings.EqualFold(response.Header.Get("Im"), mergePatch) {
@@ -185,7 +189,7 @@
 	return s.publish(endpoints)
 }
 
-// parseEndpoints reads an endpointDocument; the endpoints are in no particular order.
+// parseEndpoints parses an endpointDocument. It returns the endpoints in no particular order.
 func parseEndpoints(text []byte) ([]controller.Endpoint, error) {
 	var document endpointDocument
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -200,7 +204,7 @@
 		if !ok {
 			return nil, fmt.Errorf("hosts[%q].phase: %q is neither ready nor draining", host, entry.Phase)
 		}
-		weight := 1.0
+		weight := defaultWeight
 		if entry.Weight != nil {
 			weight = *entry.Weight
 		}
--- a/internal/daemon/endpoint_source.go
+++ b/internal/daemon/endpoint_source.go
@@ -6,8 +6,8 @@
 	"barleysail/controller"
 )
 
-// startEndpointSource connects the controller loop to the configured source of the endpoint list. A list file is
-// read before it returns, and has to be valid.
+// startEndpointSource connects the controller loop to the configured source of the endpoint list. If that is a file,
+// the file is read before startEndpointSource returns, and the error is that of an invalid list.
 func (d *Daemon) startEndpointSource(ctx context.Context) error {
 	if d.config.List.File != "" {
 		return d.startEndpointFile(ctx)
@@ -16,7 +16,7 @@
 }
 
 func (d *Daemon) startEndpointFile(ctx context.Context) error {
-	d.loop.startWatch = func() {} // the file is watched all the time
+	d.loop.startWatch = func() {} // nothing to start: the file is always watched
 	file := &endpointFile{path: d.config.List.File, log: d.log, publish: d.endpointSink()}
 	if err := file.reload(); err != nil {
 		return err
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// endpointSink is what receives the endpoint list: the controller, or the standby that holds the list back until it
-// is active.
+// endpointSink returns the function that receives the endpoint list: that of the controller or, on a standby, the one
+// that stores the list until the standby is active.
 func (d *Daemon) endpointSink() func([]controller.Endpoint) error {
 	if d.standby != nil {
 		return d.standby.setEndpoints
--- a/internal/daemon/health_checker.go
+++ b/internal/daemon/health_checker.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// healthCheckBodyBytes is the largest body that is read of a health check's response; its content is ignored.
+	// healthCheckBodyBytes is the largest body of a health check's response that is read; its content is ignored.
 	healthCheckBodyBytes = 64 << 10
 
-	// healthCheckIdleConnections is how many connections to hosts are kept open between health checks.
+	// healthCheckIdleConnections is the number of connections to hosts that are kept open between health checks.
 	healthCheckIdleConnections = 1024
 )
 
-// healthChecker checks hosts by an HTTP GET, a bounded number at once. It owns one goroutine for each check; close
-// ends them.
+// healthChecker checks the health of hosts by HTTP GET, a bounded number of them at once. It owns one goroutine for
+// each check, for which close waits.
 type healthChecker struct {
-	ctx     context.Context // canceling it ends the checks in progress
+	ctx     context.Context // ends the checks in progress
 	client  *http1.Client
 	path    string
 	timeout time.Duration
@@ -36,7 +36,7 @@
 	running sync.WaitGroup
 }
 
-// startHealthChecker connects the controller loop to a health checker that ends with the context.
+// startHealthChecker creates the health checker, which ends with the context, and connects the controller loop to it.
 func (d *Daemon) startHealthChecker(ctx context.Context) {
 	settings := d.config.Probes
 	limits := clientLimits(healthCheckBodyBytes)
@@ -52,7 +52,8 @@
 	d.loop.startHealthCheck = d.healthChecker.start
 }
 
-// start begins a check of a host and returns at once; the result goes to report. After close it does nothing.
+// start starts a check of a host and returns at once; the check passes its result to report. After close it does
+// nothing.
 func (c *healthChecker) start(host string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +64,7 @@
 }
 
 // check waits for a free slot, checks the host and reports the result, unless the context ends before. The timeout
-// runs from when the check has its slot.
+// begins when the check has its slot.
 func (c *healthChecker) check(host string) {
 	select {
 	case c.slots <- struct{}{}:
@@ -85,7 +86,7 @@
 	c.report(host, classifyResult(response, err, timedOut), load)
 }
 
-// close waits until all checks have ended. The context has to be canceled before.
+// close waits until all checks have ended. The caller has to cancel the context before.
 func (c *healthChecker) close() {
 	c.mu.Lock()
 	c.closed = true
@@ -93,8 +94,8 @@
 	c.running.Wait()
 }
 
-// classifyResult gives the result of a health check. Any response with a 2xx status is healthy; without a response
-// a timeout is told apart from a host that cannot be reached.
+// classifyResult returns the result of a health check: Healthy for a response with a 2xx status, Rejected for any other
+// status, TimedOut after a timeout, and Unreachable if no response came for another reason.
 func classifyResult(response *http1.Response, err error, timedOut bool) routing.HealthCheckResult {
 	if err == nil {
 		if response.Status >= http.StatusOK && response.Status < http.StatusMultipleChoices {
--- a/internal/daemon/http_client.go
+++ b/internal/daemon/http_client.go
@@ -12,18 +12,20 @@
 	maxResponseHeaderBytes = 32 << 10
 )
 
-// clientLimits bounds the responses that the daemon's HTTP clients read.
+// clientLimits returns the bounds of the responses that an HTTP client of the daemon reads.
 func clientLimits(maxBodyBytes int64) http1.Limits {
 	return http1.Limits{Line: maxResponseLineBytes, Header: maxResponseHeaderBytes, Body: maxBodyBytes}
 }
 
-// parseServiceURL reads the URL of a service that the daemon calls, and gives the address to dial with its port. The
-// scheme has to be https where the daemon has credentials, and http otherwise. Errors begin with the name of the
-// setting.
+// parseServiceURL parses the URL of a service that the daemon calls, and returns it with the address:port to dial. The
+// scheme has to be https if secure is set, that is, if the daemon has credentials, and http otherwise. The error begins
+// with the name of the setting.
 func parseServiceURL(setting, text string, secure bool) (service *url.URL, address string, err error) {
-	scheme, defaultPort := "http", ":80"
+	scheme := "http"
+	defaultPort := ":80"
 	if secure {
-		scheme, defaultPort = "https", ":443"
+		scheme = "https"
+		defaultPort = ":443"
 	}
 	service, err = url.Parse(text)
 	if err != nil || service.Scheme != scheme || service.Host == "" {
--- a/internal/daemon/json_body.go
+++ b/internal/daemon/json_body.go
@@ -13,10 +13,11 @@
 
 const jsonMediaType = "application/json"
 
-// errTrailingData is the error of a body that goes on after its JSON value.
+// errTrailingData is the error of a body with data after its JSON value.
 var errTrailingData = errors.New("something follows the JSON value")
 
-// readJSON decodes a request's body, which has to be one JSON value without unknown fields.
+// readJSON decodes a request's body, which has to be one JSON value without unknown fields. The error is that of
+// package encoding/json, or errTrailingData.
 func readJSON(request *http1.Request, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(request.Body))
 	decoder.DisallowUnknownFields()
@@ -29,7 +30,7 @@
 	return nil
 }
 
-// malformedReply gives the problem document for an error of readJSON, with the field where it is known.
+// malformedReply returns the problem document for an error of readJSON, with the name of the field if it is known.
 func malformedReply(err error) http1.Reply {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -50,7 +51,7 @@
 	return http1.Problem{Status: http.StatusBadRequest, Detail: err.Error()}.Reply()
 }
 
-// jsonReply gives a document as a reply with status 200.
+// jsonReply returns a reply with status 200 and a document as its body.
 func jsonReply(document any) http1.Reply {
 	body, err := json.Marshal(document)
 	if err != nil {
--- a/internal/daemon/load_reports.go
+++ b/internal/daemon/load_reports.go
@@ -11,30 +11,30 @@
 	"barleysail/routing"
 )
 
-// statsEntryBytes is about the size of one entry of a report, in bytes: the rate limiter counts entries, and is asked
-// before the body is decoded.
+// statsEntryBytes is the approximate size of one entry of a report, in bytes. The rate limiter counts entries, and is
+// called before the body is decoded.
 const statsEntryBytes = 100
 
-// proxyStatsBody is a proxy's report of its request statistics. Times are in ms.
+// proxyStatsBody is a proxy's report of its request stats. Times are in ms.
 type proxyStatsBody struct {
 	Sender string                     `json:"sender"`
 	Number int64                      `json:"number"`
 	At     float64                    `json:"at"`
-	Hosts  map[string]hostStatsBody   `json:"hosts"`
+	Hosts  map[string]hostStatsBody   `json:"hosts"` // by address:port
 	Usage  map[string]classDemandBody `json:"usage"` // by request class
 }
 
-// hostStatsBody is what a proxy observed of one host.
+// hostStatsBody holds the request stats of a proxy for one host.
 type hostStatsBody struct {
 	Tries  int           `json:"tries"` // attempts
 	Failed int           `json:"failed"`
-	Mean   float64       `json:"mean"` // latency
+	Mean   float64       `json:"mean"` // mean latency of the attempts that did not fail
 	Span   float64       `json:"span"` // length of the window observed
 	Load   *hostLoadBody `json:"load"`
 	Times  [][2]float64  `json:"times"` // latency histogram: pairs of a latency and a count
 }
 
-// classDemandBody is the demand for one request class.
+// classDemandBody is the demand of one request class at a proxy.
 type classDemandBody struct {
 	Came       int     `json:"came"` // arrivals
 	Unanswered int     `json:"unanswered"`
@@ -51,15 +51,15 @@
 
 // hostLoadBody is the load of a host; an absent field is unknown.
 type hostLoadBody struct {
-	Util  *float64 `json:"util"`
-	Rate  *float64 `json:"rate"` // requests per second
-	Queue *float64 `json:"queue"`
+	Util  *float64 `json:"util"`  // utilization as a ratio
+	Rate  *float64 `json:"rate"`  // requests per second
+	Queue *float64 `json:"queue"` // requests that wait
 }
 
 // receiptBody acknowledges a report.
 type receiptBody struct {
 	Counted bool  `json:"counted"` // false: a report with this number was counted before
-	Number  int64 `json:"number"`
+	Number  int64 `json:"number"`  // the report's
 }
 
 // postProxyStats handles a proxy's report.
@@ -82,7 +82,7 @@
 // postLoadReport handles a host's report.
 func (a *api) postLoadReport(request *http1.Request) http1.Reply {
 	host := request.Params["host"]
-	source := "/" + host // no proxy's name has a slash
+	source := "/" + host // differs from each proxy's name, which has no slash
 	if rejection := a.admitReport(source, request); rejection != nil {
 		return *rejection
 	}
@@ -102,7 +102,8 @@
 	return jsonReply(receiptBody{Counted: counted, Number: body.Number})
 }
 
-// admitReport asks the rate limiter whether a report is processed; a rejected one gets the reply that is returned.
+// admitReport asks the rate limiter whether to admit a report. It returns nil if so, and the reply with status 429 and
+// Retry-After otherwise.
 func (a *api) admitReport(source string, request *http1.Request) *http1.Reply {
 	allowed, retryAfter := a.loop.rateLimiter.Allow(time.Now(), source, len(request.Body)/statsEntryBytes)
 	if allowed {
@@ -145,7 +146,7 @@
 	return stats
 }
 
-// load gives the reported load; nil is unknown.
+// load returns the reported load. A nil body, like an absent field, is unknown.
 func (b *hostLoadBody) load() routing.HostLoad {
 	load := routing.UnknownLoad
 	if b == nil {
@@ -157,8 +158,8 @@
 	return load
 }
 
-// setReported sets a field that was reported. A negative value becomes NaN, which the controller rejects with the
-// field's name: the negative value itself would mean unknown.
+// setReported sets a field if its value was reported. A negative value becomes NaN, for which the controller returns an
+// error that names the field; the negative value itself would mean unknown.
 func setReported(field *float64, reported *float64) {
 	if reported == nil {
 		return
--- a/internal/daemon/operator_api.go
+++ b/internal/daemon/operator_api.go
@@ -36,7 +36,7 @@
 	return jsonReply(proxiesBody{a.operators.Proxies()})
 }
 
-// getPublishedTables gives the tables that were last sent to a proxy.
+// getPublishedTables returns the tables that were last sent to a proxy.
 func (a *api) getPublishedTables(request *http1.Request) http1.Reply {
 	response, ok := a.operators.PublishedTables(request.Params["proxy"])
 	if !ok {
@@ -49,7 +49,7 @@
 	return jsonReply(query(a.loop, (*controller.Controller).ValidationReport))
 }
 
-// checkTablesBody holds tables to validate, in the form of the documents that proxies get.
+// checkTablesBody holds tables to validate, in the format of the documents that proxies get.
 type checkTablesBody struct {
 	Zone   string               `json:"zone"`
 	Proxy  string               `json:"proxy"`  // accepted and ignored
@@ -75,13 +75,16 @@
 	return jsonReply(result)
 }
 
+// unchangedWeight is the operator.Command.Weight of a command that changes no weight.
+const unchangedWeight = -1
+
 // commandBody is an operator's command for a host, or for each host of a zone.
 type commandBody struct {
 	State  string         `json:"state"`  // ready, drain or maint; empty: unchanged
 	Weight *float64       `json:"weight"` // in place of the endpoint list's weight
-	Part   *float64       `json:"part"`   // factor of the endpoint list's weight
-	Clear  bool           `json:"clear"`  // back to the endpoint list's weight
-	ForMs  float64        `json:"for_ms"` // until the override ends; 0: it stays
+	Part   *float64       `json:"part"`   // ratio to the endpoint list's weight
+	Clear  bool           `json:"clear"`  // use the endpoint list's weight again
+	ForMs  float64        `json:"for_ms"` // ms until the override expires; 0: it does not
 	Wait   bool           `json:"wait"`   // queue the command where it cannot be applied now
 	By     string         `json:"by"`     // name of the operator
 	Add    *addedHostBody `json:"add"`    // add the host
@@ -96,7 +99,8 @@
 	Speed  float64 `json:"speed"`
 }
 
-// command gives the command for a host. A weight below 0 becomes 0, since -1 means an unchanged weight.
+// command returns the command for a host. A weight below 0 becomes 0, since unchangedWeight is below 0. The error is a
+// *controller.FieldError.
 func (b *commandBody) command(host string) (operator.Command, error) {
 	state, ok := operator.ParseState(b.State)
 	if !ok && b.State != "" {
@@ -106,7 +110,7 @@
 		Host:        host,
 		State:       state,
 		KeepState:   b.State == "" && b.Add == nil,
-		Weight:      -1,
+		Weight:      unchangedWeight,
 		ClearWeight: b.Clear,
 		DurationMs:  b.ForMs,
 		Queue:       b.Wait,
@@ -140,7 +144,8 @@
 	return a.applyCommands(command)
 }
 
-// overrideZone applies a command to all hosts of a zone; they are queued, so that they are applied step by step.
+// overrideZone applies a command to all hosts of a zone. The command is queued for each, so that it is applied to one
+// host after the other.
 func (a *api) overrideZone(request *http1.Request) http1.Reply {
 	var body commandBody
 	if err := readJSON(request, &body); err != nil {
@@ -164,10 +169,10 @@
 	return a.applyCommands(commands...)
 }
 
-// commandResultBody tells what came of an operator's command.
+// commandResultBody is the result of an operator's command.
 type commandResultBody struct {
-	Hosts int  `json:"hosts"` // number of hosts that it is for
-	Waits bool `json:"waits"` // it is queued for at least one of them
+	Hosts int  `json:"hosts"` // number of hosts that the command is for
+	Waits bool `json:"waits"` // the command is queued for at least one of them
 }
 
 func (a *api) applyCommands(commands ...operator.Command) http1.Reply {
@@ -186,7 +191,7 @@
 	Events []controller.Event `json:"events"`
 }
 
-// getEvents handles a long poll for the events after a number.
+// getEvents handles a long poll for the events with a number greater than the "after" parameter.
 func (a *api) getEvents(request *http1.Request) http1.Reply {
 	text := request.Query.Get("after")
 	after, err := strconv.ParseInt(text, 10, 64)
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -9,47 +9,49 @@
 	"barleysail/operator"
 )
 
-// Operators is the operators' view of a controller, for the HTTP API and the runtime sockets alike.
+// Operators is the operators' view of a controller, which the HTTP API and the runtime sockets share. Its methods may
+// be called by any goroutine.
 type Operators struct {
 	loop *controllerLoop
 }
 
 var _ runtimeapi.Controller = (*Operators)(nil)
 
-// Hosts gives the state of all hosts.
+// Hosts returns the state of all hosts, by name.
 func (o *Operators) Hosts() []controller.HostInfo {
 	return query(o.loop, (*controller.Controller).HostInfos)
 }
 
-// Host gives the state of one host; ok is false where it is not known.
+// Host returns the state of one host; ok is false if it is not known.
 func (o *Operators) Host(name string) (info controller.HostInfo, ok bool) {
 	o.loop.call(func(float64) { info, ok = o.loop.controller.HostInfo(name) })
 	return info, ok
 }
 
-// Proxies gives the sessions of all proxies.
+// Proxies returns the sessions of all proxies.
 func (o *Operators) Proxies() []controller.ProxyInfo {
 	return query(o.loop, (*controller.Controller).ProxyInfos)
 }
 
-// PublishedTables gives the tables that were last sent to a proxy; ok is false where there are none.
+// PublishedTables returns the tables that were last sent to a proxy; ok is false if there are none.
 func (o *Operators) PublishedTables(proxy string) (response controller.Response, ok bool) {
 	o.loop.call(func(float64) { response, ok = o.loop.controller.PublishedTables(proxy) })
 	return response, ok
 }
 
-// Status gives the controller's status.
+// Status returns the controller's status.
 func (o *Operators) Status() controller.Status { return o.loop.status() }
 
-// ApplyCommands applies commands; waits tells that some of them are queued for their turn. A command that would break a
-// rule is a *operator.RejectedError.
+// ApplyCommands applies commands of an operator, and reports whether any of them is queued and waits for its turn. The
+// error is an *operator.RejectedError for a command that would break a rule, or a *controller.FieldError for an invalid
+// host to be added; no command is applied then.
 func (o *Operators) ApplyCommands(commands ...operator.Command) (waits bool, err error) {
 	return o.loop.applyOverrides(commands)
 }
 
-// Events calls deliver with the events after a number: at once where there are some or wait is not positive, and
-// otherwise from another goroutine when one comes or the wait is over. deliver is called once at most; cancel ends the
-// wait.
+// Events calls deliver with the events that have a number greater than after: at once if there are any or if wait is
+// not positive, and otherwise from another goroutine, when there is one or the wait is over. deliver is called at most
+// once, and not after cancel, which ends the wait.
 func (o *Operators) Events(after int64, wait time.Duration, deliver func([]controller.Event)) (cancel func()) {
 	read := func() []controller.Event {
 		return query(o.loop, func(instance *controller.Controller) []controller.Event { return instance.Events(after) })
@@ -61,8 +63,8 @@
 	}
 	var once sync.Once
 	deliverOnce := func() { once.Do(func() { deliver(read()) }) }
-	// The subscription may be notified with the loop's mutex held, and read takes it: so another goroutine, which ends
-	// when the events are delivered.
+	// A subscriber may be notified with the loop's mutex held, which read locks. So another goroutine reads the events;
+	// it ends when they are delivered.
 	unsubscribe := o.loop.subscribeEvents(after, func() { go deliverOnce() })
 	timer := time.AfterFunc(wait, deliverOnce)
 	return func() {
--- a/internal/daemon/persister.go
+++ b/internal/daemon/persister.go
@@ -13,9 +13,9 @@
 	"barleysail/state/statepb"
 )
 
-// persister saves the controller's state in a folder at intervals, and restores it at the start. A disk that is full,
-// slow or broken costs the state of a restart and never delays the controller: the snapshot is taken under the
-// controller loop's mutex, and written without it.
+// persister saves the controller's state to a folder at intervals, and restores it at the start. It takes a snapshot
+// under the controller loop's mutex and writes it without the mutex, so a full, slow or broken disk never delays the
+// controller: only the state after the next restart is lost or outdated.
 type persister struct {
 	loop     *controllerLoop
 	log      zerolog.Logger
@@ -26,7 +26,7 @@
 
 	saveMu sync.Mutex // held during a save
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards report
 	report PersisterReport
 }
 
@@ -35,8 +35,8 @@
 	folder   string
 	interval time.Duration // between saves
 	maxBytes int           // of the stored state; entries that do not fit are dropped
-	coldMs   float64       // guard.cold_ms, by which restored hosts may still be warming up
-	program  string
+	coldMs   float64       // guard.cold_ms: how long after its start a host is warming up
+	program  string        // version of the program
 }
 
 // PersisterReport is the persister's part of the status document.
@@ -44,14 +44,14 @@
 	Failed   string  `json:"failed"`     // why the last save failed; empty: it succeeded
 	SavedMs  float64 `json:"saved_ms"`   // time of the last save that succeeded, ms since 1970; 0: none did
 	Saves    int64   `json:"saves"`      // number of saves that succeeded
-	TookMs   float64 `json:"took_ms"`    // duration of the last save, with its sync to the disk
-	LockedMs float64 `json:"locked_ms"`  // part of it for which the controller had to wait
+	TookMs   float64 `json:"took_ms"`    // duration of the last save, including its sync to the disk
+	LockedMs float64 `json:"locked_ms"`  // part of it that took the snapshot, including the wait for the loop's mutex
 	Dropped  int     `json:"dropped"`    // entries that did not fit into the size limit
-	Notes    string  `json:"found_note"` // what was wrong with the state that was found at the start
+	Notes    string  `json:"found_note"` // warnings about the state that was found at the start
 }
 
-// openPersister opens the folder and restores the state that it holds. The folder is locked until close: a second
-// daemon on it is an error.
+// openPersister opens the folder and restores the state in it. It locks the folder until close, and returns an error if
+// another process has locked it.
 func openPersister(cfg persisterConfig, loop *controllerLoop, log zerolog.Logger) (*persister, error) {
 	folder, err := statefile.OpenFolder(cfg.folder)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return p, nil
 }
 
-// load reads the folder, opens the store that goes on from there, and restores the state.
+// load reads the folder, opens the store that continues from it, and restores the state.
 func (p *persister) load(cfg persisterConfig) error {
 	found, err := statefile.Load(p.folder)
 	if err != nil {
@@ -106,8 +106,8 @@
 	}
 }
 
-// save writes the controller's state to the disk and notes the result in the report. Before the controller has an
-// endpoint list it has learned nothing, so what is stored stays.
+// save writes the controller's state to the disk and records the result in the report. It does nothing until the
+// controller has an endpoint list: until then it has learned nothing that should replace the stored state.
 func (p *persister) save() {
 	p.saveMu.Lock()
 	defer p.saveMu.Unlock()
@@ -122,7 +122,7 @@
 	p.noteSave(snapshot, err, time.Since(began), locked)
 }
 
-// noteSave puts the result of a save into the report, and logs when saves begin to fail or to succeed again.
+// noteSave records the result of a save in the report, and logs when saves begin to fail or to succeed again.
 func (p *persister) noteSave(snapshot *statepb.State, err error, took, locked time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -146,7 +146,7 @@
 	p.report.LockedMs = wholeMicroseconds(locked)
 }
 
-// status gives the report; nil where no state is persisted.
+// status returns the report, or nil if no state is persisted.
 func (p *persister) status() *PersisterReport {
 	if p == nil {
 		return nil
@@ -158,7 +158,7 @@
 	return &report
 }
 
-// close ends the store and unlocks the folder. run has to have ended before.
+// close closes the store and unlocks the folder. It must be called after run has returned.
 func (p *persister) close() {
 	p.store.Close()
 	if err := p.folder.Close(); err != nil {
--- a/internal/daemon/recorder.go
+++ b/internal/daemon/recorder.go
@@ -7,12 +7,13 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// recordingFlushMs is the interval between flushes of a recording, in ms: a crash loses at most so much of it.
+// recordingFlushMs is the interval between flushes of a recording, in ms. A crash loses at most the records of one
+// interval.
 const recordingFlushMs = 1000
 
 // recorder writes the inputs and responses of a controller to a recording. An I/O error ends the recording and is
-// logged once; it never affects the controller. A nil recorder records nothing: its write must not be called, its
-// other methods do nothing. It is not safe for concurrent use; the controller loop's mutex guards it.
+// logged once; it never affects the controller. On a nil recorder, which records nothing, write must not be called and
+// the other methods do nothing. It is not safe for concurrent use: the controller loop's mutex guards it.
 type recorder struct {
 	writer      *record.Writer
 	log         zerolog.Logger
@@ -40,7 +41,7 @@
 	r.note(r.writer.Close())
 }
 
-// note logs the first error. The writer repeats it at each later call.
+// note logs the first error. The writer returns the same error from each later call.
 func (r *recorder) note(err error) {
 	if err == nil || r.failed {
 		return
--- a/internal/daemon/request_headers.go
+++ b/internal/daemon/request_headers.go
@@ -10,8 +10,8 @@
 	"barleysail/internal/http1"
 )
 
-// entityTags reads If-None-Match (RFC 9110, section 13.1.2): the tags without quotes, weak ones among them. matchAny is
-// true for "*", which matches whatever there is. What follows a syntax error is ignored.
+// entityTags parses If-None-Match (RFC 9110, section 13.1.2). It returns the tags, weak ones included, without quotes.
+// matchAny is true for "*", which matches any version. It ignores the rest of a line after a syntax error.
 func entityTags(header textproto.MIMEHeader) (tags []string, matchAny bool) {
 	for _, line := range header.Values("If-None-Match") {
 		rest := textproto.TrimString(line)
@@ -31,7 +31,7 @@
 	return tags, false
 }
 
-// cutEntityTag cuts the first entity tag off a list of them.
+// cutEntityTag cuts the first entity tag from a list of them. ok is false if the list does not begin with one.
 func cutEntityTag(list string) (tag, rest string, ok bool) {
 	list = strings.TrimLeft(list, ", \t")
 	list = strings.TrimPrefix(list, "W/")
@@ -42,7 +42,8 @@
 	return strings.Cut(quoted, `"`)
 }
 
-// preferredWait reads the preference wait=N in whole seconds; the first one counts (RFC 7240, sections 2 and 4.3).
+// preferredWait parses the preference wait=N in whole seconds (RFC 7240, sections 2 and 4.3). Only the first one
+// counts; ok is false if there is none or it is malformed.
 func preferredWait(header textproto.MIMEHeader) (seconds float64, ok bool) {
 	for _, line := range header.Values("Prefer") {
 		for preference := range strings.SplitSeq(line, ",") {
@@ -58,7 +59,7 @@
 	return 0, false
 }
 
-// acceptsManipulation tells whether A-IM names an instance manipulation, and not with q=0 (RFC 3229, section 10.5.3).
+// acceptsManipulation reports whether A-IM names an instance manipulation, and not with q=0 (RFC 3229, section 10.5.3).
 func acceptsManipulation(header textproto.MIMEHeader, manipulation string) bool {
 	for _, line := range header.Values("A-Im") {
 		for item := range strings.SplitSeq(line, ",") {
@@ -77,8 +78,8 @@
 	return false
 }
 
-// boundWaitMs bounds the wait of a long poll by the time until its connection has to end, in ms: the proxy polls
-// again on a connection of its next identity.
+// boundWaitMs returns the wait of a long poll in ms, bounded by the time until the proxy's credentials expire and its
+// connection has to end. The proxy then polls again on a connection with its renewed credentials.
 func boundWaitMs(request *http1.Request, waitMs float64) float64 {
 	retiresAt, ok := request.Retires()
 	if !ok {
@@ -88,7 +89,7 @@
 	return math.Min(waitMs, math.Max(remainingMs, 0))
 }
 
-// retryAfterSeconds gives the value of a Retry-After field, in whole seconds rounded up.
+// retryAfterSeconds returns the value of a Retry-After field, in whole seconds, rounded up.
 func retryAfterSeconds(delay time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(delay.Seconds())))
 }
--- a/internal/daemon/runtime_sockets.go
+++ b/internal/daemon/runtime_sockets.go
@@ -10,23 +10,24 @@
 	"barleysail/internal/socketproxy"
 )
 
-// runtimeSocketMode lets only the daemon's own user connect to a runtime socket.
+// runtimeSocketMode is the file mode of a runtime socket: only the daemon's own user may connect.
 const runtimeSocketMode = 0o600
 
-// runtimeSocket serves operators' commands on a socket of its own.
+// runtimeSocket is a socket on which operators send commands of the runtime API.
 type runtimeSocket struct {
 	listener net.Listener
 	server   *runtimeapi.Server
 }
 
-// openRuntimeSockets opens the configured runtime sockets and serves them.
+// openRuntimeSockets opens the configured runtime sockets and serves them, each in a goroutine of its own. After an
+// error closeRuntimeSockets closes those that are open.
 func (d *Daemon) openRuntimeSockets() error {
 	for _, settings := range d.config.Runtime {
 		listener, err := listenRuntimeSocket(settings.Address)
 		if err != nil {
 			return fmt.Errorf("opening the runtime socket: %w", err)
 		}
-		level, _ := runtimeapi.ParseLevel(settings.Level) // the configuration was checked: the level is known
+		level, _ := runtimeapi.ParseLevel(settings.Level) // the level is known: the configuration was validated
 		server := runtimeapi.New(d.Operators(), runtimeapi.Config{Level: level, Version: d.version})
 		d.runtimeSockets = append(d.runtimeSockets, runtimeSocket{listener, server})
 		d.servers.Go(func() {
@@ -46,8 +47,8 @@
 	}
 }
 
-// listenRuntimeSocket listens at unix:PATH or address:port. The file of a socket at which no program listens any
-// more is replaced.
+// listenRuntimeSocket listens on unix:PATH or address:port. It replaces the file of a socket on which no program
+// listens any more.
 func listenRuntimeSocket(address string) (net.Listener, error) {
 	network, path := socketproxy.Network(address)
 	if network == "tcp" {
@@ -66,8 +67,8 @@
 	return listener, nil
 }
 
-// removeStaleSocket removes a socket's file where no program listens at it; where one does, that is an error. A file
-// that is no socket stays, and listening fails at it.
+// removeStaleSocket removes the file of a socket on which no program listens. It returns an error if a program does. A
+// file that is not a socket is not removed: listening on its path then fails.
 func removeStaleSocket(path string) error {
 	if conn, err := net.Dial("unix", path); err == nil {
 		inUse := fmt.Errorf("%s: another program listens there", path)
@@ -77,6 +78,6 @@
 	if err != nil || info.Mode()&os.ModeSocket == 0 {
 		return nil
 	}
-	_ = os.Remove(path) // where this fails, listening fails as well, and its error names the path
+	_ = os.Remove(path) // if this fails, listening fails as well, with an error that names the path
 	return nil
 }
--- a/internal/daemon/socket_proxies.go
+++ b/internal/daemon/socket_proxies.go
@@ -8,8 +8,8 @@
 	"barleysail/internal/socketproxy"
 )
 
-// startSocketDrivers starts a driver for each proxy that is configured by commands on its own runtime socket. The
-// drivers end with the context; the caller waits for them by d.socketDrivers.
+// startSocketDrivers starts a driver for each proxy that does not poll and is programmed by commands on its own runtime
+// socket instead. The drivers end with the context; d.socketDrivers waits for them.
 func (d *Daemon) startSocketDrivers(ctx context.Context, cfg *configpb.Config) {
 	for _, proxy := range cfg.Sockets {
 		driver := socketproxy.New(localController{d.loop}, socketproxy.Config{
@@ -26,28 +26,28 @@
 	}
 }
 
-// localController lets the drivers poll the controller in the same process.
+// localController is the controller in the same process, as the socket drivers poll it.
 type localController struct{ loop *controllerLoop }
 
 var _ socketproxy.Controller = localController{}
 
-// Poll implements socketproxy.Steward.
+// Poll implements socketproxy.Controller.
 func (c localController) Poll(request controller.PollRequest, deliver func(controller.Response)) (int64, error) {
 	return c.loop.poll(request, deliver)
 }
 
-// PollGone implements socketproxy.Steward.
+// PollGone implements socketproxy.Controller.
 func (c localController) PollGone(proxy string, id int64) { c.loop.cancelPoll(proxy, id) }
 
-// Sums implements socketproxy.Steward.
+// Sums implements socketproxy.Controller.
 func (c localController) Sums(proxy string, stats controller.ProxyStats) (counted bool, err error) {
 	return c.loop.observeProxyStats(proxy, stats)
 }
 
-// Now implements socketproxy.Steward: the time of the controller's clock in ms.
+// Now implements socketproxy.Controller. It returns the time of the controller's clock in ms.
 func (c localController) Now() float64 { return c.loop.clock.Now() }
 
-// Listed implements socketproxy.Steward: whether the host is on the endpoint list.
+// Listed implements socketproxy.Controller. It reports whether the host is on the endpoint list.
 func (c localController) Listed(host string) bool {
 	return query(c.loop, func(instance *controller.Controller) bool { return instance.HasEndpoint(host) })
 }
--- a/internal/daemon/standby.go
+++ b/internal/daemon/standby.go
@@ -20,23 +20,24 @@
 )
 
 const (
-	// leaderStateBytes is the largest state that is read of the leader.
+	// leaderStateBytes is the largest response of the leader that is read.
 	leaderStateBytes = 256 << 20
 
-	// leaderPollWait is the preference for how long the leader holds a long poll for a change. It is short, since each
+	// leaderPollWait is the preferred wait of a long poll of the leader's state, in seconds. It is short, since each
 	// response renews the leader's lease.
 	leaderPollWait = "wait=1"
 
-	// leaderPollTimeout is the time after which a poll without a response has failed.
+	// leaderPollTimeout is the time after which a poll without a response fails.
 	leaderPollTimeout = 3 * time.Second
 
-	// leaderRetryDelay is the time from a failed poll to the next one.
+	// leaderRetryDelay is the pause between a failed poll and the next one.
 	leaderRetryDelay = 200 * time.Millisecond
 )
 
-// standbyReplica makes this controller the standby of a leader. It replicates the leader's state by long polls and
-// holds the endpoint list back. When a proxy polls that the leader does not serve, or whose leader's lease ran out,
-// it becomes active: the controller takes the replicated state and the list over and serves from then on.
+// standbyReplica makes this controller the standby of a leader. It replicates the leader's state by long polls, and
+// stores the endpoint list without passing it to the controller. It becomes active when a proxy polls that the leader
+// does not serve, or when a proxy polls after the leader's lease has expired: the controller then gets the replicated
+// state and the list, and serves from then on.
 type standbyReplica struct {
 	loop          *controllerLoop
 	log           zerolog.Logger
@@ -47,28 +48,28 @@
 	mu             sync.Mutex
 	lease          *standby.Standby
 	replica        stateReplica
-	endpoints      []controller.Endpoint
-	endpointsKnown bool
-	lastError      string // of the last poll of the leader; empty: it succeeded
-	takeoverMs     float64
+	endpoints      []controller.Endpoint // the last list
+	endpointsKnown bool                  // a list was received
+	lastError      string                // of the last poll of the leader; empty: it succeeded
+	takeoverMs     float64               // duration of the takeover
 }
 
 // standbyConfig configures a standbyReplica.
 type standbyConfig struct {
 	leaderURL string
 	tls       *tls.Config // nil: plain
-	leaseMs   float64     // how long the leader's last response is relied on
-	coldMs    float64     // guard.cold_ms, by which hosts taken over may still be warming up
+	leaseMs   float64     // how long a response renews the leader's lease
+	coldMs    float64     // guard.cold_ms: how long after its start a host is warming up
 }
 
 // StandbyReport is the standby's part of the status document.
 type StandbyReport struct {
-	Live    bool    `json:"live"`  // it is active
-	Fresh   bool    `json:"fresh"` // the leader's lease is valid
-	Proxies int     `json:"proxies"`
+	Live    bool    `json:"live"`         // it is active
+	Fresh   bool    `json:"fresh"`        // the leader's lease is valid
+	Proxies int     `json:"proxies"`      // proxies in the replicated state
 	Sent    int64   `json:"sent_back"`    // polls rejected because the leader serves the proxy
 	Failed  string  `json:"failed"`       // why the last poll of the leader failed; empty: it succeeded
-	TookMs  float64 `json:"took_over_ms"` // duration of the takeover
+	TookMs  float64 `json:"took_over_ms"` // duration of the takeover; 0: there was none
 }
 
 func newStandbyReplica(cfg standbyConfig, loop *controllerLoop, log zerolog.Logger) (*standbyReplica, error) {
@@ -86,8 +87,8 @@
 	}, nil
 }
 
-// run polls the leader until the context ends. It goes on when the standby is active, since proxies that the leader
-// serves are still rejected then.
+// run polls the leader until the context ends. It continues while the standby is active, since the standby still
+// rejects proxies that the leader serves.
 func (s *standbyReplica) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := s.pollLeader(ctx)
@@ -102,7 +103,7 @@
 	}
 }
 
-// noteResult keeps the result of a poll for the report, and logs when polls begin to fail or to succeed again.
+// noteResult records the result of a poll for the report, and logs when polls begin to fail or to succeed again.
 func (s *standbyReplica) noteResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// pollLeader makes one long poll, and renews the leader's lease by its response.
+// pollLeader makes one long poll, applies the response to the replica, and renews the leader's lease.
 func (s *standbyReplica) pollLeader(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, leaderPollTimeout)
 	defer cancel()
@@ -157,8 +158,8 @@
 	return header
 }
 
-// setEndpoints takes the endpoint list: the controller gets it at once where the standby is active, and at the
-// takeover otherwise.
+// setEndpoints stores the endpoint list, and passes it to the controller if the standby is active; otherwise the
+// takeover does. The error is that of controllerLoop.setEndpoints.
 func (s *standbyReplica) setEndpoints(endpoints []controller.Endpoint) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,8 +171,8 @@
 	return nil
 }
 
-// shouldServe tells whether a proxy that polls is served here, and if not, after what time it may poll again. The
-// first proxy that is served makes the standby active.
+// shouldServe reports whether the standby serves a proxy that polls, and if not, after which time the proxy may poll
+// again. The first proxy that is served makes the standby active.
 func (s *standbyReplica) shouldServe(proxy string) (serve bool, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,8 +184,8 @@
 	return serve, milliseconds(retryAfterMs)
 }
 
-// takeOver gives the controller the replicated state and the endpoint list. A failure costs that knowledge, but the
-// proxies are served all the same. The caller holds the mutex.
+// takeOver passes the replicated state and the endpoint list to the controller. If either is rejected, the error is
+// logged and the proxies are served without it. The caller holds the mutex.
 func (s *standbyReplica) takeOver() {
 	began := time.Now()
 	replicated := s.replica.state
@@ -210,7 +211,7 @@
 		Msg("taking over")
 }
 
-// report gives the status; nil where this controller is no standby.
+// report returns the standby's status, or nil if this controller is not a standby.
 func (s *standbyReplica) report() *StandbyReport {
 	if s == nil {
 		return nil
--- a/internal/daemon/state_publisher.go
+++ b/internal/daemon/state_publisher.go
@@ -19,10 +19,10 @@
 	// statePath is where the leader serves its state to standbys.
 	statePath = "/v1/state"
 
-	// stateRefreshInterval is the shortest time between two snapshots of the controller's state for standbys.
+	// stateRefreshInterval is the shortest time between two snapshots of the controller's state for its standbys.
 	stateRefreshInterval = 500 * time.Millisecond
 
-	// maxStateVersions is how many versions of the state are cached as bases of deltas.
+	// maxStateVersions bounds the versions of the state that are cached as bases of deltas.
 	maxStateVersions = 8
 
 	// maxStateWaitSeconds is the longest time that a standby's long poll is held, in seconds.
@@ -41,11 +41,12 @@
 	mu          sync.Mutex
 	refreshedAt time.Time
 	version     int64            // number of the newest of versions
-	versions    []*statepb.State // the last ones, the newest last
+	versions    []*statepb.State // the newest last, at most maxStateVersions
 }
 
-// refresh adds a version where the state changed, at most once per stateRefreshInterval. The new version is the last
-// one with the difference applied, as standbys have it, rather than the snapshot. The caller holds the mutex.
+// refresh adds a version if the state has changed, at most once per stateRefreshInterval. The new version is the last
+// one with the delta applied, and not the snapshot itself, so that it equals what standbys get by applying the delta.
+// The caller holds the mutex.
 func (p *statePublisher) refresh() {
 	if time.Since(p.refreshedAt) < stateRefreshInterval {
 		return
@@ -71,13 +72,13 @@
 	}
 }
 
-// tag gives the entity tag of a version, without quotes.
+// tag returns the entity tag of a version, without quotes.
 func (p *statePublisher) tag(version int64) string {
 	return fmt.Sprintf("%s-state-%d", p.incarnation, version)
 }
 
-// respond gives the reply to a standby that has the versions of these tags; acceptDelta tells whether it takes a
-// delta. changed is false where it has the newest version, and the reply is then 304 Not Modified.
+// respond returns the reply to a standby that has the versions with these tags; acceptDelta says whether it accepts a
+// delta. changed is false if it has the newest version: the reply is then 304 Not Modified.
 func (p *statePublisher) respond(tags []string, acceptDelta bool) (reply http1.Reply, changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,7 +122,7 @@
 	return http1.Reply{Status: status, Header: header, Body: body}
 }
 
-// serve handles a standby's long poll: it replies as soon as there is a newer version, or when the wait is over.
+// serve handles a standby's long poll. It replies as soon as there is a newer version, or when the wait is over.
 func (p *statePublisher) serve(request *http1.Request) http1.Reply {
 	tags, _ := entityTags(request.Header)
 	seconds, _ := preferredWait(request.Header)
@@ -149,7 +150,7 @@
 	canceled bool
 }
 
-// check replies where the wait is over or the state has changed, and otherwise checks again later.
+// check replies if the wait is over or the state has changed, and otherwise schedules the next check.
 func (p *statePoll) check() {
 	if p.isCanceled() {
 		return
@@ -163,7 +164,7 @@
 	p.held.Answer(reply)
 }
 
-// cancel ends the poll when the standby closed its connection.
+// cancel ends the poll after the standby has closed its connection.
 func (p *statePoll) cancel() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/daemon/state_replica.go
+++ b/internal/daemon/state_replica.go
@@ -12,13 +12,13 @@
 	"barleysail/state/statepb"
 )
 
-// stateReplica is a standby's copy of the leader's state, kept up to date by the responses to its polls.
+// stateReplica is a standby's copy of the leader's state. The responses to the standby's polls update it.
 type stateReplica struct {
 	tag   string         // entity tag of state, with quotes; empty: the next poll asks for a snapshot
-	state *statepb.State // nil: none was received yet
+	state *statepb.State // nil: no state was received yet
 }
 
-// apply takes a response of the leader and tells whether it changed the state. After a delta that cannot be applied
+// apply applies a response of the leader and reports whether it changed the state. After a delta that cannot be applied
 // the next poll asks for a snapshot.
 func (r *stateReplica) apply(response *http1.Response) (changed bool, err error) {
 	switch response.Status {
--- a/internal/daemon/status_api.go
+++ b/internal/daemon/status_api.go
@@ -17,7 +17,7 @@
 	Kept     *PersisterReport         `json:"kept,omitempty"`
 	Standby  *StandbyReport           `json:"standby,omitempty"`
 	Identity *IdentityReport          `json:"identity,omitempty"`
-	Gap      *solver.Gap              `json:"gap,omitempty"` // to the best tables, where hosts state their cores
+	Gap      *solver.Gap              `json:"gap,omitempty"` // to the optimal tables; only if hosts state their cores
 }
 
 func (a *api) getStatus(*http1.Request) http1.Reply {
@@ -32,13 +32,13 @@
 	})
 }
 
-// IngestReport is the document on the reports that come in, and the memory in use.
+// IngestReport is the document on the ingest of reports and the memory in use.
 type IngestReport struct {
 	controller.IngestReport
 	Door         intake.RateLimiterReport `json:"door"`
 	HeapBytes    uint64                   `json:"heap_bytes"`
-	LinesMost    float64                  `json:"lines_waiting_most"` // most updates queued for proxies, since the start
-	GuardRefused int                      `json:"guard_refused"`      // how often validation began to reject tables
+	LinesMost    float64                  `json:"lines_waiting_most"` // peak backlog of the control channel, in entries
+	GuardRefused int                      `json:"guard_refused"`      // times that the validator began to repair
 }
 
 func (a *api) getIngestReport(*http1.Request) http1.Reply {
@@ -54,7 +54,7 @@
 	})
 }
 
-// getFleet gives the fleet as the solver's problem.
+// getFleet returns the fleet as the solver's problem.
 func (a *api) getFleet(*http1.Request) http1.Reply {
 	problem := a.loop.listedProblem()
 	if problem == nil {
--- a/internal/daemon/table_polls.go
+++ b/internal/daemon/table_polls.go
@@ -12,11 +12,12 @@
 	"barleysail/internal/http1"
 )
 
-// noWait is the PollRequest.WaitMs of a poll that wants its response at once.
+// noWait is the controller.PollRequest.WaitMs of a poll that has to get its response at once.
 const noWait = -1
 
-// pollTables handles a proxy's long poll for its tables. By GET the proxy names the versions that it has by entity
-// tags; by POST it sends the tables of another controller that it has cached.
+// pollTables handles a proxy's long poll for its tables. With GET the proxy names the versions that it has by entity
+// tags; with POST it sends the tables that it has cached from another controller. A standby rejects a proxy that its
+// leader serves, with status 503 and Retry-After.
 func (a *api) pollTables(request *http1.Request) http1.Reply {
 	poll, err := readPollRequest(request)
 	if err != nil {
@@ -43,14 +44,13 @@
 	return a.startPoll(request, poll)
 }
 
-// startPoll passes a poll to the controller and holds the request until the response.
+// startPoll passes a poll to the controller and keeps the request pending until the response.
 func (a *api) startPoll(request *http1.Request, poll controller.PollRequest) http1.Reply {
 	seconds, preferred := preferredWait(request.Header)
 	var id int64
 	held := request.Hold(func() { a.loop.cancelPoll(poll.Proxy, id) })
 	deliver := func(response controller.Response) {
-		// The body is made by the connection's goroutine, so that a response to many proxies does not delay the
-		// controller.
+		// The connection's goroutine encodes the body, so that responses to many proxies do not delay the controller.
 		held.Answer(http1.Reply{Make: func() http1.Reply {
 			return a.signTables(response, tablesReply(response, seconds, preferred))
 		}})
@@ -62,7 +62,7 @@
 	return http1.Reply{Held: held}
 }
 
-// readPollRequest reads a poll from the request's path, query and header.
+// readPollRequest decodes a poll from the request's path, query and header. The error is a *controller.FieldError.
 func readPollRequest(request *http1.Request) (controller.PollRequest, error) {
 	poll := controller.PollRequest{
 		Proxy:       request.Params["proxy"],
@@ -84,7 +84,7 @@
 	return poll, nil
 }
 
-// cachedTablesBody is the document of the tables that a proxy has cached: the one it was given, and its tag.
+// cachedTablesBody is the document of the tables that a proxy has cached: the last document that it got, and its tag.
 type cachedTablesBody struct {
 	Tag    string               `json:"tag"`
 	Proxy  string               `json:"proxy"`
@@ -95,10 +95,11 @@
 type tableBody struct {
 	Hosts map[string]float64 `json:"hosts"` // weights
 	Share *float64           `json:"share"` // admission ratio; absent: 1
-	Tries *int               `json:"tries"` // maximum of attempts; absent: 1
+	Tries *int               `json:"tries"` // maximum number of attempts; absent: 1
 }
 
-// readCachedTables reads a cachedTablesBody. Classes and hosts are taken in the order of their names.
+// readCachedTables decodes a cachedTablesBody. It returns classes and hosts in the order of their names. The error is
+// that of readJSON.
 func readCachedTables(request *http1.Request) (*controller.CachedTables, error) {
 	var body cachedTablesBody
 	if err := readJSON(request, &body); err != nil {
@@ -126,8 +127,8 @@
 	return table
 }
 
-// tablesReply gives a response of the controller as a reply, by RFC 9110 (304 and ETag), RFC 3229 (226, IM and
-// Delta-Base) and RFC 7240 (Preference-Applied, where a wait of so many seconds was preferred).
+// tablesReply encodes a response of the controller as a reply, by RFC 9110 (304 and ETag), RFC 3229 (226, IM and
+// Delta-Base) and RFC 7240 (Preference-Applied, if the request preferred a wait of this many seconds).
 func tablesReply(response controller.Response, seconds float64, preferred bool) http1.Reply {
 	header := http1.Header("Etag", `"`+response.Tag+`"`, "Cache-Control", "no-store", "Vary", "A-IM, Prefer")
 	if preferred {
--- a/internal/daemon/table_signature.go
+++ b/internal/daemon/table_signature.go
@@ -8,12 +8,13 @@
 	"barleysail/internal/tablesig"
 )
 
-// signatureValidity is how long a signature may be used to accept the tables as new. Tables that were accepted stay
-// in use for longer.
+// signatureValidity is how long proxies accept new tables by a signature. A proxy may use tables that it has accepted
+// for longer.
 const signatureValidity = 5 * time.Minute
 
-// signTables adds the signature of the tables that a proxy has after it applied the response. It is made by the
-// daemon's credentials; without them, and where the response changes nothing, the reply stays as it is.
+// signTables adds to a reply the signature, by the daemon's credentials, of the tables that the proxy has once it has
+// applied the response. It returns the reply unchanged if the daemon has no credentials or the response changes
+// nothing, and an error reply if the tables cannot be signed.
 func (a *api) signTables(response controller.Response, reply http1.Reply) http1.Reply {
 	if a.credentials == nil || response.Kind == controller.NotModified {
 		return reply
