--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,7 +1,7 @@
-// Package instance puts a routing.Balancer to work for one controller: it translates the settings into the balancer's
-// own configuration, and the names of hosts, zones and request classes into the small indices that the balancer works
-// by. The bench's adapter (cmd/simadapter) and the node (internal/platform) both use it. It decides nothing, keeps no
-// time and does no I/O.
+// Package instance sets up a routing.Balancer for one controller. It translates the settings to the balancer's
+// configuration, and the names of hosts, zones and request classes to the small indices that the balancer uses. The
+// simulator's adapter (cmd/simadapter) and the node (internal/platform) share it. It makes no decision, reads no clock
+// and does no I/O.
 package instance
 
 import (
@@ -12,32 +12,34 @@
 	"barleysail/routing"
 )
 
-// The settings give durations in microseconds, the balancer takes milliseconds.
+// microsecondsPerMs converts durations: the settings are in microseconds, the balancer uses milliseconds.
 const microsecondsPerMs = 1000
 
-// UnsupportedSettingError says that the settings ask for something that this program does not implement.
+// UnsupportedSettingError is the error of a setting that is valid but not implemented.
 type UnsupportedSettingError struct {
 	Field  string // path of the setting, such as FamilyInfo.Shards
-	Value  int
+	Value  int    // of the setting
 	Reason string
 }
 
+// Error returns the field, its value and the reason.
+
 func (e *UnsupportedSettingError) Error() string {
 	return fmt.Sprintf("Start: setting %s is %d: %s", e.Field, e.Value, e.Reason)
 }
 
-// Instance is a controller's balancer together with the names behind the balancer's indices. The balancer is embedded
-// since callers drive it directly: an Instance adds names to it and hides nothing of it. Like the balancer, it belongs
-// to one goroutine; only the zones and request classes, which never change, may be looked up from any.
+// Instance is a controller's balancer together with the names for the balancer's indices. It embeds the balancer since
+// callers use it directly: an Instance only adds names. Like the balancer it is not safe for concurrent use, except for
+// ZoneIndex and ClassIndex: zones and request classes never change.
 type Instance struct {
 	*routing.Balancer
-	zones   map[string]int
-	classes map[string]int
+	zones   map[string]int // index by name
+	classes map[string]int // index by name
 	hosts   interner.Interner
 }
 
-// New starts a balancer by settings that simwire.ReadSettings has checked. The seed is that of the balancer's random
-// draws. An UnsupportedSettingError names a setting that is valid and not implemented.
+// New returns an instance for settings that simwire.ReadSettings has validated. The seed is that of the balancer's
+// random draws. The error is an *UnsupportedSettingError.
 func New(settings *simwire.Settings, seed uint64) (*Instance, error) {
 	if shards := settings.FamilyInfo.Shards; shards > 0 {
 		return nil, &UnsupportedSettingError{Field: "FamilyInfo.Shards", Value: shards, Reason: "slices are not served yet"}
@@ -75,7 +77,7 @@
 }
 
 func requestClasses(settings *simwire.Settings) []routing.RequestClass {
-	zoneLocal := settings.FamilyInfo.StaysLocal // by class; may be shorter than the classes are many
+	zoneLocal := settings.FamilyInfo.StaysLocal // by class; the last classes may be missing
 	var classes []routing.RequestClass
 	for index, service := range settings.Services {
 		classes = append(classes, routing.RequestClass{
@@ -120,11 +122,11 @@
 	}
 }
 
-// HostIndex returns the index of a host and assigns one, the lowest that is free, to a name not met before.
+// HostIndex returns the index of a host. It assigns the lowest free index to a host without one.
 func (i *Instance) HostIndex(name string) int { return i.hosts.Index(name) }
 
-// ReleaseHost forgets a removed host and frees its index for another host. It returns false, and keeps everything,
-// while a table or a health check in flight still refers to the host.
+// ReleaseHost forgets a removed host and frees its index for another host. It returns false and changes nothing if a
+// table or a health check in flight still refers to the host.
 func (i *Instance) ReleaseHost(host int) bool {
 	if !i.ForgetHost(host) {
 		return false
@@ -133,32 +135,33 @@
 	return true
 }
 
-// LookupHost returns the index of a host that has one.
+// LookupHost returns the index of a host, and reports whether it has one.
 func (i *Instance) LookupHost(name string) (int, bool) {
 	index, ok := i.hosts.IndexOf[name]
 	return index, ok
 }
 
-// HostIndexCount returns how many host indices there are, free ones included: all are below it.
+// HostIndexCount returns the number of host indices, including free ones. Every host index is less than it.
 func (i *Instance) HostIndexCount() int { return len(i.hosts.Names) }
 
-// HostID returns the name of the host with the index, empty for a free one.
+// HostID returns the name of the host with an index, or an empty string for a free index.
 func (i *Instance) HostID(host int) string { return i.hosts.Names[host] }
 
-// ZoneIndex returns the index of a zone of the settings.
+// ZoneIndex returns the index of a zone, and reports whether it is in the settings.
 func (i *Instance) ZoneIndex(name string) (int, bool) {
 	index, ok := i.zones[name]
 	return index, ok
 }
 
-// ClassIndex returns the index of a request class of the settings.
+// ClassIndex returns the index of a request class, and reports whether it is in the settings.
 func (i *Instance) ClassIndex(name string) (int, bool) {
 	index, ok := i.classes[name]
 	return index, ok
 }
 
-// Load makes a load report of the values that a host has reported by name; value returns one below 0 for a name that
-// was not reported.
+// Load returns a load report of the values that a host has reported: "util", the utilization as a ratio; "qps", the
+// requests per second; and "queue", the requests that wait. value returns the reported value of a name, or a value
+// below 0 for a name that was not reported.
 func Load(value func(name string) float64) routing.HostLoad {
 	return routing.HostLoad{Utilization: value("util"), RequestRate: value("qps"), QueueLength: value("queue")}
 }
