--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -1,6 +1,6 @@
-// Package resp reads and writes messages that are framed by RESP2 as arrays of bulk strings. It owns the framing alone:
-// what the words of a message mean is the caller's. What it reads is bounded: a peer that announces impossible lengths,
-// or whose message never ends, costs no more memory than the bytes it has sent within the limits.
+// Package resp reads and writes messages in the framing of RESP2 (the Redis serialization protocol, version 2), as
+// arrays of bulk strings. It owns the framing only; the caller interprets the words of a message. The size of a message
+// is bounded: a peer that announces a very long message uses no more memory than the bytes that it has really sent.
 package resp
 
 import (
@@ -16,46 +16,48 @@
 	arrayPrefix  = '*' // first byte of the line that announces how many bulk strings follow
 	bulkPrefix   = '$' // first byte of the line that announces how many bytes a bulk string has
 	lineEnd      = "\r\n"
-	lineOverhead = 1 + len(lineEnd) // bytes of a length line besides its digits
+	lineOverhead = 1 + len(lineEnd) // bytes of a length line other than its digits
 
-	// maxDigits bounds the digits of a length, leading zeros included; the number then fits into an int.
+	// maxDigits bounds the digits of a length, including leading zeros, so that the number fits into an int.
 	maxDigits = 13
 
 	readBufferBytes = 2048 // most messages fit
-	bulkChunkBytes  = 512  // a bulk string is allocated as it arrives, by so much at once
+	bulkChunkBytes  = 512  // size of the chunks in which a bulk string is read and allocated
 )
 
 // Limits bound one message.
 type Limits struct {
-	Words int // bulk strings in an array
-	Bytes int // of the whole message, framing included
+	Words int // bulk strings of the array
+	Bytes int // of the whole message, including its framing
 }
 
-// ProtocolError says why bytes are not a message. Nothing after them can be read either: the peer's next message cannot
-// be found.
+// ProtocolError is the error of bytes that are not a message within the limits. The connection cannot be read any
+// further, since the start of the next message is unknown.
 type ProtocolError struct {
 	Reason string
 }
 
+// Error returns the reason.
 func (e *ProtocolError) Error() string { return e.Reason }
 
 func protocolErrorf(format string, args ...any) error {
 	return &ProtocolError{Reason: fmt.Sprintf(format, args...)}
 }
 
-// Reader reads messages from a connection.
+// Reader reads messages from a connection. It is not safe for concurrent use.
 type Reader struct {
 	buffer    *bufio.Reader
-	bytesLeft int // that the message being read may still have
+	bytesLeft int // bytes that the current message may still have
 }
 
-// NewReader returns a Reader of what comes in from source.
+// NewReader returns a Reader that reads from source.
 func NewReader(source io.Reader) *Reader {
 	return &Reader{buffer: bufio.NewReaderSize(source, readBufferBytes)}
 }
 
-// Read reads one message and returns its words, for which it uses the memory of the slice given. A *ProtocolError means
-// that the bytes are no message within the limits; io.EOF comes only between messages, io.ErrUnexpectedEOF within one.
+// Read reads one message and returns its words in the memory of the given slice, whose content it overwrites. The error
+// is a *ProtocolError if the bytes are not a message within the limits, io.EOF if the input ends between two messages,
+// io.ErrUnexpectedEOF if it ends within one, or another error of the source.
 func (r *Reader) Read(words []string, limits Limits) ([]string, error) {
 	r.bytesLeft = limits.Bytes
 	count, err := r.readLength(arrayPrefix, limits.Words)
@@ -77,7 +79,7 @@
 	return words, nil
 }
 
-// withinMessage makes an end of the input, which is regular between messages, an unexpected one.
+// withinMessage converts io.EOF, which is regular only between two messages, to io.ErrUnexpectedEOF.
 func withinMessage(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -85,13 +87,14 @@
 	return err
 }
 
-// readLength reads a line that announces a length: its prefix, digits, CR LF.
+// readLength reads a line with a length: a prefix, digits, CR LF. The error for a length above limit, or beyond the
+// bytes that the message may still have, is a *ProtocolError.
 func (r *Reader) readLength(prefix byte, limit int) (int, error) {
 	first, err := r.buffer.ReadByte()
 	if err != nil {
 		return 0, err
 	}
-	if first != prefix { // refused at the first byte: what follows might never end in a line
+	if first != prefix { // an error at once: the rest of the line might never arrive
 		return 0, protocolErrorf("%q stands where %q is due", first, prefix)
 	}
 	length, digits, err := r.readDigits()
@@ -112,7 +115,7 @@
 	return length, nil
 }
 
-// readDigits reads a decimal number up to and with the CR that ends it, and returns how many digits it has.
+// readDigits reads a decimal number and the CR that ends it. It returns the number and how many digits it has.
 func (r *Reader) readDigits() (number, digits int, err error) {
 	for {
 		next, err := r.buffer.ReadByte()
@@ -130,8 +133,8 @@
 	}
 }
 
-// readBulk reads the bytes of a bulk string and the line end after them. It allocates what has arrived, not what was
-// announced.
+// readBulk reads the bytes of a bulk string and the line end after them. It allocates memory for the bytes that have
+// arrived, not for the announced size.
 func (r *Reader) readBulk(size int) (string, error) {
 	r.bytesLeft -= size + len(lineEnd)
 	if r.bytesLeft < 0 {
@@ -140,8 +143,8 @@
 	var body bytes.Buffer
 	var chunk [bulkChunkBytes]byte
 	for body.Len() < size {
-		n, err := io.ReadFull(r.buffer, chunk[:min(size-body.Len(), len(chunk))])
-		body.Write(chunk[:n])
+		count, err := io.ReadFull(r.buffer, chunk[:min(size-body.Len(), len(chunk))])
+		body.Write(chunk[:count])
 		if err != nil {
 			return "", err
 		}
@@ -158,7 +161,7 @@
 	return body.String(), nil
 }
 
-// Append appends a message of the words to destination and returns the extended slice.
+// Append appends a message with the words to destination and returns the extended slice.
 func Append(destination []byte, words ...string) []byte {
 	destination = appendLength(destination, arrayPrefix, len(words))
 	for _, word := range words {
