--- a/internal/deadlinequeue/queue.go
+++ b/internal/deadlinequeue/queue.go
@@ -1,5 +1,5 @@
-// Package deadlinequeue is a priority queue of items by the time at which they are due. It owns the order of the items
-// alone: it reads no clock and starts no timer, and the caller says what time it is.
+// Package deadlinequeue provides a priority queue of items that are ordered by the time at which they are due. It owns
+// only the order of the items: it reads no clock and starts no timer, and the caller passes the time.
 package deadlinequeue
 
 import (
@@ -7,8 +7,9 @@
 	"math"
 )
 
-// Queue holds items until they are due. Items due at the same time leave in the order in which they were scheduled.
-// Times are milliseconds on a clock of the caller's. The zero value is an empty queue.
+// Queue holds items until they are due. Items that are due at the same time are popped in the order in which they were
+// scheduled. Times are in milliseconds on a clock of the caller. The zero value is an empty queue; a Queue is not safe
+// for concurrent use.
 type Queue[T any] struct {
 	heap      itemHeap[T]
 	scheduled int64 // items scheduled so far
@@ -16,7 +17,7 @@
 
 type item[T any] struct {
 	dueMs    float64
-	sequence int64
+	sequence int64 // order of scheduling
 	value    T
 }
 
@@ -26,7 +27,7 @@
 	heap.Push(&q.heap, item[T]{dueMs, q.scheduled, value})
 }
 
-// Pop removes the earliest item that is due by nowMs. It reports false where none is due yet.
+// Pop removes and returns the earliest item that is due by nowMs. ok is false if none is due yet.
 func (q *Queue[T]) Pop(nowMs float64) (value T, ok bool) {
 	if len(q.heap) == 0 || q.heap[0].dueMs > nowMs {
 		return value, false
@@ -34,7 +35,7 @@
 	return heap.Pop(&q.heap).(item[T]).value, true
 }
 
-// Next is the time at which the earliest item is due, +Inf where the queue is empty.
+// Next returns the time in ms at which the earliest item is due, or +Inf if the queue is empty.
 func (q *Queue[T]) Next() float64 {
 	if len(q.heap) == 0 {
 		return math.Inf(1)
