--- a/internal/interner/interner.go
+++ b/internal/interner/interner.go
@@ -1,21 +1,21 @@
-// Package interner maps names to small integers and back, for code that keeps its state in slices by index. It owns the
-// mapping alone: what is kept by an index is the caller's to clear before the index is released.
+// Package interner maps names to small integers and back, for code that stores its state in slices by index. It owns
+// only the mapping: the caller has to clear what it stores by an index before it releases the index.
 package interner
 
 import "container/heap"
 
-// Interner gives each name an index, the lowest free one, so that slices by index stay as small as the number of names
-// in use at once. IndexOf and Names are for reading only.
+// Interner assigns the lowest free index to each name, so that slices by index are no longer than the largest number of
+// names that were in use at once. Callers may only read IndexOf and Names. It is not safe for concurrent use.
 type Interner struct {
-	IndexOf map[string]int
-	Names   []string // by index, empty for a free index
+	IndexOf map[string]int // by name
+	Names   []string       // by index, empty for a free index
 	free    indexHeap
 }
 
-// New makes an empty interner.
+// New returns an empty interner.
 func New() Interner { return Interner{IndexOf: map[string]int{}} }
 
-// Index is the index of a name. A name without an index gets one.
+// Index returns the index of a name. It assigns the lowest free index to a name without one.
 func (n *Interner) Index(name string) int {
 	if index, ok := n.IndexOf[name]; ok {
 		return index
@@ -31,8 +31,8 @@
 	return index
 }
 
-// Release makes the index of a name free for another name; a name without an index is ignored. The caller makes sure
-// that nothing refers to the index any more.
+// Release frees the index of a name for another name; it ignores a name without an index. The caller has to ensure that
+// nothing refers to the index any more.
 func (n *Interner) Release(name string) {
 	index, ok := n.IndexOf[name]
 	if !ok {
