--- a/controller/acks.go
+++ b/controller/acks.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// noStamp in place of a version stamp: the message needs no acknowledgement.
+// noStamp is used instead of a version stamp for a message that needs no acknowledgement.
 const noStamp = 0
 
-// acknowledge takes the newest version that the tags name as applied by the proxy, with all before it, and returns its
-// number, 0 where no tag names a version of the history. A tag of another incarnation that was not carried over, or of
-// a version that this proxy was never given, acknowledges nothing.
+// acknowledge records that the proxy has applied the newest version that the tags name, with all before it, and returns
+// its number, 0 if no tag names a version of the history. A tag of another incarnation that was not carried over, or of
+// a version that this proxy never got, acknowledges nothing.
 //
-// The balancer learns of each stamp at once: it counts the messages to each proxy by themselves until that proxy
-// acknowledges them, so what waits in the channel for other proxies does not matter.
+// The balancer is notified of each stamp at once: it counts the unacknowledged messages for each proxy separately, so
+// messages that are queued for other proxies do not matter.
 func (c *Controller) acknowledge(session *session, tags []string) int64 {
 	newest := c.newestTagged(session, tags)
 	for _, stamp := range session.acknowledge(newest) {
@@ -22,7 +22,7 @@
 	return newest
 }
 
-// newestTagged is the number of the newest version of the history that one of the tags names, 0 where none does.
+// newestTagged returns the number of the newest version of the history that one of the tags names, 0 if none does.
 func (c *Controller) newestTagged(session *session, tags []string) int64 {
 	newest := int64(0)
 	for _, tag := range tags {
@@ -38,8 +38,8 @@
 	return newest
 }
 
-// acknowledge notes that the proxy has applied a version, with all before it, and returns their stamps in the order in
-// which they were sent. Each stamp is returned once.
+// acknowledge records that the proxy has applied a version, with all before it, and returns their stamps in the order
+// in which they were sent. It returns each stamp only once.
 func (s *session) acknowledge(number int64) []int {
 	if number <= s.ackedVersion {
 		return nil
--- a/controller/channel.go
+++ b/controller/channel.go
@@ -7,26 +7,26 @@
 	"barleysail/routing"
 )
 
-// controlChannel is the path of updates to the proxies, as the balancer counts it: messages leave one after the other
-// at the rate of the settings, each at the cost of its entries and its overhead. Queued messages with a removal leave
-// before the others. The messages of one proxy keep their order, since it has one queued message at most, which later
-// updates join.
+// controlChannel models the channel of updates to the proxies as the balancer does: messages are sent one after the
+// other at the configured rate, and each takes as long as its entries and its overhead need. Queued messages with a
+// removal are sent before the others. The messages to one proxy keep their order, since at most one is queued, to which
+// later updates are added.
 type controlChannel struct {
 	entriesPerMs    float64
 	messageOverhead float64 // of a message, in entries
-	cost            float64 // of the whole rate used all the time, as a part of the result
+	cost            float64 // of using the whole rate all the time, as a ratio of the objective
 	maxMessages     int     // to a proxy within messageWindowMs; 0: no limit
 	messageWindowMs float64
 	maxBacklog      float64 // in entries
 
 	removals, updates []*updateMessage // queues; a message stays in updates when a removal puts it into removals as well
-	inFlight          *updateMessage   // is leaving; nil: none is
-	busyUntilMs       float64          // when it has left
-	queuedEntries     float64          // of queued messages, with their overhead
-	peakBacklog       float64
+	inFlight          *updateMessage   // being sent; nil: none
+	busyUntilMs       float64          // when the message in flight is sent
+	queuedEntries     float64          // of queued messages, including their overhead
+	peakBacklog       float64          // largest backlog so far, in entries
 }
 
-// Entries that a message holds besides those of the tables, as the balancer counts them.
+// Entries of a message in addition to those of the tables, as the balancer counts them.
 const (
 	stampEntries      = 1 // the version stamp of a message
 	assignmentEntries = 1 // the assignment of a table
@@ -36,7 +36,7 @@
 type updateMessage struct {
 	session    *session
 	entries    float64
-	stamps     []int // of the rounds with an update in the message
+	stamps     []int // of the rounds whose updates the message contains
 	hasRemoval bool
 	dropped    bool // the proxy has disconnected
 }
@@ -53,8 +53,8 @@
 	}
 }
 
-// enqueue adds entries to the queued message of a proxy, or queues a new one. The stamp is acknowledged with the
-// message.
+// enqueue adds entries to the queued message of a proxy, or queues a new message if there is none. The proxy
+// acknowledges the stamp together with the message.
 func (c *controlChannel) enqueue(session *session, entries float64, hasRemoval bool, stamp int) {
 	message := session.queuedMessage
 	if message == nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// unqueue takes a message that is about to leave or to be dropped off the backlog. The queues skip it from then on.
+// unqueue removes a message that is to be sent or dropped from the backlog. From then on the queues skip it.
 func (c *controlChannel) unqueue(message *updateMessage) {
 	message.session.queuedMessage = nil
 	c.queuedEntries -= message.entries + c.messageOverhead
@@ -92,8 +92,8 @@
 	}
 }
 
-// dequeue takes the next message that may leave: removals first, each queue in its order, none beyond the limit on
-// messages to its proxy. It gives nil where there is none.
+// dequeue removes and returns the next message that may be sent, nil if there is none: removals first, each queue in
+// its order, and none beyond the limit of messages to its proxy.
 func (c *controlChannel) dequeue(nowMs float64) *updateMessage {
 	var message *updateMessage
 	message, c.removals = c.takeFrom(c.removals, nowMs, isQueued)
@@ -104,8 +104,8 @@
 	return message
 }
 
-// takeFrom takes the first message of a queue that may leave, and returns the rest of the queue without the messages
-// that are no longer valid in it.
+// takeFrom returns the first message of a queue that may be sent, and the rest of the queue without the messages that
+// are no longer valid in it.
 func (c *controlChannel) takeFrom(queue []*updateMessage, nowMs float64, valid func(*updateMessage) bool) (
 	taken *updateMessage, rest []*updateMessage) {
 	rest = queue[:0]
@@ -125,15 +125,15 @@
 	return nil, rest
 }
 
-// isQueued reports whether a message still waits in the channel.
+// isQueued reports whether a message is still queued in the channel.
 func isQueued(message *updateMessage) bool {
 	return !message.dropped && message.session.queuedMessage == message
 }
 
-// isQueuedUpdate reports whether a message still waits in the queue of messages without a removal.
+// isQueuedUpdate reports whether a message is still in the queue of messages without a removal.
 func isQueuedUpdate(message *updateMessage) bool { return isQueued(message) && !message.hasRemoval }
 
-// queued yields the messages that wait, each once.
+// queued yields each queued message once.
 func (c *controlChannel) queued() iter.Seq[*updateMessage] {
 	return func(yield func(*updateMessage) bool) {
 		for _, message := range c.removals {
@@ -149,7 +149,7 @@
 	}
 }
 
-// recentMessages counts the messages to a proxy within the window of the limit.
+// recentMessages returns the number of messages that were sent to a proxy within the window of the limit.
 func (c *controlChannel) recentMessages(session *session, nowMs float64) int {
 	for len(session.sentMs) > 0 && session.sentMs[0] <= nowMs-c.messageWindowMs {
 		session.sentMs = session.sentMs[1:]
@@ -163,7 +163,7 @@
 	return c.maxMessages == 0 || recent < c.maxMessages
 }
 
-// nextMs is the time at which the message in flight has left, or at which the next one may leave.
+// nextMs returns the time at which the message in flight is sent or, if there is none, the next one may be sent.
 func (c *controlChannel) nextMs() float64 {
 	if c.inFlight != nil {
 		return c.busyUntilMs
@@ -179,7 +179,7 @@
 	return next
 }
 
-// backlog counts the entries that wait or are in flight, with the overhead of their messages.
+// backlog returns the number of entries that are queued or in flight, including the overhead of their messages.
 func (c *controlChannel) backlog() float64 {
 	if c.inFlight != nil {
 		return c.queuedEntries + c.inFlight.entries + c.messageOverhead
@@ -187,7 +187,7 @@
 	return c.queuedEntries
 }
 
-// queuedMessages counts the messages that wait.
+// queuedMessages returns the number of queued messages.
 func (c *controlChannel) queuedMessages() int {
 	count := 0
 	for range c.queued() {
@@ -196,7 +196,7 @@
 	return count
 }
 
-// startNext puts the next message that may leave in flight, and reports whether there is one.
+// startNext starts to send the next message that may be sent, and reports whether there is one.
 func (c *controlChannel) startNext(nowMs float64) bool {
 	message := c.dequeue(nowMs)
 	if message == nil {
@@ -208,7 +208,7 @@
 	return true
 }
 
-// finish takes the message in flight where it has left by nowMs, else nil.
+// finish removes and returns the message in flight if it is sent by nowMs, and returns nil otherwise.
 func (c *controlChannel) finish(nowMs float64) *updateMessage {
 	if c.inFlight == nil || c.busyUntilMs > nowMs {
 		return nil
@@ -221,8 +221,8 @@
 	return message
 }
 
-// sendUpdates publishes the messages that have left the channel by now. A message carries the tables of its proxy as
-// they are when it leaves, so that one that has waited holds nothing outdated.
+// sendUpdates publishes the messages that are sent by now. A message contains the tables of its proxy at the time when
+// it is sent, so a message that was queued for long has no outdated content.
 func (c *Controller) sendUpdates() {
 	for {
 		if c.channel.inFlight == nil && !c.channel.startNext(c.nowMs) {
--- a/controller/config.go
+++ b/controller/config.go
@@ -2,22 +2,22 @@
 
 import "barleysail/routing"
 
-// RequestClass is a class of requests, in the order of the settings.
+// RequestClass is the configuration of a request class.
 type RequestClass struct {
 	Name string
 	routing.RequestClass
-	// MeanWorkMs is the mean work of a request in ms on a core of speed 1; 0 where it is not known. Solver weights, the
+	// MeanWorkMs is the mean work of a request in ms on a core of speed 1; 0 if it is not known. Solver weights, the
 	// capacity checks of the table validator and the plausibility checks of load reports need it.
 	MeanWorkMs float64
 }
 
-// Deployment describes what a controller is a part of.
+// Deployment describes the fleet of which a controller is a part.
 type Deployment struct {
-	Incarnation          string // names this run of the controller in its version tags, and is never used twice
+	Incarnation          string // unique name of this run of the controller, which its version tags contain
 	Seed                 uint64
 	Zones                []string
-	Controllers, Proxies int     // controllers, and proxies over all of them
-	ReportIntervalMs     float64 // at which a proxy sends its request statistics
+	Controllers, Proxies int     // number of controllers, and of the proxies of all of them
+	ReportIntervalMs     float64 // between two reports of a proxy's request stats
 	// ProxyEjectAfter and DefaultRetryPolicy are passed on to the balancer, see routing.Deployment.
 	ProxyEjectAfter, DefaultRetryPolicy              int
 	AdmissionControl, HealthChecks, WatchesEndpoints bool
@@ -25,10 +25,10 @@
 
 // Settings holds the settings of the library itself.
 type Settings struct {
-	MinRoundIntervalMs float64 // least time between two rounds of the balancer
-	MaxPollWaitMs      float64 // longest time for which a poll is left pending
-	// MinFirstPollWaitMs is the least time for which the poll of a proxy without tables is left pending, until the first
-	// tables are there.
+	MinRoundIntervalMs float64 // shortest time between two rounds of the balancer
+	MaxPollWaitMs      float64 // longest time for which a poll is pending
+	// MinFirstPollWaitMs is the shortest time for which the poll of a proxy without tables is pending, unless its first
+	// tables are published before.
 	MinFirstPollWaitMs     float64
 	SessionTimeoutMs       float64 // a proxy without a poll is disconnected after this time
 	RemovedHostRetentionMs float64 // a removed host is forgotten after this time
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -1,15 +1,15 @@
-// Package controller is the control plane as a library. Its input is the endpoint list, polls of proxies, their request
-// statistics, load reports of hosts, health check results, acknowledgements and overrides of operators, each with the
-// time at which it came. Package routing decides on the weights by it. Its output are numbered versions of the routing
-// tables, as snapshots or deltas, health checks to make, and log lines.
+// Package controller is the control plane as a library. Its inputs are the endpoint list, polls of proxies with their
+// acknowledgements, request stats of proxies, load reports of hosts, health check results, and overrides of operators,
+// each with the time at which it was received. Package routing decides on the weights. The outputs are numbered
+// versions of the routing tables, as snapshots or deltas, health checks to make, and log lines.
 //
 // The package owns the state of the proxies' sessions, the versions that they hold, the queue of updates to them, and
 // the endpoint list with the overrides of operators. It never does I/O, reads no clock and starts no goroutine, so the
-// same calls give the same answers. A Controller is not safe for concurrent use: a daemon calls it under a lock of its
-// own. Responses alone may be encoded by any goroutine.
+// same calls return the same results. A Controller is not safe for concurrent use: the daemon calls it under a mutex.
+// Only a Response may be encoded by any goroutine.
 //
-// Times are milliseconds with fractions, as float64, on one clock that only advances; their names end in Ms. After each
-// call the caller asks Next when to call Advance.
+// Times are milliseconds with fractions, as float64, on one clock that never goes back; their names end in Ms. After
+// each call the caller asks Next when to call Advance.
 package controller
 
 import (
@@ -21,19 +21,20 @@
 	"barleysail/routing"
 )
 
-// Effects takes the output of a call on a Controller. Its methods must not call the Controller.
+// Effects receives the output of a call on a Controller. Its methods must not call the Controller.
 type Effects interface {
-	// Respond answers a poll, by the id that the caller gave it. Each poll is answered at most once.
+	// Respond responds to the poll with the id that the caller gave it. Each poll gets at most one response.
 	Respond(poll int64, response Response)
-	// CheckHealth asks for a health check of a host; ObserveHealthCheck takes its result.
+	// CheckHealth requests a health check of a host. The caller passes its result to ObserveHealthCheck.
 	CheckHealth(host string)
-	// WatchEndpoints asks for the endpoint list and a watch of its changes, where a watch has to be opened.
+	// WatchEndpoints requests the endpoint list and a watch of its changes, if the source of the list needs to be
+	// asked.
 	WatchEndpoints()
-	// Log writes a line for a change of the controller's mode.
+	// Log logs a change of the controller's mode.
 	Log(text string)
 }
 
-// Controller serves the proxies that poll it. New makes one.
+// Controller serves the proxies that poll it. New returns one.
 type Controller struct {
 	deployment Deployment
 	classes    []RequestClass
@@ -44,7 +45,7 @@
 
 	balancer  *routing.Balancer // decides on the weights
 	hostIndex interner.Interner // the balancer's indices of hosts
-	scheduler roundScheduler    // when the balancer decides
+	scheduler roundScheduler    // when the next round of the balancer is due
 
 	endpoints  endpointList    // input: hosts
 	overrides  overrideState   // input: commands of operators
@@ -60,11 +61,11 @@
 	events        eventLog
 	mode          modeStatus
 
-	nowMs   float64 // of the present call
-	effects Effects // of the present call
+	nowMs   float64 // of the current call
+	effects Effects // of the current call
 }
 
-// New makes a controller that has neither an endpoint list nor a connected proxy yet.
+// New returns a controller that has neither an endpoint list nor a connected proxy yet.
 func New(deployment Deployment, classes []RequestClass, channel routing.ControlChannel, safety routing.SafetyLimits,
 	objective routing.Objective, settings Settings) *Controller {
 	c := &Controller{
@@ -95,7 +96,7 @@
 	return c
 }
 
-// balancerDeployment is the part of a deployment that the balancer needs.
+// balancerDeployment returns the part of a deployment that the balancer needs.
 func balancerDeployment(d Deployment) routing.Deployment {
 	return routing.Deployment{
 		Controllers:        d.Controllers,
@@ -111,9 +112,9 @@
 	}
 }
 
-// Advance does all that is due by nowMs: it answers polls whose wait is over, disconnects proxies that have not polled
-// in time, sends the updates that the channel has capacity for, runs a round of the balancer, forgets removed hosts,
-// and applies overrides and solver weights that are due.
+// Advance does the work that is due by nowMs: it responds to polls whose wait is over, disconnects proxies that have
+// not polled in time, sends the updates for which the channel has capacity, runs a round of the balancer, forgets
+// removed hosts, and applies overrides and solver weights that are due.
 func (c *Controller) Advance(nowMs float64, effects Effects) {
 	c.nowMs = nowMs
 	c.effects = effects
@@ -129,7 +130,8 @@
 	c.renewSolverWeights()
 }
 
-// Next is the time at which Advance has something to do. It may lie in the past, as it does at first.
+// Next returns the time in ms at which the caller has to call Advance. It may be in the past, as it is at first, and
+// +Inf if no work is scheduled.
 func (c *Controller) Next() float64 {
 	return min(c.scheduler.nextMs(), c.channel.nextMs(), c.sessions.nextMs(), c.endpoints.nextMs(), c.solver.nextMs(),
 		c.overrides.nextMs, c.validation.nextMs())
@@ -146,7 +148,7 @@
 	c.enqueueUpdates()
 }
 
-// requestRound asks for a round because of an input that should not wait for the balancer's own time.
+// requestRound requests a round for an input that should not wait until the balancer's scheduled round.
 func (c *Controller) requestRound() {
 	c.scheduler.request(c.nowMs, c.settings.MinRoundIntervalMs)
 }
--- a/controller/dryrun.go
+++ b/controller/dryrun.go
@@ -8,10 +8,10 @@
 	"barleysail/guard"
 )
 
-// ValidationResult is what the table validator says of proposed tables.
+// ValidationResult is the result of validating proposed tables.
 type ValidationResult struct {
 	Findings []guard.Finding `json:"findings"`
-	// Instead holds the repaired weights by class and host, where there are findings.
+	// Instead holds the repaired weights by class and host, if there are findings.
 	Instead map[string]map[string]float64 `json:"instead"`
 	Left    []guard.Finding               `json:"left"` // in the repaired tables
 }
@@ -21,9 +21,9 @@
 	return guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.5, SurviveZoneLoss: true}
 }
 
-// ValidateTables validates tables, by class and host, that an operator would have published to a zone, or with "" to
-// all zones, under the present demand. The limits are those of the settings, or the default ones while the table
-// validator is off. A zone, class or host that is not known gives a *FieldError.
+// ValidateTables validates weights, by class and host, that an operator proposes for a zone, or for all zones if zone
+// is empty, under the current demand. The limits are the configured ones, or the default ones while the table validator
+// is off. Nothing is published. The error is a *FieldError for an unknown zone, class or host.
 func (c *Controller) ValidateTables(zone string, tables map[string]map[string]float64) (*ValidationResult, error) {
 	limits := c.validation.limits
 	if !c.validation.enabled {
@@ -48,7 +48,8 @@
 	return validateProposed(view, limits, classes), nil
 }
 
-// proposedRoute is the route of a proposed table of a class; demand is that for the class by zone in requests a second.
+// proposedRoute returns the route of a proposed table of a class. demand is the class's demand by zone, in requests per
+// second.
 func (c *Controller) proposedRoute(zone, class string, weights map[string]float64, hosts int,
 	demand map[string]float64) (guard.Route, error) {
 	classIndex, ok := c.classIndex[class]
@@ -74,8 +75,8 @@
 	return route, nil
 }
 
-// otherRoutes are the routes of all zones and classes that proposed tables leave as they are: what else the hosts
-// serve.
+// otherRoutes returns the routes of all zones and classes that the proposed tables do not change: the other load of the
+// hosts.
 func (c *Controller) otherRoutes(zone string, tables map[string]map[string]float64) []guard.Route {
 	present, _ := c.validationView()
 	replaced := func(demand guard.Demand) bool {
@@ -95,8 +96,8 @@
 	return others
 }
 
-// validateProposed checks a view whose first routes are the proposed tables of classes, and repairs them where there
-// are findings.
+// validateProposed checks a view whose first routes are the proposed tables of classes, and repairs them if there are
+// findings.
 func validateProposed(view *guard.View, limits guard.Limits, classes []string) *ValidationResult {
 	result := &ValidationResult{Findings: jsonFindings(guard.Check(view, limits)), Left: []guard.Finding{}}
 	if len(result.Findings) == 0 {
@@ -117,8 +118,8 @@
 	return result
 }
 
-// publishedWeights are the published weights, by the balancer's index of the host, of the first proxy of a zone with a
-// table of a class; nil where there is none.
+// publishedWeights returns the published weights, by host index, of the first proxy of a zone with a table of a class.
+// It returns nil if there is none.
 func (c *Controller) publishedWeights(zone, class, hosts int) []float64 {
 	for _, session := range c.sessions.byIndex {
 		if session == nil || session.zone != zone || session.tableByClass[class] == noTable {
--- a/controller/endpoint_check.go
+++ b/controller/endpoint_check.go
@@ -14,16 +14,16 @@
 const (
 	maxHosts      = 50000 // the balancer's indices and the tables grow with the list
 	maxBaseWeight = 1e6
-	maxCores      = 1e9 // also the bound of a core's speed
-	maxTimeMs     = 1e15
-	maxHostLength = 255 // of address:port, in bytes
+	maxCores      = 1e9  // also the bound of a core's speed
+	maxTimeMs     = 1e15 // of a time in ms, about 30000 years after 1970
+	maxHostLength = 255  // of address:port, in bytes
 )
 
 var dnsNamePattern = regexp.MustCompile(
 	`^[A-Za-z0-9]([A-Za-z0-9-]*[A-Za-z0-9])?(\.[A-Za-z0-9]([A-Za-z0-9-]*[A-Za-z0-9])?)*$`)
 
-// CheckAddress says what is wrong with an address:port; nil where it is valid. The address is an IP address or a DNS
-// name, the port is not 0.
+// CheckAddress returns an error if host is not a valid address:port. The address is an IP address or a DNS name, and
+// the port is not 0.
 func CheckAddress(host string) error {
 	if validAddress(host) {
 		return nil
@@ -44,11 +44,11 @@
 		return false
 	}
 	name := host[:colon]
-	onlyDigits := strings.Trim(name, "0123456789.") == "" // an IP address that netip did not take
+	onlyDigits := strings.Trim(name, "0123456789.") == "" // an IP address that netip did not accept
 	return dnsNamePattern.MatchString(name) && !onlyDigits
 }
 
-// checkEndpoints gives a *FieldError for the first invalid field of a list.
+// checkEndpoints returns a *FieldError for the first invalid field of a list.
 func (c *Controller) checkEndpoints(entries []Endpoint) error {
 	if len(entries) > maxHosts {
 		return invalidField("hosts", "%d entries, %d at most", len(entries), maxHosts)
--- a/controller/endpoint_loss.go
+++ b/controller/endpoint_loss.go
@@ -8,7 +8,8 @@
 	"barleysail/routing"
 )
 
-// holdsEndpoints reports whether a new endpoint list is held back, since it loses too many hosts at once.
+// holdsEndpoints reports whether a new endpoint list is held back, since it loses too many hosts at once, and stores
+// the list that is held back. It records an event when holding back begins and when it ends.
 func (c *Controller) holdsEndpoints(entries []Endpoint) bool {
 	validation := &c.validation
 	if !validation.enabled || !c.endpoints.known {
@@ -38,11 +39,12 @@
 
 // endpointLoss counts the ready hosts of the endpoint list in effect and those that a new list loses.
 type endpointLoss struct {
-	ready     int // hosts on the list in effect
+	ready     int // ready hosts on the list in effect
 	lost      int // of these, hosts that are not ready on the new list
-	confirmed int // of these, hosts that an operator took off or that fail their health checks
+	confirmed int // of the lost hosts, those that an operator took off or that fail their health checks
 }
 
+// endpointLoss returns what a new list loses.
 func (c *Controller) endpointLoss(entries []Endpoint) endpointLoss {
 	staysReady := map[string]bool{}
 	for _, endpoint := range entries {
@@ -65,7 +67,7 @@
 	return loss
 }
 
-// confirmsLoss reports whether a host was lost for a reason that the controller knows.
+// confirmsLoss reports whether the controller itself knows why a host was lost: by an override or failed health checks.
 func (c *Controller) confirmsLoss(host string) bool {
 	if override, ok := c.overrides.store.Override(host); ok && override.State != operator.Listed {
 		return true
@@ -74,7 +76,7 @@
 	return ok && explanation.ConsecutiveFailures > 0
 }
 
-// recheckHeldEndpoints puts a list that was held back into effect once its time is over or the loss is confirmed.
+// recheckHeldEndpoints puts a list that was held back into effect when the hold is over or the loss is confirmed.
 func (c *Controller) recheckHeldEndpoints() {
 	held := c.validation.heldEndpoints
 	if held != nil && !c.holdsEndpoints(held) {
@@ -82,7 +84,7 @@
 	}
 }
 
-// nextMs is the time at which a list that is held back has to be looked at again.
+// nextMs returns the time at which the hold of an endpoint list is over, +Inf if none is held back.
 func (v *tableValidation) nextMs() float64 {
 	if v.heldEndpoints == nil {
 		return math.Inf(1)
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -14,12 +14,12 @@
 	Zone      string
 	State     routing.HostState // Ready or Draining
 	Weight    float64           // relative to the other hosts; 0: not given
-	StartedMs float64           // time of the last start; 0: not given
+	StartedMs float64           // time of the last start, in ms; 0: not given
 	Cores     float64           // for solver weights; 0: not given
-	Speed     float64           // of a core, relative to the other hosts; 0: not given, taken as 1
+	Speed     float64           // of a core, relative to the other hosts; 0: not given, which means 1
 }
 
-// speed of a core, 1 where it is not given.
+// speed returns the speed of a core, 1 if it is not given.
 func (e Endpoint) speed() float64 {
 	if e.Speed == 0 {
 		return 1
@@ -27,18 +27,18 @@
 	return e.Speed
 }
 
-// endpointList is the endpoint list as it last came, and the hosts that were removed from it.
+// endpointList holds the endpoint list in force, and the hosts that were removed from it.
 type endpointList struct {
-	received        []Endpoint          // as it came
+	received        []Endpoint          // as it was received
 	effective       map[string]Endpoint // with the overrides of operators, by host
 	drainingSinceMs map[string]float64  // by host
 	removed         []removedHost       // in the order in which they are to be forgotten
-	known           bool                // a list has come
-	watchFailed     bool                // the watch has failed since the list last came
-	receivedMs      float64
+	known           bool                // a list was received
+	watchFailed     bool                // the watch has failed since a list was last received
+	receivedMs      float64             // when a valid list was last received
 }
 
-// removedHost is a host that is no longer listed, to be forgotten at a time.
+// removedHost is a host that is no longer listed, with the time at which it is to be forgotten.
 type removedHost struct {
 	host       string
 	forgetAtMs float64
@@ -48,7 +48,7 @@
 	return endpointList{effective: map[string]Endpoint{}, drainingSinceMs: map[string]float64{}}
 }
 
-// nextMs is the time at which the next removed host is to be forgotten.
+// nextMs returns the time at which the next removed host is to be forgotten, +Inf if there is none.
 func (l *endpointList) nextMs() float64 {
 	if len(l.removed) == 0 {
 		return math.Inf(1)
@@ -56,9 +56,13 @@
 	return l.removed[0].forgetAtMs
 }
 
-// SetEndpoints takes the whole endpoint list as it now stands. Hosts of the first list without a time of their start
-// count as started long ago; a host that is added later without one counts as started when it is added. An invalid
-// entry gives a *FieldError that names its field, and the list stays as it was.
+// SetEndpoints replaces the whole endpoint list. Hosts of the first list without a start time count as started long
+// ago; a host that is added later without one counts as started when it is added.
+//
+// A list with an invalid entry is a rejected list: the error is a *FieldError that names the field, and the list in
+// force stays. A valid list that loses too many ready hosts at once may be held back, see EnableValidation:
+// SetEndpoints then returns nil, records an event, and the list in force stays until the loss is confirmed or the hold
+// is over.
 func (c *Controller) SetEndpoints(nowMs float64, entries []Endpoint) error {
 	c.nowMs = nowMs
 	if err := c.checkEndpoints(entries); err != nil {
@@ -83,13 +87,14 @@
 	c.applyEndpoints()
 }
 
-// applyEndpoints gives the balancer the list as it last came, with the overrides of operators.
+// applyEndpoints passes the list in force, with the overrides of operators, to the balancer.
 func (c *Controller) applyEndpoints() {
 	c.observeEndpoints(c.withOverrides(c.endpoints.received))
 	c.requestRound()
 }
 
-// ObserveWatchFailure notes that the endpoint list could not be had, or that the watch of its changes has ended.
+// ObserveWatchFailure records that the endpoint list could not be read, or that the watch of its changes has failed.
+// The list in force stays, and the balancer schedules a retry with backoff.
 func (c *Controller) ObserveWatchFailure(nowMs float64) {
 	c.nowMs = nowMs
 	c.endpoints.watchFailed = true
@@ -104,10 +109,12 @@
 	return ok
 }
 
-// EndpointsKnown reports whether an endpoint list has come yet. Before, the controller has learned nothing.
+// EndpointsKnown reports whether an endpoint list was received yet. Until then the controller has learned nothing that
+// is worth persisting.
 func (c *Controller) EndpointsKnown() bool { return c.endpoints.known }
 
-// observeEndpoints gives the balancer what differs from the list before; a host that is no longer listed is removed.
+// observeEndpoints passes the differences from the previous list to the balancer. A host that is no longer listed is
+// removed.
 func (c *Controller) observeEndpoints(entries []Endpoint) {
 	sorted := append([]Endpoint(nil), entries...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Host < sorted[j].Host })
@@ -124,8 +131,9 @@
 	c.observeEntries(changed)
 }
 
-// observeFirstEndpoints gives the balancer the first list twice, as a list of unknown age and as the present one: only
-// after that does the balancer take a later entry without a start for a host that has just started.
+// observeFirstEndpoints passes the first list to the balancer twice, first as a cached list of unknown age and then as
+// the current one. This is how the balancer learns that hosts of the first list without a start time started long ago,
+// and that later ones have just started.
 func (c *Controller) observeFirstEndpoints(sorted []Endpoint) {
 	for i := range sorted {
 		sorted[i].StartedMs = c.startMs(sorted[i])
@@ -135,7 +143,7 @@
 	c.balancer.ObserveSnapshot(false)
 	c.observeEntries(sorted)
 	c.restoreHosts(sorted)
-	// Until now an empty table was withheld from the proxies, see tableSetOf.
+	// Until now proxies were not sent their empty tables, see classTableOf.
 	for _, session := range c.sessions.byIndex {
 		if session != nil && len(session.versions) > 0 {
 			c.channel.enqueue(session, assignmentEntries, false, noStamp)
@@ -143,7 +151,7 @@
 	}
 }
 
-// changedEndpoints are the entries that are new or differ from the list before.
+// changedEndpoints returns the entries that are new or differ from the previous list.
 func (c *Controller) changedEndpoints(sorted []Endpoint) []Endpoint {
 	var changed []Endpoint
 	for _, endpoint := range sorted {
@@ -154,7 +162,7 @@
 	return changed
 }
 
-// missingEndpoints are the entries of the list before whose hosts are no longer listed, by name.
+// missingEndpoints returns the entries of the previous list whose hosts are no longer listed, by name.
 func (c *Controller) missingEndpoints(sorted []Endpoint) []Endpoint {
 	listed := make(map[string]bool, len(sorted))
 	for _, endpoint := range sorted {
@@ -170,7 +178,7 @@
 	return missing
 }
 
-// observeRemoval tells the balancer that a host is no longer listed.
+// observeRemoval notifies the balancer that a host is no longer listed.
 func (c *Controller) observeRemoval(endpoint Endpoint) {
 	host := endpoint.Host
 	c.balancer.ObserveEndpoint(c.hostIndex.Index(host), c.zoneIndex[endpoint.Zone], routing.Removed,
@@ -182,13 +190,14 @@
 	c.retainRemoved(host)
 }
 
-// retainRemoved schedules the forgetting of a removed host.
+// retainRemoved schedules when a removed host is forgotten.
 func (c *Controller) retainRemoved(host string) {
 	forgetAtMs := c.nowMs + c.settings.RemovedHostRetentionMs
 	c.endpoints.removed = append(c.endpoints.removed, removedHost{host, forgetAtMs})
 }
 
-// observeEntries gives entries to the balancer. A host that was removed and is back without a start has started now.
+// observeEntries passes entries to the balancer. A host that was removed and is listed again without a start time
+// counts as started now.
 func (c *Controller) observeEntries(entries []Endpoint) {
 	for _, endpoint := range entries {
 		host := endpoint.Host
@@ -208,7 +217,7 @@
 	}
 }
 
-// observeDrain notes since when a host is draining.
+// observeDrain records since when a host is draining.
 func (c *Controller) observeDrain(endpoint Endpoint) {
 	if endpoint.State != routing.Draining {
 		delete(c.endpoints.drainingSinceMs, endpoint.Host)
@@ -217,8 +226,9 @@
 	}
 }
 
-// forgetRemovedHosts forgets hosts that were removed long ago, so that their indices can be given to other hosts. A
-// host that a table or a health check still names is retained for another period.
+// forgetRemovedHosts forgets hosts that were removed more than Settings.RemovedHostRetentionMs ago, so that their
+// indices can be assigned to other hosts. A host that a table or a health check in flight still refers to is retained
+// for another period.
 func (c *Controller) forgetRemovedHosts() {
 	list := &c.endpoints
 	for len(list.removed) > 0 && list.removed[0].forgetAtMs <= c.nowMs {
--- a/controller/events.go
+++ b/controller/events.go
@@ -7,7 +7,7 @@
 	"barleysail/routing"
 )
 
-// Event is something that the controller did or observed and that an operator may want to know.
+// Event is an action or observation of the controller that may interest an operator.
 type Event struct {
 	Number int64   `json:"number"`
 	At     float64 `json:"at"`   // ms
@@ -18,7 +18,7 @@
 // Kinds of events.
 const (
 	eventMode         = "mode"     // the mode has changed, as logged
-	eventEndpoints    = "list"     // the endpoint list has changed, or could not be had
+	eventEndpoints    = "list"     // the endpoint list has changed, or could not be read
 	eventOverride     = "operator" // an operator's command was applied, queued or rejected
 	eventConnected    = "joined"   // a proxy was connected
 	eventDisconnected = "left"     // a proxy was disconnected
@@ -29,12 +29,13 @@
 // maxEvents bounds the events that are retained.
 const maxEvents = 1024
 
-// eventLog holds the newest events.
+// eventLog holds the newest events, at most maxEvents.
 type eventLog struct {
 	lastNumber int64
 	newest     []Event // by number
 }
 
+// recordEvent appends an event, and drops the oldest one if there are too many.
 func (c *Controller) recordEvent(kind, text string) {
 	log := &c.events
 	log.lastNumber++
@@ -44,10 +45,10 @@
 	log.newest = append(log.newest, Event{log.lastNumber, c.nowMs, kind, text})
 }
 
-// NewestEvent is the number of the newest event, 0 where there is none.
+// NewestEvent returns the number of the newest event, 0 if there is none.
 func (c *Controller) NewestEvent() int64 { return c.events.lastNumber }
 
-// Events gives the events after a number, as far as they are retained.
+// Events returns the retained events with a number greater than after, in the order of their numbers.
 func (c *Controller) Events(after int64) []Event {
 	newest := c.events.newest
 	first := sort.Search(len(newest), func(i int) bool { return newest[i].Number > after })
@@ -60,12 +61,12 @@
 	sinceMs float64
 }
 
-// logEvent logs an event of the balancer, with the names of hosts.
+// logEvent logs an event of the balancer, with the names of its hosts.
 func (c *Controller) logEvent(event routing.Event) {
 	c.logMode(event.Text(func(host int) string { return c.hostIndex.Names[host] }))
 }
 
-// logMode notes a change of the mode, and logs it.
+// logMode records and logs a change of the mode.
 func (c *Controller) logMode(text string) {
 	c.mode = modeStatus{text, c.nowMs}
 	c.recordEvent(eventMode, text)
--- a/controller/ingest.go
+++ b/controller/ingest.go
@@ -11,7 +11,8 @@
 const (
 	msPerSecond = 1000.0
 
-	// rateSmoothing is the weight of the newest report in the request rates of a session, an exponential moving average.
+	// rateSmoothing is the weight of the newest report in the request rates of a session, an exponential moving
+	// average.
 	rateSmoothing = 0.2
 
 	// classRateSmoothing is the weight of one proxy's report in the request rates over all proxies, by class.
--- a/controller/longpoll.go
+++ b/controller/longpoll.go
@@ -11,12 +11,12 @@
 // PollRequest is a proxy's poll for its tables.
 type PollRequest struct {
 	Proxy, Zone string
-	RequestRate float64       // requests a second that the proxy usually gets; 0: not given
+	RequestRate float64       // usual request rate of the proxy, in requests per second; 0: not given
 	Tags        []string      // entity tags of the versions that the proxy holds, without quotes
-	AnyTag      bool          // the proxy takes any version for its own (If-None-Match: *)
-	AcceptDelta bool          // the proxy takes a merge patch onto the tagged version
-	WaitMs      float64       // longest time for which the poll may stay pending; below 0: it is answered at once
-	Cached      *CachedTables // what the proxy holds; nil: not given. Used where the controller does not know the proxy.
+	AnyTag      bool          // any version matches (If-None-Match: *)
+	AcceptDelta bool          // the proxy accepts a merge patch onto a tagged version
+	WaitMs      float64       // longest time for which the poll may be pending; below 0: it gets its response at once
+	Cached      *CachedTables // what the proxy holds; nil: not given. Only used if the proxy has no version here yet.
 }
 
 // CachedTables are the tables that a proxy holds, under the tag that another controller gave them.
@@ -25,17 +25,18 @@
 	Tables []Table
 }
 
-// pendingPoll is a poll that is answered when the tables change or its wait is over.
+// pendingPoll is a poll that gets its response when the tables change or its wait is over.
 type pendingPoll struct {
 	id          int64
-	baseVersion int64 // the version that the proxy holds, 0 where it names none that is known
+	baseVersion int64 // the version that the proxy holds; 0: it names none that is known
 	acceptDelta bool
-	deadlineMs  float64
+	deadlineMs  float64 // when the wait is over
 }
 
-// Poll starts the session of a proxy that has none, takes the acknowledgement in the tags, and answers through effects:
-// at once, or later under the poll's id. A proxy has one pending poll: a new one replaces it, and the one before is
-// answered at once. The error is a *FieldError where a field is invalid, or ErrDuplicateProxy.
+// Poll handles a proxy's long poll. It starts a session if the proxy has none, processes the acknowledgement in the
+// tags, and responds through effects, at once or later, by the poll's id. A proxy has at most one pending poll: a new
+// one replaces it, and the previous one gets its response at once. The error is a *FieldError for an invalid field, or
+// ErrDuplicateProxy.
 func (c *Controller) Poll(nowMs float64, id int64, request PollRequest, effects Effects) error {
 	c.nowMs = nowMs
 	c.effects = effects
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// checkPoll gives a *FieldError for the first invalid field of a poll.
+// checkPoll returns a *FieldError for the first invalid field of a poll.
 func (c *Controller) checkPoll(request PollRequest) error {
 	if err := checkName("proxy", request.Proxy); err != nil {
 		return err
@@ -82,7 +83,8 @@
 	return c.checkCachedTables(request.Cached)
 }
 
-// sessionOf is the session of the proxy that polls; one that has none, or that has moved to another zone, is connected.
+// sessionOf returns the session of the proxy that polls. A proxy that has none, or that has moved to another zone, is
+// connected. The error is a *FieldError if there are too many proxies.
 func (c *Controller) sessionOf(request PollRequest) (*session, error) {
 	zone := c.zoneIndex[request.Zone]
 	existing := c.sessions.byProxy[request.Proxy]
@@ -100,7 +102,7 @@
 	return connected, nil
 }
 
-// newPoll takes the acknowledgement of a poll, and decides how long the poll stays pending.
+// newPoll processes the acknowledgement of a poll, and returns the poll with its deadline.
 func (c *Controller) newPoll(session *session, id int64, request PollRequest) *pendingPoll {
 	base := c.acknowledge(session, request.Tags)
 	newest := session.newest()
@@ -118,11 +120,11 @@
 	return &pendingPoll{id: id, baseVersion: base, acceptDelta: request.AcceptDelta, deadlineMs: deadlineMs}
 }
 
-// The number of times that a new poll may replace a pending one, within a time: a proxy that has lost its connection
-// needs one, while two proxies under one name would answer each other's polls for ever.
+// Limit of the rate at which new polls may replace the pending one. A proxy that has lost its connection needs one
+// replacement, but two proxies with the same name would replace each other's polls without end.
 const (
-	maxPollReplacements     = 10
-	pollReplacementWindowMs = 10000.0
+	maxPollReplacements     = 10      // within the window
+	pollReplacementWindowMs = 10000.0 // length of the window
 )
 
 // mayReplacePoll reports whether a new poll may replace the pending one, and counts it.
@@ -137,7 +139,7 @@
 	return true
 }
 
-// CancelPoll notes that nobody waits for the answer of a poll any more, as after a lost connection.
+// CancelPoll drops a pending poll whose response is no longer wanted, as after a lost connection.
 func (c *Controller) CancelPoll(nowMs float64, proxy string, id int64) {
 	c.nowMs = nowMs
 	session := c.sessions.byProxy[proxy]
@@ -146,7 +148,7 @@
 	}
 }
 
-// ReleasePolls answers all pending polls with the tables as they are, as for a graceful shutdown.
+// ReleasePolls responds to all pending polls with the current tables, for a graceful shutdown.
 func (c *Controller) ReleasePolls(nowMs float64, effects Effects) {
 	c.nowMs = nowMs
 	c.effects = effects
@@ -157,7 +159,7 @@
 	}
 }
 
-// releasePoll ends the wait of a poll. From then on the proxy has the session timeout to poll again.
+// releasePoll ends the pending poll of a session. From then on the proxy has to poll again within the session timeout.
 func (c *Controller) releasePoll(session *session) {
 	session.pendingPoll = nil
 	c.sessions.pendingPolls--
@@ -165,8 +167,8 @@
 	c.sessions.scheduleCheck(session, session.expiresMs)
 }
 
-// respond answers a poll with the newest version: NotModified where the proxy holds that already, a delta where it
-// takes one and its base is in the history, else a snapshot.
+// respond responds to a poll with the newest version: NotModified if the proxy holds it already, a delta if the proxy
+// accepts one and its base is in the history, and otherwise a snapshot.
 func (c *Controller) respond(session *session, poll *pendingPoll) {
 	c.releasePoll(session)
 	if len(session.versions) == 0 { // no class has a table yet
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -12,11 +12,11 @@
 
 // Bounds of sessions.
 const (
-	maxProxies    = 60000 // connected at once; numbers of subset tables have to stay below routing.AllTables
+	maxProxies    = 60000 // connected at once; keeps the numbers of subset tables below routing.AllTables
 	maxNameLength = 128   // of a proxy or a reporter, in bytes
 )
 
-// noTable in place of a table's number: the class has no table yet.
+// noTable is used instead of a table's number for a class that has no table yet.
 const noTable = -1
 
 // session is the state of a connected proxy.
@@ -30,17 +30,17 @@
 	ackedVersion int64     // the newest version that the proxy has acknowledged
 
 	pendingPoll     *pendingPoll // nil: the proxy is not polling
-	expiresMs       float64      // the end of the session where no poll is pending
-	checkAtMs       float64      // when expirePolls looks at the session next
-	replacedPollsMs []float64    // when a new poll replaced the pending one lately
+	expiresMs       float64      // when the session ends if there is no pending poll
+	checkAtMs       float64      // when expirePolls checks the session next
+	replacedPollsMs []float64    // recent times at which a new poll replaced the pending one
 
-	queuedMessage *updateMessage // waits in the control channel; nil: none does
-	sentMs        []float64      // when messages were sent lately
+	queuedMessage *updateMessage // queued in the control channel; nil: none
+	sentMs        []float64      // recent times at which messages were sent
 
-	reporters          intake.Reporters // that send statistics under the proxy's name
+	reporters          intake.Reporters // senders of request stats under the proxy's name
 	reporterClock      intake.Clock
 	duplicateReporters bool      // two of them are active
-	requestRates       []float64 // requests a second lately, by class
+	requestRates       []float64 // recent requests per second, by class
 }
 
 // sessionStore holds the sessions, and the order in which their polls and the sessions themselves expire.
@@ -57,8 +57,8 @@
 	return sessionStore{byProxy: map[string]*session{}, indices: interner.New()}
 }
 
-// scheduleCheck has expirePolls look at a session at a time, unless it does so sooner anyway. A session has one such
-// time, however often its proxy polls.
+// scheduleCheck schedules a check of a session by expirePolls, unless an earlier one is scheduled. So a session has at
+// most one scheduled check, however often its proxy polls.
 func (s *sessionStore) scheduleCheck(session *session, atMs float64) {
 	if atMs < session.checkAtMs {
 		session.checkAtMs = atMs
@@ -68,7 +68,7 @@
 
 func (s *sessionStore) nextMs() float64 { return s.checks.Next() }
 
-// add makes the session of a proxy and gives it an index.
+// add creates the session of a proxy and assigns an index to it.
 func (s *sessionStore) add(proxy string, zone, classes int) *session {
 	added := &session{
 		proxy:        proxy,
@@ -97,7 +97,7 @@
 	s.indices.Release(session.proxy)
 }
 
-// newest is the newest version of a session, nil where it has none.
+// newest returns the newest version of a session, nil if it has none.
 func (s *session) newest() *version {
 	if len(s.versions) == 0 {
 		return nil
@@ -105,7 +105,7 @@
 	return &s.versions[len(s.versions)-1]
 }
 
-// connect starts the session of a proxy; requestRate is what it usually gets in requests a second, 0 where not known.
+// connect starts the session of a proxy. requestRate is its usual request rate in requests per second, 0 if not known.
 func (c *Controller) connect(proxy string, zone int, requestRate float64) *session {
 	session := c.sessions.add(proxy, zone, len(c.classes))
 	c.balancer.ConnectProxy(session.index, zone, requestRate)
@@ -114,7 +114,7 @@
 	return session
 }
 
-// Disconnect ends the session of a proxy, and reports whether it had one. A pending poll is answered.
+// Disconnect ends the session of a proxy, and reports whether it had one. A pending poll gets its response.
 func (c *Controller) Disconnect(nowMs float64, proxy string, effects Effects) bool {
 	c.nowMs = nowMs
 	c.effects = effects
@@ -139,7 +139,7 @@
 	c.requestRound()
 }
 
-// expirePolls answers polls whose wait is over, and disconnects proxies that have not polled in time.
+// expirePolls responds to polls whose wait is over, and disconnects proxies that have not polled in time.
 func (c *Controller) expirePolls() {
 	for {
 		proxy, ok := c.sessions.checks.Pop(c.nowMs)
@@ -153,7 +153,8 @@
 	}
 }
 
-// expireSession answers the pending poll or ends the session where its time is over, else it schedules another check.
+// expireSession responds to the pending poll, or ends the session, if its time is over. Otherwise it schedules another
+// check.
 func (c *Controller) expireSession(session *session) {
 	poll := session.pendingPoll
 	switch {
@@ -168,8 +169,8 @@
 	}
 }
 
-// checkName checks the name of a proxy or a reporter, or a tag: printable, and without the characters that URLs and
-// entity tags would have to escape.
+// checkName returns a *FieldError for an invalid name of a proxy or a reporter, or an invalid tag. All characters have
+// to be printable, and none may need escaping in a URL or an entity tag.
 func checkName(field, name string) error {
 	if name == "" || len(name) > maxNameLength {
 		return invalidField(field, "a name has 1 to 128 characters")
