--- a/controller/hostinfo.go
+++ b/controller/hostinfo.go
@@ -17,11 +17,11 @@
 	Phase     string              `json:"phase"`         // ready, draining or gone
 	Withdrawn bool                `json:"withdrawn"`     // ejected by the balancer
 	Listed    float64             `json:"listed_weight"` // base weight, with the overrides of operators
-	Weight    float64             `json:"weight"`        // as published
+	Weight    float64             `json:"weight"`        // published weight
 	Operator  *OverrideInfo       `json:"operator,omitempty"`
 	Why       routing.Explanation `json:"why"`
 	Cores     float64             `json:"cores,omitempty"`
-	Moves     []WeightChange      `json:"moves,omitempty"` // the last ones, the newest last
+	Moves     []WeightChange      `json:"moves,omitempty"` // the last weight changes, the newest last
 	Reports   *intake.HostReport  `json:"reports,omitempty"`
 }
 
@@ -29,7 +29,7 @@
 type OverrideInfo struct {
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight,omitempty"`
-	Part    float64 `json:"part,omitempty"` // the weight as a ratio of the list's
+	Part    float64 `json:"part,omitempty"` // the weight as a ratio of the endpoint list's
 	Added   bool    `json:"added,omitempty"`
 	By      string  `json:"by,omitempty"`
 	At      float64 `json:"at"`                // ms
@@ -37,17 +37,17 @@
 	Waiting bool    `json:"waiting,omitempty"` // queued, not applied yet
 }
 
-// WeightChange is a change of the weight of a host in a shared table, with the figures of its time.
+// WeightChange is a change of the weight of a host in a shared table, with the statistics of the host at that time.
 type WeightChange struct {
 	At   float64 `json:"at"` // ms
 	From float64 `json:"from"`
 	To   float64 `json:"to"`
-	Rate float64 `json:"rate"` // arrival rate
+	Rate float64 `json:"rate"` // arrival rate in requests per second
 	R    float64 `json:"r"`    // mean latency in ms
-	Cap  float64 `json:"cap"`  // capacity
+	Cap  float64 `json:"cap"`  // capacity in requests per second
 }
 
-// maxWeightChanges bounds the changes that are retained of each host.
+// maxWeightChanges bounds the changes that are retained for each host.
 const maxWeightChanges = 4
 
 // weightHistory holds the last weight changes of each host, by the balancer's index.
@@ -62,7 +62,7 @@
 	(*h)[host] = changes[max(len(changes)-maxWeightChanges, 0):]
 }
 
-// of gives the changes of a host, the newest last.
+// of returns the changes of a host, the newest last.
 func (h weightHistory) of(host int) []WeightChange {
 	if host >= len(h) {
 		return nil
@@ -76,9 +76,9 @@
 	}
 }
 
-// recordWeightChange notes a change of a weight in a shared table.
+// recordWeightChange records a change of a weight in a shared table.
 func (c *Controller) recordWeightChange(host int, from, to float64) {
-	explanation, _ := c.balancer.Explain(host) // zero for a host that the balancer has no figures of
+	explanation, _ := c.balancer.Explain(host) // zero for a host without statistics
 	c.weightChanges.add(host, WeightChange{
 		At:   c.nowMs,
 		From: from,
@@ -89,7 +89,7 @@
 	})
 }
 
-// HostInfos gives the state of all hosts, by name: those on the endpoint list, and those with an override.
+// HostInfos returns the state of all hosts on the endpoint list and of those with an override, by name.
 func (c *Controller) HostInfos() []HostInfo {
 	received := make(map[string]*Endpoint, len(c.endpoints.received))
 	names := map[string]bool{}
@@ -113,7 +113,7 @@
 	return infos
 }
 
-// HostInfo gives the state of a host; false where there is no such host.
+// HostInfo returns the state of a host, and reports whether the host is known.
 func (c *Controller) HostInfo(host string) (HostInfo, bool) {
 	i := slices.IndexFunc(c.endpoints.received, func(e Endpoint) bool { return e.Host == host })
 	if i < 0 {
@@ -122,7 +122,7 @@
 	return c.hostInfo(host, &c.endpoints.received[i])
 }
 
-// hostInfo gives the state of a host; received is its entry on the list as it came, nil where it has none.
+// hostInfo returns the state of a host. received is its entry on the list without overrides, nil if it has none.
 func (c *Controller) hostInfo(host string, received *Endpoint) (HostInfo, bool) {
 	override, hasOverride := c.overrides.store.Override(host)
 	endpoint, ok := c.shownEndpoint(host, received, override)
@@ -161,7 +161,8 @@
 	return info, true
 }
 
-// shownEndpoint is the entry by which a host is shown. One that an override keeps off the list is shown as removed.
+// shownEndpoint returns the entry that describes a host in its HostInfo, and reports whether the host is known. A host
+// that an override keeps off the list is described as removed.
 func (c *Controller) shownEndpoint(host string, received *Endpoint, override operator.Override) (Endpoint, bool) {
 	if endpoint, ok := c.endpoints.effective[host]; ok {
 		return endpoint, true
@@ -179,7 +180,7 @@
 	return endpoint, true
 }
 
-// hostStateName is the name of a state in the API.
+// hostStateName returns the name of a state in the API.
 func hostStateName(state routing.HostState) string {
 	switch state {
 	case routing.Ready:
--- a/controller/ingest.go
+++ b/controller/ingest.go
@@ -22,7 +22,7 @@
 	loadReportWindowMs = 1
 )
 
-// ingestState holds the reports of proxies and hosts on their way to the balancer.
+// ingestState holds the reports of proxies and hosts until the balancer gets them.
 type ingestState struct {
 	limits     intake.Limits
 	queue      *intake.Queue
@@ -30,10 +30,10 @@
 	pacer      intake.IngestPacer
 	taken      int64                      // reports processed so far
 	queueWaits intake.LatencyDistribution // from the arrival of a report to the round that processed it
-	classRates []float64                  // mean rate of a proxy lately in requests a second, by class
+	classRates []float64                  // recent mean request rate of a proxy, in requests per second, by class
 }
 
-// SetIngestLimits sets the limits of reports. It has to be called before any report comes.
+// SetIngestLimits sets the limits for reports. It has to be called before the first report.
 func (c *Controller) SetIngestLimits(limits intake.Limits) {
 	c.ingest = ingestState{
 		limits:     limits,
@@ -43,19 +43,20 @@
 	}
 }
 
-// LoadReport is a load report that a host sends itself, numbered by its sender.
+// LoadReport is a load report that a host itself sends.
 type LoadReport struct {
 	Sender   string
-	Sequence int64
-	SentAtMs float64 // by the sender's clock; 0: not given
+	Sequence int64   // number of the report, from 1, which increases with each report of the sender
+	SentAtMs float64 // on the sender's clock; 0: not given
 	Load     routing.HostLoad
 }
 
-// hostSource is the source of a host's own reports in the queue; the slash cannot stand in the name of a proxy.
+// hostSource returns the source of a host's own reports in the queue. It differs from each proxy's name, which has no
+// slash.
 func hostSource(host string) string { return "/" + host }
 
-// ObserveLoadReport takes a host's own load report, once for each number, and reports whether it was counted. The error
-// is ErrUnknownHost, or a *FieldError that names an invalid field.
+// ObserveLoadReport records a host's own load report, and reports whether it was counted: a repeated one is not. The
+// error is ErrUnknownHost, or a *FieldError for an invalid field.
 func (c *Controller) ObserveLoadReport(nowMs float64, host string, report LoadReport) (counted bool, err error) {
 	c.nowMs = nowMs
 	if !c.HasEndpoint(host) {
@@ -84,8 +85,8 @@
 	return isNew, nil
 }
 
-// ObserveHealthCheck takes the result of a health check; load is routing.UnknownLoad where the host reported none. A
-// result for a host that is not known is ignored.
+// ObserveHealthCheck records the result of a health check. load is routing.UnknownLoad if the host reported none. A
+// result for an unknown host is ignored.
 func (c *Controller) ObserveHealthCheck(nowMs float64, host string, result routing.HealthCheckResult,
 	load routing.HostLoad) {
 	c.nowMs = nowMs
@@ -99,7 +100,8 @@
 	c.requestRound()
 }
 
-// hostCapacity is the capacity of a host by the endpoint list and the classes, for the plausibility of its reports.
+// hostCapacity returns the capacity of a host by the endpoint list and the classes, by which the plausibility of its
+// load reports is checked.
 func (c *Controller) hostCapacity(host string) intake.Capacity {
 	endpoint := c.endpoints.effective[host]
 	return intake.Capacity{
@@ -109,7 +111,8 @@
 	}
 }
 
-// meanWorkMs is the mean work of a request at the request rates of the classes; 0 where a class gives none.
+// meanWorkMs returns the mean work of a request in ms at the recent request rates of the classes, 0 if the work of any
+// class is not known.
 func (c *Controller) meanWorkMs() float64 {
 	work, totalRate := 0.0, 0.0
 	for i, class := range c.classes {
@@ -122,15 +125,15 @@
 	return work / math.Max(totalRate, minDivisor)
 }
 
-// minDivisor stands in for a divisor that may be 0.
+// minDivisor replaces a divisor that is 0.
 const minDivisor = 1e-9
 
-// connectedShare is the share of all proxies that are connected to this controller.
+// connectedShare returns the ratio of the proxies that are connected to this controller to all proxies of the fleet.
 func (c *Controller) connectedShare() float64 {
 	return math.Max(float64(len(c.sessions.byProxy))/float64(c.deployment.Proxies), minDivisor)
 }
 
-// processReports gives the queued reports to the balancer, as many as a round takes.
+// processReports passes queued reports to the balancer, at most as many as one round may process.
 func (c *Controller) processReports() {
 	ingest := &c.ingest
 	maxReports := ingest.pacer.MaxReports(ingest.limits.MaxPerRound)
@@ -148,7 +151,8 @@
 	}
 }
 
-// processDemand gives the demand for a class at a proxy to the balancer, and updates the rates that follow it.
+// processDemand passes the demand of a class at a proxy to the balancer, and updates the moving averages of the request
+// rates.
 func (c *Controller) processDemand(report *intake.Report) {
 	session := c.sessions.byProxy[report.Source]
 	class := c.classIndex[report.Subject]
@@ -161,8 +165,8 @@
 		classRateSmoothing*float64(report.Attempts)/report.WindowMs*msPerSecond
 }
 
-// processHostStats gives statistics about a host to the balancer. Of a host's own report only the load counts: the
-// balancer gets it with the next statistics of a proxy.
+// processHostStats passes request stats of a host to the balancer. A host's own report has only a load, which the
+// balancer gets together with the next request stats of a proxy.
 func (c *Controller) processHostStats(report *intake.Report) {
 	host := report.Subject
 	index, ok := c.hostIndex.IndexOf[host]
@@ -180,8 +184,8 @@
 	c.balancer.ObserveHostStats(index, report.Attempts, report.Failed, report.MeanLatencyMs, report.WindowMs, load)
 }
 
-// observeLateness gives the pacer the time by which this round is late; the pacer sheds reports or stretches the time
-// between rounds by it.
+// observeLateness passes the lateness of this round to the pacer, which then sheds reports or lengthens the time
+// between rounds, and logs when the pacer changes its level.
 func (c *Controller) observeLateness() {
 	dueMs := c.scheduler.nextMs()
 	if math.IsInf(dueMs, 0) {
@@ -200,20 +204,20 @@
 		state, pacer.LatenessMs(), pacer.Ratio(), pacer.IntervalFactor()))
 }
 
-// IngestRatio is the ratio of reports that should be admitted, 1 while rounds keep pace.
+// IngestRatio returns the ratio of reports to admit, 1 while rounds are on time.
 func (c *Controller) IngestRatio() float64 { return c.ingest.pacer.Ratio() }
 
 // IngestReport is the state of the ingest of reports.
 type IngestReport struct {
-	Level     int              `json:"level"`       // of shedding: 0 while rounds keep pace, 3 at most
-	LateMs    float64          `json:"late_ms"`     // lateness of rounds lately
+	Level     int              `json:"level"`       // of shedding: 0 while rounds are on time, 3 at most
+	LateMs    float64          `json:"late_ms"`     // recent lateness of rounds
 	Taken     int64            `json:"taken"`       // reports processed so far
 	Waiting   int              `json:"waiting"`     // reports queued
-	WaitP50Ms float64          `json:"wait_p50_ms"` // from the arrival of a report to the round that processed it, lately
+	WaitP50Ms float64          `json:"wait_p50_ms"` // recent time from the arrival of a report to its processing
 	WaitP99Ms float64          `json:"wait_p99_ms"`
 	Sources   int              `json:"sources"` // of queued reports
 	Dropped   map[string]int64 `json:"dropped"` // reports, by reason
-	Hosts     int              `json:"hosts"`   // of which something is known
+	Hosts     int              `json:"hosts"`   // hosts with reports
 	Doubted   int              `json:"doubted"` // hosts whose load reports are not trusted
 	Silent    int              `json:"silent"`  // hosts whose load reports have stopped
 }
--- a/controller/objectencoder.go
+++ b/controller/objectencoder.go
@@ -8,17 +8,17 @@
 // emptyObject is the JSON object without members.
 const emptyObject = "{}"
 
-// objectEncoder appends a JSON object to out, its members in the order of the calls. Tables are encoded by it rather
-// than by encoding/json since the order of their members has to stay that of the classes and hosts.
+// objectEncoder appends a JSON object to out, with its members in the order of the calls. Tables are encoded by it and
+// not by encoding/json, since their members have to be in the order of the classes and hosts.
 type objectEncoder struct {
 	out     []byte
 	members int
 }
 
-// newObjectEncoder begins an object.
+// newObjectEncoder appends the start of an object to out.
 func newObjectEncoder(out []byte) objectEncoder { return objectEncoder{out: append(out, '{')} }
 
-// key begins a member; its value is appended to out next.
+// key appends the name of a member. The caller has to append its value to out.
 func (e *objectEncoder) key(name string) {
 	if e.members > 0 {
 		e.out = append(e.out, ',')
@@ -42,7 +42,7 @@
 	e.out = append(e.out, "null"...)
 }
 
-// end closes the object and returns out with it.
+// end appends the end of the object and returns the bytes.
 func (e *objectEncoder) end() []byte { return append(e.out, '}') }
 
 // appendQuoted appends a JSON string.
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -10,15 +10,15 @@
 	"barleysail/routing"
 )
 
-// overrideState holds the overrides of operators, and the time at which the next one is applied or expires.
+// overrideState holds the overrides of operators, and the time at which the next one is to be applied or expires.
 type overrideState struct {
 	store  *operator.OverrideStore
 	nextMs float64
 }
 
-// ApplyOverrides takes commands of operators. Of several commands each is applied once the one before has reached the
-// proxies; queued reports that one has to wait. A command that would break a rule gives an *operator.RejectedError, an
-// invalid host that is to be added a *FieldError; nothing is applied then.
+// ApplyOverrides applies commands of operators. Of several commands each is applied after the updates of the previous
+// one were sent to the proxies; queued reports whether any has to wait. The error is an *operator.RejectedError for a
+// command that would break a rule, or a *FieldError for an invalid host to be added; no command is applied then.
 func (c *Controller) ApplyOverrides(nowMs float64, commands []operator.Command, effects Effects) (
 	queued bool, err error) {
 	c.nowMs = nowMs
@@ -48,7 +48,8 @@
 	return queued, nil
 }
 
-// checkAddedHost checks the host that a command adds, if it adds one, like an entry of the endpoint list.
+// checkAddedHost validates the host that a command adds, if it adds one, like an entry of the endpoint list. The error
+// is a *FieldError.
 func (c *Controller) checkAddedHost(command operator.Command) error {
 	added := command.Add
 	if added == nil {
@@ -64,7 +65,7 @@
 	}})
 }
 
-// recordCommands records an event for each command, with what became of them.
+// recordCommands records an event for each command, with the result of all of them.
 func (c *Controller) recordCommands(commands []operator.Command, queued bool, err error) {
 	outcome := "set"
 	if err != nil {
@@ -77,7 +78,7 @@
 	}
 }
 
-// describeCommand is the text of a command in events.
+// describeCommand returns the text of a command in events.
 func describeCommand(command operator.Command) string {
 	text := command.Host + " " + command.State.String()
 	switch {
@@ -101,8 +102,8 @@
 	return text
 }
 
-// withOverrides applies the overrides to a list. Hosts in maintenance are left out; hosts that operators added come
-// last, by name.
+// withOverrides returns a list with the overrides applied. It leaves out hosts in maintenance, and appends the hosts
+// that operators added, by name.
 func (c *Controller) withOverrides(received []Endpoint) []Endpoint {
 	overrides := c.overrides.store.Overrides()
 	if len(overrides) == 0 {
@@ -125,7 +126,7 @@
 	return effective
 }
 
-// addedEndpoint is the entry of a host that an operator added.
+// addedEndpoint returns the entry of a host that an operator added.
 func addedEndpoint(host string, added *operator.AddedHost) Endpoint {
 	return Endpoint{
 		Host:      host,
@@ -138,7 +139,7 @@
 	}
 }
 
-// overridden is an entry with the state and the weight of an override.
+// overridden returns an entry with the state and the weight of an override.
 func overridden(endpoint Endpoint, override operator.Override) Endpoint {
 	if override.State == operator.Draining {
 		endpoint.State = routing.Draining
@@ -147,14 +148,14 @@
 		endpoint.Weight = override.Weight
 	} else if override.WeightRatio > 0 {
 		endpoint.Weight = math.Max(endpoint.Weight, 0) * override.WeightRatio
-		if endpoint.Weight == 0 { // the list gives no weight: the ratio is one of the default weight 1
+		if endpoint.Weight == 0 { // the list has no weight: the ratio refers to the default weight 1
 			endpoint.Weight = override.WeightRatio
 		}
 	}
 	return endpoint
 }
 
-// overrideView is the state of the hosts by which the rules for commands are checked.
+// overrideView returns the state of the hosts, by which the rules for commands are checked.
 func (c *Controller) overrideView() operator.View {
 	view := operator.View{
 		NowMs:           c.nowMs,
@@ -187,7 +188,7 @@
 	return view
 }
 
-// overrideHost is the state of a host by which the rules for commands are checked.
+// overrideHost returns the state of a host, by which the rules for commands are checked.
 func (c *Controller) overrideHost(endpoint Endpoint, receivedWeights map[string]float64) operator.Host {
 	host := operator.Host{
 		Name:            endpoint.Host,
@@ -214,7 +215,7 @@
 	return host
 }
 
-// applyDueOverrides applies queued commands whose turn it is, and ends overrides that have expired.
+// applyDueOverrides applies the queued commands that may be applied now, and removes expired overrides.
 func (c *Controller) applyDueOverrides() {
 	if c.nowMs < c.overrides.nextMs {
 		return
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -8,14 +8,13 @@
 	"barleysail/guard"
 )
 
-// repairTables publishes the nearest valid tables in place of those decided where a finding demands it, else those
-// decided.
+// repairTables publishes the decided tables or, if a finding requires a repair, the nearest valid tables instead.
 func (c *Controller) repairTables(view *guard.View, sharedTables []int, findings []guard.Finding) {
 	validation := &c.validation
 	limits := validation.limits
 	limits.SurviveZoneLoss = limits.SurviveZoneLoss && validation.repair.SurviveZoneLoss
 
-	var repaired [][]float64 // by route; nil: what was decided is published
+	var repaired [][]float64 // by route; nil: the decided tables are published
 	var remaining []guard.Finding
 	var cause guard.Finding
 	needsRepair := func(finding guard.Finding) bool {
@@ -40,7 +39,7 @@
 	c.reportRepair(differing, remaining, cause)
 }
 
-// reportRepair notes and logs when the published tables begin to differ from those decided, and when that ends.
+// reportRepair records and logs when the published tables begin to differ from the decided ones, and when that ends.
 func (c *Controller) reportRepair(differing int, remaining []guard.Finding, cause guard.Finding) {
 	validation := &c.validation
 	wasRepairing := validation.report.Repairing
@@ -57,7 +56,7 @@
 	c.reportInvalid(remaining)
 }
 
-// reportInvalid logs, once, that the repaired tables have been invalid for long.
+// reportInvalid logs once that the repaired tables have been invalid for invalidReportDelayMs.
 func (c *Controller) reportInvalid(remaining []guard.Finding) {
 	validation := &c.validation
 	if len(remaining) == 0 {
@@ -72,9 +71,8 @@
 	}
 }
 
-// reuseRepair gives the weights of each route as they were last repaired, where they are still valid and what was
-// decided is the same, so that a small change of the demand causes no update. It gives nil where they cannot be
-// reused.
+// reuseRepair returns the last repaired weights of each route if they are still valid and the decided weights have not
+// changed, so that a small change of the demand causes no update. Otherwise it returns nil.
 func (c *Controller) reuseRepair(view *guard.View, sharedTables []int, limits guard.Limits) [][]float64 {
 	reused := &guard.View{Hosts: view.Hosts, Routes: slices.Clone(view.Routes)}
 	for i, number := range sharedTables {
@@ -98,7 +96,7 @@
 	return weights
 }
 
-// padWeights appends weights of 0 for hosts that were added since.
+// padWeights appends weights of 0 up to the given number of hosts.
 func padWeights(weights []float64, hosts int) []float64 {
 	for len(weights) < hosts {
 		weights = append(weights, 0)
@@ -106,9 +104,9 @@
 	return weights
 }
 
-// publishRepaired publishes weights for a shared table, and returns the number of entries that differ from those
-// decided. The updates that the validator causes by itself must leave room in the channel for removals; where they do
-// not, the weights that were published before stay, without hosts that must not stay in them.
+// publishRepaired publishes weights for a shared table, and returns the number of entries that differ from the decided
+// ones. The updates that the validator itself causes must leave room for removals in the channel. If they do not, the
+// previously published weights stay, except for hosts that have to be removed.
 func (c *Controller) publishRepaired(hosts []guard.Host, number int, decided, weights []float64) (differing int) {
 	table := c.tables.table(number)
 	weights = slices.Clone(weights)
@@ -139,7 +137,7 @@
 	return differing
 }
 
-// replacePublished publishes weights of a shared table in place of those before, and counts the entries that change.
+// replacePublished replaces the published weights of a shared table, and counts the entries that change.
 func (c *Controller) replacePublished(number int, table *routingTable, weights []float64) {
 	if table.published != nil {
 		if changed, hasRemoval := guard.CountChanges(table.published, weights); changed > 0 {
@@ -153,11 +151,11 @@
 	table.entries = nil
 }
 
-// repairFits reports whether the channel has room for the entries that repaired weights would change beside those that
-// the balancer has changed in this round.
+// repairFits reports whether the channel has room for the entries that repaired weights would change in addition to
+// those that the balancer has changed in this round.
 func (c *Controller) repairFits(number int, table *routingTable, weights []float64, differing int) bool {
 	if table.published == nil || differing == 0 && table.repaired == nil {
-		return true // nothing is sent for the sake of a repair
+		return true // the repair itself sends nothing
 	}
 	changed, _ := guard.CountChanges(table.published, weights)
 	if changed == 0 {
@@ -171,8 +169,8 @@
 	return c.fitsChannel(number, entries, needsMessage)
 }
 
-// fitsChannel reports whether the channel has room for entries to all proxies that use a table, each in a message of
-// its own where needsMessage is set.
+// fitsChannel reports whether the channel has room for entries to each proxy that uses a table, in a separate message
+// if needsMessage is set.
 func (c *Controller) fitsChannel(number int, entries float64, needsMessage bool) bool {
 	channel := &c.channel
 	budget := guard.ChannelBudget{
--- a/controller/response.go
+++ b/controller/response.go
@@ -6,7 +6,7 @@
 	"github.com/gowebpki/jcs"
 )
 
-// ResponseKind is the kind of an answer to a poll.
+// ResponseKind is the kind of a response to a poll.
 type ResponseKind int
 
 const (
@@ -14,11 +14,11 @@
 	Snapshot ResponseKind = iota
 	// Delta is a merge patch (RFC 7396) onto the version that BaseTag names.
 	Delta
-	// NotModified says that the proxy holds the newest version already.
+	// NotModified means that the proxy already holds the newest version.
 	NotModified
 )
 
-// Response answers a poll. Its methods may be called by any goroutine.
+// Response is a response to a poll. Its methods are safe for concurrent use.
 type Response struct {
 	Kind         ResponseKind
 	Proxy        string
@@ -27,8 +27,8 @@
 	baseTables   *tableSet // for a Delta
 }
 
-// Body gives the JSON document: {"proxy":…,"tables":…}, or the RFC 7396 merge patch of it, or nil for NotModified. A
-// class without a table has no "hosts", and the proxy keeps what it has for it.
+// Body returns the JSON document {"proxy":…,"tables":…}, or its merge patch (RFC 7396) for a Delta, or nil for
+// NotModified. A class without a table has no "hosts": the proxy keeps the table that it has for the class.
 func (r Response) Body() []byte {
 	switch r.Kind {
 	case NotModified:
@@ -46,8 +46,9 @@
 	return append(body, "}\n"...)
 }
 
-// Canonical gives the tables that the proxy holds once it has applied the response, in the canonical form of RFC 8785,
-// for signatures. It is made once for all proxies with the same tables.
+// Canonical returns the tables that the proxy holds once it has applied the response, in the canonical form of RFC
+// 8785, for signatures. It is encoded once for all proxies with the same tables. The error is that of the canonical
+// encoder.
 func (r Response) Canonical() ([]byte, error) {
 	tables := r.tables
 	document := tables.document()
@@ -63,17 +64,17 @@
 	return tables.canonical, nil
 }
 
-// Table is the table of a request class as a value.
+// Table is the routing table of a request class.
 type Table struct {
 	Class          string
-	Ordered        bool // the class has a table, be it an empty one
-	Hosts          []string
+	Ordered        bool      // the class has a table, which may be empty
+	Hosts          []string  // in order
 	Weights        []float64 // of Hosts
-	AdmissionRatio float64   // part of the requests to admit
+	AdmissionRatio float64   // ratio of the requests to admit
 	RetryPolicy    int
 }
 
-// Tables gives the tables that the proxy holds once it has applied the response, for callers that need no document.
+// Tables returns the tables that the proxy holds once it has applied the response, for callers that need no document.
 func (r Response) Tables() []Table {
 	var tables []Table
 	for _, class := range r.tables.classes {
--- a/controller/restore.go
+++ b/controller/restore.go
@@ -11,7 +11,7 @@
 	"barleysail/state/statepb"
 )
 
-// restoredState is what an earlier incarnation knew, until it is used.
+// restoredState is the state of an earlier incarnation, as far as it has not been used yet.
 type restoredState struct {
 	*state.Restored     // nil: nothing was restored
 	hostCount       int // hosts used so far
@@ -20,9 +20,9 @@
 	drainingSinceMs map[string]float64
 }
 
-// Restore gives a new controller what an earlier incarnation knew and what can still be trusted of it. Hosts are
-// restored with the first endpoint list, proxies when they connect. What the list says of starts and drains is more
-// certain, and takes precedence.
+// Restore passes the state of an earlier incarnation, after its decay, to a new controller. Hosts are restored with the
+// first endpoint list, and proxies when they connect. The list takes precedence for start times and draining. Restore
+// must be called before any other input.
 func (c *Controller) Restore(nowMs float64, restored *state.Restored) {
 	c.nowMs = nowMs
 	c.restored = restoredState{Restored: restored, drainingSinceMs: map[string]float64{}}
@@ -35,7 +35,7 @@
 	}
 }
 
-// restoreOverride sets an override again; one with a state that is not known is ignored.
+// restoreOverride restores an override. It ignores one with an unknown state.
 func (c *Controller) restoreOverride(setting *statepb.Setting) {
 	if setting.State < int32(operator.Listed) || setting.State > int32(operator.Maintenance) {
 		return
@@ -60,7 +60,7 @@
 	c.overrides.store.Restore(setting.Host, override)
 }
 
-// restoredQuotas are the admission quotas by class, 1 for a class of which none is known.
+// restoredQuotas returns the admission quotas by class, 1 for a class without a restored one.
 func (c *Controller) restoredQuotas() []float64 {
 	quotas := make([]float64, len(c.classes))
 	for i, class := range c.classes {
@@ -72,7 +72,7 @@
 	return quotas
 }
 
-// startMs is the time of a host's start by its entry, or else as it was restored.
+// startMs returns a host's start time by its entry, or else the restored one, 0 if neither is known.
 func (c *Controller) startMs(endpoint Endpoint) float64 {
 	if endpoint.StartedMs != 0 || c.restored.Restored == nil {
 		return endpoint.StartedMs
@@ -83,7 +83,7 @@
 	return 0
 }
 
-// restoreHosts gives the balancer what was known of the hosts of the first list.
+// restoreHosts passes the restored state of the hosts of the first list to the balancer.
 func (c *Controller) restoreHosts(entries []Endpoint) {
 	if c.restored.Restored == nil {
 		return
@@ -97,8 +97,8 @@
 	c.restored.Hosts = map[string]*state.Host{}
 }
 
-// isSameHost reports whether an entry is the host that was known, and not another one under its name: one in another
-// zone or that has started since.
+// isSameHost reports whether an entry is the restored host, and not another one with the same name: one that is in
+// another zone or has started since.
 func (c *Controller) isSameHost(endpoint Endpoint, host *state.Host) bool {
 	if host.Zone != endpoint.Zone {
 		return false
@@ -114,7 +114,7 @@
 	index := c.hostIndex.Index(endpoint.Host)
 	c.balancer.RestoreHost(index, host.Weight, host.MeanLatencyMs, host.Successes, host.Failures)
 	if host.Ejected && endpoint.State == routing.Ready {
-		// One failed health check makes the next one due soon; two more are needed to eject the host again.
+		// After one failed health check the next one is due soon. Two more failures eject the host again.
 		result := routing.TimedOut
 		if host.Unreachable {
 			result = routing.Unreachable
@@ -129,8 +129,9 @@
 	}
 }
 
-// restoreProxy gives a new session what was known of its proxy: the request rates, and, where the proxy still holds the
-// tables that the earlier incarnation gave it, these as a version, so that a delta onto them can be given.
+// restoreProxy restores the state of a proxy in its new session: the request rates and, if the proxy still holds the
+// tables that the earlier incarnation published, these tables as a version, so that the proxy can get a delta onto
+// them.
 func (c *Controller) restoreProxy(session *session, tags []string) {
 	if c.restored.Restored == nil {
 		return
@@ -159,7 +160,7 @@
 	maxCachedHostLength = 300 // in bytes
 )
 
-// checkCachedTables gives a *FieldError for tables that no proxy can hold.
+// checkCachedTables returns a *FieldError for tables that no proxy can hold.
 func (c *Controller) checkCachedTables(cached *CachedTables) error {
 	if cached == nil {
 		return nil
@@ -182,7 +183,8 @@
 	return nil
 }
 
-// checkCachedTable checks the values of a table; the comparisons are written so that NaN fails.
+// checkCachedTable returns a *FieldError for an invalid value of a table. The comparisons are written so that NaN
+// fails.
 func checkCachedTable(field string, table *Table) error {
 	validRatio := table.AdmissionRatio >= 0 && !math.IsInf(table.AdmissionRatio, 0)
 	validPolicy := table.RetryPolicy >= 0 && table.RetryPolicy <= maxRetryPolicy
@@ -201,7 +203,7 @@
 	return nil
 }
 
-// cachedTableSet makes a table set of tables that a proxy holds. A class that is not among them has no table.
+// cachedTableSet returns a table set with the tables that a proxy holds. A class that is not among them has no table.
 func (c *Controller) cachedTableSet(tables []Table) *tableSet {
 	c.tables.lastTableSetID++
 	set := &tableSet{id: c.tables.lastTableSetID}
@@ -221,7 +223,7 @@
 	return set
 }
 
-// restoredTableSet makes a table set of persisted tables; nil where they are those of other classes, or are not valid.
+// restoredTableSet returns a table set with persisted tables, nil if they are invalid or those of other classes.
 func (c *Controller) restoredTableSet(tag string, persisted []*statepb.Class) *tableSet {
 	if len(persisted) != len(c.classes) {
 		return nil
@@ -246,7 +248,8 @@
 	return c.cachedTableSet(cached.Tables)
 }
 
-// restoredRate is the usual request rate of a proxy in requests a second, as it gives it or else as it was restored.
+// restoredRate returns the usual request rate of a proxy in requests per second: the given one or else, if that is 0,
+// the restored one.
 func (c *Controller) restoredRate(proxy string, givenRate float64) float64 {
 	if c.restored.Restored == nil || givenRate > 0 {
 		return givenRate
@@ -260,17 +263,17 @@
 	return rate
 }
 
-// RestoreReport is what was used of the state of an earlier incarnation.
+// RestoreReport says how much of the state of an earlier incarnation was used.
 type RestoreReport struct {
 	Incarnation string  `json:"from"`      // the incarnation; empty: none was known
-	PassedMs    float64 `json:"passed_ms"` // between the two
-	Reason      string  `json:"why"`       // not all of the state could be used
+	PassedMs    float64 `json:"passed_ms"` // from the last save of that incarnation to the restore
+	Reason      string  `json:"why"`       // why not all of the state could be used; empty: it could
 	Hosts       int     `json:"hosts"`     // restored
 	Proxies     int     `json:"proxies"`   // restored
 	Versions    int     `json:"versions"`  // of proxies that continued from the tables they held
 }
 
-// restoreReport gives nil where nothing was restored.
+// restoreReport returns the report, nil if nothing was restored.
 func (c *Controller) restoreReport() *RestoreReport {
 	restored := &c.restored
 	if restored.Restored == nil {
--- a/controller/snapshot.go
+++ b/controller/snapshot.go
@@ -15,8 +15,8 @@
 	"barleysail/state/statepb"
 )
 
-// Snapshot gives the state from which the next incarnation can restore. Its times are by the clock of the calls; the
-// caller converts them to wall-clock time.
+// Snapshot returns the state that the next incarnation can restore. Its times are in ms on the clock of the calls, and
+// the caller has to convert them to the wall clock.
 func (c *Controller) Snapshot(nowMs float64) *statepb.State {
 	snapshot := &statepb.State{
 		Life:  c.deployment.Incarnation,
@@ -36,7 +36,7 @@
 	return snapshot
 }
 
-// snapshotFleet gives the state of the admission control.
+// snapshotFleet returns the state of the admission control.
 func (c *Controller) snapshotFleet(nowMs float64) *statepb.Fleet {
 	admissionRatio, quotas, medianLatencyMs := c.balancer.Admission()
 	fleet := &statepb.Fleet{Level: admissionRatio, Shares: quotas, Median: medianLatencyMs, At: nowMs}
@@ -46,7 +46,7 @@
 	return fleet
 }
 
-// snapshotHost gives what is known of a host, nil where the balancer does not know it.
+// snapshotHost returns the state of a host, nil if the balancer does not know it.
 func (c *Controller) snapshotHost(nowMs float64, endpoint Endpoint) *statepb.Host {
 	explanation, ok := c.balancer.Explain(c.hostIndex.IndexOf[endpoint.Host])
 	if !ok {
@@ -75,7 +75,7 @@
 	return host
 }
 
-// drainingSince is the time at which a host was first seen draining, by this incarnation or an earlier one.
+// drainingSince returns the time at which this incarnation or an earlier one first saw a host draining.
 func (c *Controller) drainingSince(host string) float64 {
 	if sinceMs, ok := c.restored.drainingSinceMs[host]; ok {
 		return sinceMs
@@ -83,7 +83,8 @@
 	return c.endpoints.drainingSinceMs[host]
 }
 
-// snapshotProxies gives the newest version that each proxy has acknowledged. Equal tables are stored once.
+// snapshotProxies adds the proxies to a snapshot, each with the newest version that it has acknowledged. Equal tables
+// are stored once.
 func (c *Controller) snapshotProxies(nowMs float64, snapshot *statepb.State) {
 	idOfSet := map[*tableSet]string{}
 	stored := map[string]bool{} // by id
@@ -114,7 +115,7 @@
 	slices.SortFunc(snapshot.Tables, func(a, b *statepb.Table) int { return strings.Compare(a.Id, b.Id) })
 }
 
-// snapshotOverride gives the override of a host.
+// snapshotOverride returns the override of a host.
 func snapshotOverride(host string, override operator.Override) *statepb.Setting {
 	setting := &statepb.Setting{
 		Host:   host,
@@ -137,7 +138,7 @@
 	return setting
 }
 
-// persist gives a table set as it is stored; equal table sets have the same id. It is made once.
+// persist returns a table set in its stored form, which is encoded once. Equal table sets have the same id.
 func (s *tableSet) persist() *statepb.Table {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +155,7 @@
 	return table
 }
 
-// persist gives the table of a class as it is stored, and adds its content to a digest.
+// persist returns the table of a class in its stored form, and adds its content to a digest.
 func (t *classTable) persist(digest hash.Hash) *statepb.Class {
 	persisted := &statepb.Class{
 		Name:    t.name,
--- a/controller/solver.go
+++ b/controller/solver.go
@@ -9,21 +9,21 @@
 	"barleysail/solver"
 )
 
-// solverWeights decides, where it is enabled, on the base weights that the balancer starts from and drifts back to: by
-// the capacity of each host, so that the one shared table loads all hosts alike. The weights are renewed slowly, and
-// only when they would gain more under the recent demand than the updates cost. While it is off, the weights of the
-// endpoint list stand.
+// solverWeights computes, if enabled, the base weights from which the balancer starts and to which it returns: in
+// proportion to the capacity of each host, so that the shared table leads to the same utilization of all hosts. New
+// weights are applied rarely, and only if they would gain more under the recent demand than their updates cost. While
+// it is disabled, the weights of the endpoint list apply.
 type solverWeights struct {
 	enabled          bool
 	intervalMs       float64
-	minGain          float64 // of the result, from 0 to 1
+	minGain          float64 // least gain of the objective, from 0 to 1
 	nextRunMs        float64
 	byHost           map[string]float64 // a host without an entry has its weight from the endpoint list
-	hostWithoutCores string             // as last logged; empty: none
+	hostWithoutCores string             // the one that was last logged; empty: none
 }
 
-// EnableSolver switches solver weights on. They are computed every intervalMs, and take effect where the result gains
-// minGain by them.
+// EnableSolver enables solver weights. They are computed every intervalMs, and applied if the objective, from 0 to 1,
+// gains at least minGain.
 func (c *Controller) EnableSolver(intervalMs, minGain float64) {
 	c.solver = solverWeights{
 		enabled:    true,
@@ -41,7 +41,7 @@
 	return w.nextRunMs
 }
 
-// baseWeight is the weight that the balancer is given for an entry: that of an override, of the solver, or of the list.
+// baseWeight returns the base weight of an entry for the balancer: that of an override, of the solver, or of the list.
 func (c *Controller) baseWeight(endpoint Endpoint) float64 {
 	weight, solved := c.solver.byHost[endpoint.Host]
 	if solved && !c.overrides.store.HasWeight(endpoint.Host) {
@@ -50,10 +50,10 @@
 	return endpoint.Weight
 }
 
-// minWeightChange is the least change of a weight, relative to it, that is sent to the proxies.
+// minWeightChange is the smallest relative change of a weight that is sent to the proxies.
 const minWeightChange = 0.01
 
-// renewSolverWeights computes the solver weights when they are due, and puts them into effect where that pays.
+// renewSolverWeights computes the solver weights when they are due, and applies them if the gain exceeds the cost.
 func (c *Controller) renewSolverWeights() {
 	weights := &c.solver
 	if !weights.enabled || c.nowMs < weights.nextRunMs {
@@ -79,7 +79,7 @@
 	c.applySolverWeights(solved, changed)
 }
 
-// applySolverWeights gives the weights of hosts to the balancer, and drops those of hosts that are no longer listed.
+// applySolverWeights passes the solver weights of hosts to the balancer, and drops those of hosts that are not listed.
 func (c *Controller) applySolverWeights(solved map[string]float64, hosts []string) {
 	c.balancer.ObserveDelta()
 	for _, host := range hosts {
@@ -94,8 +94,8 @@
 	}
 }
 
-// updateCost is what sending changed weights to all connected proxies costs of the result, until weights may change
-// again: the channel's cost, by the part of its rate that the updates take.
+// updateCost returns the cost of sending changed weights to all connected proxies, as a ratio of the objective: the
+// cost of the channel, in proportion to the part of its rate that the updates use until weights may change again.
 func (c *Controller) updateCost(changedWeights int) float64 {
 	channel := &c.channel
 	entries := float64(len(c.sessions.byProxy)) * (float64(changedWeights) + channel.messageOverhead)
@@ -114,7 +114,7 @@
 	return hosts
 }
 
-// capacityWeights gives each host of a problem a weight in proportion to its capacity, 1 on average.
+// capacityWeights returns a weight for each host of a problem, in proportion to its capacity and 1 on average.
 func capacityWeights(problem *solver.Problem) map[string]float64 {
 	total := 0.0
 	for _, host := range problem.Hosts {
@@ -127,7 +127,7 @@
 	return weights
 }
 
-// baseWeights are the weights that the balancer now has for the hosts of the endpoint list.
+// baseWeights returns the weights that the balancer now has for the hosts of the endpoint list.
 func (c *Controller) baseWeights() map[string]float64 {
 	weights := map[string]float64{}
 	for host, endpoint := range c.endpoints.effective {
@@ -140,7 +140,7 @@
 	return weights
 }
 
-// uniformTables are tables with the same weights for all classes and zones, as the shared table of the balancer is.
+// uniformTables returns tables with the same weights for all classes and zones, like the balancer's shared table.
 func uniformTables(problem *solver.Problem, weights map[string]float64) solver.Tables {
 	tables := solver.Tables{Weights: map[string]map[string]map[string]float64{}}
 	for _, class := range problem.Classes {
--- a/controller/solver_problem.go
+++ b/controller/solver_problem.go
@@ -13,12 +13,12 @@
 	// deadlineMeans is the deadline of a request in multiples of its mean latency, the same as the balancer assumes.
 	deadlineMeans = 3.2
 
-	// minWorkMs stands in for the mean work of a class that gives none.
+	// minWorkMs replaces the mean work of a class for which none is known.
 	minWorkMs = 1e-3
 )
 
-// fleetDemand is the recent demand by class and zone in requests a second, scaled to the whole fleet by the share of
-// the proxies that are connected.
+// fleetDemand returns the recent demand by class and zone in requests per second. It is scaled to the whole fleet by
+// the ratio of the proxies that are connected.
 func (c *Controller) fleetDemand() map[string]map[string]float64 {
 	share := c.connectedShare()
 	demand := map[string]map[string]float64{}
@@ -34,8 +34,8 @@
 	return demand
 }
 
-// solverProblem is the solver's problem for the ready hosts of the endpoint list and the recent demand. It gives nil
-// where there is no demand or no host, and where a host gives no cores: hostWithoutCores names it.
+// solverProblem returns the solver's problem for the ready hosts of the endpoint list and the recent demand. It returns
+// nil if there is no demand or no host, or if a host has no cores given, which hostWithoutCores then names.
 func (c *Controller) solverProblem() (problem *solver.Problem, hostWithoutCores string) {
 	problem = &solver.Problem{
 		Zones:    c.deployment.Zones,
@@ -83,16 +83,16 @@
 	return problem, ""
 }
 
-// ListedProblem gives the solver's problem for the endpoint list and the recent demand, nil where there is none: a host
-// gives no cores, or there is no demand.
+// ListedProblem returns the solver's problem for the endpoint list and the recent demand, nil if a host has no cores
+// given or there is no demand.
 func (c *Controller) ListedProblem() *solver.Problem {
 	problem, _ := c.solverProblem()
 	return problem
 }
 
-// CurrentProblem gives the solver's problem for the endpoint list and the recent demand, and the tables that the
-// proxies now have, pooled by zone. The problem is nil where a host gives no cores or there is no demand. The caller
-// can measure the gap between the two by Problem.Measure, which may take long and needs no lock.
+// CurrentProblem returns the solver's problem for the endpoint list and the recent demand, nil as for ListedProblem,
+// and the published tables of the proxies, pooled by zone. The caller can measure the gap between them and the optimal
+// tables by Problem.Measure, which may take long and needs no lock.
 func (c *Controller) CurrentProblem() (problem *solver.Problem, tables solver.Tables) {
 	problem = c.ListedProblem()
 	if problem == nil {
@@ -111,7 +111,7 @@
 	return problem, pool.Tables()
 }
 
-// weights yields the hosts of the table and their weights.
+// weights yields the hosts of the table with their weights.
 func (t *classTable) weights(yield func(host string, weight float64) bool) {
 	for _, entry := range t.entries {
 		if !yield(entry.host, entry.weight) {
--- a/controller/stats.go
+++ b/controller/stats.go
@@ -8,34 +8,34 @@
 	"barleysail/routing"
 )
 
-// HostStats are the statistics of a proxy about a host.
+// HostStats are the request stats of a proxy for one host.
 type HostStats struct {
-	Attempts, Failed int                    // attempts sent to the host, and those without a good answer
+	Attempts, Failed int                    // attempts at the host, and those of them that failed
 	MeanLatencyMs    float64                // of the successful attempts
-	WindowMs         float64                // in which the attempts were counted
-	Load             routing.HostLoad       // as the host last reported it
-	Latencies        []intake.LatencyBucket // distribution over the successful attempts; nil: not given
+	WindowMs         float64                // time window in which the attempts were counted
+	Load             routing.HostLoad       // last load report of the host
+	Latencies        []intake.LatencyBucket // histogram of the successful attempts; nil: not given
 }
 
-// ClassDemand is the demand for a request class at a proxy.
+// ClassDemand is the demand of a request class at a proxy.
 type ClassDemand struct {
-	Arrivals   int // requests that came, with rejected ones and those that a client repeats
-	Unanswered int
-	WindowMs   float64 // in which they were counted
+	Arrivals   int     // requests that arrived, including rejected ones and retries of clients
+	Unanswered int     // of these, requests without a response
+	WindowMs   float64 // time window in which they were counted
 }
 
-// ProxyStats is a report of a proxy's statistics, numbered by its sender. A sender that starts over takes another name.
+// ProxyStats is a report of a proxy's request stats.
 type ProxyStats struct {
-	Sender   string
-	Sequence int64
-	SentAtMs float64 // by the sender's clock, however wrong that is; 0: not given
+	Sender   string  // name of the sender, which has to change when the sender restarts its numbers; may be empty
+	Sequence int64   // number of the report, from 1, which increases with each report of the sender
+	SentAtMs float64 // on the sender's clock, which need not be synchronized; 0: not given
 	Hosts    map[string]HostStats
 	Demand   map[string]ClassDemand // by class
 }
 
-// ObserveProxyStats takes a report of a proxy, once for each number; the next round processes it. It reports whether
-// the report was counted: a repeated one, and one that comes after a newer one, is not. The error is ErrNotConnected,
-// or a *FieldError that names an invalid field; nothing is counted then.
+// ObserveProxyStats queues a report of a proxy for the next round. It reports whether the report was counted: one that
+// is repeated, or older than one that was counted, is not. The error is ErrNotConnected, or a *FieldError for an
+// invalid field; no part of the report is counted then.
 func (c *Controller) ObserveProxyStats(nowMs float64, proxy string, stats ProxyStats) (counted bool, err error) {
 	c.nowMs = nowMs
 	session := c.sessions.byProxy[proxy]
@@ -62,7 +62,7 @@
 	return true, nil
 }
 
-// queueHostStats queues the statistics about hosts for the next round, in the order of the hosts' names.
+// queueHostStats queues request stats of hosts for the next round, in the order of the hosts' names.
 func (c *Controller) queueHostStats(proxy string, byHost map[string]HostStats, observedMs float64) {
 	for _, host := range slices.Sorted(maps.Keys(byHost)) {
 		stats := byHost[host]
--- a/controller/stats_check.go
+++ b/controller/stats_check.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Bounds of what a report may say: anything beyond is a fault of its sender.
+// Bounds of the values in a report. A value beyond them is a fault of the sender.
 const (
 	maxAttempts       = 1 << 30
-	maxWindowMs       = 3600e3 // also of latencies
+	maxWindowMs       = 3600e3 // one hour; also the bound of latencies
 	maxLoad           = 1e9
-	unknownLoadValue  = -1 // a value of a load report that the host does not give
+	unknownLoadValue  = -1 // of a load report: the host does not report the value
 	maxLatencyBuckets = 512
 )
 
@@ -17,8 +17,8 @@
 	value, min, max float64
 }
 
-// checkBounds gives a *FieldError for the first value out of its bounds. The name of the field is put together only
-// then, since a report has many values.
+// checkBounds returns a *FieldError for the first value that is out of its bounds. The name of the field is formatted
+// only then, since a report has many values.
 func checkBounds(collection, key string, values ...boundedValue) error {
 	for _, v := range values {
 		if !(v.value >= v.min && v.value <= v.max) { // fails for NaN too
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// checkStats gives a *FieldError for an invalid field of a report. Of several invalid hosts or classes any one is
-// named: going through them in order would cost more than all else.
+// checkStats returns a *FieldError for an invalid field of a report. If several hosts or classes are invalid, it may
+// name any of them: sorting them would cost more than the rest of the check.
 func (c *Controller) checkStats(stats ProxyStats) error {
 	if stats.Sequence < 1 {
 		return invalidField("number", "%d is not 1 or more", stats.Sequence)
@@ -86,7 +86,8 @@
 	)
 }
 
-// checkLatencies rejects a distribution with more attempts than were successful.
+// checkLatencies returns a *FieldError for an invalid latency histogram, or one with more attempts than were
+// successful.
 func checkLatencies(host string, stats HostStats) error {
 	field := func() string { return fmt.Sprintf("hosts[%q].times", host) }
 	if len(stats.Latencies) > maxLatencyBuckets {
--- a/controller/status.go
+++ b/controller/status.go
@@ -10,15 +10,15 @@
 	Life           string         `json:"life"` // incarnation
 	Zones          []string       `json:"zones"`
 	Classes        []string       `json:"classes"`
-	EndpointsAgeMs float64        `json:"list_age_ms"` // since the endpoint list last came; below 0: it never has
-	ListFailed     bool           `json:"list_failed"` // the watch has failed since
+	EndpointsAgeMs float64        `json:"list_age_ms"` // since an endpoint list was last received; below 0: never
+	ListFailed     bool           `json:"list_failed"` // the watch has failed since then
 	Hosts          int            `json:"hosts"`
 	Joined         int            `json:"joined"`             // connected proxies
 	Polls          int            `json:"polls"`              // pending
 	LinesWaiting   float64        `json:"lines_waiting"`      // backlog of the control channel, in entries
 	LinesMost      float64        `json:"lines_waiting_most"` // since the start
 	Rounds         int64          `json:"rounds"`
-	Mode           string         `json:"mode"` // the last change of the mode, as logged
+	Mode           string         `json:"mode"` // the last change of the mode, as in the log
 	ModeForMs      float64        `json:"mode_for_ms"`
 	HostIndices    int            `json:"indices_in_use"` // hosts that are listed or not yet forgotten
 	MessagesQueued int            `json:"messages_queued"`
@@ -30,7 +30,7 @@
 // initialMode is the mode before its first change.
 const initialMode = "ordinary"
 
-// Status gives the state of the controller.
+// Status returns the current state of the controller.
 func (c *Controller) Status(nowMs float64) Status {
 	status := Status{
 		Life:           c.deployment.Incarnation,
@@ -67,14 +67,14 @@
 type ProxyInfo struct {
 	Proxy   string             `json:"proxy"`
 	Zone    string             `json:"zone"`
-	Tag     string             `json:"tag"`           // of the newest version
+	Tag     string             `json:"tag"`           // entity tag of the newest version
 	Acked   bool               `json:"acked"`         // the proxy has acknowledged that version
 	Held    bool               `json:"held"`          // a poll is pending
-	Rates   map[string]float64 `json:"rates"`         // requests a second lately, by class
-	Waiting float64            `json:"lines_waiting"` // entries of its message in the control channel
+	Rates   map[string]float64 `json:"rates"`         // recent requests per second, by class
+	Waiting float64            `json:"lines_waiting"` // entries that are queued for it in the control channel
 }
 
-// ProxyInfos gives the state of the connected proxies, by name.
+// ProxyInfos returns the state of the connected proxies, by name.
 func (c *Controller) ProxyInfos() []ProxyInfo {
 	var infos []ProxyInfo
 	for _, proxy := range slices.Sorted(maps.Keys(c.sessions.byProxy)) {
@@ -103,7 +103,7 @@
 	return info
 }
 
-// ProxyZone is the zone of a connected proxy, empty where it is not connected.
+// ProxyZone returns the name of the zone of a proxy, empty if the proxy is not connected.
 func (c *Controller) ProxyZone(proxy string) string {
 	if session := c.sessions.byProxy[proxy]; session != nil {
 		return c.deployment.Zones[session.zone]
@@ -111,7 +111,8 @@
 	return ""
 }
 
-// PublishedTables gives the newest version of a proxy's tables; false where it is not connected or has no version yet.
+// PublishedTables returns the newest version of a proxy's tables, as a snapshot. It reports false if the proxy is not
+// connected or has no version yet.
 func (c *Controller) PublishedTables(proxy string) (Response, bool) {
 	session := c.sessions.byProxy[proxy]
 	if session == nil || len(session.versions) == 0 {
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -14,42 +14,42 @@
 
 // classPolicy is the admission and retry policy of a request class.
 type classPolicy struct {
-	admissionRatio float64 // part of the requests to admit
+	admissionRatio float64 // ratio of the requests to admit
 	retryPolicy    int
-	set            bool // by the balancer
+	set            bool // the balancer has set it
 }
 
-// routingTable is a table as the balancer has decided it, by index of the host, and what is published of it.
+// routingTable is a table as the balancer has decided it, by host index, with the form in which it is published.
 type routingTable struct {
 	weights  map[int]float64 // decided, without hosts of weight 0
 	decided  []float64       // the same by index, only for tables that proxies share
 	policies []classPolicy   // by class
 
-	// The table validator maintains these for shared tables while repair is enabled, by index of the host.
-	published    []float64 // as last sent; nil: nothing yet
-	repaired     []float64 // published in place of the decided weights; nil: those are published
+	// The table validator maintains these for shared tables while repair is enabled, by host index.
+	published    []float64 // published weights; nil: nothing was published yet
+	repaired     []float64 // published instead of the decided weights; nil: the decided weights are published
 	repairedFrom []float64 // the decided weights that were repaired
 
-	entries  []weightEntry // as published, by host; nil: to be made anew
-	tableSet *tableSet     // of proxies that use this table for all classes; nil: to be made anew
+	entries  []weightEntry // published entries, by host name; nil: to be computed again
+	tableSet *tableSet     // of proxies that use this table for all classes; nil: to be computed again
 
-	changedRound   int64   // the last round that changed the table; the next two are of that round
-	changedEntries float64 // entries that changed
-	hasRemoval     bool    // a host was removed
+	changedRound   int64   // the last round that changed the table
+	changedEntries float64 // number of entries that changed in that round
+	hasRemoval     bool    // a host was removed in that round
 }
 
-// tableStore holds the tables by number, the policies for all of them, and what the present round has changed.
+// tableStore holds the tables by number, the policies for all tables, and the changes of the current round.
 type tableStore struct {
 	byNumber           map[int]*routingTable
 	globalPolicies     []classPolicy // by class
 	defaultRetryPolicy int
 	lastTableSetID     int64
 
-	round               int64             // rounds run so far
+	round               int64             // number of rounds so far
 	stamp               int               // of the round's messages, or noStamp
 	reassigned          map[*session]bool // sessions that were assigned a table
 	changed             []int             // numbers of tables
-	globalPolicyChanges float64
+	globalPolicyChanges float64           // entries that changed the policies for all tables
 }
 
 func newTableStore(classes, defaultRetryPolicy int) tableStore {
@@ -61,7 +61,7 @@
 	}
 }
 
-// table is the table with a number, made where there is none.
+// table returns the table with a number, and creates an empty one if there is none.
 func (s *tableStore) table(number int) *routingTable {
 	table := s.byNumber[number]
 	if table == nil {
@@ -71,7 +71,7 @@
 	return table
 }
 
-// markChanged notes that the present round changes an entry of a table.
+// markChanged records that the current round changes an entry of a table, and returns the table.
 func (s *tableStore) markChanged(number int) *routingTable {
 	table := s.table(number)
 	s.beginChange(number, table)
@@ -80,7 +80,7 @@
 	return table
 }
 
-// beginChange starts the count of changed entries of a table anew where the present round has not changed it yet.
+// beginChange resets the changes of a table if the current round has not changed it yet.
 func (s *tableStore) beginChange(number int, table *routingTable) {
 	if table.changedRound == s.round {
 		return
@@ -91,12 +91,12 @@
 	s.changed = append(s.changed, number)
 }
 
-// hasChanges reports whether the present round has changed anything that proxies have to be sent.
+// hasChanges reports whether the current round has changed anything that has to be sent to proxies.
 func (s *tableStore) hasChanges() bool {
 	return len(s.changed) > 0 || len(s.reassigned) > 0 || s.globalPolicyChanges != 0
 }
 
-// clearChanges forgets the changes of the present round.
+// clearChanges clears the changes of the current round.
 func (s *tableStore) clearChanges() {
 	clear(s.reassigned)
 	s.changed = s.changed[:0]
@@ -106,8 +106,8 @@
 
 func (s *tableStore) forget(number int) { delete(s.byNumber, number) }
 
-// effectivePolicy combines the policy of a table with the one for all tables: the lower admission ratio, and the
-// table's own retry policy where it has one.
+// effectivePolicy combines the policy of a table with the one for all tables: it has the lower admission ratio, and the
+// table's own retry policy if that is set.
 func (s *tableStore) effectivePolicy(own, global classPolicy) classPolicy {
 	policy := classPolicy{1, s.defaultRetryPolicy, true}
 	if global.set {
@@ -120,7 +120,7 @@
 	return policy
 }
 
-// setDecided notes the decided weight of a host.
+// setDecided sets the decided weight of a host.
 func (t *routingTable) setDecided(host int, weight float64) {
 	for len(t.decided) <= host {
 		t.decided = append(t.decided, 0)
@@ -128,7 +128,7 @@
 	t.decided[host] = weight
 }
 
-// publishedSize is the number of entries as published.
+// publishedSize returns the number of published entries.
 func (t *routingTable) publishedSize() float64 {
 	if t.repaired == nil {
 		return float64(len(t.weights))
@@ -142,7 +142,7 @@
 	return size
 }
 
-// entriesOf gives the entries of a table as published, by name of the host.
+// entriesOf returns the published entries of a table, by host name.
 func (c *Controller) entriesOf(table *routingTable) []weightEntry {
 	if table.entries != nil {
 		return table.entries
@@ -164,11 +164,11 @@
 	return entries
 }
 
-// isShared reports whether a table is one that proxies share: number 0 is for all zones, then comes one for each zone.
-// Greater numbers are subset tables, of one proxy each.
+// isShared reports whether a table is shared by proxies: number 0 is the table for all zones, and the next numbers are
+// those of the zones. Greater numbers are subset tables, each of one proxy.
 func (c *Controller) isShared(number int) bool { return number <= len(c.deployment.Zones) }
 
-// distinctTables gives the tables among those of the classes, each once.
+// distinctTables returns the numbers of the tables that the classes use, each once.
 func distinctTables(tableByClass []int) []int {
 	if usesOneTable(tableByClass) {
 		return tableByClass[:1]
@@ -190,17 +190,18 @@
 	return !slices.ContainsFunc(tableByClass, func(number int) bool { return number != tableByClass[0] })
 }
 
-// weightDigits is the precision of published weights and ratios in significant digits, as many as matter to a proxy.
+// weightDigits is the precision of published weights and ratios, in significant decimal digits. More would not change
+// how proxies route.
 const weightDigits = 6
 
 // roundWeight rounds a weight or ratio to the published precision.
 func roundWeight(weight float64) float64 {
 	text := strconv.FormatFloat(weight, 'g', weightDigits, 64)
-	// FormatFloat's own text parses; a weight out of range gives ±Inf along with an error, as it should.
+	// ParseFloat accepts the output of FormatFloat; out of range it returns ±Inf with an error, and ±Inf is right here.
 	rounded, _ := strconv.ParseFloat(text, 64)
 	return rounded
 }
 
-// classInMask reports whether a class is in a bit mask of classes as the balancer gives it: bit k is class k, and 0
-// stands for all classes, see routing.UpdateWriter.
+// classInMask reports whether a class is in a bit mask of the balancer: bit k is class k, and 0 means all classes, see
+// routing.UpdateWriter.
 func classInMask(mask, class int) bool { return mask == 0 || mask&(1<<class) != 0 }
--- a/controller/tableset.go
+++ b/controller/tableset.go
@@ -7,9 +7,9 @@
 	"barleysail/state/statepb"
 )
 
-// tableSet is the content of the tables of a proxy in a version, and the documents made of it. The content never
-// changes. Proxies with the same tables share one, and with it the bytes of its snapshot and of the deltas from it;
-// any goroutine may encode it.
+// tableSet is the content of a proxy's tables in one version, with its encoded documents. The content is immutable.
+// Proxies with the same tables share a table set, and with it the encoded snapshot and deltas; any goroutine may encode
+// it.
 type tableSet struct {
 	id      int64
 	classes []classTable
@@ -18,20 +18,20 @@
 	documentBytes []byte
 
 	mu        sync.Mutex       // guards the fields below
-	deltas    map[int64][]byte // by id of the base: a pointer would retain every base there ever was
-	persisted *statepb.Table   // for a snapshot of the state
+	deltas    map[int64][]byte // by id of the base, since pointers would keep all bases in memory
+	persisted *statepb.Table   // stored form, for a snapshot of the state
 	canonical []byte           // in the canonical form of RFC 8785
 }
 
 // classTable is the table of a request class.
 type classTable struct {
 	name     string
-	entries  []weightEntry // by host
-	assigned bool          // the class has a table, be it an empty one
+	entries  []weightEntry // by host name
+	assigned bool          // the class has a table, which may be empty
 	policy   classPolicy
 }
 
-// tableSetOf is the content of the present tables of a proxy, shared with other proxies that use the same table.
+// tableSetOf returns the content of the current tables of a proxy, shared with other proxies that use the same table.
 func (c *Controller) tableSetOf(session *session) *tableSet {
 	shareable := usesOneTable(session.tableByClass) && c.endpoints.known
 	if shareable {
@@ -50,7 +50,7 @@
 	return made
 }
 
-// classTableOf is the content of a class that uses a table, or of one without a table.
+// classTableOf returns the content of a class that uses a table, or that has none if number is noTable.
 func (c *Controller) classTableOf(class, number int) classTable {
 	global := c.tables.globalPolicies[class]
 	if number == noTable {
@@ -70,13 +70,13 @@
 // maxCachedDeltas bounds the deltas that are cached with a table set.
 const maxCachedDeltas = 8
 
-// document is the JSON object of all tables. It is encoded once.
+// document returns the JSON object of all tables, which is encoded once.
 func (s *tableSet) document() []byte {
 	s.documentOnce.Do(func() { s.documentBytes = s.encode(nil) })
 	return s.documentBytes
 }
 
-// delta gives the merge patch from a base, and caches it.
+// delta returns the document of the merge patch (RFC 7396) from a base, and caches it.
 func (s *tableSet) delta(base *tableSet) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	return body
 }
 
-// encode gives the JSON object of all tables, or the merge patch (RFC 7396) from a base that is not nil.
+// encode returns the JSON object of all tables, or the merge patch (RFC 7396) from a base that is not nil.
 func (s *tableSet) encode(base *tableSet) []byte {
 	object := newObjectEncoder(nil)
 	for i := range s.classes {
@@ -114,7 +114,7 @@
 	return object.end()
 }
 
-// encode gives the JSON object of the class's table, or the merge patch from a base that is not nil.
+// encode returns the JSON object of the class's table, or the merge patch from a base that is not nil.
 func (t *classTable) encode(base *classTable) []byte {
 	object := newObjectEncoder(nil)
 	hasBase := base != nil && base.assigned
@@ -135,8 +135,8 @@
 	return object.end()
 }
 
-// equalEntries reports whether two lists hold the same entries. Lists of a table that did not change are the same
-// slice.
+// equalEntries reports whether two lists have the same entries. It first compares the slices, since a table that has
+// not changed has the same one.
 func equalEntries(a, b []weightEntry) bool {
 	if len(a) != len(b) {
 		return false
@@ -147,8 +147,8 @@
 	return slices.Equal(a, b)
 }
 
-// appendEntries appends the object of the entries that differ from those before, with null for a host that is gone.
-// Both lists are in the order of their hosts.
+// appendEntries appends the JSON object of the entries that differ from those before, with null for a removed host.
+// Both lists are in the order of their host names.
 func appendEntries(out []byte, entries, before []weightEntry) []byte {
 	object := newObjectEncoder(out)
 	for len(entries) > 0 || len(before) > 0 {
--- a/controller/updatewriter.go
+++ b/controller/updatewriter.go
@@ -6,12 +6,12 @@
 	"barleysail/routing"
 )
 
-// updateWriter takes the decisions of a round of the balancer for a Controller.
+// updateWriter writes the decisions of the balancer in a round to the state of a Controller.
 type updateWriter struct{ *Controller }
 
 var _ routing.UpdateWriter = updateWriter{}
 
-// SetWeight sets the weight of a host in a table; a weight of 0 or less removes it.
+// SetWeight sets the weight of a host in a table; a weight of 0 or less removes the host from it.
 func (w updateWriter) SetWeight(number, host int, weight float64) {
 	table := w.tables.markChanged(number)
 	table.entries = nil
@@ -27,13 +27,13 @@
 	}
 }
 
-// AssignTable has a proxy use a table for the classes of a mask.
+// AssignTable assigns a table to a proxy for the classes of a mask.
 func (w updateWriter) AssignTable(proxy, number, classes int) {
 	session := w.sessions.byIndex[proxy]
 	if session == nil {
 		return
 	}
-	w.tables.table(number) // it may have no entry yet
+	w.tables.table(number) // creates it if it has no entry yet
 	w.tables.reassigned[session] = true
 	for class := range session.tableByClass {
 		if classInMask(classes, class) {
@@ -60,24 +60,25 @@
 	}
 }
 
-// StampVersion gives the messages of the round a number that the proxies' acknowledgements refer to.
+// StampVersion sets the version stamp of the messages of the round, which the proxies acknowledge.
 func (w updateWriter) StampVersion(number int) { w.tables.stamp = number }
 
-// CheckHealth asks for a health check of a host.
+// CheckHealth requests a health check of a host.
 func (w updateWriter) CheckHealth(host int) { w.effects.CheckHealth(w.hostIndex.Names[host]) }
 
-// ScheduleRound plans the next round. While rounds come late, the time until it is stretched.
+// ScheduleRound plans the next round. While rounds are late, the pacer lengthens the time until it.
 func (w updateWriter) ScheduleRound(atMs float64) {
 	w.scheduler.plannedMs = w.nowMs + (atMs-w.nowMs)*w.ingest.pacer.IntervalFactor()
 }
 
-// WatchEndpoints asks for the endpoint list and a watch of its changes.
+// WatchEndpoints requests the endpoint list and a watch of its changes.
 func (w updateWriter) WatchEndpoints() { w.effects.WatchEndpoints() }
 
-// Log writes an event of the balancer as a log line.
+// Log logs an event of the balancer.
 func (w updateWriter) Log(event routing.Event) { w.logEvent(event) }
 
-// enqueueUpdates puts the changes of the present round into the control channel, a message for each proxy concerned.
+// enqueueUpdates queues the changes of the current round in the control channel, in one message for each affected
+// proxy.
 func (c *Controller) enqueueUpdates() {
 	if !c.tables.hasChanges() {
 		c.tables.stamp = noStamp
@@ -95,8 +96,9 @@
 	c.tables.clearChanges()
 }
 
-// updateSize counts the entries that the present round has changed for a proxy: all entries of its tables, each table
-// with its assignment and a policy for each class, where the proxy was assigned a table.
+// updateSize returns the number of entries that the current round has changed for a proxy, and whether a host was
+// removed. If a table was assigned to the proxy, that is all entries of its tables, and for each table its assignment
+// and a policy for each class.
 func (c *Controller) updateSize(session *session) (entries float64, hasRemoval bool) {
 	entries = c.tables.globalPolicyChanges
 	if c.tables.reassigned[session] {
--- a/controller/validation.go
+++ b/controller/validation.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// validationIntervalMs is the time after which the tables are validated though none changed, since the demand may
-	// have changed.
+	// validationIntervalMs is the interval at which unchanged tables are validated again, since the demand may have
+	// changed.
 	validationIntervalMs = 10000.0
 
-	// repairIntervalMs is the same while tables are repaired, so that a change that is made in steps goes on.
+	// repairIntervalMs is the interval while tables are repaired, so that a change in several steps continues.
 	repairIntervalMs = 1000.0
 
-	// invalidReportDelayMs is the time after which it is logged that no valid tables were found.
+	// invalidReportDelayMs is the time without valid tables after which that is logged.
 	invalidReportDelayMs = 10000.0
 )
 
-// tableValidation is the state of the table validator (package guard) and of the guard against endpoint lists that lose
-// many hosts at once.
+// tableValidation is the state of the table validator (package guard), and of the guard that holds back endpoint lists
+// that lose many hosts at once.
 type tableValidation struct {
 	enabled bool
 	limits  guard.Limits
@@ -28,7 +28,7 @@
 	report  ValidationReport
 
 	endpointLoss  *guard.EndpointLossGuard
-	heldEndpoints []Endpoint // a list that is not in effect yet; nil: none
+	heldEndpoints []Endpoint // the endpoint list that is held back; nil: none
 
 	hosts        []guard.Host // by the balancer's index
 	hostsChanged bool         // since the last run
@@ -36,40 +36,40 @@
 
 	routes           []guard.Route // with the demand for each, those of the shared tables first
 	sharedTables     []int         // numbers of the tables of the first routes
-	demandSummedMs   float64       // when the demand for the routes was summed up
+	demandSummedMs   float64       // when the demand for the routes was last summed
 	hasSubsetTables  bool          // a proxy uses a subset table
 	repairingSinceMs float64
-	invalidSinceMs   float64 // since when what is published is not valid
-	invalidReported  bool    // that this has lasted long
+	invalidSinceMs   float64 // since when the published tables are not valid
+	invalidReported  bool    // it was logged that they have been invalid for long
 }
 
-// RepairSettings says what the table validator does besides reporting its findings.
+// RepairSettings configures the repair of invalid tables.
 type RepairSettings struct {
 	Enabled         bool // tables are repaired before they are published
 	SurviveZoneLoss bool // also tables that would be invalid only after the loss of a zone
 }
 
-// ValidationReport is what the table validator has found since the controller started.
+// ValidationReport holds the results of the table validator since the controller started.
 type ValidationReport struct {
 	Enabled        bool            `json:"on"`
-	RepairEnabled  bool            `json:"refuses"`  // repair is enabled
-	Repairing      bool            `json:"refusing"` // the published tables differ from those decided
-	Repairs        int             `json:"refused"`  // number of times that this began
-	RepairingForMs float64         `json:"for_ms"`   // since it began
-	Remaining      []guard.Finding `json:"left"`     // in the repaired tables
-	Looked         int             `json:"looked"`   // number of validations
-	Found          map[string]int  `json:"found"`    // number of new findings, by check
-	Findings       []guard.Finding `json:"standing"` // in the decided tables
-	EndpointsHeld  bool            `json:"list_held"`
+	RepairEnabled  bool            `json:"refuses"`    // repair is enabled
+	Repairing      bool            `json:"refusing"`   // the published tables differ from the decided ones
+	Repairs        int             `json:"refused"`    // number of times that repairing has begun
+	RepairingForMs float64         `json:"for_ms"`     // since repairing began
+	Remaining      []guard.Finding `json:"left"`       // in the repaired tables
+	Looked         int             `json:"looked"`     // number of validations
+	Found          map[string]int  `json:"found"`      // number of new findings, by check
+	Findings       []guard.Finding `json:"standing"`   // in the decided tables
+	EndpointsHeld  bool            `json:"list_held"`  // an endpoint list is held back
 	EndpointHolds  int             `json:"list_holds"` // number of endpoint lists that were held back
 }
 
-// EnableValidation switches the table validator on. Its findings are recorded as events and in ValidationReport; with
-// repair enabled, invalid tables are repaired before they are published. An endpoint list that loses more hosts than
-// endpointLoss allows is held back for a time.
+// EnableValidation enables the table validator. Its findings are recorded as events and in ValidationReport; if repair
+// is enabled, invalid tables are repaired before they are published. An endpoint list that loses more hosts than
+// endpointLoss allows is held back for its HoldMs, but at most for half of the drain grace.
 func (c *Controller) EnableValidation(limits guard.Limits, repair RepairSettings,
 	endpointLoss guard.EndpointLossLimits) {
-	// A removal must not be held back beyond the time for which a host that left may still get requests.
+	// A removal must not be held back for longer than a removed host may still get requests.
 	endpointLoss.HoldMs = math.Min(endpointLoss.HoldMs, c.safety.DrainGraceMs/2)
 	c.validation = tableValidation{
 		enabled:      true,
@@ -81,7 +81,7 @@
 	}
 }
 
-// ValidationReport reports what the table validator has found.
+// ValidationReport returns the results of the table validator.
 func (c *Controller) ValidationReport() ValidationReport {
 	report := c.validation.report
 	report.Found = maps.Clone(report.Found)
@@ -94,7 +94,7 @@
 	return report
 }
 
-// jsonFindings copies findings, with 0 for values that JSON cannot hold.
+// jsonFindings returns a copy of findings in which 0 replaces values that JSON cannot represent.
 func jsonFindings(findings []guard.Finding) []guard.Finding {
 	encodable := append([]guard.Finding{}, findings...)
 	for i, finding := range encodable {
@@ -105,7 +105,7 @@
 	return encodable
 }
 
-// validateRound validates the tables of the present round, and repairs them where that is enabled and needed.
+// validateRound validates the tables of the current round, and repairs them if that is enabled and necessary.
 func (c *Controller) validateRound() {
 	validation := &c.validation
 	if !c.validationDue() {
@@ -124,7 +124,7 @@
 	}
 }
 
-// validationDue reports whether something changed that the validator looks at, or its interval is over.
+// validationDue reports whether an input of the validator has changed or its interval is over.
 func (c *Controller) validationDue() bool {
 	validation := &c.validation
 	if !validation.enabled {
@@ -140,7 +140,7 @@
 	return c.nowMs >= validation.lastRunMs+intervalMs
 }
 
-// recordFindings records an event for each finding that was not there in the validation before.
+// recordFindings records an event for each finding that the previous validation did not have.
 func (c *Controller) recordFindings(findings []guard.Finding) {
 	report := &c.validation.report
 	standing := map[string]bool{}
--- a/controller/validation_view.go
+++ b/controller/validation_view.go
@@ -7,11 +7,11 @@
 	"barleysail/guard"
 )
 
-// demandSumIntervalMs is the time for which the demand for the routes is not summed up anew, while no proxy is assigned
-// another table.
+// demandSumIntervalMs is the interval at which the demand for the routes is summed again, unless a proxy is assigned
+// another table before.
 const demandSumIntervalMs = 1000.0
 
-// observeValidatedHost notes what the endpoint list now says of a host.
+// observeValidatedHost updates a host of the validator by its entry on the endpoint list.
 func (c *Controller) observeValidatedHost(index int, endpoint Endpoint) {
 	validation := &c.validation
 	for len(validation.hosts) <= index {
@@ -25,7 +25,7 @@
 	validation.hostsChanged = true
 }
 
-// refreshValidatedHosts updates the hosts by what the balancer knows of them.
+// refreshValidatedHosts updates the hosts of the validator by their status in the balancer, and returns them.
 func (c *Controller) refreshValidatedHosts() []guard.Host {
 	validation := &c.validation
 	for index := range validation.hosts {
@@ -39,17 +39,17 @@
 	return validation.hosts
 }
 
-// validationView is what the table validator checks: a route for each shared table, those first and by their numbers;
-// one for each zone whose proxies use subset tables, all of these summed up; and one for each subset table that names
-// no host that is ready.
+// validationView returns the input of the table validator: first a route for each shared table, by number; then one for
+// each zone whose proxies use subset tables, with the sum of these tables; and one for each subset table without a
+// ready host. sharedTables holds the numbers of the shared tables.
 func (c *Controller) validationView() (view *guard.View, sharedTables []int) {
 	validation := &c.validation
 	view = &guard.View{Hosts: c.refreshValidatedHosts()}
 	if len(view.Hosts) == 0 {
 		return view, nil
 	}
-	sumIsOld := c.nowMs >= validation.demandSummedMs+demandSumIntervalMs
-	if validation.hasSubsetTables || len(c.tables.reassigned) > 0 || sumIsOld {
+	sumExpired := c.nowMs >= validation.demandSummedMs+demandSumIntervalMs
+	if validation.hasSubsetTables || len(c.tables.reassigned) > 0 || sumExpired {
 		validation.demandSummedMs = c.nowMs
 		c.sumRoutes(view.Hosts)
 	}
@@ -67,8 +67,8 @@
 	return view, validation.sharedTables
 }
 
-// routeSums sums up the demand for the routes. Route numbers are those of the shared tables, then follows one route for
-// the subset tables of each zone.
+// routeSums sums the demand for the routes. The first route numbers are those of the shared tables, followed by one
+// route for the subset tables of each zone.
 type routeSums struct {
 	zones, classes int
 	demand         [][]float64   // by route, then by zone and class as in demandIndex; nil: no proxy uses the route
@@ -89,7 +89,7 @@
 	}
 }
 
-// routeOf is the number of the route of a table that a proxy of a zone uses.
+// routeOf returns the number of the route of a table that a proxy of a zone uses.
 func (s *routeSums) routeOf(table, zone int) int {
 	if table > s.zones {
 		return s.zones + 1 + zone
@@ -99,7 +99,7 @@
 
 func (s *routeSums) demandIndex(zone, class int) int { return zone*s.classes + class }
 
-// addDemand adds work in ms a ms to the demand for a route.
+// addDemand adds work, in ms of work per ms, to the demand for a route.
 func (s *routeSums) addDemand(route, zone, class int, work float64) {
 	if s.demand[route] == nil {
 		s.demand[route] = make([]float64, s.zones*s.classes)
@@ -111,7 +111,7 @@
 	*total = math.Max(*total, 0) + work
 }
 
-// sumRoutes sums up the demand of the proxies for each table, and makes the routes by it.
+// sumRoutes sums the demand of the proxies for each table, and builds the routes from the sums.
 func (c *Controller) sumRoutes(hosts []guard.Host) {
 	sums := newRouteSums(len(c.deployment.Zones), len(c.classes))
 	share := c.connectedShare()
@@ -129,7 +129,7 @@
 	c.makeRoutes(sums)
 }
 
-// sumDemand adds the demand at a proxy, scaled to the whole fleet by the share of the proxies that are connected.
+// sumDemand adds the demand at a proxy, scaled to the whole fleet by the ratio of the proxies that are connected.
 func (c *Controller) sumDemand(sums *routeSums, session *session, share float64) {
 	for class, number := range session.tableByClass {
 		if number == noTable {
@@ -146,7 +146,7 @@
 	for _, classRate := range session.requestRates {
 		rate += classRate
 	}
-	rate += minDivisor // a proxy without requests counts for a little
+	rate += minDivisor // so that a proxy without requests has a small weight
 	zone := session.zone
 	if sums.subsetWeights[zone] == nil {
 		sums.subsetWeights[zone] = make([]float64, len(hosts))
@@ -175,7 +175,7 @@
 	return hasReady
 }
 
-// makeRoutes makes the routes of the tables that proxies use.
+// makeRoutes builds the routes of the tables that proxies use.
 func (c *Controller) makeRoutes(sums *routeSums) {
 	validation := &c.validation
 	validation.routes = nil
@@ -196,7 +196,7 @@
 	validation.routes = append(validation.routes, sums.emptySubsets...)
 }
 
-// demands are the zones and classes whose proxies use a route, with their work.
+// demands returns the zones and classes whose proxies use a route, with their work.
 func (c *Controller) demands(sums *routeSums, demand []float64) []guard.Demand {
 	var demands []guard.Demand
 	for zone := range c.deployment.Zones {
@@ -209,7 +209,7 @@
 	return demands
 }
 
-// unknownDemands are all classes of a zone, their work not known.
+// unknownDemands returns the demands of all classes of a zone, with work 0 since it is not known.
 func (c *Controller) unknownDemands(zone int) []guard.Demand {
 	demands := make([]guard.Demand, 0, len(c.classes))
 	for class := range c.classes {
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -2,17 +2,17 @@
 
 import "strconv"
 
-// version is a numbered state of the tables of a proxy. A controller gives each number once, so that the tag of a proxy
-// that disconnected and came back names no version of its new session.
+// version is a numbered version of a proxy's tables. A controller uses each number only once for all proxies, so that
+// the old tag of a proxy that has disconnected and connected again names no version of its new session.
 type version struct {
 	number int64
 	tables *tableSet
-	stamps []int // numbers of the balancer that are acknowledged with this version, in the order of their rounds
-	// inheritedTag is the tag that another incarnation or controller gave the version; empty: the tag of its number.
+	stamps []int // the balancer's stamps that are acknowledged with this version, in the order of their rounds
+	// inheritedTag is the tag that another incarnation or controller gave to the version; empty: see Controller.tag.
 	inheritedTag string
 }
 
-// version finds a version in the history, nil where it is not retained.
+// version returns the version with a number, nil if it is not in the history.
 func (s *session) version(number int64) *version {
 	for i := range s.versions {
 		if s.versions[i].number == number {
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// versionByInheritedTag finds the version that was carried over under a tag, nil where there is none.
+// versionByInheritedTag returns the version that was carried over with a tag, nil if there is none.
 func (s *session) versionByInheritedTag(tag string) *version {
 	for i := range s.versions {
 		candidate := &s.versions[i]
@@ -33,12 +33,12 @@
 	return nil
 }
 
-// tag is the entity tag of a version of this incarnation.
+// tag returns the entity tag of a version of this incarnation.
 func (c *Controller) tag(number int64) string {
 	return c.deployment.Incarnation + "-" + strconv.FormatInt(number, 10)
 }
 
-// tagOf is the entity tag by which the proxy knows a version.
+// tagOf returns the entity tag by which the proxy knows a version.
 func (c *Controller) tagOf(version *version) string {
 	if version.inheritedTag != "" {
 		return version.inheritedTag
@@ -46,8 +46,8 @@
 	return c.tag(version.number)
 }
 
-// publish makes the present tables of a proxy its newest version, and answers its pending poll. Stamps of a version
-// that leaves the history pass to the next one.
+// publish makes the current tables of a proxy its newest version, and responds to its pending poll. The next version
+// takes over the stamps of a version that is dropped from the history.
 func (c *Controller) publish(session *session, stamps []int) {
 	c.sessions.lastVersion++
 	session.versions = append(session.versions, version{
@@ -64,8 +64,8 @@
 	}
 }
 
-// carryOver makes the tables that a proxy holds from another incarnation or controller its version, so that a delta
-// onto them can be given.
+// carryOver makes the tables that a proxy holds from another incarnation or controller a version, so that the proxy can
+// get a delta onto them.
 func (c *Controller) carryOver(session *session, tag string, tables *tableSet) {
 	c.sessions.lastVersion++
 	number := c.sessions.lastVersion
