--- a/internal/daemon/controller_state.go
+++ b/internal/daemon/controller_state.go
@@ -73,7 +73,7 @@
 	}
 	gap, err := problem.Measure(tables)
 	if err != nil {
-		l.log.Warn().Err(err).Msg("measuring the gap to the best tables failed")
+		l.log.Warn().Err(err).Msg("measuring the optimality gap failed")
 		return nil
 	}
 	return gap
--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -51,7 +51,7 @@
 	}
 	id, expiry, err := d.credentials.Own()
 	if err != nil {
-		d.log.Error().Err(err).Msg("reading the own credentials failed")
+		d.log.Error().Err(err).Msg("reading the daemon's credentials failed")
 		return
 	}
 	d.log.Info().Str("id", id.String()).Time("until", expiry).Msg("credentials loaded")
--- a/internal/daemon/endpoint_file.go
+++ b/internal/daemon/endpoint_file.go
@@ -64,7 +64,7 @@
 	var events chan fsnotify.Event // nil if there are no notifications: nothing is then received from it
 	watcher, err := f.newWatcher()
 	if err != nil {
-		f.log.Warn().Err(err).Msg("no notifications for the folder of the endpoint list; reading it every two seconds")
+		f.log.Warn().Err(err).Msg("watching the folder of the endpoint list failed, reading the list every two seconds")
 	} else {
 		events = watcher.Events
 		defer f.closeWatcher(watcher)
--- a/internal/daemon/persister.go
+++ b/internal/daemon/persister.go
@@ -83,11 +83,11 @@
 		return err
 	}
 	p.log.Info().
-		Str("life", restored.Incarnation).
-		Float64("passed_ms", restored.ElapsedMs).
+		Str("incarnation", restored.Incarnation).
+		Float64("elapsed_ms", restored.ElapsedMs).
 		Int("hosts", len(restored.Hosts)).
 		Int("proxies", len(restored.Proxies)).
-		Str("why", restored.Reason).
+		Str("reason", restored.Reason).
 		Msg("state restored")
 	return nil
 }
--- a/internal/daemon/standby.go
+++ b/internal/daemon/standby.go
@@ -204,8 +204,8 @@
 	}
 	s.takeoverMs = wholeMicroseconds(time.Since(began))
 	s.log.Warn().
-		Str("life", restored.Incarnation).
-		Float64("passed_ms", math.Round(restored.ElapsedMs)).
+		Str("incarnation", restored.Incarnation).
+		Float64("elapsed_ms", math.Round(restored.ElapsedMs)).
 		Int("hosts", len(restored.Hosts)).
 		Int("proxies", len(restored.Proxies)).
 		Msg("taking over")
--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -40,7 +40,7 @@
 			Str("result", healthCheckResultName(result)).
 			Int64("took_ms", time.Since(began).Milliseconds()).
 			Err(err).
-			Msg("health check not healthy")
+			Msg("health check failed")
 	}
 	n.post(func() {
 		if n.hosts.isRemoved(target.host) || n.hosts.processes[target.host] != target.process {
