--- a/internal/platform/host_registry.go
+++ b/internal/platform/host_registry.go
@@ -1,12 +1,5 @@
 package platform
 
-import (
-	"maps"
-	"slices"
-
-	"barleysail/routing"
-)
-
 // removedHostRetentionMs is how long a removed host is retained, since it may come back, and reports on it may still be
 // in flight.
 const removedHostRetentionMs = 30000.0
@@ -37,68 +30,6 @@
 	return removed
 }
 
-// applyWatchEvent passes a valid watch event to the balancer; cached says that its age is unknown. The first event with
-// hosts is passed twice, first as a cached one, so that its hosts without a start time count as started long ago and
-// not as new.
-func (n *Node) applyWatchEvent(event watchEvent, cached bool) {
-	first := n.balancer.HostIndexCount() == 0
-	if first && !cached {
-		n.applyWatchEvent(event, true)
-	}
-	if event.Snapshot {
-		for host := range n.balancer.HostIndexCount() {
-			n.markRemoved(host)
-		}
-		n.balancer.ObserveSnapshot(cached)
-	} else {
-		n.balancer.ObserveDelta()
-	}
-	for _, endpoint := range event.Endpoints {
-		n.applyEndpoint(endpoint)
-	}
-	n.log.Debug().
-		Int64("generation", event.Generation).
-		Bool("snapshot", event.Snapshot).
-		Int("entries", len(event.Endpoints)).
-		Msg("endpoint list event applied")
-	if first && cached {
-		n.connectEarlyProxies()
-	}
-}
-
-// applyEndpoint passes one entry to the balancer. It ignores the removal of a host that is not known.
-func (n *Node) applyEndpoint(endpoint endpointEntry) {
-	state := lifecycleStates[endpoint.Lifecycle]
-	host, known := n.balancer.LookupHost(endpoint.Name)
-	if !known {
-		if state == routing.Removed {
-			return
-		}
-		host = n.balancer.HostIndex(endpoint.Name)
-	}
-	incarnation := n.hosts.processes[host].incarnation
-	if state == routing.Removed {
-		n.markRemoved(host)
-	} else if n.hosts.isRemoved(host) {
-		delete(n.hosts.removedAtMs, host)
-		incarnation++
-	}
-	n.hosts.processes[host] = hostProcess{endpoint.Address, endpoint.StartedAtMs, incarnation}
-	zone, _ := n.balancer.ZoneIndex(endpoint.Zone) // unknown only for a removed host, whose zone means nothing
-	n.balancer.ObserveEndpoint(host, zone, state, endpoint.Weight, endpoint.StartedAtMs)
-}
-
-// connectEarlyProxies connects the proxies whose sessions began before any host was known, if one is known now.
-func (n *Node) connectEarlyProxies() {
-	if n.balancer.HostIndexCount() == 0 {
-		return
-	}
-	for _, proxy := range slices.Sorted(maps.Keys(n.sessions.active)) {
-		session := n.sessions.active[proxy]
-		n.balancer.ConnectProxy(proxy, session.zone, session.weight)
-	}
-}
-
 // markRemoved records when a host was removed, unless it was removed before or its index is free.
 func (n *Node) markRemoved(host int) {
 	if !n.hosts.isRemoved(host) && n.balancer.HostID(host) != "" {
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -15,7 +15,6 @@
 	"iter"
 	"maps"
 	"net"
-	"slices"
 	"sync"
 	"time"
 
@@ -151,22 +150,6 @@
 		Msg("in service")
 }
 
-// applyKnownEndpoints starts with the endpoint list of the configuration. Unlike a rejected list from the discovery
-// service, this one has no older list to fall back to, so only its malformed entries are dropped.
-func (n *Node) applyKnownEndpoints() {
-	known := n.config.knownEndpoints
-	known.Snapshot = true
-	known.Endpoints = slices.DeleteFunc(known.Endpoints, func(e endpointEntry) bool {
-		err := e.validate(n.balancer.ZoneIndex)
-		if err != nil {
-			n.warnings.warn("malformed known endpoint dropped", err)
-		}
-		return err != nil
-	})
-	n.applyWatchEvent(known, true)
-	n.config.knownEndpoints = watchEvent{}
-}
-
 // Reload applies the part of a new configuration that may change while the node serves: the discovery address and the
 // limits; "barleysail node" calls it on SIGHUP. It restarts the watch of the endpoint list with a snapshot, even if the
 // address is the same. The limit of health checks in flight does not change. The log line "configuration reloaded"
