--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -103,10 +103,10 @@
 	n.post(func() { n.applyWatchEvent(event, false) })
 }
 
-// Run listens and serves until the context ends, which "barleysail node" does on SIGTERM or SIGINT. The graceful
-// shutdown closes the listener and all connections and waits for all goroutines. Updates that are still queued are
-// dropped; proxies keep their tables and connect to another controller, so nothing has to be saved. Run returns an
-// error only if it cannot listen on the address.
+// Run listens and serves until the context ends, which "barleysail node" does on SIGTERM or SIGINT. Then it does a
+// graceful shutdown: it closes the listener and all connections, and waits for all goroutines. Updates that are still
+// queued are dropped; proxies keep their tables and connect to another controller, so nothing has to be saved. Run
+// returns an error only if it cannot listen on the address.
 func (n *Node) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", n.config.Listen)
 	if err != nil {
