--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -29,7 +29,8 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// Daemon is a running controller with its sockets and background work. Stop or Kill ends it together with all
+// Daemon is a running controller with its sockets and background work. It reads its configuration only at the start:
+// unlike "barleysail node" it has no reload on SIGHUP, which ends the process. Stop or Kill ends it together with all
 // goroutines that it started.
 type Daemon struct {
 	config      *configpb.Config
