--- a/internal/daemon/controller_loop.go
+++ b/internal/daemon/controller_loop.go
@@ -31,7 +31,7 @@
 // controller at its next deadline, and applies the effects of a call after it has released the mutex. It makes no
 // routing decision.
 //
-// The loop owns its timer, whose function runs in a goroutine of its own; stop ends it.
+// The loop owns its timer, whose function runs in a goroutine of its own; shutDown and stop end it.
 type controllerLoop struct {
 	clock            clock.Clock
 	log              zerolog.Logger
@@ -144,17 +144,26 @@
 	l.timer.Reset(milliseconds(math.Max(delayMs, minTimerDelayMs)))
 }
 
-// stop ends the loop: later calls do nothing. With release it first responds to pending polls, and closes the
-// recording, as a graceful shutdown has to; without release the loop ends as if the process were killed.
-func (l *controllerLoop) stop(release bool) {
-	if release {
-		l.recordedCall(record.Release, func(nowMs float64) { l.controller.ReleasePolls(nowMs, l) })
-	}
+// shutDown ends the loop for a graceful shutdown: it responds to pending polls and closes the recording. Later calls on
+// the loop do nothing.
+func (l *controllerLoop) shutDown() {
+	l.recordedCall(record.Release, func(nowMs float64) { l.controller.ReleasePolls(nowMs, l) })
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.stopLocked()
+	l.recorder.close()
+}
+
+// stop ends the loop as if the process were killed: pending polls get no response, and the recording is not closed.
+// Later calls on the loop do nothing.
+func (l *controllerLoop) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	l.stopLocked()
+}
+
+// stopLocked makes later calls do nothing and stops the timer. The caller holds the mutex.
+func (l *controllerLoop) stopLocked() {
 	l.stopped = true
 	l.timer.Stop()
-	if release {
-		l.recorder.close()
-	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -272,7 +272,7 @@
 	if d.persister != nil {
 		d.persister.save()
 	}
-	d.loop.stop(true)
+	d.loop.shutDown()
 	err := d.server.Shutdown(ctx)
 	d.close()
 	return err
@@ -284,7 +284,7 @@
 func (d *Daemon) Kill() {
 	d.closeAndLog("listener", d.listener)
 	d.server.Cut()
-	d.loop.stop(false)
+	d.loop.stop()
 	d.close()
 }
 
@@ -298,7 +298,7 @@
 		d.server.Cut() // needed after a failed start: Stop and Kill have closed the connections before
 	}
 	if d.loop != nil {
-		d.loop.stop(false)
+		d.loop.stop()
 	}
 	if d.healthChecker != nil {
 		d.healthChecker.close()
