--- a/internal/daemon/api_test.go
+++ b/internal/daemon/api_test.go
@@ -17,7 +17,7 @@
 // transcript collects responses for comparison with a golden file.
 type transcript struct{ text strings.Builder }
 
-// add appends a response under a label, with the incarnation's name replaced, and gives it back.
+// add appends a response under a label, with the incarnation's name replaced, and returns it.
 func (tr *transcript) add(label string, result httpResult) httpResult {
 	fmt.Fprintf(&tr.text, "%s\n  %d", label, result.status)
 	fields := []string{"Etag", "Im", "Delta-Base", "Preference-Applied", "Content-Type", "Allow", "Vary"}
@@ -172,7 +172,7 @@
 	}
 }
 
-// startOfferPair starts two controllers whose lists differ in the second host's weight, and gives the tables of the
+// startOfferPair starts two controllers whose lists differ in the second host's weight, and returns the tables of the
 // first.
 func startOfferPair(t *testing.T) (first, second *testDaemon, fromFirst httpResult) {
 	t.Helper()
--- a/internal/daemon/authorization_test.go
+++ b/internal/daemon/authorization_test.go
@@ -225,7 +225,7 @@
 	})
 }
 
-// checkTokenBoundToConnection wants that a token is accepted on the connection of its first use only.
+// checkTokenBoundToConnection checks that a token is accepted on the connection of its first use only.
 func checkTokenBoundToConnection(t *testing.T, d *identityDaemon, token string) {
 	t.Helper()
 	owner, thief := anonymousClient(t), anonymousClient(t)
@@ -240,7 +240,7 @@
 	}
 }
 
-// checkTokenBoundsPoll wants that a poll ends with its token, which was issued for 3 s.
+// checkTokenBoundsPoll checks that a poll ends with its token, which was issued for 3 s.
 func checkTokenBoundsPoll(t *testing.T, d *identityDaemon, token string, issued time.Time) {
 	t.Helper()
 	client := anonymousClient(t)
--- a/internal/daemon/bench_helpers_test.go
+++ b/internal/daemon/bench_helpers_test.go
@@ -69,7 +69,7 @@
 	return d
 }
 
-// publishEndpoints gives the controller the endpoint list.
+// publishEndpoints passes the endpoint list to the controller.
 func (d *benchDaemon) publishEndpoints(b *testing.B) {
 	b.Helper()
 	if err := d.loop.setEndpoints(d.endpoints); err != nil {
@@ -112,7 +112,7 @@
 	return err
 }
 
-// receive reads the response to a poll, and gives its status and the size of its body in bytes.
+// receive reads the response to a poll, and returns its status and the size of its body in bytes.
 func (p *benchPoller) receive() (status, bodyBytes int, err error) {
 	response, err := http.ReadResponse(p.reader, nil)
 	if err != nil {
@@ -178,7 +178,7 @@
 	d.waitForPolls(b, len(pollers))
 }
 
-// benchIdentities starts an issuer. It gives the TLS settings of proxies, and the identity settings of daemons.
+// benchIdentities starts an issuer. It returns the TLS settings of proxies, and the identity settings of daemons.
 func benchIdentities(b *testing.B) (proxyTLS *tls.Config, settings string) {
 	b.Helper()
 	authority := newAuthority(b, "race.example")
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -54,7 +54,7 @@
 	b.ReportMetric(delaysMs[len(delaysMs)*99/100], "ms-p99")
 }
 
-// measureDeltas publishes the endpoint list, and gives the time until each poller has its delta, in ms.
+// measureDeltas publishes the endpoint list, and returns the time until each poller has its delta, in ms.
 func (d *benchDaemon) measureDeltas(b *testing.B, pollers []*benchPoller) []float64 {
 	b.Helper()
 	var mu sync.Mutex
@@ -143,7 +143,7 @@
 	}
 }
 
-// memoryInUse gives the bytes of heap and stack in use after a garbage collection.
+// memoryInUse returns the bytes of heap and stack in use after a garbage collection.
 func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC() // frees what the finalizers of the first let go
--- a/internal/daemon/daemon_helpers_test.go
+++ b/internal/daemon/daemon_helpers_test.go
@@ -281,7 +281,7 @@
 	await(t, what, limit, done)
 }
 
-// inBackground calls a function in a goroutine, which ends with the function, and gives the channel of its result.
+// inBackground calls a function in a goroutine, which ends with the function, and returns the channel of its result.
 func inBackground[T any](call func() T) <-chan T {
 	result := make(chan T, 1)
 	go func() { result <- call() }()
@@ -311,7 +311,7 @@
 	return proxy, stop
 }
 
-// hostWeight gives a host's weight in the client's tables of the request class sheet; 0: it has none.
+// hostWeight returns a host's weight in the client's tables of the request class sheet; 0: it has none.
 func hostWeight(proxy *client.Client, address string) float64 {
 	for _, host := range proxy.Tables()["sheet"].Hosts {
 		if host.Address == address {
--- a/internal/daemon/operator_api_test.go
+++ b/internal/daemon/operator_api_test.go
@@ -62,7 +62,7 @@
 	t.Run("event subscriber", func(t *testing.T) { checkEventSubscriber(t, d, firstHost) })
 }
 
-// checkEventSubscriber wants that a pending poll for events is notified of an operator's command.
+// checkEventSubscriber checks that a pending poll for events is notified of an operator's command.
 func checkEventSubscriber(t *testing.T, d *testDaemon, host string) {
 	all := d.eventsAfter(0, 0)
 	if len(all) == 0 {
--- a/internal/daemon/persister_test.go
+++ b/internal/daemon/persister_test.go
@@ -54,7 +54,7 @@
 	verifyReplay(t, d.config.Record)
 }
 
-// statePersisted tells whether the folder has the override of TestStateAcrossRestart, and the proxy's session with
+// statePersisted reports whether the folder has the override of TestStateAcrossRestart, and the proxy's session with
 // this entity tag.
 func statePersisted(folder, tag string) bool {
 	found, err := loadState(folder)
@@ -65,7 +65,7 @@
 	return len(state.Settings) == 1 && len(state.Proxies) == 1 && state.Proxies[0].Tag == strings.Trim(tag, `"`)
 }
 
-// verifyReplay replays a recording and wants no difference.
+// verifyReplay replays a recording and fails the test for a difference.
 func verifyReplay(t *testing.T, path string) {
 	t.Helper()
 	file, err := os.Open(path)
--- a/internal/daemon/recording_test.go
+++ b/internal/daemon/recording_test.go
@@ -72,7 +72,7 @@
 func (c *responseCollector) WatchEndpoints()    {}
 func (c *responseCollector) Log(string)         {}
 
-// replayRecording feeds the recorded inputs to a new controller. It gives the responses as they were recorded and as
+// replayRecording feeds the recorded inputs to a new controller. It returns the responses as they were recorded and as
 // the controller gives them now, and the error that ended the recording.
 func replayRecording(t *testing.T, text []byte) (recorded, replayed []string, end error) {
 	t.Helper()
--- a/internal/daemon/runtime_sockets_test.go
+++ b/internal/daemon/runtime_sockets_test.go
@@ -51,7 +51,7 @@
 	return conn
 }
 
-// runtimeCommand sends a command, as socat would, and gives all that comes until the connection closes.
+// runtimeCommand sends a command, as socat would, and returns all that comes until the connection closes.
 func (d *testDaemon) runtimeCommand(index int, command string) string {
 	d.t.Helper()
 	conn := d.dialRuntime(index)
--- a/internal/daemon/socket_proxies_test.go
+++ b/internal/daemon/socket_proxies_test.go
@@ -48,7 +48,7 @@
 // defaultWeights are the weights of twoHosts as a proxy has them.
 var defaultWeights = map[string]int{"10.0.0.1:80": 256, "10.0.0.2:80": 128}
 
-// hasWeights tells whether the servers of a proxy that take traffic are the ones wanted, with their weights, for both
+// hasWeights reports whether the servers of a proxy that take traffic are the ones wanted, with their weights, for both
 // request classes.
 func hasWeights(proxy *fake.Forwarder, want map[string]int) bool {
 	count := 0
@@ -64,7 +64,7 @@
 	return count == 2*len(want)
 }
 
-// acknowledged tells whether a proxy has acknowledged its newest tables.
+// acknowledged reports whether a proxy has acknowledged its newest tables.
 func (d *testDaemon) acknowledged(name string) bool {
 	for _, proxy := range d.Operators().Proxies() {
 		if proxy.Proxy == name {
--- a/internal/daemon/standby_test.go
+++ b/internal/daemon/standby_test.go
@@ -56,7 +56,7 @@
 	})
 }
 
-// hasReplicated tells whether the standby's lease is valid and its state has one override, and one proxy session with
+// hasReplicated reports whether the standby's lease is valid and its state has one override, and one proxy session with
 // this entity tag.
 func (d *testDaemon) hasReplicated(tag string) bool {
 	report := d.standby.report()
--- a/internal/daemon/table_signature_test.go
+++ b/internal/daemon/table_signature_test.go
@@ -97,7 +97,7 @@
 	return c
 }
 
-// weight gives the second host's weight; 0: there are no tables.
+// weight returns the second host's weight; 0: there are no tables.
 func (c *signatureClient) weight() float64 { return hostWeight(c.proxy, "10.0.0.2:80") }
 
 // A client that wants signed tables accepts those of its own controller, snapshots and deltas; it rejects unsigned
