--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -24,7 +24,7 @@
 	return []byte(strings.Replace(text, old, replacement, 1))
 }
 
-// Settings of another kind start; a malformed configuration is one line that names the field.
+// Valid settings of another kind are accepted; the error of a malformed configuration is one line that names the field.
 func TestConfigurations(t *testing.T) {
 	var trace strings.Builder
 	for _, change := range []struct{ old, replacement string }{
@@ -75,7 +75,7 @@
 	golden.Trace(t, trace.String())
 }
 
-// startWith makes a balancer by a configuration.
+// startWith creates a balancer from a configuration.
 func startWith(text []byte) error {
 	config, err := parseConfig(text)
 	if err != nil {
--- a/internal/platform/connection_limiter_test.go
+++ b/internal/platform/connection_limiter_test.go
@@ -65,7 +65,7 @@
 	expectSnapshot(t, dial(t, address, "SUBSCRIBE proxy 901 zone a weight 1 fresh 1"))
 }
 
-// The connection of an unresponsive session is kept only while nobody needs its descriptor.
+// The connection of an unresponsive session is closed as soon as another connection needs its descriptor.
 func TestUnresponsiveSessionEvicted(t *testing.T) {
 	node, address, proxies := fillNode(t)
 	found := query(t, node, func() bool {
--- a/internal/platform/endpoint_watcher_test.go
+++ b/internal/platform/endpoint_watcher_test.go
@@ -101,7 +101,7 @@
 	expectHosts(t, node, "s-1+s-2")
 }
 
-// The list moves to an address whose agent has yet to catch up: its older snapshot does not bring back what was
+// The list moves to an address whose replica has not caught up: its older snapshot does not bring back hosts that were
 // removed since; one of the same generation or a newer one is accepted.
 func TestStaleSnapshotAfterAddressChange(t *testing.T) {
 	first, second := listen(t), listen(t)
@@ -125,7 +125,8 @@
 	expectTarget(t, nextCall(t, conn), endpointListPath)
 }
 
-// An agent that stays behind for longer than a change may be on its way has restarted its count: it is believed.
+// A service that returns an older list for longer than the stale limit has restarted its generations: the list is
+// accepted.
 func TestGenerationsRestart(t *testing.T) {
 	discovery := listen(t)
 	node, err := New(newTestConfig(t, discovery.Addr().String(), 0), zerolog.Nop())
@@ -141,8 +142,8 @@
 	expectHosts(t, node, "s-2")
 }
 
-// A delta where a snapshot is due, an answer that does not say what it is, and one that ends in the middle are
-// refused, and a snapshot is asked for again; the list that is held stands.
+// A delta in place of a snapshot, a response that does not say what it is, and one that ends in the middle are
+// rejected, and a snapshot is requested again; the list in force stays.
 func TestInvalidSnapshot(t *testing.T) {
 	for _, test := range []struct{ name, body string }{
 		{"changes", endpointList(7, false, hostTwo)},
@@ -170,8 +171,8 @@
 	}
 }
 
-// The agent resets an idle connection while a call is on its way to it: the call is repeated on a new one, at once
-// and unchanged.
+// The service resets an idle connection while a call is in flight: the call is retried on a new one, at once and
+// unchanged.
 func TestIdleConnectionReset(t *testing.T) {
 	discovery := listen(t)
 	node, _ := startNode(t, newTestConfig(t, discovery.Addr().String(), 0))
--- a/internal/platform/health_check_moved_host_test.go
+++ b/internal/platform/health_check_moved_host_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// While a health check is in flight the host moves to another address, or is removed and comes back: what the old
-// address or process answers proves nothing about the host as it is now, and the next check goes to where it is.
+// While a health check is in flight the host moves to another address, or is removed and comes back: the response of
+// the old address or process says nothing about the current one, and the next check goes to the current address.
 func TestHealthCheckOfMovedHost(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/platform/health_check_test.go
+++ b/internal/platform/health_check_test.go
@@ -76,8 +76,7 @@
 	mustClose(t, conn)
 }
 
-// A network that resets connections now and then must not make a host count as unreachable: only a refused connection
-// proves that.
+// Connections that the network resets must not make a host count as unreachable: only a refused connection does.
 func TestHealthCheck(t *testing.T) {
 	unused := listen(t)
 	refusing := unused.Addr().String()
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -23,7 +23,7 @@
 	"barleysail/routing"
 )
 
-// testTimeout bounds each wait for something that a sound node does within milliseconds, or a few seconds at most.
+// testTimeout bounds each wait for an effect that takes milliseconds, or a few seconds at most, if the node works.
 const testTimeout = 10 * time.Second
 
 const testSettings = `{"Discovery":"automatic","FailureDomains":["a","b"],"Index":0,"Instances":1,"Zone":"a",
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -20,7 +20,7 @@
 	dial(t, address, subscribeProxy0).expect(firstSnapshot)
 }
 
-// How many health checks may be in flight follows from the descriptors, not from known endpoints that may be absent.
+// The limit of health checks in flight depends on the descriptors, and not on the known endpoints, which may be absent.
 func TestHealthChecksInFlight(t *testing.T) {
 	for _, sockets := range []int{0, 256, 1024, 4096} {
 		config := newTestConfig(t, noDiscovery, sockets)
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -42,8 +42,8 @@
 	collector.expect("PONG")
 }
 
-// Who is neither a proxy nor a collector is rejected, and more unidentified connections than there is room for keep
-// no proxy from connecting.
+// A peer that is neither a proxy nor a collector is rejected, and too many unidentified connections do not prevent a
+// proxy from connecting.
 func TestUnidentifiedConnections(t *testing.T) {
 	discovery, _ := startDiscovery(t, hostOne)
 	const sockets = 10 // room for the least number of unidentified connections
@@ -181,7 +181,7 @@
 	proxy.expect(firstSnapshot)
 }
 
-// A proxy that acknowledges no stamp but goes on sending costs a bounded number of stamps; the newest are kept.
+// A proxy that acknowledges no stamp but goes on sending uses a bounded number of stamps; the newest are kept.
 func TestStampsNeverAcknowledged(t *testing.T) {
 	session := &peerSession{}
 	for number := range 10 * maxUnacknowledged {
--- a/internal/platform/watch_event_test.go
+++ b/internal/platform/watch_event_test.go
@@ -8,7 +8,7 @@
 	"barleysail/internal/golden"
 )
 
-// To leave out entries of a snapshot would remove their hosts: an event that holds anything malformed is refused.
+// An event with any malformed entry is rejected: a snapshot without its malformed entries would remove their hosts.
 func TestMalformedWatchEvent(t *testing.T) {
 	node := newIdleNode(t)
 	var trace strings.Builder
