--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -15,7 +15,7 @@
 
 var testLimits = Limits{Words: 4, Bytes: 60}
 
-// Each line of the trace is what came in and what was read of it, up to the error that ended it.
+// Each line of the trace holds an input and the messages that were read from it, up to the error that ended it.
 func TestMessages(t *testing.T) {
 	var trace strings.Builder
 	for _, input := range []string{
@@ -46,7 +46,8 @@
 	}
 }
 
-// What is written can be read, and what was read and written again is the same; nothing panics or passes its limits.
+// A message that was written can be read, and one that was read is the same when written again; nothing panics or
+// exceeds the limits.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte("*2\r\n$1\r\na\r\n$0\r\n\r\n"))
 	f.Add([]byte("*1\r\n$4\r\nPING\r\n*9\r\n"))
