--- a/cmd/barleysail/describe.go
+++ b/cmd/barleysail/describe.go
@@ -35,23 +35,24 @@
 func describeHost(out io.Writer, host controller.HostInfo) error {
 	p := newPrinter(out)
 	p.printf("%s of zone %s is %s\n", host.Host, host.Zone, hostState(host))
-	if host.Operator != nil {
-		p.printf("operator      %s\n", formatOverride(host.Operator))
+	if host.Override != nil {
+		p.printf("operator      %s\n", formatOverride(host.Override))
 	}
 	describeWeight(p, host)
 	describeHealth(p, host)
-	for _, change := range host.Moves {
-		p.printf("%s  weight %s to %s; rate %s, R %s ms, cap %s\n", formatTime(change.At), formatNumber(change.From),
-			formatNumber(change.To), formatNumber(change.Rate), formatNumber(change.R), formatNumber(change.Cap))
+	for _, change := range host.WeightChanges {
+		p.printf("%s  weight %s to %s; rate %s, R %s ms, cap %s\n", formatTime(change.AtMs), formatNumber(change.From),
+			formatNumber(change.To), formatNumber(change.ArrivalRate), formatNumber(change.MeanLatencyMs),
+			formatNumber(change.Capacity))
 	}
 	return p.flush()
 }
 
 // describeWeight prints the weight of a host and the figures of the capacity formula.
 func describeWeight(p *printer, host controller.HostInfo) {
-	why := host.Why
+	why := host.Explanation
 	p.printf("weight        %s told to proxies, %s wanted; moves have put it at %s, listed is %s\n",
-		formatNumber(host.Weight), formatNumber(why.TargetWeight), formatNumber(why.Weight), formatNumber(host.Listed))
+		formatNumber(host.Weight), formatNumber(why.TargetWeight), formatNumber(why.Weight), formatNumber(host.BaseWeight))
 	p.printf("load          rate %s a second, R %s ms (median of all %s ms)\n",
 		formatNumber(why.ArrivalRate), formatNumber(why.MeanLatencyMs), formatNumber(why.MedianLatencyMs))
 	headroom := why.Capacity - why.ArrivalRate
@@ -66,7 +67,7 @@
 
 // describeHealth prints the load report, attempts and health checks of a host, and its slow start and recovery ramp.
 func describeHealth(p *printer, host controller.HostInfo) {
-	why := host.Why
+	why := host.Explanation
 	p.printf("reported      busy %s, queue %s\n", formatNumber(why.Load.Utilization), formatNumber(why.Load.QueueLength))
 	p.printf("tries lately  %s fulfilled, %s failed\n", formatNumber(why.Successes), formatNumber(why.Failures))
 	p.printf("probes        %d in a row answered, %d not; withdrawn: %v\n",
--- a/cmd/barleysail/events.go
+++ b/cmd/barleysail/events.go
@@ -58,7 +58,7 @@
 func printEvents(out io.Writer, events []controller.Event) error {
 	p := newPrinter(out)
 	for _, event := range events {
-		p.printf("%s  %-8s %s\n", formatTime(event.At), event.Kind, event.Text)
+		p.printf("%s  %-8s %s\n", formatTime(event.AtMs), event.Kind, event.Text)
 	}
 	return p.flush()
 }
--- a/cmd/barleysail/get.go
+++ b/cmd/barleysail/get.go
@@ -77,13 +77,13 @@
 			host.Host,
 			host.Zone,
 			hostState(host),
-			formatNumber(host.Listed),
+			formatNumber(host.BaseWeight),
 			formatNumber(host.Weight),
-			formatNumber(host.Why.ArrivalRate),
-			formatNumber(host.Why.MeanLatencyMs),
-			formatNumber(host.Why.Capacity),
-			formatNumber(host.Why.Load.Utilization),
-			formatOverride(host.Operator),
+			formatNumber(host.Explanation.ArrivalRate),
+			formatNumber(host.Explanation.MeanLatencyMs),
+			formatNumber(host.Explanation.Capacity),
+			formatNumber(host.Explanation.Load.Utilization),
+			formatOverride(host.Override),
 		})
 	}
 	return result, nil
@@ -104,9 +104,9 @@
 			proxy.Zone,
 			proxy.Tag,
 			strconv.FormatBool(proxy.Acked),
-			strconv.FormatBool(proxy.Held),
+			strconv.FormatBool(proxy.PollPending),
 			formatNumber(totalRate(proxy)),
-			formatNumber(proxy.Waiting),
+			formatNumber(proxy.QueuedEntries),
 		})
 	}
 	return result, nil
@@ -179,7 +179,7 @@
 	result := &resultTable{header: []string{"number", "at", "kind", "text"}, document: events}
 	for _, event := range events {
 		number := strconv.FormatInt(event.Number, 10)
-		result.rows = append(result.rows, []string{number, formatTime(event.At), event.Kind, event.Text})
+		result.rows = append(result.rows, []string{number, formatTime(event.AtMs), event.Kind, event.Text})
 	}
 	return result, nil
 }
--- a/cmd/barleysail/guard.go
+++ b/cmd/barleysail/guard.go
@@ -79,10 +79,10 @@
 		p.println(finding)
 	}
 	p.println("instead:")
-	if err := printJSON(out, result.Instead); err != nil {
+	if err := printJSON(out, result.Repaired); err != nil {
 		return err
 	}
-	for _, finding := range result.Left {
+	for _, finding := range result.Remaining {
 		p.println("left:", finding)
 	}
 	if err := p.flush(); err != nil {
--- a/cmd/barleysail/guard_replay.go
+++ b/cmd/barleysail/guard_replay.go
@@ -43,9 +43,9 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		columns.printf("%s\t%.1f s\t%d\t%s\n", name, seconds(result.To-result.From), report.Looked,
-			formatCounts(report.Found))
-		for check, count := range report.Found {
+		columns.printf("%s\t%.1f s\t%d\t%s\n", name, seconds(result.To-result.From), report.Runs,
+			formatCounts(report.NewFindings))
+		for check, count := range report.NewFindings {
 			totals[check] += count
 		}
 	}
--- a/cmd/barleysail/host_state.go
+++ b/cmd/barleysail/host_state.go
@@ -12,13 +12,13 @@
 // hostState returns the state of a host as the commands print it: ejected, in slow start, or its state on the
 // endpoint list.
 func hostState(host controller.HostInfo) string {
-	if host.Withdrawn {
+	if host.Ejected {
 		return stateEjected
 	}
-	if host.Phase == phaseReady && host.Why.SlowStartFactor < 1 {
+	if host.State == phaseReady && host.Explanation.SlowStartFactor < 1 {
 		return stateSlowStart
 	}
-	return host.Phase
+	return host.State
 }
 
 // formatOverride describes the override that an operator set on a host; empty: none.
@@ -27,20 +27,20 @@
 		return ""
 	}
 	text := override.State
-	if override.Waiting {
+	if override.Queued {
 		text += " (waits)"
 	}
 	if override.Weight > 0 {
 		text += " weight " + formatNumber(override.Weight)
 	}
-	if override.Part > 0 {
-		text += " weight x" + formatNumber(override.Part)
+	if override.WeightRatio > 0 {
+		text += " weight x" + formatNumber(override.WeightRatio)
 	}
 	if override.Added {
 		text += " added"
 	}
-	if override.By != "" {
-		text += " by " + override.By
+	if override.Operator != "" {
+		text += " by " + override.Operator
 	}
 	return text
 }
--- a/cmd/barleysail/top.go
+++ b/cmd/barleysail/top.go
@@ -63,7 +63,7 @@
 		s.err = err
 		return s
 	}
-	restarted := s.status.Life != "" && next.status.Life != s.status.Life
+	restarted := s.status.Incarnation != "" && next.status.Incarnation != s.status.Incarnation
 	if !restarted { // a restarted controller numbers its events from the beginning
 		next.events = append(s.events[:len(s.events):len(s.events)], next.events...)
 	}
--- a/cmd/barleysail/top_state_test.go
+++ b/cmd/barleysail/top_state_test.go
@@ -17,8 +17,8 @@
 	if first.err != nil || len(first.hosts) != 2 || len(first.proxies) != 1 || len(first.events) == 0 {
 		t.Fatalf("the first query: %+v", first)
 	}
-	if first.status.Joined != 1 {
-		t.Errorf("%d proxies are connected by the status, want 1", first.status.Joined)
+	if first.status.ConnectedProxies != 1 {
+		t.Errorf("%d proxies are connected by the status, want 1", first.status.ConnectedProxies)
 	}
 
 	second := first.next(ctx, client)
@@ -42,7 +42,7 @@
 	url := startTwoHostController(t)
 	waitForOutput(t, url, 0, "joined", "get", "events")
 	earlier := topState{
-		status: controller.Status{Life: "earlier"},
+		status: controller.Status{Incarnation: "earlier"},
 		events: []controller.Event{{Number: 0, Text: "of the earlier controller"}},
 	}
 	next := earlier.next(context.Background(), newControllerClient(url))
--- a/cmd/barleysail/top_test.go
+++ b/cmd/barleysail/top_test.go
@@ -19,31 +19,31 @@
 func exampleTopState() topState {
 	mode := "withdraw host 10.0.0.3:80: 3 probes failed, absent false, 0.92 of the weight left, and so on"
 	state := topState{
-		status: controller.Status{Life: "abc", Hosts: 12, Joined: 2, Polls: 2, Mode: mode},
+		status: controller.Status{Incarnation: "abc", Hosts: 12, ConnectedProxies: 2, PendingPolls: 2, Mode: mode},
 		proxies: []controller.ProxyInfo{
 			{Proxy: "p", Zone: "addis", Acked: true, Rates: map[string]float64{"sheet": 3, "finish": 2}},
 			{Proxy: "q", Zone: "adama"},
 		},
 	}
 	for i := range 12 {
-		host := controller.HostInfo{Host: fmt.Sprintf("10.0.0.%d:80", i), Zone: "addis", Phase: "ready", Weight: 1,
-			Why: routing.Explanation{ArrivalRate: float64(i * 3), Capacity: 30, SlowStartFactor: 1}}
+		host := controller.HostInfo{Host: fmt.Sprintf("10.0.0.%d:80", i), Zone: "addis", State: "ready", Weight: 1,
+			Explanation: routing.Explanation{ArrivalRate: float64(i * 3), Capacity: 30, SlowStartFactor: 1}}
 		switch i {
 		case 3:
-			host.Withdrawn = true
+			host.Ejected = true
 			host.Weight = 0
 		case 5:
-			host.Phase = "draining"
-			host.Operator = &controller.OverrideInfo{State: "drain"}
+			host.State = "draining"
+			host.Override = &controller.OverrideInfo{State: "drain"}
 		case 7:
-			host.Why.SlowStartFactor = 0.3
+			host.Explanation.SlowStartFactor = 0.3
 		}
 		state.hosts = append(state.hosts, host)
 	}
 	for i := range 9 {
 		text := fmt.Sprint("event ", i+1, strings.Repeat(" long", 20))
 		state.events = append(state.events,
-			controller.Event{Number: int64(i + 1), At: float64(i) * 1000, Kind: "mode", Text: text})
+			controller.Event{Number: int64(i + 1), AtMs: float64(i) * 1000, Kind: "mode", Text: text})
 	}
 	return state
 }
--- a/cmd/barleysail/top_view.go
+++ b/cmd/barleysail/top_view.go
@@ -40,7 +40,7 @@
 	}
 	return []string{
 		fmt.Sprintf("barleysail %s  %d hosts  %d proxies  %d polls  %.0f lines waiting",
-			status.Life, status.Hosts, status.Joined, status.Polls, status.LinesWaiting),
+			status.Incarnation, status.Hosts, status.ConnectedProxies, status.PendingPolls, status.Backlog),
 		second,
 		m.viewNames() + "   s: order  q: end",
 	}
@@ -98,25 +98,25 @@
 	load := hostLoad(host)
 	bar := strings.Repeat("#", min(int(math.Round(load*loadBarScale)), loadBarLength))
 	override := ""
-	if host.Operator != nil {
-		override = " " + host.Operator.State
+	if host.Override != nil {
+		override = " " + host.Override.State
 	}
 	return fmt.Sprintf("%-21s %-7s %-9s %6.2f %7.1f %7.1f  %-9s%3.0f%%%s", host.Host, host.Zone, hostState(host),
-		host.Weight, host.Why.ArrivalRate, host.Why.Capacity, bar, 100*load, override)
+		host.Weight, host.Explanation.ArrivalRate, host.Explanation.Capacity, bar, 100*load, override)
 }
 
 // hostLoad returns a host's arrival rate as a fraction of its capacity, or 0 for an unknown capacity.
 func hostLoad(host controller.HostInfo) float64 {
-	if host.Why.Capacity <= 0 {
+	if host.Explanation.Capacity <= 0 {
 		return 0
 	}
-	return host.Why.ArrivalRate / host.Why.Capacity
+	return host.Explanation.ArrivalRate / host.Explanation.Capacity
 }
 
 func (m topModel) proxiesTable() (heads string, rows []string) {
 	for _, proxy := range m.state.proxies {
 		rows = append(rows, fmt.Sprintf("%-24s %-10s %8.1f %8.0f %6v",
-			proxy.Proxy, proxy.Zone, totalRate(proxy), proxy.Waiting, proxy.Acked))
+			proxy.Proxy, proxy.Zone, totalRate(proxy), proxy.QueuedEntries, proxy.Acked))
 	}
 	return fmt.Sprintf("%-24s %-10s %8s %8s %6s", "proxy", "zone", "rate/s", "waiting", "acked"), rows
 }
@@ -124,7 +124,7 @@
 // eventsTable returns the events, the newest first.
 func (m topModel) eventsTable() (heads string, rows []string) {
 	for _, event := range slices.Backward(m.state.events) {
-		rows = append(rows, fmt.Sprintf("%s  %-8s  %s", instant(event.At).Format("15:04:05"), event.Kind, event.Text))
+		rows = append(rows, fmt.Sprintf("%s  %-8s  %s", instant(event.AtMs).Format("15:04:05"), event.Kind, event.Text))
 	}
 	return "time      kind      what", rows
 }
--- a/controller/cached_test.go
+++ b/controller/cached_test.go
@@ -11,7 +11,7 @@
 func TestCachedTables(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	h.mustSetEndpoints(h.readyEndpoints(1))
-	table := Table{Ordered: true, Hosts: []string{hostName(0), hostName(1)}, Weights: []float64{1, 1}, AdmissionRatio: 1}
+	table := Table{Assigned: true, Hosts: []string{hostName(0), hostName(1)}, Weights: []float64{1, 1}, AdmissionRatio: 1}
 	sheet := table
 	sheet.Class = "sheet"
 	finish := table
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -130,9 +130,9 @@
 	c.renewSolverWeights()
 }
 
-// Next returns the time in ms at which the caller has to call Advance. It may be in the past, as it is at first, and
+// NextMs returns the time in ms at which the caller has to call Advance. It may be in the past, as it is at first, and
 // +Inf if no work is scheduled.
-func (c *Controller) Next() float64 {
+func (c *Controller) NextMs() float64 {
 	return min(c.scheduler.nextMs(), c.channel.nextMs(), c.sessions.nextMs(), c.endpoints.nextMs(), c.solver.nextMs(),
 		c.overrides.nextMs, c.validation.nextMs())
 }
--- a/controller/dryrun.go
+++ b/controller/dryrun.go
@@ -12,8 +12,8 @@
 type ValidationResult struct {
 	Findings []guard.Finding `json:"findings"`
 	// Instead holds the repaired weights by class and host, if there are findings.
-	Instead map[string]map[string]float64 `json:"instead"`
-	Left    []guard.Finding               `json:"left"` // in the repaired tables
+	Repaired  map[string]map[string]float64 `json:"instead"`
+	Remaining []guard.Finding               `json:"left"` // in the repaired tables
 }
 
 // defaultValidationLimits apply to proposed tables while the table validator is off.
@@ -99,13 +99,13 @@
 // validateProposed checks a view whose first routes are the proposed tables of classes, and repairs them if there are
 // findings.
 func validateProposed(view *guard.View, limits guard.Limits, classes []string) *ValidationResult {
-	result := &ValidationResult{Findings: jsonFindings(guard.Check(view, limits)), Left: []guard.Finding{}}
+	result := &ValidationResult{Findings: jsonFindings(guard.Check(view, limits)), Remaining: []guard.Finding{}}
 	if len(result.Findings) == 0 {
 		return result
 	}
 	repaired, remaining := guard.Repair(view, limits)
-	result.Left = jsonFindings(remaining)
-	result.Instead = map[string]map[string]float64{}
+	result.Remaining = jsonFindings(remaining)
+	result.Repaired = map[string]map[string]float64{}
 	for i, class := range classes {
 		weights := map[string]float64{}
 		for host, weight := range repaired[i] {
@@ -113,7 +113,7 @@
 				weights[view.Hosts[host].Name] = roundWeight(weight)
 			}
 		}
-		result.Instead[class] = weights
+		result.Repaired[class] = weights
 	}
 	return result
 }
--- a/controller/dryrun_test.go
+++ b/controller/dryrun_test.go
@@ -35,7 +35,7 @@
 	}
 	even := map[string]float64{list[1].Host: 1, list[3].Host: 1, list[0].Host: 0.3, list[2].Host: 0.3}
 	result, err = h.ValidateTables("", tables{"sheet": even})
-	if err != nil || len(result.Findings) != 0 || result.Instead != nil {
+	if err != nil || len(result.Findings) != 0 || result.Repaired != nil {
 		t.Errorf("weights by capacity: %+v %v", result, err)
 	}
 	for _, test := range []struct {
--- a/controller/events.go
+++ b/controller/events.go
@@ -10,7 +10,7 @@
 // Event is an action or observation of the controller that may interest an operator.
 type Event struct {
 	Number int64   `json:"number"`
-	At     float64 `json:"at"`   // ms
+	AtMs   float64 `json:"at"`   // ms
 	Kind   string  `json:"kind"` // one of the kinds below
 	Text   string  `json:"text"`
 }
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -206,7 +206,7 @@
 func (h *harness) advance(durationMs float64) {
 	endMs := h.nowMs + durationMs
 	for {
-		nextMs := math.Max(h.Next(), h.nowMs)
+		nextMs := math.Max(h.NextMs(), h.nowMs)
 		if nextMs > endMs {
 			h.nowMs = endMs
 			return
--- a/controller/hostinfo.go
+++ b/controller/hostinfo.go
@@ -12,39 +12,39 @@
 
 // HostInfo is the state of a host.
 type HostInfo struct {
-	Host      string              `json:"host"`
-	Zone      string              `json:"zone"`
-	Phase     string              `json:"phase"`         // ready, draining or gone
-	Withdrawn bool                `json:"withdrawn"`     // ejected by the balancer
-	Listed    float64             `json:"listed_weight"` // base weight, with the overrides of operators
-	Weight    float64             `json:"weight"`        // published weight
-	Operator  *OverrideInfo       `json:"operator,omitempty"`
-	Why       routing.Explanation `json:"why"`
-	Cores     float64             `json:"cores,omitempty"`
-	Moves     []WeightChange      `json:"moves,omitempty"` // the last weight changes, the newest last
-	Reports   *intake.HostReport  `json:"reports,omitempty"`
+	Host          string              `json:"host"`
+	Zone          string              `json:"zone"`
+	State         string              `json:"phase"`         // ready, draining or gone
+	Ejected       bool                `json:"withdrawn"`     // ejected by the balancer
+	BaseWeight    float64             `json:"listed_weight"` // base weight, with the overrides of operators
+	Weight        float64             `json:"weight"`        // published weight
+	Override      *OverrideInfo       `json:"operator,omitempty"`
+	Explanation   routing.Explanation `json:"why"`
+	Cores         float64             `json:"cores,omitempty"`
+	WeightChanges []WeightChange      `json:"moves,omitempty"` // the last weight changes, the newest last
+	Reports       *intake.HostReport  `json:"reports,omitempty"`
 }
 
 // OverrideInfo is the override of a host.
 type OverrideInfo struct {
-	State   string  `json:"state"`
-	Weight  float64 `json:"weight,omitempty"`
-	Part    float64 `json:"part,omitempty"` // the weight as a ratio of the endpoint list's
-	Added   bool    `json:"added,omitempty"`
-	By      string  `json:"by,omitempty"`
-	At      float64 `json:"at"`                // ms
-	Until   float64 `json:"until,omitempty"`   // ms; 0: it does not expire
-	Waiting bool    `json:"waiting,omitempty"` // queued, not applied yet
+	State       string  `json:"state"`
+	Weight      float64 `json:"weight,omitempty"`
+	WeightRatio float64 `json:"part,omitempty"` // the weight as a ratio of the endpoint list's
+	Added       bool    `json:"added,omitempty"`
+	Operator    string  `json:"by,omitempty"`
+	SetAtMs     float64 `json:"at"`                // ms
+	ExpiresMs   float64 `json:"until,omitempty"`   // ms; 0: it does not expire
+	Queued      bool    `json:"waiting,omitempty"` // queued, not applied yet
 }
 
 // WeightChange is a change of the weight of a host in a shared table, with the statistics of the host at that time.
 type WeightChange struct {
-	At   float64 `json:"at"` // ms
-	From float64 `json:"from"`
-	To   float64 `json:"to"`
-	Rate float64 `json:"rate"` // arrival rate in requests per second
-	R    float64 `json:"r"`    // mean latency in ms
-	Cap  float64 `json:"cap"`  // capacity in requests per second
+	AtMs          float64 `json:"at"` // ms
+	From          float64 `json:"from"`
+	To            float64 `json:"to"`
+	ArrivalRate   float64 `json:"rate"` // arrival rate in requests per second
+	MeanLatencyMs float64 `json:"r"`    // mean latency in ms
+	Capacity      float64 `json:"cap"`  // capacity in requests per second
 }
 
 // maxWeightChanges bounds the changes that are retained for each host.
@@ -80,12 +80,12 @@
 func (c *Controller) recordWeightChange(host int, from, to float64) {
 	explanation, _ := c.balancer.Explain(host) // zero for a host without statistics
 	c.weightChanges.add(host, WeightChange{
-		At:   c.nowMs,
-		From: from,
-		To:   to,
-		Rate: explanation.ArrivalRate,
-		R:    explanation.MeanLatencyMs,
-		Cap:  explanation.Capacity,
+		AtMs:          c.nowMs,
+		From:          from,
+		To:            to,
+		ArrivalRate:   explanation.ArrivalRate,
+		MeanLatencyMs: explanation.MeanLatencyMs,
+		Capacity:      explanation.Capacity,
 	})
 }
 
@@ -130,32 +130,32 @@
 		return HostInfo{}, false
 	}
 	info := HostInfo{
-		Host:   host,
-		Zone:   endpoint.Zone,
-		Phase:  hostStateName(endpoint.State),
-		Listed: endpoint.Weight,
-		Cores:  endpoint.Cores,
+		Host:       host,
+		Zone:       endpoint.Zone,
+		State:      hostStateName(endpoint.State),
+		BaseWeight: endpoint.Weight,
+		Cores:      endpoint.Cores,
 	}
 	if index, ok := c.hostIndex.IndexOf[host]; ok {
 		if explanation, ok := c.balancer.Explain(index); ok {
-			info.Why = explanation
-			info.Withdrawn = explanation.Ejected
+			info.Explanation = explanation
+			info.Ejected = explanation.Ejected
 			info.Weight = explanation.PublishedWeight
 		}
-		info.Moves = c.weightChanges.of(index)
+		info.WeightChanges = c.weightChanges.of(index)
 	}
 	if report, ok := c.ingest.trust.Host(c.nowMs, host, c.hostCapacity(host)); ok {
 		info.Reports = &report
 	}
 	if hasOverride {
-		info.Operator = overrideInfo(override)
+		info.Override = overrideInfo(override)
 	}
 	if command, ok := c.overrides.store.Pending(host); ok {
-		info.Operator = &OverrideInfo{
-			State:   command.State.String(),
-			Weight:  math.Max(command.Weight, 0),
-			By:      command.Operator,
-			Waiting: true,
+		info.Override = &OverrideInfo{
+			State:    command.State.String(),
+			Weight:   math.Max(command.Weight, 0),
+			Operator: command.Operator,
+			Queued:   true,
 		}
 	}
 	return info, true
@@ -194,12 +194,12 @@
 
 func overrideInfo(override operator.Override) *OverrideInfo {
 	return &OverrideInfo{
-		State:  override.State.String(),
-		Weight: override.Weight,
-		Part:   override.WeightRatio,
-		Added:  override.Added != nil,
-		By:     override.Operator,
-		At:     override.SetAtMs,
-		Until:  override.ExpiresMs,
+		State:       override.State.String(),
+		Weight:      override.Weight,
+		WeightRatio: override.WeightRatio,
+		Added:       override.Added != nil,
+		Operator:    override.Operator,
+		SetAtMs:     override.SetAtMs,
+		ExpiresMs:   override.ExpiresMs,
 	}
 }
--- a/controller/ingest.go
+++ b/controller/ingest.go
@@ -209,31 +209,31 @@
 
 // IngestReport is the state of the ingest of reports.
 type IngestReport struct {
-	Level     int              `json:"level"`       // of shedding: 0 while rounds are on time, 3 at most
-	LateMs    float64          `json:"late_ms"`     // recent lateness of rounds
-	Taken     int64            `json:"taken"`       // reports processed so far
-	Waiting   int              `json:"waiting"`     // reports queued
-	WaitP50Ms float64          `json:"wait_p50_ms"` // recent time from the arrival of a report to its processing
-	WaitP99Ms float64          `json:"wait_p99_ms"`
-	Sources   int              `json:"sources"` // of queued reports
-	Dropped   map[string]int64 `json:"dropped"` // reports, by reason
-	Hosts     int              `json:"hosts"`   // hosts with reports
-	Doubted   int              `json:"doubted"` // hosts whose load reports are not trusted
-	Silent    int              `json:"silent"`  // hosts whose load reports have stopped
+	SheddingLevel int              `json:"level"`       // of shedding: 0 while rounds are on time, 3 at most
+	LatenessMs    float64          `json:"late_ms"`     // recent lateness of rounds
+	Processed     int64            `json:"taken"`       // reports processed so far
+	Queued        int              `json:"waiting"`     // reports queued
+	WaitP50Ms     float64          `json:"wait_p50_ms"` // recent time from the arrival of a report to its processing
+	WaitP99Ms     float64          `json:"wait_p99_ms"`
+	Sources       int              `json:"sources"` // of queued reports
+	Dropped       map[string]int64 `json:"dropped"` // reports, by reason
+	Hosts         int              `json:"hosts"`   // hosts with reports
+	Distrusted    int              `json:"doubted"` // hosts whose load reports are not trusted
+	Silent        int              `json:"silent"`  // hosts whose load reports have stopped
 }
 
 func (c *Controller) ingestReport(nowMs float64) IngestReport {
 	ingest := &c.ingest
 	waits := ingest.queueWaits.Report()
 	report := IngestReport{
-		Level:     ingest.pacer.SheddingLevel(),
-		LateMs:    ingest.pacer.LatenessMs(),
-		Taken:     ingest.taken,
-		WaitP50Ms: waits.P50,
-		WaitP99Ms: waits.P99,
-		Dropped:   ingest.queue.Dropped(),
-	}
-	report.Waiting, report.Sources = ingest.queue.Waiting()
-	report.Hosts, report.Doubted, report.Silent = ingest.trust.Count(nowMs)
+		SheddingLevel: ingest.pacer.SheddingLevel(),
+		LatenessMs:    ingest.pacer.LatenessMs(),
+		Processed:     ingest.taken,
+		WaitP50Ms:     waits.P50,
+		WaitP99Ms:     waits.P99,
+		Dropped:       ingest.queue.Dropped(),
+	}
+	report.Queued, report.Sources = ingest.queue.Waiting()
+	report.Hosts, report.Distrusted, report.Silent = ingest.trust.Count(nowMs)
 	return report
 }
--- a/controller/ingest_test.go
+++ b/controller/ingest_test.go
@@ -36,7 +36,7 @@
 		info := h.mustHostInfo(host)
 		reports := info.Reports
 		h.printf("%s: the module has %.2f, trust %.2f, age %.0f, silent %v, doubted %q", what,
-			info.Why.Load.Utilization, reports.Trust, reports.AgeMs, reports.Silent, reports.DistrustReason)
+			info.Explanation.Load.Utilization, reports.Trust, reports.AgeMs, reports.Silent, reports.DistrustReason)
 	}
 	h.hideNotModified = true
 	for i := range 5 {
@@ -121,8 +121,8 @@
 			t.Fatal("the drain is not published after a second")
 		}
 	}
-	report := h.Status(h.nowMs).Intake
-	if report.Waiting > 50 || report.Dropped[intake.QueueFull] == 0 || report.Taken == 0 {
+	report := h.Status(h.nowMs).Ingest
+	if report.Queued > 50 || report.Dropped[intake.QueueFull] == 0 || report.Processed == 0 {
 		t.Errorf("%+v", report)
 	}
 	if explanation, _ := h.balancer.Explain(0); explanation.Successes == 0 {
@@ -171,10 +171,10 @@
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	h.advance(1000)
 	for range 12 { // each round 150 ms late
-		h.nowMs = max(h.Next(), h.nowMs) + 150
+		h.nowMs = max(h.NextMs(), h.nowMs) + 150
 		h.Advance(h.nowMs, h)
 	}
-	h.printf("level %d, %.3f of the intake, rounds each %.0f ms", h.Status(h.nowMs).Intake.Level, h.IngestRatio(),
+	h.printf("level %d, %.3f of the intake, rounds each %.0f ms", h.Status(h.nowMs).Ingest.SheddingLevel, h.IngestRatio(),
 		h.scheduler.plannedMs-h.scheduler.lastMs)
 	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 60000})
 	list[0].State = routing.Draining
@@ -184,6 +184,6 @@
 	duration := fmt.Sprintf("%.0f ms at most", h.nowMs-beganMs)
 	h.printf("drained: %v, after %s", h.tables.table(0).weights[0] == 0, duration)
 	h.advance(30000)
-	h.printf("level %d, %.3f of the intake", h.Status(h.nowMs).Intake.Level, h.IngestRatio())
+	h.printf("level %d, %.3f of the intake", h.Status(h.nowMs).Ingest.SheddingLevel, h.IngestRatio())
 	h.checkTrace()
 }
--- a/controller/invalid_test.go
+++ b/controller/invalid_test.go
@@ -70,6 +70,6 @@
 		ofHost(hostName(0), HostStats{Attempts: 1, MeanLatencyMs: 1}),
 		ofHost(hostName(0), HostStats{Attempts: 1, MeanLatencyMs: 1, WindowMs: 1, Load: load}),
 		ofClass("nothing", ClassDemand{Arrivals: 1, WindowMs: 1}),
-		ofClass("sheet", ClassDemand{Arrivals: 1, Unanswered: 2, WindowMs: 1}),
+		ofClass("sheet", ClassDemand{Arrivals: 1, NoResponse: 2, WindowMs: 1}),
 	}
 }
--- a/controller/longpoll_test.go
+++ b/controller/longpoll_test.go
@@ -49,12 +49,12 @@
 	h.printf("acked %d, marks left %d", session.ackedVersion, len(session.versions[0].stamps))
 	h.printf("the caller of the first is gone: nothing happens; of the second: the proxy has to poll again")
 	h.CancelPoll(h.nowMs, "p", 2)
-	h.printf("held %d", h.Status(h.nowMs).Polls)
+	h.printf("held %d", h.Status(h.nowMs).PendingPolls)
 	h.CancelPoll(h.nowMs, "p", 3)
 	status := h.Status(h.nowMs)
-	h.printf("held %d joined %d", status.Polls, status.Joined)
+	h.printf("held %d joined %d", status.PendingPolls, status.ConnectedProxies)
 	h.advance(5100)
-	h.printf("joined %d", h.Status(h.nowMs).Joined)
+	h.printf("joined %d", h.Status(h.nowMs).ConnectedProxies)
 	h.checkTrace()
 }
 
@@ -97,7 +97,7 @@
 		}
 	}
 	responses := len(h.responses) - responsesBefore
-	pending := h.Status(h.nowMs).Polls
+	pending := h.Status(h.nowMs).PendingPolls
 	if rejected < 80 || responses > 15 || pending != 1 {
 		t.Errorf("%d polls rejected, %d answered, %d pending", rejected, responses, pending)
 	}
@@ -142,7 +142,7 @@
 			t.Errorf("poll %d has the response %+v, want one without changes", poll, response.Kind)
 		}
 	}
-	if pending := h.Status(h.nowMs).Polls; pending != 0 {
+	if pending := h.Status(h.nowMs).PendingPolls; pending != 0 {
 		t.Errorf("%d polls are pending, want none", pending)
 	}
 }
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -59,10 +59,10 @@
 func (h *harness) printHosts() {
 	for _, info := range h.HostInfos() {
 		override := ""
-		if info.Operator != nil {
-			override = info.Operator.State
+		if info.Override != nil {
+			override = info.Override.State
 		}
-		h.printf("%s %s listed %g told %g %s", info.Host, info.Phase, info.Listed, info.Weight, override)
+		h.printf("%s %s listed %g told %g %s", info.Host, info.State, info.BaseWeight, info.Weight, override)
 	}
 }
 
@@ -95,11 +95,11 @@
 		h.advance(1500)
 	}
 	info := h.mustHostInfo(failing)
-	if !info.Withdrawn || info.Weight != 0 || info.Listed != 1.5 {
+	if !info.Ejected || info.Weight != 0 || info.BaseWeight != 1.5 {
 		t.Errorf("%+v", info)
 	}
 	infos := h.HostInfos()
-	if len(infos[1].Moves) == 0 || infos[0].Why.ConsecutiveFailures == 0 {
+	if len(infos[1].WeightChanges) == 0 || infos[0].Explanation.ConsecutiveFailures == 0 {
 		t.Errorf("%+v", infos[:2])
 	}
 }
@@ -112,15 +112,15 @@
 	h.advance(3000)
 	host := hostName(0)
 	h.applyOverrides(operator.Command{Host: host, State: operator.Draining, Weight: -1, DurationMs: 7500})
-	if h.Next() > h.nowMs+7500 {
-		t.Errorf("next at %.0f of %.0f", h.Next(), h.nowMs)
+	if h.NextMs() > h.nowMs+7500 {
+		t.Errorf("next at %.0f of %.0f", h.NextMs(), h.nowMs)
 	}
 	h.advance(7400)
-	if info := h.mustHostInfo(host); info.Phase != "draining" {
+	if info := h.mustHostInfo(host); info.State != "draining" {
 		t.Errorf("%+v", info)
 	}
 	h.advance(101)
-	if info := h.mustHostInfo(host); info.Phase != "ready" {
+	if info := h.mustHostInfo(host); info.State != "ready" {
 		t.Errorf("%+v", info)
 	}
 }
--- a/controller/response.go
+++ b/controller/response.go
@@ -67,7 +67,7 @@
 // Table is the routing table of a request class.
 type Table struct {
 	Class          string
-	Ordered        bool      // the class has a table, which may be empty
+	Assigned       bool      // the class has a table, which may be empty
 	Hosts          []string  // in order
 	Weights        []float64 // of Hosts
 	AdmissionRatio float64   // ratio of the requests to admit
@@ -80,7 +80,7 @@
 	for _, class := range r.tables.classes {
 		table := Table{
 			Class:          class.name,
-			Ordered:        class.assigned,
+			Assigned:       class.assigned,
 			AdmissionRatio: class.policy.admissionRatio,
 			RetryPolicy:    class.policy.retryPolicy,
 		}
--- a/controller/restore.go
+++ b/controller/restore.go
@@ -212,7 +212,7 @@
 		i := slices.IndexFunc(tables, func(table Table) bool { return table.Class == class.Name })
 		if i >= 0 {
 			table := &tables[i]
-			cached.assigned = table.Ordered
+			cached.assigned = table.Assigned
 			cached.policy = classPolicy{table.AdmissionRatio, table.RetryPolicy, true}
 			for k, host := range table.Hosts {
 				cached.entries = append(cached.entries, weightEntry{host, table.Weights[k]})
@@ -235,7 +235,7 @@
 		}
 		cached.Tables = append(cached.Tables, Table{
 			Class:          class.Name,
-			Ordered:        class.Ordered,
+			Assigned:       class.Ordered,
 			Hosts:          class.Hosts,
 			Weights:        class.Weights,
 			AdmissionRatio: class.Share,
@@ -266,7 +266,7 @@
 // RestoreReport says how much of the state of an earlier incarnation was used.
 type RestoreReport struct {
 	Incarnation string  `json:"from"`      // the incarnation; empty: none was known
-	PassedMs    float64 `json:"passed_ms"` // from the last save of that incarnation to the restore
+	ElapsedMs   float64 `json:"passed_ms"` // from the last save of that incarnation to the restore
 	Reason      string  `json:"why"`       // why not all of the state could be used; empty: it could
 	Hosts       int     `json:"hosts"`     // restored
 	Proxies     int     `json:"proxies"`   // restored
@@ -281,7 +281,7 @@
 	}
 	return &RestoreReport{
 		Incarnation: restored.Incarnation,
-		PassedMs:    restored.ElapsedMs,
+		ElapsedMs:   restored.ElapsedMs,
 		Reason:      restored.Reason,
 		Hosts:       restored.hostCount,
 		Proxies:     restored.proxyCount,
--- a/controller/restore_test.go
+++ b/controller/restore_test.go
@@ -57,14 +57,14 @@
 		next.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
 		next.advance(500)
 		next.printf("it gives %s, rate %.0f", next.describeTable("p"), next.sessions.byProxy["p"].requestRates[0])
-		report := next.Status(next.nowMs).Memory
+		report := next.Status(next.nowMs).Restored
 		next.printf("recalled %d hosts, %d proxies, %d versions; %s", report.Hosts, report.Proxies, report.Versions,
 			report.Reason)
 		h.trace.WriteString(next.trace.String())
 	}
 	earlier := h.restart(set, -5000)
 	earlier.mustSetEndpoints(list)
-	earlier.printf("%s", earlier.Status(earlier.nowMs).Memory.Reason)
+	earlier.printf("%s", earlier.Status(earlier.nowMs).Restored.Reason)
 	h.trace.WriteString(earlier.trace.String())
 	h.checkTrace()
 }
@@ -124,7 +124,7 @@
 	added := Endpoint{Host: hostName(9), Zone: "a", State: routing.Ready, Weight: 1}
 	h.mustSetEndpoints(append(list, added))
 	h.advance(2000)
-	slowStartFactor := func(of *harness, host string) float64 { return of.mustHostInfo(host).Why.SlowStartFactor }
+	slowStartFactor := func(of *harness, host string) float64 { return of.mustHostInfo(host).Explanation.SlowStartFactor }
 	before := slowStartFactor(h, added.Host)
 
 	restored := h.restart(set, 1000)
@@ -231,7 +231,7 @@
 	describeHosts := func() string {
 		var descriptions []string
 		for _, info := range next.HostInfos() {
-			descriptions = append(descriptions, fmt.Sprintf("%s %s listed %g", info.Host, info.Phase, info.Listed))
+			descriptions = append(descriptions, fmt.Sprintf("%s %s listed %g", info.Host, info.State, info.BaseWeight))
 		}
 		return strings.Join(descriptions, "; ")
 	}
@@ -271,10 +271,10 @@
 			})
 			h.mustSetEndpoints(list)
 			info := h.mustHostInfo(list[0].Host)
-			if got := info.Why.ConsecutiveFailures; got != test.wantFailures {
+			if got := info.Explanation.ConsecutiveFailures; got != test.wantFailures {
 				t.Errorf("%d failed health checks, want %d", got, test.wantFailures)
 			}
-			if got := h.Status(h.nowMs).Memory.Hosts; got != test.wantRestored {
+			if got := h.Status(h.nowMs).Restored.Hosts; got != test.wantRestored {
 				t.Errorf("%d hosts restored, want %d", got, test.wantRestored)
 			}
 			distrusted := info.Reports != nil && info.Reports.DistrustReason != ""
@@ -376,7 +376,7 @@
 	for _, response := range next.responses {
 		bytes[response.Kind] += len(response.Body())
 	}
-	carriedOver := next.Status(next.nowMs).Memory.Versions
+	carriedOver := next.Status(next.nowMs).Restored.Versions
 	if carriedOver < 290 {
 		t.Errorf("%d proxies continued from their earlier tables, want 290 or more", carriedOver)
 	}
--- a/controller/stats.go
+++ b/controller/stats.go
@@ -20,7 +20,7 @@
 // ClassDemand is the demand of a request class at a proxy.
 type ClassDemand struct {
 	Arrivals   int     // requests that arrived, including rejected ones and retries of clients
-	Unanswered int     // of these, requests without a response
+	NoResponse int     // of these, requests without a response
 	WindowMs   float64 // time window in which they were counted
 }
 
--- a/controller/stats_check.go
+++ b/controller/stats_check.go
@@ -81,7 +81,7 @@
 func checkDemand(class string, demand ClassDemand) error {
 	return checkBounds("usage", class,
 		boundedValue{"came", float64(demand.Arrivals), 0, maxAttempts},
-		boundedValue{"unanswered", float64(demand.Unanswered), 0, float64(demand.Arrivals)},
+		boundedValue{"unanswered", float64(demand.NoResponse), 0, float64(demand.Arrivals)},
 		boundedValue{"span", demand.WindowMs, 1, maxWindowMs},
 	)
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -7,24 +7,24 @@
 
 // Status is the state of a controller.
 type Status struct {
-	Life           string         `json:"life"` // incarnation
-	Zones          []string       `json:"zones"`
-	Classes        []string       `json:"classes"`
-	EndpointsAgeMs float64        `json:"list_age_ms"` // since an endpoint list was last received; below 0: never
-	ListFailed     bool           `json:"list_failed"` // the watch has failed since then
-	Hosts          int            `json:"hosts"`
-	Joined         int            `json:"joined"`             // connected proxies
-	Polls          int            `json:"polls"`              // pending
-	LinesWaiting   float64        `json:"lines_waiting"`      // backlog of the control channel, in entries
-	LinesMost      float64        `json:"lines_waiting_most"` // since the start
-	Rounds         int64          `json:"rounds"`
-	Mode           string         `json:"mode"` // the last change of the mode, as in the log
-	ModeForMs      float64        `json:"mode_for_ms"`
-	HostIndices    int            `json:"indices_in_use"` // hosts that are listed or not yet forgotten
-	MessagesQueued int            `json:"messages_queued"`
-	Intake         IngestReport   `json:"intake"`
-	GuardRefused   int            `json:"guard_refused"`    // number of times that tables had to be repaired
-	Memory         *RestoreReport `json:"memory,omitempty"` // what was restored of an earlier incarnation
+	Incarnation      string         `json:"life"` // incarnation
+	Zones            []string       `json:"zones"`
+	Classes          []string       `json:"classes"`
+	EndpointsAgeMs   float64        `json:"list_age_ms"` // since an endpoint list was last received; below 0: never
+	WatchFailed      bool           `json:"list_failed"` // the watch has failed since then
+	Hosts            int            `json:"hosts"`
+	ConnectedProxies int            `json:"joined"`             // connected proxies
+	PendingPolls     int            `json:"polls"`              // pending
+	Backlog          float64        `json:"lines_waiting"`      // backlog of the control channel, in entries
+	PeakBacklog      float64        `json:"lines_waiting_most"` // since the start
+	Rounds           int64          `json:"rounds"`
+	Mode             string         `json:"mode"` // the last change of the mode, as in the log
+	ModeForMs        float64        `json:"mode_for_ms"`
+	HostIndices      int            `json:"indices_in_use"` // hosts that are listed or not yet forgotten
+	QueuedMessages   int            `json:"messages_queued"`
+	Ingest           IngestReport   `json:"intake"`
+	Repairs          int            `json:"guard_refused"`    // number of times that tables had to be repaired
+	Restored         *RestoreReport `json:"memory,omitempty"` // what was restored of an earlier incarnation
 }
 
 // initialMode is the mode before its first change.
@@ -33,22 +33,22 @@
 // Status returns the current state of the controller.
 func (c *Controller) Status(nowMs float64) Status {
 	status := Status{
-		Life:           c.deployment.Incarnation,
-		Zones:          c.deployment.Zones,
-		EndpointsAgeMs: -1,
-		ListFailed:     c.endpoints.watchFailed,
-		Hosts:          len(c.endpoints.effective),
-		Joined:         len(c.sessions.byProxy),
-		Polls:          c.sessions.pendingPolls,
-		LinesWaiting:   c.channel.backlog(),
-		LinesMost:      c.channel.peakBacklog,
-		Rounds:         c.tables.round,
-		Mode:           initialMode,
-		HostIndices:    len(c.hostIndex.IndexOf),
-		MessagesQueued: c.channel.queuedMessages(),
-		Intake:         c.ingestReport(nowMs),
-		GuardRefused:   c.validation.report.Repairs,
-		Memory:         c.restoreReport(),
+		Incarnation:      c.deployment.Incarnation,
+		Zones:            c.deployment.Zones,
+		EndpointsAgeMs:   -1,
+		WatchFailed:      c.endpoints.watchFailed,
+		Hosts:            len(c.endpoints.effective),
+		ConnectedProxies: len(c.sessions.byProxy),
+		PendingPolls:     c.sessions.pendingPolls,
+		Backlog:          c.channel.backlog(),
+		PeakBacklog:      c.channel.peakBacklog,
+		Rounds:           c.tables.round,
+		Mode:             initialMode,
+		HostIndices:      len(c.hostIndex.IndexOf),
+		QueuedMessages:   c.channel.queuedMessages(),
+		Ingest:           c.ingestReport(nowMs),
+		Repairs:          c.validation.report.Repairs,
+		Restored:         c.restoreReport(),
 	}
 	for _, class := range c.classes {
 		status.Classes = append(status.Classes, class.Name)
@@ -65,13 +65,13 @@
 
 // ProxyInfo is the state of a connected proxy.
 type ProxyInfo struct {
-	Proxy   string             `json:"proxy"`
-	Zone    string             `json:"zone"`
-	Tag     string             `json:"tag"`           // entity tag of the newest version
-	Acked   bool               `json:"acked"`         // the proxy has acknowledged that version
-	Held    bool               `json:"held"`          // a poll is pending
-	Rates   map[string]float64 `json:"rates"`         // recent requests per second, by class
-	Waiting float64            `json:"lines_waiting"` // entries that are queued for it in the control channel
+	Proxy         string             `json:"proxy"`
+	Zone          string             `json:"zone"`
+	Tag           string             `json:"tag"`           // entity tag of the newest version
+	Acked         bool               `json:"acked"`         // the proxy has acknowledged that version
+	PollPending   bool               `json:"held"`          // a poll is pending
+	Rates         map[string]float64 `json:"rates"`         // recent requests per second, by class
+	QueuedEntries float64            `json:"lines_waiting"` // entries that are queued for it in the control channel
 }
 
 // ProxyInfos returns the state of the connected proxies, by name.
@@ -85,17 +85,17 @@
 
 func (c *Controller) proxyInfo(session *proxySession) ProxyInfo {
 	info := ProxyInfo{
-		Proxy: session.proxy,
-		Zone:  c.deployment.Zones[session.zone],
-		Held:  session.pendingPoll != nil,
-		Rates: map[string]float64{},
+		Proxy:       session.proxy,
+		Zone:        c.deployment.Zones[session.zone],
+		PollPending: session.pendingPoll != nil,
+		Rates:       map[string]float64{},
 	}
 	if newest := session.newest(); newest != nil {
 		info.Tag = c.tagOf(newest)
 		info.Acked = session.ackedVersion == newest.number
 	}
 	if session.queuedMessage != nil {
-		info.Waiting = session.queuedMessage.entries
+		info.QueuedEntries = session.queuedMessage.entries
 	}
 	for i, class := range c.classes {
 		info.Rates[class.Name] = session.requestRates[i]
--- a/controller/validation.go
+++ b/controller/validation.go
@@ -57,8 +57,8 @@
 	Repairs        int             `json:"refused"`    // number of times that repairing has begun
 	RepairingForMs float64         `json:"for_ms"`     // since repairing began
 	Remaining      []guard.Finding `json:"left"`       // in the repaired tables
-	Looked         int             `json:"looked"`     // number of validations
-	Found          map[string]int  `json:"found"`      // number of new findings, by check
+	Runs           int             `json:"looked"`     // number of validations
+	NewFindings    map[string]int  `json:"found"`      // number of new findings, by check
 	Findings       []guard.Finding `json:"standing"`   // in the decided tables
 	EndpointsHeld  bool            `json:"list_held"`  // an endpoint list is held back
 	EndpointHolds  int             `json:"list_holds"` // number of endpoint lists that were held back
@@ -77,14 +77,14 @@
 		repair:       repair,
 		endpointLoss: guard.NewEndpointLossGuard(endpointLoss),
 		hosts:        c.validation.hosts,
-		report:       ValidationReport{Enabled: true, RepairEnabled: repair.Enabled, Found: map[string]int{}},
+		report:       ValidationReport{Enabled: true, RepairEnabled: repair.Enabled, NewFindings: map[string]int{}},
 	}
 }
 
 // ValidationReport returns the results of the table validator.
 func (c *Controller) ValidationReport() ValidationReport {
 	report := c.validation.report
-	report.Found = maps.Clone(report.Found)
+	report.NewFindings = maps.Clone(report.NewFindings)
 	report.EndpointsHeld = c.validation.heldEndpoints != nil
 	report.Findings = jsonFindings(report.Findings)
 	report.Remaining = jsonFindings(report.Remaining)
@@ -116,7 +116,7 @@
 	if len(view.Routes) == 0 {
 		return
 	}
-	validation.report.Looked++
+	validation.report.Runs++
 	findings := guard.Check(view, validation.limits)
 	c.recordFindings(findings)
 	if validation.repair.Enabled {
@@ -149,7 +149,7 @@
 	}
 	for _, finding := range findings {
 		if !standing[finding.Check+finding.Subject] {
-			report.Found[finding.Check]++
+			report.NewFindings[finding.Check]++
 			c.recordEvent(eventValidation, finding.String())
 		}
 	}
--- a/controller/validation_test.go
+++ b/controller/validation_test.go
@@ -17,7 +17,7 @@
 	with.reportDemand(20, 22)
 
 	report := with.ValidationReport()
-	if report.Looked == 0 || report.Found[guard.OverCapacity] == 0 || len(report.Findings) == 0 {
+	if report.Runs == 0 || report.NewFindings[guard.OverCapacity] == 0 || len(report.Findings) == 0 {
 		t.Errorf("the small hosts are over their capacity, and the report is %+v", report)
 	}
 	if count := with.countEvents("guard", guard.OverCapacity+": "+hostName(0)); count != 1 {
--- a/internal/daemon/api_test.go
+++ b/internal/daemon/api_test.go
@@ -49,7 +49,7 @@
 	addRejections(&tr, d)
 	var status controller.Status
 	result := d.get("/v1/status")
-	if json.Unmarshal([]byte(result.body), &status) != nil || status.Hosts != 2 || status.Joined != 1 {
+	if json.Unmarshal([]byte(result.body), &status) != nil || status.Hosts != 2 || status.ConnectedProxies != 1 {
 		t.Errorf("status %s", result.body)
 	}
 	golden.Trace(t, tr.text.String())
@@ -140,7 +140,7 @@
 		result := d.post("/v1/proxies/p/sums", fmt.Sprintf(`{"number":%d}`, sequence))
 		return result.status == http.StatusConflict
 	})
-	if status := d.loop.status(); status.Joined != 0 {
+	if status := d.loop.status(); status.ConnectedProxies != 0 {
 		t.Errorf("%+v", status)
 	}
 }
@@ -157,7 +157,7 @@
 	d.waitForReads(2)
 	d.get(tablesPath)
 	d.post("/v1/proxies/p/sums", `{"number":1,"usage":{"sheet":{"came":100,"span":1000}}}`)
-	eventually(t, "the report to be processed", func() bool { return d.loop.status().Intake.Taken > 0 })
+	eventually(t, "the report to be processed", func() bool { return d.loop.status().Ingest.Processed > 0 })
 	var problem solver.Problem
 	result := d.get("/v1/fleet")
 	if result.status != 200 || json.Unmarshal([]byte(result.body), &problem) != nil {
--- a/internal/daemon/authorization_test.go
+++ b/internal/daemon/authorization_test.go
@@ -50,7 +50,7 @@
 			}
 		})
 	}
-	if connected := d.loop.status().Joined; connected != 1 {
+	if connected := d.loop.status().ConnectedProxies; connected != 1 {
 		t.Errorf("%d proxies are connected", connected)
 	}
 }
@@ -114,7 +114,7 @@
 	if result := sendRequest(t, d.client, http.MethodGet, plainURL+"/v1/status", ""); result.status == 200 {
 		t.Error("a plain request was answered")
 	}
-	if connected := d.loop.status().Joined; connected != 1 {
+	if connected := d.loop.status().ConnectedProxies; connected != 1 {
 		t.Errorf("%d proxies are connected", connected)
 	}
 }
--- a/internal/daemon/bench_helpers_test.go
+++ b/internal/daemon/bench_helpers_test.go
@@ -90,7 +90,7 @@
 // waitForPolls waits until at least so many long polls are pending.
 func (d *benchDaemon) waitForPolls(b *testing.B, count int) {
 	b.Helper()
-	eventually(b, fmt.Sprintf("%d pending polls", count), func() bool { return d.loop.status().Polls >= count })
+	eventually(b, fmt.Sprintf("%d pending polls", count), func() bool { return d.loop.status().PendingPolls >= count })
 }
 
 // benchPoller is a proxy that polls on a connection of its own.
--- a/internal/daemon/controller_loop.go
+++ b/internal/daemon/controller_loop.go
@@ -115,7 +115,7 @@
 
 // advanceController runs the controller's work that is due. The caller holds the mutex.
 func (l *controllerLoop) advanceController(nowMs float64) {
-	if l.controller.Next() > nowMs {
+	if l.controller.NextMs() > nowMs {
 		return
 	}
 	if l.recorder != nil {
@@ -137,7 +137,7 @@
 
 // resetTimer sets the timer to the controller's next deadline. The caller holds the mutex.
 func (l *controllerLoop) resetTimer(nowMs float64) {
-	delayMs := l.controller.Next() - nowMs
+	delayMs := l.controller.NextMs() - nowMs
 	if math.IsInf(delayMs, 1) {
 		return
 	}
--- a/internal/daemon/credentials_test.go
+++ b/internal/daemon/credentials_test.go
@@ -143,7 +143,7 @@
 		renew()
 		return hostWeight(proxy, "10.0.0.2:80") == 0
 	})
-	if status := d.loop.status(); status.Joined != 1 || status.Intake.Taken == 0 {
+	if status := d.loop.status(); status.ConnectedProxies != 1 || status.Ingest.Processed == 0 {
 		t.Errorf("%+v", status)
 	}
 	if count := lost.Load(); count > 0 {
--- a/internal/daemon/daemon_helpers_test.go
+++ b/internal/daemon/daemon_helpers_test.go
@@ -175,7 +175,7 @@
 // waitForPolls waits until so many long polls are pending.
 func (d *testDaemon) waitForPolls(count int) {
 	d.t.Helper()
-	eventually(d.t, fmt.Sprintf("%d pending polls", count), func() bool { return d.loop.status().Polls == count })
+	eventually(d.t, fmt.Sprintf("%d pending polls", count), func() bool { return d.loop.status().PendingPolls == count })
 }
 
 // httpResult is a response, or the text of an error as body, with status 0, where none came.
--- a/internal/daemon/endpoint_service_test.go
+++ b/internal/daemon/endpoint_service_test.go
@@ -79,7 +79,7 @@
 	eventually(t, "a delta", func() bool { return d.loop.status().Hosts == 1 })
 
 	closeOrFail(t, server)
-	eventually(t, "the failure", func() bool { return d.loop.status().ListFailed })
+	eventually(t, "the failure", func() bool { return d.loop.status().WatchFailed })
 	if result := d.get(tablesPath); result.status != 200 || !strings.Contains(result.body, `"10.0.0.1:80":1`) {
 		t.Errorf("without the service: %+v", result)
 	}
@@ -89,6 +89,6 @@
 	serveHTTP(t, &http.Server{Handler: service}, address)
 	eventually(t, "the list again", func() bool {
 		status := d.loop.status()
-		return status.Hosts == 3 && !status.ListFailed
+		return status.Hosts == 3 && !status.WatchFailed
 	})
 }
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -33,7 +33,7 @@
 	})
 	eventually(t, "tables", func() bool { return len(proxy.Tables()["sheet"].Hosts) == 2 })
 	d.waitForPolls(1)
-	incarnation := d.loop.status().Life
+	incarnation := d.loop.status().Incarnation
 	d.Kill()
 	eventually(t, "the loss", func() bool { return proxy.Controller() == "" })
 	if host, ok := proxy.Pick("finish"); !ok {
@@ -45,11 +45,11 @@
 		hosts := proxy.Tables()["finish"].Hosts
 		return len(hosts) == 1 && hosts[0].Address == "10.0.0.3:80"
 	})
-	if now := d.loop.status().Life; now == incarnation {
+	if now := d.loop.status().Incarnation; now == incarnation {
 		t.Errorf("two incarnations have the name %s", now)
 	}
 	stop()
-	eventually(t, "the end of the proxy's session", func() bool { return d.loop.status().Joined == 0 })
+	eventually(t, "the end of the proxy's session", func() bool { return d.loop.status().ConnectedProxies == 0 })
 }
 
 // A thousand proxies connect at once, are all served, and are all notified of a draining host.
@@ -120,7 +120,7 @@
 	for i := range proxies {
 		polling.Go(func() { poll(fmt.Sprintf("/v1/proxies/p%d/tables?zone=a", i)) })
 	}
-	eventually(t, "pending polls", func() bool { return d.loop.status().Polls > pendingPolls })
+	eventually(t, "pending polls", func() bool { return d.loop.status().PendingPolls > pendingPolls })
 	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.9:80" zone: "b" }`)
 	before := complete.Load()
 	eventually(t, "the responses", func() bool { return complete.Load() > before+responses })
--- a/internal/daemon/load_reports.go
+++ b/internal/daemon/load_reports.go
@@ -127,7 +127,7 @@
 	}
 	for class, body := range b.Usage {
 		stats.Demand[class] = controller.ClassDemand{
-			Arrivals: body.Came, Unanswered: body.Unanswered, WindowMs: body.Span}
+			Arrivals: body.Came, NoResponse: body.Unanswered, WindowMs: body.Span}
 	}
 	return stats
 }
--- a/internal/daemon/operator_api.go
+++ b/internal/daemon/operator_api.go
@@ -153,7 +153,7 @@
 	}
 	var commands []operator.Command
 	for _, host := range a.operators.Hosts() {
-		if host.Zone != request.Params["zone"] || host.Phase == "gone" {
+		if host.Zone != request.Params["zone"] || host.State == "gone" {
 			continue
 		}
 		command, err := body.command(host.Host)
--- a/internal/daemon/operator_api_test.go
+++ b/internal/daemon/operator_api_test.go
@@ -56,7 +56,7 @@
 
 	eventually(t, "the drain to be published", func() bool { return d.hostInfo(firstHost).Weight == 0 })
 	info := d.hostInfo(firstHost)
-	if info.Phase != "draining" || info.Operator == nil || info.Operator.By != "x" {
+	if info.State != "draining" || info.Override == nil || info.Override.Operator != "x" {
 		t.Errorf("%+v", info)
 	}
 	t.Run("event subscriber", func(t *testing.T) { checkEventSubscriber(t, d, firstHost) })
--- a/internal/daemon/socket_proxies.go
+++ b/internal/daemon/socket_proxies.go
@@ -36,18 +36,18 @@
 	return c.loop.poll(request, deliver)
 }
 
-// PollGone implements socketproxy.Controller.
-func (c localController) PollGone(proxy string, id int64) { c.loop.cancelPoll(proxy, id) }
+// CancelPoll implements socketproxy.Controller.
+func (c localController) CancelPoll(proxy string, id int64) { c.loop.cancelPoll(proxy, id) }
 
-// Sums implements socketproxy.Controller.
-func (c localController) Sums(proxy string, stats controller.ProxyStats) (counted bool, err error) {
+// ObserveProxyStats implements socketproxy.Controller.
+func (c localController) ObserveProxyStats(proxy string, stats controller.ProxyStats) (counted bool, err error) {
 	return c.loop.observeProxyStats(proxy, stats)
 }
 
-// Now implements socketproxy.Controller. It returns the time of the controller's clock in ms.
-func (c localController) Now() float64 { return c.loop.clock.Now() }
+// NowMs implements socketproxy.Controller. It returns the time of the controller's clock in ms.
+func (c localController) NowMs() float64 { return c.loop.clock.Now() }
 
-// Listed implements socketproxy.Controller. It reports whether the host is on the endpoint list.
-func (c localController) Listed(host string) bool {
+// HasEndpoint implements socketproxy.Controller. It reports whether the host is on the endpoint list.
+func (c localController) HasEndpoint(host string) bool {
 	return query(c.loop, func(instance *controller.Controller) bool { return instance.HasEndpoint(host) })
 }
--- a/internal/daemon/status_api.go
+++ b/internal/daemon/status_api.go
@@ -46,11 +46,11 @@
 	runtime.ReadMemStats(&memory)
 	status := a.loop.status()
 	return jsonReply(IngestReport{
-		IngestReport: status.Intake,
+		IngestReport: status.Ingest,
 		Door:         a.loop.rateLimiter.Report(),
 		HeapBytes:    memory.HeapAlloc,
-		LinesMost:    status.LinesMost,
-		GuardRefused: status.GuardRefused,
+		LinesMost:    status.PeakBacklog,
+		GuardRefused: status.Repairs,
 	})
 }
 
--- a/internal/daemon/table_polls.go
+++ b/internal/daemon/table_polls.go
@@ -113,7 +113,7 @@
 }
 
 func (b tableBody) table(class string) controller.Table {
-	table := controller.Table{Class: class, Ordered: b.Hosts != nil, AdmissionRatio: 1, RetryPolicy: 1}
+	table := controller.Table{Class: class, Assigned: b.Hosts != nil, AdmissionRatio: 1, RetryPolicy: 1}
 	for _, host := range slices.Sorted(maps.Keys(b.Hosts)) {
 		table.Hosts = append(table.Hosts, host)
 		table.Weights = append(table.Weights, b.Hosts[host])
--- a/internal/record/inputs.go
+++ b/internal/record/inputs.go
@@ -47,7 +47,7 @@
 	if o := q.Cached; o != nil {
 		p.Offer = o.Tag
 		for _, t := range o.Tables {
-			p.Offered = append(p.Offered, &recordpb.Offered{Class: t.Class, Ordered: t.Ordered, Hosts: t.Hosts, Weights: t.Weights, Share: t.AdmissionRatio, Tries: int32(t.RetryPolicy)})
+			p.Offered = append(p.Offered, &recordpb.Offered{Class: t.Class, Ordered: t.Assigned, Hosts: t.Hosts, Weights: t.Weights, Share: t.AdmissionRatio, Tries: int32(t.RetryPolicy)})
 		}
 	}
 	return &recordpb.Record{At: at, What: &recordpb.Record_Poll{Poll: p}}
@@ -59,7 +59,7 @@
 	if p.Offer != "" {
 		q.Cached = &controller.CachedTables{Tag: p.Offer}
 		for _, t := range p.Offered {
-			q.Cached.Tables = append(q.Cached.Tables, controller.Table{Class: t.Class, Ordered: t.Ordered, Hosts: t.Hosts, Weights: t.Weights, AdmissionRatio: t.Share, RetryPolicy: int(t.Tries)})
+			q.Cached.Tables = append(q.Cached.Tables, controller.Table{Class: t.Class, Assigned: t.Ordered, Hosts: t.Hosts, Weights: t.Weights, AdmissionRatio: t.Share, RetryPolicy: int(t.Tries)})
 		}
 	}
 	return q
@@ -121,7 +121,7 @@
 	}
 	for _, class := range slices.Sorted(maps.Keys(u.Demand)) {
 		v := u.Demand[class]
-		s.Usage = append(s.Usage, &recordpb.Usage{Class: class, Came: int64(v.Arrivals), Unanswered: int64(v.Unanswered),
+		s.Usage = append(s.Usage, &recordpb.Usage{Class: class, Came: int64(v.Arrivals), Unanswered: int64(v.NoResponse),
 			Span: v.WindowMs})
 	}
 	return &recordpb.Record{At: at, What: &recordpb.Record_Sums{Sums: s}}
@@ -200,7 +200,7 @@
 				Load: unload(h.Load), Latencies: unbars(h.Times)}
 		}
 		for _, c := range x.Sums.Usage {
-			u.Demand[c.Class] = controller.ClassDemand{Arrivals: int(c.Came), Unanswered: int(c.Unanswered), WindowMs: c.Span}
+			u.Demand[c.Class] = controller.ClassDemand{Arrivals: int(c.Came), NoResponse: int(c.Unanswered), WindowMs: c.Span}
 		}
 		s.ObserveProxyStats(r.At, x.Sums.Proxy, u)
 	case *recordpb.Record_Recall:
--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -261,7 +261,7 @@
 
 // print says what the impostors achieved.
 func (x *identities) print(out io.Writer) {
-	joined := x.rogue.Operators().Status().Joined
+	joined := x.rogue.Operators().Status().ConnectedProxies
 	fmt.Fprintf(out, "impostors: %d proxies joined the false steward; %d tries by false forwarders, %d achieved something\n", joined, x.tries.Load(), x.done.Load())
 	if what := x.what.Load(); what != nil {
 		fmt.Fprintln(out, "  the last:", *what)
@@ -270,7 +270,7 @@
 
 // kept tells whether the impostors achieved nothing.
 func (x *identities) kept() bool {
-	return x.done.Load() == 0 && x.rogue.Operators().Status().Joined == 0
+	return x.done.Load() == 0 && x.rogue.Operators().Status().ConnectedProxies == 0
 }
 
 func (x *identities) end() {
--- a/internal/rehearse/intake.go
+++ b/internal/rehearse/intake.go
@@ -67,7 +67,7 @@
 		if err != nil || json.Unmarshal(text, &x) != nil {
 			continue
 		}
-		t.level, t.late, t.wait = max(t.level, x.Level), math.Max(t.late, x.LateMs), math.Max(t.wait, x.WaitP99Ms)
+		t.level, t.late, t.wait = max(t.level, x.SheddingLevel), math.Max(t.late, x.LatenessMs), math.Max(t.wait, x.WaitP99Ms)
 		d.journal.LogMaxBacklog(address, x.LinesMost)
 		if i == 0 {
 			t.samples = append(t.samples, x)
@@ -85,10 +85,10 @@
 	for _, why := range slices.Sorted(maps.Keys(last.Dropped)) {
 		dropped = append(dropped, fmt.Sprintf("%d %s", last.Dropped[why], why))
 	}
-	fmt.Fprintf(out, "intake  %d lines, dropped: %s; %d of the hosts' reports were not let in\n", last.Taken, strings.Join(dropped, ", "), t.refused.Load())
+	fmt.Fprintf(out, "intake  %d lines, dropped: %s; %d of the hosts' reports were not let in\n", last.Processed, strings.Join(dropped, ", "), t.refused.Load())
 	fmt.Fprintf(out, "        from report to decision %.0f ms median, %.0f ms 99th percentile, worst %.0f ms; rounds %.1f ms late at worst, level %d\n",
 		last.WaitP50Ms, last.WaitP99Ms, t.wait, t.late, t.level)
-	fmt.Fprintf(out, "        heap %.1f MiB early, %.1f MiB at the end; %d hosts doubted, %d silent\n", t.heap(0.1, 0.35), t.heap(0.75, 1), last.Doubted, last.Silent)
+	fmt.Fprintf(out, "        heap %.1f MiB early, %.1f MiB at the end; %d hosts doubted, %d silent\n", t.heap(0.1, 0.35), t.heap(0.75, 1), last.Distrusted, last.Silent)
 }
 
 // heap is the least of a part of the day, as it stands after a collection.
--- a/internal/rehearse/reports_test.go
+++ b/internal/rehearse/reports_test.go
@@ -55,7 +55,7 @@
 	if d.taken.refused.Load() == 0 || last.Door.Rejected == 0 {
 		t.Errorf("the flood was let in: %+v", last)
 	}
-	if last.Silent < 1 || last.Taken < 3000 || last.Waiting > 5000 {
+	if last.Silent < 1 || last.Processed < 3000 || last.Queued > 5000 {
 		t.Errorf("%+v", last)
 	}
 }
@@ -96,7 +96,7 @@
 	if !r.Kept || r.Service < 0.5 || x.tries.Load() < 50 || x.done.Load() != 0 {
 		t.Error(out)
 	}
-	if last := d.taken.samples[len(d.taken.samples)-1]; last.Taken < 80 { // the hosts' own reports among it
+	if last := d.taken.samples[len(d.taken.samples)-1]; last.Processed < 80 { // the hosts' own reports among it
 		t.Errorf("few sums and reports came: %+v", last)
 	}
 }
@@ -107,11 +107,11 @@
 	t.Parallel()
 	look := func(d *day) {
 		second := d.stewards[1].(*daemon.Daemon).Operators().Status()
-		if m := second.Memory; m == nil || m.Hosts != 6 || m.Proxies != 4 {
+		if m := second.Restored; m == nil || m.Hosts != 6 || m.Proxies != 4 {
 			t.Errorf("the standby: %+v, %+v", second, m)
 		}
 		first := d.stewards[0].(*daemon.Daemon).Operators().Status()
-		if m := first.Memory; m == nil || m.Hosts != 6 || m.PassedMs < 3000 || m.PassedMs > 8000 {
+		if m := first.Restored; m == nil || m.Hosts != 6 || m.ElapsedMs < 3000 || m.ElapsedMs > 8000 {
 			t.Errorf("the first when it is back: %+v", m)
 		}
 	}
--- a/internal/runtimeapi/change.go
+++ b/internal/runtimeapi/change.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("%d (initial %d)\n", apiWeight(host.Weight), apiWeight(host.Listed)), nil
+	return fmt.Sprintf("%d (initial %d)\n", apiWeight(host.Weight), apiWeight(host.BaseWeight)), nil
 }
 
 // setWeight sets the weight of a server. A weight of zero drains it.
--- a/internal/runtimeapi/commands_test.go
+++ b/internal/runtimeapi/commands_test.go
@@ -174,7 +174,7 @@
 func TestServerStatuses(t *testing.T) {
 	server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin})
 	server.controller.hosts = []controller.HostInfo{
-		{Host: "10.0.0.1:80", Phase: "draining", Listed: 1, Operator: &controller.OverrideInfo{State: "ready"}},
+		{Host: "10.0.0.1:80", State: "draining", BaseWeight: 1, Override: &controller.OverrideInfo{State: "ready"}},
 	}
 	stat, err := haproxy.ParseCSV(server.ask(t, "show stat sheet 6 -1\n"))
 	if err != nil {
--- a/internal/runtimeapi/events.go
+++ b/internal/runtimeapi/events.go
@@ -78,7 +78,7 @@
 
 func (s *session) writeEvents(events []controller.Event) {
 	for _, event := range events {
-		at := time.UnixMicro(int64(event.At * microsecondsPerMs)).UTC()
+		at := time.UnixMicro(int64(event.AtMs * microsecondsPerMs)).UTC()
 		s.write(fmt.Sprintf("<%d> %s %s %s\n", event.Number, at.Format(time.RFC3339Nano), event.Kind, event.Text))
 	}
 }
--- a/internal/runtimeapi/fake_test.go
+++ b/internal/runtimeapi/fake_test.go
@@ -36,23 +36,23 @@
 	load := routing.HostLoad{QueueLength: 2.6}
 	return &fakeController{
 		hosts: []controller.HostInfo{
-			{Host: "10.0.0.1:80", Zone: "a", Phase: "ready", Listed: 1, Weight: 0.5, Why: routing.Explanation{
+			{Host: "10.0.0.1:80", Zone: "a", State: "ready", BaseWeight: 1, Weight: 0.5, Explanation: routing.Explanation{
 				ArrivalRate: 20, MeanLatencyMs: 150, Failures: 1.4, ConsecutiveSuccesses: 3, Load: load,
 			}},
-			{Host: "10.0.0.2:80", Zone: "b", Phase: "ready", Withdrawn: true, Listed: 0.5, Weight: 0.001,
-				Why: routing.Explanation{ConsecutiveFailures: 2, Failures: 30}},
-			{Host: "10.0.0.3:80", Zone: "b", Phase: "draining", Listed: 1},
-			{Host: "10.0.0.4:80", Zone: "a", Phase: "draining", Listed: 9, Weight: 9,
-				Operator: &controller.OverrideInfo{State: "drain"}},
-			{Host: "10.0.0.5:80", Zone: "a", Phase: "gone", Listed: 1,
-				Operator: &controller.OverrideInfo{State: "maint"}},
-			{Host: "10.0.0.6:80", Zone: "a", Phase: "ready", Listed: 1, Weight: 1,
-				Operator: &controller.OverrideInfo{State: "maint", Waiting: true}},
+			{Host: "10.0.0.2:80", Zone: "b", State: "ready", Ejected: true, BaseWeight: 0.5, Weight: 0.001,
+				Explanation: routing.Explanation{ConsecutiveFailures: 2, Failures: 30}},
+			{Host: "10.0.0.3:80", Zone: "b", State: "draining", BaseWeight: 1},
+			{Host: "10.0.0.4:80", Zone: "a", State: "draining", BaseWeight: 9, Weight: 9,
+				Override: &controller.OverrideInfo{State: "drain"}},
+			{Host: "10.0.0.5:80", Zone: "a", State: "gone", BaseWeight: 1,
+				Override: &controller.OverrideInfo{State: "maint"}},
+			{Host: "10.0.0.6:80", Zone: "a", State: "ready", BaseWeight: 1, Weight: 1,
+				Override: &controller.OverrideInfo{State: "maint", Queued: true}},
 		},
 		response: publishedTables(t),
 		events: []controller.Event{
-			{Number: 1, At: 1000, Kind: "list", Text: "6 hosts"},
-			{Number: 2, At: 1500.5, Kind: "joined", Text: "p"},
+			{Number: 1, AtMs: 1000, Kind: "list", Text: "6 hosts"},
+			{Number: 2, AtMs: 1500.5, Kind: "joined", Text: "p"},
 		},
 		followers: map[int]func([]controller.Event){},
 	}
@@ -79,8 +79,8 @@
 
 func (f *fakeController) Status() controller.Status {
 	return controller.Status{
-		Life: "L", Zones: []string{"a", "b"}, Classes: []string{"sheet", "finish"}, Joined: 2, Polls: 1,
-		MessagesQueued: 3, Mode: "ordinary",
+		Incarnation: "L", Zones: []string{"a", "b"}, Classes: []string{"sheet", "finish"},
+		ConnectedProxies: 2, PendingPolls: 1, QueuedMessages: 3, Mode: "ordinary",
 	}
 }
 
@@ -189,7 +189,7 @@
 			t.Fatal(err)
 		}
 		publisher.Advance(nowMs+500, recorder)
-		if recorder.last.Tag != "" && recorder.last.Tables()[0].Ordered {
+		if recorder.last.Tag != "" && recorder.last.Tables()[0].Assigned {
 			return recorder.last
 		}
 		tags = []string{recorder.last.Tag}
--- a/internal/runtimeapi/info.go
+++ b/internal/runtimeapi/info.go
@@ -32,11 +32,11 @@
 		{"Nbproc", "1"},
 		{"Process_num", "1"},
 		{"Pid", strconv.Itoa(os.Getpid())},
-		{"CurrConns", strconv.Itoa(status.Joined)},
+		{"CurrConns", strconv.Itoa(status.ConnectedProxies)},
 		{"Stopping", "0"},
-		{"Jobs", strconv.Itoa(status.Polls)},
-		{"Tasks", strconv.Itoa(status.MessagesQueued)},
-		{"node", status.Life},
+		{"Jobs", strconv.Itoa(status.PendingPolls)},
+		{"Tasks", strconv.Itoa(status.QueuedMessages)},
+		{"node", status.Incarnation},
 		{"description", status.Mode},
 	}
 }
--- a/internal/runtimeapi/server_test.go
+++ b/internal/runtimeapi/server_test.go
@@ -167,7 +167,7 @@
 	conn := server.dial(t)
 	send(t, conn, "show events -w\n")
 	waitFor(t, "the session follows", func() bool { return server.controller.followerCount() == 1 })
-	server.controller.publish(controller.Event{Number: 3, At: 2000, Kind: "left", Text: "p"})
+	server.controller.publish(controller.Event{Number: 3, AtMs: 2000, Kind: "left", Text: "p"})
 	reader := bufio.NewReader(conn)
 	for number := 1; number <= 3; number++ {
 		line, err := reader.ReadString('\n')
--- a/internal/runtimeapi/show.go
+++ b/internal/runtimeapi/show.go
@@ -60,11 +60,11 @@
 // serverStatus returns the status of a server in show stat.
 func serverStatus(host controller.HostInfo) string {
 	switch {
-	case host.Phase == phaseRemoved:
+	case host.State == phaseRemoved:
 		return statusMaintenance
-	case host.Phase == phaseDraining:
+	case host.State == phaseDraining:
 		return statusDrain
-	case host.Withdrawn:
+	case host.Ejected:
 		return statusDown
 	default:
 		return statusUp
@@ -77,14 +77,14 @@
 	if status := serverStatus(host); status == statusDown || status == statusMaintenance {
 		operational = haproxy.Stopped
 	}
-	overridden := host.Operator != nil && !host.Operator.Waiting
+	overridden := host.Override != nil && !host.Override.Queued
 	if !overridden {
-		if host.Phase == phaseDraining {
+		if host.State == phaseDraining {
 			return haproxy.Stopping, haproxy.ForcedDrain
 		}
 		return operational, 0
 	}
-	switch state, _ := operator.ParseState(host.Operator.State); state {
+	switch state, _ := operator.ParseState(host.Override.State); state {
 	case operator.Maintenance:
 		return operational, haproxy.ForcedMaint
 	case operator.Draining:
@@ -126,7 +126,7 @@
 				Op:        operational,
 				Admin:     administrative,
 				Weight:    apiWeight(host.Weight),
-				Initial:   apiWeight(host.Listed),
+				Initial:   apiWeight(host.BaseWeight),
 			})
 		}
 	}
@@ -135,7 +135,7 @@
 
 // concurrency returns the mean number of requests at a host, by Little's law: arrival rate times mean latency.
 func concurrency(host controller.HostInfo) float64 {
-	return host.Why.ArrivalRate * host.Why.MeanLatencyMs / msPerSecond
+	return host.Explanation.ArrivalRate * host.Explanation.MeanLatencyMs / msPerSecond
 }
 
 const serversConnHeader = "# bkname/svname bkid/svid addr port - purge_delay used_cur used_max need_est unsafe_nb " +
--- a/internal/runtimeapi/stat.go
+++ b/internal/runtimeapi/stat.go
@@ -94,21 +94,21 @@
 		"svname":       host.Host,
 		"status":       serverStatus(host),
 		"weight":       strconv.Itoa(apiWeight(host.Weight)),
-		"qcur":         roundedText(host.Why.Load.QueueLength),
+		"qcur":         roundedText(host.Explanation.Load.QueueLength),
 		"scur":         roundedText(concurrency(host)),
 		"stot":         "0",
 		"act":          "1",
 		"bck":          "0",
 		"econ":         "0",
-		"eresp":        roundedText(host.Why.Failures),
-		"chkfail":      strconv.Itoa(host.Why.ConsecutiveFailures),
+		"eresp":        roundedText(host.Explanation.Failures),
+		"chkfail":      strconv.Itoa(host.Explanation.ConsecutiveFailures),
 		"pid":          "1",
 		"iid":          strconv.Itoa(backend.id),
 		"sid":          strconv.Itoa(id),
 		"type":         strconv.Itoa(haproxy.Server),
-		"rate":         roundedText(host.Why.ArrivalRate),
-		"rtime":        roundedText(host.Why.MeanLatencyMs),
-		"ttime":        roundedText(host.Why.MeanLatencyMs),
+		"rate":         roundedText(host.Explanation.ArrivalRate),
+		"rtime":        roundedText(host.Explanation.MeanLatencyMs),
+		"ttime":        roundedText(host.Explanation.MeanLatencyMs),
 		"addr":         host.Host,
 		"mode":         "http",
 		"check_status": checkStatus(host),
@@ -125,7 +125,7 @@
 			serversUp++
 			weight += apiWeight(host.Weight)
 		}
-		arrivalRate += host.Why.ArrivalRate
+		arrivalRate += host.Explanation.ArrivalRate
 	}
 	status := statusUp
 	if serversUp == 0 {
@@ -152,9 +152,9 @@
 // checkStatus returns the result of the last health check.
 func checkStatus(host controller.HostInfo) string {
 	switch {
-	case host.Why.ConsecutiveFailures > 0:
+	case host.Explanation.ConsecutiveFailures > 0:
 		return "L7TOUT"
-	case host.Why.ConsecutiveSuccesses > 0:
+	case host.Explanation.ConsecutiveSuccesses > 0:
 		return "L7OK"
 	default:
 		return "INI"
--- a/internal/socketproxy/socketproxy.go
+++ b/internal/socketproxy/socketproxy.go
@@ -22,10 +22,10 @@
 // Controller is what a driver needs of one.
 type Controller interface {
 	Poll(q controller.PollRequest, to func(controller.Response)) (id int64, err error)
-	PollGone(proxy string, id int64)
-	Sums(proxy string, u controller.ProxyStats) (counted bool, err error)
-	Listed(host string) bool
-	Now() float64
+	CancelPoll(proxy string, id int64)
+	ObserveProxyStats(proxy string, u controller.ProxyStats) (counted bool, err error)
+	HasEndpoint(host string) bool
+	NowMs() float64
 }
 
 // Config of a driver.
@@ -128,7 +128,7 @@
 	s := &session{Driver: d, conn: conn, in: bufio.NewReaderSize(conn, 64<<10), answers: make(chan controller.Response, 4)}
 	defer func() {
 		if s.poll != 0 {
-			s.steward.PollGone(s.set.Proxy, s.poll)
+			s.steward.CancelPoll(s.set.Proxy, s.poll)
 		}
 	}()
 	if _, err := s.ask("prompt"); err != nil {
@@ -151,7 +151,7 @@
 		} else if driving && !mine {
 			s.say(fmt.Sprintf("proxy %s: another steward drives it", s.set.Proxy))
 			if s.poll != 0 {
-				s.steward.PollGone(s.set.Proxy, s.poll)
+				s.steward.CancelPoll(s.set.Proxy, s.poll)
 				s.poll = 0
 			}
 		}
@@ -178,7 +178,7 @@
 func (s *session) until(ctx context.Context, cycle <-chan time.Time, driving bool) error {
 	for {
 		due := time.NewTimer(time.Hour)
-		if wait := s.proxy.NextDeadlineMs() - s.steward.Now(); driving && !math.IsInf(wait, 1) {
+		if wait := s.proxy.NextDeadlineMs() - s.steward.NowMs(); driving && !math.IsInf(wait, 1) {
 			due.Reset(time.Duration(math.Max(wait, 1) * float64(time.Millisecond)))
 		}
 		select {
@@ -256,7 +256,7 @@
 	if err != nil {
 		return err
 	}
-	if n := s.proxy.ObserveServers(s.steward.Now(), all); n > 0 {
+	if n := s.proxy.ObserveServers(s.steward.NowMs(), all); n > 0 {
 		s.set.Log(fmt.Sprintf("proxy %s: %d servers were changed by someone else", s.set.Proxy, n))
 	}
 	return nil
@@ -272,8 +272,8 @@
 	if err != nil {
 		return err
 	}
-	if u, ok := s.counts.Read(s.steward.Now(), rows, s.steward.Listed); ok {
-		s.steward.Sums(s.set.Proxy, u) // one that has not joined yet sends the next
+	if u, ok := s.counts.Read(s.steward.NowMs(), rows, s.steward.HasEndpoint); ok {
+		s.steward.ObserveProxyStats(s.set.Proxy, u) // one that has not joined yet sends the next
 	}
 	return nil
 }
@@ -313,7 +313,7 @@
 			s.take(a)
 		default:
 		}
-		command, ok := s.proxy.NextCommand(s.steward.Now())
+		command, ok := s.proxy.NextCommand(s.steward.NowMs())
 		if !ok {
 			break
 		}
@@ -321,14 +321,14 @@
 		if err != nil {
 			return err
 		}
-		if err := s.proxy.ObserveResponse(s.steward.Now(), answer); err != nil {
+		if err := s.proxy.ObserveResponse(s.steward.NowMs(), answer); err != nil {
 			s.set.Log(fmt.Sprintf("proxy %s refuses: %v", s.set.Proxy, err))
 		}
 		if s.poll == 0 && time.Since(s.polled) > time.Second {
 			s.hear()
 		}
 	}
-	if s.newest != "" && s.proxy.Converged(s.steward.Now()) {
+	if s.newest != "" && s.proxy.Converged(s.steward.NowMs()) {
 		s.tag = s.newest
 	}
 	if s.poll == 0 && (s.tag == s.newest || time.Since(s.polled) > time.Second) {
--- a/publisher/counters.go
+++ b/publisher/counters.go
@@ -123,7 +123,7 @@
 	arrivals := int(increase.sessions)
 	i.demand[class] = controller.ClassDemand{
 		Arrivals:   arrivals,
-		Unanswered: min(int(increase.connectErrors+increase.responseErrors), arrivals),
+		NoResponse: min(int(increase.connectErrors+increase.responseErrors), arrivals),
 		WindowMs:   i.lengthMs,
 	}
 }
--- a/publisher/counters_test.go
+++ b/publisher/counters_test.go
@@ -45,7 +45,7 @@
 		t.Errorf("ok %v, %+v", ok, stats)
 	}
 	checkHostStats(t, stats.Hosts["a:80"], 20, 2, (8*50+10*20)/18.0, 1000)
-	if demand := stats.Demand["sheet"]; demand.Arrivals != 20 || demand.Unanswered != 2 {
+	if demand := stats.Demand["sheet"]; demand.Arrivals != 20 || demand.NoResponse != 2 {
 		t.Errorf("%+v", demand)
 	}
 
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -124,7 +124,7 @@
 	for i := range tables {
 		table := &tables[i]
 		p.targetRatios[table.Class] = math.Min(table.AdmissionRatio, 1)
-		if table.Ordered {
+		if table.Assigned {
 			p.setTargetWeights(table)
 		}
 	}
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -23,7 +23,7 @@
 
 // routingTables returns the table of the request class "sheet".
 func routingTables(admissionRatio float64, hosts ...weightedHost) []controller.Table {
-	table := controller.Table{Class: "sheet", Ordered: true, AdmissionRatio: admissionRatio, RetryPolicy: 1}
+	table := controller.Table{Class: "sheet", Assigned: true, AdmissionRatio: admissionRatio, RetryPolicy: 1}
 	for _, host := range hosts {
 		table.Hosts = append(table.Hosts, host.name)
 		table.Weights = append(table.Weights, host.weight)
--- a/replay/other.go
+++ b/replay/other.go
@@ -352,10 +352,10 @@
 	if l.over {
 		return
 	}
-	if l.steward.Next() <= l.e.now {
+	if l.steward.NextMs() <= l.e.now {
 		l.steward.Advance(l.e.now, l)
 	}
-	next := math.Max(l.steward.Next(), l.e.now+0.2)
+	next := math.Max(l.steward.NextMs(), l.e.now+0.2)
 	if next < l.woken && !math.IsInf(next, 1) {
 		l.woken = next
 		l.e.dues.Schedule(next, func() {
@@ -439,8 +439,8 @@
 	p.life.e.journal.LogPollResponse(p.life.e.now, p.name, p.life.name, status, a.Tag, a.BaseTag, p.tag, a.Body())
 	if a.Kind != controller.NotModified {
 		for _, t := range a.Tables() {
-			if old, ok := p.tables[t.Class]; ok && !t.Ordered {
-				t.Hosts, t.Weights, t.Ordered = old.Hosts, old.Weights, old.Ordered
+			if old, ok := p.tables[t.Class]; ok && !t.Assigned {
+				t.Hosts, t.Weights, t.Assigned = old.Hosts, old.Weights, old.Assigned
 			}
 			p.tables[t.Class] = t
 		}
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -55,7 +55,7 @@
 }
 
 func (r *recorder) advance() {
-	if r.s.Next() <= r.at {
+	if r.s.NextMs() <= r.at {
 		r.emit(record.Advance(r.at))
 		r.s.Advance(r.at, r)
 	}
@@ -107,7 +107,7 @@
 			r.in(record.Sums(r.at, name, u))
 		}
 		for end := r.at + 1000; ; {
-			next := math.Max(r.s.Next(), r.at)
+			next := math.Max(r.s.NextMs(), r.at)
 			if next >= end {
 				r.at = end
 				break
--- a/replay/transactions.go
+++ b/replay/transactions.go
@@ -48,7 +48,7 @@
 	x := &carried{class: t.Class, k: k, came: e.now, patience: c.DeadlineMs, due: c.LatencyObjectiveMs, work: e.work(t, works),
 		id: fmt.Sprintf("%s-%d", name, e.counter)}
 	table := p.tables[t.Class]
-	if !table.Ordered { // it went by hosts of its own, which no steward ordered
+	if !table.Assigned { // it went by hosts of its own, which no steward ordered
 		e.out.AsSeen++
 		w.Replayed[k] += earned
 		return
@@ -183,8 +183,8 @@
 }
 
 func (e *engine) lost(p *proxy, x *carried) {
-	if u := p.sums.Demand[x.class]; u.Unanswered < u.Arrivals {
-		u.Unanswered++
+	if u := p.sums.Demand[x.class]; u.NoResponse < u.Arrivals {
+		u.NoResponse++
 		p.sums.Demand[x.class] = u
 	}
 }
