--- a/controller/ingest.go
+++ b/controller/ingest.go
@@ -196,11 +196,11 @@
 	if !pacer.ObserveRound(math.Max(c.nowMs-dueMs, 0)) {
 		return
 	}
-	state := "is behind"
+	state := "rounds late"
 	if pacer.SheddingLevel() < levelBefore {
-		state = "keeps up again"
+		state = "rounds on time again"
 	}
-	c.logMode(fmt.Sprintf("steward %s: rounds come %.0f ms late, %.2f of the intake, rounds %.0f times as long",
+	c.logMode(fmt.Sprintf("%s: lateness_ms %.0f, ingest_ratio %.2f, round_interval_factor %.0f",
 		state, pacer.LatenessMs(), pacer.Ratio(), pacer.IntervalFactor()))
 }
 
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -47,9 +47,10 @@
 	if isRepairing && !wasRepairing {
 		validation.repairingSinceMs = c.nowMs
 		validation.report.Repairs++
-		c.logMode(fmt.Sprintf("guard refuses: %v; %d lines are others, %d findings left", cause, differing, len(remaining)))
+		c.logMode(fmt.Sprintf("table repair started: %v; changed_entries %d, remaining_findings %d",
+			cause, differing, len(remaining)))
 	} else if !isRepairing && wasRepairing {
-		c.logMode(fmt.Sprintf("guard refuses nothing again, after %.0f ms", c.nowMs-validation.repairingSinceMs))
+		c.logMode(fmt.Sprintf("table repair ended: after_ms %.0f", c.nowMs-validation.repairingSinceMs))
 	}
 	validation.report.Repairing = isRepairing
 	validation.report.Remaining = remaining
@@ -66,7 +67,7 @@
 	}
 	if !validation.invalidReported && c.nowMs >= validation.invalidSinceMs+invalidReportDelayMs {
 		validation.invalidReported = true
-		c.logMode(fmt.Sprintf("guard finds no sound table for %.0f ms, the least bad one is served: %v",
+		c.logMode(fmt.Sprintf("no valid table: for_ms %.0f, the best one is published: %v",
 			c.nowMs-validation.invalidSinceMs, remaining[0]))
 	}
 }
--- a/controller/solver.go
+++ b/controller/solver.go
@@ -62,7 +62,7 @@
 	weights.nextRunMs = c.nowMs + weights.intervalMs
 	problem, hostWithoutCores := c.solverProblem()
 	if hostWithoutCores != "" && hostWithoutCores != weights.hostWithoutCores {
-		c.effects.Log("no solved weights: " + hostWithoutCores + " tells no cores")
+		c.effects.Log("no solver weights: host " + hostWithoutCores + " states no cores")
 	}
 	weights.hostWithoutCores = hostWithoutCores
 	if problem == nil {
@@ -75,7 +75,7 @@
 	if after-before < math.Max(weights.minGain, c.updateCost(len(changed))) {
 		return
 	}
-	c.effects.Log(fmt.Sprintf("solved weights renewed: result %.4f to %.4f", before, after))
+	c.effects.Log(fmt.Sprintf("solver weights applied: objective %.4f to %.4f", before, after))
 	c.applySolverWeights(solved, changed)
 }
 
--- a/controller/solver_test.go
+++ b/controller/solver_test.go
@@ -51,7 +51,7 @@
 				h.channel.cost = 2000 // two messages of ten entries in five seconds cost more than the whole result
 			}
 			h.reportDemand(30, 22)
-			if renewed := strings.Contains(h.trace.String(), "solved weights renewed"); renewed != test.wantRenewed {
+			if renewed := strings.Contains(h.trace.String(), "solver weights applied"); renewed != test.wantRenewed {
 				t.Errorf("renewed %v, want %v:\n%s", renewed, test.wantRenewed, h.trace.String())
 			}
 		})
