--- a/client/client.go
+++ b/client/client.go
@@ -25,7 +25,7 @@
 
 // Options configure a Client. Proxy and Zone are required.
 type Options struct {
-	// Stewards are the base URLs of the controllers. The first one is polled, and the next ones if it does not
+	// Controllers are the base URLs of the controllers. The first one is polled, and the next ones if it does not
 	// answer. Without any, tables come from Client.Load only.
 	Controllers   []string
 	Proxy         string   // name of this proxy, the same after each restart
@@ -43,11 +43,11 @@
 	HTTP           *http.Client  // nil: one of the client's own
 	PollTimeout    time.Duration // time for which a controller may hold a long poll; 0: 30 s
 	ReportInterval time.Duration // interval between reports of request stats; 0: 1 s
-	MinBackoff     time.Duration // first backoff after a failed poll, doubled up to Most; 0: 100 ms
+	MinBackoff     time.Duration // first backoff after a failed poll, doubled up to MaxBackoff; 0: 100 ms
 	MaxBackoff     time.Duration // longest backoff; 0: 4 s
 
 	EjectAfterFailures int           // failures in a row after which this proxy ejects a host; 0: never
-	EjectionTime       time.Duration // time for which an ejected host is not picked; 0: UsualShuns
+	EjectionTime       time.Duration // time for which an ejected host is not picked; 0: DefaultEjectionTime
 	IdempotentClasses  []string      // idempotent request classes; others are retried only after NeverRan
 
 	OnRequestEnd    func(Request)    // called at the end of each request; nil: not called
--- a/client/poll.go
+++ b/client/poll.go
@@ -17,7 +17,7 @@
 
 const (
 	maxResponseBytes = 64 << 20
-	pollGrace        = 10 * time.Second // time that a poll may take beyond Options.Wait
+	pollGrace        = 10 * time.Second // time that a poll may take beyond Options.PollTimeout
 	maxBackoffShift  = 20               // limit of the doublings of the backoff, against overflow
 	minJitter        = 0.5              // the backoff is multiplied by a random number from minJitter to minJitter + 1
 	deltaFormat      = "merge-patch"    // instance manipulation (RFC 3229) that the client asks for
--- a/client/request.go
+++ b/client/request.go
@@ -20,14 +20,14 @@
 	NeverRan
 )
 
-// Outcome is the outcome of one attempt.
+// Outcome is what the proxy observed of one attempt.
 type Outcome struct {
 	Result  Result
 	Metrics string // value of the response header endpoint-load-metrics (ORCA); "" without one
 	Err     error  // why the attempt failed; may be nil
 }
 
-// Request is the outcome of one request.
+// Request is the record of one request and its attempts, for Options.OnRequestEnd.
 type Request struct {
 	Class     string    // request class
 	ArrivedAt time.Time // instant of arrival
@@ -44,7 +44,7 @@
 	Result    Result
 }
 
-// Values of Table.Tries: the retry policy of a request class.
+// Values of Table.RetryPolicy: the retry policy of a request class.
 const (
 	noRetry       = 0
 	retryNeverRan = 1 // one retry, after NeverRan
--- a/controller/channel.go
+++ b/controller/channel.go
@@ -43,7 +43,7 @@
 
 func newControlChannel(settings routing.ControlChannel) controlChannel {
 	return controlChannel{
-		entriesPerMs:    settings.EntriesPerSecond / 1000,
+		entriesPerMs:    settings.EntriesPerSecond / msPerSecond,
 		messageOverhead: settings.MessageOverhead,
 		cost:            settings.Cost,
 		maxMessages:     settings.MaxMessages,
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -9,7 +9,7 @@
 // Only a Response may be encoded by any goroutine.
 //
 // Times are milliseconds with fractions, as float64, on one clock that never goes back; their names end in Ms. After
-// each call the caller asks Next when to call Advance.
+// each call the caller asks NextMs when to call Advance.
 package controller
 
 import (
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -399,7 +399,7 @@
 	return c
 }
 
-// NewController makes the steward that a checked configuration describes.
+// NewController makes the controller that a checked configuration describes.
 func NewController(c *configpb.Config, life string, seed uint64) *controller.Controller {
 	var classes []controller.RequestClass
 	for _, k := range c.Classes {
--- a/internal/rules/compact.go
+++ b/internal/rules/compact.go
@@ -21,7 +21,7 @@
 
 // Compact checks the invariants over the events logged so far and drops the events that no later check needs, so that a
 // long log fits into memory: it keeps the longest time that a check looks back. Since a request may be executed again
-// after any time, duplicates across calls of Fold are not found. The limits must be those of the last Check, and no
+// after any time, duplicates across calls of Compact are not found. The limits must be those of the last Check, and no
 // event with a time before nowMs may be logged later.
 func (l *EventLog) Compact(limits Limits, nowMs float64) {
 	l.mu.Lock()
--- a/internal/rules/compact_test.go
+++ b/internal/rules/compact_test.go
@@ -70,7 +70,7 @@
 }
 
 // Checks of a log that is compacted again and again come to the same as those of one that keeps all.
-func TestFold(t *testing.T) {
+func TestCompact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pair := &journalPair{whole: NewEventLog(), compacted: NewEventLog(), hosts: map[string]Listed{}, nowMs: 1000}
 		for _, host := range []string{"x", "y", "z"} {
@@ -98,7 +98,7 @@
 }
 
 // What a compacted log keeps does not grow with time.
-func TestFoldedStaysSmall(t *testing.T) {
+func TestCompactedStaysSmall(t *testing.T) {
 	log := newTestLog()
 	for i := range 100000 {
 		atMs := 1000 + 100*float64(i)
--- a/internal/rules/event_log.go
+++ b/internal/rules/event_log.go
@@ -1,7 +1,7 @@
 // Package rules checks the invariants of a controller by the traffic on its sockets: the endpoint lists that
 // controllers could read, the tables that proxies received, and the requests that hosts received. It uses a
-// controller's own figure only where the traffic is inconclusive (Journal.Waited). It owns the log of these events
-// and the checks, and does no I/O. All times are ms on one clock.
+// controller's own figure only where the traffic is inconclusive (EventLog.LogMaxBacklog). It owns the log of these
+// events and the checks, and does no I/O. All times are ms on one clock.
 package rules
 
 import (
@@ -21,7 +21,7 @@
 	EntriesPerSecond       float64         // throughput of a controller's control channel, in table entries a second
 	MessageOverhead        float64         // fixed cost of a message, in entries
 	MaxBacklog             float64         // entries that may be queued for the control channel
-	MaxMessages            int             // messages to one proxy within MessagesOver; 0: no limit
+	MaxMessages            int             // messages to one proxy within MessageWindowMs; 0: no limit
 	MessageWindowMs        float64         // ms
 	NonIdempotentClasses   map[string]bool // request classes that must not be executed twice
 }
--- a/internal/rules/slow_start.go
+++ b/internal/rules/slow_start.go
@@ -6,9 +6,9 @@
 	"sort"
 )
 
-// checkSlowStarts compares the work of hosts in slow start with the load at which they collapse, over a sliding
-// window of Figures.Fall. A window counts only if enough of its work came from proxies that could know of the start:
-// they got an update after the start was on the endpoint list, or it had been on the list for the drain grace.
+// checkSlowStarts compares the work of hosts in slow start with the load at which they collapse, over a sliding window
+// of Limits.CollapseMs. A window counts only if enough of its work came from proxies that could know of the start: they
+// got an update after the start was on the endpoint list, or it had been on the list for the drain grace.
 func (l *EventLog) checkSlowStarts(limits Limits) Verdict {
 	worst := worstCase{seen: "no host started"}
 	for i, list := range l.lists {
--- a/internal/statefile/store.go
+++ b/internal/statefile/store.go
@@ -42,7 +42,7 @@
 	logBytes         int            // size of the records in the log
 	snapshotBytes    int
 
-	// DroppedEntries counts the steps of state.Shrink that were needed for snapshots to fit.
+	// ShrinkSteps counts the steps of state.Shrink that were needed for snapshots to fit.
 	ShrinkSteps int
 }
 
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -117,7 +117,7 @@
 	clear(p.publishedRatios)
 }
 
-// SetTarget sets the routing tables that the proxy should have. Where a table has no hosts yet (Table.Ordered is
+// SetTarget sets the routing tables that the proxy should have. Where a table has no hosts yet (Table.Assigned is
 // false), only its admission ratio is used, and the servers of the class keep their weights.
 func (p *ProxyUpdater) SetTarget(tables []controller.Table) {
 	p.plan = nil
