--- a/cmd/simadapter/update_writer.go
+++ b/cmd/simadapter/update_writer.go
@@ -43,5 +43,5 @@
 
 // Log writes an event of the balancer as a remark.
 func (c *controllerInstance) Log(event routing.Event) {
-	c.writer.Remark(c.number, event.Text(routing.HostIndex))
+	c.writer.Remark(c.number, event.Text(routing.FormatHostIndex))
 }
--- a/routing/event.go
+++ b/routing/event.go
@@ -83,8 +83,8 @@
 	return e.Kind.String() + ": " + strings.Join(figures, ", ")
 }
 
-// HostIndex formats a host index as its name, for Event.Text in programs that know no host names.
-func HostIndex(host int) string { return strconv.Itoa(host) }
+// FormatHostIndex returns a host index as text, for Event.Text in programs that know no host names.
+func FormatHostIndex(host int) string { return strconv.Itoa(host) }
 
 // indicator returns 1 for true and 0 for false, as a figure of an event.
 func indicator(yes bool) float64 {
--- a/routing/helper_test.go
+++ b/routing/helper_test.go
@@ -62,7 +62,7 @@
 
 func (h *harness) WatchEndpoints() { h.tracef("watch endpoints") }
 
-func (h *harness) Log(event Event) { h.tracef("log: %s", event.Text(HostIndex)) }
+func (h *harness) Log(event Event) { h.tracef("log: %s", event.Text(FormatHostIndex)) }
 
 // settings are all that New takes.
 type settings struct {
