--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func (s *sessionStore) nextMs() float64 { return s.checks.Next() }
+func (s *sessionStore) nextMs() float64 { return s.checks.NextDueMs() }
 
 // add creates the session of a proxy and assigns an index to it.
 func (s *sessionStore) add(proxy string, zone, classes int) *proxySession {
--- a/internal/deadlinequeue/queue.go
+++ b/internal/deadlinequeue/queue.go
@@ -35,8 +35,8 @@
 	return heap.Pop(&q.heap).(item[T]).value, true
 }
 
-// Next returns the time in ms at which the earliest item is due, or +Inf if the queue is empty.
-func (q *Queue[T]) Next() float64 {
+// NextDueMs returns the time in ms at which the earliest item is due, or +Inf if the queue is empty.
+func (q *Queue[T]) NextDueMs() float64 {
 	if len(q.heap) == 0 {
 		return math.Inf(1)
 	}
--- a/internal/deadlinequeue/queue_test.go
+++ b/internal/deadlinequeue/queue_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Items leave by their time, those of the same time in the order in which they were scheduled.
+// Items are popped by due time, and items due at the same time in the order in which they were scheduled.
 func TestPopOrder(t *testing.T) {
 	var queue Queue[string]
 	queue.Schedule(20, "later")
@@ -20,7 +20,7 @@
 		nextMs float64
 	}{
 		{"nothing is due", 9.9, nil, 10},
-		{"two are due at one time", 10, []string{"first", "second"}, 20},
+		{"two are due at the same time", 10, []string{"first", "second"}, 20},
 		{"one is due", 29, []string{"later"}, 30},
 		{"the last is overdue", 100, []string{"last"}, math.Inf(1)},
 		{"empty", 200, nil, math.Inf(1)},
@@ -36,10 +36,10 @@
 				got = append(got, value)
 			}
 			if !slices.Equal(got, test.want) {
-				t.Errorf("at %g ms %q left the queue, want %q", test.nowMs, got, test.want)
+				t.Errorf("Pop at %g ms returned %q, want %q", test.nowMs, got, test.want)
 			}
-			if queue.Next() != test.nextMs {
-				t.Errorf("the next item is due at %g ms, want %g", queue.Next(), test.nextMs)
+			if queue.NextDueMs() != test.nextMs {
+				t.Errorf("NextDueMs returned %g, want %g", queue.NextDueMs(), test.nextMs)
 			}
 		})
 	}
--- a/replay/other.go
+++ b/replay/other.go
@@ -168,8 +168,8 @@
 
 // until does all that is due by a time.
 func (e *engine) until(at float64) {
-	for e.dues.Next() <= at {
-		e.now = math.Max(e.now, e.dues.Next())
+	for e.dues.NextDueMs() <= at {
+		e.now = math.Max(e.now, e.dues.NextDueMs())
 		do, _ := e.dues.Pop(e.now)
 		do()
 	}
--- a/replay/scan.go
+++ b/replay/scan.go
@@ -313,7 +313,7 @@
 // next gives the next item, and io.EOF after the last.
 func (m *merged) next() (item, error) {
 	for {
-		first := m.heads.Next()
+		first := m.heads.NextDueMs()
 		if x, ok := m.buffer.Pop(first - m.behind); ok {
 			return x, nil
 		}
