--- a/cmd/simadapter/controller_instance.go
+++ b/cmd/simadapter/controller_instance.go
@@ -152,7 +152,7 @@
 		c.balancer.HostIndex(*event.Host),
 		int(*event.Count), int(*event.Errors),
 		milliseconds(event.CostTimeUs), milliseconds(event.WindowUs),
-		instance.Load(event.Value))
+		instance.HostLoad(event.Value))
 	return nil
 }
 
@@ -183,7 +183,7 @@
 	if !known {
 		return &eventError{event.Type, fmt.Sprintf("field Ending has the unknown value %q", *event.Ending)}
 	}
-	c.balancer.ObserveHealthCheck(c.balancer.HostIndex(*event.Host), result, instance.Load(event.Value))
+	c.balancer.ObserveHealthCheck(c.balancer.HostIndex(*event.Host), result, instance.HostLoad(event.Value))
 	return nil
 }
 
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -22,8 +22,6 @@
 	Reason string
 }
 
-// Error returns the field, its value and the reason.
-
 func (e *UnsupportedSettingError) Error() string {
 	return fmt.Sprintf("Start: setting %s is %d: %s", e.Field, e.Value, e.Reason)
 }
@@ -159,9 +157,9 @@
 	return index, ok
 }
 
-// Load returns a load report of the values that a host has reported: "util", the utilization as a ratio; "qps", the
-// requests per second; and "queue", the requests that wait. value returns the reported value of a name, or a value
-// below 0 for a name that was not reported.
-func Load(value func(name string) float64) routing.HostLoad {
+// HostLoad returns the load report with the values that a host has reported: "util", the utilization as a ratio; "qps",
+// the requests per second; and "queue", the requests that wait for a core. value returns the reported value of a name,
+// or a value below 0 for a name that was not reported.
+func HostLoad(value func(name string) float64) routing.HostLoad {
 	return routing.HostLoad{Utilization: value("util"), RequestRate: value("qps"), QueueLength: value("queue")}
 }
--- a/internal/platform/load_report.go
+++ b/internal/platform/load_report.go
@@ -42,7 +42,7 @@
 // reported.
 func newHostLoad(lookup func(name string) (float64, bool)) routing.HostLoad {
 	const notReported = -1
-	return instance.Load(func(name string) float64 {
+	return instance.HostLoad(func(name string) float64 {
 		if value, reported := lookup(name); reported && validLoad(name, value) {
 			return value
 		}
