--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -33,7 +33,7 @@
 	wantDeployment := routing.Deployment{Controllers: 2, Zones: 2, Proxies: 4, Seed: seed, ReportIntervalMs: 1500,
 		ProxyEjectAfter: 3, DefaultRetryPolicy: 2, AdmissionControl: true, HealthChecks: true, WatchesEndpoints: true}
 	if got := deployment(settings, seed); got != wantDeployment {
-		t.Errorf("deployment %+v, not %+v", got, wantDeployment)
+		t.Errorf("deployment %+v, want %+v", got, wantDeployment)
 	}
 	wantClasses := []routing.RequestClass{
 		{LatencyObjectiveMs: 500, DeadlineMs: 900, PriorityWeight: 1, ZoneLocal: true},
@@ -41,26 +41,26 @@
 	}
 	gotClasses := requestClasses(settings)
 	if len(gotClasses) != len(wantClasses) {
-		t.Fatalf("request classes %+v", gotClasses)
+		t.Fatalf("request classes %+v, want %+v", gotClasses, wantClasses)
 	}
 	for index, want := range wantClasses {
 		if gotClasses[index] != want {
-			t.Errorf("request class %+v, not %+v", gotClasses[index], want)
+			t.Errorf("request class %+v, want %+v", gotClasses[index], want)
 		}
 	}
 	wantChannel := routing.ControlChannel{EntriesPerSecond: 1000, MessageOverhead: 5, MaxBacklog: 700,
 		PropagationDelayMs: 20, MaxMessages: 9, MessageWindowMs: 60000, Cost: 0.5}
 	if got := controlChannel(settings); got != wantChannel {
-		t.Errorf("control channel %+v, not %+v", got, wantChannel)
+		t.Errorf("control channel %+v, want %+v", got, wantChannel)
 	}
 	wantLimits := routing.SafetyLimits{EmptyTableMs: 5000, DrainGraceMs: 2000, SlowStartInitialFactor: 0.2,
 		SlowStartMs: 9000, CollapseMultiple: 3}
 	if got := safetyLimits(settings); got != wantLimits {
-		t.Errorf("safety limits %+v, not %+v", got, wantLimits)
+		t.Errorf("safety limits %+v, want %+v", got, wantLimits)
 	}
 	wantObjective := routing.Objective{TotalWeight: 0.7, WorstClassWeight: 0.3, HealthCheckCost: 0.25}
 	if got := objective(settings); got != wantObjective {
-		t.Errorf("objective %+v, not %+v", got, wantObjective)
+		t.Errorf("objective %+v, want %+v", got, wantObjective)
 	}
 }
 
@@ -71,42 +71,43 @@
 		t.Fatal(err)
 	}
 	if zone, ok := instance.ZoneIndex("b"); zone != 1 || !ok {
-		t.Errorf("zone b has index %d, %v", zone, ok)
+		t.Errorf("index of zone b: %d, %v; want 1, true", zone, ok)
 	}
 	if _, ok := instance.ZoneIndex("c"); ok {
-		t.Error("an unknown zone has an index")
+		t.Error("zone c, which is not in the settings, has an index; want none")
 	}
 	if class, ok := instance.ClassIndex("sign"); class != 1 || !ok {
-		t.Errorf("class sign has index %d, %v", class, ok)
+		t.Errorf("index of class sign: %d, %v; want 1, true", class, ok)
 	}
 	if _, ok := instance.ClassIndex("write"); ok {
-		t.Error("an unknown class has an index")
+		t.Error("class write, which is not in the settings, has an index; want none")
 	}
 	first, second := instance.HostIndex("s-1"), instance.HostIndex("s-2")
 	if first == second || instance.HostIndex("s-1") != first || instance.HostID(second) != "s-2" {
-		t.Errorf("the hosts have the indices %d and %d", first, second)
+		t.Errorf("hosts s-1 and s-2 got indices %d and %d, then %d for s-1, and index %d has name %q; "+
+			"want two indices that stay", first, second, instance.HostIndex("s-1"), second, instance.HostID(second))
 	}
 	if !instance.ReleaseHost(first) {
-		t.Fatal("a host that no table refers to is not released")
+		t.Fatal("ReleaseHost returned false for a host that no table refers to, want true")
 	}
 	if _, ok := instance.LookupHost("s-1"); ok {
-		t.Error("a released host still has an index")
+		t.Error("released host s-1 still has an index, want none")
 	}
 	if reused := instance.HostIndex("s-3"); reused != first || instance.HostIndexCount() != 2 {
-		t.Errorf("the next host has index %d of %d", reused, instance.HostIndexCount())
+		t.Errorf("next host has index %d of %d, want %d of 2", reused, instance.HostIndexCount(), first)
 	}
 }
 
-// Settings that are valid and not implemented are refused with the name of the field.
+// A setting that is valid but not implemented is an error that names the field.
 func TestUnsupportedSetting(t *testing.T) {
 	settings := readTestSettings(t)
 	settings.FamilyInfo.Shards = 3
 	_, err := New(settings, 1)
 	var unsupported *UnsupportedSettingError
 	if !errors.As(err, &unsupported) || unsupported.Field != "FamilyInfo.Shards" || unsupported.Value != 3 {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v, want *UnsupportedSettingError for FamilyInfo.Shards with value 3", err)
 	}
 	if want := "Start: setting FamilyInfo.Shards is 3: slices are not served yet"; err.Error() != want {
-		t.Errorf("error %q, not %q", err, want)
+		t.Errorf("error %q, want %q", err, want)
 	}
 }
