--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -2,7 +2,7 @@
 
 // EventError is the reason why an event is malformed. Its text is part of the simulator's interface.
 type EventError struct {
-	Event  string // the event type, or "line" where it is unknown
+	Event  string // the event type, or "line" where there is none
 	Reason string // the reason, with the name of the field
 	Err    error  // the cause; nil: none
 }
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -17,8 +17,8 @@
 	CheckedIn    = "CheckedIn" // a proxy connected
 	Disconnected = "Disconnected"
 	Installed    = "Installed" // a proxy acknowledged a version
-	Stats        = "Stats"     // a host's request counts
-	Arrivals     = "Arrivals"  // a proxy's request counts
+	Stats        = "Stats"     // attempts at a host
+	Arrivals     = "Arrivals"  // requests that a proxy received
 	Health       = "Health"    // a health check ended
 	Alarm        = "Alarm"
 	CrashNow     = "CrashNow"
--- a/internal/simwire/event_fields.go
+++ b/internal/simwire/event_fields.go
@@ -6,7 +6,7 @@
 type field struct {
 	name    string
 	present func(*Event) bool
-	number  func(*Event) *int64 // nil: the field is not a number that must be 0 or more
+	number  func(*Event) *int64 // of a number that must be 0 or more; nil for other fields
 }
 
 func numberField(name string, number func(*Event) *int64) field {
@@ -40,7 +40,7 @@
 
 	seedField     = field{"Prng", func(e *Event) bool { return e.Prng != nil }, nil}
 	settingsField = field{"Settings", func(e *Event) bool { return len(e.Settings) > 0 }, nil}
-	weightField   = field{"W", func(e *Event) bool { return e.W != nil }, nil} // checkForm checks its range
+	weightField   = field{"W", func(e *Event) bool { return e.W != nil }, nil} // validate checks its range
 	flagField     = field{"Flag", func(e *Event) bool { return e.Flag != nil }, nil}
 )
 
@@ -65,15 +65,15 @@
 	Neighbour:  {instanceField, byField, contentField},
 }
 
-// checkForm returns an *EventError unless an event has a known type and the fields that the type requires, within
+// validate returns an *EventError unless an event has a known type and the fields that the type requires, within
 // their ranges.
-func (e *Event) checkForm() error {
+func (e *Event) validate() error {
 	required, known := requiredFields[e.Type]
 	if !known {
 		return e.malformed("unknown event")
 	}
 	for i := range required {
-		if err := e.checkField(&required[i]); err != nil {
+		if err := e.validateField(&required[i]); err != nil {
 			return err
 		}
 	}
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func (e *Event) checkField(required *field) error {
+func (e *Event) validateField(required *field) error {
 	if !required.present(e) {
 		return e.malformed(fmt.Sprintf("field %s is missing", required.name))
 	}
@@ -111,7 +111,7 @@
 	return &EventError{Event: e.typeOrLine(), Reason: reason}
 }
 
-// typeOrLine returns the name of the event in errors, even if its type is unknown.
+// typeOrLine returns the event type as errors name it: "line" for an event without a type.
 func (e *Event) typeOrLine() string {
 	if e.Type == "" {
 		return "line"
--- a/internal/simwire/reader.go
+++ b/internal/simwire/reader.go
@@ -26,13 +26,13 @@
 	}
 	*event = Event{}
 	if err := json.Unmarshal(line, event); err != nil {
-		return event.undecodable(err)
+		return event.decodeError(err)
 	}
-	return event.checkForm()
+	return event.validate()
 }
 
-// undecodable returns the error of an event that could not be decoded.
-func (e *Event) undecodable(cause error) *EventError {
+// decodeError returns the error of an event that could not be decoded.
+func (e *Event) decodeError(cause error) *EventError {
 	reason := fmt.Sprintf("not a JSON object: %v", cause)
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(cause, &wrongType) && wrongType.Field != "" {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Service is a request class. Pointers are required; the other fields have a default.
+// Service is a request class. Fields of a pointer type are required; the others have a default.
 type Service struct {
 	AimUs       *float64 // latency objective
 	HardLimitUs *float64 // deadline
@@ -18,8 +18,8 @@
 	WindowUs    float64
 }
 
-// Settings are the settings in a start event: the deployment, its limits and its request classes. Pointers are
-// required; the other fields have a default, which is 0 unless stated. Names that end in Us are microseconds.
+// Settings are the settings in a start event: the deployment, its limits and its request classes. Fields of a pointer
+// type are required; the others have a default, which is 0 unless stated. Names that end in Us are microseconds.
 type Settings struct {
 	Discovery      string   // Subscribed, or any other text for a list that is sent without a request
 	FailureDomains []string // zones; if there are none, ReadSettings sets the instance's own
@@ -32,10 +32,10 @@
 		PerMessage     *float64 // fixed cost of a message, in entries
 		DataPlaneSize  *int     // number of proxies
 		LateUs         float64  // propagation delay of the channel
-		UpdateWindowUs float64  // window of MessagesMost
-		OrderPrice     float64  // cost of a message
+		UpdateWindowUs float64  // sliding window of MessagesMost
+		OrderPrice     float64  // fraction of the objective lost while the channel runs at its maximum throughput
 		Ejects         int      // failures in a row after which proxies eject a host themselves
-		MessagesMost   int      // to one proxy; 0: no limit
+		MessagesMost   int      // messages to one proxy within UpdateWindowUs; 0: no limit
 		RetryDefault   int      // retry policy of proxies where their tables set none
 		Shards         int
 		StaysLocal     []bool // by class: requests stay in their zone
@@ -78,11 +78,11 @@
 )
 
 const (
-	unbounded   = math.MaxFloat64
-	minPositive = 1e-9  // least value of a setting that must be above 0
-	maxProxies  = 65535 // the protocol numbers proxies and tables below 65536
-	maxClasses  = 60    // a bit mask holds a set of classes
-	maxRetries  = 3     // numbers of retry policies
+	unbounded      = math.MaxFloat64
+	minPositive    = 1e-9  // minimum of a setting that must be above 0
+	maxProxies     = 65535 // the protocol numbers proxies and tables below 65536
+	maxClasses     = 60    // a set of classes is a bit mask
+	maxRetryPolicy = 3     // largest number of a retry policy
 )
 
 // ReadSettings decodes and validates the settings of a start event. It returns a *SettingError for the first setting
@@ -102,14 +102,14 @@
 	return settings, nil
 }
 
-// checkRequiredNumbers checks that required numbers are present and not below their least value.
+// checkRequiredNumbers checks that required numbers are present and not below their minimum.
 func checkRequiredNumbers(settings *Settings) error {
 	family := &settings.FamilyInfo
 	rules := &settings.Rules
 	for _, required := range []struct {
-		name  string
-		value *float64
-		least float64
+		name    string
+		value   *float64
+		minimum float64
 	}{
 		{"FamilyInfo.BareUs", family.BareUs, 0},
 		{"FamilyInfo.ChannelRate", family.ChannelRate, minPositive},
@@ -125,28 +125,27 @@
 		if required.value == nil {
 			return &SettingError{required.name, " is missing"}
 		}
-		if *required.value < required.least {
+		if *required.value < required.minimum {
 			return outOfRange(required.name, *required.value)
 		}
 	}
 	return nil
 }
 
-// checkOptionalNumbers checks that numbers with a default, and those with an upper bound, are from 0 to their upper
-// bound.
+// checkOptionalNumbers checks that numbers with a default, and those with a maximum, are from 0 to their maximum.
 func checkOptionalNumbers(settings *Settings) error {
 	family := &settings.FamilyInfo
 	parts := &settings.ScoreParts
 	for _, optional := range []struct {
-		name        string
-		value, most float64
+		name           string
+		value, maximum float64
 	}{
 		{"FamilyInfo.LateUs", family.LateUs, unbounded},
 		{"FamilyInfo.UpdateWindowUs", family.UpdateWindowUs, unbounded},
 		{"FamilyInfo.OrderPrice", family.OrderPrice, unbounded},
 		{"FamilyInfo.Ejects", float64(family.Ejects), unbounded},
 		{"FamilyInfo.MessagesMost", float64(family.MessagesMost), unbounded},
-		{"FamilyInfo.RetryDefault", float64(family.RetryDefault), maxRetries},
+		{"FamilyInfo.RetryDefault", float64(family.RetryDefault), maxRetryPolicy},
 		{"FamilyInfo.Shards", float64(family.Shards), unbounded},
 		{"Limits.DialTimeoutUs", settings.Limits.DialTimeoutUs, unbounded},
 		{"Prices.Probe", settings.Prices.Probe, unbounded},
@@ -156,7 +155,7 @@
 		{"ScoreParts.WorstWindow", parts.WorstWindow, unbounded},
 		{"StepUs", settings.StepUs, unbounded},
 	} {
-		if optional.value < 0 || optional.value > optional.most {
+		if optional.value < 0 || optional.value > optional.maximum {
 			return outOfRange(optional.name, optional.value)
 		}
 	}
