--- a/internal/simwire/reader_test.go
+++ b/internal/simwire/reader_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A malformed event is an error that names the event and the fault; the texts are part of the simulator's interface.
+// A malformed event is an error that names the event and the fault. The texts are part of the simulator's interface.
 func TestReaderRejects(t *testing.T) {
 	for _, c := range []struct{ name, line, want string }{
 		{"no JSON", `odd`, "line: not a JSON object: invalid character 'o' looking for beginning of value"},
@@ -40,34 +40,34 @@
 	}
 }
 
-func TestReaderReadsToTheEnd(t *testing.T) {
+func TestReaderReadsToEnd(t *testing.T) {
 	lines := []string{
 		`{"event_type":"Turn","SimTimeUs":1,"n":1}`,
 		`{"event_type":"Endpoints","I":0,"How":1,"Number":1,"Records":[{"Host":"h","Phase":0}]}`,
 		`{"event_type":"NeighbourSays","I":0,"By":1,"Content":"c","Unknown":[1]}`,
 		`{"event_type":"SliceLoad","I":0,"WindowUs":1,"Tbl":2,"Kind":"k","Errors":0,"Count":0}`,
-		`{"event_type":"End"}`, // the last line may lack its end
+		`{"event_type":"End"}`, // the last line may lack its newline
 	}
 	reader := NewReader(strings.NewReader(strings.Join(lines, "\n")))
 	var event Event
 	for _, line := range lines {
 		if err := reader.Next(&event); err != nil {
-			t.Errorf("%s: %v", line, err)
+			t.Errorf("%s: error %v, want none", line, err)
 		}
 	}
 	if err := reader.Next(&event); !errors.Is(err, io.EOF) {
-		t.Errorf("at the end: %v", err)
+		t.Errorf("error %v at the end of the input, want io.EOF", err)
 	}
 	if event.Type != End {
-		t.Errorf("the end of input left %q as the last event", event.Type)
+		t.Errorf("event %q after the end of the input, want %q as before", event.Type, End)
 	}
 }
 
-func TestReaderPassesReadErrorsOn(t *testing.T) {
+func TestReaderReturnsReadErrors(t *testing.T) {
 	broken := errors.New("broken")
 	reader := NewReader(io.MultiReader(strings.NewReader(`{"event_type":`), failingReader{broken}))
 	if err := reader.Next(&Event{}); !errors.Is(err, broken) {
-		t.Errorf("%v, want %v", err, broken)
+		t.Errorf("error %v, want %v", err, broken)
 	}
 }
 
@@ -86,7 +86,7 @@
 		want float64
 	}{{"good", 0.5}, {"text", -1}, {"null", -1}, {"negative", -1}, {"huge", -1}, {"absent", -1}} {
 		if got := event.Value(c.name); got != c.want {
-			t.Errorf("%s: %g, want %g", c.name, got, c.want)
+			t.Errorf("value %s is %g, want %g", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -10,19 +10,19 @@
 	`"ColdUs":1,"StopSendingWithinUs":1,"FallMultiple":3,"FallUs":1},"Services":[{"Name":"read","AimUs":1,` +
 	`"HardLimitUs":1,"Value":1,"Effect":"idempotent"}]}`
 
-// A setting that is absent or out of range is an error that names it; the texts are part of the simulator's interface.
+// A setting that is missing or out of range is an error that names it. The texts are part of the simulator's interface.
 func TestReadSettingsRejects(t *testing.T) {
 	service := `{"Name":"read","AimUs":1,"HardLimitUs":1,"Value":1,"Effect":"idempotent"}`
 	for _, c := range []struct{ name, part, replacement, want string }{
 		{"no JSON", `{"FailureDomains"`, `"FailureDomains"`,
 			"Start: Settings: invalid character ':' after top-level value"},
 		{"missing", `"BareUs":1,`, ``, "Start: setting FamilyInfo.BareUs is missing"},
-		{"below its least", `"ChannelRate":1`, `"ChannelRate":0`, "Start: setting FamilyInfo.ChannelRate is out of range: 0"},
+		{"below its minimum", `"ChannelRate":1`, `"ChannelRate":0`, "Start: setting FamilyInfo.ChannelRate is out of range: 0"},
 		{"optional below 0", `"BareUs":1,`, `"BareUs":1,"LateUs":-1,`,
 			"Start: setting FamilyInfo.LateUs is out of range: -1"},
-		{"optional above its most", `"BareUs":1,`, `"BareUs":1,"RetryDefault":4,`,
+		{"optional above its maximum", `"BareUs":1,`, `"BareUs":1,"RetryDefault":4,`,
 			"Start: setting FamilyInfo.RetryDefault is out of range: 4"},
-		{"share above 1", `"ColdFrom":0.2`, `"ColdFrom":2`, "Start: setting Rules.ColdFrom is out of range: 2"},
+		{"fraction above 1", `"ColdFrom":0.2`, `"ColdFrom":2`, "Start: setting Rules.ColdFrom is out of range: 2"},
 		{"index", `"Index":0`, `"Index":-1`, "Start: setting Index is missing or below 0"},
 		{"instances", `"Instances":1`, `"Instances":0`, "Start: setting Instances is missing or below 1"},
 		{"proxies", `"DataPlaneSize":1`, `"DataPlaneSize":65536`,
@@ -54,13 +54,13 @@
 		t.Fatal(err)
 	}
 	if len(settings.FailureDomains) != 2 || *settings.Instances != 1 || settings.Services[0].Name != "read" {
-		t.Errorf("%+v", settings)
+		t.Errorf("settings %+v, want 2 zones, 1 instance and request class read", settings)
 	}
 	settings, err = ReadSettings([]byte(strings.Replace(goodSettings, `["a","b"]`, `[]`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(settings.FailureDomains) != 1 || settings.FailureDomains[0] != "a" {
-		t.Errorf("without zones: %v, want the instance's own", settings.FailureDomains)
+		t.Errorf("settings without zones: zones %v, want [a], the instance's own", settings.FailureDomains)
 	}
 }
--- a/internal/simwire/writer_test.go
+++ b/internal/simwire/writer_test.go
@@ -35,13 +35,13 @@
 	}
 }
 
-// An error of the underlying writer comes back from Done.
+// Done returns an error of the underlying writer.
 func TestWriterReportsErrors(t *testing.T) {
 	broken := errors.New("broken")
 	writer := NewWriter(failingWriter{broken})
 	writer.Subscribe(1)
 	if err := writer.Done(1); !errors.Is(err, broken) {
-		t.Errorf("%v, want %v", err, broken)
+		t.Errorf("error %v, want %v", err, broken)
 	}
 }
 
