--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -10,7 +10,7 @@
 
 // eventError is the reason why an event cannot be applied. It ends the simulation.
 type eventError struct {
-	event  string // its type
+	event  string // event type
 	reason string
 }
 
--- a/cmd/simadapter/events_test.go
+++ b/cmd/simadapter/events_test.go
@@ -8,7 +8,7 @@
 	"barleysail/internal/golden"
 )
 
-// startedLines begin an instance with one host and one proxy, in a batch at 1 s.
+// startedLines start an instance with one host and one proxy, in a batch at 1 s.
 const startedLines = `{"event_type":"Turn","SimTimeUs":1000000,"n":1}
 {"event_type":"Start","I":0,"Prng":5,"Settings":` + settings + `}
 {"event_type":"Endpoints","I":0,"How":1,"Number":1,"Records":[{"Host":"h:1","Area":"a","Phase":1,"W":1,"LaunchedUs":2}]}
@@ -16,9 +16,10 @@
 {"event_type":"End"}
 `
 
-// Each event of the simulator, good and malformed: testdata/events.txt holds the response to the batch that has it.
+// Runs each event of the simulator, valid and malformed, in a batch of its own. The golden file testdata/events.txt has
+// the response and the error of each.
 func TestEvents(t *testing.T) {
-	var report strings.Builder
+	var transcript strings.Builder
 	for _, c := range []struct {
 		name   string
 		events []string
@@ -64,9 +65,9 @@
 		var out strings.Builder
 		err := run(strings.NewReader(startedLines+strings.Join(lines, "\n")), &out)
 		_, response, _ := strings.Cut(out.String(), `{"event_type":"Done","n":1}`+"\n")
-		fmt.Fprintf(&report, "%s\n%serror: %v\n\n", c.name, response, err)
+		fmt.Fprintf(&transcript, "%s\n%serror: %v\n\n", c.name, response, err)
 	}
 	outside := run(strings.NewReader(`{"event_type":"Alarm","I":0,"Handle":1}`+"\n"), &strings.Builder{})
-	fmt.Fprintf(&report, "an event outside a batch\nerror: %v\n", outside)
-	golden.Compare(t, "events", report.String())
+	fmt.Fprintf(&transcript, "an event outside a batch\nerror: %v\n", outside)
+	golden.Compare(t, "events", transcript.String())
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,7 +1,7 @@
 // Command simadapter connects balancers to a simulator: it reads the simulator's events from standard input, applies
 // them to the balancer of the instance that they name, and writes the balancer's updates to standard output. It owns
-// the instances and the order of the events of a batch. Package internal/simwire owns the format of messages, package
-// routing makes all decisions.
+// the instances and the order of the events of a batch. Package internal/simwire owns the format of messages, and
+// package routing makes all decisions.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -26,12 +26,12 @@
 		`{"event_type":"CheckedIn","I":0,"Px":0,"Area":"a","W":5,"Flag":true}` + "\n" + endLine
 )
 
-// startWith is a start whose settings have one part replaced.
+// startWith returns a start event whose settings have one part replaced.
 func startWith(part, replacement string) string {
 	return `{"event_type":"Start","I":0,"Prng":5,"Settings":` + strings.Replace(settings, part, replacement, 1) + "}\n"
 }
 
-// Each input of the table stands in testdata/wire.txt with the response, and the line on standard error.
+// Runs each input. The golden file testdata/wire.txt has the response and the error of each.
 func TestWire(t *testing.T) {
 	inputs := []string{
 		"",
@@ -53,16 +53,16 @@
 			`"Area":"a","Count":0,"Report":{"odd":"x","queue":null}}` + "\n" +
 			`{"event_type":"CrashNow","I":0}` + "\n" + alarmLine + endLine,
 	}
-	var report strings.Builder
+	var transcript strings.Builder
 	for i, input := range inputs {
 		var out strings.Builder
 		err := run(strings.NewReader(input), &out)
-		fmt.Fprintf(&report, "case %d ends with: %.90s\n%serror: %v\n\n", i, lastLine(input), out.String(), err)
+		fmt.Fprintf(&transcript, "case %d ends with: %.90s\n%serror: %v\n\n", i, lastLine(input), out.String(), err)
 	}
-	golden.Compare(t, "wire", report.String())
+	golden.Compare(t, "wire", transcript.String())
 }
 
-// lastLine returns the last line of a text, without its end.
+// lastLine returns the last line of a text, without its newline.
 func lastLine(text string) string {
 	text = strings.TrimSuffix(text, "\n")
 	return text[strings.LastIndex(text, "\n")+1:]
--- a/cmd/simadapter/update_writer.go
+++ b/cmd/simadapter/update_writer.go
@@ -28,7 +28,7 @@
 }
 
 // StampVersion writes the version that proxies acknowledge for the updates before it.
-func (c *controllerInstance) StampVersion(number int) { c.writer.Seal(c.number, number) }
+func (c *controllerInstance) StampVersion(version int) { c.writer.Seal(c.number, version) }
 
 // CheckHealth writes a request for a health check.
 func (c *controllerInstance) CheckHealth(host int) { c.writer.Probe(c.number, c.balancer.HostID(host)) }
@@ -41,7 +41,7 @@
 // WatchEndpoints writes a request for the endpoint list and its changes.
 func (c *controllerInstance) WatchEndpoints() { c.writer.Subscribe(c.number) }
 
-// Log writes an event of the balancer as a remark.
+// Log writes an event of the balancer as a remark, with host indices in place of names.
 func (c *controllerInstance) Log(event routing.Event) {
 	c.writer.Remark(c.number, event.Text(routing.FormatHostIndex))
 }
