--- a/routing/admission.go
+++ b/routing/admission.go
@@ -118,7 +118,7 @@
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
 		hostUtilization := host.load.effectiveUtilization()
-		if b.participates(host) && hostUtilization >= 0 {
+		if b.isRebalanced(host) && hostUtilization >= 0 {
 			weightedUtilization += hostUtilization * host.stats.recentAttempts()
 			attempts += host.stats.recentAttempts()
 		}
@@ -187,9 +187,9 @@
 	})
 	lowest := loads[0]
 	objective := b.objective
-	costInTurn := (objective.TotalWeight*lowest.value/totalValue + objective.WorstClassWeight) * totalWork / lowest.work
-	costAlike := objective.TotalWeight + objective.WorstClassWeight
-	if costInTurn >= costAlike {
+	costLowestFirst := (objective.TotalWeight*lowest.value/totalValue + objective.WorstClassWeight) * totalWork / lowest.work
+	costUniform := objective.TotalWeight + objective.WorstClassWeight
+	if costLowestFirst >= costUniform {
 		for i := range b.admission.quotas {
 			b.admission.quotas[i] = b.admission.ratio
 		}
--- a/routing/assignment.go
+++ b/routing/assignment.go
@@ -94,9 +94,9 @@
 // an old table. In subset mode and while a retry storm is quiesced every proxy gets a subset. A subset that lost
 // hosts is refilled.
 func (b *Balancer) assignTables(round *publishRound) {
-	for _, index := range b.proxiesDue(round.assignments.ratePerWeight) {
+	for _, index := range b.proxiesToAssign(round.assignments.ratePerWeight) {
 		proxy := &b.proxies[index]
-		if !b.mayMessage(proxy) {
+		if !b.maySendMessage(proxy) {
 			continue
 		}
 		hosts := round.tables[b.sharedTable(proxy.zone)].entries
@@ -111,8 +111,8 @@
 	}
 }
 
-// proxiesDue returns the proxies that should be assigned another table, or more hosts in their own.
-func (b *Balancer) proxiesDue(ratePerWeight float64) []int {
+// proxiesToAssign returns the proxies that should be assigned another table, or more hosts in their own.
+func (b *Balancer) proxiesToAssign(ratePerWeight float64) []int {
 	var due []int
 	for i := range b.proxies {
 		proxy := &b.proxies[i]
@@ -131,9 +131,9 @@
 	return due
 }
 
-// mayMessage reports whether a proxy may be sent one more message for its table. A proxy without a table is more
+// maySendMessage reports whether a proxy may be sent one more message for its table. A proxy without a table is more
 // urgent.
-func (b *Balancer) mayMessage(proxy *proxyRecord) bool {
+func (b *Balancer) maySendMessage(proxy *proxyRecord) bool {
 	sent := len(proxy.messageTimesMs)
 	return b.channel.allowsMessage(sent, protectiveFill) ||
 		!proxy.assigned && b.channel.allowsMessage(sent, removalFill)
@@ -146,7 +146,7 @@
 		return true
 	}
 	entries := float64(round.assignments.unassigned)*cost + round.batch.initialBacklog
-	late := !b.zoneLocal && b.exceedsDrainGrace(entries)
+	late := !b.zoneLocal && b.exceedsAssignmentGrace(entries)
 	return !proxy.assigned && (late || round.urgentPending)
 }
 
@@ -162,7 +162,7 @@
 // assignSharedTable makes a proxy route by its zone's shared table. cost is in entries, with the message overhead.
 func (b *Balancer) assignSharedTable(round *publishRound, index int, cost float64) {
 	proxy := &b.proxies[index]
-	round.batch.account(index, cost-round.batch.messageOverhead)
+	round.batch.addEntries(index, cost-round.batch.messageOverhead)
 	if proxy.assigned {
 		b.publishing.budget -= cost
 	}
@@ -187,9 +187,9 @@
 	if added == 0 {
 		return
 	}
-	batch.account(index, float64(added))
+	batch.addEntries(index, float64(added))
 	if !proxy.ownsTable {
-		batch.account(index, 1)
+		batch.addEntries(index, 1)
 		round.writer.AssignTable(index, b.subsetTable(index), 0)
 	}
 	proxy.assigned = true
--- a/routing/controlchannel.go
+++ b/routing/controlchannel.go
@@ -67,17 +67,17 @@
 	return c.PropagationDelayMs + c.MaxBacklog/(c.EntriesPerSecond*minThroughputRatio)*msPerSecond
 }
 
-// exceedsDrainGrace reports whether sending the given number of entries takes too long for proxies that wait for a
+// exceedsAssignmentGrace reports whether sending the given number of entries takes too long for proxies that wait for a
 // table: more than assignmentGraceShare of the drain grace.
-func (b *Balancer) exceedsDrainGrace(entries float64) bool {
+func (b *Balancer) exceedsAssignmentGrace(entries float64) bool {
 	transitMs := entries / (b.channel.EntriesPerSecond * assumedThroughputRatio) * msPerSecond
 	return transitMs > b.limits.DrainGraceMs*assignmentGraceShare
 }
 
-// refillChannel refills the update budget for the time since the last round, and decays the arriving entries. The
+// refillUpdateBudget refills the update budget for the time since the last round, and decays the arriving entries. The
 // budget is a token bucket, in entries, with a capacity of one second's throughput. It is refilled at the fraction of
 // the throughput at which the cost of updates stays within updateCostShare.
-func (b *Balancer) refillChannel() {
+func (b *Balancer) refillUpdateBudget() {
 	channel := &b.channel
 	passedMs := b.nowMs - b.publishing.lastAtMs
 	b.publishing.lastAtMs = b.nowMs
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -53,7 +53,7 @@
 	explanation := Explanation{
 		State:                record.endpoint.state,
 		Ejected:              record.outlier.ejected,
-		Balanced:             b.participates(record),
+		Balanced:             b.isRebalanced(record),
 		BaseWeight:           record.endpoint.baseWeight,
 		Weight:               record.balance.weight,
 		TargetWeight:         b.targetWeight(record, false),
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -27,17 +27,17 @@
 	// maxSuspectShare is the fraction of the hosts for which suspicion counts in full.
 	maxSuspectShare = 0.25
 
-	// suspectsPerHosts limits the unresponsive hosts to one for each suspectsPerHosts hosts: more unresponsive hosts
+	// hostsPerSuspect limits the unresponsive hosts to one for each hostsPerSuspect hosts: more unresponsive hosts
 	// mean that the fleet is overloaded, or that this controller's own network has a fault.
-	suspectsPerHosts = 4
+	hostsPerSuspect = 4
 
 	// minFleetSuccessRatio is the fleet's success ratio up to which an unanswered health check does not count against
 	// a host.
 	minFleetSuccessRatio = 0.5
 
-	// silentCycleShare is the fraction of the report cycle that must pass without a success before a host may count
+	// noSuccessCycleShare is the fraction of the report cycle that must pass without a success before a host may count
 	// as unresponsive.
-	silentCycleShare = 0.7
+	noSuccessCycleShare = 0.7
 
 	// recoveryInitialFactor is the fraction of its weight with which a host returns. It doubles each recoveryStepMs.
 	recoveryInitialFactor = 0.4
@@ -131,7 +131,7 @@
 // updateSuspicionScale decides whether unanswered health checks count against a host, and scales suspicion so that
 // the suspicion of all hosts together counts at most as much as a suspicion of 1 for maxSuspectShare of them.
 func (b *Balancer) updateSuspicionScale(fleet *fleetHealth) {
-	fewUnresponsive := fleet.unresponsive*suspectsPerHosts < fleet.hosts+suspectsPerHosts
+	fewUnresponsive := fleet.unresponsive*hostsPerSuspect < fleet.hosts+hostsPerSuspect
 	b.checks.suspicionApplies = fewUnresponsive && b.fleet.successRatio > minFleetSuccessRatio
 	b.checks.suspicionScale = math.Min(1, maxSuspectShare*float64(fleet.hosts)/fleet.suspicion)
 }
@@ -146,17 +146,17 @@
 		return true
 	}
 	withoutSuccessMs := b.reports.lastAtMs - host.stats.lastSuccessAtMs
-	if withoutSuccessMs < b.reports.cycleMs*silentCycleShare {
+	if withoutSuccessMs < b.reports.cycleMs*noSuccessCycleShare {
 		return false
 	}
 	unresponsiveAlone := failures >= unresponsiveFailures && b.checks.suspicionApplies
-	return unresponsiveAlone || fleet.partitioned(host.endpoint.zone)
+	return unresponsiveAlone || fleet.isPartitioned(host.endpoint.zone)
 }
 
-// partitioned reports whether a zone is unreachable behind a network partition or has failed as a whole: nearly all
+// isPartitioned reports whether a zone is unreachable behind a network partition or has failed as a whole: nearly all
 // of its hosts leave health checks unanswered at the same time, while nearly all hosts of some other
 // zone answer theirs.
-func (f *fleetHealth) partitioned(zone int) bool {
+func (f *fleetHealth) isPartitioned(zone int) bool {
 	own := f.zones[zone]
 	if own.hosts < minPartitionHosts || float64(own.unanswered) < partitionShare*float64(own.hosts) {
 		return false
--- a/routing/publish.go
+++ b/routing/publish.go
@@ -48,7 +48,7 @@
 // have acknowledged the last weights (rolloutAcknowledged). Each kind of update may fill only a fraction of the
 // channel's limits; what does not fit waits for a later round.
 func (b *Balancer) publish(writer UpdateWriter) {
-	b.refillChannel()
+	b.refillUpdateBudget()
 	b.publishing.tables = grow(b.publishing.tables, b.deployment.Zones+1, sharedTableState{})
 	clear(b.publishing.tables)
 	assignments := b.countAssignments(b.publishing.tables)
--- a/routing/publishadmission.go
+++ b/routing/publishadmission.go
@@ -26,7 +26,7 @@
 		round.writer.SetAdmission(AllTables, 1<<class, quota, b.admission.retryPolicy)
 		for i := range b.proxies {
 			if b.proxies[i].connected {
-				round.batch.account(i, 1)
+				round.batch.addEntries(i, 1)
 			}
 		}
 	}
--- a/routing/publishweights.go
+++ b/routing/publishweights.go
@@ -60,7 +60,7 @@
 		case proxy.ownsTable:
 			b.publishSubsetWeight(round, i, index, subsetWeight)
 		case b.sharedTable(proxy.zone) == table:
-			round.batch.account(i, 1)
+			round.batch.addEntries(i, 1)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 	if position < 0 {
 		return
 	}
-	round.batch.account(proxyIndex, 1)
+	round.batch.addEntries(proxyIndex, 1)
 	round.writer.SetWeight(b.subsetTable(proxyIndex), hostIndex, weight)
 	if weight == 0 {
 		proxy.subset = slices.Delete(proxy.subset, position, position+1)
--- a/routing/rebalance.go
+++ b/routing/rebalance.go
@@ -38,9 +38,9 @@
 	weight      float64
 }
 
-// participates reports whether a host takes part in rebalancing: it is ready, and neither ejected, recovering nor
+// isRebalanced reports whether a host takes part in rebalancing: it is ready, and neither ejected, recovering nor
 // warming up.
-func (b *Balancer) participates(host *hostRecord) bool {
+func (b *Balancer) isRebalanced(host *hostRecord) bool {
 	return host.endpoint.state == Ready && !host.outlier.ejected &&
 		b.recoveryFactor(host) >= 1 && b.slowStartFactor(host) >= 1
 }
@@ -64,7 +64,7 @@
 func (b *Balancer) transferCandidates() (candidates, overloaded []transferCandidate, totals fleetTotals) {
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
-		if !b.participates(host) {
+		if !b.isRebalanced(host) {
 			continue
 		}
 		totals.arrivalRate += host.stats.arrivalRate
@@ -107,9 +107,9 @@
 	}
 	senderZone := sender.host.endpoint.zone
 	sort.SliceStable(candidates, func(i, j int) bool {
-		near := candidates[i].host.endpoint.zone == senderZone
-		otherNear := candidates[j].host.endpoint.zone == senderZone
-		return near && !otherNear || near == otherNear && candidates[i].overload < candidates[j].overload
+		sameZone := candidates[i].host.endpoint.zone == senderZone
+		otherSameZone := candidates[j].host.endpoint.zone == senderZone
+		return sameZone && !otherSameZone || sameZone == otherSameZone && candidates[i].overload < candidates[j].overload
 	})
 	for i := range candidates {
 		receiver := &candidates[i]
--- a/routing/report.go
+++ b/routing/report.go
@@ -98,7 +98,7 @@
 	if b.deployment.AdmissionControl {
 		b.adjustAdmission(writer)
 	} else {
-		b.relieveRetryStorm(writer)
+		b.mitigateRetryStorm(writer)
 	}
 }
 
@@ -138,7 +138,7 @@
 		}
 		host.stats.extendWindow(reported, windowKept, passedMs)
 		b.estimateHost(host, connectedShare)
-		if b.participates(host) && host.stats.window.successes >= priorSamples {
+		if b.isRebalanced(host) && host.stats.window.successes >= priorSamples {
 			latenciesMs = append(latenciesMs, host.stats.window.latencyMs/host.stats.window.successes)
 		}
 	}
--- a/routing/retrystorm.go
+++ b/routing/retrystorm.go
@@ -30,22 +30,22 @@
 	nextQuiesceAtMs float64 // no quiescing before this instant
 }
 
-// noQuiesceHost is stormSymptoms.keptHost where no host takes part in rebalancing.
+// noQuiesceHost is stormSymptoms.quiesceHost where no host takes part in rebalancing.
 const noQuiesceHost = -1
 
 // stormSymptoms are the signs of a retry storm in the last reports.
 type stormSymptoms struct {
 	hosts        int // with recent attempts
 	failingHosts int
-	keptHost     int // host of the largest base weight that takes part in rebalancing, or noQuiesceHost
+	quiesceHost  int // host of the largest base weight that takes part in rebalancing, or noQuiesceHost
 }
 
-// relieveRetryStorm ends a retry storm where proxies ignore admission quotas: requests that clients have given up on
+// mitigateRetryStorm ends a retry storm where proxies ignore admission quotas: requests that clients have given up on
 // fill the hosts' queues and make most attempts fail even after the cause has ended. All proxies are sent to one host
 // until the deadline of every class has passed, and then return to hosts with shorter queues. It must not act on a
 // network partition or an unresponsive host, where some hosts succeed. Where capacity is permanently insufficient, it
 // replaces constant failure by intervals of success.
-func (b *Balancer) relieveRetryStorm(writer UpdateWriter) {
+func (b *Balancer) mitigateRetryStorm(writer UpdateWriter) {
 	symptoms := b.measureRetryStorm()
 	b.admission.retryPolicy = retryUnprocessed
 	if b.fleet.successRatio < retrySuccessRatio {
@@ -58,14 +58,14 @@
 		b.retryStorm.rounds++
 	}
 	confirmed := b.retryStorm.rounds >= stormRounds && b.nowMs >= b.retryStorm.nextQuiesceAtMs
-	if confirmed && symptoms.keptHost != noQuiesceHost && !b.zoneLocal {
+	if confirmed && symptoms.quiesceHost != noQuiesceHost && !b.zoneLocal {
 		b.quiesceRetryStorm(writer, symptoms)
 	}
 }
 
 // measureRetryStorm counts the hosts that fail most of their attempts.
 func (b *Balancer) measureRetryStorm() stormSymptoms {
-	symptoms := stormSymptoms{keptHost: noQuiesceHost}
+	symptoms := stormSymptoms{quiesceHost: noQuiesceHost}
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
 		if attempts := host.stats.recentAttempts(); attempts >= 1 {
@@ -74,12 +74,12 @@
 				symptoms.failingHosts++
 			}
 		}
-		if !b.participates(host) {
+		if !b.isRebalanced(host) {
 			continue
 		}
-		kept := symptoms.keptHost
-		if kept == noQuiesceHost || host.endpoint.baseWeight > b.hosts[kept].endpoint.baseWeight {
-			symptoms.keptHost = index
+		largest := symptoms.quiesceHost
+		if largest == noQuiesceHost || host.endpoint.baseWeight > b.hosts[largest].endpoint.baseWeight {
+			symptoms.quiesceHost = index
 		}
 	}
 	return symptoms
@@ -89,10 +89,10 @@
 func (b *Balancer) quiesceRetryStorm(writer UpdateWriter, symptoms stormSymptoms) {
 	quiesceMs := b.quiesceMs()
 	b.retryStorm.nextQuiesceAtMs = b.nowMs + quiesceMs + quiesceSpacing*b.reports.settlingMs
-	b.retryStorm.host = symptoms.keptHost
+	b.retryStorm.host = symptoms.quiesceHost
 	b.setQuiescing(true)
 	b.schedule(quiesceMs, func(UpdateWriter) { b.setQuiescing(false) })
-	writer.Log(Event{RetryStormQuiesced, symptoms.keptHost, []Field{
+	writer.Log(Event{RetryStormQuiesced, symptoms.quiesceHost, []Field{
 		{"failing_hosts", float64(symptoms.failingHosts), 0},
 		{"hosts", float64(symptoms.hosts), 0},
 		{"success_ratio", b.fleet.successRatio, 2},
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -46,16 +46,16 @@
 	return initial + (1-initial)*math.Max(b.nowMs-startedAtMs, 0)/b.limits.SlowStartMs
 }
 
-// slowStartCaution returns a factor from 0 to 1 on the weight of hosts that are warming up. It is lower where the
+// slowStartLoadFactor returns a factor from 0 to 1 on the weight of hosts that are warming up. It is lower where the
 // fleet fails attempts or its warm hosts are published with less than their capacity, so that all proxies together
 // stay below the load at which such a host collapses.
-func (b *Balancer) slowStartCaution() float64 {
+func (b *Balancer) slowStartLoadFactor() float64 {
 	budget := math.Min(1, b.limits.CollapseMultiple*slowStartBudgetShare)
 	return b.fleet.successRatio * b.slowStart.share * budget
 }
 
 // updateSlowStart decides whether hosts that are warming up may get traffic, and updates the share in
-// slowStartCaution. While a ready host is warm they get none until reports show the effect of this instance's own
+// slowStartLoadFactor. While a ready host is warm they get none until reports show the effect of this instance's own
 // first weights, nor while proxies that eject hosts by themselves may eject most of them and leave only a host that
 // has just started. Where no ready host is warm, those that are warming up get traffic once they can take all of it
 // together.
--- a/routing/subsetmode.go
+++ b/routing/subsetmode.go
@@ -41,7 +41,7 @@
 // only makes the balance coarser.
 func (b *Balancer) updateSubsetMode(writer UpdateWriter) {
 	symptoms := b.measurePressure()
-	if symptoms.showPressure() && b.nowMs >= b.retryStorm.nextQuiesceAtMs {
+	if symptoms.showConnectionPressure() && b.nowMs >= b.retryStorm.nextQuiesceAtMs {
 		b.subsetMode.pressureRounds++
 	} else {
 		b.subsetMode.pressureRounds = 0
@@ -81,9 +81,9 @@
 	return symptoms
 }
 
-// showPressure reports whether the symptoms are those of connection pressure. One more host without symptoms is
+// showConnectionPressure reports whether the symptoms are those of connection pressure. One more host without symptoms is
 // counted, so that a fleet of few hosts needs stronger evidence.
-func (p pressureSymptoms) showPressure() bool {
+func (p pressureSymptoms) showConnectionPressure() bool {
 	hosts := float64(p.hosts + 1)
 	return float64(p.failing) >= pressureHostShare*hosts &&
 		float64(p.failingIdle) >= pressureIdleShare*hosts &&
--- a/routing/updatebatch.go
+++ b/routing/updatebatch.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// account adds entries to a proxy's message, and the message overhead where it has none yet.
-func (u *updateBatch) account(proxy int, entries float64) {
+// addEntries adds entries to a proxy's message, and the message overhead where it has none yet.
+func (u *updateBatch) addEntries(proxy int, entries float64) {
 	if u.costs[proxy] == 0 {
 		u.proxies++
 		entries += u.messageOverhead
--- a/routing/weight.go
+++ b/routing/weight.go
@@ -23,11 +23,11 @@
 )
 
 // targetWeight returns the weight that the published tables should hold of a host, 0 for none. A host that is warming
-// up gets its weight times slowStartFactor and slowStartCaution, and none while slowStartState.allowed is false.
-// emptyTable says that its table would otherwise hold no warm host: ejections are then ignored, since a proxy must
-// not be left without hosts.
-func (b *Balancer) targetWeight(host *hostRecord, emptyTable bool) float64 {
-	if host.endpoint.state != Ready || host.outlier.ejected && !emptyTable {
+// up gets its weight times slowStartFactor and slowStartLoadFactor, and none while slowStartState.allowed is false.
+// ignoreEjection is set where its table would otherwise hold no warm host, since a proxy must not be left without
+// hosts.
+func (b *Balancer) targetWeight(host *hostRecord, ignoreEjection bool) float64 {
+	if host.endpoint.state != Ready || host.outlier.ejected && !ignoreEjection {
 		return 0
 	}
 	slowStart := b.slowStartFactor(host)
@@ -35,7 +35,7 @@
 		if !b.slowStart.allowed {
 			return 0
 		}
-		slowStart *= b.slowStartCaution()
+		slowStart *= b.slowStartLoadFactor()
 	}
 	penalty := math.Min(b.successPenalty(host), b.suspicionPenalty(host))
 	weight := math.Max(host.balance.weight, minWeightRatio*host.endpoint.baseWeight)
