--- a/routing/admission.go
+++ b/routing/admission.go
@@ -21,7 +21,7 @@
 	// overloadLatencyShare is the fraction of the latency objective that the mean latency exceeds in an overload.
 	overloadLatencyShare = 0.4
 
-	// improvedSuccessRatio is the rise of the success ratio that shows that the last step down still works.
+	// improvedSuccessRatio is the rise of the success ratio that shows that the last step down is still taking effect.
 	improvedSuccessRatio = 0.05
 
 	// minAdmissionRatio is the fraction of the requests of any class that is always admitted.
@@ -37,8 +37,8 @@
 // admissionState is the state of admission control.
 type admissionState struct {
 	ratio                float64   // the fraction of all requests to admit
-	cooldownUntilMs      float64   // the ratio stays until then
-	previousSuccessRatio float64   // the fleet's success ratio when the ratio was last looked at
+	cooldownUntilMs      float64   // no change of the ratio before this instant
+	previousSuccessRatio float64   // the fleet's success ratio when the admission ratio was last evaluated
 	classDemand          []float64 // requests received, by class, decaying by windowDecay
 	quotas               []float64 // the fraction of each class's requests to admit
 	publishedQuotas      []float64
@@ -144,7 +144,7 @@
 }
 
 // nextAdmissionRatio returns the admission ratio after one step down, one step up or none. It makes no second step
-// down while the success ratio shows that the last one works.
+// down while the success ratio shows that the last one is taking effect.
 func (b *Balancer) nextAdmissionRatio(load fleetLoad) float64 {
 	ratio := b.admission.ratio
 	successRatio := b.fleet.successRatio
@@ -187,9 +187,9 @@
 	})
 	lowest := loads[0]
 	objective := b.objective
-	costLowestFirst := (objective.TotalWeight*lowest.value/totalValue + objective.WorstClassWeight) * totalWork / lowest.work
+	costInOrder := (objective.TotalWeight*lowest.value/totalValue + objective.WorstClassWeight) * totalWork / lowest.work
 	costUniform := objective.TotalWeight + objective.WorstClassWeight
-	if costLowestFirst >= costUniform {
+	if costInOrder >= costUniform {
 		for i := range b.admission.quotas {
 			b.admission.quotas[i] = b.admission.ratio
 		}
--- a/routing/assignment.go
+++ b/routing/assignment.go
@@ -15,7 +15,7 @@
 // assignmentCounts counts the proxies by the tables that they route by.
 type assignmentCounts struct {
 	assigned      int     // connected proxies with a table
-	unassigned    int     // connected proxies without
+	unassigned    int     // connected proxies without a table
 	mostMessages  int     // messages sent within the message window to the proxy that was sent most
 	ratePerWeight float64 // requests a second for each unit of published weight
 }
@@ -90,8 +90,8 @@
 }
 
 // assignTables gives proxies a shared table or a subset of the hosts: those without a table first, then by their
-// traffic. A proxy that cannot get the shared table in time gets a subset first, since it must not go on routing by
-// an old table. In subset mode and while a retry storm is quiesced every proxy gets a subset. A subset that lost
+// traffic. A proxy that cannot get the shared table in time gets a subset first, since it must not keep routing by an
+// old table. In subset mode and while a retry storm is quiesced every proxy gets a subset. A subset that lost
 // hosts is refilled.
 func (b *Balancer) assignTables(round *publishRound) {
 	for _, index := range b.proxiesToAssign(round.assignments.ratePerWeight) {
@@ -131,8 +131,8 @@
 	return due
 }
 
-// maySendMessage reports whether a proxy may be sent one more message for its table. A proxy without a table is more
-// urgent.
+// maySendMessage reports whether a proxy may be sent one more message for its table. A proxy without a table may use
+// more of the message limit.
 func (b *Balancer) maySendMessage(proxy *proxyRecord) bool {
 	sent := len(proxy.messageTimesMs)
 	return b.channel.allowsMessage(sent, protectiveFill) ||
--- a/routing/config.go
+++ b/routing/config.go
@@ -29,11 +29,10 @@
 	CollapseMultiple       float64 // load, as a multiple of its capacity, at which a host that is warming up collapses
 }
 
-// Objective holds the weights of the terms that the deployment's result is the sum of, and the cost of a health
-// check.
+// Objective holds the weights of the terms that add up to the deployment's result, and the cost of a health check.
 type Objective struct {
-	TotalWeight      float64 // of all requests that meet their objectives, by priority weight
-	WorstClassWeight float64 // of the worst-served class
+	TotalWeight      float64 // weight of all requests that meet their objectives, by priority weight
+	WorstClassWeight float64 // weight of the worst-served class
 	HealthCheckCost  float64 // cost of one health check, as a fraction of the value of one request
 }
 
@@ -42,11 +41,11 @@
 	Controllers        int
 	Zones              int
 	Proxies            int
-	Seed               uint64  // of the jitter
+	Seed               uint64  // seed of the jitter
 	ReportIntervalMs   float64 // the interval at which proxies report their statistics
 	ProxyEjectAfter    int     // failures in a row after which a proxy ejects a host by itself; 0: never
 	DefaultRetryPolicy int     // the proxies' retry policy where none is set
-	AdmissionControl   bool    // proxies heed admission quotas
+	AdmissionControl   bool    // proxies apply admission quotas
 	HealthChecks       bool    // health checks are allowed
 	WatchesEndpoints   bool    // the endpoint list comes from a watch that the balancer must start
 }
--- a/routing/controlchannel.go
+++ b/routing/controlchannel.go
@@ -7,9 +7,9 @@
 
 // The fractions of the control channel's limits up to which each kind of update may fill it, most urgent first.
 const (
-	removalFill    = 0.95 // removals of draining and removed hosts, and cuts of hosts that have just started
-	protectiveFill = 0.55 // ejections, what protects hosts that are warming up, subset tables, admission quotas
-	weightFill     = 0.45 // weights
+	removalFill    = 0.95 // removals of draining and removed hosts, and slow-start cuts of hosts that have just started
+	protectiveFill = 0.55 // ejections, updates that protect hosts that are warming up, subset tables, quotas
+	weightFill     = 0.45 // ordinary weight updates
 	assignmentFill = 0.3  // shared tables for single proxies, which cost an entry for each host
 )
 
@@ -18,7 +18,7 @@
 	assumedThroughputRatio = 0.5
 
 	// minThroughputRatio is the fraction of its maximum throughput that the channel is assumed to reach at least. A
-	// message that stays unacknowledged for longer than that allows has left the channel nevertheless.
+	// message that stays unacknowledged for longer than a full channel needs at that throughput counts as sent.
 	minThroughputRatio = 0.1
 
 	// assignmentGraceShare is the fraction of the drain grace within which proxies that have connected must have a
--- a/routing/event.go
+++ b/routing/event.go
@@ -14,7 +14,7 @@
 	WatchRetryScheduled EventKind = iota
 	// AdmissionRatioChanged: admission control sheds more or less load than before (adjustAdmission).
 	AdmissionRatioChanged
-	// RetryStormQuiesced: nearly all proxies are kept from sending, so that queues empty.
+	// RetryStormQuiesced: all proxies are sent to one host, so that the queues of the others drain.
 	RetryStormQuiesced
 	// HostEjected: a host is an outlier and gets no traffic (detectOutliers has the reasons).
 	HostEjected
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -22,7 +22,7 @@
 	MeanLatencyMs   float64 `json:"R"`      // of an attempt
 	MedianLatencyMs float64 `json:"Median"` // of the mean latencies of all hosts
 	ServiceRate     float64 `json:"Mu"`     // lambda + 1/R; 0 where no latency is known yet
-	LatencyMargin   float64 `json:"K"`      // what the capacity leaves of the service rate
+	LatencyMargin   float64 `json:"K"`      // K: the service rate less the capacity
 	Capacity        float64 `json:"Cap"`    // mu - K; the headroom is Capacity - ArrivalRate
 
 	SlowStartFactor float64 `json:"Warmth"`  // fraction of its capacity that it has after its start
@@ -76,7 +76,7 @@
 	return explanation, true
 }
 
-// addCapacity sets the figures of the capacity formula where the latencies are known.
+// addCapacity sets the values of the capacity formula where the latencies are known.
 func (e *Explanation) addCapacity() {
 	if e.MeanLatencyMs <= 0 || e.MedianLatencyMs <= 0 {
 		return
--- a/routing/healthcheck.go
+++ b/routing/healthcheck.go
@@ -16,7 +16,7 @@
 	// firstCheckWithinMs bounds the jitter of a host's first health check.
 	firstCheckWithinMs = 1000.0
 
-	// maxSuspicion bounds a host's suspicion, the number of unanswered health checks that count against it; an
+	// maxSuspicion bounds a host's suspicion, the number of unanswered health checks that count against it. An
 	// answered health check lowers the suspicion by suspicionRecovery.
 	maxSuspicion      = 3.0
 	suspicionRecovery = 1.0
@@ -74,7 +74,7 @@
 	b.schedule(checkRetryMs, func(writer UpdateWriter) { b.runHealthCheck(writer, index, incarnation) })
 }
 
-// updateSuspicion raises or lowers the suspicion of a host by its last health check.
+// updateSuspicion raises or lowers a host's suspicion according to its last health check.
 func (b *Balancer) updateSuspicion(health *healthRecord) {
 	if health.consecutiveFailures == 0 {
 		health.suspicion = math.Max(health.suspicion-suspicionRecovery, 0)
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -6,8 +6,8 @@
 	// unresponsiveFailures is the number of unanswered health checks in a row after which a host may be unresponsive.
 	unresponsiveFailures = 3
 
-	// unreachableFailures is the same number for a host at whose address nothing listens, and for a
-	// host to count toward a network partition.
+	// unreachableFailures is the same number for a host at whose address nothing listens, and for a host to count
+	// toward a network partition.
 	unreachableFailures = 2
 
 	// recoveredSuccesses is the number of healthy answers in a row after which an ejected host returns.
@@ -24,11 +24,12 @@
 	// show.
 	minServingShare = 0.34
 
-	// maxSuspectShare is the fraction of the hosts for which suspicion counts in full.
+	// maxSuspectShare is the fraction of the hosts up to which the suspicion of each counts in full. With more suspect
+	// hosts it is scaled down.
 	maxSuspectShare = 0.25
 
-	// hostsPerSuspect limits the unresponsive hosts to one for each hostsPerSuspect hosts: more unresponsive hosts
-	// mean that the fleet is overloaded, or that this controller's own network has a fault.
+	// hostsPerSuspect is the number of hosts for each unresponsive one: more unresponsive hosts than that mean that the
+	// fleet is overloaded, or that this controller's own network has a fault.
 	hostsPerSuspect = 4
 
 	// minFleetSuccessRatio is the fleet's success ratio up to which an unanswered health check does not count against
@@ -54,8 +55,8 @@
 // zoneHealth counts the ready hosts of a zone.
 type zoneHealth struct {
 	hosts      int
-	answering  int // the last health check was answered
-	unanswered int // at least unreachableFailures in a row were not
+	answering  int // hosts whose last health check was healthy
+	unanswered int // hosts with at least unreachableFailures unanswered health checks in a row
 }
 
 // fleetHealth sums up the health of the ready hosts for one round.
@@ -63,7 +64,7 @@
 	hosts         int
 	baseWeight    float64
 	servingWeight float64 // base weight of the hosts that are not ejected
-	unresponsive  int     // the last health check timed out
+	unresponsive  int     // hosts whose last health check timed out
 	suspicion     float64 // sum over the hosts, each counted as at most 1
 	zones         []zoneHealth
 }
@@ -82,7 +83,7 @@
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
 		switch {
-		case host.endpoint.state != Ready: // it is on its way out in any case
+		case host.endpoint.state != Ready: // it leaves the tables in any case
 		case host.outlier.ejected:
 			if b.mayRecover(host) {
 				b.recoverHost(writer, index)
@@ -154,8 +155,8 @@
 }
 
 // isPartitioned reports whether a zone is unreachable behind a network partition or has failed as a whole: nearly all
-// of its hosts leave health checks unanswered at the same time, while nearly all hosts of some other
-// zone answer theirs.
+// of its hosts leave health checks unanswered at the same time, while nearly all hosts of some other zone answer
+// theirs.
 func (f *fleetHealth) isPartitioned(zone int) bool {
 	own := f.zones[zone]
 	if own.hosts < minPartitionHosts || float64(own.unanswered) < partitionShare*float64(own.hosts) {
--- a/routing/publish.go
+++ b/routing/publish.go
@@ -19,14 +19,14 @@
 	budget         float64 // update budget: tokens, in entries, for weights and reassignments
 
 	costs  []float64          // reused in each round to avoid an allocation
-	tables []sharedTableState // the same
+	tables []sharedTableState // reused too
 }
 
 // sharedTableState describes a shared table within one round.
 type sharedTableState struct {
 	proxies           int  // number of proxies that route by it
 	entries           int  // number of hosts that it should hold
-	withoutWarmTarget bool // no warm host may be in it: ejections are ignored
+	withoutWarmTarget bool // no warm host of it has a target weight above 0: ejections are ignored
 	withoutWarmEntry  bool // it holds no warm host: additions are as urgent as removals
 }
 
--- a/routing/rebalance.go
+++ b/routing/rebalance.go
@@ -46,8 +46,8 @@
 }
 
 // rebalance transfers weight, by section 4.3 of the paper named in the package comment: min{overload, headroom,
-// sheddable rate} moves from the most overloaded host to the host with the most headroom, hosts of reused in each
-// round, too zone first. Where no host exceeds its capacity all weights relax toward their base weights.
+// sheddable rate} moves from the most overloaded host to the host with the most headroom, hosts of the same zone
+// first. Where no host exceeds its capacity all weights relax toward their base weights.
 func (b *Balancer) rebalance() {
 	candidates, overloaded, totals := b.transferCandidates()
 	sort.SliceStable(overloaded, func(i, j int) bool { return overloaded[i].overload > overloaded[j].overload })
--- a/routing/report.go
+++ b/routing/report.go
@@ -162,7 +162,8 @@
 	reports.count = 0
 }
 
-// takePending moves what was reported since the last report round into the recent successes and failures.
+// takePending adds what was reported since the last report round to the recent successes and failures, and returns and
+// clears it.
 func (r *requestStats) takePending(recentKept, nowMs float64) requestSums {
 	reported := r.pending
 	r.pending = requestSums{}
--- a/routing/retrystorm.go
+++ b/routing/retrystorm.go
@@ -22,11 +22,11 @@
 	retrySuccessRatio = 0.8
 )
 
-// retryStormState is the state of ending a retry storm.
+// retryStormState is the state of the detection and mitigation of retry storms.
 type retryStormState struct {
 	rounds          int     // report rounds in a row that showed a storm
 	quiescing       bool    // all proxies are assigned a table with one host
-	host            int     // that host
+	host            int     // the host of that table
 	nextQuiesceAtMs float64 // no quiescing before this instant
 }
 
@@ -40,11 +40,11 @@
 	quiesceHost  int // host of the largest base weight that takes part in rebalancing, or noQuiesceHost
 }
 
-// mitigateRetryStorm ends a retry storm where proxies ignore admission quotas: requests that clients have given up on
-// fill the hosts' queues and make most attempts fail even after the cause has ended. All proxies are sent to one host
-// until the deadline of every class has passed, and then return to hosts with shorter queues. It must not act on a
-// network partition or an unresponsive host, where some hosts succeed. Where capacity is permanently insufficient, it
-// replaces constant failure by intervals of success.
+// mitigateRetryStorm ends a retry storm where proxies ignore admission quotas: requests that have timed out at their
+// clients fill the hosts' queues and make most attempts fail even after the cause has ended. All proxies are sent to
+// one host until the deadline of every class has passed, and then return to hosts with shorter queues. It must not act
+// on a network partition or an unresponsive host, where some hosts succeed. Where capacity is permanently insufficient,
+// it replaces constant failure by intervals of success.
 func (b *Balancer) mitigateRetryStorm(writer UpdateWriter) {
 	symptoms := b.measureRetryStorm()
 	b.admission.retryPolicy = retryUnprocessed
@@ -100,8 +100,8 @@
 	}})
 }
 
-// quiesceMs returns the time for which the proxies are quiesced: until the deadline of every class has passed, but
-// each at most half of SafetyLimits.EmptyTableMs, plus the propagation delay.
+// quiesceMs returns the time for which the proxies are quiesced: the longest deadline of any class, but at most
+// maxQuiesceShare of SafetyLimits.EmptyTableMs, plus the propagation delay.
 func (b *Balancer) quiesceMs() float64 {
 	delayMs := b.channel.PropagationDelayMs
 	longestMs := delayMs
--- a/routing/schedule.go
+++ b/routing/schedule.go
@@ -51,8 +51,7 @@
 	}
 }
 
-// jitterSource draws the same sequence of numbers for the same seed, so that a
-// recording can be replayed.
+// jitterSource draws the same sequence of numbers for the same seed, so that a recording can be replayed.
 type jitterSource struct {
 	seed    uint64
 	counter uint64
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -7,8 +7,8 @@
 	// must be able to take together before they get traffic in a fleet without a warm host.
 	slowStartOnlyMargin = 2.0
 
-	// slowStartBudgetShare is the fraction of the load at which a host that is warming up collapses that it may get:
-	// the host may be half as fast as its base weight suggests.
+	// slowStartBudgetShare is the load that a host that is warming up may get, as a fraction of the load at which it
+	// collapses: the host may be half as fast as its base weight suggests.
 	slowStartBudgetShare = 0.25
 
 	// maxEjectProbability is the probability of ProxyEjectAfter failures in a row above which hosts that are warming
@@ -35,8 +35,8 @@
 	anyWarm   bool    // some ready host is warm
 }
 
-// slowStartFactor returns the fraction of its capacity that a host surely has after its start. It rises linearly from
-// SlowStartInitialFactor to 1, within SlowStartMs of the start.
+// slowStartFactor returns the fraction of its capacity that a host is known to have after its start. It rises linearly
+// from SlowStartInitialFactor to 1, within SlowStartMs of the start.
 func (b *Balancer) slowStartFactor(host *hostRecord) float64 {
 	startedAtMs := host.endpoint.startedAtMs
 	if startedAtMs < 0 || b.nowMs >= startedAtMs+b.limits.SlowStartMs {
--- a/routing/subsetmode.go
+++ b/routing/subsetmode.go
@@ -36,9 +36,9 @@
 // updateSubsetMode enters and leaves subset mode. Connection pressure, in which connections fail or are costly,
 // differs from a lack of capacity: many hosts fail attempts although they answer health checks and report idle cores.
 // In subset mode every proxy gets its own table with a subset of the hosts, to which it keeps its connections. The
-// pressure no longer shows in this mode, so it is left tentatively, after a time that doubles when the pressure soon
-// returns. The mode also helps where links lose attempts everywhere. Where hosts fail attempts for other reasons it
-// only makes the balance coarser.
+// pressure no longer shows in this mode, so the mode ends after a time that doubles when the pressure soon returns. It
+// also helps where links lose attempts everywhere. Where hosts fail attempts for other reasons, it only makes the
+// balance coarser.
 func (b *Balancer) updateSubsetMode(writer UpdateWriter) {
 	symptoms := b.measurePressure()
 	if symptoms.showConnectionPressure() && b.nowMs >= b.retryStorm.nextQuiesceAtMs {
@@ -81,8 +81,8 @@
 	return symptoms
 }
 
-// showConnectionPressure reports whether the symptoms are those of connection pressure. One more host without symptoms is
-// counted, so that a fleet of few hosts needs stronger evidence.
+// showConnectionPressure reports whether the symptoms are those of connection pressure. One more host without symptoms
+// is counted, so that a fleet of few hosts needs stronger evidence.
 func (p pressureSymptoms) showConnectionPressure() bool {
 	hosts := float64(p.hosts + 1)
 	return float64(p.failing) >= pressureHostShare*hosts &&
--- a/routing/updatebatch.go
+++ b/routing/updatebatch.go
@@ -23,7 +23,7 @@
 		channel:         b.channel,
 		version:         b.publishing.version%maxVersion + 1,
 		costs:           b.publishing.costs,
-		messageOverhead: b.channel.MessageOverhead + 1 + float64(len(b.admission.quotas)), // 1: the version
+		messageOverhead: b.channel.MessageOverhead + 1 + float64(len(b.admission.quotas)), // 1: the version stamp
 		initialBacklog:  inChannel,
 		backlog:         inChannel,
 		unacknowledged:  b.backlog.unacknowledged,
--- a/routing/weight.go
+++ b/routing/weight.go
@@ -6,7 +6,7 @@
 	// penaltyThreshold is the fraction of the fleet's success ratio below which a host loses weight for its failures.
 	penaltyThreshold = 0.8
 
-	// minSuccessPenalty is the least factor for failures: old failures still count for a while after their cause has
+	// minSuccessPenalty is the lowest factor for failures: old failures still count for a while after their cause has
 	// ended.
 	minSuccessPenalty = 0.5
 
@@ -22,7 +22,7 @@
 	idleUtilization = 0.6
 )
 
-// targetWeight returns the weight that the published tables should hold of a host, 0 for none. A host that is warming
+// targetWeight returns the weight that a host should have in the published tables, 0 for none. A host that is warming
 // up gets its weight times slowStartFactor and slowStartLoadFactor, and none while slowStartState.allowed is false.
 // ignoreEjection is set where its table would otherwise hold no warm host, since a proxy must not be left without
 // hosts.
--- a/routing/writer.go
+++ b/routing/writer.go
@@ -3,10 +3,10 @@
 // AllTables in place of a table's number sets an admission quota for all connected proxies.
 const AllTables = 65535
 
-// The retry policies that the balancer sets. A proxy may know others, as Deployment.DefaultRetryPolicy.
+// The retry policies that the balancer sets. A proxy may know others, such as Deployment.DefaultRetryPolicy.
 const (
 	retryNone        = 0 // a failed attempt is not retried
-	retryUnprocessed = 1 // one retry, after proof that the first attempt never ran: safe for every class
+	retryUnprocessed = 1 // one retry, only where the first attempt provably never ran: safe for every class
 )
 
 // UpdateWriter receives the decisions of a round, in the order in which they must be sent. Hosts and proxies are
