--- a/routing/discovery_test.go
+++ b/routing/discovery_test.go
@@ -14,7 +14,7 @@
 	h.ObserveEndpoint(2, 0, Removed, 0, 0)
 	h.round()
 	h.run(400, nil)
-	h.tracef("the drain of host 1 is taken back")
+	h.tracef("host 1 is ready again")
 	h.ObserveDelta()
 	h.ObserveEndpoint(1, 1, Ready, 1, 0)
 	h.run(800, uniformReports(4, healthyReport))
--- a/routing/healthcheck_test.go
+++ b/routing/healthcheck_test.go
@@ -28,7 +28,7 @@
 	run(2000, Healthy)
 	h.tracef("two hosts leave health checks unanswered")
 	run(6000, TimedOut)
-	h.tracef("and answer again")
+	h.tracef("the two hosts answer health checks again")
 	run(16000, Healthy)
 	h.check(t)
 }
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -50,7 +50,7 @@
 	h := newHarness(defaultSettings(), 3)
 	reports := uniformReports(3, healthyReport)
 	h.runWithHealthChecks(3000, reports, allHosts(Healthy))
-	h.tracef("hosts 0 and 2 are gone, then host 1")
+	h.tracef("hosts 0 and 2 become unreachable, then host 1")
 	results := []HealthCheckResult{Unreachable, Healthy, Unreachable}
 	h.runWithHealthChecks(3000, nil, func(host int) HealthCheckResult { return results[host] })
 	h.runWithHealthChecks(3000, nil, allHosts(Unreachable))
--- a/routing/publish_test.go
+++ b/routing/publish_test.go
@@ -34,7 +34,7 @@
 	h.ObserveDelta()
 	h.ObserveEndpoint(2, 0, Draining, 1, 0)
 	h.run(400, nil)
-	h.tracef("the first messages are ten seconds old")
+	h.tracef("the first messages leave the message window")
 	h.run(11000, nil)
 	h.check(t)
 }
--- a/routing/rebalance_test.go
+++ b/routing/rebalance_test.go
@@ -33,7 +33,7 @@
 	h.run(5000, reports)
 	reports[0] = hostReport{attempts: 10, latencyMs: 900}
 	h.run(9000, reports)
-	h.tracef("host 0 is well again")
+	h.tracef("host 0 is healthy again")
 	reports[0] = healthyReport
 	h.run(30000, reports)
 	h.check(t)
@@ -47,7 +47,7 @@
 	h.runWithHealthChecks(3000, reports, allHosts(Healthy))
 	reports[2] = hostReport{attempts: 10, failures: 9, latencyMs: 300}
 	h.runWithHealthChecks(2000, reports, allHosts(Healthy))
-	h.tracef("host 2 is well again")
+	h.tracef("host 2 is healthy again")
 	reports[2] = healthyReport
 	h.runWithHealthChecks(4000, reports, allHosts(Healthy))
 	h.check(t)
--- a/routing/retrystorm_test.go
+++ b/routing/retrystorm_test.go
@@ -9,10 +9,10 @@
 	set.deployment.AdmissionControl = false
 	h := newHarness(set, 4)
 	h.run(3000, uniformReports(4, healthyReport))
-	h.tracef("the storm begins")
+	h.tracef("the retry storm begins")
 	failing := uniformReports(4, hostReport{attempts: 30, failures: 28, latencyMs: 900})
 	h.runWithHealthChecks(7000, failing, allHosts(TimedOut))
-	h.tracef("the storm is over")
+	h.tracef("the retry storm is over")
 	h.runWithHealthChecks(6000, uniformReports(4, healthyReport), allHosts(Healthy))
 	h.check(t)
 }
