--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Cores are busy and attempts fail: the quota of the class with the least value for its work falls first, and retries
-// stop.
+// Cores are busy and attempts fail: the quota of the class with the least value for its work is lowered first, and
+// nothing is retried.
 func TestAdmissionUnderOverload(t *testing.T) {
 	h := newHarness(defaultSettings(), 3)
 	for range 12 {
@@ -20,8 +20,9 @@
 	h.check(t)
 }
 
-// By hand: 100 requests of each class ask for 101000 and 50500 units of work, and bring 101 and 505 of value. Half of
-// the work, 75750, must go: first 90% at most of class 0, which brings the least for its work.
+// Calculated by hand: with 100 requests each, and 1 added, the classes have 101000 and 50500 units of work, and values
+// of 101 and 505. Half of the work, 75750, must be shed: first at most 90% of class 0, which has the least value for
+// its work.
 func TestAllocateQuotas(t *testing.T) {
 	for _, test := range []struct {
 		name             string
@@ -29,7 +30,7 @@
 		want             [2]float64
 	}{
 		{"least value for its work first", 0.1, [2]float64{0.25, 1}},
-		{"all alike where the worst class counts most", 5, [2]float64{0.5, 0.5}},
+		{"same quota for all where the worst class counts most", 5, [2]float64{0.5, 0.5}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			set := defaultSettings()
@@ -40,7 +41,7 @@
 			h.allocateQuotas()
 			for class, want := range test.want {
 				if got := h.admission.quotas[class]; math.Abs(got-want) > 1e-9 {
-					t.Errorf("class %d has quota %v, not %v", class, got, want)
+					t.Errorf("class %d has quota %v, want %v", class, got, want)
 				}
 			}
 		})
--- a/routing/assignment_test.go
+++ b/routing/assignment_test.go
@@ -61,7 +61,7 @@
 	shared := []int{0, 1, 2} // one for all zones, or one for each of two zones
 	for proxy := range 3 {
 		if got, want := h.SubsetTable(proxy), len(shared)+proxy; got != want {
-			t.Errorf("proxy %d has table %d, not %d", proxy, got, want)
+			t.Errorf("proxy %d has table %d, want %d", proxy, got, want)
 		}
 	}
 }
--- a/routing/controlchannel_test.go
+++ b/routing/controlchannel_test.go
@@ -186,10 +186,10 @@
 			}
 			c.run(nowMs, 10000)
 			if c.mostQueuedEntries > set.channel.MaxBacklog {
-				t.Errorf("%.0f entries wait where %.0f may", c.mostQueuedEntries, set.channel.MaxBacklog)
+				t.Errorf("%.0f entries were queued at once, want at most %.0f", c.mostQueuedEntries, set.channel.MaxBacklog)
 			}
 			if c.publishing.version < 10 {
-				t.Errorf("only %d rounds had updates", c.publishing.version)
+				t.Errorf("%d rounds had updates, want at least 10", c.publishing.version)
 			}
 		})
 	}
@@ -230,7 +230,8 @@
 	for host := range 60 {
 		tookMs := c.removedAtMs[host] - drainedAtMs
 		if tookMs < 0 || tookMs > set.limits.DrainGraceMs+300 {
-			t.Errorf("host %d is in a table %.0f ms after it was listed as draining", host, tookMs)
+			t.Errorf("host %d was removed from the tables %.0f ms after it began to drain (below 0: never), "+
+				"want at most %.0f ms", host, tookMs, set.limits.DrainGraceMs+300)
 			break
 		}
 	}
@@ -245,18 +246,18 @@
 	h.round()
 	entries := h.backlog.unacknowledged
 	if entries <= 0 {
-		t.Fatal("nothing was sent")
+		t.Fatalf("%v entries are unacknowledged after the first round, want some", entries)
 	}
 	transitMs := 200 + 10000/(10000*0.1)*1000.0
 	h.clockMs += transitMs
 	h.round()
 	if got := h.backlog.unacknowledged; got != entries {
-		t.Errorf("after %.0f ms %v entries are unacknowledged, not %v", transitMs, got, entries)
+		t.Errorf("after %.0f ms %v entries are unacknowledged, want %v", transitMs, got, entries)
 	}
 	h.clockMs++
 	h.round()
 	if got := h.backlog.unacknowledged; got != 0 {
-		t.Errorf("after %.0f ms %v entries are unacknowledged, not 0", transitMs+1, got)
+		t.Errorf("after %.0f ms %v entries are unacknowledged, want 0", transitMs+1, got)
 	}
 }
 
@@ -278,10 +279,10 @@
 			h.backlog = controlBacklog{unacknowledged: 70}
 			h.Ack(0, test.version)
 			if got := h.backlog.unacknowledged; got != test.want {
-				t.Errorf("%v entries are unacknowledged, not %v", got, test.want)
+				t.Errorf("%v entries are unacknowledged, want %v", got, test.want)
 			}
 			if got, want := h.backlog.arriving, 70-test.want; got != want {
-				t.Errorf("%v entries are arriving, not %v", got, want)
+				t.Errorf("%v entries are arriving, want %v", got, want)
 			}
 		})
 	}
--- a/routing/explain_test.go
+++ b/routing/explain_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// By hand: 10 attempts of 200 ms a second and the prior of 4 at the median of 200 ms give R = 200 ms, so 1/R = 5/s.
-// Half the proxies are connected, which doubles the arrival rate to 20/s. mu = 25, d = 640 ms, K = ln 20 / 0.64 s =
-// 4.681/s.
+// Calculated by hand: 10 attempts of 200 ms a second, with the prior of 4 at the median of 200 ms, give R = 200 ms, so
+// 1/R = 5/s. Half the proxies are connected, which doubles the arrival rate to 20/s. mu = 25, d = 640 ms, K = ln 20 /
+// 0.64 s = 4.681/s.
 func TestExplain(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.Proxies = 4
@@ -17,10 +17,11 @@
 	h.run(9000, uniformReports(2, healthyReport))
 	explanation, known := h.Explain(1)
 	if !known {
-		t.Fatal("host 1 is unknown")
+		t.Fatal("Explain(1) found no host, want host 1")
 	}
 	if explanation.State != Ready || explanation.Ejected || !explanation.Balanced {
-		t.Errorf("state %v, ejected %v, balanced %v", explanation.State, explanation.Ejected, explanation.Balanced)
+		t.Errorf("state %v, ejected %v, balanced %v; want %v, false, true",
+			explanation.State, explanation.Ejected, explanation.Balanced, Ready)
 	}
 	for _, figure := range []struct {
 		name      string
@@ -40,20 +41,20 @@
 		{"started", explanation.StartedAtMs, -1},
 	} {
 		if math.Abs(figure.got-figure.want) > 0.001 {
-			t.Errorf("%s is %.4f, not %.4f", figure.name, figure.got, figure.want)
+			t.Errorf("%s is %.4f, want %.4f", figure.name, figure.got, figure.want)
 		}
 	}
 }
 
 func TestExplainUnknownHost(t *testing.T) {
 	h := newHarness(defaultSettings(), 2)
-	h.ObserveHostStats(3, 1, 0, 100, reportIntervalMs, UnknownLoad) // a proxy knows it, the endpoint list does not
+	h.ObserveHostStats(3, 1, 0, 100, reportIntervalMs, UnknownLoad) // reported by a proxy, but not on the endpoint list
 	for _, host := range []int{2, 3, 99} {
 		if _, known := h.Explain(host); known {
-			t.Errorf("host %d is known", host)
+			t.Errorf("Explain(%d) found a host, want none", host)
 		}
 		if ready, factor := h.HostStatus(host); ready || factor != 0 {
-			t.Errorf("host %d has status %v, %v", host, ready, factor)
+			t.Errorf("HostStatus(%d) returned %v, %v; want false, 0", host, ready, factor)
 		}
 	}
 }
--- a/routing/host_test.go
+++ b/routing/host_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// removedHost makes a harness whose host 1 was removed and is in no table.
-func removedHost(t *testing.T) *harness {
+// newHarnessWithRemovedHost returns a harness whose host 1 was removed and is in no table.
+func newHarnessWithRemovedHost(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness(defaultSettings(), 3)
 	h.ObserveDelta()
 	h.ObserveEndpoint(1, 1, Removed, 1, 0)
 	h.run(1000, nil)
 	if weight := h.hosts[1].publication.weight; weight != 0 {
-		t.Fatalf("the removed host is published with weight %v", weight)
+		t.Fatalf("the removed host is published with weight %v, want 0", weight)
 	}
 	h.hosts[1].health.checkInFlight = false
 	return h
@@ -33,21 +33,21 @@
 		{"in a subset", func(h *harness) { h.proxies[0].subset = []int{1} }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			h := removedHost(t)
+			h := newHarnessWithRemovedHost(t)
 			test.prepare(h)
-			before := h.hosts[1]
+			want := h.hosts[1]
 			if got := h.ForgetHost(1); got != test.want {
 				t.Fatalf("got %v, want %v", got, test.want)
 			}
 			if test.want {
-				before = newHostRecord()
-				before.incarnation = 1
+				want = newHostRecord()
+				want.incarnation = 1
 			}
-			if h.hosts[1] != before {
-				t.Errorf("the record is %+v, not %+v", h.hosts[1], before)
+			if h.hosts[1] != want {
+				t.Errorf("the record is %+v, want %+v", h.hosts[1], want)
 			}
 			if listed := slices.Contains(h.hostOrder, 1); listed == test.want {
-				t.Errorf("the host is in the order of discovery: %v", listed)
+				t.Errorf("host in the order of discovery: %v, want %v", listed, !test.want)
 			}
 		})
 	}
@@ -56,25 +56,25 @@
 func TestForgetUnknownHost(t *testing.T) {
 	h := newHarness(defaultSettings(), 3)
 	if !h.ForgetHost(99) {
-		t.Error("a host that was never recorded cannot be forgotten")
+		t.Error("ForgetHost returned false for a host that was never recorded, want true")
 	}
 }
 
 // A forgotten host's index is reused for another host while the task of its health checks is still scheduled: only
 // the new host's task continues.
 func TestForgottenHostIsNotChecked(t *testing.T) {
-	h := removedHost(t)
+	h := newHarnessWithRemovedHost(t)
 	if !h.ForgetHost(1) {
-		t.Fatal("the removed host is not forgotten")
+		t.Fatal("ForgetHost returned false for a removed host, want true")
 	}
 	tasks := len(h.tasks.tasks)
 	h.ObserveDelta()
 	h.ObserveEndpoint(1, 1, Ready, 1, 0)
 	h.run(2000, nil)
 	if got := len(h.tasks.tasks); got != tasks {
-		t.Errorf("%d tasks are scheduled, not %d", got, tasks)
+		t.Errorf("%d tasks are scheduled, want %d", got, tasks)
 	}
 	if !h.hosts[1].health.checkInFlight {
-		t.Error("the new host is not checked")
+		t.Error("no health check of the new host is in flight, want one")
 	}
 }
--- a/routing/observation_test.go
+++ b/routing/observation_test.go
@@ -61,24 +61,24 @@
 	}
 }
 
-// What an earlier incarnation knew of a host counts as evidence: weight, mean latency and success ratio.
+// The restored weight, mean latency, successes and failures of a host take effect like measured ones.
 func TestRestoreHost(t *testing.T) {
 	h := newHarness(defaultSettings(), 2)
 	h.ObserveEndpoint(1, 1, Ready, 3, 0)
 	h.RestoreHost(1, 0.5, 120, 1, 7)
 	explanation, _ := h.Explain(1)
 	if explanation.Weight != 1.5 || explanation.MeanLatencyMs != 120 {
-		t.Errorf("weight %v, mean latency %v ms", explanation.Weight, explanation.MeanLatencyMs)
+		t.Errorf("weight %v, mean latency %v ms; want 1.5, 120 ms", explanation.Weight, explanation.MeanLatencyMs)
 	}
 	if explanation.Successes != 1 || explanation.Failures != 7 {
-		t.Errorf("%v successes, %v failures", explanation.Successes, explanation.Failures)
+		t.Errorf("%v successes, %v failures; want 1, 7", explanation.Successes, explanation.Failures)
 	}
-	if explanation.TargetWeight != 0.75 { // the success penalty halves it
-		t.Errorf("target weight %v", explanation.TargetWeight)
+	if explanation.TargetWeight != 0.75 { // half the weight, by the success penalty
+		t.Errorf("target weight %v, want 0.75", explanation.TargetWeight)
 	}
 	h.RestoreHost(1, 0.5, 0, 1, 7)
 	if latencyMs := h.hosts[1].stats.meanLatencyMs; latencyMs != 120 {
-		t.Errorf("an unknown latency set the mean latency to %v ms", latencyMs)
+		t.Errorf("mean latency %v ms after an unknown latency was restored, want 120 ms", latencyMs)
 	}
 }
 
@@ -97,14 +97,15 @@
 			h.RestoreAdmission(test.ratio, test.quotas, 180)
 			ratio, quotas, medianLatencyMs := h.Admission()
 			if ratio != test.ratio || !slices.Equal(quotas, test.quotas) || medianLatencyMs != 180 {
-				t.Errorf("ratio %v, quotas %v, median latency %v ms", ratio, quotas, medianLatencyMs)
+				t.Errorf("ratio %v, quotas %v, median latency %v ms; want %v, %v, 180 ms",
+					ratio, quotas, medianLatencyMs, test.ratio, test.quotas)
 			}
 			if h.admission.retryPolicy != test.retryPolicy {
-				t.Errorf("retry policy %d, not %d", h.admission.retryPolicy, test.retryPolicy)
+				t.Errorf("retry policy %d, want %d", h.admission.retryPolicy, test.retryPolicy)
 			}
 			quotas[0] = 99
 			if h.admission.quotas[0] == 99 {
-				t.Error("Admission gives its own slice away")
+				t.Error("Admission returned the balancer's own slice of quotas, want a copy")
 			}
 		})
 	}
--- a/routing/rebalance_test.go
+++ b/routing/rebalance_test.go
@@ -5,10 +5,12 @@
 	"testing"
 )
 
-// By hand, K = 3.745/s as in TestDeadlineCapacity, 10/s at each host. Host 0 (zone 0, 500 ms) has mu 12, capacity
-// 8.255, overload 1.745. Host 1 (zone 0, 250 ms) has mu 14, capacity 10.255, headroom 0.255 and comes first; host 2
-// (zone 1, 200 ms) has mu 15, capacity 11.255, headroom 1.255. So 0.255 and 1.255 of 30/s move, a tenth of that in
-// weight: 0.849, 1.0255, 1.1255.
+// Calculated by hand, with 10/s at each host and K = 3.745/s as in TestDeadlineCapacity:
+//   - Host 0 (zone 0, 500 ms) has mu 12, capacity 8.255 and overload 1.745.
+//   - Host 1 (zone 0, 250 ms) has mu 14, capacity 10.255 and headroom 0.255. It comes first, in the zone of host 0.
+//   - Host 2 (zone 1, 200 ms) has mu 15, capacity 11.255 and headroom 1.255.
+//
+// So 0.255 and 1.255 of 30/s move, a tenth of that in weight: the weights are 0.849, 1.0255 and 1.1255.
 func TestWeightTransferByHand(t *testing.T) {
 	h := newHarness(defaultSettings(), 3)
 	h.fleet.medianLatencyMs = 250
@@ -26,7 +28,7 @@
 	h.check(t)
 }
 
-// The slow host 0 sheds load to its own zone first, and its weight relaxes when it is well again.
+// The slow host 0 transfers weight to hosts of its own zone first, and its weight relaxes after it is fast again.
 func TestRebalanceAndRelax(t *testing.T) {
 	h := newHarness(defaultSettings(), 4)
 	reports := uniformReports(4, healthyReport)
@@ -39,8 +41,8 @@
 	h.check(t)
 }
 
-// A host whose attempts mostly fail, though its health checks are answered, loses weight at once and gets it back as
-// they succeed.
+// A host whose attempts mostly fail, although its health checks are answered, loses weight at once and gets it back as
+// attempts succeed again.
 func TestSuccessPenalty(t *testing.T) {
 	h := newHarness(defaultSettings(), 4)
 	reports := uniformReports(4, healthyReport)
@@ -53,9 +55,9 @@
 	h.check(t)
 }
 
-// By hand, K = 3.745/s as in TestDeadlineCapacity: at 10/s and 200 ms, mu = 15 and the capacity 11.255. A utilization
-// of 80% leaves headroom up to 85%: 10 x (1 - 0.85/0.8) = -0.625.
-func TestTransferPartyByLoad(t *testing.T) {
+// Calculated by hand, with K = 3.745/s as in TestDeadlineCapacity: at 10/s and 200 ms, mu is 15 and the capacity
+// 11.255. A utilization of 80% leaves headroom up to 85%: 10 x (1 - 0.85/0.8) = -0.625.
+func TestHeadroomByLoad(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		utilization float64
@@ -75,10 +77,10 @@
 			host.stats.meanLatencyMs = 200
 			candidate := newTransferCandidate(&host, 250)
 			if math.Abs(candidate.overload-test.want) > 0.001 {
-				t.Errorf("overload %.4f, not %.4f", candidate.overload, test.want)
+				t.Errorf("overload %.4f, want %.4f", candidate.overload, test.want)
 			}
-			if candidate.sheddableRate != 9.5 { // all but the part 0.1 of the base weight, out of a weight of 2
-				t.Errorf("sheddable rate %v, not 9.5", candidate.sheddableRate)
+			if candidate.sheddableRate != 9.5 { // of 10/s at a weight of 2, a weight of 0.1 must stay
+				t.Errorf("sheddable rate %v, want 9.5", candidate.sheddableRate)
 			}
 		})
 	}
--- a/routing/report_test.go
+++ b/routing/report_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Reports that stop, name unknown hosts or are empty change no table, and lead to no NaN or infinite figure.
+// Reports that stop, name unknown hosts or cover no time, and snapshots that lack hosts, lead to no weight that is NaN,
+// infinite or below 0.
 func TestOddReports(t *testing.T) {
 	h := newHarness(defaultSettings(), 3)
 	reports := uniformReports(3, healthyReport)
@@ -24,7 +25,7 @@
 	for host := range h.hosts {
 		weight := h.hosts[host].balance.weight
 		if math.IsNaN(weight) || weight < 0 || math.IsInf(weight, 0) {
-			t.Errorf("host %d has weight %v", host, weight)
+			t.Errorf("host %d has weight %v, want a finite weight of 0 or more", host, weight)
 		}
 	}
 	h.check(t)
--- a/routing/schedule_test.go
+++ b/routing/schedule_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Tasks run by time, those of the same time in the order in which they were added, and none before its time.
+// Tasks run in order of time, and tasks of the same time in the order in which they were added. None runs early.
 func TestTaskQueueOrder(t *testing.T) {
 	var queue taskQueue
 	var ran []int
@@ -20,10 +20,10 @@
 		next.run(nil)
 	}
 	if want := []int{1, 3, 2, 5, 0}; !slices.Equal(ran, want) {
-		t.Errorf("tasks ran in the order %v, not %v", ran, want)
+		t.Errorf("tasks ran in the order %v, want %v", ran, want)
 	}
 	if len(queue.tasks) != 1 {
-		t.Errorf("%d tasks are left, not 1", len(queue.tasks))
+		t.Errorf("%d tasks are left, want 1", len(queue.tasks))
 	}
 }
 
@@ -34,14 +34,14 @@
 	for range 100 {
 		number := first.next()
 		if number < 0 || number >= 1 {
-			t.Fatalf("%v is not from 0 to below 1", number)
+			t.Fatalf("number %v, want one from 0 to below 1", number)
 		}
-		if number != same.next() {
-			t.Fatal("the same seed gave another number")
+		if repeated := same.next(); number != repeated {
+			t.Fatalf("the same seed gave %v, want %v", repeated, number)
 		}
 		differs = differs || number != other.next()
 	}
 	if !differs {
-		t.Error("another seed gave the same numbers")
+		t.Error("seeds 7 and 8 gave the same 100 numbers, want different ones")
 	}
 }
