--- a/routing/publishurgent.go
+++ b/routing/publishurgent.go
@@ -81,7 +81,7 @@
 	}
 	published := host.publication.weight
 	change := math.Abs(weight - published)
-	if change > 0 && round.maySend(host, weight, urgency, table.withoutWarmEntry) {
+	if change > 0 && round.maySendNow(host, weight, urgency, table.withoutWarmEntry) {
 		if host.publication.holders > 0 {
 			b.publishing.urgentSentAtMs = b.nowMs
 		}
@@ -96,9 +96,9 @@
 	}
 }
 
-// maySend reports whether a host's weight may be written before the ordinary ones: no proxy's table holds the host,
-// or the update protects the host or the proxies and fits the channel.
-func (r *publishRound) maySend(host *hostRecord, weight float64, urgency updateUrgency, withoutWarmEntry bool) bool {
+// maySendNow reports whether a host's weight may be written before the ordinary ones: no proxy's table holds the
+// host, or the update protects the host or the proxies and fits the channel.
+func (r *publishRound) maySendNow(host *hostRecord, weight float64, urgency updateUrgency, withoutWarmEntry bool) bool {
 	if host.publication.holders == 0 {
 		return true
 	}
