--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -17,7 +17,7 @@
 		h.ObserveDemand(0, 1, 40, reportIntervalMs)
 		h.run(reportIntervalMs, nil)
 	}
-	h.check(t)
+	h.checkTrace(t)
 }
 
 // Calculated by hand: with 100 requests each, and 1 added, the classes have 101000 and 50500 units of work, and values
--- a/routing/assignment_test.go
+++ b/routing/assignment_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A proxy that connects, or disconnects and connects between two rounds, is assigned its table in the same round.
+// A proxy that connects is assigned its table in the next round. One that connects and disconnects between two rounds
+// is not assigned a table.
 func TestProxyConnects(t *testing.T) {
 	h := newHarness(defaultSettings(), 2)
 	h.quiet = false
@@ -12,10 +13,10 @@
 	h.ConnectProxy(0, 0, 1)
 	h.DisconnectProxy(0)
 	h.Round(1020, h)
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// All proxies connect at once on a slow channel: the entries that wait stay under the limit, and all are assigned their
+// All proxies connect at once on a slow channel: the backlog stays within its limit, and all proxies are assigned their
 // tables in the end.
 func TestManyProxiesConnect(t *testing.T) {
 	set := defaultSettings()
@@ -25,11 +26,11 @@
 	set.limits.DrainGraceMs = 60000
 	h := newHarness(set, 8)
 	h.run(12000, nil)
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// The shared table would come too late for three proxies: each first gets a subset, the busiest proxies the largest; a
-// host that drains leaves the subsets at once; the shared table follows as the channel allows.
+// The channel cannot send the shared table to three proxies in time: each gets a subset first. A host that drains is
+// removed from the subsets at once. The shared table follows when the channel has capacity.
 func TestSubsetBeforeLateTable(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.Proxies = 3
@@ -40,7 +41,7 @@
 	h.ObserveDelta()
 	h.ObserveEndpoint(3, 1, Draining, 1, 0)
 	h.run(12000, nil)
-	h.check(t)
+	h.checkTrace(t)
 }
 
 // Where a request class must stay in its zone, each zone's proxies share a table of their zone's hosts.
@@ -52,13 +53,13 @@
 	h.ObserveDelta()
 	h.ObserveEndpoint(1, 1, Draining, 1, 0)
 	h.run(400, nil)
-	h.check(t)
+	h.checkTrace(t)
 }
 
 // Each proxy's own table has a number of its own, after those of the shared tables.
 func TestSubsetTableNumbers(t *testing.T) {
 	h := newHarness(defaultSettings(), 2)
-	shared := []int{0, 1, 2} // one for all zones, or one for each of two zones
+	shared := []int{0, 1, 2} // the table of all zones, and those of the two zones
 	for proxy := range 3 {
 		if got, want := h.SubsetTable(proxy), len(shared)+proxy; got != want {
 			t.Errorf("proxy %d has table %d, want %d", proxy, got, want)
--- a/routing/capacity_test.go
+++ b/routing/capacity_test.go
@@ -13,5 +13,5 @@
 		h.tracef("arrival rate %.0f mean latency %.0f: capacity %.3f overload %.3f",
 			host.arrivalRate, host.meanLatencyMs, capacity, host.arrivalRate-capacity)
 	}
-	h.check(t)
+	h.checkTrace(t)
 }
--- a/routing/controlchannel_test.go
+++ b/routing/controlchannel_test.go
@@ -6,28 +6,28 @@
 	"testing"
 )
 
-// slowChannel takes a balancer's updates as proxies on a channel that runs at a part of its pace: first come first
-// served, each message costs its overhead and an entry for each weight, assignment, quota and version stamp. An
-// acknowledgement comes once the message has left the channel and arrived.
+// slowChannel simulates proxies on a control channel that runs below its maximum throughput, and receives the
+// balancer's updates. The channel sends messages in order. Each costs its overhead and an entry for each weight,
+// assignment, quota and version stamp. A proxy acknowledges a message once it has left the channel and arrived.
 type slowChannel struct {
 	*Balancer
-	config    ControlChannel
-	paceRatio float64
-	failures  int // of twenty attempts, at each host
+	config          ControlChannel
+	throughputRatio float64
+	failures        int // failed attempts out of 20, at each host
 
 	tables       map[int]map[int]float64 // weights by table and host
 	assigned     map[int]int             // table by proxy
-	roundEntries map[int]float64         // entries of the present round, by proxy
+	roundEntries map[int]float64         // entries of the current round, by proxy
 
 	queue             []queuedMessage
-	inFlight          []queuedMessage // they have left the channel
+	inFlight          []queuedMessage // messages that have left the queue and not arrived
 	queuedEntries     float64
 	mostQueuedEntries float64
 
-	removed     []int         // hosts taken out of a table in the present round
-	removedBy   map[int][]int // the same by version
-	unarrived   map[int]int   // messages that have not arrived, by version
-	removedAtMs map[int]float64
+	removed          []int         // hosts removed from a table in the current round
+	removedByVersion map[int][]int // hosts removed from a table, by version
+	undelivered      map[int]int   // number of messages that have not arrived, by version
+	removedAtMs      map[int]float64
 }
 
 // queuedMessage is a message to one proxy.
@@ -39,21 +39,21 @@
 }
 
 const (
-	channelStepMs = 50
-	channelPasses = float64(channelStepMs) / msPerSecond // seconds in a step
+	channelStepMs      = 50
+	channelStepSeconds = float64(channelStepMs) / msPerSecond
 )
 
-func newSlowChannel(set settings, paceRatio float64, hosts int) *slowChannel {
+func newSlowChannel(set settings, throughputRatio float64, hosts int) *slowChannel {
 	return &slowChannel{
-		Balancer:     set.newBalancer(hosts),
-		config:       set.channel,
-		paceRatio:    paceRatio,
-		tables:       map[int]map[int]float64{},
-		assigned:     map[int]int{},
-		roundEntries: map[int]float64{},
-		removedBy:    map[int][]int{},
-		unarrived:    map[int]int{},
-		removedAtMs:  map[int]float64{},
+		Balancer:         set.newBalancer(hosts),
+		config:           set.channel,
+		throughputRatio:  throughputRatio,
+		tables:           map[int]map[int]float64{},
+		assigned:         map[int]int{},
+		roundEntries:     map[int]float64{},
+		removedByVersion: map[int][]int{},
+		undelivered:      map[int]int{},
+		removedAtMs:      map[int]float64{},
 	}
 }
 
@@ -94,9 +94,9 @@
 		entries += c.config.MessageOverhead + 1
 		c.queue = append(c.queue, queuedMessage{proxy: proxy, version: version, entries: entries})
 		c.queuedEntries += entries
-		c.unarrived[version]++
+		c.undelivered[version]++
 	}
-	c.removedBy[version] = c.removed
+	c.removedByVersion[version] = c.removed
 	c.removed = nil
 	clear(c.roundEntries)
 	c.mostQueuedEntries = max(c.mostQueuedEntries, c.queuedEntries)
@@ -107,11 +107,11 @@
 func (c *slowChannel) WatchEndpoints()       {}
 func (c *slowChannel) Log(Event)             {}
 
-// run advances the time from an instant while the channel sends and proxies acknowledge, and returns the new instant.
+// run simulates the channel and the proxies from fromMs on, and returns the instant at which it stopped.
 func (c *slowChannel) run(fromMs, durationMs float64) float64 {
-	capacity := 0.0 // entries that the channel can still take in this step
+	capacity := 0.0 // entries that the channel can still send in this step
 	for nowMs := fromMs; nowMs < fromMs+durationMs; nowMs += channelStepMs {
-		capacity += c.config.EntriesPerSecond * c.paceRatio * channelPasses
+		capacity += c.config.EntriesPerSecond * c.throughputRatio * channelStepSeconds
 		capacity = c.send(nowMs, capacity)
 		c.deliver(nowMs)
 		if int(nowMs)%reportIntervalMs == 0 {
@@ -122,7 +122,7 @@
 	return fromMs + durationMs
 }
 
-// send removes from the queue the entries for which the channel has capacity, and returns the remaining capacity.
+// send sends the queued messages for which the channel has capacity, and returns the remaining capacity.
 func (c *slowChannel) send(nowMs, capacity float64) float64 {
 	for len(c.queue) > 0 && c.queue[0].entries <= capacity {
 		message := c.queue[0]
@@ -138,16 +138,16 @@
 	return capacity
 }
 
-// deliver has the proxies acknowledge the messages that have arrived.
+// deliver acknowledges the messages that have arrived.
 func (c *slowChannel) deliver(nowMs float64) {
 	c.inFlight = slices.DeleteFunc(c.inFlight, func(message queuedMessage) bool {
 		if message.arrivesAtMs > nowMs {
 			return false
 		}
 		c.Ack(message.proxy, message.version)
-		c.unarrived[message.version]--
-		if c.unarrived[message.version] == 0 {
-			for _, host := range c.removedBy[message.version] {
+		c.undelivered[message.version]--
+		if c.undelivered[message.version] == 0 {
+			for _, host := range c.removedByVersion[message.version] {
 				c.removedAtMs[host] = nowMs
 			}
 		}
@@ -155,7 +155,7 @@
 	})
 }
 
-// report has the proxies report the attempts at all ready hosts.
+// report records the attempts at all ready hosts.
 func (c *slowChannel) report() {
 	for host := range c.hosts {
 		if c.hosts[host].endpoint.state == Ready {
@@ -164,17 +164,17 @@
 	}
 }
 
-// The channel runs far slower than its pace while hosts are replaced by the dozen: no more entries may wait than the
-// settings allow.
+// The channel runs far below its maximum throughput while many hosts are replaced at once: its queue must stay within
+// MaxBacklog.
 func TestBacklogOnSlowChannel(t *testing.T) {
-	for _, paceRatio := range []float64{1, 0.5, 0.25, 0.12} {
-		t.Run(fmt.Sprintf("pace %.2f", paceRatio), func(t *testing.T) {
+	for _, throughputRatio := range []float64{1, 0.5, 0.25, 0.12} {
+		t.Run(fmt.Sprintf("throughput ratio %.2f", throughputRatio), func(t *testing.T) {
 			set := defaultSettings()
 			set.deployment.HealthChecks = false
 			set.deployment.Proxies = 30
 			set.channel.EntriesPerSecond = 1500
 			set.channel.MaxBacklog = 3000
-			c := newSlowChannel(set, paceRatio, 60)
+			c := newSlowChannel(set, throughputRatio, 60)
 			nowMs := c.run(1000, 20000)
 			for first := 0; first < 120; first += 30 {
 				c.ObserveDelta()
@@ -195,9 +195,9 @@
 	}
 }
 
-// Half of the fleet is warming up while more and more attempts fail, so that the weights of these hosts fall step by
-// step; then the other half drains. What the weights of warming hosts cost must not keep the removals out of the
-// channel.
+// Many hosts are warming up while more and more attempts fail, so that the weights of these hosts fall step by step.
+// Then 60 other hosts drain. The weight updates of the hosts that are warming up must not delay the removals beyond the
+// drain grace.
 func TestDrainGraceBesideWarmingHosts(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.HealthChecks = false
@@ -237,8 +237,8 @@
 	}
 }
 
-// A proxy that never acknowledges does not hold the channel for ever: what is older than a full channel at its least
-// pace has left it.
+// Messages to a proxy that never acknowledges do not count against the channel for ever: they expire after the time
+// that a full channel needs at its minimum throughput.
 func TestUnacknowledgedMessagesExpire(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.HealthChecks = false
--- a/routing/discovery_test.go
+++ b/routing/discovery_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Draining and removed hosts lose their entries at once, whatever was not acknowledged.
+// Draining and removed hosts are removed from the tables without waiting for the acknowledgement of earlier updates.
 func TestDrainingAndRemovedHosts(t *testing.T) {
 	h := newHarness(defaultSettings(), 4)
 	h.clockMs = 1100
@@ -18,10 +18,10 @@
 	h.ObserveDelta()
 	h.ObserveEndpoint(1, 1, Ready, 1, 0)
 	h.run(800, uniformReports(4, healthyReport))
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// The endpoint list must be watched: from the start, and after failures again with a growing backoff.
+// The watch of the endpoint list starts in the first round, and is retried after failures with a growing backoff.
 func TestWatchRetryBackoff(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.WatchesEndpoints = true
@@ -30,12 +30,12 @@
 		h.ObserveWatchFailure()
 		h.run(6000, nil)
 	}
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// A controller starts again from its cached snapshot while proxies still have old tables and a retry policy that
-// could repeat effects: they are assigned tables at once, the retry policy is set first, and what the snapshot lacks
-// is removed.
+// A controller restarts from a cached snapshot while proxies still have old tables and a retry policy that could
+// execute a request twice: the retry policy is set first, tables are assigned at once, and hosts that the next snapshot
+// lacks are removed.
 func TestRestartFromCachedSnapshot(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.DefaultRetryPolicy = 3
@@ -46,5 +46,5 @@
 	h.clockMs = 1050
 	h.Ack(0, 7)
 	h.round()
-	h.check(t)
+	h.checkTrace(t)
 }
--- a/routing/healthcheck_test.go
+++ b/routing/healthcheck_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// Two hosts leave health checks unanswered. The one that reports busy cores has grown slow, and loses weight with each
-// health check, long before its stats could show it; the one that reports idle cores is out of this controller's reach,
-// and keeps its weight. Answered health checks bring the slow one back by steps.
+// Two hosts leave health checks unanswered. The one that reports busy cores is slow, and loses weight with each health
+// check before its request stats show it. The one that reports idle cores is unreachable from this controller, and
+// keeps its weight. Answered health checks restore the weight of the slow host step by step.
 func TestSuspicionOfSlowHost(t *testing.T) {
-	const slowHost, unreachedHost = 2, 3
+	const slowHost, unreachableHost = 2, 3
 	h := newHarness(defaultSettings(), 8)
 	run := func(durationMs float64, result HealthCheckResult) {
 		for endMs := h.clockMs + durationMs; h.clockMs < endMs; {
@@ -17,7 +17,7 @@
 					load.Utilization = 0.97
 				}
 				h.reportLoad(host, load)
-				if host == slowHost || host == unreachedHost {
+				if host == slowHost || host == unreachableHost {
 					h.answerHealthCheck(host, result, UnknownLoad)
 				} else {
 					h.answerHealthCheck(host, Healthy, load)
@@ -30,12 +30,12 @@
 	run(6000, TimedOut)
 	h.tracef("the two hosts answer health checks again")
 	run(16000, Healthy)
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// A busy fleet leaves health checks unanswered here and there, one host after the other. Suspicion of many must not
-// pile up on the few that are left: the more hosts are suspect, the less it counts; and it must not reduce what a
-// host that is warming up gets.
+// The hosts of a busy fleet leave health checks unanswered, a few hosts at a time. Suspicion must not move the load of
+// many hosts to the few others: the more hosts are suspect, the less it counts. Nor may it reduce the weight of a host
+// that is warming up.
 func TestSuspicionInBusyFleet(t *testing.T) {
 	const busyHosts, warmingHost = 8, 8
 	h := newHarness(defaultSettings(), busyHosts)
@@ -59,5 +59,5 @@
 		record := &h.hosts[host]
 		h.tracef("host %d suspicion %.1f published %.3f", host, record.health.suspicion, record.publication.weight)
 	}
-	h.check(t)
+	h.checkTrace(t)
 }
--- a/routing/helper_test.go
+++ b/routing/helper_test.go
@@ -18,13 +18,13 @@
 	reportIntervalMs = 1000
 )
 
-// harness runs the rounds of one Balancer and traces its decisions. The test answers the health checks itself.
+// harness runs the rounds of one Balancer and writes its decisions to a trace. A test answers the health checks itself.
 type harness struct {
 	*Balancer
 	clockMs float64
 	trace   strings.Builder
-	quiet   bool // leaves health checks and version stamps out of the trace
-	version int  // last stamped
+	quiet   bool // omits health checks and version stamps from the trace
+	version int  // the last version stamp
 }
 
 // tracef adds a line to the trace.
@@ -57,14 +57,14 @@
 	}
 }
 
-// ScheduleRound is not needed: a harness makes a round each stepMs.
+// ScheduleRound does nothing: a harness runs a round each stepMs.
 func (h *harness) ScheduleRound(float64) {}
 
 func (h *harness) WatchEndpoints() { h.tracef("watch endpoints") }
 
 func (h *harness) Log(event Event) { h.tracef("log: %s", event.Text(FormatHostIndex)) }
 
-// settings are all that New takes.
+// settings are the arguments of New.
 type settings struct {
 	deployment Deployment
 	classes    []RequestClass
@@ -73,7 +73,7 @@
 	objective  Objective
 }
 
-// defaultSettings are those of a small deployment; a test changes what it is about.
+// defaultSettings returns the settings of a small deployment, for tests to modify.
 func defaultSettings() settings {
 	return settings{
 		deployment: Deployment{
@@ -108,8 +108,8 @@
 	}
 }
 
-// newBalancer makes a balancer that is given a cached snapshot of ready hosts of weight 1, the even ones in zone 0, and
-// whose proxies have all connected.
+// newBalancer returns a balancer with a cached snapshot of ready hosts of weight 1, the even ones in zone 0, and with
+// all proxies connected.
 func (s settings) newBalancer(hosts int) *Balancer {
 	b := New(s.deployment, s.classes, s.channel, s.limits, s.objective)
 	b.ObserveSnapshot(true)
@@ -120,7 +120,7 @@
 	return b
 }
 
-// newHarness creates a balancer by newBalancer, runs its first round, and records the same snapshot from the source.
+// newHarness returns a harness after the first round of its balancer, with the same snapshot recorded from the source.
 func newHarness(s settings, hosts int) *harness {
 	h := &harness{Balancer: s.newBalancer(hosts), clockMs: 1000, quiet: true}
 	h.Round(h.clockMs, h)
@@ -136,14 +136,14 @@
 	}
 }
 
-// hostReport is what all proxies report of a host in one report interval.
+// hostReport holds the attempts that all proxies report of a host in one report interval.
 type hostReport struct {
 	attempts  int
 	failures  int
 	latencyMs float64 // mean of the successes
 }
 
-// healthyReport is that of a host without faults.
+// healthyReport is the report of a host without faults.
 var healthyReport = hostReport{attempts: 10, latencyMs: 200}
 
 // uniformReports returns the same report for every host.
@@ -155,8 +155,8 @@
 	return reports
 }
 
-// run advances the time in steps and records the hosts' reports at each report interval. There is no report of a host
-// that is not in reports. All proxies acknowledge every version at once.
+// run advances the time in steps and records the hosts' reports at each report interval. A host that is not in reports
+// gets no report. All proxies acknowledge every version at once.
 func (h *harness) run(durationMs float64, reports map[int]hostReport) {
 	for endMs := h.clockMs + durationMs; h.clockMs < endMs; {
 		h.clockMs += stepMs
@@ -174,13 +174,13 @@
 	}
 }
 
-// round makes a round at the present time.
+// round runs a round at the current time.
 func (h *harness) round() { h.Round(h.clockMs, h) }
 
 // reportDue reports whether proxies report at the current time.
 func (h *harness) reportDue() bool { return int(h.clockMs)%reportIntervalMs == 0 }
 
-// runWithHealthChecks is run, with a result for each health check at the next step.
+// runWithHealthChecks is run, and answers each health check in the next step.
 func (h *harness) runWithHealthChecks(
 	durationMs float64, reports map[int]hostReport, result func(host int) HealthCheckResult,
 ) {
@@ -221,9 +221,9 @@
 	}
 }
 
-// check compares the trace with the golden file of the test. KEEP=1 rewrites the golden file; read its diff before
+// checkTrace compares the trace with the golden file of the test. KEEP=1 rewrites the golden file; read its diff before
 // you commit it.
-func (h *harness) check(t *testing.T) {
+func (h *harness) checkTrace(t *testing.T) {
 	t.Helper()
 	checkGolden(t, h.trace.String())
 }
--- a/routing/host_test.go
+++ b/routing/host_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// A forgotten host's index is reused for another host while the task of its health checks is still scheduled: only
-// the new host's task continues.
+// A forgotten host's index is reused for another host while the health check task of the old host is still scheduled:
+// only the new host's task continues.
 func TestForgottenHostIsNotChecked(t *testing.T) {
 	h := newHarnessWithRemovedHost(t)
 	if !h.ForgetHost(1) {
--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// One host stops answering: health checks and reports without a success prove it; it comes back on the recovery ramp.
+// A host stops answering: it is ejected after unanswered health checks and reports without a success, and returns on
+// the recovery ramp.
 func TestUnresponsiveHost(t *testing.T) {
 	h := newHarness(defaultSettings(), 6)
 	reports := uniformReports(6, healthyReport)
@@ -12,7 +13,7 @@
 	h.runWithHealthChecks(6000, reports, onlyHost(3, TimedOut))
 	h.tracef("host 3 answers again")
 	h.runWithHealthChecks(8000, reports, allHosts(Healthy))
-	h.check(t)
+	h.checkTrace(t)
 }
 
 // A busy host leaves health checks unanswered, but its attempts succeed: it is not ejected.
@@ -20,17 +21,18 @@
 	h := newHarness(defaultSettings(), 6)
 	reports := uniformReports(6, healthyReport)
 	h.runWithHealthChecks(8000, reports, onlyHost(3, TimedOut))
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// All become unresponsive at once: an overload or a partition of the controller's own, and the tables stay.
+// All hosts become unresponsive at once, by overload or because the controller itself is cut off: the tables stay.
 func TestAllHostsUnresponsive(t *testing.T) {
 	h := newHarness(defaultSettings(), 6)
 	h.runWithHealthChecks(8000, map[int]hostReport{}, allHosts(TimedOut))
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// One whole zone becomes unresponsive while the other answers: a network partition or a lost zone, ejected as one.
+// A zone becomes unreachable from the controller, but attempts at its hosts still succeed: no host is ejected, and the
+// weight that the first suspect host lost is restored once several hosts are suspect.
 func TestZonePartition(t *testing.T) {
 	h := newHarness(defaultSettings(), 6)
 	reports := uniformReports(6, healthyReport)
@@ -42,10 +44,11 @@
 		}
 		return Healthy
 	})
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// Hosts found unreachable one after the other are ejected, but never the last warm one.
+// Unreachable hosts are ejected only while minServingShare of the base weight stays in service: here one of three
+// hosts.
 func TestLastWarmHostNotEjected(t *testing.T) {
 	h := newHarness(defaultSettings(), 3)
 	reports := uniformReports(3, healthyReport)
@@ -54,11 +57,11 @@
 	results := []HealthCheckResult{Unreachable, Healthy, Unreachable}
 	h.runWithHealthChecks(3000, nil, func(host int) HealthCheckResult { return results[host] })
 	h.runWithHealthChecks(3000, nil, allHosts(Unreachable))
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// The ordinary messages of the window are used up when the last host that the tables hold drains: the host that is to
-// take its place goes out in the same message, so that no proxy is without hosts until the window moves on.
+// The message window has no room for ordinary updates when the only host in the tables drains: the recovering host that
+// replaces it is published in the same message, so that no proxy is left without hosts.
 func TestRecoveryPublishedWithRemoval(t *testing.T) {
 	set := defaultSettings()
 	set.channel.MaxMessages = 20
@@ -75,11 +78,11 @@
 	h.ObserveEndpoint(0, 0, Draining, 1, 0)
 	h.hosts[1].health.consecutiveSuccesses = 2
 	h.run(400, nil)
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// A zone of busy hosts leaves its health checks unanswered while the one host of the other zone has just started: that
-// is no partition, the busy hosts stay in, and the one that is warming up does not get what they cannot take.
+// The busy hosts of a zone leave health checks unanswered while the only host of the other zone has just started. That
+// shows no partition: the busy hosts are not ejected, and the host that is warming up does not get their load.
 func TestWarmingHostProvesNoPartition(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.ProxyEjectAfter = 3
@@ -93,5 +96,5 @@
 	h.runWithHealthChecks(5000, failing, allHosts(TimedOut))
 	h.restartHost(1, 1)
 	h.runWithHealthChecks(1000, failing, allHosts(TimedOut))
-	h.check(t)
+	h.checkTrace(t)
 }
--- a/routing/publish_test.go
+++ b/routing/publish_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A change that does not fit the channel at once goes in pieces, removals first.
+// On a channel with a small backlog limit, tables are assigned to a few proxies at a time, and removals are published
+// before a larger weight, which waits.
 func TestUpdatesInPieces(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.Proxies = 8
@@ -20,10 +21,11 @@
 		h.clockMs += stepMs
 		h.round()
 	}
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// A proxy that was sent all the messages it may get waits, whatever the others were sent.
+// One proxy was sent as many messages as the window allows: an update for all proxies waits until the window has moved
+// on.
 func TestMessageLimit(t *testing.T) {
 	set := defaultSettings()
 	set.channel.MaxMessages = 20
@@ -36,5 +38,5 @@
 	h.run(400, nil)
 	h.tracef("the first messages leave the message window")
 	h.run(11000, nil)
-	h.check(t)
+	h.checkTrace(t)
 }
--- a/routing/rebalance_test.go
+++ b/routing/rebalance_test.go
@@ -25,7 +25,7 @@
 	for i := range h.hosts {
 		h.tracef("host %d weight %.4f", i, h.hosts[i].balance.weight)
 	}
-	h.check(t)
+	h.checkTrace(t)
 }
 
 // The slow host 0 transfers weight to hosts of its own zone first, and its weight relaxes after it is fast again.
@@ -38,7 +38,7 @@
 	h.tracef("host 0 is healthy again")
 	reports[0] = healthyReport
 	h.run(30000, reports)
-	h.check(t)
+	h.checkTrace(t)
 }
 
 // A host whose attempts mostly fail, although its health checks are answered, loses weight at once and gets it back as
@@ -52,7 +52,7 @@
 	h.tracef("host 2 is healthy again")
 	reports[2] = healthyReport
 	h.runWithHealthChecks(4000, reports, allHosts(Healthy))
-	h.check(t)
+	h.checkTrace(t)
 }
 
 // Calculated by hand, with K = 3.745/s as in TestDeadlineCapacity: at 10/s and 200 ms, mu is 15 and the capacity
--- a/routing/report_test.go
+++ b/routing/report_test.go
@@ -28,5 +28,5 @@
 			t.Errorf("host %d has weight %v, want a finite weight of 0 or more", host, weight)
 		}
 	}
-	h.check(t)
+	h.checkTrace(t)
 }
--- a/routing/retrystorm_test.go
+++ b/routing/retrystorm_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Every host fails nearly every attempt and no admission quota is heeded: all proxies go to one host, and come back to
-// the shared table together. The one that stays in is never ejected meanwhile, so no proxy is left without hosts.
+// Every host fails nearly every attempt, and proxies ignore admission quotas: all proxies are sent to one host, and
+// return to the shared table together. That host is not ejected meanwhile, so no proxy is left without hosts.
 func TestRetryStorm(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.AdmissionControl = false
@@ -14,5 +14,5 @@
 	h.runWithHealthChecks(7000, failing, allHosts(TimedOut))
 	h.tracef("the retry storm is over")
 	h.runWithHealthChecks(6000, uniformReports(4, healthyReport), allHosts(Healthy))
-	h.check(t)
+	h.checkTrace(t)
 }
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A host that restarts gets the least share that it can surely bear, and more only as it warms up.
+// A host that restarts gets no traffic until reports show the first weights, and then a weight that grows as it warms
+// up.
 func TestSlowStart(t *testing.T) {
 	h := newHarness(defaultSettings(), 3)
 	reports := uniformReports(3, healthyReport)
@@ -10,17 +11,17 @@
 	h.restartHost(2, 0)
 	h.round()
 	h.run(12000, reports)
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// restartHost records that a host started a moment ago.
+// restartHost records that a host started 100 ms ago.
 func (h *harness) restartHost(host, zone int) {
 	h.ObserveDelta()
 	h.ObserveEndpoint(host, zone, Ready, 1, h.clockMs-100)
 }
 
-// Where proxies eject hosts by themselves, a host that is warming up gets nothing in a fleet that rejects most
-// attempts.
+// Where proxies eject hosts by themselves, a host that is warming up gets no traffic in a fleet that fails most
+// attempts: the proxies could eject all other hosts.
 func TestSlowStartInRejectingFleet(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.ProxyEjectAfter = 3
@@ -30,10 +31,10 @@
 	h.restartHost(2, 0)
 	h.round()
 	h.run(3000, rejecting)
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// Nearly all hosts restart at once: their updates go out before all others, in pieces, what has waited longest first.
+// Most hosts restart at once on a slow channel: the slow-start cuts of all of them are published in the next round.
 func TestManyHostsRestart(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.Proxies = 4
@@ -47,20 +48,20 @@
 		h.restartHost(host, host%2)
 	}
 	h.run(200, nil)
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// A controller that has just started hears of a host that is warming up before it has any reports: the host waits for
-// them.
+// A controller that has just started discovers a host that is warming up before it has reports: the host gets no
+// traffic until reports show the effect of the first weights.
 func TestSlowStartBeforeReports(t *testing.T) {
 	h := newHarness(defaultSettings(), 3)
 	h.restartHost(2, 0)
 	h.run(1400, nil)
 	h.run(6000, uniformReports(3, healthyReport))
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// All hosts restart at once: none gets traffic until together they can bear that of the fleet.
+// All hosts restart at once: none gets traffic until together they can take that of the whole fleet.
 func TestAllHostsWarmingUp(t *testing.T) {
 	h := newHarness(defaultSettings(), 2)
 	reports := uniformReports(2, healthyReport)
@@ -68,10 +69,10 @@
 	h.restartHost(0, 0)
 	h.restartHost(1, 1)
 	h.run(5000, reports)
-	h.check(t)
+	h.checkTrace(t)
 }
 
-// A fleet is replaced host by host under new ids: what is gone must not reduce what a host that is warming up gets.
+// A fleet is replaced host by host: hosts that are gone must not reduce the weight of a host that is warming up.
 func TestFleetReplaced(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.HealthChecks = false
@@ -91,5 +92,5 @@
 		reports[replacement] = busy
 		h.run(12000, reports)
 	}
-	h.check(t)
+	h.checkTrace(t)
 }
--- a/routing/subsetmode_test.go
+++ b/routing/subsetmode_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Idle hosts that answer health checks fail attempts everywhere: connections are short, so proxies get subsets. The
-// shared table comes back by trial.
+// All hosts fail attempts although they answer health checks and report idle cores, which shows connection pressure:
+// proxies get subsets, and return to the shared table when subset mode ends.
 func TestConnectionPressure(t *testing.T) {
 	h := newHarness(defaultSettings(), 10)
 	h.runWithHealthChecks(4000, uniformReports(10, healthyReport), allHosts(Healthy))
@@ -13,5 +13,5 @@
 	failing := uniformReports(10, hostReport{attempts: 20, failures: 12, latencyMs: 300})
 	h.runWithHealthChecks(4000, failing, allHosts(Healthy))
 	h.runWithHealthChecks(32000, uniformReports(10, healthyReport), allHosts(Healthy))
-	h.check(t)
+	h.checkTrace(t)
 }
--- a/routing/updatebatch_test.go
+++ b/routing/updatebatch_test.go
@@ -10,12 +10,12 @@
 		proxies int
 		want    bool
 	}{
-		{"just", updateBatch{backlog: 20, messageOverhead: 5, assigned: 5}, 5, true},
+		{"just fits", updateBatch{backlog: 20, messageOverhead: 5, assigned: 5}, 5, true},
 		{"overhead too large", updateBatch{backlog: 21, messageOverhead: 5, assigned: 5}, 5, false},
-		{"overhead paid already", updateBatch{backlog: 45, messageOverhead: 5, assigned: 5, proxies: 5}, 5, true},
+		{"overhead already counted", updateBatch{backlog: 45, messageOverhead: 5, assigned: 5, proxies: 5}, 5, true},
 		{"too much unacknowledged", updateBatch{backlog: 10, unacknowledged: 91, assigned: 5}, 5, false},
 		{"too many messages", updateBatch{assigned: 5, mostMessages: 9}, 5, false},
-		{"messages go anyway", updateBatch{assigned: 5, proxies: 5, mostMessages: 9}, 5, true},
+		{"messages are sent anyway", updateBatch{assigned: 5, proxies: 5, mostMessages: 9}, 5, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.batch.channel = channel
