--- a/routing/admission.go
+++ b/routing/admission.go
@@ -21,8 +21,8 @@
 	// overloadLatencyShare is the fraction of the latency objective that the mean latency exceeds in an overload.
 	overloadLatencyShare = 0.4
 
-	// improvedSuccessRatio is the rise of the success ratio that shows that the last step down is still taking effect.
-	improvedSuccessRatio = 0.05
+	// successRatioImprovement is the rise of the success ratio that shows that the last step down is still taking effect.
+	successRatioImprovement = 0.05
 
 	// minAdmissionRatio is the fraction of the requests of any class that is always admitted.
 	minAdmissionRatio = 0.1
@@ -148,7 +148,7 @@
 func (b *Balancer) nextAdmissionRatio(load fleetLoad) float64 {
 	ratio := b.admission.ratio
 	successRatio := b.fleet.successRatio
-	improving := ratio < 1 && successRatio > b.admission.previousSuccessRatio+improvedSuccessRatio
+	improving := ratio < 1 && successRatio > b.admission.previousSuccessRatio+successRatioImprovement
 	failing := successRatio < overloadSuccessRatio ||
 		load.meanLatencyMs > overloadLatencyShare*load.latencyObjectiveMs
 	if load.utilization > overloadUtilization && failing && !improving {
--- a/routing/balancer.go
+++ b/routing/balancer.go
@@ -3,9 +3,9 @@
 // roundIntervalMs is the time between rounds of periodic work.
 const roundIntervalMs = 200.0
 
-// reportRoundSlack is the fraction of the report interval after which a report round may follow the last one: reports
-// that arrive a little early must not wait for another round.
-const reportRoundSlack = 0.9
+// minReportRoundRatio is the fraction of the report interval that must pass between two report rounds. It is below 1,
+// since reports that arrive a little early must not wait for another round.
+const minReportRoundRatio = 0.9
 
 // observableSettlings is the number of settling times after the first round until reports are assumed to show this
 // instance's own first weights.
@@ -88,7 +88,7 @@
 	if nowMs >= b.nextRoundAtMs {
 		b.nextRoundAtMs = nowMs + roundIntervalMs
 		writer.ScheduleRound(b.nextRoundAtMs)
-		if b.reports.pending && nowMs-b.reports.lastAtMs >= b.deployment.ReportIntervalMs*reportRoundSlack {
+		if b.reports.pending && nowMs-b.reports.lastAtMs >= b.deployment.ReportIntervalMs*minReportRoundRatio {
 			b.processReports(writer)
 		}
 	}
--- a/routing/healthcheck.go
+++ b/routing/healthcheck.go
@@ -13,8 +13,8 @@
 	// checkRetryMs is the time after which a host that left a health check unanswered is checked again.
 	checkRetryMs = 300.0
 
-	// firstCheckWithinMs bounds the jitter of a host's first health check.
-	firstCheckWithinMs = 1000.0
+	// maxFirstCheckDelayMs bounds the jitter of a host's first health check.
+	maxFirstCheckDelayMs = 1000.0
 
 	// maxSuspicion bounds a host's suspicion, the number of unanswered health checks that count against it. An
 	// answered health check lowers the suspicion by suspicionRecovery.
@@ -42,11 +42,11 @@
 }
 
 // scheduleHealthChecks schedules the health check task of each newly discovered host, after a random delay up to
-// firstCheckWithinMs.
+// maxFirstCheckDelayMs.
 func (b *Balancer) scheduleHealthChecks() {
 	for _, index := range b.hostOrder[b.checks.scheduledHosts:] {
 		incarnation := b.hosts[index].incarnation
-		b.schedule(b.random.next()*firstCheckWithinMs, func(writer UpdateWriter) {
+		b.schedule(b.random.next()*maxFirstCheckDelayMs, func(writer UpdateWriter) {
 			b.runHealthCheck(writer, index, incarnation)
 		})
 	}
--- a/routing/observation.go
+++ b/routing/observation.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// queueUtilization is the assumed utilization of a host that reports no utilization and an empty queue.
-const queueUtilization = 0.5
+// emptyQueueUtilization is the assumed utilization of a host that reports no utilization and an empty queue.
+const emptyQueueUtilization = 0.5
 
 // HostState is the state of a host on the endpoint list.
 type HostState int
@@ -41,7 +41,7 @@
 // is below 0 where neither was reported.
 func (l HostLoad) effectiveUtilization() float64 {
 	if l.Utilization < 0 && l.QueueLength >= 0 {
-		return math.Min(1, queueUtilization+l.QueueLength)
+		return math.Min(1, emptyQueueUtilization+l.QueueLength)
 	}
 	return l.Utilization
 }
--- a/routing/report.go
+++ b/routing/report.go
@@ -25,9 +25,9 @@
 	// higher one. A lower one replaces it at once.
 	successRatioSmoothing = 0.5
 
-	// loadReportTrust is the least credible request rate in a host's load report, as a fraction of the arrival rate
+	// minReportedRateRatio is the least credible request rate in a host's load report, as a fraction of the arrival rate
 	// that the proxies measured. A lower reported rate is rejected and replaced by this bound.
-	loadReportTrust = 0.5
+	minReportedRateRatio = 0.5
 
 	// settlingCycles is the number of report cycles, in addition to the propagation delay, until a new weight shows
 	// in reports.
@@ -185,7 +185,7 @@
 }
 
 // estimateHost derives a host's arrival rate and mean latency from its window. The arrival rate is the one that the
-// host reports, but at least loadReportTrust of the measured one, or else the rate that this instance's proxies
+// host reports, but at least minReportedRateRatio of the measured one, or else the rate that this instance's proxies
 // measured, divided by their share of all proxies. A failed attempt counts as one that took the latency d of the
 // capacity formula, so that errors never look like headroom; it does not count in the fleet's median.
 func (b *Balancer) estimateHost(host *hostRecord, connectedShare float64) {
@@ -194,6 +194,6 @@
 	host.stats.meanLatencyMs = (window.latencyMs + priorMs) / (host.stats.attempts() + priorSamples)
 	host.stats.arrivalRate = host.stats.attempts() / window.spanMs * msPerSecond / connectedShare
 	if host.load.RequestRate >= 0 {
-		host.stats.arrivalRate = math.Max(host.load.RequestRate, host.stats.arrivalRate*loadReportTrust)
+		host.stats.arrivalRate = math.Max(host.load.RequestRate, host.stats.arrivalRate*minReportedRateRatio)
 	}
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -7,9 +7,9 @@
 	// must be able to take together before they get traffic in a fleet without a warm host.
 	slowStartOnlyMargin = 2.0
 
-	// slowStartBudgetShare is the load that a host that is warming up may get, as a fraction of the load at which it
+	// slowStartLoadShare is the load that a host that is warming up may get, as a fraction of the load at which it
 	// collapses: the host may be half as fast as its base weight suggests.
-	slowStartBudgetShare = 0.25
+	slowStartLoadShare = 0.25
 
 	// maxEjectProbability is the probability of ProxyEjectAfter failures in a row above which hosts that are warming
 	// up get no traffic. Where proxies eject hosts by themselves, they would eject most hosts of a failing fleet and
@@ -50,8 +50,8 @@
 // fleet fails attempts or its warm hosts are published with less than their capacity, so that all proxies together
 // stay below the load at which such a host collapses.
 func (b *Balancer) slowStartLoadFactor() float64 {
-	budget := math.Min(1, b.limits.CollapseMultiple*slowStartBudgetShare)
-	return b.fleet.successRatio * b.slowStart.share * budget
+	loadShare := math.Min(1, b.limits.CollapseMultiple*slowStartLoadShare)
+	return b.fleet.successRatio * b.slowStart.share * loadShare
 }
 
 // updateSlowStart decides whether hosts that are warming up may get traffic, and updates the share in
--- a/routing/updatebatch.go
+++ b/routing/updatebatch.go
@@ -11,7 +11,7 @@
 	backlog         float64   // entries in the channel with the batch
 	unacknowledged  float64   // unacknowledged entries before the batch
 	assigned        int       // number of proxies that have a table
-	mostMessages    int       // messages sent within the message window to the proxy that was sent most
+	maxMessagesSent int       // messages sent within the message window to the proxy that was sent most
 }
 
 // newUpdateBatch starts the batch of a round.
@@ -28,7 +28,7 @@
 		backlog:         inChannel,
 		unacknowledged:  b.backlog.unacknowledged,
 		assigned:        assignments.assigned,
-		mostMessages:    assignments.mostMessages,
+		maxMessagesSent: assignments.maxMessagesSent,
 	}
 }
 
@@ -52,7 +52,7 @@
 	if backlog > fill*limit || backlog+u.unacknowledged-u.initialBacklog > removalFill*limit {
 		return false
 	}
-	return u.proxies >= u.assigned || u.channel.allowsMessage(u.mostMessages, fill)
+	return u.proxies >= u.assigned || u.channel.allowsMessage(u.maxMessagesSent, fill)
 }
 
 // sendBatch stamps the round's updates with their version, and counts each proxy's message as unacknowledged.
--- a/routing/updatebatch_test.go
+++ b/routing/updatebatch_test.go
@@ -14,8 +14,8 @@
 		{"overhead too large", updateBatch{backlog: 21, messageOverhead: 5, assigned: 5}, 5, false},
 		{"overhead already counted", updateBatch{backlog: 45, messageOverhead: 5, assigned: 5, proxies: 5}, 5, true},
 		{"too much unacknowledged", updateBatch{backlog: 10, unacknowledged: 91, assigned: 5}, 5, false},
-		{"too many messages", updateBatch{assigned: 5, mostMessages: 9}, 5, false},
-		{"messages are sent anyway", updateBatch{assigned: 5, proxies: 5, mostMessages: 9}, 5, true},
+		{"too many messages", updateBatch{assigned: 5, maxMessagesSent: 9}, 5, false},
+		{"messages are sent anyway", updateBatch{assigned: 5, proxies: 5, maxMessagesSent: 9}, 5, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.batch.channel = channel
