--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -33,11 +33,11 @@
 
 // A zone becomes unreachable from the controller, but attempts at its hosts still succeed: no host is ejected, and the
 // weight that the first suspect host lost is restored once several hosts are suspect.
-func TestZonePartition(t *testing.T) {
+func TestUnreachableZoneNotEjected(t *testing.T) {
 	h := newHarness(defaultSettings(), 6)
 	reports := uniformReports(6, healthyReport)
 	h.runWithHealthChecks(3000, reports, allHosts(Healthy))
-	h.tracef("zone 1 is partitioned")
+	h.tracef("zone 1 becomes unreachable from the controller")
 	h.runWithHealthChecks(4000, reports, func(host int) HealthCheckResult {
 		if host%2 == 1 {
 			return TimedOut
@@ -49,7 +49,7 @@
 
 // Unreachable hosts are ejected only while minServingShare of the base weight stays in service: here one of three
 // hosts.
-func TestLastWarmHostNotEjected(t *testing.T) {
+func TestMinServingShare(t *testing.T) {
 	h := newHarness(defaultSettings(), 3)
 	reports := uniformReports(3, healthyReport)
 	h.runWithHealthChecks(3000, reports, allHosts(Healthy))
--- a/routing/publish_test.go
+++ b/routing/publish_test.go
@@ -4,7 +4,7 @@
 
 // On a channel with a small backlog limit, tables are assigned to a few proxies at a time, and removals are published
 // before a larger weight, which waits.
-func TestUpdatesInPieces(t *testing.T) {
+func TestRemovalsBeforeWeights(t *testing.T) {
 	set := defaultSettings()
 	set.deployment.Proxies = 8
 	set.channel.EntriesPerSecond = 400
