--- a/internal/platform/simadapter_equivalence_test.go
+++ b/internal/platform/simadapter_equivalence_test.go
@@ -44,8 +44,10 @@
 func (o simadapterOutput) ScheduleRound(atMs float64) {
 	o.wire.After(0, int64(atMs*microsecondsPerMs), 1)
 }
-func (o simadapterOutput) WatchEndpoints()         { o.wire.Subscribe(0) }
-func (o simadapterOutput) Log(event routing.Event) { o.wire.Remark(0, event.Text(routing.FormatHostIndex)) }
+func (o simadapterOutput) WatchEndpoints() { o.wire.Subscribe(0) }
+func (o simadapterOutput) Log(event routing.Event) {
+	o.wire.Remark(0, event.Text(routing.FormatHostIndex))
+}
 
 // equivalenceRun gives a node and the input of the adapter the same events, round by round.
 type equivalenceRun struct {
