--- a/routing/admission.go
+++ b/routing/admission.go
@@ -21,8 +21,8 @@
 	// overloadLatencyShare is the fraction of the latency objective that the mean latency exceeds in an overload.
 	overloadLatencyShare = 0.4
 
-	// improvedSuccessRatio is the rise of the success ratio that shows that the last step down still works.
-	improvedSuccessRatio = 0.05
+	// successRatioImprovement is the rise of the success ratio that shows that the last step down is still taking effect.
+	successRatioImprovement = 0.05
 
 	// minAdmissionRatio is the fraction of the requests of any class that is always admitted.
 	minAdmissionRatio = 0.1
@@ -37,8 +37,8 @@
 // admissionState is the state of admission control.
 type admissionState struct {
 	ratio                float64   // the fraction of all requests to admit
-	cooldownUntilMs      float64   // the ratio stays until then
-	previousSuccessRatio float64   // the fleet's success ratio when the ratio was last looked at
+	cooldownUntilMs      float64   // no change of the ratio before this instant
+	previousSuccessRatio float64   // the fleet's success ratio when the admission ratio was last evaluated
 	classDemand          []float64 // requests received, by class, decaying by windowDecay
 	quotas               []float64 // the fraction of each class's requests to admit
 	publishedQuotas      []float64
@@ -118,7 +118,7 @@
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
 		hostUtilization := host.load.effectiveUtilization()
-		if b.participates(host) && hostUtilization >= 0 {
+		if b.isRebalanced(host) && hostUtilization >= 0 {
 			weightedUtilization += hostUtilization * host.stats.recentAttempts()
 			attempts += host.stats.recentAttempts()
 		}
@@ -144,11 +144,11 @@
 }
 
 // nextAdmissionRatio returns the admission ratio after one step down, one step up or none. It makes no second step
-// down while the success ratio shows that the last one works.
+// down while the success ratio shows that the last one is taking effect.
 func (b *Balancer) nextAdmissionRatio(load fleetLoad) float64 {
 	ratio := b.admission.ratio
 	successRatio := b.fleet.successRatio
-	improving := ratio < 1 && successRatio > b.admission.previousSuccessRatio+improvedSuccessRatio
+	improving := ratio < 1 && successRatio > b.admission.previousSuccessRatio+successRatioImprovement
 	failing := successRatio < overloadSuccessRatio ||
 		load.meanLatencyMs > overloadLatencyShare*load.latencyObjectiveMs
 	if load.utilization > overloadUtilization && failing && !improving {
@@ -187,9 +187,9 @@
 	})
 	lowest := loads[0]
 	objective := b.objective
-	costInTurn := (objective.TotalWeight*lowest.value/totalValue + objective.WorstClassWeight) * totalWork / lowest.work
-	costAlike := objective.TotalWeight + objective.WorstClassWeight
-	if costInTurn >= costAlike {
+	costInOrder := (objective.TotalWeight*lowest.value/totalValue + objective.WorstClassWeight) * totalWork / lowest.work
+	costUniform := objective.TotalWeight + objective.WorstClassWeight
+	if costInOrder >= costUniform {
 		for i := range b.admission.quotas {
 			b.admission.quotas[i] = b.admission.ratio
 		}
--- a/routing/controlchannel.go
+++ b/routing/controlchannel.go
@@ -7,9 +7,9 @@
 
 // The fractions of the control channel's limits up to which each kind of update may fill it, most urgent first.
 const (
-	removalFill    = 0.95 // removals of draining and removed hosts, and cuts of hosts that have just started
-	protectiveFill = 0.55 // ejections, what protects hosts that are warming up, subset tables, admission quotas
-	weightFill     = 0.45 // weights
+	removalFill    = 0.95 // removals of draining and removed hosts, and slow-start cuts of hosts that have just started
+	protectiveFill = 0.55 // ejections, updates that protect hosts that are warming up, subset tables, quotas
+	weightFill     = 0.45 // ordinary weight updates
 	assignmentFill = 0.3  // shared tables for single proxies, which cost an entry for each host
 )
 
@@ -18,7 +18,7 @@
 	assumedThroughputRatio = 0.5
 
 	// minThroughputRatio is the fraction of its maximum throughput that the channel is assumed to reach at least. A
-	// message that stays unacknowledged for longer than that allows has left the channel nevertheless.
+	// message that stays unacknowledged for longer than a full channel needs at that throughput counts as sent.
 	minThroughputRatio = 0.1
 
 	// assignmentGraceShare is the fraction of the drain grace within which proxies that have connected must have a
@@ -67,17 +67,17 @@
 	return c.PropagationDelayMs + c.MaxBacklog/(c.EntriesPerSecond*minThroughputRatio)*msPerSecond
 }
 
-// exceedsDrainGrace reports whether sending the given number of entries takes too long for proxies that wait for a
+// exceedsAssignmentGrace reports whether sending the given number of entries takes too long for proxies that wait for a
 // table: more than assignmentGraceShare of the drain grace.
-func (b *Balancer) exceedsDrainGrace(entries float64) bool {
+func (b *Balancer) exceedsAssignmentGrace(entries float64) bool {
 	transitMs := entries / (b.channel.EntriesPerSecond * assumedThroughputRatio) * msPerSecond
 	return transitMs > b.limits.DrainGraceMs*assignmentGraceShare
 }
 
-// refillChannel refills the update budget for the time since the last round, and decays the arriving entries. The
+// refillUpdateBudget refills the update budget for the time since the last round, and decays the arriving entries. The
 // budget is a token bucket, in entries, with a capacity of one second's throughput. It is refilled at the fraction of
 // the throughput at which the cost of updates stays within updateCostShare.
-func (b *Balancer) refillChannel() {
+func (b *Balancer) refillUpdateBudget() {
 	channel := &b.channel
 	passedMs := b.nowMs - b.publishing.lastAtMs
 	b.publishing.lastAtMs = b.nowMs
--- a/routing/event.go
+++ b/routing/event.go
@@ -14,7 +14,7 @@
 	WatchRetryScheduled EventKind = iota
 	// AdmissionRatioChanged: admission control sheds more or less load than before (adjustAdmission).
 	AdmissionRatioChanged
-	// RetryStormQuiesced: nearly all proxies are kept from sending, so that queues empty.
+	// RetryStormQuiesced: all proxies are sent to one host, so that the queues of the others drain.
 	RetryStormQuiesced
 	// HostEjected: a host is an outlier and gets no traffic (detectOutliers has the reasons).
 	HostEjected
@@ -83,8 +83,8 @@
 	return e.Kind.String() + ": " + strings.Join(figures, ", ")
 }
 
-// HostIndex formats a host index as its name, for Event.Text in programs that know no host names.
-func HostIndex(host int) string { return strconv.Itoa(host) }
+// FormatHostIndex returns a host index as text, for Event.Text in programs that know no host names.
+func FormatHostIndex(host int) string { return strconv.Itoa(host) }
 
 // indicator returns 1 for true and 0 for false, as a figure of an event.
 func indicator(yes bool) float64 {
--- a/routing/rebalance.go
+++ b/routing/rebalance.go
@@ -38,16 +38,16 @@
 	weight      float64
 }
 
-// participates reports whether a host takes part in rebalancing: it is ready, and neither ejected, recovering nor
+// isRebalanced reports whether a host takes part in rebalancing: it is ready, and neither ejected, recovering nor
 // warming up.
-func (b *Balancer) participates(host *hostRecord) bool {
+func (b *Balancer) isRebalanced(host *hostRecord) bool {
 	return host.endpoint.state == Ready && !host.outlier.ejected &&
 		b.recoveryFactor(host) >= 1 && b.slowStartFactor(host) >= 1
 }
 
 // rebalance transfers weight, by section 4.3 of the paper named in the package comment: min{overload, headroom,
-// sheddable rate} moves from the most overloaded host to the host with the most headroom, hosts of reused in each
-// round, too zone first. Where no host exceeds its capacity all weights relax toward their base weights.
+// sheddable rate} moves from the most overloaded host to the host with the most headroom, hosts of the same zone
+// first. Where no host exceeds its capacity all weights relax toward their base weights.
 func (b *Balancer) rebalance() {
 	candidates, overloaded, totals := b.transferCandidates()
 	sort.SliceStable(overloaded, func(i, j int) bool { return overloaded[i].overload > overloaded[j].overload })
@@ -64,7 +64,7 @@
 func (b *Balancer) transferCandidates() (candidates, overloaded []transferCandidate, totals fleetTotals) {
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
-		if !b.participates(host) {
+		if !b.isRebalanced(host) {
 			continue
 		}
 		totals.arrivalRate += host.stats.arrivalRate
@@ -107,9 +107,9 @@
 	}
 	senderZone := sender.host.endpoint.zone
 	sort.SliceStable(candidates, func(i, j int) bool {
-		near := candidates[i].host.endpoint.zone == senderZone
-		otherNear := candidates[j].host.endpoint.zone == senderZone
-		return near && !otherNear || near == otherNear && candidates[i].overload < candidates[j].overload
+		sameZone := candidates[i].host.endpoint.zone == senderZone
+		otherSameZone := candidates[j].host.endpoint.zone == senderZone
+		return sameZone && !otherSameZone || sameZone == otherSameZone && candidates[i].overload < candidates[j].overload
 	})
 	for i := range candidates {
 		receiver := &candidates[i]
--- a/routing/report.go
+++ b/routing/report.go
@@ -25,9 +25,9 @@
 	// higher one. A lower one replaces it at once.
 	successRatioSmoothing = 0.5
 
-	// loadReportTrust is the least credible request rate in a host's load report, as a fraction of the arrival rate
+	// minReportedRateRatio is the least credible request rate in a host's load report, as a fraction of the arrival rate
 	// that the proxies measured. A lower reported rate is rejected and replaced by this bound.
-	loadReportTrust = 0.5
+	minReportedRateRatio = 0.5
 
 	// settlingCycles is the number of report cycles, in addition to the propagation delay, until a new weight shows
 	// in reports.
@@ -98,7 +98,7 @@
 	if b.deployment.AdmissionControl {
 		b.adjustAdmission(writer)
 	} else {
-		b.relieveRetryStorm(writer)
+		b.mitigateRetryStorm(writer)
 	}
 }
 
@@ -138,7 +138,7 @@
 		}
 		host.stats.extendWindow(reported, windowKept, passedMs)
 		b.estimateHost(host, connectedShare)
-		if b.participates(host) && host.stats.window.successes >= priorSamples {
+		if b.isRebalanced(host) && host.stats.window.successes >= priorSamples {
 			latenciesMs = append(latenciesMs, host.stats.window.latencyMs/host.stats.window.successes)
 		}
 	}
@@ -162,7 +162,8 @@
 	reports.count = 0
 }
 
-// takePending moves what was reported since the last report round into the recent successes and failures.
+// takePending adds what was reported since the last report round to the recent successes and failures, and returns and
+// clears it.
 func (r *requestStats) takePending(recentKept, nowMs float64) requestSums {
 	reported := r.pending
 	r.pending = requestSums{}
@@ -184,7 +185,7 @@
 }
 
 // estimateHost derives a host's arrival rate and mean latency from its window. The arrival rate is the one that the
-// host reports, but at least loadReportTrust of the measured one, or else the rate that this instance's proxies
+// host reports, but at least minReportedRateRatio of the measured one, or else the rate that this instance's proxies
 // measured, divided by their share of all proxies. A failed attempt counts as one that took the latency d of the
 // capacity formula, so that errors never look like headroom; it does not count in the fleet's median.
 func (b *Balancer) estimateHost(host *hostRecord, connectedShare float64) {
@@ -193,6 +194,6 @@
 	host.stats.meanLatencyMs = (window.latencyMs + priorMs) / (host.stats.attempts() + priorSamples)
 	host.stats.arrivalRate = host.stats.attempts() / window.spanMs * msPerSecond / connectedShare
 	if host.load.RequestRate >= 0 {
-		host.stats.arrivalRate = math.Max(host.load.RequestRate, host.stats.arrivalRate*loadReportTrust)
+		host.stats.arrivalRate = math.Max(host.load.RequestRate, host.stats.arrivalRate*minReportedRateRatio)
 	}
 }
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -7,9 +7,9 @@
 	// must be able to take together before they get traffic in a fleet without a warm host.
 	slowStartOnlyMargin = 2.0
 
-	// slowStartBudgetShare is the fraction of the load at which a host that is warming up collapses that it may get:
-	// the host may be half as fast as its base weight suggests.
-	slowStartBudgetShare = 0.25
+	// slowStartLoadShare is the load that a host that is warming up may get, as a fraction of the load at which it
+	// collapses: the host may be half as fast as its base weight suggests.
+	slowStartLoadShare = 0.25
 
 	// maxEjectProbability is the probability of ProxyEjectAfter failures in a row above which hosts that are warming
 	// up get no traffic. Where proxies eject hosts by themselves, they would eject most hosts of a failing fleet and
@@ -35,8 +35,8 @@
 	anyWarm   bool    // some ready host is warm
 }
 
-// slowStartFactor returns the fraction of its capacity that a host surely has after its start. It rises linearly from
-// SlowStartInitialFactor to 1, within SlowStartMs of the start.
+// slowStartFactor returns the fraction of its capacity that a host is known to have after its start. It rises linearly
+// from SlowStartInitialFactor to 1, within SlowStartMs of the start.
 func (b *Balancer) slowStartFactor(host *hostRecord) float64 {
 	startedAtMs := host.endpoint.startedAtMs
 	if startedAtMs < 0 || b.nowMs >= startedAtMs+b.limits.SlowStartMs {
@@ -46,16 +46,16 @@
 	return initial + (1-initial)*math.Max(b.nowMs-startedAtMs, 0)/b.limits.SlowStartMs
 }
 
-// slowStartCaution returns a factor from 0 to 1 on the weight of hosts that are warming up. It is lower where the
+// slowStartLoadFactor returns a factor from 0 to 1 on the weight of hosts that are warming up. It is lower where the
 // fleet fails attempts or its warm hosts are published with less than their capacity, so that all proxies together
 // stay below the load at which such a host collapses.
-func (b *Balancer) slowStartCaution() float64 {
-	budget := math.Min(1, b.limits.CollapseMultiple*slowStartBudgetShare)
-	return b.fleet.successRatio * b.slowStart.share * budget
+func (b *Balancer) slowStartLoadFactor() float64 {
+	loadShare := math.Min(1, b.limits.CollapseMultiple*slowStartLoadShare)
+	return b.fleet.successRatio * b.slowStart.share * loadShare
 }
 
 // updateSlowStart decides whether hosts that are warming up may get traffic, and updates the share in
-// slowStartCaution. While a ready host is warm they get none until reports show the effect of this instance's own
+// slowStartLoadFactor. While a ready host is warm they get none until reports show the effect of this instance's own
 // first weights, nor while proxies that eject hosts by themselves may eject most of them and leave only a host that
 // has just started. Where no ready host is warm, those that are warming up get traffic once they can take all of it
 // together.
--- a/routing/updatebatch.go
+++ b/routing/updatebatch.go
@@ -11,7 +11,7 @@
 	backlog         float64   // entries in the channel with the batch
 	unacknowledged  float64   // unacknowledged entries before the batch
 	assigned        int       // number of proxies that have a table
-	mostMessages    int       // messages sent within the message window to the proxy that was sent most
+	maxMessagesSent int       // messages sent within the message window to the proxy that was sent most
 }
 
 // newUpdateBatch starts the batch of a round.
@@ -23,17 +23,17 @@
 		channel:         b.channel,
 		version:         b.publishing.version%maxVersion + 1,
 		costs:           b.publishing.costs,
-		messageOverhead: b.channel.MessageOverhead + 1 + float64(len(b.admission.quotas)), // 1: the version
+		messageOverhead: b.channel.MessageOverhead + 1 + float64(len(b.admission.quotas)), // 1: the version stamp
 		initialBacklog:  inChannel,
 		backlog:         inChannel,
 		unacknowledged:  b.backlog.unacknowledged,
 		assigned:        assignments.assigned,
-		mostMessages:    assignments.mostMessages,
+		maxMessagesSent: assignments.maxMessagesSent,
 	}
 }
 
-// account adds entries to a proxy's message, and the message overhead where it has none yet.
-func (u *updateBatch) account(proxy int, entries float64) {
+// addEntries adds entries to a proxy's message, and the message overhead where it has none yet.
+func (u *updateBatch) addEntries(proxy int, entries float64) {
 	if u.costs[proxy] == 0 {
 		u.proxies++
 		entries += u.messageOverhead
@@ -52,7 +52,7 @@
 	if backlog > fill*limit || backlog+u.unacknowledged-u.initialBacklog > removalFill*limit {
 		return false
 	}
-	return u.proxies >= u.assigned || u.channel.allowsMessage(u.mostMessages, fill)
+	return u.proxies >= u.assigned || u.channel.allowsMessage(u.maxMessagesSent, fill)
 }
 
 // sendBatch stamps the round's updates with their version, and counts each proxy's message as unacknowledged.
--- a/routing/weight.go
+++ b/routing/weight.go
@@ -6,7 +6,7 @@
 	// penaltyThreshold is the fraction of the fleet's success ratio below which a host loses weight for its failures.
 	penaltyThreshold = 0.8
 
-	// minSuccessPenalty is the least factor for failures: old failures still count for a while after their cause has
+	// minSuccessPenalty is the lowest factor for failures: old failures still count for a while after their cause has
 	// ended.
 	minSuccessPenalty = 0.5
 
@@ -22,12 +22,12 @@
 	idleUtilization = 0.6
 )
 
-// targetWeight returns the weight that the published tables should hold of a host, 0 for none. A host that is warming
-// up gets its weight times slowStartFactor and slowStartCaution, and none while slowStartState.allowed is false.
-// emptyTable says that its table would otherwise hold no warm host: ejections are then ignored, since a proxy must
-// not be left without hosts.
-func (b *Balancer) targetWeight(host *hostRecord, emptyTable bool) float64 {
-	if host.endpoint.state != Ready || host.outlier.ejected && !emptyTable {
+// targetWeight returns the weight that a host should have in the published tables, 0 for none. A host that is warming
+// up gets its weight times slowStartFactor and slowStartLoadFactor, and none while slowStartState.allowed is false.
+// ignoreEjection is set where its table would otherwise hold no warm host, since a proxy must not be left without
+// hosts.
+func (b *Balancer) targetWeight(host *hostRecord, ignoreEjection bool) float64 {
+	if host.endpoint.state != Ready || host.outlier.ejected && !ignoreEjection {
 		return 0
 	}
 	slowStart := b.slowStartFactor(host)
@@ -35,7 +35,7 @@
 		if !b.slowStart.allowed {
 			return 0
 		}
-		slowStart *= b.slowStartCaution()
+		slowStart *= b.slowStartLoadFactor()
 	}
 	penalty := math.Min(b.successPenalty(host), b.suspicionPenalty(host))
 	weight := math.Max(host.balance.weight, minWeightRatio*host.endpoint.baseWeight)
