--- a/controller/acks.go
+++ b/controller/acks.go
@@ -26,9 +26,9 @@
 func (c *Controller) newestTagged(session *proxySession, tags []string) int64 {
 	newest := int64(0)
 	for _, tag := range tags {
-		suffix, ours := strings.CutPrefix(tag, c.deployment.Incarnation+"-")
+		suffix, fromThisIncarnation := strings.CutPrefix(tag, c.deployment.Incarnation+"-")
 		number, err := strconv.ParseInt(suffix, 10, 64)
-		if ours && err == nil && number > newest && session.version(number) != nil {
+		if fromThisIncarnation && err == nil && number > newest && session.version(number) != nil {
 			newest = number
 		}
 		if inherited := session.versionByInheritedTag(tag); inherited != nil {
--- a/controller/channel.go
+++ b/controller/channel.go
@@ -81,8 +81,8 @@
 	c.queuedEntries -= message.entries + c.messageOverhead
 }
 
-// drop discards the messages to a proxy, the one in flight included.
-func (c *controlChannel) drop(session *proxySession) {
+// dropMessages discards the messages to a proxy, the one in flight included.
+func (c *controlChannel) dropMessages(session *proxySession) {
 	if message := session.queuedMessage; message != nil {
 		message.dropped = true
 		c.unqueue(message)
@@ -96,18 +96,18 @@
 // its order, and none beyond the limit of messages to its proxy.
 func (c *controlChannel) dequeue(nowMs float64) *updateMessage {
 	var message *updateMessage
-	message, c.removals = c.takeFrom(c.removals, nowMs, isQueued)
+	message, c.removals = c.dequeueFrom(c.removals, nowMs, isQueued)
 	if message != nil {
 		return message
 	}
-	message, c.updates = c.takeFrom(c.updates, nowMs, isQueuedUpdate)
+	message, c.updates = c.dequeueFrom(c.updates, nowMs, isQueuedUpdate)
 	return message
 }
 
-// takeFrom returns the first message of a queue that may be sent, and the rest of the queue without the messages that
-// are no longer valid in it.
-func (c *controlChannel) takeFrom(queue []*updateMessage, nowMs float64, valid func(*updateMessage) bool) (
-	taken *updateMessage, rest []*updateMessage) {
+// dequeueFrom returns the first message of a queue that may be sent, and the rest of the queue without the messages
+// that are no longer valid in it.
+func (c *controlChannel) dequeueFrom(queue []*updateMessage, nowMs float64, valid func(*updateMessage) bool) (
+	next *updateMessage, rest []*updateMessage) {
 	rest = queue[:0]
 	for i, message := range queue {
 		if !valid(message) {
--- a/controller/channel_test.go
+++ b/controller/channel_test.go
@@ -37,7 +37,7 @@
 	one.sentMs = append(one.sentMs, 0)
 	channel.enqueue(two, 1, false, 3)
 	h.printf("one has had two messages, as many as it may: %s goes", channel.dequeue(1).session.proxy)
-	channel.drop(two)
+	channel.dropMessages(two)
 	h.printf("two leaves: waiting %.0f in %d, next at %.0f", channel.backlog(), channel.queuedMessages(),
 		channel.nextMs())
 	h.printf("after a second: %s", channel.dequeue(1000).session.proxy)
--- a/controller/dryrun.go
+++ b/controller/dryrun.go
@@ -78,13 +78,13 @@
 // otherRoutes returns the routes of all zones and classes that the proposed tables do not change: the other load of the
 // hosts.
 func (c *Controller) otherRoutes(zone string, tables map[string]map[string]float64) []guard.Route {
-	present, _ := c.validationView()
+	current, _ := c.validationView()
 	replaced := func(demand guard.Demand) bool {
 		_, proposed := tables[demand.Class]
 		return proposed && (zone == "" || demand.Zone == zone)
 	}
 	var others []guard.Route
-	for _, route := range present.Routes {
+	for _, route := range current.Routes {
 		route.Demands = slices.DeleteFunc(slices.Clone(route.Demands), replaced)
 		if len(route.Demands) == 0 {
 			continue
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -258,8 +258,8 @@
 	}
 }
 
-// demandOf is a report of a second in which each class of defaultTestSettings got so many requests.
-func demandOf(sequence int64, arrivals int) ProxyStats {
+// demandStats is a report of a second in which each class of defaultTestSettings got so many requests.
+func demandStats(sequence int64, arrivals int) ProxyStats {
 	demand := ClassDemand{Arrivals: arrivals, WindowMs: 1000}
 	return ProxyStats{Sequence: sequence, Demand: map[string]ClassDemand{"sheet": demand, "finish": demand}}
 }
@@ -271,7 +271,7 @@
 		h.lastSequence++
 		for i, proxy := range []string{"p", "q"} {
 			h.pollAgain(PollRequest{Proxy: proxy, Zone: h.deployment.Zones[i], WaitMs: 900, AcceptDelta: true})
-			h.observeStats(proxy, demandOf(h.lastSequence, arrivals))
+			h.observeStats(proxy, demandStats(h.lastSequence, arrivals))
 		}
 		h.advance(1000)
 	}
--- a/controller/hostinfo.go
+++ b/controller/hostinfo.go
@@ -62,8 +62,8 @@
 	(*h)[host] = changes[max(len(changes)-maxWeightChanges, 0):]
 }
 
-// of returns the changes of a host, the newest last.
-func (h weightHistory) of(host int) []WeightChange {
+// forHost returns the weight changes of a host, the newest last.
+func (h weightHistory) forHost(host int) []WeightChange {
 	if host >= len(h) {
 		return nil
 	}
@@ -142,7 +142,7 @@
 			info.Ejected = explanation.Ejected
 			info.Weight = explanation.PublishedWeight
 		}
-		info.WeightChanges = c.weightChanges.of(index)
+		info.WeightChanges = c.weightChanges.forHost(index)
 	}
 	if report, ok := c.ingest.trust.Host(c.nowMs, host, c.hostCapacity(host)); ok {
 		info.Reports = &report
--- a/controller/ingest.go
+++ b/controller/ingest.go
@@ -28,7 +28,7 @@
 	queue      *intake.Queue
 	trust      *intake.Trust // plausibility of the hosts' load reports
 	pacer      intake.IngestPacer
-	taken      int64                      // reports processed so far
+	processed  int64                      // reports processed so far
 	queueWaits intake.LatencyDistribution // from the arrival of a report to the round that processed it
 	classRates []float64                  // recent mean request rate of a proxy, in requests per second, by class
 }
@@ -62,13 +62,13 @@
 	if !c.HasEndpoint(host) {
 		return false, ErrUnknownHost
 	}
-	asStats := ProxyStats{
+	stats := ProxyStats{
 		Sender:   report.Sender,
 		Sequence: report.Sequence,
 		SentAtMs: report.SentAtMs,
 		Hosts:    map[string]HostStats{host: {WindowMs: loadReportWindowMs, Load: report.Load}},
 	}
-	if err := c.checkStats(asStats); err != nil {
+	if err := c.checkStats(stats); err != nil {
 		return false, err
 	}
 	isNew, ageMs := c.ingest.trust.AcceptLoadReport(nowMs, host, report.Sender, report.Sequence, report.SentAtMs)
@@ -138,7 +138,7 @@
 	ingest := &c.ingest
 	maxReports := ingest.pacer.MaxReports(ingest.limits.MaxPerRound)
 	for _, report := range ingest.queue.Take(c.nowMs, maxReports) {
-		ingest.taken++
+		ingest.processed++
 		ingest.queueWaits.Add(c.nowMs, nil, c.nowMs-report.ReceivedMs, 1)
 		if report.IsDemand {
 			c.processDemand(&report)
@@ -228,7 +228,7 @@
 	report := IngestReport{
 		SheddingLevel: ingest.pacer.SheddingLevel(),
 		LatenessMs:    ingest.pacer.LatenessMs(),
-		Processed:     ingest.taken,
+		Processed:     ingest.processed,
 		WaitP50Ms:     waits.P50,
 		WaitP99Ms:     waits.P99,
 		Dropped:       ingest.queue.Dropped(),
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -111,7 +111,7 @@
 			arrivals := rapid.SampledFrom([]int{1, 10, 40}).Draw(r, "came")
 			for i, proxy := range []string{"p", "q"} {
 				h.pollAgain(PollRequest{Proxy: proxy, Zone: h.deployment.Zones[i], WaitMs: 900, AcceptDelta: true})
-				if _, err := h.ObserveProxyStats(h.nowMs, proxy, demandOf(int64(step+1), arrivals)); err != nil {
+				if _, err := h.ObserveProxyStats(h.nowMs, proxy, demandStats(int64(step+1), arrivals)); err != nil {
 					r.Fatal(err)
 				}
 			}
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -129,7 +129,7 @@
 	if session.pendingPoll != nil {
 		c.respond(session, session.pendingPoll)
 	}
-	c.channel.drop(session)
+	c.channel.dropMessages(session)
 	c.ingest.queue.Forget(session.proxy)
 	c.recordEvent(eventDisconnected, session.proxy)
 	c.balancer.DisconnectProxy(session.index)
--- a/controller/solver.go
+++ b/controller/solver.go
@@ -71,7 +71,7 @@
 	solved := capacityWeights(problem)
 	before := problem.Earn(uniformTables(problem, c.baseWeights()))
 	after := problem.Earn(uniformTables(problem, solved))
-	changed := c.changedWeights(solved)
+	changed := c.hostsWithChangedWeight(solved)
 	if after-before < math.Max(weights.minGain, c.updateCost(len(changed))) {
 		return
 	}
@@ -102,8 +102,8 @@
 	return channel.cost * entries / math.Max(channel.entriesPerMs*c.solver.intervalMs, minDivisor)
 }
 
-// changedWeights are the hosts, by name, whose weights have changed enough to be sent.
-func (c *Controller) changedWeights(solved map[string]float64) []string {
+// hostsWithChangedWeight returns the hosts, by name, whose weights have changed enough to be sent.
+func (c *Controller) hostsWithChangedWeight(solved map[string]float64) []string {
 	var hosts []string
 	for _, host := range slices.Sorted(maps.Keys(solved)) {
 		old := c.baseWeight(c.endpoints.effective[host])
--- a/controller/solver_problem.go
+++ b/controller/solver_problem.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// deadlineMeans is the deadline of a request in multiples of its mean latency, the same as the balancer assumes.
-	deadlineMeans = 3.2
+	// deadlineLatencyMultiple is the deadline of a request as a multiple of its mean latency, the same as the
+	// balancer assumes.
+	deadlineLatencyMultiple = 3.2
 
 	// minWorkMs replaces the mean work of a class for which none is known.
 	minWorkMs = 1e-3
@@ -41,7 +42,7 @@
 		Zones:    c.deployment.Zones,
 		Demand:   c.fleetDemand(),
 		Goal:     solver.Goal{Whole: 1},
-		Deadline: deadlineMeans,
+		Deadline: deadlineLatencyMultiple,
 		Proxies:  map[string]int{},
 	}
 	for _, session := range c.sessions.byIndex {
--- a/controller/tableset.go
+++ b/controller/tableset.go
@@ -40,14 +40,14 @@
 		}
 	}
 	c.tables.lastTableSetID++
-	made := &tableSet{id: c.tables.lastTableSetID, classes: make([]classTable, len(c.classes))}
+	created := &tableSet{id: c.tables.lastTableSetID, classes: make([]classTable, len(c.classes))}
 	for class, number := range session.tableByClass {
-		made.classes[class] = c.classTableOf(class, number)
+		created.classes[class] = c.classTableOf(class, number)
 	}
 	if shareable {
-		c.tables.table(session.tableByClass[0]).tableSet = made
+		c.tables.table(session.tableByClass[0]).tableSet = created
 	}
-	return made
+	return created
 }
 
 // classTableOf returns the content of a class that uses a table, or that has none if number is noTable.
--- a/controller/validation.go
+++ b/controller/validation.go
@@ -143,12 +143,12 @@
 // recordFindings records an event for each finding that the previous validation did not have.
 func (c *Controller) recordFindings(findings []guard.Finding) {
 	report := &c.validation.report
-	standing := map[string]bool{}
+	previous := map[string]bool{}
 	for _, finding := range report.Findings {
-		standing[finding.Check+finding.Subject] = true
+		previous[finding.Check+finding.Subject] = true
 	}
 	for _, finding := range findings {
-		if !standing[finding.Check+finding.Subject] {
+		if !previous[finding.Check+finding.Subject] {
 			report.NewFindings[finding.Check]++
 			c.recordEvent(eventValidation, finding.String())
 		}
