--- a/state/restore.go
+++ b/state/restore.go
@@ -162,7 +162,7 @@
 	lifecycleKnown := d.restoreLifecycle(host, stored)
 	estimatesKnown := d.restoreEstimates(host, stored, ageMs)
 	failuresKnown := d.restoreFailures(host, stored, ageMs)
-	reportsKnown := d.restoreReportTrust(host, stored, ageMs)
+	reportsKnown := d.restoreReportConfidence(host, stored, ageMs)
 	return host, lifecycleKnown || estimatesKnown || failuresKnown || reportsKnown
 }
 
@@ -208,8 +208,9 @@
 	return true
 }
 
-// restoreReportTrust decays the confidence in a host's load reports toward 1. A stored 0 means that it was not known.
-func (d *decayer) restoreReportTrust(host *Host, stored *statepb.Host, ageMs float64) (known bool) {
+// restoreReportConfidence decays the confidence in a host's load reports toward 1. A stored 0 means that it was not
+// known.
+func (d *decayer) restoreReportConfidence(host *Host, stored *statepb.Host, ageMs float64) (known bool) {
 	confidence := d.limits.Reports.confidence(ageMs)
 	if !(confidence > 0 && stored.Trust > 0) { // also where the trust is NaN
 		return false
