--- a/controller/acks.go
+++ b/controller/acks.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// noStamp is used instead of a version stamp for a message that needs no acknowledgement.
+// noStamp stands in place of a version stamp for a message that needs no acknowledgement.
 const noStamp = 0
 
-// acknowledge records that the proxy has applied the newest version that the tags name, with all before it, and returns
-// its number, 0 if no tag names a version of the history. A tag of another incarnation that was not carried over, or of
-// a version that this proxy never got, acknowledges nothing.
+// acknowledge records that the proxy has applied the newest version that the tags name and all versions before it. It
+// returns the number of that version, 0 if no tag names a version of the history. A tag acknowledges nothing if it is
+// from another incarnation and was not carried over, or if it names a version that this proxy never received.
 //
-// The balancer is notified of each stamp at once: it counts the unacknowledged messages for each proxy separately, so
-// messages that are queued for other proxies do not matter.
+// The balancer is notified of each stamp at once. It counts the unacknowledged messages of each proxy separately, so
+// messages that are still queued for other proxies do not delay the notification.
 func (c *Controller) acknowledge(session *proxySession, tags []string) int64 {
 	newest := c.newestTagged(session, tags)
 	for _, stamp := range session.acknowledge(newest) {
@@ -38,8 +38,8 @@
 	return newest
 }
 
-// acknowledge records that the proxy has applied a version, with all before it, and returns their stamps in the order
-// in which they were sent. It returns each stamp only once.
+// acknowledge records that the proxy has applied a version and all versions before it, and returns their stamps in the
+// order in which they were sent. It returns each stamp only once.
 func (s *proxySession) acknowledge(number int64) []int {
 	if number <= s.ackedVersion {
 		return nil
--- a/controller/channel.go
+++ b/controller/channel.go
@@ -13,30 +13,30 @@
 // later updates are added.
 type controlChannel struct {
 	entriesPerMs    float64
-	messageOverhead float64 // of a message, in entries
-	cost            float64 // of using the whole rate all the time, as a ratio of the objective
-	maxMessages     int     // to a proxy within messageWindowMs; 0: no limit
+	messageOverhead float64 // entries that each message counts in addition to its own
+	cost            float64 // ratio of the objective that is lost while the channel is used at its whole rate
+	maxMessages     int     // limit of the messages to a proxy within messageWindowMs; 0: no limit
 	messageWindowMs float64
 	maxBacklog      float64 // in entries
 
 	removals, updates []*updateMessage // queues; a message stays in updates when a removal puts it into removals as well
-	inFlight          *updateMessage   // being sent; nil: none
-	busyUntilMs       float64          // when the message in flight is sent
-	queuedEntries     float64          // of queued messages, including their overhead
+	inFlight          *updateMessage   // message that is being sent; nil: none
+	busyUntilMs       float64          // time at which the message in flight is sent completely
+	queuedEntries     float64          // entries of the queued messages, including their overhead
 	peakBacklog       float64          // largest backlog so far, in entries
 }
 
-// Entries of a message in addition to those of the tables, as the balancer counts them.
+// Entries of a message in addition to those of its tables. The balancer counts them in the same way.
 const (
-	stampEntries      = 1 // the version stamp of a message
-	assignmentEntries = 1 // the assignment of a table
+	stampEntries      = 1 // for the version stamp of a message
+	assignmentEntries = 1 // for the assignment of a table
 )
 
 // updateMessage is a message to a proxy.
 type updateMessage struct {
 	session    *proxySession
 	entries    float64
-	stamps     []int // of the rounds whose updates the message contains
+	stamps     []int // version stamps of the rounds whose updates the message contains
 	hasRemoval bool
 	dropped    bool // the proxy has disconnected
 }
@@ -75,7 +75,8 @@
 	}
 }
 
-// unqueue removes a message that is to be sent or dropped from the backlog. From then on the queues skip it.
+// unqueue ends the queueing of a message that is about to be sent or dropped. The message may remain in the slices of
+// the queues, which skip it from then on.
 func (c *controlChannel) unqueue(message *updateMessage) {
 	message.session.queuedMessage = nil
 	c.queuedEntries -= message.entries + c.messageOverhead
@@ -163,7 +164,8 @@
 	return c.maxMessages == 0 || recent < c.maxMessages
 }
 
-// nextMs returns the time at which the message in flight is sent or, if there is none, the next one may be sent.
+// nextMs returns the time at which the message in flight is sent completely or, if there is none, the time at which
+// the next message may be sent.
 func (c *controlChannel) nextMs() float64 {
 	if c.inFlight != nil {
 		return c.busyUntilMs
@@ -208,7 +210,7 @@
 	return true
 }
 
-// finish removes and returns the message in flight if it is sent by nowMs, and returns nil otherwise.
+// finish removes and returns the message in flight if it is sent completely by nowMs, and returns nil otherwise.
 func (c *controlChannel) finish(nowMs float64) *updateMessage {
 	if c.inFlight == nil || c.busyUntilMs > nowMs {
 		return nil
@@ -221,8 +223,8 @@
 	return message
 }
 
-// sendUpdates publishes the messages that are sent by now. A message contains the tables of its proxy at the time when
-// it is sent, so a message that was queued for long has no outdated content.
+// sendUpdates publishes the messages that the channel has sent by now. A message contains the tables that its proxy has
+// when it is sent, so the content of a message that was queued for a long time is not outdated.
 func (c *Controller) sendUpdates() {
 	for {
 		if c.channel.inFlight == nil && !c.channel.startNext(c.nowMs) {
--- a/controller/config.go
+++ b/controller/config.go
@@ -23,19 +23,19 @@
 	AdmissionControl, HealthChecks, WatchesEndpoints bool
 }
 
-// Settings holds the settings of the library itself.
+// Settings configures rounds, polls, sessions and the retention of hosts and versions.
 type Settings struct {
 	MinRoundIntervalMs float64 // shortest time between two rounds of the balancer
 	MaxPollWaitMs      float64 // longest time for which a poll is pending
 	// MinFirstPollWaitMs is the shortest time for which the poll of a proxy without tables is pending, unless its first
 	// tables are published before.
 	MinFirstPollWaitMs     float64
-	SessionTimeoutMs       float64 // a proxy without a poll is disconnected after this time
-	RemovedHostRetentionMs float64 // a removed host is forgotten after this time
+	SessionTimeoutMs       float64 // time without a poll after which a proxy is disconnected
+	RemovedHostRetentionMs float64 // time after which a removed host is forgotten
 	VersionHistory         int     // versions of each proxy's tables that are retained as bases of deltas
 }
 
-// DefaultSettings returns the settings that apply where none are given.
+// DefaultSettings returns the settings that apply if none are given.
 func DefaultSettings() Settings {
 	return Settings{
 		MinRoundIntervalMs:     10,
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -6,10 +6,10 @@
 // The package owns the state of the proxies' sessions, the versions that they hold, the queue of updates to them, and
 // the endpoint list with the overrides of operators. It never does I/O, reads no clock and starts no goroutine, so the
 // same calls return the same results. A Controller is not safe for concurrent use: the daemon calls it under a mutex.
-// Only a Response may be encoded by any goroutine.
+// Only the methods of a Response may be called by any goroutine.
 //
-// Times are milliseconds with fractions, as float64, on one clock that never goes back; their names end in Ms. After
-// each call the caller asks NextMs when to call Advance.
+// Times are milliseconds with fractions, as float64, on one monotonic clock; their names end in Ms. After each call the
+// caller has to ask NextMs when to call Advance.
 package controller
 
 import (
@@ -50,7 +50,7 @@
 	endpoints  endpointList    // input: hosts
 	overrides  overrideState   // input: commands of operators
 	ingest     ingestState     // input: reports of proxies and hosts
-	solver     solverWeights   // base weights in place of the list's
+	solver     solverWeights   // base weights that replace those of the endpoint list
 	restored   restoredState   // state of an earlier incarnation
 	sessions   sessionStore    // connected proxies and their versions
 	tables     tableStore      // decided and published tables
--- a/controller/dryrun.go
+++ b/controller/dryrun.go
@@ -11,7 +11,7 @@
 // ValidationResult is the result of validating proposed tables.
 type ValidationResult struct {
 	Findings []guard.Finding `json:"findings"`
-	// Instead holds the repaired weights by class and host, if there are findings.
+	// Repaired holds the repaired weights by class and host; nil: there are no findings.
 	Repaired  map[string]map[string]float64 `json:"instead"`
 	Remaining []guard.Finding               `json:"left"` // in the repaired tables
 }
@@ -75,8 +75,8 @@
 	return route, nil
 }
 
-// otherRoutes returns the routes of all zones and classes that the proposed tables do not change: the other load of the
-// hosts.
+// otherRoutes returns the routes of all zones and classes that the proposed tables do not change. Their requests load
+// the same hosts.
 func (c *Controller) otherRoutes(zone string, tables map[string]map[string]float64) []guard.Route {
 	current, _ := c.validationView()
 	replaced := func(demand guard.Demand) bool {
--- a/controller/endpoint_check.go
+++ b/controller/endpoint_check.go
@@ -14,9 +14,9 @@
 const (
 	maxHosts      = 50000 // the balancer's indices and the tables grow with the list
 	maxBaseWeight = 1e6
-	maxCores      = 1e9  // also the bound of a core's speed
-	maxTimeMs     = 1e15 // of a time in ms, about 30000 years after 1970
-	maxHostLength = 255  // of address:port, in bytes
+	maxCores      = 1e9  // bound of the number of cores and of the speed of a core
+	maxTimeMs     = 1e15 // about 30000 years after 1970
+	maxHostLength = 255  // length of address:port in bytes
 )
 
 var dnsNamePattern = regexp.MustCompile(
--- a/controller/endpoint_loss.go
+++ b/controller/endpoint_loss.go
@@ -8,8 +8,8 @@
 	"barleysail/routing"
 )
 
-// holdsEndpoints reports whether a new endpoint list is held back, since it loses too many hosts at once, and stores
-// the list that is held back. It records an event when holding back begins and when it ends.
+// holdsEndpoints reports whether a new endpoint list is held back because it loses too many hosts at once. It stores
+// the list that is held back, and records an event when a hold begins and when it ends.
 func (c *Controller) holdsEndpoints(entries []Endpoint) bool {
 	validation := &c.validation
 	if !validation.enabled || !c.endpoints.known {
@@ -41,7 +41,7 @@
 type endpointLoss struct {
 	ready     int // ready hosts on the list in effect
 	lost      int // of these, hosts that are not ready on the new list
-	confirmed int // of the lost hosts, those that an operator took off or that fail their health checks
+	confirmed int // of the lost hosts, those with an override of an operator or with failed health checks
 }
 
 // endpointLoss returns what a new list loses.
@@ -67,7 +67,8 @@
 	return loss
 }
 
-// confirmsLoss reports whether the controller itself knows why a host was lost: by an override or failed health checks.
+// confirmsLoss reports whether the controller itself knows a reason for the loss of a host: an override or failed
+// health checks.
 func (c *Controller) confirmsLoss(host string) bool {
 	if override, ok := c.overrides.store.Override(host); ok && override.State != operator.Listed {
 		return true
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -29,13 +29,13 @@
 
 // endpointList holds the endpoint list in force, and the hosts that were removed from it.
 type endpointList struct {
-	received        []Endpoint          // as it was received
+	received        []Endpoint          // list as it was received
 	effective       map[string]Endpoint // with the overrides of operators, by host
 	drainingSinceMs map[string]float64  // by host
 	removed         []removedHost       // in the order in which they are to be forgotten
-	known           bool                // a list was received
-	watchFailed     bool                // the watch has failed since a list was last received
-	receivedMs      float64             // when a valid list was last received
+	known           bool                // whether a list was received
+	watchFailed     bool                // whether the watch has failed since a list was last received
+	receivedMs      float64             // time at which a valid list was last received
 }
 
 // removedHost is a host that is no longer listed, with the time at which it is to be forgotten.
@@ -59,10 +59,9 @@
 // SetEndpoints replaces the whole endpoint list. Hosts of the first list without a start time count as started long
 // ago; a host that is added later without one counts as started when it is added.
 //
-// A list with an invalid entry is a rejected list: the error is a *FieldError that names the field, and the list in
-// force stays. A valid list that loses too many ready hosts at once may be held back, see EnableValidation:
-// SetEndpoints then returns nil, records an event, and the list in force stays until the loss is confirmed or the hold
-// is over.
+// A list with an invalid entry is rejected: the error is a *FieldError that names the field, and the list in force
+// stays. A valid list that loses too many ready hosts at once may be held back, see EnableValidation: SetEndpoints then
+// returns nil and records an event, and the list in force stays until the loss is confirmed or the hold is over.
 func (c *Controller) SetEndpoints(nowMs float64, entries []Endpoint) error {
 	c.nowMs = nowMs
 	if err := c.checkEndpoints(entries); err != nil {
@@ -109,8 +108,8 @@
 	return ok
 }
 
-// EndpointsKnown reports whether an endpoint list was received yet. Until then the controller has learned nothing that
-// is worth persisting.
+// EndpointsKnown reports whether an endpoint list was received yet. Until then the controller has no state that is
+// worth persisting.
 func (c *Controller) EndpointsKnown() bool { return c.endpoints.known }
 
 // observeEndpoints passes the differences from the previous list to the balancer. A host that is no longer listed is
@@ -143,7 +142,7 @@
 	c.balancer.ObserveSnapshot(false)
 	c.observeEntries(sorted)
 	c.restoreHosts(sorted)
-	// Until now proxies were not sent their empty tables, see classTableOf.
+	// Proxies have not been sent their empty tables so far, see classTableOf.
 	for _, session := range c.sessions.byIndex {
 		if session != nil && len(session.versions) > 0 {
 			c.channel.enqueue(session, assignmentEntries, false, noStamp)
@@ -190,7 +189,7 @@
 	c.retainRemoved(host)
 }
 
-// retainRemoved schedules when a removed host is forgotten.
+// retainRemoved schedules the time at which a removed host is forgotten.
 func (c *Controller) retainRemoved(host string) {
 	forgetAtMs := c.nowMs + c.settings.RemovedHostRetentionMs
 	c.endpoints.removed = append(c.endpoints.removed, removedHost{host, forgetAtMs})
@@ -217,7 +216,7 @@
 	}
 }
 
-// observeDrain records since when a host is draining.
+// observeDrain records the time since which a host is draining.
 func (c *Controller) observeDrain(endpoint Endpoint) {
 	if endpoint.State != routing.Draining {
 		delete(c.endpoints.drainingSinceMs, endpoint.Host)
--- a/controller/errors.go
+++ b/controller/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// FieldError is the error of an input with an invalid field. No part of the input was applied.
+// FieldError reports an invalid field of an input. No part of the input was applied.
 type FieldError struct{ Field, Reason string }
 
 // Error returns the field and the reason.
@@ -20,8 +20,8 @@
 	// ErrNotConnected is the error of request stats from a proxy without a session.
 	ErrNotConnected = errors.New("the proxy has not joined: it polls its tables first")
 
-	// ErrDuplicateProxy is the error of a poll that would replace a pending one too often: two proxies poll under the
-	// same name. The proxy whose poll is pending stays connected.
+	// ErrDuplicateProxy is the error of a poll that is rejected because polls under its name have replaced each other
+	// too often: probably two proxies have the same name. The proxy whose poll is pending stays connected.
 	ErrDuplicateProxy = errors.New("another proxy polls under this name")
 
 	// ErrUnknownHost is the error of a load report from a host that is not on the endpoint list.
--- a/controller/events.go
+++ b/controller/events.go
@@ -7,7 +7,7 @@
 	"barleysail/routing"
 )
 
-// Event is an action or observation of the controller that may interest an operator.
+// Event is an action or observation of the controller that is recorded for operators.
 type Event struct {
 	Number int64   `json:"number"`
 	AtMs   float64 `json:"at"`   // ms
@@ -57,7 +57,7 @@
 
 // modeStatus is the last change of the controller's mode.
 type modeStatus struct {
-	text    string // as logged, empty before the first change
+	text    string // text as it was logged; empty before the first change
 	sinceMs float64
 }
 
--- a/controller/hostinfo.go
+++ b/controller/hostinfo.go
@@ -29,7 +29,7 @@
 type OverrideInfo struct {
 	State       string  `json:"state"`
 	Weight      float64 `json:"weight,omitempty"`
-	WeightRatio float64 `json:"part,omitempty"` // the weight as a ratio of the endpoint list's
+	WeightRatio float64 `json:"part,omitempty"` // weight as a ratio of the one on the endpoint list
 	Added       bool    `json:"added,omitempty"`
 	Operator    string  `json:"by,omitempty"`
 	SetAtMs     float64 `json:"at"`                // ms
@@ -122,7 +122,7 @@
 	return c.hostInfo(host, &c.endpoints.received[i])
 }
 
-// hostInfo returns the state of a host. received is its entry on the list without overrides, nil if it has none.
+// hostInfo returns the state of a host. received is its entry on the list without overrides, nil if there is none.
 func (c *Controller) hostInfo(host string, received *Endpoint) (HostInfo, bool) {
 	override, hasOverride := c.overrides.store.Override(host)
 	endpoint, ok := c.shownEndpoint(host, received, override)
--- a/controller/ingest.go
+++ b/controller/ingest.go
@@ -18,7 +18,7 @@
 	// classRateSmoothing is the weight of one proxy's report in the request rates over all proxies, by class.
 	classRateSmoothing = 0.01
 
-	// loadReportWindowMs is the window of a host's own report. It counts no attempts, and the least window is valid.
+	// loadReportWindowMs is the window of a host's own report, which counts no attempts: the shortest valid window.
 	loadReportWindowMs = 1
 )
 
@@ -51,12 +51,12 @@
 	Load     routing.HostLoad
 }
 
-// hostSource returns the source of a host's own reports in the queue. It differs from each proxy's name, which has no
-// slash.
+// hostSource returns the source of a host's own reports in the queue. It differs from the names of all proxies, since
+// these contain no slash.
 func hostSource(host string) string { return "/" + host }
 
-// ObserveLoadReport records a host's own load report, and reports whether it was counted: a repeated one is not. The
-// error is ErrUnknownHost, or a *FieldError for an invalid field.
+// ObserveLoadReport records a host's own load report, and returns whether it was counted. A repeated report is not
+// counted. The error is ErrUnknownHost, or a *FieldError for an invalid field.
 func (c *Controller) ObserveLoadReport(nowMs float64, host string, report LoadReport) (counted bool, err error) {
 	c.nowMs = nowMs
 	if !c.HasEndpoint(host) {
@@ -100,8 +100,8 @@
 	c.requestRound()
 }
 
-// hostCapacity returns the capacity of a host by the endpoint list and the classes, by which the plausibility of its
-// load reports is checked.
+// hostCapacity returns the capacity of a host according to the endpoint list and the request classes. The plausibility
+// of the host's load reports is checked against it.
 func (c *Controller) hostCapacity(host string) intake.Capacity {
 	endpoint := c.endpoints.effective[host]
 	return intake.Capacity{
--- a/controller/longpoll.go
+++ b/controller/longpoll.go
@@ -15,8 +15,8 @@
 	Tags        []string      // entity tags of the versions that the proxy holds, without quotes
 	AnyTag      bool          // any version matches (If-None-Match: *)
 	AcceptDelta bool          // the proxy accepts a merge patch onto a tagged version
-	WaitMs      float64       // longest time for which the poll may be pending; below 0: it gets its response at once
-	Cached      *CachedTables // what the proxy holds; nil: not given. Only used if the proxy has no version here yet.
+	WaitMs      float64       // longest time for which the poll may be pending; below 0: respond at once
+	Cached      *CachedTables // tables that the proxy holds; nil: not given. Only used if it has no version here yet.
 }
 
 // CachedTables are the tables that a proxy holds, under the tag that another controller gave them.
@@ -28,7 +28,7 @@
 // pendingPoll is a poll that gets its response when the tables change or its wait is over.
 type pendingPoll struct {
 	id          int64
-	baseVersion int64 // the version that the proxy holds; 0: it names none that is known
+	baseVersion int64 // version that the proxy holds; 0: its tags name no known version
 	acceptDelta bool
 	deadlineMs  float64 // when the wait is over
 }
@@ -127,7 +127,7 @@
 	pollReplacementWindowMs = 10000.0 // length of the window
 )
 
-// mayReplacePoll reports whether a new poll may replace the pending one, and counts it.
+// mayReplacePoll reports whether a new poll may replace the pending one, and counts the replacement.
 func (s *proxySession) mayReplacePoll(nowMs float64) bool {
 	for len(s.replacedPollsMs) > 0 && s.replacedPollsMs[0] < nowMs-pollReplacementWindowMs {
 		s.replacedPollsMs = s.replacedPollsMs[1:]
--- a/controller/overrides.go
+++ b/controller/overrides.go
@@ -16,9 +16,10 @@
 	nextMs float64
 }
 
-// ApplyOverrides applies commands of operators. Of several commands each is applied after the updates of the previous
-// one were sent to the proxies; queued reports whether any has to wait. The error is an *operator.RejectedError for a
-// command that would break a rule, or a *FieldError for an invalid host to be added; no command is applied then.
+// ApplyOverrides applies commands of operators. If there are several, each one is applied after the updates of the
+// previous one were sent to the proxies; queued reports whether any has to wait. The error is an
+// *operator.RejectedError for a command that breaks a rule, or a *FieldError for an invalid host to be added. In case
+// of an error no command is applied.
 func (c *Controller) ApplyOverrides(nowMs float64, commands []operator.Command, effects Effects) (
 	queued bool, err error) {
 	c.nowMs = nowMs
@@ -155,7 +156,7 @@
 	return endpoint
 }
 
-// overrideView returns the state of the hosts, by which the rules for commands are checked.
+// overrideView returns the state of the hosts against which the rules for commands are checked.
 func (c *Controller) overrideView() operator.View {
 	view := operator.View{
 		NowMs:           c.nowMs,
@@ -188,7 +189,7 @@
 	return view
 }
 
-// overrideHost returns the state of a host, by which the rules for commands are checked.
+// overrideHost returns the state of a host against which the rules for commands are checked.
 func (c *Controller) overrideHost(endpoint Endpoint, receivedWeights map[string]float64) operator.Host {
 	host := operator.Host{
 		Name:            endpoint.Host,
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -39,7 +39,8 @@
 	c.reportRepair(differing, remaining, cause)
 }
 
-// reportRepair records and logs when the published tables begin to differ from the decided ones, and when that ends.
+// reportRepair logs and counts when the published tables begin to differ from the decided ones, and logs when that
+// ends.
 func (c *Controller) reportRepair(differing int, remaining []guard.Finding, cause guard.Finding) {
 	validation := &c.validation
 	wasRepairing := validation.report.Repairing
@@ -57,7 +58,7 @@
 	c.reportInvalid(remaining)
 }
 
-// reportInvalid logs once that the repaired tables have been invalid for invalidReportDelayMs.
+// reportInvalid logs once when the repaired tables have been invalid for invalidReportDelayMs.
 func (c *Controller) reportInvalid(remaining []guard.Finding) {
 	validation := &c.validation
 	if len(remaining) == 0 {
@@ -106,8 +107,8 @@
 }
 
 // publishRepaired publishes weights for a shared table, and returns the number of entries that differ from the decided
-// ones. The updates that the validator itself causes must leave room for removals in the channel. If they do not, the
-// previously published weights stay, except for hosts that have to be removed.
+// ones. The updates that the validator itself causes must leave room for removals in the channel. If they leave none,
+// the previously published weights stay, except for hosts that have to be removed.
 func (c *Controller) publishRepaired(hosts []guard.Host, number int, decided, weights []float64) (differing int) {
 	table := c.tables.table(number)
 	weights = slices.Clone(weights)
@@ -156,7 +157,7 @@
 // those that the balancer has changed in this round.
 func (c *Controller) repairFits(number int, table *routingTable, weights []float64, differing int) bool {
 	if table.published == nil || differing == 0 && table.repaired == nil {
-		return true // the repair itself sends nothing
+		return true // the repair itself causes no update
 	}
 	changed, _ := guard.CountChanges(table.published, weights)
 	if changed == 0 {
--- a/controller/response.go
+++ b/controller/response.go
@@ -37,7 +37,7 @@
 		return r.tables.delta(r.baseTables)
 	}
 	tables := r.tables.document()
-	const frameLength = len(`{"proxy":"","tables":}`) + 2 // and the line break, with some room
+	const frameLength = len(`{"proxy":"","tables":}`) + 2 // with the line break and one spare byte
 	body := make([]byte, 0, len(tables)+len(r.Proxy)+frameLength)
 	body = append(body, `{"proxy":`...)
 	body = appendQuoted(body, r.Proxy)
@@ -67,14 +67,15 @@
 // Table is the routing table of a request class.
 type Table struct {
 	Class          string
-	Assigned       bool      // the class has a table, which may be empty
+	Assigned       bool      // whether the class has a table, which may be empty
 	Hosts          []string  // in order
-	Weights        []float64 // of Hosts
+	Weights        []float64 // in the order of Hosts
 	AdmissionRatio float64   // ratio of the requests to admit
 	RetryPolicy    int
 }
 
-// Tables returns the tables that the proxy holds once it has applied the response, for callers that need no document.
+// Tables returns the tables that the proxy holds once it has applied the response, for callers that need no JSON
+// document.
 func (r Response) Tables() []Table {
 	var tables []Table
 	for _, class := range r.tables.classes {
--- a/controller/restore.go
+++ b/controller/restore.go
@@ -13,11 +13,11 @@
 
 // restoredState is the state of an earlier incarnation, as far as it has not been used yet.
 type restoredState struct {
-	*state.Restored     // nil: nothing was restored
-	hostCount       int // hosts used so far
-	proxyCount      int // proxies used so far
-	versionCount    int // versions of proxies carried over so far
-	drainingSinceMs map[string]float64
+	*state.Restored                    // nil: nothing was restored
+	hostCount       int                // hosts restored so far
+	proxyCount      int                // proxies restored so far
+	versionCount    int                // versions of proxies carried over so far
+	drainingSinceMs map[string]float64 // by host
 }
 
 // Restore passes the state of an earlier incarnation, after its decay, to a new controller. Hosts are restored with the
@@ -72,7 +72,8 @@
 	return quotas
 }
 
-// startMs returns a host's start time by its entry, or else the restored one, 0 if neither is known.
+// startMs returns the start time of a host from its entry or, if that has none, the restored one. It returns 0 if
+// neither is known.
 func (c *Controller) startMs(endpoint Endpoint) float64 {
 	if endpoint.StartedMs != 0 || c.restored.Restored == nil {
 		return endpoint.StartedMs
@@ -97,8 +98,8 @@
 	c.restored.Hosts = map[string]*state.Host{}
 }
 
-// isSameHost reports whether an entry is the restored host, and not another one with the same name: one that is in
-// another zone or has started since.
+// isSameHost reports whether an entry is the restored host and not another one with the same name, which is in another
+// zone, has another start time, or has started since the state was stored.
 func (c *Controller) isSameHost(endpoint Endpoint, host *state.Host) bool {
 	if host.Zone != endpoint.Zone {
 		return false
@@ -248,8 +249,8 @@
 	return c.cachedTableSet(cached.Tables)
 }
 
-// restoredRate returns the usual request rate of a proxy in requests per second: the given one or else, if that is 0,
-// the restored one.
+// restoredRate returns the usual request rate of a proxy in requests per second: the given one or, if that is 0, the
+// restored one.
 func (c *Controller) restoredRate(proxy string, givenRate float64) float64 {
 	if c.restored.Restored == nil || givenRate > 0 {
 		return givenRate
@@ -267,13 +268,13 @@
 type RestoreReport struct {
 	Incarnation string  `json:"from"`      // the incarnation; empty: none was known
 	ElapsedMs   float64 `json:"passed_ms"` // from the last save of that incarnation to the restore
-	Reason      string  `json:"why"`       // why not all of the state could be used; empty: it could
+	Reason      string  `json:"why"`       // why not all of the state could be used; empty: all of it was
 	Hosts       int     `json:"hosts"`     // restored
 	Proxies     int     `json:"proxies"`   // restored
 	Versions    int     `json:"versions"`  // of proxies that continued from the tables they held
 }
 
-// restoreReport returns the report, nil if nothing was restored.
+// restoreReport returns the report of the restored state, nil if nothing was restored.
 func (c *Controller) restoreReport() *RestoreReport {
 	restored := &c.restored
 	if restored.Restored == nil {
--- a/controller/rounds.go
+++ b/controller/rounds.go
@@ -3,12 +3,12 @@
 import "math"
 
 // roundScheduler schedules the rounds of the balancer: at the time that the balancer has planned, or, after an urgent
-// input, as soon as the shortest interval allows. Request stats and acknowledgements are not urgent, so that a fleet of
-// proxies does not cause a round for each report.
+// input, as soon as the shortest interval allows. Request stats and acknowledgements are not urgent, so that a large
+// number of proxies does not cause a round for each report.
 type roundScheduler struct {
-	requestedMs float64 // the next round after an urgent input; +Inf: none
-	plannedMs   float64 // the next round that the balancer has planned; +Inf: none
-	lastMs      float64 // the start of the last round
+	requestedMs float64 // time of the next round after an urgent input; +Inf: none
+	plannedMs   float64 // time of the next round that the balancer has planned; +Inf: none
+	lastMs      float64 // time at which the last round started
 }
 
 // newRoundScheduler returns a scheduler whose first round is due at once.
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -12,11 +12,11 @@
 
 // Bounds of sessions.
 const (
-	maxProxies    = 60000 // connected at once; keeps the numbers of subset tables below routing.AllTables
-	maxNameLength = 128   // of a proxy or a reporter, in bytes
+	maxProxies    = 60000 // connected at the same time; keeps the numbers of subset tables below routing.AllTables
+	maxNameLength = 128   // length of the name of a proxy or a reporter in bytes
 )
 
-// noTable is used instead of a table's number for a class that has no table yet.
+// noTable stands in place of the number of a table for a class that has no table yet.
 const noTable = -1
 
 // proxySession is the state of a connected proxy.
@@ -30,8 +30,8 @@
 	ackedVersion int64     // the newest version that the proxy has acknowledged
 
 	pendingPoll     *pendingPoll // nil: the proxy is not polling
-	expiresMs       float64      // when the session ends if there is no pending poll
-	checkAtMs       float64      // when expirePolls checks the session next
+	expiresMs       float64      // time at which the session ends if there is no pending poll
+	checkAtMs       float64      // time at which expirePolls checks the session next
 	replacedPollsMs []float64    // recent times at which a new poll replaced the pending one
 
 	queuedMessage *updateMessage // queued in the control channel; nil: none
@@ -39,7 +39,7 @@
 
 	reporters          intake.Reporters // senders of request stats under the proxy's name
 	reporterClock      intake.Clock
-	duplicateReporters bool      // two of them are active
+	duplicateReporters bool      // whether two of them are active at the same time
 	requestRates       []float64 // recent requests per second, by class
 }
 
@@ -57,8 +57,8 @@
 	return sessionStore{byProxy: map[string]*proxySession{}, indices: interner.New()}
 }
 
-// scheduleCheck schedules a check of a session by expirePolls, unless an earlier one is scheduled. So a session has at
-// most one scheduled check, however often its proxy polls.
+// scheduleCheck schedules a check of a session by expirePolls, unless an earlier one is scheduled already. This keeps
+// frequent polls from adding a check each.
 func (s *sessionStore) scheduleCheck(session *proxySession, atMs float64) {
 	if atMs < session.checkAtMs {
 		session.checkAtMs = atMs
@@ -153,8 +153,8 @@
 	}
 }
 
-// expireSession responds to the pending poll, or ends the session, if its time is over. Otherwise it schedules another
-// check.
+// expireSession responds to the pending poll if its wait is over, or disconnects the proxy if it has not polled in
+// time. Otherwise it schedules another check.
 func (c *Controller) expireSession(session *proxySession) {
 	poll := session.pendingPoll
 	switch {
--- a/controller/solver.go
+++ b/controller/solver.go
@@ -9,17 +9,17 @@
 	"barleysail/solver"
 )
 
-// solverWeights computes, if enabled, the base weights from which the balancer starts and to which it returns: in
-// proportion to the capacity of each host, so that the shared table leads to the same utilization of all hosts. New
-// weights are applied rarely, and only if they would gain more under the recent demand than their updates cost. While
-// it is disabled, the weights of the endpoint list apply.
+// solverWeights computes, if enabled, the base weights, from which the balancer starts and to which it returns. They
+// are in proportion to the capacity of each host, so that the shared table leads to the same utilization of all hosts.
+// New weights are applied rarely, and only if they gain more under the recent demand than their updates cost. While it
+// is disabled, the weights of the endpoint list apply.
 type solverWeights struct {
 	enabled          bool
 	intervalMs       float64
-	minGain          float64 // least gain of the objective, from 0 to 1
+	minGain          float64 // smallest gain of the objective, from 0 to 1, for which new weights are applied
 	nextRunMs        float64
 	byHost           map[string]float64 // a host without an entry has its weight from the endpoint list
-	hostWithoutCores string             // the one that was last logged; empty: none
+	hostWithoutCores string             // host without cores that was last logged; empty: none
 }
 
 // EnableSolver enables solver weights. They are computed every intervalMs, and applied if the objective, from 0 to 1,
@@ -94,8 +94,8 @@
 	}
 }
 
-// updateCost returns the cost of sending changed weights to all connected proxies, as a ratio of the objective: the
-// cost of the channel, in proportion to the part of its rate that the updates use until weights may change again.
+// updateCost returns the cost of sending changed weights to all connected proxies, as a ratio of the objective. It is
+// the cost of the channel, in proportion to the part of its rate that the updates use until weights may change again.
 func (c *Controller) updateCost(changedWeights int) float64 {
 	channel := &c.channel
 	entries := float64(len(c.sessions.byProxy)) * (float64(changedWeights) + channel.messageOverhead)
--- a/controller/solver_problem.go
+++ b/controller/solver_problem.go
@@ -14,7 +14,7 @@
 	// balancer assumes.
 	deadlineLatencyMultiple = 3.2
 
-	// minWorkMs replaces the mean work of a class for which none is known.
+	// minWorkMs replaces the mean work of a class whose work is not known.
 	minWorkMs = 1e-3
 )
 
--- a/controller/stats.go
+++ b/controller/stats.go
@@ -33,9 +33,9 @@
 	Demand   map[string]ClassDemand // by class
 }
 
-// ObserveProxyStats queues a report of a proxy for the next round. It reports whether the report was counted: one that
-// is repeated, or older than one that was counted, is not. The error is ErrNotConnected, or a *FieldError for an
-// invalid field; no part of the report is counted then.
+// ObserveProxyStats queues a report of a proxy for the next round, and returns whether the report was counted. A report
+// that is repeated, or older than one that was counted, is not counted. The error is ErrNotConnected, or a *FieldError
+// for an invalid field; no part of the report is counted then.
 func (c *Controller) ObserveProxyStats(nowMs float64, proxy string, stats ProxyStats) (counted bool, err error) {
 	c.nowMs = nowMs
 	session := c.sessions.byProxy[proxy]
--- a/controller/status.go
+++ b/controller/status.go
@@ -20,7 +20,7 @@
 	Rounds           int64          `json:"rounds"`
 	Mode             string         `json:"mode"` // the last change of the mode, as in the log
 	ModeForMs        float64        `json:"mode_for_ms"`
-	HostIndices      int            `json:"indices_in_use"` // hosts that are listed or not yet forgotten
+	HostIndices      int            `json:"indices_in_use"` // hosts that are listed, or removed and not yet forgotten
 	QueuedMessages   int            `json:"messages_queued"`
 	Ingest           IngestReport   `json:"intake"`
 	Repairs          int            `json:"guard_refused"`    // number of times that tables had to be repaired
--- a/controller/tables.go
+++ b/controller/tables.go
@@ -21,8 +21,8 @@
 
 // routingTable is a table as the balancer has decided it, by host index, with the form in which it is published.
 type routingTable struct {
-	weights  map[int]float64 // decided, without hosts of weight 0
-	decided  []float64       // the same by index, only for tables that proxies share
+	weights  map[int]float64 // decided weights, without hosts of weight 0
+	decided  []float64       // the same as a slice, only for tables that proxies share
 	policies []classPolicy   // by class
 
 	// The table validator maintains these for shared tables while repair is enabled, by host index.
@@ -30,8 +30,8 @@
 	repaired     []float64 // published instead of the decided weights; nil: the decided weights are published
 	repairedFrom []float64 // the decided weights that were repaired
 
-	entries  []weightEntry // published entries, by host name; nil: to be computed again
-	tableSet *tableSet     // of proxies that use this table for all classes; nil: to be computed again
+	entries  []weightEntry // published entries, by host name; nil: have to be computed again
+	tableSet *tableSet     // of proxies that use this table for all classes; nil: has to be computed again
 
 	changedRound   int64   // the last round that changed the table
 	changedEntries float64 // number of entries that changed in that round
@@ -46,7 +46,7 @@
 	lastTableSetID     int64
 
 	round               int64                  // number of rounds so far
-	stamp               int                    // of the round's messages, or noStamp
+	stamp               int                    // version stamp of the round's messages, or noStamp
 	reassigned          map[*proxySession]bool // sessions that were assigned a table
 	changed             []int                  // numbers of tables
 	globalPolicyChanges float64                // entries that changed the policies for all tables
@@ -190,14 +190,15 @@
 	return !slices.ContainsFunc(tableByClass, func(number int) bool { return number != tableByClass[0] })
 }
 
-// weightDigits is the precision of published weights and ratios, in significant decimal digits. More would not change
-// how proxies route.
+// weightDigits is the precision of published weights and ratios, in significant decimal digits. More digits would not
+// change how proxies route.
 const weightDigits = 6
 
 // roundWeight rounds a weight or ratio to the published precision.
 func roundWeight(weight float64) float64 {
 	text := strconv.FormatFloat(weight, 'g', weightDigits, 64)
-	// ParseFloat accepts the output of FormatFloat; out of range it returns ±Inf with an error, and ±Inf is right here.
+	// ParseFloat accepts the output of FormatFloat. Beyond the range it returns ±Inf with an error, and ±Inf is the
+	// result that is wanted.
 	rounded, _ := strconv.ParseFloat(text, 64)
 	return rounded
 }
--- a/controller/updatewriter.go
+++ b/controller/updatewriter.go
@@ -33,7 +33,7 @@
 	if session == nil {
 		return
 	}
-	w.tables.table(number) // creates it if it has no entry yet
+	w.tables.table(number) // creates the table if it does not exist yet
 	w.tables.reassigned[session] = true
 	for class := range session.tableByClass {
 		if classInMask(classes, class) {
@@ -66,7 +66,7 @@
 // CheckHealth requests a health check of a host.
 func (w updateWriter) CheckHealth(host int) { w.effects.CheckHealth(w.hostIndex.Names[host]) }
 
-// ScheduleRound plans the next round. While rounds are late, the pacer lengthens the time until it.
+// ScheduleRound plans the next round. While rounds are late, the pacer lengthens the time until the next round.
 func (w updateWriter) ScheduleRound(atMs float64) {
 	w.scheduler.plannedMs = w.nowMs + (atMs-w.nowMs)*w.ingest.pacer.IntervalFactor()
 }
@@ -97,8 +97,8 @@
 }
 
 // updateSize returns the number of entries that the current round has changed for a proxy, and whether a host was
-// removed. If a table was assigned to the proxy, that is all entries of its tables, and for each table its assignment
-// and a policy for each class.
+// removed. If a table was assigned to the proxy, the number is that of all entries of its tables, plus the assignment
+// of each table and its policy for each class.
 func (c *Controller) updateSize(session *proxySession) (entries float64, hasRemoval bool) {
 	entries = c.tables.globalPolicyChanges
 	if c.tables.reassigned[session] {
--- a/controller/validation.go
+++ b/controller/validation.go
@@ -15,7 +15,7 @@
 	// repairIntervalMs is the interval while tables are repaired, so that a change in several steps continues.
 	repairIntervalMs = 1000.0
 
-	// invalidReportDelayMs is the time without valid tables after which that is logged.
+	// invalidReportDelayMs is the time without valid tables after which their absence is logged.
 	invalidReportDelayMs = 10000.0
 )
 
@@ -36,17 +36,17 @@
 
 	routes           []guard.Route // with the demand for each, those of the shared tables first
 	sharedTables     []int         // numbers of the tables of the first routes
-	demandSummedMs   float64       // when the demand for the routes was last summed
-	hasSubsetTables  bool          // a proxy uses a subset table
+	demandSummedMs   float64       // time at which the demand for the routes was last summed
+	hasSubsetTables  bool          // whether a proxy uses a subset table
 	repairingSinceMs float64
-	invalidSinceMs   float64 // since when the published tables are not valid
-	invalidReported  bool    // it was logged that they have been invalid for long
+	invalidSinceMs   float64 // time since which the published tables are not valid
+	invalidReported  bool    // whether it was logged that they have been invalid for invalidReportDelayMs
 }
 
 // RepairSettings configures the repair of invalid tables.
 type RepairSettings struct {
 	Enabled         bool // tables are repaired before they are published
-	SurviveZoneLoss bool // also tables that would be invalid only after the loss of a zone
+	SurviveZoneLoss bool // tables that would become invalid by the loss of a zone are repaired too
 }
 
 // ValidationReport holds the results of the table validator since the controller started.
--- a/controller/validation_view.go
+++ b/controller/validation_view.go
@@ -42,7 +42,7 @@
 
 // validationView returns the input of the table validator: first a route for each shared table, by number; then one for
 // each zone whose proxies use subset tables, with the sum of these tables; and one for each subset table without a
-// ready host. sharedTables holds the numbers of the shared tables.
+// ready host. sharedTables holds the numbers of the shared tables, in the order of their routes.
 func (c *Controller) validationView() (view *guard.View, sharedTables []int) {
 	validation := &c.validation
 	view = &guard.View{Hosts: c.refreshValidatedHosts()}
@@ -147,7 +147,7 @@
 	for _, classRate := range session.requestRates {
 		rate += classRate
 	}
-	rate += minDivisor // so that a proxy without requests has a small weight
+	rate += minDivisor // a proxy without requests still gets a small weight
 	zone := session.zone
 	if sums.subsetWeights[zone] == nil {
 		sums.subsetWeights[zone] = make([]float64, len(hosts))
@@ -166,7 +166,7 @@
 // reports whether one of its hosts is ready.
 func addSubsetTable(sum []float64, weights map[int]float64, rate float64, hosts []guard.Host) (hasReady bool) {
 	total := 0.0
-	for _, host := range slices.Sorted(maps.Keys(weights)) { // in one order, since the order decides on the rounding
+	for _, host := range slices.Sorted(maps.Keys(weights)) { // the order of a sum affects its rounding
 		total += weights[host]
 	}
 	for host, weight := range weights {
--- a/controller/versions.go
+++ b/controller/versions.go
@@ -7,8 +7,9 @@
 type version struct {
 	number int64
 	tables *tableSet
-	stamps []int // the balancer's stamps that are acknowledged with this version, in the order of their rounds
-	// inheritedTag is the tag that another incarnation or controller gave to the version; empty: see Controller.tag.
+	stamps []int // version stamps of the balancer that this version acknowledges, in the order of their rounds
+	// inheritedTag is the tag that another incarnation or controller gave to the version. If it is empty, the tag is
+	// that of Controller.tag.
 	inheritedTag string
 }
 
@@ -46,8 +47,8 @@
 	return c.tag(version.number)
 }
 
-// publish makes the current tables of a proxy its newest version, and responds to its pending poll. The next version
-// takes over the stamps of a version that is dropped from the history.
+// publish makes the current tables of a proxy its newest version, and responds to its pending poll. The stamps of a
+// version that is dropped from the history pass to the next version.
 func (c *Controller) publish(session *proxySession, stamps []int) {
 	c.sessions.lastVersion++
 	session.versions = append(session.versions, version{
