--- a/controller/solver_test.go
+++ b/controller/solver_test.go
@@ -7,6 +7,9 @@
 	"barleysail/routing"
 )
 
+// solverLogPrefix begins the log line of new solver weights.
+const solverLogPrefix = "solver weights applied"
+
 // Solver weights take effect once the demand makes them worth the updates, once, and follow the capacity of the hosts.
 // While the solver is off, or a host gives no cores, the weights of the endpoint list stand.
 func TestSolverWeights(t *testing.T) {
@@ -32,7 +35,7 @@
 	if gap := off.solverGap(); gap == nil || gap.Result > 0.8 || gap.Over[hostName(0)] < 2 {
 		t.Errorf("without solver weights: gap %+v", gap)
 	}
-	if strings.Contains(off.trace.String(), "solved") || off.baseWeights()[hostName(1)] != 1 {
+	if strings.Contains(off.trace.String(), solverLogPrefix) || off.baseWeights()[hostName(1)] != 1 {
 		t.Errorf("switched off:\n%s", off.trace.String())
 	}
 }
@@ -51,7 +54,7 @@
 				h.channel.cost = 2000 // two messages of ten entries in five seconds cost more than the whole result
 			}
 			h.reportDemand(30, 22)
-			if renewed := strings.Contains(h.trace.String(), "solver weights applied"); renewed != test.wantRenewed {
+			if renewed := strings.Contains(h.trace.String(), solverLogPrefix); renewed != test.wantRenewed {
 				t.Errorf("renewed %v, want %v:\n%s", renewed, test.wantRenewed, h.trace.String())
 			}
 		})
