--- a/controller/acks_test.go
+++ b/controller/acks_test.go
@@ -47,22 +47,24 @@
 	p := h.sessions.byProxy["p"]
 	q := h.sessions.byProxy["q"]
 	if h.channel.inFlight == nil || h.channel.inFlight.session != q {
-		t.Fatalf("in flight is %+v, want the message to q", h.channel.inFlight)
+		t.Fatalf("the message in flight is %+v, want the one to q", h.channel.inFlight)
 	}
 	sent := slices.Clone(h.channel.inFlight.stamps)
 	if len(sent) == 0 || !slices.Equal(p.versions[0].stamps, sent) {
-		t.Fatalf("p was sent the stamps %v, q %v: want those of one round", p.versions[0].stamps, sent)
+		t.Fatalf("p was sent the stamps %v and q is sent %v, want the same stamps, at least one", p.versions[0].stamps, sent)
 	}
 	h.poll(PollRequest{Proxy: "p", Tags: []string{h.newestTag("p")}, WaitMs: 30000})
 	if p.ackedVersion != p.versions[0].number || len(p.versions[0].stamps) != 0 {
-		t.Errorf("p acknowledged version %d, its stamps %v are left", p.ackedVersion, p.versions[0].stamps)
+		t.Errorf("p has acknowledged version %d with the stamps %v left, want version %d and none left",
+			p.ackedVersion, p.versions[0].stamps, p.versions[0].number)
 	}
 	if !slices.Equal(h.channel.inFlight.stamps, sent) {
 		t.Errorf("the message to q has the stamps %v, want %v", h.channel.inFlight.stamps, sent)
 	}
 	h.advance(100)
 	if !slices.Equal(q.versions[0].stamps, sent) || q.ackedVersion != 0 {
-		t.Errorf("q acknowledged version %d, its stamps %v are left", q.ackedVersion, q.versions[0].stamps)
+		t.Errorf("q has acknowledged version %d with the stamps %v left, want version 0 and %v left",
+			q.ackedVersion, q.versions[0].stamps, sent)
 	}
 	h.checkTrace()
 }
--- a/controller/cached_test.go
+++ b/controller/cached_test.go
@@ -34,14 +34,14 @@
 	}
 }
 
-// Tables that no proxy can hold are rejected, with the field that is invalid.
+// Tables that no proxy can hold are rejected with an error that names the invalid field.
 func TestInvalidCachedTables(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	valid := Table{Class: "sheet", Hosts: []string{"a:1", "b:1"}, Weights: []float64{1, 2}, AdmissionRatio: 1}
-	with := func(change func(table *Table)) []Table {
-		changed := valid
-		change(&changed)
-		return []Table{changed}
+	edited := func(modify func(table *Table)) []Table {
+		table := valid
+		modify(&table)
+		return []Table{table}
 	}
 	for _, test := range []struct {
 		name   string
@@ -51,22 +51,22 @@
 	}{
 		{"valid", "K-5", []Table{valid}, ""},
 		{"no tag", "", []Table{valid}, "tag"},
-		{"unknown class", "K-5", with(func(table *Table) { table.Class = "other" }), `tables["other"]`},
+		{"unknown class", "K-5", edited(func(table *Table) { table.Class = "other" }), `tables["other"]`},
 		{"a class twice", "K-5", []Table{valid, valid}, `tables["sheet"]`},
-		{"no admission ratio", "K-5", with(func(table *Table) { table.AdmissionRatio = math.NaN() }), `tables["sheet"]`},
-		{"unknown retry policy", "K-5", with(func(table *Table) { table.RetryPolicy = 4 }), `tables["sheet"]`},
-		{"too few weights", "K-5", with(func(table *Table) { table.Weights = []float64{1} }), `tables["sheet"]`},
-		{"weight 0", "K-5", with(func(table *Table) { table.Weights = []float64{1, 0} }), `tables["sheet"].hosts`},
-		{"not in order", "K-5", with(func(table *Table) { table.Hosts = []string{"b:1", "a:1"} }), `tables["sheet"].hosts`},
+		{"no admission ratio", "K-5", edited(func(table *Table) { table.AdmissionRatio = math.NaN() }), `tables["sheet"]`},
+		{"unknown retry policy", "K-5", edited(func(table *Table) { table.RetryPolicy = 4 }), `tables["sheet"]`},
+		{"too few weights", "K-5", edited(func(table *Table) { table.Weights = []float64{1} }), `tables["sheet"]`},
+		{"weight 0", "K-5", edited(func(table *Table) { table.Weights = []float64{1, 0} }), `tables["sheet"].hosts`},
+		{"not in order", "K-5", edited(func(table *Table) { table.Hosts = []string{"b:1", "a:1"} }), `tables["sheet"].hosts`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			err := h.checkCachedTables(&CachedTables{Tag: test.tag, Tables: test.tables})
 			var invalid *FieldError
 			switch {
 			case test.field == "" && err != nil:
-				t.Errorf("the tables are rejected: %v", err)
+				t.Errorf("the error is %v, want none", err)
 			case test.field != "" && (!errors.As(err, &invalid) || invalid.Field != test.field):
-				t.Errorf("the error is %v, want one of the field %s", err, test.field)
+				t.Errorf("the error is %v, want a FieldError of the field %s", err, test.field)
 			}
 		})
 	}
--- a/controller/churn_test.go
+++ b/controller/churn_test.go
@@ -8,22 +8,25 @@
 	"barleysail/routing"
 )
 
-// A controller runs for months: its memory stays bounded while hosts are replaced, and proxies connect and disconnect.
+// A controller runs for months, so its memory has to stay bounded while hosts are replaced and proxies connect and
+// disconnect.
 func TestChurnIsBounded(t *testing.T) {
 	const maxGrowth = 4 << 20 // bytes
+	const maxIndices = 40
 	result := runChurn(t, 3000)
-	if result.indicesInUse > 40 || result.heapAfter > result.heapBefore+maxGrowth {
-		t.Errorf("%d indices in use, heap %d to %d bytes", result.indicesInUse, result.heapBefore, result.heapAfter)
+	if result.indicesInUse > maxIndices || result.heapAfter > result.heapBefore+maxGrowth {
+		t.Errorf("%d host indices in use, heap grew from %d to %d bytes; want at most %d indices and %d bytes more",
+			result.indicesInUse, result.heapBefore, result.heapAfter, maxIndices, maxGrowth)
 	}
 }
 
-// churnResult is the memory after a tenth of the churn and after all of it.
+// churnResult holds the size of the heap after a tenth of the replacements and after all of them.
 type churnResult struct {
 	heapBefore, heapAfter uint64 // bytes
 	indicesInUse          int
 }
 
-// runChurn replaces so many hosts, and connects as many proxies, of which every second one is disconnected again.
+// runChurn replaces count hosts and connects count proxies, of which it disconnects every second one.
 func runChurn(t testing.TB, count int) churnResult {
 	set := defaultTestSettings()
 	set.settings.RemovedHostRetentionMs = 1000
@@ -54,7 +57,7 @@
 	return result
 }
 
-// heapInUse is the size of the live heap in bytes.
+// heapInUse returns the size of the live heap in bytes.
 func heapInUse() uint64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -62,7 +65,7 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkChurn measures the memory over a long churn.
+// BenchmarkChurn measures the memory while many hosts are replaced.
 func BenchmarkChurn(b *testing.B) {
 	for range b.N {
 		result := runChurn(b, 100000)
--- a/controller/dryrun_test.go
+++ b/controller/dryrun_test.go
@@ -7,7 +7,7 @@
 	"barleysail/guard"
 )
 
-// Proposed tables are validated under the present demand, whether the table validator is on or off.
+// Proposed tables are validated under the current demand, whether the table validator is on or off.
 func TestValidateTables(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -31,12 +31,13 @@
 	type tables = map[string]map[string]float64
 	result, err := h.ValidateTables("a", tables{"sheet": {list[0].Host: 1}})
 	if err != nil || len(result.Findings) == 0 || result.Findings[0].Check != guard.OverCapacity {
-		t.Errorf("all requests to a small host: %+v %v", result, err)
+		t.Errorf("all requests to a small host: result %+v, error %v, want the finding %q first",
+			result, err, guard.OverCapacity)
 	}
 	even := map[string]float64{list[1].Host: 1, list[3].Host: 1, list[0].Host: 0.3, list[2].Host: 0.3}
 	result, err = h.ValidateTables("", tables{"sheet": even})
 	if err != nil || len(result.Findings) != 0 || result.Repaired != nil {
-		t.Errorf("weights by capacity: %+v %v", result, err)
+		t.Errorf("weights by capacity: result %+v, error %v, want no finding and no repaired tables", result, err)
 	}
 	for _, test := range []struct {
 		name, zone string
@@ -50,7 +51,7 @@
 		_, err := h.ValidateTables(test.zone, test.tables)
 		var invalid *FieldError
 		if !errors.As(err, &invalid) || invalid.Field != test.field {
-			t.Errorf("%s: %v, want an error of the field %s", test.name, err, test.field)
+			t.Errorf("%s: the error is %v, want a FieldError of the field %s", test.name, err, test.field)
 		}
 	}
 }
--- a/controller/endpoint_loss_test.go
+++ b/controller/endpoint_loss_test.go
@@ -7,8 +7,8 @@
 	"barleysail/operator"
 )
 
-// An endpoint list that loses most of its hosts at once is held back, for half the drain's grace time at most, unless
-// an operator took them off. Where the next list is complete again, nothing has changed.
+// An endpoint list that loses most of its hosts at once is held back for at most half of the drain grace, unless an
+// override of an operator confirms the loss. If the next list is complete again, nothing is published.
 func TestEndpointLossIsHeldBack(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	endpointLoss := guard.EndpointLossLimits{MaxLossRatio: 0.5, HoldMs: 60000}
--- a/controller/endpoints_test.go
+++ b/controller/endpoints_test.go
@@ -6,8 +6,8 @@
 	"barleysail/routing"
 )
 
-// A controller without an endpoint list publishes no hosts, not even an empty table: a proxy keeps the one that it has.
-// With the first list it does.
+// A controller without an endpoint list publishes no hosts and no empty table, so that a proxy keeps the table that it
+// has. The first list is published.
 func TestEndpointsUnknown(t *testing.T) {
 	set := defaultTestSettings()
 	set.deployment.WatchesEndpoints = true
@@ -24,8 +24,7 @@
 	h.checkTrace()
 }
 
-// A removed host is forgotten when no table names it, and its index is given to another host; a host that comes back
-// without a time of its start has started now.
+// A removed host is forgotten when no table refers to it any more, and its index is assigned to another host.
 func TestForgetRemovedHost(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	h.mustSetEndpoints(h.readyEndpoints(3))
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -13,17 +13,17 @@
 	"barleysail/solver"
 )
 
-// harness drives a Controller on a clock of the test, and prints its effects into a trace.
+// harness drives a Controller with the time of a test, and prints its effects into a trace.
 type harness struct {
 	*Controller
 	t               testing.TB
 	nowMs           float64
 	trace           strings.Builder
-	lastPoll        int64              // id
+	lastPoll        int64              // id of the last poll
 	responses       map[int64]Response // by id of the poll
-	hideNotModified bool               // leave responses with nothing new out of the trace
-	healthChecks    []string           // hosts to check
-	lastSequence    int64              // of the reports by reportDemand and reportFailures
+	hideNotModified bool               // leave NotModified responses out of the trace
+	healthChecks    []string           // hosts whose health checks were requested
+	lastSequence    int64              // sequence number of the last reports
 }
 
 // printf adds a line to the trace.
@@ -57,7 +57,7 @@
 // Log implements Effects.
 func (h *harness) Log(text string) { h.printf("log: %s", text) }
 
-// testSettings are the arguments of New; a test changes those that it is about.
+// testSettings are the arguments of New. A test changes those that matter to it.
 type testSettings struct {
 	deployment Deployment
 	classes    []RequestClass
@@ -67,7 +67,7 @@
 	settings   Settings
 }
 
-// defaultTestSettings are those of a small deployment.
+// defaultTestSettings returns the settings of a small deployment.
 func defaultTestSettings() testSettings {
 	return testSettings{
 		deployment: Deployment{
@@ -123,8 +123,8 @@
 	}
 }
 
-// newUnevenHarness has hosts that differ in their cores, though the endpoint list gives them equal weights, and a proxy
-// in each zone.
+// newUnevenHarness returns a harness with hosts that differ in their cores, though the endpoint list gives them equal
+// weights, and with a proxy in each zone.
 func newUnevenHarness(t testing.TB, withSolver bool) (*harness, []Endpoint) {
 	h := newHarness(t, defaultTestSettings())
 	if withSolver {
@@ -141,7 +141,7 @@
 	return h, list
 }
 
-// newRepairHarness is an uneven harness whose tables are repaired.
+// newRepairHarness returns an uneven harness whose tables are repaired.
 func newRepairHarness(t testing.TB, limits guard.Limits) (*harness, []Endpoint) {
 	h, list := newUnevenHarness(t, false)
 	h.hideNotModified = true
@@ -154,7 +154,8 @@
 	largestHosts   = 506
 )
 
-// newLargestHarness has the size of the largest deployment, all proxies connected and with tables.
+// newLargestHarness returns a harness of the size of the largest deployment, in which all proxies are connected and
+// have tables.
 func newLargestHarness(t testing.TB, configure func(*Controller)) (*harness, []Endpoint) {
 	set := defaultTestSettings()
 	set.deployment.Proxies = largestProxies
@@ -182,10 +183,10 @@
 	return h, list
 }
 
-// hostName is the address of a host by its number on the list of readyEndpoints.
+// hostName returns the address of a host by its number on the list of readyEndpoints.
 func hostName(number int) string { return fmt.Sprintf("10.0.0.%d:80", number) }
 
-// readyEndpoints lists ready hosts, those with even numbers in zone a.
+// readyEndpoints returns a list of ready hosts. Those with even numbers are in the first zone.
 func (h *harness) readyEndpoints(count int) []Endpoint {
 	var list []Endpoint
 	for i := range count {
@@ -202,7 +203,7 @@
 	}
 }
 
-// advance lets time pass, with a call of Advance whenever one is due.
+// advance lets time pass, and calls Advance whenever a call is due.
 func (h *harness) advance(durationMs float64) {
 	endMs := h.nowMs + durationMs
 	for {
@@ -216,7 +217,7 @@
 	}
 }
 
-// poll polls for a proxy, in zone a where the request gives none, and returns the id. An error is printed.
+// poll polls for a proxy, in zone a if the request gives none, and returns the id of the poll. It prints an error.
 func (h *harness) poll(request PollRequest) int64 {
 	h.t.Helper()
 	h.lastPoll++
@@ -235,7 +236,7 @@
 	h.poll(request)
 }
 
-// newestTag is the tag of a proxy's newest version.
+// newestTag returns the tag of a proxy's newest version, empty if it has none.
 func (h *harness) newestTag(proxy string) string {
 	if session := h.sessions.byProxy[proxy]; session != nil && len(session.versions) > 0 {
 		return h.tag(session.newest().number)
@@ -249,22 +250,22 @@
 	h.printf("%s: waits %v, %v", describeCommand(commands[0]), queued, err)
 }
 
-// observeStats reports statistics, which have to be valid and new.
+// observeStats reports request stats, which have to be valid and new.
 func (h *harness) observeStats(proxy string, stats ProxyStats) {
 	h.t.Helper()
 	counted, err := h.ObserveProxyStats(h.nowMs, proxy, stats)
 	if err != nil || !counted {
-		h.t.Fatalf("statistics of %s: counted %v, %v", proxy, counted, err)
+		h.t.Fatalf("request stats of %s: counted %v, error %v, want them counted without an error", proxy, counted, err)
 	}
 }
 
-// demandStats is a report of a second in which each class of defaultTestSettings got so many requests.
+// demandStats returns the report of a second in which each class of defaultTestSettings got a number of arrivals.
 func demandStats(sequence int64, arrivals int) ProxyStats {
 	demand := ClassDemand{Arrivals: arrivals, WindowMs: 1000}
 	return ProxyStats{Sequence: sequence, Demand: map[string]ClassDemand{"sheet": demand, "finish": demand}}
 }
 
-// reportDemand lets seconds pass in each of which a proxy of either zone reports so many requests of each class.
+// reportDemand lets seconds pass. In each of them a proxy of either zone reports a number of arrivals of each class.
 func (h *harness) reportDemand(seconds, arrivals int) {
 	h.t.Helper()
 	for range seconds {
@@ -277,7 +278,7 @@
 	}
 }
 
-// reportFailures lets seconds pass in which a host fails all attempts while the others serve theirs.
+// reportFailures lets seconds pass in which all attempts at one host fail, and those at the other hosts succeed.
 func (h *harness) reportFailures(list []Endpoint, failing string, seconds int) {
 	h.t.Helper()
 	for range seconds {
@@ -302,7 +303,7 @@
 	}
 }
 
-// describeTable is the published table of a proxy for the first class.
+// describeTable returns the published table of a proxy for the first class as text.
 func (h *harness) describeTable(proxy string) string {
 	response, _ := h.PublishedTables(proxy)
 	table := response.Tables()[0]
@@ -313,7 +314,7 @@
 	return strings.Join(entries, ", ")
 }
 
-// solverGap is the gap between the published tables and the best ones, nil where the solver has no problem.
+// solverGap returns the gap between the published tables and the optimal ones, nil if the solver has no problem.
 func (h *harness) solverGap() *solver.Gap {
 	h.t.Helper()
 	problem, tables := h.CurrentProblem()
@@ -327,7 +328,7 @@
 	return gap
 }
 
-// mustHostInfo is the state of a host that has to be known.
+// mustHostInfo returns the state of a host that has to be known.
 func (h *harness) mustHostInfo(host string) HostInfo {
 	h.t.Helper()
 	info, ok := h.HostInfo(host)
@@ -337,7 +338,7 @@
 	return info
 }
 
-// countEvents counts the events of a kind whose text has a prefix.
+// countEvents returns the number of events of a kind whose text has a prefix.
 func (h *harness) countEvents(kind, prefix string) int {
 	count := 0
 	for _, event := range h.Events(0) {
--- a/controller/ingest_test.go
+++ b/controller/ingest_test.go
@@ -9,8 +9,8 @@
 	"barleysail/routing"
 )
 
-// A host's own reports reach the balancer beside the next statistics of a proxy. Repeated ones and those about unknown
-// hosts do not, and an implausible load is not trusted.
+// A host's own reports reach the balancer together with the next request stats of a proxy. Repeated reports and those
+// of unknown hosts do not, and an implausible load is not trusted.
 func TestLoadReports(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	list := h.readyEndpoints(2)
@@ -56,7 +56,7 @@
 	h.checkTrace()
 }
 
-// reportLoad has a host report a utilization and the request rate that belongs to it, by a clock that is an hour fast.
+// reportLoad has a host report a utilization and the corresponding request rate, by a clock that is an hour fast.
 func (h *harness) reportLoad(host string, utilization float64) {
 	h.t.Helper()
 	report := LoadReport{
@@ -66,7 +66,7 @@
 		Load:     routing.HostLoad{Utilization: utilization, RequestRate: utilization * 100, QueueLength: 0},
 	}
 	if counted, err := h.ObserveLoadReport(h.nowMs, host, report); !counted || err != nil {
-		h.t.Fatalf("load report of %s: counted %v, %v", host, counted, err)
+		h.t.Fatalf("load report of %s: counted %v, error %v, want it counted without an error", host, counted, err)
 	}
 }
 
@@ -84,8 +84,9 @@
 	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 900})
 }
 
-// A flood of reports while the controller starts delays neither new sessions nor a drain, takes no more of the queue
-// than its share, and is counted.
+// A flood of reports while the controller starts delays neither the first tables of a proxy nor a drain. It takes no
+// more than its share of the queue, so that the reports of other proxies still reach the balancer, and what is dropped
+// is counted.
 func TestReportFloodAtStart(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	limits := intake.DefaultLimits()
@@ -104,7 +105,7 @@
 		h.advance(1)
 	}
 	if h.nowMs-beganMs > 400 {
-		t.Errorf("the first tables took %.0f ms", h.nowMs-beganMs)
+		t.Errorf("the first tables took %.0f ms, want at most 400 ms", h.nowMs-beganMs)
 	}
 	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 60000})
 	list[5].State = routing.Draining
@@ -123,15 +124,15 @@
 	}
 	report := h.Status(h.nowMs).Ingest
 	if report.Queued > 50 || report.Dropped[intake.QueueFull] == 0 || report.Processed == 0 {
-		t.Errorf("%+v", report)
+		t.Errorf("the report is %+v, want at most 50 queued, some dropped as %s and some processed", report, intake.QueueFull)
 	}
 	if explanation, _ := h.balancer.Explain(0); explanation.Successes == 0 {
-		t.Error("the statistics of the other proxy did not reach the balancer")
+		t.Error("the request stats of the other proxy did not reach the balancer")
 	}
 }
 
-// flood reports statistics about all hosts by one proxy, about the first host by another one, and the load of each
-// host. All reports have to end with the errors wanted.
+// flood reports request stats of one proxy for all hosts, of another proxy for the first host, and the load of each
+// host. All reports have to return the wanted errors.
 func (h *harness) flood(list []Endpoint, sequence int, wantStatsErr, wantLoadErr error) {
 	h.t.Helper()
 	hosts := map[string]HostStats{}
@@ -149,7 +150,7 @@
 	for _, endpoint := range list {
 		report := LoadReport{Sender: "x", Sequence: int64(sequence), Load: load}
 		if _, err := h.ObserveLoadReport(h.nowMs, endpoint.Host, report); !errors.Is(err, wantLoadErr) {
-			h.t.Fatalf("load report of %s: %v, want %v", endpoint.Host, err, wantLoadErr)
+			h.t.Fatalf("load report of %s: the error is %v, want %v", endpoint.Host, err, wantLoadErr)
 		}
 	}
 }
@@ -157,12 +158,12 @@
 func (h *harness) floodStats(proxy string, stats ProxyStats, wantErr error) {
 	h.t.Helper()
 	if _, err := h.ObserveProxyStats(h.nowMs, proxy, stats); !errors.Is(err, wantErr) {
-		h.t.Fatalf("statistics of %s: %v, want %v", proxy, err, wantErr)
+		h.t.Fatalf("request stats of %s: the error is %v, want %v", proxy, err, wantErr)
 	}
 }
 
-// A controller whose rounds come late sheds reports, then stretches the time between rounds, logs it, and recovers. A
-// drain is carried out in the next round all the same.
+// A controller whose rounds are late sheds reports, then lengthens the time between rounds, logs both, and recovers. A
+// drain is still published by the next round.
 func TestLateRounds(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	h.hideNotModified = true
--- a/controller/invalid_test.go
+++ b/controller/invalid_test.go
@@ -8,7 +8,7 @@
 	"barleysail/routing"
 )
 
-// Invalid inputs leave everything as it was.
+// Invalid inputs are rejected with an error that names the field, and change nothing.
 func TestInvalidInputs(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	h.mustSetEndpoints(h.readyEndpoints(2))
--- a/controller/longpoll_test.go
+++ b/controller/longpoll_test.go
@@ -34,8 +34,8 @@
 	h.checkTrace()
 }
 
-// Of two polls of a proxy the later one stays pending, and the earlier one is answered at once. A version is
-// acknowledged once, whatever tags come later.
+// Of two polls of a proxy the later one stays pending, and the earlier one gets its response at once. A version is
+// acknowledged only once, though later polls name its tag again.
 func TestReplacedPoll(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	h.mustSetEndpoints(h.readyEndpoints(2))
@@ -74,8 +74,8 @@
 	h.checkTrace()
 }
 
-// Two proxies under one name are recorded once, the statistics of both count, and the one whose poll is pending keeps
-// its session: they do not answer each other's polls for ever.
+// Two proxies with the same name do not replace each other's polls without end: the one whose poll is pending keeps its
+// session. The request stats of both are counted, and the duplicate name is recorded as one event.
 func TestDuplicateProxyName(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	list := h.readyEndpoints(1)
@@ -99,18 +99,19 @@
 	responses := len(h.responses) - responsesBefore
 	pending := h.Status(h.nowMs).PendingPolls
 	if rejected < 80 || responses > 15 || pending != 1 {
-		t.Errorf("%d polls rejected, %d answered, %d pending", rejected, responses, pending)
+		t.Errorf("%d polls were rejected, %d got a response and %d are pending, want at least 80, at most 15 and 1",
+			rejected, responses, pending)
 	}
 	if count := h.countEvents("intake", ""); count != 1 {
-		t.Errorf("%d events, want 1", count)
+		t.Errorf("the duplicate name was recorded as %d events, want 1", count)
 	}
 	h.advance(11000)
 	if err := h.Poll(h.nowMs, 1e6, PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000}, h); err != nil {
-		t.Errorf("after the window a poll may replace another one again: %v", err)
+		t.Errorf("a poll that replaces another one after the window: the error is %v, want none", err)
 	}
 }
 
-// reportAsTwoSenders reports the statistics of two senders under one proxy's name; both have to count.
+// reportAsTwoSenders reports the request stats of two senders under one proxy's name. Both have to be counted.
 func reportAsTwoSenders(t *testing.T, h *harness, sequence int64, host string) {
 	t.Helper()
 	stats := HostStats{Attempts: 1, MeanLatencyMs: 5, WindowMs: 1000, Load: routing.UnknownLoad}
@@ -118,12 +119,12 @@
 		report := ProxyStats{Sender: sender, Sequence: sequence, Hosts: map[string]HostStats{host: stats}}
 		counted, err := h.ObserveProxyStats(h.nowMs, "p", report)
 		if !counted || err != nil {
-			t.Errorf("statistics of %s: counted %v, %v", sender, counted, err)
+			t.Errorf("request stats of %s: counted %v, error %v, want them counted without an error", sender, counted, err)
 		}
 	}
 }
 
-// Before a graceful shutdown all pending polls are answered with what there is.
+// Before a graceful shutdown all pending polls get a response with the current tables.
 func TestReleasePolls(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	h.mustSetEndpoints(h.readyEndpoints(2))
@@ -139,10 +140,10 @@
 	h.ReleasePolls(h.nowMs, h)
 	for _, poll := range polls {
 		if response, ok := h.responses[poll]; !ok || response.Kind != NotModified {
-			t.Errorf("poll %d has the response %+v, want one without changes", poll, response.Kind)
+			t.Errorf("the response to poll %d is of the kind %d (given: %v), want NotModified", poll, response.Kind, ok)
 		}
 	}
 	if pending := h.Status(h.nowMs).PendingPolls; pending != 0 {
-		t.Errorf("%d polls are pending, want none", pending)
+		t.Errorf("%d polls are pending after the release, want none", pending)
 	}
 }
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -7,8 +7,8 @@
 	"barleysail/routing"
 )
 
-// Overrides take precedence over the endpoint list, survive a changed list, reach the proxies as entries of the list
-// would, and end at their time. The hosts of a zone drain one after the other.
+// Overrides take precedence over the endpoint list, stay when the list changes, are published like entries of the list,
+// and expire. Queued drains are applied one after the other.
 func TestOverrides(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	h.applyOverrides(operator.Command{Host: hostName(0), State: operator.Draining, Weight: -1})
@@ -96,15 +96,15 @@
 	}
 	info := h.mustHostInfo(failing)
 	if !info.Ejected || info.Weight != 0 || info.BaseWeight != 1.5 {
-		t.Errorf("%+v", info)
+		t.Errorf("the host is %+v, want it ejected with the weight 0 and the base weight 1.5", info)
 	}
 	infos := h.HostInfos()
 	if len(infos[1].WeightChanges) == 0 || infos[0].Explanation.ConsecutiveFailures == 0 {
-		t.Errorf("%+v", infos[:2])
+		t.Errorf("the hosts are %+v, want failed health checks of the first and weight changes of the second", infos[:2])
 	}
 }
 
-// An override that expires or is queued is looked at in time though nothing else happens.
+// NextMs includes the time at which an override expires, so that it ends in time even if nothing else happens.
 func TestOverrideExpiresInTime(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	h.hideNotModified = true
@@ -113,20 +113,20 @@
 	host := hostName(0)
 	h.applyOverrides(operator.Command{Host: host, State: operator.Draining, Weight: -1, DurationMs: 7500})
 	if h.NextMs() > h.nowMs+7500 {
-		t.Errorf("next at %.0f of %.0f", h.NextMs(), h.nowMs)
+		t.Errorf("Advance is due at %.0f ms, want at most %.0f ms", h.NextMs(), h.nowMs+7500)
 	}
 	h.advance(7400)
 	if info := h.mustHostInfo(host); info.State != "draining" {
-		t.Errorf("%+v", info)
+		t.Errorf("before the override expires the host is %+v, want it draining", info)
 	}
 	h.advance(101)
 	if info := h.mustHostInfo(host); info.State != "ready" {
-		t.Errorf("%+v", info)
+		t.Errorf("after the override has expired the host is %+v, want it ready", info)
 	}
 }
 
-// An override sets the state and the weight of an entry; a ratio is one of the list's weight, or of 1 where it has
-// none.
+// An override sets the state and the weight of an entry. A weight ratio refers to the weight on the list, or to 1 if
+// the list has none.
 func TestOverridden(t *testing.T) {
 	endpoint := Endpoint{Host: "h:1", State: routing.Ready, Weight: 2}
 	unweighted := Endpoint{Host: "h:1", State: routing.Ready}
@@ -153,7 +153,7 @@
 	}
 }
 
-// The text of a command in events names what it sets, for how long, and who gave it.
+// The text of a command in events names what it sets, for how long, and the operator.
 func TestDescribeCommand(t *testing.T) {
 	for _, test := range []struct {
 		command operator.Command
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -13,14 +13,14 @@
 	"barleysail/routing"
 )
 
-// Hosts over their capacity get less than the balancer decided, with the least change that achieves it. A drain is
-// published in time: the host is removed from the repaired table too.
+// Hosts over their capacity get lower weights than the balancer decided, with the smallest change that achieves this. A
+// draining host is removed from the repaired table too.
 func TestRepairOverCapacity(t *testing.T) {
 	h, list := newRepairHarness(t, guard.Limits{CapacityMultiple: 0.85})
 	h.reportDemand(30, 22)
 	h.printf("decided %.3g, published %s", h.tables.table(0).decided, h.describeTable("p"))
 	if gap := h.solverGap(); gap == nil || gap.Result < 0.85 { // 0.71 without repair
-		t.Errorf("gap %+v", gap)
+		t.Errorf("the gap is %+v, want a result of at least 0.85", gap)
 	}
 	h.printf("a large host drains")
 	list[1].State = routing.Draining
@@ -35,7 +35,7 @@
 	h.checkTrace()
 }
 
-// A large shift of traffic is made in steps, each once the one before is published.
+// A large shift of traffic is published in steps, each one after the previous step was published.
 func TestRepairTrafficShift(t *testing.T) {
 	h, _ := newRepairHarness(t, guard.Limits{MaxTrafficShift: 0.1})
 	h.reportDemand(3, 2)
@@ -50,7 +50,7 @@
 	h.checkTrace()
 }
 
-// Where no valid tables are found, that is logged and the least invalid ones are published.
+// If the repair finds no valid tables, that is logged and the least invalid ones are published.
 func TestRepairWithoutValidTables(t *testing.T) {
 	set := defaultTestSettings()
 	set.classes[0].ZoneLocal = true
@@ -73,7 +73,7 @@
 	h.checkTrace()
 }
 
-// Where the channel has no capacity for the updates of a repair, the published tables stay but for removals.
+// If the channel has no capacity for the updates of a repair, the published tables stay except for removals.
 func TestRepairWithoutChannelCapacity(t *testing.T) {
 	h, list := newRepairHarness(t, guard.Limits{CapacityMultiple: 1})
 	h.reportDemand(14, 22)
@@ -81,19 +81,20 @@
 	h.channel.maxBacklog = 10
 	h.reportDemand(10, 10)
 	if after := h.describeTable("p"); after != before {
-		t.Errorf("without capacity %s became %s", before, after)
+		t.Errorf("without channel capacity the published table is %s, want the previous one %s", after, before)
 	}
 	list[3].State = routing.Draining
 	h.mustSetEndpoints(list)
 	h.reportDemand(1, 10)
 	after := h.describeTable("p")
 	if strings.Contains(after, hostName(3)) || !strings.Contains(after, hostName(1)) {
-		t.Errorf("after a drain %s", after)
+		t.Errorf("after the drain of %s the table is %s, want it without that host and with %s",
+			hostName(3), after, hostName(1))
 	}
 }
 
-// Whatever happens, the repaired tables hold no host that is not ready, none that the balancer left out unless no host
-// were left, and the limits of the channel hold.
+// After any sequence of changes the repaired tables hold no host that is not ready, and no host that the balancer left
+// out unless no other host is left, and the limits of the channel hold.
 func TestRepairKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		set := defaultTestSettings()
@@ -108,7 +109,7 @@
 		for step := range rapid.IntRange(5, 30).Draw(r, "steps") {
 			changeRandomHost(r, list, h.nowMs)
 			h.mustSetEndpoints(list)
-			arrivals := rapid.SampledFrom([]int{1, 10, 40}).Draw(r, "came")
+			arrivals := rapid.SampledFrom([]int{1, 10, 40}).Draw(r, "arrivals")
 			for i, proxy := range []string{"p", "q"} {
 				h.pollAgain(PollRequest{Proxy: proxy, Zone: h.deployment.Zones[i], WaitMs: 900, AcceptDelta: true})
 				if _, err := h.ObserveProxyStats(h.nowMs, proxy, demandStats(int64(step+1), arrivals)); err != nil {
@@ -126,18 +127,18 @@
 
 func enableRandomRepair(r *rapid.T, h *harness) {
 	limits := guard.Limits{
-		CapacityMultiple: rapid.SampledFrom([]float64{0.5, 1}).Draw(r, "over"),
-		MaxTrafficShift:  rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(r, "jump"),
+		CapacityMultiple: rapid.SampledFrom([]float64{0.5, 1}).Draw(r, "capacity multiple"),
+		MaxTrafficShift:  rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(r, "max traffic shift"),
 		SurviveZoneLoss:  true,
 	}
-	repair := RepairSettings{Enabled: true, SurviveZoneLoss: rapid.Bool().Draw(r, "spare")}
+	repair := RepairSettings{Enabled: true, SurviveZoneLoss: rapid.Bool().Draw(r, "survive zone loss")}
 	h.EnableValidation(limits, repair, guard.EndpointLossLimits{})
 }
 
-// changeRandomHost changes the state, the weight or the start of a host, or nothing.
+// changeRandomHost changes the state, the weight or the start time of a host, or nothing.
 func changeRandomHost(r *rapid.T, list []Endpoint, nowMs float64) {
 	host := &list[rapid.IntRange(0, 5).Draw(r, "host")]
-	switch rapid.IntRange(0, 4).Draw(r, "what") {
+	switch rapid.IntRange(0, 4).Draw(r, "change") {
 	case 0:
 		if host.State == routing.Ready {
 			host.State = routing.Draining
@@ -151,24 +152,26 @@
 	}
 }
 
-// checkChannelLimits checks the backlog and the number of messages to each proxy; sent collects when they were sent.
+// checkChannelLimits checks the backlog and the number of messages to each proxy. It adds the times at which they were
+// sent to sent.
 func (h *harness) checkChannelLimits(r *rapid.T, sent map[string][]float64) {
-	const maxMessages = 20 // within 10 s, by the settings
+	const maxMessages = 20 // within messageWindowMs, by defaultTestSettings
+	const messageWindowMs = 10000
 	if backlog := h.channel.backlog(); backlog > h.channel.maxBacklog {
-		r.Fatalf("%g entries wait", backlog)
+		r.Fatalf("the backlog is %g entries, want at most %g", backlog, h.channel.maxBacklog)
 	}
 	for _, session := range h.sessions.byIndex {
 		times := append(sent[session.proxy], session.sentMs...)
 		slices.Sort(times)
 		times = slices.Compact(times)
 		sent[session.proxy] = times
-		if n := len(times); n > maxMessages && times[n-1]-times[n-1-maxMessages] < 10000 {
-			r.Fatalf("more than 20 messages within 10 s")
+		if n := len(times); n > maxMessages && times[n-1]-times[n-1-maxMessages] < messageWindowMs {
+			r.Fatalf("%s was sent more than %d messages within %d ms", session.proxy, maxMessages, messageWindowMs)
 		}
 	}
 }
 
-// checkPublished checks the published weights of the table for all zones against those decided.
+// checkPublished checks the published weights of the table for all zones against the decided ones.
 func (h *harness) checkPublished(r *rapid.T) {
 	table := h.tables.table(0)
 	if table.published == nil {
@@ -183,10 +186,11 @@
 		ready, _ := h.balancer.HostStatus(host)
 		decided := table.decided[host]
 		if weight != 0 && (!ready || hasCandidate && decided == 0) || weight < 0 || math.IsNaN(weight) {
-			r.Fatalf("host %d has %g, decided %g, ready %v", host, weight, decided, ready)
+			r.Fatalf("host %d has the published weight %g, which its decided weight %g and its readiness %v do not allow",
+				host, weight, decided, ready)
 		}
 	}
 	if hasCandidate && slices.Max(table.published) <= 0 {
-		r.Fatalf("nobody is left of %v", table.decided)
+		r.Fatalf("the published weights are %v, want a host left of the decided ones %v", table.published, table.decided)
 	}
 }
--- a/controller/restore_test.go
+++ b/controller/restore_test.go
@@ -14,13 +14,13 @@
 	"barleysail/state/statepb"
 )
 
-// restart starts the next incarnation "M" some time later, from the snapshot of this one as it comes from a file.
+// restart starts the next incarnation "M" some time later, from the encoded snapshot of this one.
 func (h *harness) restart(set testSettings, laterMs float64) *harness {
 	h.t.Helper()
 	return restoreHarness(h.t, set, h.Snapshot(h.nowMs), h.nowMs+laterMs)
 }
 
-// restoreHarness starts the incarnation "M" from a snapshot.
+// restoreHarness starts the incarnation "M" from a snapshot, which it encodes and decodes as a file would.
 func restoreHarness(t testing.TB, set testSettings, snapshot *statepb.State, nowMs float64) *harness {
 	t.Helper()
 	encoded, err := proto.Marshal(snapshot)
@@ -38,8 +38,8 @@
 	return h
 }
 
-// The next incarnation continues with deltas onto what the proxies hold, gives a host that has failed less weight from
-// the first table on, and forgets both in time.
+// The next incarnation continues with deltas onto the tables that the proxies hold, and gives a host that has failed
+// less weight from its first table on. Both end when the stored state is too old, and if the clock went back.
 func TestNextIncarnation(t *testing.T) {
 	set := defaultTestSettings()
 	h := newHarness(t, set)
@@ -69,8 +69,8 @@
 	h.checkTrace()
 }
 
-// A proxy whose tag is of neither incarnation, or whose persisted tables are those of other classes, gets a snapshot;
-// one that is now in another zone is another proxy.
+// A proxy gets a snapshot if its tag is unknown or another proxy's, if it is now in another zone, or if the persisted
+// tables are those of other classes.
 func TestUnknownTags(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	list := h.readyEndpoints(2)
@@ -106,14 +106,14 @@
 			next.advance(400)
 			response, ok := next.responses[poll]
 			if !ok || response.Kind != test.want || response.Kind == Delta && response.BaseTag != tag {
-				t.Errorf("the response is %+v", response)
+				t.Errorf("the response is %+v (given: %v), want the kind %d, a delta onto %s", response, ok, test.want, tag)
 			}
 		})
 	}
 }
 
-// A host that started shortly before the restart is still warming up after it, though the endpoint list gives no
-// start; one that has started since by the list begins its slow start anew.
+// A host that started shortly before the restart is still warming up after it, though the endpoint list gives no start
+// time. A host that has started since then according to the list begins its slow start again.
 func TestRestartDuringSlowStart(t *testing.T) {
 	set := defaultTestSettings()
 	h := newHarness(t, set)
@@ -131,14 +131,15 @@
 	restored.mustSetEndpoints(append(list, added))
 	restored.advance(10)
 	if got := slowStartFactor(restored, added.Host); got <= before || got > before+0.1 || got >= 1 {
-		t.Errorf("the slow-start factor is %.2f before, %.2f a second later", before, got)
+		t.Errorf("the slow-start factor is %.2f before and %.2f after the restart, want a rise by at most 0.1, below 1",
+			before, got)
 	}
 
 	unrestored := newHarness(t, set)
 	unrestored.nowMs = restored.nowMs
 	unrestored.mustSetEndpoints(append(list, added))
 	if got := slowStartFactor(unrestored, added.Host); got != 1 {
-		t.Errorf("without a state the host counts as started long ago, but its factor is %.2f", got)
+		t.Errorf("without a state the slow-start factor is %.2f, want 1: the host counts as started long ago", got)
 	}
 
 	list[0].StartedMs = h.nowMs + 500
@@ -146,12 +147,12 @@
 	startedSince.mustSetEndpoints(append(list, added))
 	startedSince.advance(10)
 	if got := slowStartFactor(startedSince, list[0].Host); got > 0.3 {
-		t.Errorf("the host has started anew, and its factor is %.2f", got)
+		t.Errorf("the slow-start factor of a host that has started again is %.2f, want at most 0.3", got)
 	}
 }
 
-// After a restart within a drain's grace time, proxies that come back with the earlier tables get the removal in what
-// is left of it, and the drain counts from when it was first seen.
+// After a restart within the drain grace, proxies that return with the earlier tables get the removal before the grace
+// is over. The drain counts from the time at which the earlier incarnation first observed it.
 func TestRestartDuringDrain(t *testing.T) {
 	set := defaultTestSettings()
 	h := newHarness(t, set)
@@ -163,7 +164,7 @@
 	tag := h.newestTag("p")
 	list[1].State = routing.Draining
 	drainingSinceMs := h.nowMs
-	h.mustSetEndpoints(list) // and nothing of it reaches the proxies: the controller is killed
+	h.mustSetEndpoints(list) // the controller is killed before the drain reaches the proxies
 
 	next := h.restart(set, 800)
 	next.mustSetEndpoints(list)
@@ -172,14 +173,15 @@
 	next.advance(set.safety.DrainGraceMs - 1000)
 	response, ok := next.responses[poll]
 	if !ok || !strings.Contains(string(response.Body()), `"10.0.0.1:80":null`) {
-		t.Errorf("not sent within the grace time: %v", next.trace.String())
+		t.Errorf("the removal was not sent within the drain grace: %v", next.trace.String())
 	}
 	if snapshot := next.Snapshot(next.nowMs); snapshot.Hosts[1].Drains != drainingSinceMs {
-		t.Errorf("it drains since %g, not %g", snapshot.Hosts[1].Drains, drainingSinceMs)
+		t.Errorf("the host is draining since %g ms, want %g ms", snapshot.Hosts[1].Drains, drainingSinceMs)
 	}
 }
 
-// After a restart while a third of the requests is admitted, a little more is admitted at first, not all.
+// After a restart while a third of the requests is admitted, the restored admission ratio rises with the age of the
+// state instead of starting at 1.
 func TestRestartDuringAdmissionControl(t *testing.T) {
 	const snapshotMs = 50000
 	snapshot := &statepb.State{
@@ -203,13 +205,14 @@
 			sheetRatio := response.Tables()[0].AdmissionRatio
 			admissionRatio, _, _ := h.balancer.Admission()
 			if math.Abs(admissionRatio-test.admissionRatio) > 0.02 || math.Abs(sheetRatio-test.sheetRatio) > 0.02 {
-				t.Errorf("the admission ratio is %.2f, that of sheet %.2f", admissionRatio, sheetRatio)
+				t.Errorf("the admission ratio is %.2f and that of sheet %.2f, want %.2f and %.2f",
+					admissionRatio, sheetRatio, test.admissionRatio, test.sheetRatio)
 			}
 		})
 	}
 }
 
-// Overrides survive a restart, and end at their time.
+// Overrides survive a restart, and expire as before.
 func TestOverridesSurviveRestart(t *testing.T) {
 	set := defaultTestSettings()
 	h := newHarness(t, set)
@@ -241,8 +244,8 @@
 	next.checkTrace()
 }
 
-// A host that was ejected is restored with one failed health check against it, so that it is checked soon; a host that
-// is now in another zone, or has started since, is another one.
+// A host that was ejected is restored with one failed health check, so that it is checked again soon. A host that is
+// now in another zone, or has another start time, is not restored.
 func TestRestoreEjectedHost(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -272,10 +275,10 @@
 			h.mustSetEndpoints(list)
 			info := h.mustHostInfo(list[0].Host)
 			if got := info.Explanation.ConsecutiveFailures; got != test.wantFailures {
-				t.Errorf("%d failed health checks, want %d", got, test.wantFailures)
+				t.Errorf("the host has %d failed health checks, want %d", got, test.wantFailures)
 			}
 			if got := h.Status(h.nowMs).Restored.Hosts; got != test.wantRestored {
-				t.Errorf("%d hosts restored, want %d", got, test.wantRestored)
+				t.Errorf("%d hosts were restored, want %d", got, test.wantRestored)
 			}
 			distrusted := info.Reports != nil && info.Reports.DistrustReason != ""
 			if want := test.known.ReportConfidence < 1; distrusted != want {
@@ -312,8 +315,8 @@
 	}
 }
 
-// connect has the proxies poll an incarnation within a second, every second one with its tag of the first incarnation
-// where withTags is set.
+// connect has all proxies poll an incarnation within a second. If withTags is set, every second proxy sends its tag of
+// the first incarnation.
 func (f *reconnectingFleet) connect(to *harness, withTags bool) {
 	to.t.Helper()
 	for i := range reconnectingProxies {
@@ -333,7 +336,7 @@
 func (f *reconnectingFleet) checkBacklog(of *harness) {
 	of.t.Helper()
 	if backlog := of.channel.backlog(); backlog > f.set.channel.MaxBacklog {
-		of.t.Fatalf("%g entries wait", backlog)
+		of.t.Fatalf("the backlog is %g entries, want at most %g", backlog, f.set.channel.MaxBacklog)
 	}
 }
 
@@ -348,8 +351,8 @@
 	}
 }
 
-// 600 proxies reconnect within a second, half of them with the earlier tables: the limits of the channel hold, all
-// proxies have tables in time, and those with a tag get less.
+// 600 proxies reconnect within a second, half of them with the earlier tables. The limits of the channel hold, all
+// proxies have tables after ten seconds, and those with a tag continue from their earlier tables.
 func TestManyProxiesReconnect(t *testing.T) {
 	fleet := newReconnectingFleet(t)
 	list := fleet.h.readyEndpoints(40)
@@ -369,7 +372,7 @@
 	for _, session := range next.sessions.byProxy {
 		response, ok := next.PublishedTables(session.proxy)
 		if !ok || len(response.Tables()[0].Hosts) == 0 {
-			t.Fatalf("%s holds nothing", session.proxy)
+			t.Fatalf("%s has no hosts in its published table", session.proxy)
 		}
 	}
 	bytes := map[ResponseKind]int{}
--- a/controller/rounds_test.go
+++ b/controller/rounds_test.go
@@ -8,8 +8,8 @@
 	"barleysail/routing"
 )
 
-// BenchmarkRounds measures rounds of the balancer while every proxy reports statistics about 20 hosts a second, without
-// the table validator and with it: while no table changes, and while hosts drain.
+// BenchmarkRounds measures rounds of the balancer while every proxy reports request stats of 20 hosts a second, with
+// and without the table validator, and with and without draining hosts.
 func BenchmarkRounds(b *testing.B) {
 	validations := []struct {
 		name   string
@@ -51,7 +51,7 @@
 	}
 }
 
-// reportFifth has a fifth of the proxies poll and report, another one in each round.
+// reportFifth has a fifth of the proxies poll and report, a different fifth in each of five rounds.
 func (h *harness) reportFifth(list []Endpoint, round int) {
 	h.t.Helper()
 	const fifth = largestProxies / 5
--- a/controller/solver_test.go
+++ b/controller/solver_test.go
@@ -10,8 +10,8 @@
 // solverLogPrefix begins the log line of new solver weights.
 const solverLogPrefix = "solver weights applied"
 
-// Solver weights take effect once the demand makes them worth the updates, once, and follow the capacity of the hosts.
-// While the solver is off, or a host gives no cores, the weights of the endpoint list stand.
+// Solver weights follow the capacity of the hosts. They are applied once, when the demand makes them gain more than
+// their updates cost. While the solver is off, or a host has no cores given, the weights of the endpoint list apply.
 func TestSolverWeights(t *testing.T) {
 	h, list := newUnevenHarness(t, true)
 	h.hideNotModified = true
@@ -22,7 +22,7 @@
 	h.printf("weights %v", h.baseWeights())
 	gap := h.solverGap()
 	if gap == nil || gap.Best < 0.98 || gap.Result < 0.92 || gap.Over[hostName(0)] > 1.1 {
-		t.Errorf("gap %+v", gap)
+		t.Errorf("the gap is %+v, want the best at 0.98, the result at 0.92 and the small host at 1.1 or better", gap)
 	}
 	h.printf("a host that tells no cores")
 	list = append(list, Endpoint{Host: hostName(9), Zone: "a", State: routing.Ready, Weight: 1})
@@ -33,29 +33,30 @@
 	off, _ := newUnevenHarness(t, false)
 	off.reportDemand(30, 22)
 	if gap := off.solverGap(); gap == nil || gap.Result > 0.8 || gap.Over[hostName(0)] < 2 {
-		t.Errorf("without solver weights: gap %+v", gap)
+		t.Errorf("without solver weights the gap is %+v, want a result of at most 0.8 and the small host at 2 or more", gap)
 	}
 	if strings.Contains(off.trace.String(), solverLogPrefix) || off.baseWeights()[hostName(1)] != 1 {
-		t.Errorf("switched off:\n%s", off.trace.String())
+		t.Errorf("without solver weights the base weights are %v, want the listed ones and no log line:\n%s",
+			off.baseWeights(), off.trace.String())
 	}
 }
 
-// Where the control channel is expensive, weights that gain less than their updates cost do not take effect.
+// If the control channel is expensive, solver weights that gain less than their updates cost are not applied.
 func TestSolverWeightsAtCost(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		expensive   bool
-		wantRenewed bool
+		wantApplied bool
 	}{{"cheap", false, true}, {"expensive", true, false}} {
 		t.Run(test.name, func(t *testing.T) {
 			h, _ := newUnevenHarness(t, true)
 			h.hideNotModified = true
 			if test.expensive {
-				h.channel.cost = 2000 // two messages of ten entries in five seconds cost more than the whole result
+				h.channel.cost = 2000 // two messages of ten entries in five seconds cost more than the whole objective
 			}
 			h.reportDemand(30, 22)
-			if renewed := strings.Contains(h.trace.String(), solverLogPrefix); renewed != test.wantRenewed {
-				t.Errorf("renewed %v, want %v:\n%s", renewed, test.wantRenewed, h.trace.String())
+			if applied := strings.Contains(h.trace.String(), solverLogPrefix); applied != test.wantApplied {
+				t.Errorf("solver weights applied: %v, want %v:\n%s", applied, test.wantApplied, h.trace.String())
 			}
 		})
 	}
--- a/controller/stats_test.go
+++ b/controller/stats_test.go
@@ -7,7 +7,7 @@
 	"barleysail/routing"
 )
 
-// Statistics count once for each number; a sender that starts over takes another name.
+// Request stats are counted once for each sequence number. A sender that restarts its numbers uses another name.
 func TestStatsCountedOnce(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	h.mustSetEndpoints(h.readyEndpoints(1))
@@ -29,7 +29,7 @@
 	h.checkTrace()
 }
 
-// A distribution of latencies has valid buckets, and no more attempts than were successful.
+// A latency histogram must have valid buckets, and no more attempts than were successful.
 func TestCheckLatencies(t *testing.T) {
 	stats := func(buckets ...intake.LatencyBucket) HostStats {
 		return HostStats{Attempts: 5, Failed: 2, Latencies: buckets}
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkStats measures the intake of one proxy's statistics about 20 hosts.
+// BenchmarkStats measures the ingest of one proxy's request stats of 20 hosts.
 func BenchmarkStats(b *testing.B) {
 	h, list := newLargestHarness(b, func(*Controller) {})
 	load := routing.HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}
--- a/controller/tableset_test.go
+++ b/controller/tableset_test.go
@@ -11,7 +11,7 @@
 	"barleysail/routing"
 )
 
-// A delta is onto the version that the proxy holds, and applied to any version of the history it gives the newest one.
+// A delta refers to the version that the proxy holds. Applied to any version of the history it gives the newest one.
 func TestDeltasApplyToBase(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := newHarness(t, defaultTestSettings())
@@ -29,11 +29,11 @@
 			poll := h.poll(PollRequest{Proxy: "p", WaitMs: -1, Tags: []string{base}, AcceptDelta: true})
 			applied := applyResponse(r, h.responses[poll], base, documents[base])
 			if !equalJSON(applied, documents[snapshot.Tag]) {
-				r.Fatalf("from %s: %s\nnot %s", base, applied, documents[snapshot.Tag])
+				r.Fatalf("the response to a proxy with %s gives %s\nwant %s", base, applied, documents[snapshot.Tag])
 			}
 			for i := range list {
 				states := []routing.HostState{routing.Ready, routing.Draining}
-				list[i].State = rapid.SampledFrom(states).Draw(r, "phase")
+				list[i].State = rapid.SampledFrom(states).Draw(r, "state")
 				list[i].Weight = rapid.Float64Range(0.5, 2).Draw(r, "weight")
 			}
 			h.mustSetEndpoints(list[:rapid.IntRange(1, 6).Draw(r, "listed")])
@@ -42,14 +42,14 @@
 	})
 }
 
-// applyResponse is the document of a proxy that holds the document of a base and gets a response.
+// applyResponse returns the document of a proxy that held the document of a base and has applied a response.
 func applyResponse(r *rapid.T, response Response, base string, document []byte) []byte {
 	switch response.Kind {
 	case NotModified:
 		return document
 	case Delta:
 		if response.BaseTag != base {
-			r.Fatalf("a delta onto %s for a proxy that holds %s", response.BaseTag, base)
+			r.Fatalf("the delta is onto %s, want %s, which the proxy holds", response.BaseTag, base)
 		}
 		patched, err := jsonpatch.MergePatch(document, response.Body())
 		if err != nil {
@@ -67,8 +67,8 @@
 	return json.Unmarshal(a, &x) == nil && json.Unmarshal(b, &y) == nil && reflect.DeepEqual(x, y)
 }
 
-// The canonical form holds the same tables as the snapshot, its members in the order of their names, and is the same
-// for a delta.
+// The canonical form holds the same tables as the snapshot, with its members in the order of their names. It is encoded
+// once, and later calls return the same text.
 func TestCanonicalTables(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	h.mustSetEndpoints(h.readyEndpoints(2))
@@ -80,10 +80,10 @@
 	}
 	const want = `{"finish":{"hosts":{"10.0.0.0:80":1,"10.0.0.1:80":1},"share":1,"tries":1},` +
 		`"sheet":{"hosts":{"10.0.0.0:80":1,"10.0.0.1:80":1},"share":1,"tries":1}}`
-	for range 2 { // made, then cached
+	for range 2 { // encoded, then cached
 		canonical, err := response.Canonical()
 		if err != nil || string(canonical) != want {
-			t.Errorf("the canonical form is %s, %v, want %s", canonical, err, want)
+			t.Errorf("the canonical form is %s, error %v, want %s", canonical, err, want)
 		}
 	}
 }
--- a/controller/validation_test.go
+++ b/controller/validation_test.go
@@ -18,12 +18,12 @@
 
 	report := with.ValidationReport()
 	if report.Runs == 0 || report.NewFindings[guard.OverCapacity] == 0 || len(report.Findings) == 0 {
-		t.Errorf("the small hosts are over their capacity, and the report is %+v", report)
+		t.Errorf("the report is %+v, want findings of the small hosts, which are over their capacity", report)
 	}
 	if count := with.countEvents("guard", guard.OverCapacity+": "+hostName(0)); count != 1 {
 		t.Errorf("the finding was recorded %d times, want once", count)
 	}
 	if with.trace.String() != without.trace.String() {
-		t.Error("with the table validator other tables are published")
+		t.Errorf("with the table validator the trace is\n%s\nwant\n%s", with.trace.String(), without.trace.String())
 	}
 }
--- a/controller/validation_view_test.go
+++ b/controller/validation_view_test.go
@@ -9,8 +9,8 @@
 	"barleysail/routing"
 )
 
-// Subset tables are summed up by zone, in proportion to their proxies' request rates, and a subset table without a
-// ready host is a route of its own.
+// Subset tables are summed by zone, in proportion to the request rates of their proxies. A subset table without a ready
+// host also has a route of its own.
 func TestRoutesOfSubsetTables(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	list := h.readyEndpoints(4)
@@ -38,7 +38,8 @@
 	h.sumRoutes(h.refreshValidatedHosts())
 
 	if !h.validation.hasSubsetTables || len(h.validation.sharedTables) != 1 {
-		t.Fatalf("subset tables %v, shared tables %v", h.validation.hasSubsetTables, h.validation.sharedTables)
+		t.Fatalf("has subset tables %v, shared tables %v, want subset tables and one shared table",
+			h.validation.hasSubsetTables, h.validation.sharedTables)
 	}
 	demand := func(class, zone string, work float64) guard.Demand {
 		return guard.Demand{Class: class, Zone: zone, Work: work}
@@ -64,7 +65,7 @@
 	}
 }
 
-// checkRoute compares a route with the one wanted, its figures but for rounding.
+// checkRoute compares a route with the wanted one, and its figures within the tolerance.
 func checkRoute(t *testing.T, number int, got, want guard.Route) {
 	t.Helper()
 	const tolerance = 1e-6
@@ -100,7 +101,7 @@
 	want := sumOnce()
 	for range 100 {
 		if got := sumOnce(); !slices.Equal(got, want) {
-			t.Fatalf("the sum is %v, before it was %v", got, want)
+			t.Fatalf("the sum is %v, want the same as before, %v", got, want)
 		}
 	}
 }
