--- a/controller/channel_test.go
+++ b/controller/channel_test.go
@@ -6,8 +6,8 @@
 	"barleysail/routing"
 )
 
-// Messages with a removal leave the channel before others, and the queued message of a proxy takes in what is enqueued
-// while it waits, its stamps in order.
+// Messages with a removal are sent before others. Updates for a proxy that has a queued message are added to it, with
+// their stamps in order.
 func TestChannel(t *testing.T) {
 	h := newHarness(t, defaultTestSettings())
 	channel := newControlChannel(routing.ControlChannel{
@@ -19,27 +19,28 @@
 	channel.enqueue(one, 10, false, 1)
 	channel.enqueue(two, 10, false, 1)
 	channel.enqueue(three, 10, false, 1)
-	h.printf("waiting %.0f lines in %d messages", channel.backlog(), channel.queuedMessages())
+	h.printf("backlog %.0f entries in %d messages", channel.backlog(), channel.queuedMessages())
 	channel.enqueue(three, 3, true, 2)
-	h.printf("a removal for three: waiting %.0f in %d", channel.backlog(), channel.queuedMessages())
+	h.printf("after a removal for three: backlog %.0f entries in %d messages", channel.backlog(), channel.queuedMessages())
 	for range 4 {
 		message := channel.dequeue(0)
 		if message == nil {
-			h.printf("nothing")
+			h.printf("no message to send")
 			continue
 		}
-		h.printf("%s leaves with %.0f lines and marks %v", message.session.proxy, message.entries, message.stamps)
+		h.printf("%s is sent %.0f entries with the stamps %v",
+			message.session.proxy, message.entries, message.stamps)
 		channel.unqueue(message)
 		message.session.sentMs = append(message.session.sentMs, 0)
 	}
-	h.printf("waiting %.0f in %d", channel.backlog(), channel.queuedMessages())
+	h.printf("backlog %.0f entries in %d messages", channel.backlog(), channel.queuedMessages())
 	channel.enqueue(one, 1, false, 3)
 	one.sentMs = append(one.sentMs, 0)
 	channel.enqueue(two, 1, false, 3)
-	h.printf("one has had two messages, as many as it may: %s goes", channel.dequeue(1).session.proxy)
+	h.printf("one has reached the message limit: %s is sent a message", channel.dequeue(1).session.proxy)
 	channel.dropMessages(two)
-	h.printf("two leaves: waiting %.0f in %d, next at %.0f", channel.backlog(), channel.queuedMessages(),
-		channel.nextMs())
-	h.printf("after a second: %s", channel.dequeue(1000).session.proxy)
+	h.printf("after two has disconnected: backlog %.0f entries in %d messages, next at %.0f",
+		channel.backlog(), channel.queuedMessages(), channel.nextMs())
+	h.printf("after a second: %s is sent a message", channel.dequeue(1000).session.proxy)
 	h.checkTrace()
 }
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -43,7 +43,7 @@
 	if h.hideNotModified && response.Kind == NotModified {
 		return
 	}
-	kind := [...]string{Snapshot: "whole", Delta: "delta", NotModified: "same"}[response.Kind]
+	kind := [...]string{Snapshot: "snapshot", Delta: "delta", NotModified: "not modified"}[response.Kind]
 	body := strings.TrimSpace(string(response.Body()))
 	h.printf("poll %d: %s tag %s base %q %s", poll, kind, response.Tag, response.BaseTag, body)
 }
@@ -52,7 +52,7 @@
 func (h *harness) CheckHealth(host string) { h.healthChecks = append(h.healthChecks, host) }
 
 // WatchEndpoints implements Effects.
-func (h *harness) WatchEndpoints() { h.printf("watch the list") }
+func (h *harness) WatchEndpoints() { h.printf("watch of the endpoint list requested") }
 
 // Log implements Effects.
 func (h *harness) Log(text string) { h.printf("log: %s", text) }
@@ -225,7 +225,7 @@
 		request.Zone = "a"
 	}
 	if err := h.Poll(h.nowMs, h.lastPoll, request, h); err != nil {
-		h.printf("poll %d refused: %v", h.lastPoll, err)
+		h.printf("poll %d rejected: %v", h.lastPoll, err)
 	}
 	return h.lastPoll
 }
@@ -247,7 +247,7 @@
 // applyOverrides applies commands and prints the outcome.
 func (h *harness) applyOverrides(commands ...operator.Command) {
 	queued, err := h.ApplyOverrides(h.nowMs, commands, h)
-	h.printf("%s: waits %v, %v", describeCommand(commands[0]), queued, err)
+	h.printf("%s: queued %v, error %v", describeCommand(commands[0]), queued, err)
 }
 
 // observeStats reports request stats, which have to be valid and new.
--- a/controller/ingest_test.go
+++ b/controller/ingest_test.go
@@ -30,12 +30,12 @@
 		{host, LoadReport{"a", 2, -1, load}},
 	} {
 		counted, err := h.ObserveLoadReport(h.nowMs, test.host, test.report)
-		h.printf("%s number %d: counted %v, %v", test.host, test.report.Sequence, counted, err)
+		h.printf("load report %d of %s: counted %v, error %v", test.report.Sequence, test.host, counted, err)
 	}
 	describe := func(what string) {
 		info := h.mustHostInfo(host)
 		reports := info.Reports
-		h.printf("%s: the module has %.2f, trust %.2f, age %.0f, silent %v, doubted %q", what,
+		h.printf("%s: utilization %.2f in the balancer, trust %.2f, age %.0f, silent %v, distrusted %q", what,
 			info.Explanation.Load.Utilization, reports.Trust, reports.AgeMs, reports.Silent, reports.DistrustReason)
 	}
 	h.hideNotModified = true
@@ -43,16 +43,16 @@
 		h.reportLoad(host, 0.4+float64(i)/100) // 40 requests a second, as many as the proxy sends
 		h.reportAttempts(host)
 	}
-	describe("as it is")
+	describe("plausible reports")
 	for i := range 5 {
 		h.reportLoad(host, 0.02+float64(i)/1000)
 		h.reportAttempts(host)
 	}
-	describe("2 a second told, 40 fulfilled")
+	describe("2 requests per second reported, 40 attempts per second")
 	for range 8 {
 		h.reportAttempts(host)
 	}
-	describe("told no more")
+	describe("reports have stopped")
 	h.checkTrace()
 }
 
@@ -175,8 +175,8 @@
 		h.nowMs = max(h.NextMs(), h.nowMs) + 150
 		h.Advance(h.nowMs, h)
 	}
-	h.printf("level %d, %.3f of the intake, rounds each %.0f ms", h.Status(h.nowMs).Ingest.SheddingLevel, h.IngestRatio(),
-		h.scheduler.plannedMs-h.scheduler.lastMs)
+	h.printf("shedding level %d, ingest ratio %.3f, rounds every %.0f ms",
+		h.Status(h.nowMs).Ingest.SheddingLevel, h.IngestRatio(), h.scheduler.plannedMs-h.scheduler.lastMs)
 	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 60000})
 	list[0].State = routing.Draining
 	h.mustSetEndpoints(list)
@@ -185,6 +185,6 @@
 	duration := fmt.Sprintf("%.0f ms at most", h.nowMs-beganMs)
 	h.printf("drained: %v, after %s", h.tables.table(0).weights[0] == 0, duration)
 	h.advance(30000)
-	h.printf("level %d, %.3f of the intake", h.Status(h.nowMs).Ingest.SheddingLevel, h.IngestRatio())
+	h.printf("shedding level %d, ingest ratio %.3f", h.Status(h.nowMs).Ingest.SheddingLevel, h.IngestRatio())
 	h.checkTrace()
 }
--- a/controller/invalid_test.go
+++ b/controller/invalid_test.go
@@ -13,7 +13,7 @@
 	h := newHarness(t, defaultTestSettings())
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	for _, list := range invalidEndpointLists() {
-		h.printf("list refused: %v", h.SetEndpoints(h.nowMs, list))
+		h.printf("list rejected: %v", h.SetEndpoints(h.nowMs, list))
 	}
 	h.printf("%d hosts", h.Status(h.nowMs).Hosts)
 	for _, request := range []PollRequest{
@@ -26,11 +26,12 @@
 		h.poll(request)
 	}
 	_, err := h.ObserveProxyStats(h.nowMs, "p", ProxyStats{Sequence: 1})
-	h.printf("sums of a proxy that has not joined: %v, %v", err, errors.Is(err, ErrNotConnected))
+	h.printf("request stats of a proxy without a session: %v, is ErrNotConnected: %v",
+		err, errors.Is(err, ErrNotConnected))
 	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	for _, stats := range invalidStats() {
 		counted, err := h.ObserveProxyStats(h.nowMs, "p", stats)
-		h.printf("sums counted %v: %v", counted, err)
+		h.printf("request stats: counted %v, error %v", counted, err)
 	}
 	h.checkTrace()
 }
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -27,7 +27,7 @@
 	h.pollAgain(request)
 	h.mustSetEndpoints(list)
 	h.advance(3000)
-	h.printf("maint is a removal, a host that is added joins")
+	h.printf("a host in maintenance is removed, an added host is published")
 	h.pollAgain(request)
 	h.applyOverrides(operator.Command{Host: hostName(2), State: operator.Maintenance, Weight: -1})
 	added := &operator.AddedHost{Zone: "a", Weight: 1, StartedMs: 1}
@@ -40,7 +40,7 @@
 	h.pollAgain(request)
 	h.printf("hosts")
 	h.printHosts()
-	h.printf("a zone")
+	h.printf("the hosts of a zone drain")
 	h.applyOverrides(
 		operator.Command{Host: hostName(1), State: operator.Draining, Weight: -1, Queue: true},
 		operator.Command{Host: hostName(3), State: operator.Draining, Weight: -1, Queue: true},
@@ -62,7 +62,8 @@
 		if info.Override != nil {
 			override = info.Override.State
 		}
-		h.printf("%s %s listed %g told %g %s", info.Host, info.State, info.BaseWeight, info.Weight, override)
+		h.printf("%s %s base weight %g, published weight %g, override %q",
+			info.Host, info.State, info.BaseWeight, info.Weight, override)
 	}
 }
 
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -27,7 +27,7 @@
 	h.mustSetEndpoints(list)
 	h.reportDemand(1, 22)
 	h.printf("published %s", h.describeTable("p"))
-	h.printf("with little demand nothing is refused")
+	h.printf("with little demand no table is repaired")
 	list[1].State = routing.Ready
 	h.mustSetEndpoints(list)
 	h.reportDemand(30, 2)
@@ -39,14 +39,14 @@
 func TestRepairTrafficShift(t *testing.T) {
 	h, _ := newRepairHarness(t, guard.Limits{MaxTrafficShift: 0.1})
 	h.reportDemand(3, 2)
-	h.printf("an operator wants three times the weight for a host")
+	h.printf("an operator sets the weight of a host to 9")
 	h.applyOverrides(operator.Command{Host: hostName(1), Weight: 9})
 	for range 8 {
 		h.reportDemand(1, 2)
 		h.printf("published %s", h.describeTable("q"))
 	}
 	report := h.ValidationReport()
-	h.printf("refused %d times, refusing %v", report.Repairs, report.Repairing)
+	h.printf("repairs %d, repairing %v", report.Repairs, report.Repairing)
 	h.checkTrace()
 }
 
@@ -69,7 +69,7 @@
 	h.reportDemand(30, 10)
 	h.printf("published %s", h.describeTable("p"))
 	report := h.ValidationReport()
-	h.printf("refusing %v, left %v", report.Repairing, report.Remaining)
+	h.printf("repairing %v, remaining findings %v", report.Repairing, report.Remaining)
 	h.checkTrace()
 }
 
--- a/controller/restore_test.go
+++ b/controller/restore_test.go
@@ -48,7 +48,7 @@
 	h.mustSetEndpoints(list)
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000, RequestRate: 90})
 	h.reportFailures(list, list[1].Host, 6)
-	h.printf("the first life gave %s", h.describeTable("p"))
+	h.printf("the first incarnation published %s", h.describeTable("p"))
 	tag := h.newestTag("p")
 	for _, laterMs := range []float64{1000, 60e3, 3600e3} {
 		next := h.restart(set, laterMs)
@@ -56,9 +56,10 @@
 		next.mustSetEndpoints(list)
 		next.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
 		next.advance(500)
-		next.printf("it gives %s, rate %.0f", next.describeTable("p"), next.sessions.byProxy["p"].requestRates[0])
+		next.printf("the next incarnation published %s, request rate %.0f",
+			next.describeTable("p"), next.sessions.byProxy["p"].requestRates[0])
 		report := next.Status(next.nowMs).Restored
-		next.printf("recalled %d hosts, %d proxies, %d versions; %s", report.Hosts, report.Proxies, report.Versions,
+		next.printf("restored %d hosts, %d proxies, %d versions; reason %q", report.Hosts, report.Proxies, report.Versions,
 			report.Reason)
 		h.trace.WriteString(next.trace.String())
 	}
@@ -234,13 +235,13 @@
 	describeHosts := func() string {
 		var descriptions []string
 		for _, info := range next.HostInfos() {
-			descriptions = append(descriptions, fmt.Sprintf("%s %s listed %g", info.Host, info.State, info.BaseWeight))
+			descriptions = append(descriptions, fmt.Sprintf("%s %s base weight %g", info.Host, info.State, info.BaseWeight))
 		}
 		return strings.Join(descriptions, "; ")
 	}
-	next.printf("%s", describeHosts())
+	next.printf("after the restart: %s", describeHosts())
 	next.advance(20000)
-	next.printf("later %s", describeHosts())
+	next.printf("20 s later: %s", describeHosts())
 	next.checkTrace()
 }
 
--- a/controller/solver_test.go
+++ b/controller/solver_test.go
@@ -15,16 +15,16 @@
 func TestSolverWeights(t *testing.T) {
 	h, list := newUnevenHarness(t, true)
 	h.hideNotModified = true
-	h.printf("little demand: nothing is worth an order")
+	h.printf("little demand: no weights are worth their updates")
 	h.reportDemand(6, 1)
-	h.printf("much")
+	h.printf("much demand")
 	h.reportDemand(30, 22)
-	h.printf("weights %v", h.baseWeights())
+	h.printf("base weights %v", h.baseWeights())
 	gap := h.solverGap()
 	if gap == nil || gap.Best < 0.98 || gap.Result < 0.92 || gap.Over[hostName(0)] > 1.1 {
 		t.Errorf("the gap is %+v, want the best at 0.98, the result at 0.92 and the small host at 1.1 or better", gap)
 	}
-	h.printf("a host that tells no cores")
+	h.printf("a host without cores given")
 	list = append(list, Endpoint{Host: hostName(9), Zone: "a", State: routing.Ready, Weight: 1})
 	h.mustSetEndpoints(list)
 	h.reportDemand(12, 22)
--- a/controller/stats_test.go
+++ b/controller/stats_test.go
@@ -24,7 +24,7 @@
 			hostName(0): {Attempts: 10, MeanLatencyMs: 20, WindowMs: 1000, Load: routing.UnknownLoad},
 		}
 		counted, err := h.ObserveProxyStats(h.nowMs, "p", stats)
-		h.printf("sums %s %d: counted %v, %v", stats.Sender, stats.Sequence, counted, err)
+		h.printf("request stats %d of sender %s: counted %v, error %v", stats.Sequence, stats.Sender, counted, err)
 	}
 	h.checkTrace()
 }
