--- a/state/decay.go
+++ b/state/decay.go
@@ -2,13 +2,14 @@
 
 import "math"
 
-// futureToleranceMs is how far in the future an entry may lie and still count as new: figures may be recorded shortly
-// after the instant of the state that holds them. An entry further in the future has an unknown age.
+// futureToleranceMs is how far in the future the instant of an entry may lie for the entry to count as new, since
+// figures may be recorded shortly after the instant of the state that holds them. An entry further in the future has an
+// unknown age.
 const futureToleranceMs = 5000
 
 // Decay describes how one kind of stored knowledge loses confidence with age.
 type Decay struct {
-	HalfLifeMs float64 // age at which the confidence in a figure is one half
+	HalfLifeMs float64 // age at which the confidence in a figure is 0.5
 	MaxAgeMs   float64 // age from which the figure counts as unknown
 }
 
@@ -30,13 +31,13 @@
 	return ageMs < maxAgeMs && ageMs >= -futureToleranceMs
 }
 
-// decayToward moves a figure toward the neutral value that holds where nothing is known:
+// decayToward moves a figure toward the neutral value, which applies if nothing is known. It returns
 // neutral + (value - neutral) * confidence.
 func decayToward(neutral, value, confidence float64) float64 {
 	return neutral + (value-neutral)*confidence
 }
 
-// Limits say how each kind of knowledge decays.
+// Limits configures how each kind of stored knowledge decays.
 type Limits struct {
 	Estimates        Decay   // weights and mean latencies of hosts
 	Failures         Decay   // failed and successful attempts, ejections
@@ -45,7 +46,7 @@
 	DemandMaxAgeMs   float64 // age from which the request rates of a proxy count as unknown
 	TagMaxAgeMs      float64 // age from which a proxy's table version counts as unknown
 	SlowStartMs      float64 // time from the start of a host until it has warmed up
-	ClockToleranceMs float64 // how far the wall clock may have gone back, by rounding and small corrections
+	ClockToleranceMs float64 // how far the wall clock may have gone back, because of rounding and small corrections
 }
 
 const (
@@ -54,8 +55,8 @@
 	hourMs   = 60 * minuteMs
 )
 
-// DefaultLimits returns the limits that hold where none are set, with the slow start time of the settings. Knowledge
-// that misleads most when it is outdated (failures, admission) decays fastest.
+// DefaultLimits returns the limits that apply if none are set, with the slow start time of the settings. Knowledge that
+// does most harm when it is outdated (failures, admission) decays fastest.
 func DefaultLimits(slowStartMs float64) Limits {
 	return Limits{
 		Estimates:        Decay{HalfLifeMs: 2 * minuteMs, MaxAgeMs: 15 * minuteMs},
--- a/state/diff.go
+++ b/state/diff.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// relativeTolerance is the relative change of a figure from which an entry is stored again. It keeps the log
+	// relativeTolerance is the relative change of a figure beyond which an entry is stored again. It keeps the log
 	// small while figures change little.
 	relativeTolerance = 0.05
 
-	// failureRatioTolerance is the absolute change of a host's ratio of failed attempts from which it is stored again.
+	// failureRatioTolerance is the absolute change of a host's failure ratio beyond which the host is stored again.
 	failureRatioTolerance = 2 * relativeTolerance
 
-	// refreshIntervalMs is the time after which an entry is stored again although nothing in it changed, since its
-	// age decides its confidence after a restart.
+	// refreshIntervalMs is the time after which an entry is stored again although nothing in it changed, since the
+	// confidence in it after a restart depends on its age.
 	refreshIntervalMs = 10000
 )
 
@@ -42,8 +42,8 @@
 	return change
 }
 
-// changeIsEmpty reports whether a change has no entries. It need not check the tables: a change has tables only for
-// proxies that it also has.
+// changeIsEmpty reports whether a change has no entries. It need not check the tables, since a change contains only
+// tables of proxies that it also contains.
 func changeIsEmpty(change *statepb.Change) bool {
 	removed := len(change.GoneHosts) + len(change.GoneProxies) + len(change.GoneSettings)
 	updated := len(change.Part.Hosts) + len(change.Part.Proxies) + len(change.Part.Settings)
@@ -70,8 +70,8 @@
 	})
 }
 
-// diffTables adds the tables that are new and that a proxy in the change refers to, so it follows diffProxies.
-// Tables do not change under their identifier, and Apply drops those that no proxy refers to.
+// diffTables adds the tables that are new and that a proxy in the change refers to, so it must run after diffProxies. A
+// table with the same id never changes, and Apply drops the tables that no proxy refers to.
 func diffTables(change *statepb.Change, previous, current []*statepb.Table) {
 	stored := map[string]bool{}
 	for _, table := range previous {
@@ -112,8 +112,8 @@
 	return lifecycleDiffers || healthDiffers || estimatesDiffer || needsRefresh(before.At, after.At)
 }
 
-// failureRatio returns the share of a host's recent attempts that failed. The added 1 keeps the ratio small where
-// there were few attempts.
+// failureRatio returns the ratio of a host's recent attempts that failed. The added 1 keeps the ratio small if there
+// were few attempts.
 func failureRatio(host *statepb.Host) float64 { return host.Lost / (host.Won + host.Lost + 1) }
 
 func proxyDiffers(before, after *statepb.Proxy) bool {
@@ -137,8 +137,8 @@
 	return !slices.EqualFunc(before, after, figureEqual)
 }
 
-// forEachPair visits the entries of two lists that are sorted by name, those of the same name together, and passes
-// nil where a list lacks the entry.
+// forEachPair visits the entries of two lists that are sorted by name. It visits two entries of the same name together,
+// and passes nil in place of an entry that a list lacks.
 func forEachPair[T any](previous, current []*T, name func(*T) string, visit func(before, after *T)) {
 	i, j := 0, 0
 	for i < len(previous) || j < len(current) {
--- a/state/restore.go
+++ b/state/restore.go
@@ -1,11 +1,11 @@
-// Package state defines what a controller keeps across a restart, and how far its next incarnation trusts it.
+// Package state defines what a controller keeps across a restart, and how far its next incarnation relies on it.
 //
 // It owns the differences between two stored states (Diff, Apply), the size limit of a state (Shrink), and the decay
 // of stored knowledge (ApplyDecay): the confidence in a figure halves with the half-life of its kind of knowledge,
 // and beyond a maximum age the figure counts as unknown (DefaultLimits). Restored figures count as measurements of
-// the next incarnation, and by themselves never eject a host. What is kept: the endpoints' starts and draining,
-// weights and latencies, failures and ejections, admission, the confidence in load reports, the proxies' table
-// versions and request rates, and the overrides of operators (statepb.State).
+// the next incarnation, and by themselves never eject a host. The stored state (statepb.State) holds the starts and the
+// draining of hosts, their weights and latencies, failures and ejections, the admission ratio and quotas, the
+// confidence in load reports, the table versions and request rates of proxies, and the overrides of operators.
 //
 // The package performs no I/O, reads no clock and never writes files; package statefile does that. Instants are
 // milliseconds since 1970 by the wall clock, durations are milliseconds.
@@ -34,11 +34,11 @@
 // 1970, durations and latencies are milliseconds.
 type Restored struct {
 	Incarnation     string  // the incarnation that stored the state; empty: nothing is known
-	ElapsedMs       float64 // since the state was stored
-	Reason          string  // why nothing, or less than everything, is known; empty: everything is
+	ElapsedMs       float64 // time since the state was stored
+	Reason          string  // why not everything that was stored is known; empty: everything is
 	Hosts           map[string]*Host
 	Proxies         map[string]*Proxy
-	AdmissionRatio  float64            // 1 where nothing is known
+	AdmissionRatio  float64            // 1 if nothing is known
 	AdmissionQuotas map[string]float64 // by request class
 	MedianLatencyMs float64            // median of the hosts' mean latencies; 0: not known
 	Overrides       []*statepb.Setting // overrides of operators that have not expired
@@ -49,12 +49,12 @@
 	Zone                string
 	StartedMs           float64 // instant; 0: long ago, or not known
 	DrainingSinceMs     float64 // instant; 0: not draining
-	Weight              float64 // relative to the weight in the endpoint list; 1 where nothing is known
+	Weight              float64 // relative to the weight in the endpoint list; 1 if nothing is known
 	MeanLatencyMs       float64 // of an attempt; 0: not known
 	Successes, Failures float64 // decayed counts of attempts
-	Ejected             bool    // it was ejected as an outlier; it is not ejected again, but checked early
-	Unreachable         bool    // when it was ejected
-	ReportConfidence    float64 // confidence in its load reports; 1 where nothing is known
+	Ejected             bool    // whether it was ejected as an outlier; it is not ejected again, but checked early
+	Unreachable         bool    // whether it was unreachable when it was ejected
+	ReportConfidence    float64 // confidence in its load reports; 1 if nothing is known
 }
 
 // Proxy is the restored knowledge about one proxy.
@@ -75,11 +75,11 @@
 	}
 }
 
-// ApplyDecay returns what is still known of a stored state at an instant, in milliseconds since 1970. Of a nil state
-// nothing is known.
+// ApplyDecay returns what is still known of a stored state at an instant, in milliseconds since 1970. If the state is
+// nil, nothing is known.
 //
 // If the wall clock went back by more than the tolerance since the state was stored, the age of its entries is
-// unknown. Then only the overrides of operators are restored, expired or not.
+// unknown. Then only the overrides of operators are restored, the expired ones included.
 func ApplyDecay(stored *statepb.State, nowMs float64, limits Limits) *Restored {
 	if stored == nil {
 		return newRestored("no state was stored")
@@ -118,8 +118,8 @@
 	}
 }
 
-// restoreFleet restores the figures of all hosts together. The admission ratio and quotas decay toward admitting all
-// requests; the median latency does not decay, since the latencies of hosts decay toward it.
+// restoreFleet restores the figures that are common to all hosts. The admission ratio and quotas decay toward 1, which
+// admits all requests. The median latency does not decay, since the latencies of hosts decay toward it.
 func (d *decayer) restoreFleet(fleet *statepb.Fleet) {
 	ageMs := d.nowMs - fleet.At
 	if confidence := d.limits.Admission.confidence(ageMs); confidence > 0 {
@@ -166,9 +166,9 @@
 	return host, lifecycleKnown || estimatesKnown || failuresKnown || reportsKnown
 }
 
-// restoreLifecycle restores the start of a host until it has warmed up, and the start of its draining until the
-// endpoint list says otherwise. Both are facts that the platform reported, not estimates, so they do not decay. A
-// start in the future would keep the host in slow start until then, so it counts as unknown.
+// restoreLifecycle restores the start time of a host that is still warming up, and the time since which it is draining,
+// which applies until the endpoint list says otherwise. Both are facts that the platform reported, not estimates, so
+// they do not decay. A start in the future would keep the host in slow start until then, so it counts as unknown.
 func (d *decayer) restoreLifecycle(host *Host, stored *statepb.Host) (known bool) {
 	started := stored.Started > 0 && stored.Started <= d.nowMs+futureToleranceMs
 	if started && d.nowMs < stored.Started+d.limits.SlowStartMs {
@@ -182,7 +182,8 @@
 	return known
 }
 
-// restoreEstimates decays the weight toward the listed one and the mean latency toward the median of all hosts.
+// restoreEstimates decays the weight toward the one in the endpoint list, and the mean latency toward the median of all
+// hosts.
 func (d *decayer) restoreEstimates(host *Host, stored *statepb.Host, ageMs float64) (known bool) {
 	confidence := d.limits.Estimates.confidence(ageMs)
 	if !(confidence > 0) {
@@ -208,11 +209,11 @@
 	return true
 }
 
-// restoreReportConfidence decays the confidence in a host's load reports toward 1. A stored 0 means that it was not
-// known.
+// restoreReportConfidence decays the confidence in a host's load reports toward 1. A stored 0 means that the confidence
+// was not known.
 func (d *decayer) restoreReportConfidence(host *Host, stored *statepb.Host, ageMs float64) (known bool) {
 	confidence := d.limits.Reports.confidence(ageMs)
-	if !(confidence > 0 && stored.Trust > 0) { // also where the trust is NaN
+	if !(confidence > 0 && stored.Trust > 0) { // also if the stored confidence is NaN
 		return false
 	}
 	host.ReportConfidence = decayToward(1, clamp(stored.Trust, 0, 1), confidence)
@@ -232,7 +233,7 @@
 	}
 }
 
-// restoreProxy restores the table version and the request rates of a proxy while each is recent enough.
+// restoreProxy restores the table version and the request rates of a proxy, each of them if it is recent enough.
 func (d *decayer) restoreProxy(stored *statepb.Proxy, tables []*statepb.Class) *Proxy {
 	proxy := &Proxy{Zone: stored.Zone}
 	ageMs := d.nowMs - stored.At
@@ -254,9 +255,9 @@
 func implausibleRate(rate float64) bool { return !(rate >= 0 && rate <= maxRequestRate) }
 
 // clamp limits a value to its bounds; NaN becomes the lower bound.
-func clamp(value, least, most float64) float64 {
-	if !(value >= least) {
-		return least
+func clamp(value, lower, upper float64) float64 {
+	if !(value >= lower) {
+		return lower
 	}
-	return math.Min(value, most)
+	return math.Min(value, upper)
 }
--- a/state/shrink.go
+++ b/state/shrink.go
@@ -8,10 +8,10 @@
 	"barleysail/state/statepb"
 )
 
-// Shrink drops entries in place until the encoded state takes at most maxBytes. The entries whose loss costs least
-// are dropped first: the tables of proxies, the largest first (a proxy without its table gets a snapshot instead of a
-// delta), then a quarter of the proxies at a time, then a quarter of the hosts. Overrides of operators always stay,
-// so the state may remain too large. It returns the number of steps that were needed.
+// Shrink drops entries in place until the encoded state has at most maxBytes, and returns the number of steps that were
+// needed. The entries whose loss costs least are dropped first: one table of proxies at a time, the largest first (a
+// proxy without its table gets a snapshot instead of a delta), then a quarter of the proxies at a time, then a quarter
+// of the hosts at a time. Overrides of operators always stay, so the state may remain too large.
 func Shrink(s *statepb.State, maxBytes int) (steps int) {
 	for proto.Size(s) > maxBytes {
 		switch {
@@ -47,5 +47,5 @@
 	}
 }
 
-// dropQuarter drops the last quarter of a list, or its last entry where it has fewer than four.
+// dropQuarter drops the last quarter of a list, or its last entry if it has fewer than four.
 func dropQuarter[T any](entries []*T) []*T { return entries[:len(entries)*3/4] }
