--- a/state/diff_test.go
+++ b/state/diff_test.go
@@ -52,40 +52,40 @@
 
 func compareHostNames(a, b *statepb.Host) int { return strings.Compare(a.Name, b.Name) }
 
-// A change applied to the first state gives the second, as far as figures differ beyond the tolerance; hosts stay
-// sorted, and tables that no proxy refers to are dropped.
+// A change applied to the first state gives the second one, within the tolerance of figures. Hosts stay sorted, and
+// tables that no proxy refers to are dropped.
 func TestDiffAndApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		previous := drawState(t)
 		current := drawState(t)
 		if Diff(previous, proto.CloneOf(previous)) != nil {
-			t.Fatal("a state differs from its copy")
+			t.Fatal("Diff of a state and its copy returns a change, want none")
 		}
 		applied := proto.CloneOf(previous)
 		if change := Diff(previous, current); change != nil {
 			Apply(applied, proto.CloneOf(change))
 		}
 		if remaining := Diff(applied, current); remaining != nil {
-			t.Fatalf("differs after the change was applied: %v", remaining)
+			t.Fatalf("after the change was applied, Diff still returns %v, want no change", remaining)
 		}
 		if !slices.IsSortedFunc(applied.Hosts, compareHostNames) {
-			t.Fatalf("hosts are not sorted: %v", applied.Hosts)
+			t.Fatalf("after the change was applied, the hosts are %v, want them sorted by name", applied.Hosts)
 		}
 		if len(applied.Hosts) != len(current.Hosts) || len(applied.Proxies) != len(current.Proxies) ||
 			len(applied.Settings) != len(current.Settings) || len(applied.Tables) != len(current.Tables) {
-			t.Fatalf("the numbers of entries differ:\n%v\n%v", applied, current)
+			t.Fatalf("the state with the change applied is\n%v\nwant as many entries of each kind as in\n%v", applied, current)
 		}
 	})
 }
 
-// An entry is stored again once a figure moved by more than the tolerance, or once its age needs to be refreshed.
+// An entry is stored again when a figure has changed by more than the tolerance, or when its age has to be refreshed.
 func TestDiffTolerance(t *testing.T) {
 	tests := []struct {
-		name   string
-		modify func(*statepb.State)
-		differ bool
+		name       string
+		modify     func(*statepb.State)
+		wantChange bool
 	}{
-		{"same", func(*statepb.State) {}, false},
+		{"unchanged", func(*statepb.State) {}, false},
 		{"weight within tolerance", func(s *statepb.State) { s.Hosts[1].Weight = 1.04 }, false},
 		{"weight beyond tolerance", func(s *statepb.State) { s.Hosts[1].Weight = 1.06 }, true},
 		{"few more failures", func(s *statepb.State) { s.Hosts[1].Lost = 0.5 }, false},
@@ -104,8 +104,8 @@
 			current := sampleState()
 			test.modify(current)
 			change := Diff(sampleState(), current)
-			if (change != nil) != test.differ {
-				t.Fatalf("change %v, want one: %v", change, test.differ)
+			if (change != nil) != test.wantChange {
+				t.Fatalf("the change is %v, want one: %v", change, test.wantChange)
 			}
 			if change == nil {
 				return
@@ -113,7 +113,7 @@
 			applied := sampleState()
 			Apply(applied, change)
 			if !proto.Equal(applied, current) {
-				t.Errorf("applied %v, want %v", applied, current)
+				t.Errorf("the state with the change applied is %v, want %v", applied, current)
 			}
 		})
 	}
--- a/state/restore_test.go
+++ b/state/restore_test.go
@@ -17,8 +17,8 @@
 	sampleSlowStartMs = 18000 // slow start time of the hosts in the sample state
 )
 
-// sampleState has a host that failed and was ejected, one in slow start, one that is draining, a proxy with its
-// table, and two overrides of which one expires.
+// sampleState returns a state with a host that failed and was ejected, one in slow start, one that is draining, a proxy
+// with its table, and two overrides of which one expires.
 func sampleState() *statepb.State {
 	return &statepb.State{
 		Life: "L",
@@ -47,8 +47,8 @@
 	}
 }
 
-// What remains of each kind of knowledge after a second, a minute, ten minutes and an hour, and after the clock went
-// back.
+// Each kind of stored knowledge decays as its limits say: after a second, a minute, ten minutes and an hour, and after
+// the clock went back.
 func TestApplyDecay(t *testing.T) {
 	var trace strings.Builder
 	for _, elapsedMs := range []float64{secondMs, minuteMs, 10 * minuteMs, hourMs, -minuteMs} {
@@ -77,11 +77,11 @@
 func TestApplyDecayWithoutState(t *testing.T) {
 	restored := ApplyDecay(nil, sampleAtMs, DefaultLimits(sampleSlowStartMs))
 	if restored.Reason == "" || restored.Incarnation != "" || restored.AdmissionRatio != 1 {
-		t.Errorf("restored from nothing: %+v", restored)
+		t.Errorf("without a stored state %+v was restored, want a reason, no incarnation and the admission ratio 1", restored)
 	}
 }
 
-// Confidence halves with each half-life, and ends at the maximum age and outside the clock's tolerance.
+// Confidence halves with each half-life. It is 0 from the maximum age on, and beyond the tolerance for the future.
 func TestConfidence(t *testing.T) {
 	decay := Decay{HalfLifeMs: 20000, MaxAgeMs: 120000}
 	tests := []struct {
@@ -100,13 +100,13 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := decay.confidence(test.ageMs); got != test.want {
-				t.Errorf("confidence %g at an age of %g ms, want %g", got, test.ageMs, test.want)
+				t.Errorf("the confidence at an age of %g ms is %g, want %g", test.ageMs, got, test.want)
 			}
 		})
 	}
 }
 
-// Whatever an undamaged file holds: the restored figures are within bounds and never NaN.
+// The figures that are restored from any decodable state are within their bounds and never NaN.
 func FuzzApplyDecay(f *testing.F) {
 	f.Add(encode(f, sampleState()), sampleAtMs+1000)
 	f.Add(encode(f, stateWithoutInstant()), sampleAtMs)
@@ -140,15 +140,16 @@
 	checkWithin(t, "failures", host.Failures, 0, 1e6)
 	checkWithin(t, "report confidence", host.ReportConfidence, 0, 1)
 	if host.StartedMs > nowMs || host.DrainingSinceMs > nowMs {
-		t.Errorf("started at %g, draining since %g, both should be before %g", host.StartedMs, host.DrainingSinceMs, nowMs)
+		t.Errorf("started at %g ms, draining since %g ms, want both at most %g ms",
+			host.StartedMs, host.DrainingSinceMs, nowMs)
 	}
 }
 
-// checkWithin fails for NaN.
-func checkWithin(t *testing.T, what string, figure, least, most float64) {
+// checkWithin checks that a figure is within bounds. It fails for NaN.
+func checkWithin(t *testing.T, name string, figure, lower, upper float64) {
 	t.Helper()
-	if !(figure >= least && figure <= most) {
-		t.Errorf("%s is %g, not within %g and %g", what, figure, least, most)
+	if !(figure >= lower && figure <= upper) {
+		t.Errorf("%s is %g, want it from %g to %g", name, figure, lower, upper)
 	}
 }
 
--- a/state/shrink_test.go
+++ b/state/shrink_test.go
@@ -19,14 +19,14 @@
 	return s
 }
 
-// Tables go first, then proxies, then hosts; overrides stay, also where the state then remains too large.
+// Tables are dropped first, then proxies, then hosts. Overrides stay, even if the state remains too large.
 func TestShrinkOrder(t *testing.T) {
 	full := largeState()
 	overridesOnly := &statepb.State{Life: full.Life, At: full.At, Fleet: full.Fleet, Settings: full.Settings}
 	tests := []struct {
 		name                   string
 		maxBytes               int
-		tables, proxies, hosts int // that remain at most
+		tables, proxies, hosts int // largest numbers that may remain
 	}{
 		{"fits", proto.Size(full), 2, 101, 103},
 		{"without the largest table", proto.Size(full) - 1, 1, 101, 103},
@@ -40,16 +40,18 @@
 			s := largeState()
 			steps := Shrink(s, test.maxBytes)
 			if (steps == 0) != (test.maxBytes >= proto.Size(full)) {
-				t.Errorf("%d steps", steps)
+				t.Errorf("%d steps for at most %d bytes of %d, want steps only if the state does not fit",
+					steps, test.maxBytes, proto.Size(full))
 			}
 			if len(s.Tables) > test.tables || len(s.Proxies) > test.proxies || len(s.Hosts) > test.hosts {
-				t.Errorf("%d tables, %d proxies and %d hosts remain", len(s.Tables), len(s.Proxies), len(s.Hosts))
+				t.Errorf("%d tables, %d proxies and %d hosts remain, want at most %d, %d and %d",
+					len(s.Tables), len(s.Proxies), len(s.Hosts), test.tables, test.proxies, test.hosts)
 			}
 			if len(s.Settings) != len(full.Settings) {
-				t.Errorf("%d overrides remain of %d", len(s.Settings), len(full.Settings))
+				t.Errorf("%d overrides remain, want all %d", len(s.Settings), len(full.Settings))
 			}
 			if len(s.Hosts) > 0 && proto.Size(s) > test.maxBytes {
-				t.Errorf("%d bytes remain, %d are allowed", proto.Size(s), test.maxBytes)
+				t.Errorf("%d bytes remain, want at most %d", proto.Size(s), test.maxBytes)
 			}
 		})
 	}
@@ -60,9 +62,10 @@
 	s := largeState()
 	Shrink(s, proto.Size(s)-1)
 	if s.Proxies[0].Tag != "" || s.Proxies[0].Table != "" {
-		t.Errorf("a proxy keeps the tag %q and the table %q", s.Proxies[0].Tag, s.Proxies[0].Table)
+		t.Errorf("a proxy without its table has the tag %q and the table %q, want neither",
+			s.Proxies[0].Tag, s.Proxies[0].Table)
 	}
 	if s.Proxies[1].Tag != "L-8" || s.Proxies[1].Table != "u" {
-		t.Errorf("a proxy with another table lost its tag: %v", s.Proxies[1])
+		t.Errorf("a proxy with another table is %v, want the tag L-8 and the table u", s.Proxies[1])
 	}
 }
--- a/state/times_test.go
+++ b/state/times_test.go
@@ -6,7 +6,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Instants of measurement move, those that come from outside stay.
+// Instants at which figures were recorded are shifted. Those that come from outside the controller stay.
 func TestShiftTimes(t *testing.T) {
 	const offsetMs = 250
 	shifted := sampleState()
@@ -19,6 +19,6 @@
 		host.At += offsetMs
 	}
 	if !proto.Equal(shifted, want) {
-		t.Errorf("shifted to %v, want %v", shifted, want)
+		t.Errorf("the shifted state is %v, want %v", shifted, want)
 	}
 }
