--- a/state/restore_test.go
+++ b/state/restore_test.go
@@ -53,24 +53,25 @@
 	var trace strings.Builder
 	for _, elapsedMs := range []float64{secondMs, minuteMs, 10 * minuteMs, hourMs, -minuteMs} {
 		restored := ApplyDecay(sampleState(), sampleAtMs+elapsedMs, DefaultLimits(sampleSlowStartMs))
-		fmt.Fprintf(&trace, "after %.0f s: life %q, %s\n", elapsedMs/1000, restored.Incarnation, restored.Reason)
+		fmt.Fprintf(&trace, "after %.0f s: incarnation %q, %s\n", elapsedMs/1000, restored.Incarnation, restored.Reason)
 		writeRestored(&trace, restored)
 	}
 	golden.Compare(t, "apply-decay", trace.String())
 }
 
 func writeRestored(trace *strings.Builder, restored *Restored) {
-	fmt.Fprintf(trace, "  level %.2f, share %.2f, median %.0f, %d settings\n", restored.AdmissionRatio,
+	fmt.Fprintf(trace, "  admission ratio %.2f, quota %.2f, median latency %.0f, %d overrides\n", restored.AdmissionRatio,
 		restored.AdmissionQuotas["sheet"], restored.MedianLatencyMs, len(restored.Overrides))
 	for _, name := range []string{"fails", "fresh", "leaves"} {
 		if host := restored.Hosts[name]; host != nil {
-			fmt.Fprintf(trace, "  %s: weight %.2f, r %.0f, %.1f of %.1f lost, out %v, trust %.2f, started %.0f, drains %.0f\n",
-				name, host.Weight, host.MeanLatencyMs, host.Failures, host.Successes+host.Failures, host.Ejected,
+			fmt.Fprintf(trace, "  %s: weight %.2f, mean latency %.0f, %.1f of %.1f failed, ejected %v, ",
+				name, host.Weight, host.MeanLatencyMs, host.Failures, host.Successes+host.Failures, host.Ejected)
+			fmt.Fprintf(trace, "confidence %.2f, started %.0f, draining since %.0f\n",
 				host.ReportConfidence, host.StartedMs, host.DrainingSinceMs)
 		}
 	}
 	if proxy := restored.Proxies["p"]; proxy != nil {
-		fmt.Fprintf(trace, "  p: tag %q, %d tables, rates %v\n", proxy.Tag, len(proxy.Tables), proxy.RequestRates)
+		fmt.Fprintf(trace, "  p: tag %q, %d tables, request rates %v\n", proxy.Tag, len(proxy.Tables), proxy.RequestRates)
 	}
 }
 
