--- a/standby/standby.go
+++ b/standby/standby.go
@@ -2,11 +2,11 @@
 // (Standby.ShouldServe).
 //
 // The standby does not serve a proxy that has a session with the leader as long as the leader's lease is valid; it
-// serves any other proxy at once. Each answer that the standby receives from the leader renews the lease, which
-// expires LeaseMs later. No proxy is therefore served by both controllers while the standby is in contact with the
-// leader, up to the delay of these answers. In a network partition both may publish, each to its own proxies; that is
-// safe, since a proxy follows the tables of one controller at a time. Rejecting proxies that the leader serves only
-// prevents them from switching between controllers.
+// serves any other proxy at once. Each response that the standby receives from the leader renews the lease, which
+// expires LeaseMs later. While the standby is in contact with the leader, no proxy is therefore served by both
+// controllers, except for the delay of these responses. In a network partition both may publish, each to its own
+// proxies. That is safe, since a proxy follows the tables of one controller at a time. Proxies that the leader serves
+// are rejected only to prevent them from switching between controllers.
 //
 // The package performs no I/O, reads no clock and starts no goroutine; the caller serializes all calls. Instants and
 // durations are milliseconds.
@@ -14,17 +14,17 @@
 
 import "math"
 
-// Limits of a standby.
+// Limits configures a standby.
 type Limits struct {
-	LeaseMs float64 // how long the leader's lease is valid after the last contact
+	LeaseMs float64 // time for which the leader's lease is valid after the last contact
 }
 
 // Standby decides on the polls of proxies at a standby that follows one leader. It is not safe for concurrent use.
 type Standby struct {
 	limits         Limits
-	lastContactMs  float64 // when the leader last answered; -Inf: never
-	leaderSessions map[string]bool
-	active         bool
+	lastContactMs  float64         // time of the leader's last response; -Inf: none yet
+	leaderSessions map[string]bool // proxies with a session with the leader, as last observed
+	active         bool            // whether any proxy has been served
 	activeSinceMs  float64
 	rejectedPolls  int64
 }
@@ -46,15 +46,15 @@
 // Heartbeat renews the leader's lease and keeps the last known set of its sessions.
 func (s *Standby) Heartbeat(nowMs float64) { s.lastContactMs = nowMs }
 
-// LeaseValid reports whether the leader's lease is valid, so that the proxies with a session there must not be
-// served.
+// LeaseValid reports whether the leader's lease is valid, so that the proxies with a session with the leader must not
+// be served.
 func (s *Standby) LeaseValid(nowMs float64) bool { return nowMs < s.leaseExpiresAtMs() }
 
 func (s *Standby) leaseExpiresAtMs() float64 { return s.lastContactMs + s.limits.LeaseMs }
 
-// ShouldServe reports whether a proxy that polls may be served: it may once the leader's lease has expired, or where
-// it has no session with the leader. Otherwise retryAfterMs is the time until the lease expires if it is not renewed.
-// The first proxy that is served makes the standby active.
+// ShouldServe reports whether a proxy that polls may be served: it may if the leader's lease has expired, or if the
+// proxy has no session with the leader. Otherwise retryAfterMs is the time until the lease expires if it is not
+// renewed. The first proxy that is served makes the standby active.
 func (s *Standby) ShouldServe(nowMs float64, proxy string) (serve bool, retryAfterMs float64) {
 	if s.LeaseValid(nowMs) && s.leaderSessions[proxy] {
 		s.rejectedPolls++
