--- a/standby/takeover_model_test.go
+++ b/standby/takeover_model_test.go
@@ -8,41 +8,41 @@
 	"testing"
 )
 
-// The takeover as a state machine: a leader, a standby that follows it, and two proxies that poll either of them.
-// Time passes in ticks. Every sequence of events is explored up to a depth.
+// The tests explore the takeover as a state machine: a leader, a standby that follows it, and two proxies that poll
+// either of them. Time passes in ticks. Every sequence of events up to a depth is explored.
 const (
-	leaseTicks       = 2 // how long the leader's lease is valid
+	leaseTicks       = 2 // ticks for which the leader's lease is valid
 	sessionIdleTicks = 3 // ticks without a poll after which the leader ends a proxy's session
 
-	modelDepth  = 6      // events in a sequence of the real policy
-	mutantDepth = 8      // events in a sequence of a mutant: deep enough for each to break an invariant
-	leastPaths  = 500000 // that have to be explored; 9 events in up to 6 places make 597,871
+	modelDepth  = 6      // most events in a sequence for the real policy
+	mutantDepth = 8      // most events in a sequence for a mutant: enough for each mutant to break an invariant
+	leastPaths  = 500000 // paths that have to be explored; sequences of up to 6 out of 9 events make 597,871
 )
 
-// noSession is the instant of the last poll of a proxy that has no session with the leader.
+// noSession stands in place of the last poll's instant for a proxy that has no session with the leader.
 const noSession = -1
 
 var proxyNames = [2]string{"p0", "p1"}
 
-// policy is the decision under test: the package's own, or a mutant of it.
+// policy decides which proxies the standby serves: a Standby, or a mutant of it that has to be detected.
 type policy interface {
 	ObserveSessions(now float64, proxies []string)
 	Heartbeat(now float64)
 	ShouldServe(now float64, proxy string) (bool, float64)
 }
 
-// model is the state of all parties. What the policy knows follows from the sequence of events, so each sequence is
-// replayed into a new policy.
+// model is the state of the leader, the standby and the proxies. The state of the policy depends on the sequence of
+// events, so each sequence is replayed into a new policy.
 type model struct {
 	policy           policy
 	now              float64
 	leaderUp         bool
 	replicationUp    bool       // whether the standby reaches the leader
-	leaderReachable  [2]bool    // by each proxy
-	lastPolledLeader [2]float64 // or noSession
-	lastContact      float64    // of the standby with the leader
-	observedSessions [2]bool    // the sessions that the leader then had
-	violations       []string   // of the invariants
+	leaderReachable  [2]bool    // whether each proxy reaches the leader
+	lastPolledLeader [2]float64 // instant of each proxy's last poll of the leader, or noSession
+	lastContact      float64    // instant of the standby's last contact with the leader
+	observedSessions [2]bool    // whether each proxy had a session with the leader at the last contact
+	violations       []string   // violated invariants
 }
 
 func newModel(policy policy) *model {
@@ -102,7 +102,7 @@
 	m.lastPolledLeader = [2]float64{noSession, noSession}
 }
 
-// poll reaches the leader if it can, as a client tries its controllers in order, and the standby otherwise.
+// poll polls the leader if the proxy reaches it, and the standby otherwise, as a proxy tries its controllers in order.
 func (m *model) poll(proxy int) {
 	if m.leaderUp && m.leaderReachable[proxy] {
 		m.lastPolledLeader[proxy] = m.now
@@ -112,10 +112,10 @@
 	leaseValid := m.now < m.lastContact+leaseTicks
 	heldByLeader := leaseValid && m.observedSessions[proxy]
 	if serve && heldByLeader {
-		m.violations = append(m.violations, "a proxy with a session at the leader is served during the lease")
+		m.violations = append(m.violations, "a proxy with a session with the leader is served during the lease")
 	}
 	if !serve && !heldByLeader {
-		m.violations = append(m.violations, "a proxy without a session at the leader is rejected")
+		m.violations = append(m.violations, "a proxy is rejected without a session with the leader, or after the lease")
 	}
 }
 
@@ -124,7 +124,7 @@
 	newPolicy func() policy
 	path      []event
 	paths     int
-	violation string // the first one found, with its path
+	violation string // first violation that was found, with its path; empty: none
 }
 
 func explore(depth int, newPolicy func() policy) *explorer {
@@ -170,7 +170,7 @@
 
 func (alwaysServes) ShouldServe(float64, string) (bool, float64) { return true, 0 }
 
-// keepsSessions never notices that a session with the leader has ended.
+// keepsSessions never forgets a session with the leader that has ended.
 type keepsSessions struct{ *Standby }
 
 func (k keepsSessions) ObserveSessions(now float64, proxies []string) {
@@ -190,13 +190,14 @@
 
 func newModelStandby() *Standby { return New(Limits{LeaseMs: leaseTicks}) }
 
-// Every sequence of events keeps both invariants of the poll, and each mutant of the policy breaks one.
+// No sequence of events violates an invariant of poll, and the model finds a violation for each mutant of the policy.
 func TestTakeoverModel(t *testing.T) {
 	result := explore(modelDepth, func() policy { return newModelStandby() })
 	if result.violation != "" || result.paths < leastPaths {
-		t.Errorf("%d paths: %s", result.paths, result.violation)
+		t.Errorf("%d paths explored with the violation %q, want at least %d paths without a violation",
+			result.paths, result.violation, leastPaths)
 	}
-	t.Logf("%d paths", result.paths)
+	t.Logf("%d paths explored", result.paths)
 
 	mutants := []struct {
 		name      string
@@ -209,7 +210,7 @@
 	for _, mutant := range mutants {
 		t.Run(mutant.name, func(t *testing.T) {
 			if explore(mutantDepth, mutant.newPolicy).violation == "" {
-				t.Error("no invariant was violated: the model does not detect this mutant")
+				t.Error("no invariant was violated, want the model to detect this mutant")
 			}
 		})
 	}
