--- a/internal/statefile/crash_test.go
+++ b/internal/statefile/crash_test.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	scriptSaves          = 13 // saves in the whole script
-	scriptSavesPerLog    = 4  // after which a generation begins
-	leastCrashSteps      = 50 // that the exploration has to reach
-	leastCrashOutcomes   = 300
-	stateAfterRecoveryNo = 9 // the test state that is saved after a recovery
+	scriptSaves         = 13 // saves in the whole script
+	scriptSavesPerLog   = 4  // after which a generation begins
+	leastCrashSteps     = 50 // that the exploration has to reach
+	leastCrashOutcomes  = 300
+	recoveryStateNumber = 9 // the test state that is saved after a recovery
 )
 
 // runScript saves the test states one after the other, and begins a generation in between. It returns what was
@@ -64,7 +64,7 @@
 	if err := checkLoadedState(loaded, stored, confirmed); err != nil {
 		return err
 	}
-	next := testState(stateAfterRecoveryNo)
+	next := testState(recoveryStateNumber)
 	if err := NewStore(fsys, loaded, maxTestSnapshotBytes).Save(next); err != nil {
 		return fmt.Errorf("saving after recovery: %w", err)
 	}
