--- a/internal/statefile/folder.go
+++ b/internal/statefile/folder.go
@@ -11,12 +11,12 @@
 const (
 	lockFileName = "lock"
 
-	folderMode = 0o700 // readable by the controller's user only: the state holds names of hosts and operators
+	folderMode = 0o700 // only for the controller's user, since the state holds names of hosts and operators
 	fileMode   = 0o600
 )
 
-// ErrLocked is the error of OpenFolder where another process has locked the folder.
-var ErrLocked = errors.New("another steward keeps its state there")
+// ErrLocked is the error of OpenFolder if another process has locked the folder.
+var ErrLocked = errors.New("another controller uses the folder")
 
 // Folder is a directory on disk. It implements FS.
 type Folder struct {
@@ -93,7 +93,7 @@
 func (f *Folder) Create(name string) (File, error) {
 	file, err := os.OpenFile(f.join(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 	if err != nil {
-		return nil, err // not file, which would be a File that holds a nil pointer
+		return nil, err // a nil *os.File in the result would be a File that is not nil
 	}
 	return file, nil
 }
