--- a/internal/statefile/framing.go
+++ b/internal/statefile/framing.go
@@ -11,18 +11,18 @@
 
 const (
 	magic             = "BSTATE\x00" // followed by the kind of the file
-	headerBytes       = 16           // of a file: magic, kind, major and minor version
-	recordHeaderBytes = 8            // length and checksum of the body
+	headerBytes       = 16           // size of a file's header: magic, kind, major and minor version
+	recordHeaderBytes = 8            // size of a record's header: length and checksum of the body
 
-	// maxRecordBytes is far above the size limit of any state: a record that claims to be longer is damaged.
+	// maxRecordBytes is far above the size limit of any state, so a record with a greater length is damaged.
 	maxRecordBytes = 256 << 20
 )
 
 // Reasons why a file, or the rest of it, cannot be used.
 var (
-	ErrNewer           = errors.New("written by a newer program") // its major format version is not known here
+	ErrNewer           = errors.New("written by a newer program") // the major format version is not known here
 	ErrTruncatedHeader = errors.New("truncated header")
-	ErrWrongMagic      = errors.New("not a state file of this kind") // or the kind is not that of the name
+	ErrWrongMagic      = errors.New("not a state file of this kind") // or the kind is not that of the file name
 	ErrTruncatedRecord = errors.New("truncated record")
 	ErrChecksum        = errors.New("checksum mismatch")
 	ErrTrailingData    = errors.New("data after the only record")
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// checksum returns the CRC-32C of the generation (uint64, little endian) and the body, so that a record that a disk
-// returns from a file of another generation is rejected.
+// checksum returns the CRC-32C of the generation (uint64, little endian) and the body. The generation makes a reader
+// reject a record that the disk returns from a file of another generation.
 func checksum(body []byte, generation uint64) uint32 {
 	generationSum := crc32.Checksum(binary.LittleEndian.AppendUint64(nil, generation), castagnoli)
 	return crc32.Update(generationSum, castagnoli, body)
@@ -73,7 +73,7 @@
 	return append(record, body...)
 }
 
-// decodeRecord returns the body of the first record and what follows the record.
+// decodeRecord returns the body of the first record, and the records that follow it.
 func decodeRecord(records []byte, generation uint64) (body, rest []byte, err error) {
 	if len(records) < recordHeaderBytes {
 		return nil, nil, ErrTruncatedRecord
--- a/internal/statefile/fs.go
+++ b/internal/statefile/fs.go
@@ -2,8 +2,8 @@
 
 import "io"
 
-// FS is the directory of a store. File names have no separators. A change is durable, so that it survives a power
-// cut, only after the sync that the comment of its method names.
+// FS is the folder of a store. File names have no separators. A change is durable, so that it survives a power cut,
+// only after the sync that the comment of its method names.
 type FS interface {
 	// Names returns the names of all files.
 	Names() ([]string, error)
--- a/internal/statefile/load.go
+++ b/internal/statefile/load.go
@@ -15,15 +15,15 @@
 	State      *statepb.State // nil: the folder has no readable state
 	Generation uint64         // generation of the state; 0: none
 	Changes    int            // number of changes of the log that were applied to the snapshot
-	Warnings   []string       // a line for each file, or end of a log, that was ignored, with the reason
+	Warnings   []string       // one line for each file, or rest of a log, that was ignored, with the reason
 
-	newestGeneration uint64 // of any file, readable or not
+	newestGeneration uint64 // greatest generation of any file, readable or not
 }
 
 // DamageError is the reason why a file is ignored, or why the log is ignored after a number of changes.
 type DamageError struct {
 	FileName string
-	Changes  int // changes of the log before the damage
+	Changes  int // number of undamaged changes of the log before the damage
 	Err      error
 }
 
@@ -38,8 +38,8 @@
 func (e *DamageError) Unwrap() error { return e.Err }
 
 // Load reads the newest readable snapshot, and applies the changes of its log up to the first damaged one. Damage is
-// not an error: it is listed in the warnings, and the state before it is returned. Load fails only where the folder
-// cannot be listed.
+// not an error: it is listed in the warnings, and the state before it is returned. Load fails only if the folder cannot
+// be listed.
 func Load(fsys FS) (*LoadResult, error) {
 	names, err := fsys.Names()
 	if err != nil {
@@ -74,7 +74,7 @@
 
 func (r *LoadResult) warn(damage *DamageError) { r.Warnings = append(r.Warnings, damage.Error()) }
 
-// replayLog applies the log of the snapshot's generation as far as it is undamaged.
+// replayLog applies the log of the snapshot's generation up to the first damaged record.
 func (r *LoadResult) replayLog(fsys FS) {
 	name := fileName(logFile, r.Generation)
 	content, err := fsys.ReadFile(name)
--- a/internal/statefile/store.go
+++ b/internal/statefile/store.go
@@ -1,9 +1,9 @@
 // Package statefile stores a controller's state in a folder so that it survives crashes and power cuts.
 //
-// It owns the files of the folder: a snapshot of the state and a log of the changes since, in numbered generations.
-// Each record has a checksum. After a crash a reader finds the state that was last synced or a later one that was
-// saved, but never a mixture. The package decides neither what is stored nor how far a stored state is trusted after
-// a restart; package state does.
+// It owns the files of the folder: a snapshot of the state and a log of the changes since then, in numbered
+// generations. Each record has a checksum. After a crash a reader finds the state that was last synced or a later one
+// that was saved, but never a mixture. The package decides neither what is stored nor how far a stored state is trusted
+// after a restart; package state does.
 //
 // A file begins with the seven bytes "BSTATE\x00", the byte 'S' for a snapshot or 'L' for a log, and the major and
 // minor version of its format (uint32 each). Records follow: the length of the body (uint32), the CRC-32C of the
@@ -23,12 +23,12 @@
 )
 
 const (
-	// retainedGenerations is the number of generations that are kept: the current one, and the one before in case of
-	// damage.
+	// retainedGenerations is the number of generations that are kept: the current one, and the previous one in case the
+	// current one is damaged.
 	retainedGenerations = 2
 
-	// minCompactBytes is the size that a log may always reach before it is replaced by a snapshot, so that small
-	// states do not cause frequent snapshots.
+	// minCompactBytes is the size that a log may reach, even if its snapshot is smaller, before a new snapshot replaces
+	// both. It keeps small states from causing frequent snapshots.
 	minCompactBytes = 64 << 10
 )
 
@@ -36,25 +36,25 @@
 type Store struct {
 	fsys             FS
 	maxSnapshotBytes int
-	generation       uint64         // number of the last generation that was begun
-	saved            *statepb.State // the state that Load would return; nil: the next save begins a generation
-	log              File           // nil: no generation is open
+	generation       uint64         // number of the newest generation
+	saved            *statepb.State // state that Load would return; nil: the next save begins a generation
+	log              File           // log of the current generation; nil: no generation is open
 	logBytes         int            // size of the records in the log
-	snapshotBytes    int
+	snapshotBytes    int            // size of the snapshot of the current generation
 
 	// ShrinkSteps counts the steps of state.Shrink that were needed for snapshots to fit.
 	ShrinkSteps int
 }
 
-// NewStore returns a store for a folder that was loaded. Its first save begins a generation with a number above all
-// that were found. Snapshots shrink to maxSnapshotBytes, see state.Shrink.
+// NewStore returns a store for a folder that was loaded. Its first save begins a generation with a number greater than
+// those of all files that were found. Snapshots are shrunk to maxSnapshotBytes, see state.Shrink.
 func NewStore(fsys FS, loaded *LoadResult, maxSnapshotBytes int) *Store {
 	return &Store{fsys: fsys, maxSnapshotBytes: maxSnapshotBytes, generation: loaded.newestGeneration}
 }
 
-// Save makes a state durable: it appends the change since the last save to the log, or begins a generation with a
-// snapshot if none is open or the log has outgrown its snapshot. After an error the next save begins a generation;
-// what was saved before remains readable.
+// Save makes a state durable. It appends the change since the last save to the log, or begins a generation with a
+// snapshot if none is open or the log is larger than its snapshot. After an error the next save begins a generation,
+// and what was saved before remains readable.
 func (s *Store) Save(current *statepb.State) error {
 	var err error
 	if s.saved == nil || s.logBytes > max(s.snapshotBytes, minCompactBytes) {
@@ -79,7 +79,7 @@
 
 func (s *Store) closeGeneration() {
 	if s.log != nil {
-		// Each record was synced when it was saved, so an error loses nothing.
+		// Each record was synced when it was saved, so an error of Close loses nothing.
 		_ = s.log.Close()
 	}
 	s.log = nil
@@ -108,9 +108,9 @@
 	return nil
 }
 
-// beginGeneration writes a snapshot, begins its log, and removes generations that are no longer needed. The order
-// makes a power cut harmless at any step: the snapshot is synced before it gets its name, and the names are synced
-// before any older generation is removed.
+// beginGeneration writes a snapshot, begins its log, and removes generations that are no longer needed. The order of
+// the steps keeps a power cut at any of them harmless: the snapshot is synced before it gets its name, and the names
+// are synced before any older generation is removed.
 func (s *Store) beginGeneration(current *statepb.State) error {
 	s.closeGeneration()
 	snapshot := proto.CloneOf(current)
@@ -168,7 +168,7 @@
 }
 
 // removeOldGenerations removes the generations before the retained ones. It keeps files in a newer format, so that a
-// newer program can read them after a downgrade is undone.
+// newer program can read them when a downgrade is reverted.
 func (s *Store) removeOldGenerations() error {
 	names, err := s.fsys.Names()
 	if err != nil {
