--- a/internal/daemon/persister_test.go
+++ b/internal/daemon/persister_test.go
@@ -34,8 +34,8 @@
 	if err == nil {
 		second.Kill()
 	}
-	if err == nil || !strings.Contains(err.Error(), "another steward") {
-		t.Errorf("a second daemon on the folder: %v", err)
+	if !errors.Is(err, statefile.ErrLocked) {
+		t.Errorf("a second daemon on the folder: error %v, want %v", err, statefile.ErrLocked)
 	}
 
 	d.Kill()
