--- a/internal/statefile/names.go
+++ b/internal/statefile/names.go
@@ -28,8 +28,8 @@
 	return fmt.Sprintf("%s-%08d", prefix, generation)
 }
 
-// parseFileName returns the kind and the generation of the file with a name, as the inverse of fileName. ok is false for
-// other files of the folder, such as the lock.
+// parseFileName returns the kind and the generation of the file with a name, as the inverse of fileName. ok is false
+// for other files of the folder, such as the lock.
 func parseFileName(name string) (kind fileKind, generation uint64, ok bool) {
 	prefix, number, _ := strings.Cut(name, "-")
 	generation, err := strconv.ParseUint(number, 10, 64)
