--- a/internal/statefile/bench_test.go
+++ b/internal/statefile/bench_test.go
@@ -17,7 +17,7 @@
 	benchmarkZone          = "addis"
 )
 
-// benchmarkState is the n-th state of the largest deployment, whose proxies hold one of the last three tables.
+// benchmarkState returns the n-th state of the largest deployment, whose proxies hold one of the last three tables.
 func benchmarkState(n int) *statepb.State {
 	atMs := float64(n * 1000)
 	s := &statepb.State{
@@ -67,7 +67,7 @@
 	return table
 }
 
-// BenchmarkSave saves a state that changes each second to the disk.
+// BenchmarkSave measures a save to the disk of a state that changes each second.
 func BenchmarkSave(b *testing.B) {
 	folder := openTestFolder(b, b.TempDir())
 	b.Cleanup(func() { closeFolder(b, folder) })
@@ -87,7 +87,7 @@
 	b.ReportMetric(float64(mostBytes), "B-most")
 }
 
-// BenchmarkLoad loads a state from the disk and applies decay to it.
+// BenchmarkLoad measures the load of a state from the disk, with its decay.
 func BenchmarkLoad(b *testing.B) {
 	folder := openTestFolder(b, b.TempDir())
 	b.Cleanup(func() { closeFolder(b, folder) })
@@ -99,7 +99,7 @@
 	for range b.N {
 		loaded := mustLoad(b, folder)
 		if loaded.State == nil {
-			b.Fatalf("no state: %+v", loaded)
+			b.Fatalf("loaded %+v, want a state", loaded)
 		}
 		state.ApplyDecay(loaded.State, 20000, state.DefaultLimits(18000))
 	}
--- a/internal/statefile/crash_test.go
+++ b/internal/statefile/crash_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	scriptSaves         = 13 // saves in the whole script
-	scriptSavesPerLog   = 4  // after which a generation begins
-	leastCrashSteps     = 50 // that the exploration has to reach
-	leastCrashOutcomes  = 300
-	recoveryStateNumber = 9 // the test state that is saved after a recovery
+	scriptSaves         = 13  // saves of the script
+	scriptSavesPerLog   = 4   // saves after which a generation begins
+	leastCrashSteps     = 50  // steps that TestPowerCuts has to reach at least
+	leastCrashOutcomes  = 300 // folders that TestPowerCuts has to check at least
+	recoveryStateNumber = 9   // number of the test state that is saved after a recovery
 )
 
-// runScript saves the test states one after the other, and begins a generation in between. It returns what was
-// stored after each save, and the number of the last save that was confirmed.
+// runScript saves the test states one after the other, and begins a generation after every few saves. It returns what
+// was stored after each save, and the number of the last save that was confirmed: that returned no error.
 func runScript(fsys *crashFS, saves int) (stored []*statepb.State, confirmed int) {
 	loaded, err := Load(fsys)
 	if err != nil {
@@ -49,13 +49,13 @@
 	t.Helper()
 	stored, confirmed := runScript(newCrashFS(), scriptSaves)
 	if confirmed != scriptSaves {
-		t.Fatalf("%d of %d saves were confirmed", confirmed, scriptSaves)
+		t.Fatalf("the last confirmed save is %d, want %d", confirmed, scriptSaves)
 	}
 	return stored
 }
 
-// checkRecovery checks the folder that is found after a crash: it has to hold the state of the last confirmed save
-// or of a later one, and has to take another state.
+// checkRecovery checks the folder that is found after a crash: the state of the last confirmed save or of a later one
+// can be loaded, and another state can be saved and loaded.
 func checkRecovery(fsys *crashFS, stored []*statepb.State, confirmed int) error {
 	loaded, err := Load(fsys)
 	if err != nil {
@@ -73,29 +73,30 @@
 		return fmt.Errorf("loading after recovery: %w", err)
 	}
 	if reloaded.State == nil || reloaded.State.At != next.At {
-		return fmt.Errorf("loaded %v after recovery, saved %v", reloaded.State, next)
+		return fmt.Errorf("after recovery the loaded state is %v, want the saved one, %v", reloaded.State, next)
 	}
 	return nil
 }
 
 func checkLoadedState(loaded *LoadResult, stored []*statepb.State, confirmed int) error {
-	number := 0 // of the save that stored the loaded state
+	number := 0 // number of the save that stored the loaded state; 0: none
 	for i, s := range stored {
 		if loaded.State != nil && proto.Equal(s, loaded.State) {
 			number = i + 1
 		}
 	}
 	if loaded.State != nil && number == 0 {
-		return fmt.Errorf("loaded a state that was never saved: %v", loaded.State)
+		return fmt.Errorf("the loaded state was never saved: %v", loaded.State)
 	}
 	if number < confirmed {
-		return fmt.Errorf("loaded state %d, %d were confirmed, warnings %v", number, confirmed, loaded.Warnings)
+		return fmt.Errorf("the loaded state is that of save %d, want %d, the last confirmed one, or a later one; warnings %v",
+			number, confirmed, loaded.Warnings)
 	}
 	return nil
 }
 
-// cutPowerEverywhere runs the script with a power cut at each step, and checks each folder that may be found then. It
-// returns the numbers of steps and of folders.
+// cutPowerEverywhere runs the script with a power cut at each step, and checks each folder that may be found after it.
+// It returns the number of steps and the number of folders.
 func cutPowerEverywhere(stored []*statepb.State, mutate func(*crashFS)) (steps, outcomes int, err error) {
 	for step := 0; ; step++ {
 		fsys := newCrashFS()
@@ -115,9 +116,9 @@
 	}
 }
 
-// The power is cut at each step of the script; each write that was not synced is complete, torn, corrupt or lost,
-// and each name that was not synced is the old or the new one, in all combinations. The loaded state is always one
-// that was saved, and no confirmed one is lost. A protocol without its syncs fails.
+// The power is cut at each step of the script. After that each write that was not synced is complete, torn, corrupt or
+// lost, and each name that was not synced is the old or the new one, in all combinations. The loaded state must be one
+// that was saved, and no confirmed state may be lost. Mutants that skip a sync must fail.
 func TestPowerCuts(t *testing.T) {
 	stored := scriptStates(t)
 	steps, outcomes, err := cutPowerEverywhere(stored, func(*crashFS) {})
@@ -125,7 +126,8 @@
 		t.Fatal(err)
 	}
 	if steps < leastCrashSteps || outcomes < leastCrashOutcomes {
-		t.Errorf("only %d steps and %d folders were checked", steps, outcomes)
+		t.Errorf("%d steps and %d folders were checked, want at least %d and %d",
+			steps, outcomes, leastCrashSteps, leastCrashOutcomes)
 	}
 	t.Logf("%d steps, %d folders", steps, outcomes)
 
@@ -139,13 +141,13 @@
 	for _, mutant := range mutants {
 		t.Run(mutant.name, func(t *testing.T) {
 			if _, _, err := cutPowerEverywhere(stored, mutant.mutate); err == nil {
-				t.Error("no state was lost: the test does not detect this mutant")
+				t.Error("no state was lost, want the test to detect this mutant")
 			}
 		})
 	}
 }
 
-// A disk that is full for any range of saves fails these saves and no others.
+// While the disk is full, saves fail. Saves before and after that succeed, and the last saved state can be loaded.
 func TestDiskFull(t *testing.T) {
 	for first := 1; first <= scriptSaves; first++ {
 		for last := first; last <= scriptSaves; last++ {
@@ -168,19 +170,19 @@
 		fsys.diskFull = n >= first && n <= last
 		err := store.Save(testState(n))
 		if fsys.diskFull != (err != nil) {
-			t.Fatalf("save %d, disk full %v: %v", n, fsys.diskFull, err)
+			t.Fatalf("the error of save %d is %v, want one: %v", n, err, fsys.diskFull)
 		}
 		if err == nil {
 			savedAtMs = testState(n).At
 		}
 		loaded := mustLoad(t, fsys)
 		if atMs := loaded.State.GetAt(); atMs != savedAtMs {
-			t.Fatalf("after save %d: loaded state of %g, saved %g; warnings %v", n, atMs, savedAtMs, loaded.Warnings)
+			t.Fatalf("after save %d the loaded state is of %g ms, want %g ms; warnings %v", n, atMs, savedAtMs, loaded.Warnings)
 		}
 	}
 }
 
-// Each byte of each file is corrupt in turn: the loaded state is one that was saved, or none.
+// One byte of one file is corrupt, each in turn. The loaded state must be one that was saved, or none.
 func TestCorruptBytes(t *testing.T) {
 	stored := scriptStates(t)
 	fsys := newCrashFS()
@@ -193,7 +195,7 @@
 			}
 			corrupt.current[name].synced[i] ^= 1 << (i % 8)
 			if err := checkRecovery(corrupt, stored, 0); err != nil {
-				t.Fatalf("byte %d of %s: %v", i, name, err)
+				t.Fatalf("byte %d of %s is corrupt: %v", i, name, err)
 			}
 		}
 	}
--- a/internal/statefile/crashfs_test.go
+++ b/internal/statefile/crashfs_test.go
@@ -14,9 +14,9 @@
 
 const neverCrash = -1
 
-// crashFS is a folder in memory that knows which changes are durable: the content of a file after a sync of the
-// file, names after a sync of the folder. It fails from a step on, or while the disk is full, and derives the
-// folders that may be found after a power cut.
+// crashFS is a folder in memory that tracks which changes are durable: the content of a file after a sync of the file,
+// and names after a sync of the folder. Its operations can be made to fail from a step on, or while the disk is full.
+// It derives the folders that may be found after a power cut.
 type crashFS struct {
 	steps       int // operations so far
 	crashAtStep int // every operation after this many fails; or neverCrash
@@ -25,13 +25,13 @@
 	skipFileSync   bool // a mutant: syncing files has no effect
 	skipFolderSync bool // a mutant: syncing the folder has no effect
 
-	current            map[string]*crashFile
-	durable            map[string]*crashFile
+	current            map[string]*crashFile // by name, as a running process finds them
+	durable            map[string]*crashFile // by the names that are durable
 	pendingNameChanges []nameChange
 }
 
-// nameChange is a change of names that is not durable yet: the file, where not nil, gets the new name, and the old
-// name, where not empty, is removed.
+// nameChange is a change of names that is not durable yet: the file gets the new name if it is not empty, and the old
+// name is removed if it is not empty.
 type nameChange struct {
 	oldName, newName string
 	file             *crashFile
@@ -39,7 +39,7 @@
 
 type crashFile struct {
 	synced        []byte
-	pendingWrites [][]byte // that are not durable yet
+	pendingWrites [][]byte // writes that are not durable yet
 }
 
 func newCrashFS() *crashFS {
@@ -155,15 +155,15 @@
 
 func (o *openCrashFile) Close() error { return nil }
 
-// writeOutcome is what a power cut makes of a write that was not durable.
+// writeOutcome is the state of a write that was not durable after a power cut.
 type writeOutcome int
 
 const (
 	writeComplete writeOutcome = iota
-	writeTorn                  // only its first half is there
+	writeTorn                  // only its first half is written
 	writeCorrupt               // one bit is wrong
 	writeLost
-	writeOutcomes // their number
+	writeOutcomes // number of outcomes
 )
 
 func (o writeOutcome) apply(write []byte) []byte {
@@ -181,8 +181,8 @@
 	}
 }
 
-// forEachCrashOutcome visits all folders that may be found after a power cut now: each subset of the pending name
-// changes together with each combination of outcomes of the pending writes. It stops at an error.
+// forEachCrashOutcome visits all folders that may be found after a power cut at this point: each subset of the pending
+// name changes together with each combination of outcomes of the pending writes. It stops at the first error.
 func (c *crashFS) forEachCrashOutcome(visit func(*crashFS) error) error {
 	files := c.filesWithPendingWrites()
 	combinations := 1
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// filesWithPendingWrites are in the order of their names, each once.
+// filesWithPendingWrites returns the files with pending writes in the order of their names, each once.
 func (c *crashFS) filesWithPendingWrites() (files []*crashFile) {
 	seen := map[*crashFile]bool{}
 	for _, names := range []map[string]*crashFile{c.current, c.durable} {
@@ -216,8 +216,8 @@
 	return files
 }
 
-// crashOutcome is one folder that may be found. The digits of combination, to the base of the number of outcomes,
-// are the outcomes of the files' pending writes; bit i of nameChanges says whether name change i took place.
+// crashOutcome returns one folder that may be found. The digits of combination, in base writeOutcomes, are the outcomes
+// of the pending writes of the files. Bit i of nameChanges is set if the pending name change i took place.
 func (c *crashFS) crashOutcome(files []*crashFile, combination, nameChanges int) *crashFS {
 	recovered := map[*crashFile]*crashFile{}
 	recoverFile := func(file *crashFile) *crashFile {
--- a/internal/statefile/load_test.go
+++ b/internal/statefile/load_test.go
@@ -12,7 +12,7 @@
 	"barleysail/state/statepb"
 )
 
-// Whatever the files hold: loading ends, and the next state can be saved.
+// A folder with any content of its files can be loaded, and the next state can be saved to it and loaded again.
 func FuzzLoad(f *testing.F) {
 	fsys := newCrashFS()
 	runScript(fsys, scriptSaves)
@@ -32,7 +32,7 @@
 		loaded := mustLoad(t, fsys)
 		mustSave(t, NewStore(fsys, loaded, maxTestSnapshotBytes), testState(3))
 		if reloaded := mustLoad(t, fsys); reloaded.State.GetAt() != 3000 {
-			t.Fatalf("loaded %+v", reloaded)
+			t.Fatalf("loaded %+v, want the state of 3000 ms, which was saved last", reloaded)
 		}
 	})
 }
@@ -65,10 +65,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			kind, generation, ok := parseFileName(test.name)
 			if kind != test.kind || generation != test.generation || ok != test.ok {
-				t.Errorf("parsed as %q, %d, %v", kind, generation, ok)
+				t.Errorf("parsed as %q, %d, %v, want %q, %d, %v", kind, generation, ok, test.kind, test.generation, test.ok)
 			}
 			if ok && fileName(kind, generation) != test.name {
-				t.Errorf("the name of the parsed file is %s", fileName(kind, generation))
+				t.Errorf("the name of the parsed file is %s, want %s", fileName(kind, generation), test.name)
 			}
 		})
 	}
@@ -105,13 +105,13 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if err := decode(test.content, test.generation); !errors.Is(err, test.want) {
-				t.Errorf("error %v, want %v", err, test.want)
+				t.Errorf("the error is %v, want %v", err, test.want)
 			}
 		})
 	}
 }
 
-// Each kind of damage leaves out the damaged part, with a warning that names the file and the reason.
+// The damaged part of a file is ignored, with a warning that names the file and the reason.
 func TestLoadWarnings(t *testing.T) {
 	undecodable := []byte{0xff}
 	newerState := encodeState(t, &statepb.State{Major: state.FormatMajor + 1})
@@ -120,8 +120,8 @@
 	tests := []struct {
 		name          string
 		snapshot, log []byte
-		want          string // the only warning
-		loaded        bool
+		want          string // part of the only warning; empty: no warning
+		loaded        bool   // whether a state is loaded
 	}{
 		{"undamaged", readable, encodeHeader(logFile), "", true},
 		{"trailing data", append(readable, 0), nil, "snapshot-00000001: " + ErrTrailingData.Error(), false},
@@ -142,11 +142,11 @@
 			}
 			loaded := mustLoad(t, fsys)
 			if (loaded.State != nil) != test.loaded {
-				t.Errorf("state %v", loaded.State)
+				t.Errorf("the loaded state is %v, want one: %v", loaded.State, test.loaded)
 			}
 			warnings := strings.Join(loaded.Warnings, "; ")
 			if (warnings == "") != (test.want == "") || !strings.Contains(warnings, test.want) || len(loaded.Warnings) > 1 {
-				t.Errorf("warnings %q, want %q", loaded.Warnings, test.want)
+				t.Errorf("the warnings are %q, want %q", loaded.Warnings, test.want)
 			}
 		})
 	}
@@ -164,7 +164,7 @@
 func TestDamageErrorWrapsReason(t *testing.T) {
 	err := error(&DamageError{FileName: fileName(logFile, 1), Changes: 2, Err: ErrChecksum})
 	if !errors.Is(err, ErrChecksum) || !strings.Contains(err.Error(), "after 2 changes") {
-		t.Errorf("error %v", err)
+		t.Errorf("the error is %v, want one that wraps %v and names 2 changes", err, ErrChecksum)
 	}
 }
 
@@ -178,9 +178,9 @@
 func TestListingFails(t *testing.T) {
 	fsys := unlistableFS{newCrashFS()}
 	if _, err := Load(fsys); !errors.Is(err, errListing) {
-		t.Errorf("Load: %v", err)
+		t.Errorf("the error of Load is %v, want %v", err, errListing)
 	}
 	if err := NewStore(fsys, &LoadResult{}, maxTestSnapshotBytes).Save(testState(1)); !errors.Is(err, errListing) {
-		t.Errorf("Save: %v", err)
+		t.Errorf("the error of Save is %v, want %v", err, errListing)
 	}
 }
--- a/internal/statefile/store_test.go
+++ b/internal/statefile/store_test.go
@@ -10,11 +10,11 @@
 	"barleysail/state/statepb"
 )
 
-// maxTestSnapshotBytes is above the size of all test states but those that are to shrink.
+// maxTestSnapshotBytes is above the size of all test states except those that have to be shrunk.
 const maxTestSnapshotBytes = 1 << 20
 
-// testState is the n-th state of a small controller whose hosts fail and recover, whose proxies join and leave, and
-// whose operator sets and removes an override.
+// testState returns the n-th state of a small deployment whose hosts fail and recover, whose proxies connect and
+// disconnect, and whose operator sets and removes an override.
 func testState(n int) *statepb.State {
 	atMs := float64(1000 * n)
 	s := &statepb.State{
@@ -64,7 +64,7 @@
 	}
 }
 
-// A state that is too large loses entries, but no override.
+// A state that is too large is shrunk before it is saved, and keeps its overrides.
 func TestSaveShrinksLargeState(t *testing.T) {
 	const maxBytes = 20000
 	s := testState(5)
@@ -76,17 +76,19 @@
 	mustSave(t, store, s)
 	loaded := mustLoad(t, fsys).State
 	if size := proto.Size(loaded); size > maxBytes {
-		t.Errorf("%d bytes", size)
+		t.Errorf("the loaded state has %d bytes, want at most %d", size, maxBytes)
 	}
 	if len(loaded.Settings) != 1 || len(loaded.Tables) != 0 || len(loaded.Hosts) < 100 {
-		t.Errorf("%d hosts, %d tables, %d overrides", len(loaded.Hosts), len(loaded.Tables), len(loaded.Settings))
+		t.Errorf("the loaded state has %d hosts, %d tables and %d overrides, want at least 100, none and 1",
+			len(loaded.Hosts), len(loaded.Tables), len(loaded.Settings))
 	}
 	if store.ShrinkSteps == 0 {
-		t.Error("no dropped entries were counted")
+		t.Error("ShrinkSteps is 0, want at least 1")
 	}
 }
 
-// SaveSnapshot begins a generation also where a change would do, so that after two of them no earlier state is left.
+// SaveSnapshot begins a generation even if a change in the log would do, so that after two calls no earlier state is
+// left in the folder.
 func TestSaveSnapshotBeginsGeneration(t *testing.T) {
 	fsys := newCrashFS()
 	store := NewStore(fsys, &LoadResult{}, maxTestSnapshotBytes)
@@ -97,9 +99,9 @@
 		}
 	}
 	if loaded := mustLoad(t, fsys); loaded.Generation != 3 || loaded.Changes != 0 || loaded.State.At != testState(2).At {
-		t.Errorf("loaded %+v", loaded)
+		t.Errorf("loaded %+v, want generation 3 with the state of 2000 ms and no changes", loaded)
 	}
 	if fsys.current[fileName(snapshotFile, 1)] != nil || fsys.current[fileName(logFile, 1)] != nil {
-		t.Error("the first generation was not removed")
+		t.Error("files of the first generation are left, want them removed")
 	}
 }
