--- a/controller/acks_test.go
+++ b/controller/acks_test.go
@@ -37,7 +37,7 @@
 // An acknowledgement counts at once, also while a message of the same round waits for another proxy; that proxy's own
 // stamps stay unacknowledged.
 func TestAcknowledgeAtOnce(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	h.poll(PollRequest{Proxy: "q", WaitMs: 30000})
--- a/controller/cached_test.go
+++ b/controller/cached_test.go
@@ -9,7 +9,7 @@
 
 // A proxy that the controller does not know continues from the tables that it holds, under their tag.
 func TestCachedTables(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(1))
 	table := Table{Assigned: true, Hosts: []string{hostName(0), hostName(1)}, Weights: []float64{1, 1}, AdmissionRatio: 1}
 	sheet := table
@@ -36,7 +36,7 @@
 
 // Tables that no proxy can hold are rejected with an error that names the invalid field.
 func TestInvalidCachedTables(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	valid := Table{Class: "sheet", Hosts: []string{"a:1", "b:1"}, Weights: []float64{1, 2}, AdmissionRatio: 1}
 	edited := func(modify func(table *Table)) []Table {
 		table := valid
--- a/controller/channel_test.go
+++ b/controller/channel_test.go
@@ -9,7 +9,7 @@
 // Messages with a removal are sent before others. Updates for a proxy that has a queued message are added to it, with
 // their stamps in order.
 func TestChannel(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	channel := newControlChannel(routing.ControlChannel{
 		EntriesPerSecond: 1000, MessageOverhead: 5, MaxMessages: 2, MessageWindowMs: 1000,
 	})
--- a/controller/churn_test.go
+++ b/controller/churn_test.go
@@ -28,10 +28,10 @@
 
 // runChurn replaces count hosts and connects count proxies, of which it disconnects every second one.
 func runChurn(t testing.TB, count int) churnResult {
-	set := defaultTestSettings()
-	set.settings.RemovedHostRetentionMs = 1000
-	set.objective = routing.Objective{TotalWeight: 1}
-	h := newHarness(t, set)
+	config := defaultTestConfig()
+	config.settings.RemovedHostRetentionMs = 1000
+	config.objective = routing.Objective{TotalWeight: 1}
+	h := newHarness(t, config)
 	list := h.readyEndpoints(20)
 	h.mustSetEndpoints(list)
 	var result churnResult
--- a/controller/endpoint_loss_test.go
+++ b/controller/endpoint_loss_test.go
@@ -10,7 +10,7 @@
 // An endpoint list that loses most of its hosts at once is held back for at most half of the drain grace, unless an
 // override of an operator confirms the loss. If the next list is complete again, nothing is published.
 func TestEndpointLossIsHeldBack(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	endpointLoss := guard.EndpointLossLimits{MaxLossRatio: 0.5, HoldMs: 60000}
 	h.EnableValidation(guard.Limits{MaxTrafficShift: 0.5}, RepairSettings{}, endpointLoss)
 	h.mustSetEndpoints(h.readyEndpoints(4))
--- a/controller/endpoints_test.go
+++ b/controller/endpoints_test.go
@@ -9,9 +9,9 @@
 // A controller without an endpoint list publishes no hosts and no empty table, so that a proxy keeps the table that it
 // has. The first list is published.
 func TestEndpointsUnknown(t *testing.T) {
-	set := defaultTestSettings()
-	set.deployment.WatchesEndpoints = true
-	h := newHarness(t, set)
+	config := defaultTestConfig()
+	config.deployment.WatchesEndpoints = true
+	h := newHarness(t, config)
 	h.advance(100)
 	h.poll(PollRequest{Proxy: "p", WaitMs: -1})
 	h.advance(1000)
@@ -26,7 +26,7 @@
 
 // A removed host is forgotten when no table refers to it any more, and its index is assigned to another host.
 func TestForgetRemovedHost(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(3))
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	h.advance(200)
--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -57,8 +57,8 @@
 // Log implements Effects.
 func (h *harness) Log(text string) { h.printf("log: %s", text) }
 
-// testSettings are the arguments of New. A test changes those that matter to it.
-type testSettings struct {
+// testConfig are the arguments of New. A test changes those that matter to it.
+type testConfig struct {
 	deployment Deployment
 	classes    []RequestClass
 	channel    routing.ControlChannel
@@ -67,9 +67,9 @@
 	settings   Settings
 }
 
-// defaultTestSettings returns the settings of a small deployment.
-func defaultTestSettings() testSettings {
-	return testSettings{
+// defaultTestConfig returns the arguments for a small deployment.
+func defaultTestConfig() testConfig {
+	return testConfig{
 		deployment: Deployment{
 			Incarnation:        "L",
 			Seed:               7,
@@ -114,9 +114,9 @@
 // harnessStartMs is the time at which each harness starts.
 const harnessStartMs = 1000
 
-func newHarness(t testing.TB, set testSettings) *harness {
+func newHarness(t testing.TB, config testConfig) *harness {
 	return &harness{
-		Controller: New(set.deployment, set.classes, set.channel, set.safety, set.objective, set.settings),
+		Controller: New(config.deployment, config.classes, config.channel, config.safety, config.objective, config.settings),
 		t:          t,
 		nowMs:      harnessStartMs,
 		responses:  map[int64]Response{},
@@ -126,7 +126,7 @@
 // newUnevenHarness returns a harness with hosts that differ in their cores, though the endpoint list gives them equal
 // weights, and with a proxy in each zone.
 func newUnevenHarness(t testing.TB, withSolver bool) (*harness, []Endpoint) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	if withSolver {
 		h.EnableSolver(5000, 0.01)
 	}
@@ -157,19 +157,19 @@
 // newLargestHarness returns a harness of the size of the largest deployment, in which all proxies are connected and
 // have tables.
 func newLargestHarness(t testing.TB, configure func(*Controller)) (*harness, []Endpoint) {
-	set := defaultTestSettings()
-	set.deployment.Proxies = largestProxies
-	set.channel.EntriesPerSecond = 1e6
-	set.channel.MaxBacklog = 1e6
-	set.channel.MaxMessages = 0
-	set.objective = routing.Objective{TotalWeight: 1}
-	h := newHarness(t, set)
+	config := defaultTestConfig()
+	config.deployment.Proxies = largestProxies
+	config.channel.EntriesPerSecond = 1e6
+	config.channel.MaxBacklog = 1e6
+	config.channel.MaxMessages = 0
+	config.objective = routing.Objective{TotalWeight: 1}
+	h := newHarness(t, config)
 	configure(h.Controller)
 	var list []Endpoint
 	for i := range largestHosts {
 		list = append(list, Endpoint{
 			Host:   fmt.Sprintf("10.0.%d.%d:80", i/250, i%250),
-			Zone:   set.deployment.Zones[i%2],
+			Zone:   config.deployment.Zones[i%2],
 			State:  routing.Ready,
 			Weight: 1,
 			Cores:  4,
@@ -259,7 +259,7 @@
 	}
 }
 
-// demandStats returns the report of a second in which each class of defaultTestSettings got a number of arrivals.
+// demandStats returns the report of a second in which each class of defaultTestConfig got a number of arrivals.
 func demandStats(sequence int64, arrivals int) ProxyStats {
 	demand := ClassDemand{Arrivals: arrivals, WindowMs: 1000}
 	return ProxyStats{Sequence: sequence, Demand: map[string]ClassDemand{"sheet": demand, "finish": demand}}
--- a/controller/ingest_test.go
+++ b/controller/ingest_test.go
@@ -12,7 +12,7 @@
 // A host's own reports reach the balancer together with the next request stats of a proxy. Repeated reports and those
 // of unknown hosts do not, and an implausible load is not trusted.
 func TestLoadReports(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	list := h.readyEndpoints(2)
 	h.mustSetEndpoints(list)
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
@@ -88,7 +88,7 @@
 // more than its share of the queue, so that the reports of other proxies still reach the balancer, and what is dropped
 // is counted.
 func TestReportFloodAtStart(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	limits := intake.DefaultLimits()
 	limits.MaxQueued = 50
 	limits.MaxPerRound = 10
@@ -165,7 +165,7 @@
 // A controller whose rounds are late sheds reports, then lengthens the time between rounds, logs both, and recovers. A
 // drain is still published by the next round.
 func TestLateRounds(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.hideNotModified = true
 	list := h.readyEndpoints(4)
 	h.mustSetEndpoints(list)
--- a/controller/invalid_test.go
+++ b/controller/invalid_test.go
@@ -10,7 +10,7 @@
 
 // Invalid inputs are rejected with an error that names the field, and change nothing.
 func TestInvalidInputs(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	for _, list := range invalidEndpointLists() {
 		h.printf("list rejected: %v", h.SetEndpoints(h.nowMs, list))
--- a/controller/longpoll_test.go
+++ b/controller/longpoll_test.go
@@ -9,7 +9,7 @@
 
 // A proxy connects, leaves a poll pending, and gets what changed as a delta onto the version that it holds.
 func TestLongPoll(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	h.printf("a proxy connects")
 	h.poll(PollRequest{Proxy: "p", WaitMs: 30000, AcceptDelta: true})
@@ -37,7 +37,7 @@
 // Of two polls of a proxy the later one stays pending, and the earlier one gets its response at once. A version is
 // acknowledged only once, though later polls name its tag again.
 func TestReplacedPoll(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	h.advance(100)
@@ -60,7 +60,7 @@
 
 // A proxy that comes back after it was disconnected gets a new session: its old tag names no version.
 func TestReconnect(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	h.advance(100)
@@ -77,7 +77,7 @@
 // Two proxies with the same name do not replace each other's polls without end: the one whose poll is pending keeps its
 // session. The request stats of both are counted, and the duplicate name is recorded as one event.
 func TestDuplicateProxyName(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	list := h.readyEndpoints(1)
 	h.mustSetEndpoints(list)
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
@@ -126,7 +126,7 @@
 
 // Before a graceful shutdown all pending polls get a response with the current tables.
 func TestReleasePolls(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	var polls []int64
 	for _, proxy := range []string{"p", "q"} {
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -10,7 +10,7 @@
 // Overrides take precedence over the endpoint list, stay when the list changes, are published like entries of the list,
 // and expire. Queued drains are applied one after the other.
 func TestOverrides(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.applyOverrides(operator.Command{Host: hostName(0), State: operator.Draining, Weight: -1})
 	h.mustSetEndpoints(h.readyEndpoints(4))
 	request := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
@@ -70,9 +70,9 @@
 // A host is ejected although an operator sets its weight in the same round: the weight is an input of the balancer,
 // not a way around it.
 func TestWeightOverrideOfEjectedHost(t *testing.T) {
-	set := defaultTestSettings()
-	set.deployment.HealthChecks = true
-	h := newHarness(t, set)
+	config := defaultTestConfig()
+	config.deployment.HealthChecks = true
+	h := newHarness(t, config)
 	h.hideNotModified = true
 	h.mustSetEndpoints(h.readyEndpoints(4))
 	request := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
@@ -107,7 +107,7 @@
 
 // NextMs includes the time at which an override expires, so that it ends in time even if nothing else happens.
 func TestOverrideExpiresInTime(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.hideNotModified = true
 	h.mustSetEndpoints(h.readyEndpoints(4))
 	h.advance(3000)
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -52,9 +52,9 @@
 
 // If the repair finds no valid tables, that is logged and the least invalid ones are published.
 func TestRepairWithoutValidTables(t *testing.T) {
-	set := defaultTestSettings()
-	set.classes[0].ZoneLocal = true
-	h := newHarness(t, set)
+	config := defaultTestConfig()
+	config.classes[0].ZoneLocal = true
+	h := newHarness(t, config)
 	h.hideNotModified = true
 	limits := guard.Limits{CapacityMultiple: 1, MaxTrafficShift: 0.2}
 	h.EnableValidation(limits, RepairSettings{Enabled: true}, guard.EndpointLossLimits{})
@@ -97,8 +97,8 @@
 // out unless no other host is left, and the limits of the channel hold.
 func TestRepairKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		set := defaultTestSettings()
-		h := newHarness(t, set)
+		config := defaultTestConfig()
+		h := newHarness(t, config)
 		enableRandomRepair(r, h)
 		list := h.readyEndpoints(6)
 		for i := range list {
@@ -155,7 +155,7 @@
 // checkChannelLimits checks the backlog and the number of messages to each proxy. It adds the times at which they were
 // sent to sent.
 func (h *harness) checkChannelLimits(r *rapid.T, sent map[string][]float64) {
-	const maxMessages = 20 // within messageWindowMs, by defaultTestSettings
+	const maxMessages = 20 // within messageWindowMs, by defaultTestConfig
 	const messageWindowMs = 10000
 	if backlog := h.channel.backlog(); backlog > h.channel.maxBacklog {
 		r.Fatalf("the backlog is %g entries, want at most %g", backlog, h.channel.maxBacklog)
--- a/controller/restore_test.go
+++ b/controller/restore_test.go
@@ -15,13 +15,13 @@
 )
 
 // restart starts the next incarnation "M" some time later, from the encoded snapshot of this one.
-func (h *harness) restart(set testSettings, laterMs float64) *harness {
+func (h *harness) restart(config testConfig, laterMs float64) *harness {
 	h.t.Helper()
-	return restoreHarness(h.t, set, h.Snapshot(h.nowMs), h.nowMs+laterMs)
+	return restoreHarness(h.t, config, h.Snapshot(h.nowMs), h.nowMs+laterMs)
 }
 
 // restoreHarness starts the incarnation "M" from a snapshot, which it encodes and decodes as a file would.
-func restoreHarness(t testing.TB, set testSettings, snapshot *statepb.State, nowMs float64) *harness {
+func restoreHarness(t testing.TB, config testConfig, snapshot *statepb.State, nowMs float64) *harness {
 	t.Helper()
 	encoded, err := proto.Marshal(snapshot)
 	if err != nil {
@@ -31,18 +31,18 @@
 	if err := proto.Unmarshal(encoded, decoded); err != nil {
 		t.Fatal(err)
 	}
-	set.deployment.Incarnation = "M"
-	h := newHarness(t, set)
+	config.deployment.Incarnation = "M"
+	h := newHarness(t, config)
 	h.nowMs = nowMs
-	h.Restore(nowMs, state.ApplyDecay(decoded, nowMs, state.DefaultLimits(set.safety.SlowStartMs)))
+	h.Restore(nowMs, state.ApplyDecay(decoded, nowMs, state.DefaultLimits(config.safety.SlowStartMs)))
 	return h
 }
 
 // The next incarnation continues with deltas onto the tables that the proxies hold, and gives a host that has failed
 // less weight from its first table on. Both end when the stored state is too old, and if the clock went back.
 func TestNextIncarnation(t *testing.T) {
-	set := defaultTestSettings()
-	h := newHarness(t, set)
+	config := defaultTestConfig()
+	h := newHarness(t, config)
 	h.hideNotModified = true
 	list := h.readyEndpoints(4)
 	h.mustSetEndpoints(list)
@@ -51,7 +51,7 @@
 	h.printf("the first incarnation published %s", h.describeTable("p"))
 	tag := h.newestTag("p")
 	for _, laterMs := range []float64{1000, 60e3, 3600e3} {
-		next := h.restart(set, laterMs)
+		next := h.restart(config, laterMs)
 		next.printf("after %.0f s", laterMs/1000)
 		next.mustSetEndpoints(list)
 		next.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
@@ -63,7 +63,7 @@
 			report.Reason)
 		h.trace.WriteString(next.trace.String())
 	}
-	earlier := h.restart(set, -5000)
+	earlier := h.restart(config, -5000)
 	earlier.mustSetEndpoints(list)
 	earlier.printf("%s", earlier.Status(earlier.nowMs).Restored.Reason)
 	h.trace.WriteString(earlier.trace.String())
@@ -73,19 +73,19 @@
 // A proxy gets a snapshot if its tag is unknown or another proxy's, if it is now in another zone, or if the persisted
 // tables are those of other classes.
 func TestUnknownTags(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	list := h.readyEndpoints(2)
 	h.mustSetEndpoints(list)
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	h.advance(100)
 	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 900})
 	tag := h.newestTag("p")
-	oneClass := func(set *testSettings) { set.classes = set.classes[:1] }
+	oneClass := func(config *testConfig) { config.classes = config.classes[:1] }
 	for _, test := range []struct {
 		name    string
 		request PollRequest
 		want    ResponseKind
-		change  func(set *testSettings) // nil: the settings stay
+		change  func(config *testConfig) // nil: the configuration stays
 	}{
 		{"its own", PollRequest{Proxy: "p", Tags: []string{tag}, AcceptDelta: true}, Delta, nil},
 		{"without deltas", PollRequest{Proxy: "p", Tags: []string{tag}}, Snapshot, nil},
@@ -95,11 +95,11 @@
 		{"other classes", PollRequest{Proxy: "p", Tags: []string{tag}, AcceptDelta: true}, Snapshot, oneClass},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			set := defaultTestSettings()
+			config := defaultTestConfig()
 			if test.change != nil {
-				test.change(&set)
+				test.change(&config)
 			}
-			next := h.restart(set, 1000)
+			next := h.restart(config, 1000)
 			next.mustSetEndpoints(list[:1]) // one host is removed, so that there is something to send
 			request := test.request
 			request.WaitMs = 60000
@@ -116,8 +116,8 @@
 // A host that started shortly before the restart is still warming up after it, though the endpoint list gives no start
 // time. A host that has started since then according to the list begins its slow start again.
 func TestRestartDuringSlowStart(t *testing.T) {
-	set := defaultTestSettings()
-	h := newHarness(t, set)
+	config := defaultTestConfig()
+	h := newHarness(t, config)
 	list := h.readyEndpoints(3)
 	h.mustSetEndpoints(list)
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
@@ -128,7 +128,7 @@
 	slowStartFactor := func(of *harness, host string) float64 { return of.mustHostInfo(host).Explanation.SlowStartFactor }
 	before := slowStartFactor(h, added.Host)
 
-	restored := h.restart(set, 1000)
+	restored := h.restart(config, 1000)
 	restored.mustSetEndpoints(append(list, added))
 	restored.advance(10)
 	if got := slowStartFactor(restored, added.Host); got <= before || got > before+0.1 || got >= 1 {
@@ -136,7 +136,7 @@
 			before, got)
 	}
 
-	unrestored := newHarness(t, set)
+	unrestored := newHarness(t, config)
 	unrestored.nowMs = restored.nowMs
 	unrestored.mustSetEndpoints(append(list, added))
 	if got := slowStartFactor(unrestored, added.Host); got != 1 {
@@ -144,7 +144,7 @@
 	}
 
 	list[0].StartedMs = h.nowMs + 500
-	startedSince := h.restart(set, 1000)
+	startedSince := h.restart(config, 1000)
 	startedSince.mustSetEndpoints(append(list, added))
 	startedSince.advance(10)
 	if got := slowStartFactor(startedSince, list[0].Host); got > 0.3 {
@@ -155,8 +155,8 @@
 // After a restart within the drain grace, proxies that return with the earlier tables get the removal before the grace
 // is over. The drain counts from the time at which the earlier incarnation first observed it.
 func TestRestartDuringDrain(t *testing.T) {
-	set := defaultTestSettings()
-	h := newHarness(t, set)
+	config := defaultTestConfig()
+	h := newHarness(t, config)
 	list := h.readyEndpoints(3)
 	h.mustSetEndpoints(list)
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
@@ -167,11 +167,11 @@
 	drainingSinceMs := h.nowMs
 	h.mustSetEndpoints(list) // the controller is killed before the drain reaches the proxies
 
-	next := h.restart(set, 800)
+	next := h.restart(config, 800)
 	next.mustSetEndpoints(list)
 	next.advance(200)
 	poll := next.poll(PollRequest{Proxy: "p", WaitMs: 60000, Tags: []string{tag}, AcceptDelta: true})
-	next.advance(set.safety.DrainGraceMs - 1000)
+	next.advance(config.safety.DrainGraceMs - 1000)
 	response, ok := next.responses[poll]
 	if !ok || !strings.Contains(string(response.Body()), `"10.0.0.1:80":null`) {
 		t.Errorf("the removal was not sent within the drain grace: %v", next.trace.String())
@@ -198,7 +198,7 @@
 		{300e3, 1, 1},
 	} {
 		t.Run(fmt.Sprintf("after %g ms", test.laterMs), func(t *testing.T) {
-			h := restoreHarness(t, defaultTestSettings(), snapshot, snapshotMs+test.laterMs)
+			h := restoreHarness(t, defaultTestConfig(), snapshot, snapshotMs+test.laterMs)
 			h.mustSetEndpoints(h.readyEndpoints(2))
 			h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 			h.advance(1500)
@@ -215,8 +215,8 @@
 
 // Overrides survive a restart, and expire as before.
 func TestOverridesSurviveRestart(t *testing.T) {
-	set := defaultTestSettings()
-	h := newHarness(t, set)
+	config := defaultTestConfig()
+	h := newHarness(t, config)
 	list := h.readyEndpoints(4)
 	h.mustSetEndpoints(list)
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
@@ -228,7 +228,7 @@
 	} {
 		h.applyOverrides(command)
 	}
-	next := h.restart(set, 5000)
+	next := h.restart(config, 5000)
 	next.mustSetEndpoints(list)
 	next.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	next.advance(1000)
@@ -261,9 +261,9 @@
 		{"another start", state.Host{Zone: "a", Weight: 1, StartedMs: 400, Ejected: true, ReportConfidence: 1}, 0, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			set := defaultTestSettings()
-			set.deployment.HealthChecks = true
-			h := newHarness(t, set)
+			config := defaultTestConfig()
+			config.deployment.HealthChecks = true
+			h := newHarness(t, config)
 			list := h.readyEndpoints(1)
 			list[0].StartedMs = 300
 			known := test.known
@@ -291,26 +291,26 @@
 
 // reconnectingFleet is a deployment of 600 proxies, which reconnect within a second after a restart.
 type reconnectingFleet struct {
-	set testSettings
-	h   *harness // the first incarnation
+	config testConfig
+	h      *harness // the first incarnation
 }
 
 const reconnectingProxies = 600
 
 func newReconnectingFleet(t testing.TB) *reconnectingFleet {
-	set := defaultTestSettings()
-	set.deployment.Proxies = reconnectingProxies
-	set.channel.EntriesPerSecond = 8000
-	set.channel.MaxBacklog = 16000
-	h := newHarness(t, set)
+	config := defaultTestConfig()
+	config.deployment.Proxies = reconnectingProxies
+	config.channel.EntriesPerSecond = 8000
+	config.channel.MaxBacklog = 16000
+	h := newHarness(t, config)
 	h.hideNotModified = true
-	return &reconnectingFleet{set, h}
+	return &reconnectingFleet{config, h}
 }
 
 func (f *reconnectingFleet) request(number int) PollRequest {
 	return PollRequest{
 		Proxy:       fmt.Sprintf("p%03d", number),
-		Zone:        f.set.deployment.Zones[number%2],
+		Zone:        f.config.deployment.Zones[number%2],
 		WaitMs:      60000,
 		AcceptDelta: true,
 	}
@@ -336,8 +336,8 @@
 
 func (f *reconnectingFleet) checkBacklog(of *harness) {
 	of.t.Helper()
-	if backlog := of.channel.backlog(); backlog > f.set.channel.MaxBacklog {
-		of.t.Fatalf("the backlog is %g entries, want at most %g", backlog, f.set.channel.MaxBacklog)
+	if backlog := of.channel.backlog(); backlog > f.config.channel.MaxBacklog {
+		of.t.Fatalf("the backlog is %g entries, want at most %g", backlog, f.config.channel.MaxBacklog)
 	}
 }
 
@@ -361,7 +361,7 @@
 	fleet.connect(fleet.h, false)
 	fleet.acknowledgeAll()
 
-	next := fleet.h.restart(fleet.set, 3000)
+	next := fleet.h.restart(fleet.config, 3000)
 	next.hideNotModified = true
 	next.mustSetEndpoints(list[1:]) // a host was removed meanwhile
 	beganMs := next.nowMs
--- a/controller/stats_test.go
+++ b/controller/stats_test.go
@@ -9,7 +9,7 @@
 
 // Request stats are counted once for each sequence number. A sender that restarts its numbers uses another name.
 func TestStatsCountedOnce(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(1))
 	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	h.advance(100)
--- a/controller/tableset_test.go
+++ b/controller/tableset_test.go
@@ -14,7 +14,7 @@
 // A delta refers to the version that the proxy holds. Applied to any version of the history it gives the newest one.
 func TestDeltasApplyToBase(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		h := newHarness(t, defaultTestSettings())
+		h := newHarness(t, defaultTestConfig())
 		list := h.readyEndpoints(6)
 		h.mustSetEndpoints(list)
 		documents := map[string][]byte{}
@@ -70,7 +70,7 @@
 // The canonical form holds the same tables as the snapshot, with its members in the order of their names. It is encoded
 // once, and later calls return the same text.
 func TestCanonicalTables(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
 	h.advance(100)
--- a/controller/validation_view_test.go
+++ b/controller/validation_view_test.go
@@ -12,7 +12,7 @@
 // Subset tables are summed by zone, in proportion to the request rates of their proxies. A subset table without a ready
 // host also has a route of its own.
 func TestRoutesOfSubsetTables(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	list := h.readyEndpoints(4)
 	list[2].State = routing.Draining
 	h.mustSetEndpoints(list)
