--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -57,7 +57,7 @@
 // Log implements Effects.
 func (h *harness) Log(text string) { h.printf("log: %s", text) }
 
-// testConfig are the arguments of New. A test changes those that matter to it.
+// testConfig holds the arguments of New. A test changes those that matter to it.
 type testConfig struct {
 	deployment Deployment
 	classes    []RequestClass
