--- a/state/decay.go
+++ b/state/decay.go
@@ -16,7 +16,7 @@
 // confidence returns the remaining confidence in a figure of an age, from 1 (new) to 0 (unknown):
 //
 //	confidence = 2^(-age / half-life)   for -futureToleranceMs <= age < max age
-//	confidence = 0                      otherwise, also where the age is NaN
+//	confidence = 0                      otherwise, also if the age is NaN
 //
 // An age below zero counts as zero.
 func (d Decay) confidence(ageMs float64) float64 {
