--- a/controller/endpoint_loss_test.go
+++ b/controller/endpoint_loss_test.go
@@ -7,10 +7,10 @@
 	"barleysail/operator"
 )
 
-// An endpoint list that loses most of its hosts at once is held back, for half the drain's grace time at most, unless
-// an operator took them off. Where the next list is complete again, nothing has changed.
+// An endpoint list that loses most of its hosts at once is held back for at most half of the drain grace, unless an
+// override of an operator confirms the loss. If the next list is complete again, nothing is published.
 func TestEndpointLossIsHeldBack(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	endpointLoss := guard.EndpointLossLimits{MaxLossRatio: 0.5, HoldMs: 60000}
 	h.EnableValidation(guard.Limits{MaxTrafficShift: 0.5}, RepairSettings{}, endpointLoss)
 	h.mustSetEndpoints(h.readyEndpoints(4))
@@ -18,17 +18,17 @@
 	h.poll(request)
 	h.advance(2000)
 	h.pollAgain(request)
-	h.printf("a list with one host, whole again after a second")
+	h.printf("a list with one host, complete again after a second")
 	h.mustSetEndpoints(h.readyEndpoints(1))
 	h.advance(1000)
 	h.mustSetEndpoints(h.readyEndpoints(4))
 	h.advance(1000)
-	h.printf("a list with one host that stays so")
+	h.printf("a list with one host that stays in force")
 	h.mustSetEndpoints(h.readyEndpoints(1))
 	h.advance(1490)
-	h.printf("held %v", h.ValidationReport().EndpointsHeld)
+	h.printf("list held back: %v", h.ValidationReport().EndpointsHeld)
 	h.advance(100)
-	h.printf("held %v", h.ValidationReport().EndpointsHeld)
+	h.printf("list held back: %v", h.ValidationReport().EndpointsHeld)
 	h.pollAgain(request)
 	h.mustSetEndpoints(h.readyEndpoints(4))
 	h.advance(12000)
@@ -38,6 +38,6 @@
 		h.applyOverrides(operator.Command{Host: host, State: operator.Maintenance, Weight: -1})
 	}
 	h.mustSetEndpoints(h.readyEndpoints(1))
-	h.printf("held %v", h.ValidationReport().EndpointsHeld)
+	h.printf("list held back: %v", h.ValidationReport().EndpointsHeld)
 	h.checkTrace()
 }
--- a/controller/hostinfo.go
+++ b/controller/hostinfo.go
@@ -29,7 +29,7 @@
 type OverrideInfo struct {
 	State       string  `json:"state"`
 	Weight      float64 `json:"weight,omitempty"`
-	WeightRatio float64 `json:"part,omitempty"` // the weight as a ratio of the endpoint list's
+	WeightRatio float64 `json:"part,omitempty"` // weight as a ratio of the one on the endpoint list
 	Added       bool    `json:"added,omitempty"`
 	Operator    string  `json:"by,omitempty"`
 	SetAtMs     float64 `json:"at"`                // ms
@@ -62,8 +62,8 @@
 	(*h)[host] = changes[max(len(changes)-maxWeightChanges, 0):]
 }
 
-// of returns the changes of a host, the newest last.
-func (h weightHistory) of(host int) []WeightChange {
+// forHost returns the weight changes of a host, the newest last.
+func (h weightHistory) forHost(host int) []WeightChange {
 	if host >= len(h) {
 		return nil
 	}
@@ -122,7 +122,7 @@
 	return c.hostInfo(host, &c.endpoints.received[i])
 }
 
-// hostInfo returns the state of a host. received is its entry on the list without overrides, nil if it has none.
+// hostInfo returns the state of a host. received is its entry on the list without overrides, nil if there is none.
 func (c *Controller) hostInfo(host string, received *Endpoint) (HostInfo, bool) {
 	override, hasOverride := c.overrides.store.Override(host)
 	endpoint, ok := c.shownEndpoint(host, received, override)
@@ -142,7 +142,7 @@
 			info.Ejected = explanation.Ejected
 			info.Weight = explanation.PublishedWeight
 		}
-		info.WeightChanges = c.weightChanges.of(index)
+		info.WeightChanges = c.weightChanges.forHost(index)
 	}
 	if report, ok := c.ingest.trust.Host(c.nowMs, host, c.hostCapacity(host)); ok {
 		info.Reports = &report
--- a/controller/ingest.go
+++ b/controller/ingest.go
@@ -18,7 +18,7 @@
 	// classRateSmoothing is the weight of one proxy's report in the request rates over all proxies, by class.
 	classRateSmoothing = 0.01
 
-	// loadReportWindowMs is the window of a host's own report. It counts no attempts, and the least window is valid.
+	// loadReportWindowMs is the window of a host's own report, which counts no attempts: the shortest valid window.
 	loadReportWindowMs = 1
 )
 
@@ -28,7 +28,7 @@
 	queue      *intake.Queue
 	trust      *intake.Trust // plausibility of the hosts' load reports
 	pacer      intake.IngestPacer
-	taken      int64                      // reports processed so far
+	processed  int64                      // reports processed so far
 	queueWaits intake.LatencyDistribution // from the arrival of a report to the round that processed it
 	classRates []float64                  // recent mean request rate of a proxy, in requests per second, by class
 }
@@ -51,24 +51,24 @@
 	Load     routing.HostLoad
 }
 
-// hostSource returns the source of a host's own reports in the queue. It differs from each proxy's name, which has no
-// slash.
+// hostSource returns the source of a host's own reports in the queue. It differs from the names of all proxies, since
+// these contain no slash.
 func hostSource(host string) string { return "/" + host }
 
-// ObserveLoadReport records a host's own load report, and reports whether it was counted: a repeated one is not. The
-// error is ErrUnknownHost, or a *FieldError for an invalid field.
+// ObserveLoadReport records a host's own load report, and returns whether it was counted. A repeated report is not
+// counted. The error is ErrUnknownHost, or a *FieldError for an invalid field.
 func (c *Controller) ObserveLoadReport(nowMs float64, host string, report LoadReport) (counted bool, err error) {
 	c.nowMs = nowMs
 	if !c.HasEndpoint(host) {
 		return false, ErrUnknownHost
 	}
-	asStats := ProxyStats{
+	stats := ProxyStats{
 		Sender:   report.Sender,
 		Sequence: report.Sequence,
 		SentAtMs: report.SentAtMs,
 		Hosts:    map[string]HostStats{host: {WindowMs: loadReportWindowMs, Load: report.Load}},
 	}
-	if err := c.checkStats(asStats); err != nil {
+	if err := c.checkStats(stats); err != nil {
 		return false, err
 	}
 	isNew, ageMs := c.ingest.trust.AcceptLoadReport(nowMs, host, report.Sender, report.Sequence, report.SentAtMs)
@@ -100,8 +100,8 @@
 	c.requestRound()
 }
 
-// hostCapacity returns the capacity of a host by the endpoint list and the classes, by which the plausibility of its
-// load reports is checked.
+// hostCapacity returns the capacity of a host according to the endpoint list and the request classes. The plausibility
+// of the host's load reports is checked against it.
 func (c *Controller) hostCapacity(host string) intake.Capacity {
 	endpoint := c.endpoints.effective[host]
 	return intake.Capacity{
@@ -138,7 +138,7 @@
 	ingest := &c.ingest
 	maxReports := ingest.pacer.MaxReports(ingest.limits.MaxPerRound)
 	for _, report := range ingest.queue.Take(c.nowMs, maxReports) {
-		ingest.taken++
+		ingest.processed++
 		ingest.queueWaits.Add(c.nowMs, nil, c.nowMs-report.ReceivedMs, 1)
 		if report.IsDemand {
 			c.processDemand(&report)
@@ -228,7 +228,7 @@
 	report := IngestReport{
 		SheddingLevel: ingest.pacer.SheddingLevel(),
 		LatenessMs:    ingest.pacer.LatenessMs(),
-		Processed:     ingest.taken,
+		Processed:     ingest.processed,
 		WaitP50Ms:     waits.P50,
 		WaitP99Ms:     waits.P99,
 		Dropped:       ingest.queue.Dropped(),
--- a/controller/ingest_test.go
+++ b/controller/ingest_test.go
@@ -9,10 +9,10 @@
 	"barleysail/routing"
 )
 
-// A host's own reports reach the balancer beside the next statistics of a proxy. Repeated ones and those about unknown
-// hosts do not, and an implausible load is not trusted.
+// A host's own reports reach the balancer together with the next request stats of a proxy. Repeated reports and those
+// of unknown hosts do not, and an implausible load is not trusted.
 func TestLoadReports(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	list := h.readyEndpoints(2)
 	h.mustSetEndpoints(list)
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
@@ -30,12 +30,12 @@
 		{host, LoadReport{"a", 2, -1, load}},
 	} {
 		counted, err := h.ObserveLoadReport(h.nowMs, test.host, test.report)
-		h.printf("%s number %d: counted %v, %v", test.host, test.report.Sequence, counted, err)
+		h.printf("load report %d of %s: counted %v, error %v", test.report.Sequence, test.host, counted, err)
 	}
 	describe := func(what string) {
 		info := h.mustHostInfo(host)
 		reports := info.Reports
-		h.printf("%s: the module has %.2f, trust %.2f, age %.0f, silent %v, doubted %q", what,
+		h.printf("%s: utilization %.2f in the balancer, trust %.2f, age %.0f, silent %v, distrusted %q", what,
 			info.Explanation.Load.Utilization, reports.Trust, reports.AgeMs, reports.Silent, reports.DistrustReason)
 	}
 	h.hideNotModified = true
@@ -43,20 +43,20 @@
 		h.reportLoad(host, 0.4+float64(i)/100) // 40 requests a second, as many as the proxy sends
 		h.reportAttempts(host)
 	}
-	describe("as it is")
+	describe("plausible reports")
 	for i := range 5 {
 		h.reportLoad(host, 0.02+float64(i)/1000)
 		h.reportAttempts(host)
 	}
-	describe("2 a second told, 40 fulfilled")
+	describe("2 requests per second reported, 40 attempts per second")
 	for range 8 {
 		h.reportAttempts(host)
 	}
-	describe("told no more")
+	describe("reports have stopped")
 	h.checkTrace()
 }
 
-// reportLoad has a host report a utilization and the request rate that belongs to it, by a clock that is an hour fast.
+// reportLoad has a host report a utilization and the corresponding request rate, by a clock that is an hour fast.
 func (h *harness) reportLoad(host string, utilization float64) {
 	h.t.Helper()
 	report := LoadReport{
@@ -66,7 +66,7 @@
 		Load:     routing.HostLoad{Utilization: utilization, RequestRate: utilization * 100, QueueLength: 0},
 	}
 	if counted, err := h.ObserveLoadReport(h.nowMs, host, report); !counted || err != nil {
-		h.t.Fatalf("load report of %s: counted %v, %v", host, counted, err)
+		h.t.Fatalf("load report of %s: counted %v, error %v, want it counted without an error", host, counted, err)
 	}
 }
 
@@ -84,10 +84,11 @@
 	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 900})
 }
 
-// A flood of reports while the controller starts delays neither new sessions nor a drain, takes no more of the queue
-// than its share, and is counted.
+// A flood of reports while the controller starts delays neither the first tables of a proxy nor a drain. It takes no
+// more than its share of the queue, so that the reports of other proxies still reach the balancer, and what is dropped
+// is counted.
 func TestReportFloodAtStart(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	limits := intake.DefaultLimits()
 	limits.MaxQueued = 50
 	limits.MaxPerRound = 10
@@ -104,7 +105,7 @@
 		h.advance(1)
 	}
 	if h.nowMs-beganMs > 400 {
-		t.Errorf("the first tables took %.0f ms", h.nowMs-beganMs)
+		t.Errorf("the first tables took %.0f ms, want at most 400 ms", h.nowMs-beganMs)
 	}
 	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 60000})
 	list[5].State = routing.Draining
@@ -123,15 +124,15 @@
 	}
 	report := h.Status(h.nowMs).Ingest
 	if report.Queued > 50 || report.Dropped[intake.QueueFull] == 0 || report.Processed == 0 {
-		t.Errorf("%+v", report)
+		t.Errorf("the report is %+v, want at most 50 queued, some dropped as %s and some processed", report, intake.QueueFull)
 	}
 	if explanation, _ := h.balancer.Explain(0); explanation.Successes == 0 {
-		t.Error("the statistics of the other proxy did not reach the balancer")
+		t.Error("the request stats of the other proxy did not reach the balancer")
 	}
 }
 
-// flood reports statistics about all hosts by one proxy, about the first host by another one, and the load of each
-// host. All reports have to end with the errors wanted.
+// flood reports request stats of one proxy for all hosts, of another proxy for the first host, and the load of each
+// host. All reports have to return the wanted errors.
 func (h *harness) flood(list []Endpoint, sequence int, wantStatsErr, wantLoadErr error) {
 	h.t.Helper()
 	hosts := map[string]HostStats{}
@@ -149,7 +150,7 @@
 	for _, endpoint := range list {
 		report := LoadReport{Sender: "x", Sequence: int64(sequence), Load: load}
 		if _, err := h.ObserveLoadReport(h.nowMs, endpoint.Host, report); !errors.Is(err, wantLoadErr) {
-			h.t.Fatalf("load report of %s: %v, want %v", endpoint.Host, err, wantLoadErr)
+			h.t.Fatalf("load report of %s: the error is %v, want %v", endpoint.Host, err, wantLoadErr)
 		}
 	}
 }
@@ -157,14 +158,14 @@
 func (h *harness) floodStats(proxy string, stats ProxyStats, wantErr error) {
 	h.t.Helper()
 	if _, err := h.ObserveProxyStats(h.nowMs, proxy, stats); !errors.Is(err, wantErr) {
-		h.t.Fatalf("statistics of %s: %v, want %v", proxy, err, wantErr)
+		h.t.Fatalf("request stats of %s: the error is %v, want %v", proxy, err, wantErr)
 	}
 }
 
-// A controller whose rounds come late sheds reports, then stretches the time between rounds, logs it, and recovers. A
-// drain is carried out in the next round all the same.
+// A controller whose rounds are late sheds reports, then lengthens the time between rounds, logs both, and recovers. A
+// drain is still published by the next round.
 func TestLateRounds(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.hideNotModified = true
 	list := h.readyEndpoints(4)
 	h.mustSetEndpoints(list)
@@ -174,8 +175,8 @@
 		h.nowMs = max(h.NextMs(), h.nowMs) + 150
 		h.Advance(h.nowMs, h)
 	}
-	h.printf("level %d, %.3f of the intake, rounds each %.0f ms", h.Status(h.nowMs).Ingest.SheddingLevel, h.IngestRatio(),
-		h.scheduler.plannedMs-h.scheduler.lastMs)
+	h.printf("shedding level %d, ingest ratio %.3f, rounds every %.0f ms",
+		h.Status(h.nowMs).Ingest.SheddingLevel, h.IngestRatio(), h.scheduler.plannedMs-h.scheduler.lastMs)
 	h.pollAgain(PollRequest{Proxy: "p", WaitMs: 60000})
 	list[0].State = routing.Draining
 	h.mustSetEndpoints(list)
@@ -184,6 +185,6 @@
 	duration := fmt.Sprintf("%.0f ms at most", h.nowMs-beganMs)
 	h.printf("drained: %v, after %s", h.tables.table(0).weights[0] == 0, duration)
 	h.advance(30000)
-	h.printf("level %d, %.3f of the intake", h.Status(h.nowMs).Ingest.SheddingLevel, h.IngestRatio())
+	h.printf("shedding level %d, ingest ratio %.3f", h.Status(h.nowMs).Ingest.SheddingLevel, h.IngestRatio())
 	h.checkTrace()
 }
--- a/controller/longpoll_test.go
+++ b/controller/longpoll_test.go
@@ -9,35 +9,35 @@
 
 // A proxy connects, leaves a poll pending, and gets what changed as a delta onto the version that it holds.
 func TestLongPoll(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(2))
-	h.printf("a proxy joins")
+	h.printf("a proxy connects")
 	h.poll(PollRequest{Proxy: "p", WaitMs: 30000, AcceptDelta: true})
 	h.advance(100)
-	h.printf("without the preference to wait: nothing new, at once")
+	h.printf("a poll without a wait: not modified, at once")
 	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: -1})
-	h.printf("it waits; a host drains")
+	h.printf("a pending poll, and a host that drains")
 	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
 	h.advance(500)
 	list := h.readyEndpoints(2)
 	list[1].State = routing.Draining
 	h.mustSetEndpoints(list)
 	h.advance(500)
-	h.printf("the same without deltas, onto a tag of the history: the whole")
+	h.printf("a tag of the history, without deltas: a snapshot")
 	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
-	h.printf("onto a tag of another life, and onto one that was never given: the whole")
+	h.printf("a tag of another incarnation, and one that was never assigned: snapshots")
 	h.poll(PollRequest{Proxy: "p", Tags: []string{"K-1"}, WaitMs: 30000, AcceptDelta: true})
 	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-9"}, WaitMs: 30000, AcceptDelta: true})
-	h.printf("whatever there is will do: held for 2 s")
+	h.printf("any tag matches: pending for 2 s")
 	h.poll(PollRequest{Proxy: "p", AnyTag: true, WaitMs: 2000})
 	h.advance(2500)
 	h.checkTrace()
 }
 
-// Of two polls of a proxy the later one stays pending, and the earlier one is answered at once. A version is
-// acknowledged once, whatever tags come later.
+// Of two polls of a proxy the later one stays pending, and the earlier one gets its response at once. A version is
+// acknowledged only once, though later polls name its tag again.
 func TestReplacedPoll(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	h.advance(100)
@@ -46,38 +46,38 @@
 	h.printf("a second poll")
 	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000})
 	session := h.sessions.byProxy["p"]
-	h.printf("acked %d, marks left %d", session.ackedVersion, len(session.versions[0].stamps))
-	h.printf("the caller of the first is gone: nothing happens; of the second: the proxy has to poll again")
+	h.printf("acknowledged version %d, stamps left %d", session.ackedVersion, len(session.versions[0].stamps))
+	h.printf("canceling the replaced poll changes nothing; after canceling the pending one the proxy has to poll again")
 	h.CancelPoll(h.nowMs, "p", 2)
-	h.printf("held %d", h.Status(h.nowMs).PendingPolls)
+	h.printf("pending polls %d", h.Status(h.nowMs).PendingPolls)
 	h.CancelPoll(h.nowMs, "p", 3)
 	status := h.Status(h.nowMs)
-	h.printf("held %d joined %d", status.PendingPolls, status.ConnectedProxies)
+	h.printf("pending polls %d, connected proxies %d", status.PendingPolls, status.ConnectedProxies)
 	h.advance(5100)
-	h.printf("joined %d", h.Status(h.nowMs).ConnectedProxies)
+	h.printf("connected proxies %d", h.Status(h.nowMs).ConnectedProxies)
 	h.checkTrace()
 }
 
 // A proxy that comes back after it was disconnected gets a new session: its old tag names no version.
 func TestReconnect(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	h.advance(100)
-	h.printf("leaves: %v, again: %v", h.Disconnect(h.nowMs, "p", h), h.Disconnect(h.nowMs, "p", h))
+	h.printf("disconnected: %v, once more: %v", h.Disconnect(h.nowMs, "p", h), h.Disconnect(h.nowMs, "p", h))
 	h.advance(100)
 	h.poll(PollRequest{Proxy: "p", Tags: []string{"L-1"}, WaitMs: 30000, AcceptDelta: true})
 	h.advance(100)
-	h.printf("in another zone it is another stay")
+	h.printf("a poll from another zone starts a new session")
 	h.poll(PollRequest{Proxy: "p", Zone: "b", Tags: []string{"L-2"}, WaitMs: 30000, AcceptDelta: true})
 	h.advance(100)
 	h.checkTrace()
 }
 
-// Two proxies under one name are recorded once, the statistics of both count, and the one whose poll is pending keeps
-// its session: they do not answer each other's polls for ever.
+// Two proxies with the same name do not replace each other's polls without end: the one whose poll is pending keeps its
+// session. The request stats of both are counted, and the duplicate name is recorded as one event.
 func TestDuplicateProxyName(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	list := h.readyEndpoints(1)
 	h.mustSetEndpoints(list)
 	h.poll(PollRequest{Proxy: "p", WaitMs: 60000})
@@ -99,18 +99,19 @@
 	responses := len(h.responses) - responsesBefore
 	pending := h.Status(h.nowMs).PendingPolls
 	if rejected < 80 || responses > 15 || pending != 1 {
-		t.Errorf("%d polls rejected, %d answered, %d pending", rejected, responses, pending)
+		t.Errorf("%d polls were rejected, %d got a response and %d are pending, want at least 80, at most 15 and 1",
+			rejected, responses, pending)
 	}
 	if count := h.countEvents("intake", ""); count != 1 {
-		t.Errorf("%d events, want 1", count)
+		t.Errorf("the duplicate name was recorded as %d events, want 1", count)
 	}
 	h.advance(11000)
 	if err := h.Poll(h.nowMs, 1e6, PollRequest{Proxy: "p", Zone: "a", WaitMs: 60000}, h); err != nil {
-		t.Errorf("after the window a poll may replace another one again: %v", err)
+		t.Errorf("a poll that replaces another one after the window: the error is %v, want none", err)
 	}
 }
 
-// reportAsTwoSenders reports the statistics of two senders under one proxy's name; both have to count.
+// reportAsTwoSenders reports the request stats of two senders under one proxy's name. Both have to be counted.
 func reportAsTwoSenders(t *testing.T, h *harness, sequence int64, host string) {
 	t.Helper()
 	stats := HostStats{Attempts: 1, MeanLatencyMs: 5, WindowMs: 1000, Load: routing.UnknownLoad}
@@ -118,14 +119,14 @@
 		report := ProxyStats{Sender: sender, Sequence: sequence, Hosts: map[string]HostStats{host: stats}}
 		counted, err := h.ObserveProxyStats(h.nowMs, "p", report)
 		if !counted || err != nil {
-			t.Errorf("statistics of %s: counted %v, %v", sender, counted, err)
+			t.Errorf("request stats of %s: counted %v, error %v, want them counted without an error", sender, counted, err)
 		}
 	}
 }
 
-// Before a graceful shutdown all pending polls are answered with what there is.
+// Before a graceful shutdown all pending polls get a response with the current tables.
 func TestReleasePolls(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(2))
 	var polls []int64
 	for _, proxy := range []string{"p", "q"} {
@@ -139,10 +140,10 @@
 	h.ReleasePolls(h.nowMs, h)
 	for _, poll := range polls {
 		if response, ok := h.responses[poll]; !ok || response.Kind != NotModified {
-			t.Errorf("poll %d has the response %+v, want one without changes", poll, response.Kind)
+			t.Errorf("the response to poll %d is of the kind %d (given: %v), want NotModified", poll, response.Kind, ok)
 		}
 	}
 	if pending := h.Status(h.nowMs).PendingPolls; pending != 0 {
-		t.Errorf("%d polls are pending, want none", pending)
+		t.Errorf("%d polls are pending after the release, want none", pending)
 	}
 }
--- a/controller/overrides_test.go
+++ b/controller/overrides_test.go
@@ -7,10 +7,10 @@
 	"barleysail/routing"
 )
 
-// Overrides take precedence over the endpoint list, survive a changed list, reach the proxies as entries of the list
-// would, and end at their time. The hosts of a zone drain one after the other.
+// Overrides take precedence over the endpoint list, stay when the list changes, are published like entries of the list,
+// and expire. Queued drains are applied one after the other.
 func TestOverrides(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.applyOverrides(operator.Command{Host: hostName(0), State: operator.Draining, Weight: -1})
 	h.mustSetEndpoints(h.readyEndpoints(4))
 	request := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
@@ -27,7 +27,7 @@
 	h.pollAgain(request)
 	h.mustSetEndpoints(list)
 	h.advance(3000)
-	h.printf("maint is a removal, a host that is added joins")
+	h.printf("a host in maintenance is removed, an added host is published")
 	h.pollAgain(request)
 	h.applyOverrides(operator.Command{Host: hostName(2), State: operator.Maintenance, Weight: -1})
 	added := &operator.AddedHost{Zone: "a", Weight: 1, StartedMs: 1}
@@ -40,7 +40,7 @@
 	h.pollAgain(request)
 	h.printf("hosts")
 	h.printHosts()
-	h.printf("a zone")
+	h.printf("the hosts of a zone drain")
 	h.applyOverrides(
 		operator.Command{Host: hostName(1), State: operator.Draining, Weight: -1, Queue: true},
 		operator.Command{Host: hostName(3), State: operator.Draining, Weight: -1, Queue: true},
@@ -62,16 +62,17 @@
 		if info.Override != nil {
 			override = info.Override.State
 		}
-		h.printf("%s %s listed %g told %g %s", info.Host, info.State, info.BaseWeight, info.Weight, override)
+		h.printf("%s %s base weight %g, published weight %g, override %q",
+			info.Host, info.State, info.BaseWeight, info.Weight, override)
 	}
 }
 
 // A host is ejected although an operator sets its weight in the same round: the weight is an input of the balancer,
 // not a way around it.
 func TestWeightOverrideOfEjectedHost(t *testing.T) {
-	set := defaultTestSettings()
-	set.deployment.HealthChecks = true
-	h := newHarness(t, set)
+	config := defaultTestConfig()
+	config.deployment.HealthChecks = true
+	h := newHarness(t, config)
 	h.hideNotModified = true
 	h.mustSetEndpoints(h.readyEndpoints(4))
 	request := PollRequest{Proxy: "p", WaitMs: 60000, AcceptDelta: true}
@@ -96,37 +97,37 @@
 	}
 	info := h.mustHostInfo(failing)
 	if !info.Ejected || info.Weight != 0 || info.BaseWeight != 1.5 {
-		t.Errorf("%+v", info)
+		t.Errorf("the host is %+v, want it ejected with the weight 0 and the base weight 1.5", info)
 	}
 	infos := h.HostInfos()
 	if len(infos[1].WeightChanges) == 0 || infos[0].Explanation.ConsecutiveFailures == 0 {
-		t.Errorf("%+v", infos[:2])
+		t.Errorf("the hosts are %+v, want failed health checks of the first and weight changes of the second", infos[:2])
 	}
 }
 
-// An override that expires or is queued is looked at in time though nothing else happens.
+// NextMs includes the time at which an override expires, so that it ends in time even if nothing else happens.
 func TestOverrideExpiresInTime(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.hideNotModified = true
 	h.mustSetEndpoints(h.readyEndpoints(4))
 	h.advance(3000)
 	host := hostName(0)
 	h.applyOverrides(operator.Command{Host: host, State: operator.Draining, Weight: -1, DurationMs: 7500})
 	if h.NextMs() > h.nowMs+7500 {
-		t.Errorf("next at %.0f of %.0f", h.NextMs(), h.nowMs)
+		t.Errorf("Advance is due at %.0f ms, want at most %.0f ms", h.NextMs(), h.nowMs+7500)
 	}
 	h.advance(7400)
 	if info := h.mustHostInfo(host); info.State != "draining" {
-		t.Errorf("%+v", info)
+		t.Errorf("before the override expires the host is %+v, want it draining", info)
 	}
 	h.advance(101)
 	if info := h.mustHostInfo(host); info.State != "ready" {
-		t.Errorf("%+v", info)
+		t.Errorf("after the override has expired the host is %+v, want it ready", info)
 	}
 }
 
-// An override sets the state and the weight of an entry; a ratio is one of the list's weight, or of 1 where it has
-// none.
+// An override sets the state and the weight of an entry. A weight ratio refers to the weight on the list, or to 1 if
+// the list has none.
 func TestOverridden(t *testing.T) {
 	endpoint := Endpoint{Host: "h:1", State: routing.Ready, Weight: 2}
 	unweighted := Endpoint{Host: "h:1", State: routing.Ready}
@@ -153,7 +154,7 @@
 	}
 }
 
-// The text of a command in events names what it sets, for how long, and who gave it.
+// The text of a command in events names what it sets, for how long, and the operator.
 func TestDescribeCommand(t *testing.T) {
 	for _, test := range []struct {
 		command operator.Command
--- a/controller/stats_test.go
+++ b/controller/stats_test.go
@@ -7,9 +7,9 @@
 	"barleysail/routing"
 )
 
-// Statistics count once for each number; a sender that starts over takes another name.
+// Request stats are counted once for each sequence number. A sender that restarts its numbers uses another name.
 func TestStatsCountedOnce(t *testing.T) {
-	h := newHarness(t, defaultTestSettings())
+	h := newHarness(t, defaultTestConfig())
 	h.mustSetEndpoints(h.readyEndpoints(1))
 	h.poll(PollRequest{Proxy: "p", WaitMs: 30000})
 	h.advance(100)
@@ -24,12 +24,12 @@
 			hostName(0): {Attempts: 10, MeanLatencyMs: 20, WindowMs: 1000, Load: routing.UnknownLoad},
 		}
 		counted, err := h.ObserveProxyStats(h.nowMs, "p", stats)
-		h.printf("sums %s %d: counted %v, %v", stats.Sender, stats.Sequence, counted, err)
+		h.printf("request stats %d of sender %s: counted %v, error %v", stats.Sequence, stats.Sender, counted, err)
 	}
 	h.checkTrace()
 }
 
-// A distribution of latencies has valid buckets, and no more attempts than were successful.
+// A latency histogram must have valid buckets, and no more attempts than were successful.
 func TestCheckLatencies(t *testing.T) {
 	stats := func(buckets ...intake.LatencyBucket) HostStats {
 		return HostStats{Attempts: 5, Failed: 2, Latencies: buckets}
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkStats measures the intake of one proxy's statistics about 20 hosts.
+// BenchmarkStats measures the ingest of one proxy's request stats of 20 hosts.
 func BenchmarkStats(b *testing.B) {
 	h, list := newLargestHarness(b, func(*Controller) {})
 	load := routing.HostLoad{Utilization: 0.5, RequestRate: -1, QueueLength: -1}
