--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -244,7 +244,7 @@
 		}
 		c.hostIndex.Release(host)
 		c.ingest.trust.Forget(host)
-		c.ingest.queue.Forget(hostSource(host))
+		c.ingest.queue.DropSource(hostSource(host))
 		c.weightChanges.forget(index)
 	}
 }
--- a/controller/ingest.go
+++ b/controller/ingest.go
@@ -137,7 +137,7 @@
 func (c *Controller) processReports() {
 	ingest := &c.ingest
 	maxReports := ingest.pacer.MaxReports(ingest.limits.MaxPerRound)
-	for _, report := range ingest.queue.Take(c.nowMs, maxReports) {
+	for _, report := range ingest.queue.Dequeue(c.nowMs, maxReports) {
 		ingest.taken++
 		ingest.queueWaits.Add(c.nowMs, nil, c.nowMs-report.ReceivedMs, 1)
 		if report.IsDemand {
@@ -171,7 +171,7 @@
 	host := report.Subject
 	index, ok := c.hostIndex.IndexOf[host]
 	if !ok {
-		c.ingest.queue.Drop(intake.SubjectGone, 1)
+		c.ingest.queue.CountDropped(intake.SubjectGone, 1)
 		return
 	}
 	c.ingest.trust.ObserveAttempts(c.nowMs, report)
@@ -233,7 +233,7 @@
 		WaitP99Ms:     waits.P99,
 		Dropped:       ingest.queue.Dropped(),
 	}
-	report.Queued, report.Sources = ingest.queue.Waiting()
+	report.Queued, report.Sources = ingest.queue.Size()
 	report.Hosts, report.Distrusted, report.Silent = ingest.trust.Count(nowMs)
 	return report
 }
--- a/controller/sessions.go
+++ b/controller/sessions.go
@@ -38,7 +38,7 @@
 	sentMs        []float64      // recent times at which messages were sent
 
 	reporters          intake.Reporters // senders of request stats under the proxy's name
-	reporterClock      intake.Clock
+	reporterClock      intake.SenderClock
 	duplicateReporters bool      // two of them are active
 	requestRates       []float64 // recent requests per second, by class
 }
@@ -130,7 +130,7 @@
 		c.respond(session, session.pendingPoll)
 	}
 	c.channel.drop(session)
-	c.ingest.queue.Forget(session.proxy)
+	c.ingest.queue.DropSource(session.proxy)
 	c.recordEvent(eventDisconnected, session.proxy)
 	c.balancer.DisconnectProxy(session.index)
 	c.balancer.ForgetProxy(session.index)
--- a/intake/clock.go
+++ b/intake/clock.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Clock estimates the age of reports whose time stamps are by the sender's clock, which may be wrong. The least
-// recent difference between arrival and stamp is the offset between the clocks plus the shortest network delay; the
-// excess of a report's difference over it is the report's age. A sender's clock that runs ahead therefore makes no
-// report look younger than one that has just arrived. The zero value is ready to use.
-type Clock struct {
+// SenderClock estimates the age of reports that one sender stamps by its own clock, which may be wrong. The smallest
+// recent difference between arrival time and time stamp is taken as the offset between the clocks plus the shortest
+// network delay. A report is older by as much as its difference exceeds this minimum, so even a sender's clock that
+// runs ahead gives no report a negative age. The zero value is ready to use.
+type SenderClock struct {
 	minOffsetMs         float64 // of the current window
 	previousMinOffsetMs float64 // of the window before
 	windowStartMs       float64
@@ -23,11 +23,11 @@
 )
 
 // Age returns the age in milliseconds of a report that arrives now with a stamp of the sender's clock, 0 or more.
-func (c *Clock) Age(nowMs, stampMs float64) float64 {
+func (c *SenderClock) Age(nowMs, stampMs float64) float64 {
 	offsetMs := nowMs - stampMs
 	switch {
 	case !c.initialized || offsetMs > c.minOffsetMs+clockStepMs:
-		*c = Clock{minOffsetMs: offsetMs, previousMinOffsetMs: offsetMs, windowStartMs: nowMs, initialized: true}
+		*c = SenderClock{minOffsetMs: offsetMs, previousMinOffsetMs: offsetMs, windowStartMs: nowMs, initialized: true}
 	case nowMs >= c.windowStartMs+clockWindowMs:
 		c.previousMinOffsetMs = c.minOffsetMs
 		c.minOffsetMs = offsetMs
--- a/intake/clock_test.go
+++ b/intake/clock_test.go
@@ -23,7 +23,7 @@
 		{"an hour behind", -hourMs},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var clock Clock
+			var clock SenderClock
 			for i := range 100 {
 				nowMs := startMs + float64(i)*1000
 				totalDelayMs, wantMs := delayMs, 0.0
--- a/intake/host_state.go
+++ b/intake/host_state.go
@@ -12,7 +12,7 @@
 	recentAttempts attemptStats // the same, decaying faster
 	latencies      LatencyDistribution
 	reporters      Reporters // processes that reported under this host's name
-	clock          Clock
+	clock          SenderClock
 
 	lastLoad     routing.HostLoad // as last reported
 	lastLoadMs   float64          // instant of that report; 0: none yet
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -78,7 +78,7 @@
 	heap.Fix(&q.bySize, queue.heapIndex)
 	q.length++
 	if q.length > q.limits.MaxQueued {
-		q.Drop(QueueFull, 1)
+		q.CountDropped(QueueFull, 1)
 		q.remove(q.bySize[0], 0)
 	}
 }
@@ -97,8 +97,8 @@
 // Dropped returns the number of reports that were dropped, by reason.
 func (q *Queue) Dropped() map[string]int64 { return maps.Clone(q.dropped) }
 
-// Drop counts reports that were dropped for a reason.
-func (q *Queue) Drop(reason string, reports int) { q.dropped[reason] += int64(reports) }
+// CountDropped adds to the number of reports that were dropped for a reason. It removes none from the queue.
+func (q *Queue) CountDropped(reason string, reports int) { q.dropped[reason] += int64(reports) }
 
 // remove removes and returns the report at an index of a source's heap.
 func (q *Queue) remove(queue *sourceQueue, index int) *queuedReport {
@@ -123,21 +123,21 @@
 	delete(q.bySource, queue.source)
 }
 
-// Forget drops the queued reports of a source that has disconnected (SubjectGone).
-func (q *Queue) Forget(source string) {
+// DropSource drops the queued reports of a source that has disconnected (SubjectGone).
+func (q *Queue) DropSource(source string) {
 	queue := q.bySource[source]
 	if queue == nil {
 		return
 	}
-	q.Drop(SubjectGone, len(queue.reports))
+	q.CountDropped(SubjectGone, len(queue.reports))
 	q.length -= len(queue.reports)
 	q.removeSource(queue)
 }
 
-// Take removes and returns the reports that a round ingests, at most maxReports, in the order of their arrival. Where
+// Dequeue removes and returns the reports that a round ingests, at most maxReports, in the order of their arrival. Where
 // more are queued, the sources are served in turn, each with its report of the highest priority. Reports that are too
 // old are dropped. The attempts of the others are scaled by the weight of their age.
-func (q *Queue) Take(nowMs float64, maxReports int) []Report {
+func (q *Queue) Dequeue(nowMs float64, maxReports int) []Report {
 	var taken []*queuedReport
 	if q.length <= maxReports {
 		taken = q.takeAll()
@@ -187,7 +187,7 @@
 	for _, report := range queued {
 		weight := q.limits.ageWeight(nowMs - report.ObservedMs)
 		if weight == 0 {
-			q.Drop(TooOld, 1)
+			q.CountDropped(TooOld, 1)
 			continue
 		}
 		if weight < 1 && !report.IsDemand {
@@ -209,8 +209,8 @@
 	return math.Exp2(-math.Max(ageMs-l.FullWeightMs, 0) / math.Max(l.HalfLifeMs, minPeriodMs))
 }
 
-// Waiting returns the number of queued reports, and of their sources.
-func (q *Queue) Waiting() (reports, sources int) { return q.length, len(q.bySource) }
+// Size returns the number of queued reports, and of their sources.
+func (q *Queue) Size() (reports, sources int) { return q.length, len(q.bySource) }
 
 // firstSequence returns the sequence number of the oldest report.
 func (s *sourceQueue) firstSequence() int64 {
--- a/intake/queue_test.go
+++ b/intake/queue_test.go
@@ -51,20 +51,20 @@
 	}
 	queue.Add(hostReport("p", "x", 2, 0))
 	trace.printf("all, those of one source on one host beyond the fourth as one")
-	trace.reports(queue.Take(500, 100))
+	trace.reports(queue.Dequeue(500, 100))
 
 	for i := range 8 {
 		queue.Add(hostReport("flood", fmt.Sprint("h", i), 1+i, float64(i*100)))
 	}
 	queue.Add(hostReport("p", "x", 1, 0))
 	queue.Add(hostReport("q", "x", 1, 0))
-	waiting, sources := queue.Waiting()
+	waiting, sources := queue.Size()
 	trace.printf("%d of %d sources wait, dropped %v", waiting, sources, queue.Dropped())
 	trace.printf("three of them")
-	trace.reports(queue.Take(800, 3))
+	trace.reports(queue.Dequeue(800, 3))
 
-	queue.Forget("flood")
-	waiting, _ = queue.Waiting()
+	queue.DropSource("flood")
+	waiting, _ = queue.Size()
 	trace.printf("the flood's source leaves: %d wait, dropped %v", waiting, queue.Dropped())
 
 	queue.Add(hostReport("p", "old", 100, 1000))
@@ -72,7 +72,7 @@
 	queue.Add(Report{Source: "p", Subject: "sheet", IsDemand: true, Attempts: 100, WindowMs: 1000, ObservedMs: 1000})
 	queue.Add(hostReport("p", "too old", 100, -3000))
 	trace.printf("of two and three seconds, one of usage, and one that is too old")
-	trace.reports(queue.Take(3000, 100))
+	trace.reports(queue.Dequeue(3000, 100))
 	trace.printf("dropped %v", queue.Dropped())
 	golden.Compare(t, "queue", trace.out.String())
 }
@@ -102,12 +102,12 @@
 
 // add offers a report, and checks that only a source with the most reports loses one.
 func (m *queueModel) add(t *rapid.T, report Report) {
-	waitingBefore, _ := m.queue.Waiting()
+	waitingBefore, _ := m.queue.Size()
 	droppedBefore := m.queue.dropped[QueueFull]
 	ownBefore := m.reportsOf(report.Source)
 	m.queue.Add(report)
 	m.offered++
-	waiting, _ := m.queue.Waiting()
+	waiting, _ := m.queue.Size()
 	hasDropped := m.queue.dropped[QueueFull] > droppedBefore
 	if waiting == waitingBefore && !hasDropped {
 		m.merged++
@@ -129,7 +129,7 @@
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			if rapid.IntRange(0, 9).Draw(t, "take") == 0 {
 				maxReports := rapid.IntRange(1, 12).Draw(t, "maxReports")
-				model.taken += len(model.queue.Take(float64(i), maxReports))
+				model.taken += len(model.queue.Dequeue(float64(i), maxReports))
 				continue
 			}
 			source := rapid.SampledFrom([]string{"a", "a", "a", "b", "c"}).Draw(t, "source")
@@ -137,7 +137,7 @@
 			attempts := rapid.IntRange(0, 9).Draw(t, "attempts")
 			model.add(t, hostReport(source, host, attempts, float64(i)))
 		}
-		waiting, _ := model.queue.Waiting()
+		waiting, _ := model.queue.Size()
 		dropped := int(model.queue.dropped[QueueFull])
 		if model.offered != model.taken+model.merged+dropped+waiting {
 			t.Fatalf("%d offered, %d taken, %d merged, %d dropped, %d queued",
--- a/intake/reporters.go
+++ b/intake/reporters.go
@@ -25,7 +25,7 @@
 // Accept reports whether a report's sequence number is new, and whether two reporters use the same name.
 func (r *Reporters) Accept(nowMs float64, id string, sequence int64) (isNew, duplicate bool) {
 	isNew = r.observe(nowMs, id, sequence)
-	return isNew, r.Duplicate(nowMs)
+	return isNew, r.HasDuplicate(nowMs)
 }
 
 // observe records a report and reports whether it is new.
@@ -49,7 +49,7 @@
 	return true
 }
 
-// Duplicate reports whether two reporters used the same name within the last duplicateWindowMs.
-func (r *Reporters) Duplicate(nowMs float64) bool {
+// HasDuplicate reports whether two reporters used the same name within the last duplicateWindowMs.
+func (r *Reporters) HasDuplicate(nowMs float64) bool {
 	return r.duplicateSeenMs > 0 && nowMs-r.duplicateSeenMs < duplicateWindowMs
 }
--- a/intake/trust_report.go
+++ b/intake/trust_report.go
@@ -30,7 +30,7 @@
 		AgeMs:             noReportAgeMs,
 		Trust:             host.confidence,
 		DistrustReason:    host.distrustReason,
-		DuplicateReporter: host.reporters.Duplicate(nowMs),
+		DuplicateReporter: host.reporters.HasDuplicate(nowMs),
 		Latencies:         host.latencies.Report(),
 	}
 	if !host.hasReported() {
