--- a/controller/controller.go
+++ b/controller/controller.go
@@ -81,7 +81,7 @@
 		sessions:   newSessionStore(),
 		tables:     newTableStore(len(classes), deployment.DefaultRetryPolicy),
 		channel:    newControlChannel(channel),
-		overrides:  overrideState{store: operator.New(), nextMs: math.Inf(1)},
+		overrides:  overrideState{store: operator.NewOverrideStore(), nextMs: math.Inf(1)},
 	}
 	balancerClasses := make([]routing.RequestClass, len(classes))
 	for i, class := range classes {
--- a/operator/simulation_test.go
+++ b/operator/simulation_test.go
@@ -23,7 +23,7 @@
 // newSimulation has two warm hosts and one that is warming up in zone a, and one warm host in zone b.
 func newSimulation() *simulation {
 	return &simulation{
-		OverrideStore: New(),
+		OverrideStore: NewOverrideStore(),
 		log:           &strings.Builder{},
 		hosts: []Host{
 			{Name: "a1", Zone: "a", Ready: true, SlowStartFactor: 1, Weight: 1},
--- a/operator/store.go
+++ b/operator/store.go
@@ -14,8 +14,8 @@
 	lastPendingAppliedMs float64   // when a queued command was last applied
 }
 
-// New returns an empty store.
-func New() *OverrideStore {
+// NewOverrideStore returns an empty store.
+func NewOverrideStore() *OverrideStore {
 	return &OverrideStore{overrides: map[string]Override{}, lastPendingAppliedMs: math.Inf(-1)}
 }
 
--- a/operator/store_test.go
+++ b/operator/store_test.go
@@ -215,7 +215,7 @@
 	before.mustApply(t, Command{Host: "a1", Weight: 3, KeepState: true})
 	before.mustApply(t, Command{Host: "a2", Weight: 0.5, Relative: true, KeepState: true})
 	before.mustApply(t, drain("b1"))
-	after := New()
+	after := NewOverrideStore()
 	for host, override := range before.Overrides() {
 		after.Restore(host, override)
 	}
