--- a/auth/policy.go
+++ b/auth/policy.go
@@ -19,23 +19,23 @@
 type Verdict struct {
 	Allowed bool
 	Rule    int      // index of the rule that allows the request; negative: none does
-	Why     []string // a line for each rule that was evaluated
+	Reasons []string // a line for each rule that was evaluated
 }
 
 // Decide evaluates the rules in their order, up to the first that allows the request to the identity.
 func (p *Policy) Decide(id spiffeid.ID, request Request) Verdict {
-	var why []string
+	var reasons []string
 	for i := range p.rules {
 		rule := &p.rules[i]
 		reason := rule.denialReason(id, request)
 		if reason == "" {
-			why = append(why, fmt.Sprintf("rule %d, %s: allows it", i, rule.id))
-			return Verdict{Allowed: true, Rule: i, Why: why}
+			reasons = append(reasons, fmt.Sprintf("rule %d, %s: allows it", i, rule.id))
+			return Verdict{Allowed: true, Rule: i, Reasons: reasons}
 		}
-		why = append(why, fmt.Sprintf("rule %d, %s: %s", i, rule.id, reason))
+		reasons = append(reasons, fmt.Sprintf("rule %d, %s: %s", i, rule.id, reason))
 	}
-	why = append(why, "no rule allows it")
-	return Verdict{Rule: noRule, Why: why}
+	reasons = append(reasons, "no rule allows it")
+	return Verdict{Rule: noRule, Reasons: reasons}
 }
 
 // Rules describes the policy, one rule a line.
--- a/auth/policy_test.go
+++ b/auth/policy_test.go
@@ -71,7 +71,7 @@
 		verdict := policy.Decide(spiffeid.RequireFromString(test.id), test.request)
 		fmt.Fprintf(&out, "%s %+v: %v by rule %d\n", test.id, test.request, verdict.Allowed, verdict.Rule)
 		if !verdict.Allowed {
-			fmt.Fprintln(&out, "  "+strings.Join(verdict.Why, "\n  "))
+			fmt.Fprintln(&out, "  "+strings.Join(verdict.Reasons, "\n  "))
 		}
 	}
 	golden.Compare(t, "policy", out.String())
--- a/cmd/barleysail/auth.go
+++ b/cmd/barleysail/auth.go
@@ -63,7 +63,7 @@
 		return p.flush()
 	}
 	verdict := policy.Decide(id, request)
-	for _, line := range verdict.Why {
+	for _, line := range verdict.Reasons {
 		p.println(line)
 	}
 	if err := p.flush(); err != nil {
--- a/internal/daemon/authorization.go
+++ b/internal/daemon/authorization.go
@@ -61,7 +61,7 @@
 		}
 		verdict := a.policy.Decide(id, a.policyRequest(action, request))
 		if !verdict.Allowed {
-			reasons := strings.Join(verdict.Why, "; ")
+			reasons := strings.Join(verdict.Reasons, "; ")
 			detail := id.String() + " may not " + string(action) + " here: " + reasons
 			return http1.Problem{Status: http.StatusForbidden, Detail: detail}.Reply()
 		}
