--- a/internal/socketproxy/socketproxy.go
+++ b/internal/socketproxy/socketproxy.go
@@ -239,7 +239,7 @@
 	} else if strings.Contains(strings.ToLower(text), "unknown command") {
 		return true, nil
 	}
-	mine, set := s.owner.Read(mark)
+	mine, set := s.owner.Observe(mark)
 	if set != "" {
 		_, err = s.ask("set var proc." + publisher.OwnerVariable + " str(" + set + ")")
 	}
--- a/publisher/socket_owner.go
+++ b/publisher/socket_owner.go
@@ -12,32 +12,32 @@
 // maxMissedHeartbeats is the number of cycles with an unchanged heartbeat after which the owner counts as failed.
 const maxMissedHeartbeats = 3
 
-// SocketOwner elects the one of several controllers that owns a proxy's socket, by a heartbeat in a variable of the
-// proxy. The owner stays the owner while its heartbeat increases; another controller takes over after
+// SocketOwner is one controller's part in the election of the controller that owns a proxy's socket. The owner keeps
+// the ownership while it increments its heartbeat in a variable of the proxy; another controller takes over after
 // maxMissedHeartbeats cycles without a change. Controllers that take over in the same cycle overwrite each other's
-// mark; in the next cycle all but the last read another controller's mark and give up.
+// value; in the next cycle all but the last one read another controller's value and give up.
 type SocketOwner struct {
 	incarnation      string // of this controller
 	heartbeat        int64
-	lastMark         string // value of OwnerVariable that was read in the last cycle
-	missedHeartbeats int    // cycles since the mark last changed
+	lastValue        string // value of OwnerVariable that was read in the last cycle
+	missedHeartbeats int    // cycles since the value last changed
 }
 
 // NewSocketOwner returns the election state of one controller incarnation, whose id must be unique and without a
 // colon.
 func NewSocketOwner(incarnation string) *SocketOwner { return &SocketOwner{incarnation: incarnation} }
 
-// Read must be called once a cycle with the value of OwnerVariable, "" if it is not set. It reports whether this
+// Observe must be called once a cycle with the value of OwnerVariable, "" if it is not set. It reports whether this
 // controller owns the socket, and returns the new value of the variable, "" to keep it.
-func (o *SocketOwner) Read(mark string) (isOwner bool, newMark string) {
-	isUnchanged := mark == o.lastMark
-	o.lastMark = mark
-	incarnation, _, isMark := strings.Cut(mark, ":")
+func (o *SocketOwner) Observe(value string) (isOwner bool, newValue string) {
+	isUnchanged := value == o.lastValue
+	o.lastValue = value
+	incarnation, _, isValid := strings.Cut(value, ":")
 	switch {
-	case isMark && incarnation == o.incarnation:
+	case isValid && incarnation == o.incarnation:
 		o.missedHeartbeats = 0
-		return true, o.nextMark()
-	case mark == "":
+		return true, o.nextValue()
+	case value == "":
 		return false, o.takeOver()
 	case isUnchanged:
 		o.missedHeartbeats++
@@ -50,14 +50,15 @@
 	return false, ""
 }
 
-// takeOver returns this controller's mark. Ownership begins only when the mark is read back in the next cycle.
+// takeOver returns a value of this controller. Its ownership begins only when the value is read back in the next
+// cycle.
 func (o *SocketOwner) takeOver() string {
 	o.missedHeartbeats = 0
-	return o.nextMark()
+	return o.nextValue()
 }
 
-// nextMark increments the heartbeat and returns the mark with it.
-func (o *SocketOwner) nextMark() string {
+// nextValue increments the heartbeat and returns the value of OwnerVariable with it.
+func (o *SocketOwner) nextValue() string {
 	o.heartbeat++
 	return o.incarnation + ":" + strconv.FormatInt(o.heartbeat, 10)
 }
--- a/publisher/socket_owner_test.go
+++ b/publisher/socket_owner_test.go
@@ -9,19 +9,19 @@
 	"barleysail/internal/golden"
 )
 
-// ownerTest runs the owners a and b on the mark of one proxy.
+// ownerTest runs the controllers a and b on the OwnerVariable of one proxy.
 type ownerTest struct {
-	mark string
-	a, b *SocketOwner
-	out  strings.Builder
+	value string // of OwnerVariable
+	a, b  *SocketOwner
+	out   strings.Builder
 }
 
 func (o *ownerTest) cycle(name string, owner *SocketOwner) {
-	isOwner, newMark := owner.Read(o.mark)
-	if newMark != "" {
-		o.mark = newMark
+	isOwner, newValue := owner.Observe(o.value)
+	if newValue != "" {
+		o.value = newValue
 	}
-	fmt.Fprintf(&o.out, "%s drives %v, the mark is %s\n", name, isOwner, o.mark)
+	fmt.Fprintf(&o.out, "%s drives %v, the mark is %s\n", name, isOwner, o.value)
 }
 
 func (o *ownerTest) cycleBoth(cycles int) {
@@ -31,8 +31,8 @@
 	}
 }
 
-// One of two controllers owns a proxy's socket. The other takes over when it has failed, and if both take over at
-// once one gives up.
+// One of two controllers owns a proxy's socket. The other takes over when the owner has failed, and if both take over
+// in the same cycle, one of them gives up.
 func TestSocketOwner(t *testing.T) {
 	test := &ownerTest{a: NewSocketOwner("A"), b: NewSocketOwner("B")}
 	test.cycleBoth(3)
@@ -43,29 +43,29 @@
 	fmt.Fprintln(&test.out, "a is back")
 	test.cycleBoth(3)
 	fmt.Fprintln(&test.out, "both read an empty mark, and both set theirs")
-	if _, newMark := test.a.Read(""); newMark == "" {
-		t.Error("a sets no mark where there is none")
+	if _, newValue := test.a.Observe(""); newValue == "" {
+		t.Error("Observe(\"\") of a returns no new value, want one since the variable is not set")
 	}
-	_, test.mark = test.b.Read("")
+	_, test.value = test.b.Observe("")
 	test.cycleBoth(3)
 	golden.Compare(t, "socket_owner", test.out.String())
 }
 
-// A controller whose mark was not stored counts on from the mark that still stands, and takes over once more after as
-// many cycles as before.
+// A controller whose value was not stored reads the failed owner's value again, and repeats the take-over after
+// maxMissedHeartbeats further cycles.
 func TestSocketOwnerRepeatsTakeOver(t *testing.T) {
 	owner := NewSocketOwner("A")
 	var takeOvers []int
 	for cycle := range 8 {
-		isOwner, newMark := owner.Read("B:7")
+		isOwner, newValue := owner.Observe("B:7")
 		if isOwner {
-			t.Fatalf("cycle %d: owner by the mark of another", cycle)
+			t.Fatalf("cycle %d: got owner by the value of another controller, want not owner", cycle)
 		}
-		if newMark != "" {
+		if newValue != "" {
 			takeOvers = append(takeOvers, cycle)
 		}
 	}
 	if want := []int{3, 6}; !slices.Equal(takeOvers, want) {
-		t.Errorf("takes over in the cycles %v, want %v", takeOvers, want)
+		t.Errorf("took over in cycles %v, want %v", takeOvers, want)
 	}
 }
