--- a/intake/queue.go
+++ b/intake/queue.go
@@ -134,8 +134,8 @@
 	q.removeSource(queue)
 }
 
-// Dequeue removes and returns the reports that a round ingests, at most maxReports, in the order of their arrival. Where
-// more are queued, the sources are served in turn, each with its report of the highest priority. Reports that are too
+// Dequeue removes and returns the reports that a round ingests, at most maxReports, in the order of their arrival. If
+// more are queued, it serves the sources in turn, each with its report of the highest priority. Reports that are too
 // old are dropped. The attempts of the others are scaled by the weight of their age.
 func (q *Queue) Dequeue(nowMs float64, maxReports int) []Report {
 	var taken []*queuedReport
