--- a/guard/check.go
+++ b/guard/check.go
@@ -86,7 +86,7 @@
 func (c *checker) checkWeights(route *Route) {
 	for i, weight := range route.Decided {
 		if !isValidWeight(weight) {
-			c.report(NotANumber, route.Demands[0].String()+" at "+c.view.Hosts[i].Name, weight, 0)
+			c.report(InvalidWeight, route.Demands[0].String()+" at "+c.view.Hosts[i].Name, weight, 0)
 		}
 	}
 }
--- a/guard/finding.go
+++ b/guard/finding.go
@@ -17,8 +17,8 @@
 
 // Names of the checks. They are part of the HTTP API.
 const (
-	// NotANumber is a weight that is negative, infinite or NaN.
-	NotANumber = "a weight is no number"
+	// InvalidWeight is a weight that is negative, infinite or NaN.
+	InvalidWeight = "a weight is no number"
 	// NoHost is a demand without a host that may take it, where some warm host may.
 	NoHost = "no host may take it"
 	// OverCapacity is a host that is given more than its capacity allows.
@@ -35,7 +35,7 @@
 // severities are the weights of findings in the comparison of candidates. They differ by large factors, so that a
 // repair never trades minor findings for a more severe one.
 var severities = map[string]float64{
-	NotANumber:              1e9,
+	InvalidWeight:              1e9,
 	NoHost:                  1e9,
 	OverSlowStartBudget:     1e6,
 	TrafficJump:             1e3,
--- a/guard/reference_test.go
+++ b/guard/reference_test.go
@@ -46,7 +46,7 @@
 	first := route.Demands[0]
 	for i, host := range view.Hosts {
 		if !referenceIsWeight(route.Decided[i]) {
-			findings = append(findings, fmt.Sprintf("%s: %s in %s at %s", NotANumber, first.Class, first.Zone, host.Name))
+			findings = append(findings, fmt.Sprintf("%s: %s in %s at %s", InvalidWeight, first.Class, first.Zone, host.Name))
 		}
 	}
 	return findings
