--- a/guard/blend.go
+++ b/guard/blend.go
@@ -9,14 +9,14 @@
 // utilization leaves the most headroom when a zone is lost.
 func (r *repairer) equalizeUtilization(view *View) {
 	for _, fraction := range blendFractions {
-		blended := view.withDecided(view.decided())
+		blended := view.withDecided(view.decidedRows())
 		for i := range blended.Routes {
 			route := &blended.Routes[i]
 			if !route.ReadOnly {
 				blended.blendByCapacity(route, fraction)
 			}
 		}
-		r.keepIfBetter(blended.decided())
+		r.keepIfBetter(blended.decidedRows())
 	}
 }
 
@@ -55,7 +55,7 @@
 			view.blendFromPublished(route, maxShift/shift)
 		}
 	}
-	return view.decided()
+	return view.decidedRows()
 }
 
 // blendFromPublished moves the decided row to a fraction of the way from the published shares to the decided ones. A
--- a/guard/channelbudget.go
+++ b/guard/channelbudget.go
@@ -16,12 +16,12 @@
 }
 
 // Fits reports whether an update of the given number of weight entries leaves the channel enough capacity for
-// removals. message says that the update needs a separate message to a proxy.
-func (b ChannelBudget) Fits(entries float64, message bool) bool {
+// removals. needsMessage says that the update needs a separate message to a proxy.
+func (b ChannelBudget) Fits(entries float64, needsMessage bool) bool {
 	if b.Backlog+entries > maxBacklogFraction*b.MaxBacklog {
 		return false
 	}
-	if !message || b.MaxMessages == 0 {
+	if !needsMessage || b.MaxMessages == 0 {
 		return true
 	}
 	return float64(b.MessagesSent+1) <= maxMessagesFraction*float64(b.MaxMessages)
--- a/guard/check.go
+++ b/guard/check.go
@@ -78,7 +78,7 @@
 	return len(c.zones) - 1
 }
 
-func (c *checker) report(check, subject string, value, limit float64) {
+func (c *checker) addFinding(check, subject string, value, limit float64) {
 	c.findings = append(c.findings, Finding{Check: check, Subject: subject, Value: value, Limit: limit})
 }
 
@@ -86,7 +86,7 @@
 func (c *checker) checkWeights(route *Route) {
 	for i, weight := range route.Decided {
 		if !isValidWeight(weight) {
-			c.report(InvalidWeight, route.Demands[0].String()+" at "+c.view.Hosts[i].Name, weight, 0)
+			c.addFinding(InvalidWeight, route.Demands[0].String()+" at "+c.view.Hosts[i].Name, weight, 0)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		}
 		candidates := len(c.view.warmHostsFor(demand))
 		if candidates > 0 {
-			c.report(NoHost, demand.String(), 0, float64(candidates))
+			c.addFinding(NoHost, demand.String(), 0, float64(candidates))
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	for i, load := range loads {
 		limit := c.view.Hosts[i].Capacity * multiple
 		if limit > 0 && load > limit {
-			c.report(check, c.view.Hosts[i].Name, load, limit)
+			c.addFinding(check, c.view.Hosts[i].Name, load, limit)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	for i := range c.view.Hosts {
 		host := &c.view.Hosts[i]
 		if host.isWarmingUp() && host.SlowStartLimit > 0 && loads[i] > host.SlowStartLimit {
-			c.report(OverSlowStartBudget, host.Name, loads[i], host.SlowStartLimit)
+			c.addFinding(OverSlowStartBudget, host.Name, loads[i], host.SlowStartLimit)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 		}
 		shift := c.trafficShift(route)
 		if shift > c.limits.MaxTrafficShift+shiftTolerance {
-			c.report(TrafficJump, route.Demands[0].String(), shift, c.limits.MaxTrafficShift)
+			c.addFinding(TrafficJump, route.Demands[0].String(), shift, c.limits.MaxTrafficShift)
 		}
 	}
 }
--- a/guard/check_test.go
+++ b/guard/check_test.go
@@ -15,11 +15,11 @@
 // randomViews is the least number of random views that Check and Repair are tested on.
 const randomViews = 10000
 
-// viewCounts counts the random views by what Check and Repair make of them.
+// viewCounts counts the random views: all, those with findings, and those that Repair leaves without findings.
 type viewCounts struct{ all, invalid, repaired int }
 
-// TestAgainstReference checks on random views that Check finds what the reference finds, and that Repair returns valid
-// rows unchanged, leaves the findings that it says, and keeps the promises of its documentation.
+// TestAgainstReference checks on random views that Check returns the findings of the reference, and that Repair returns
+// valid rows unchanged, reports the findings that remain, and returns rows with the properties that it documents.
 func TestAgainstReference(t *testing.T) {
 	var counts viewCounts
 	for counts.all < randomViews { // one rapid.Check draws about a hundred views
@@ -31,28 +31,29 @@
 			return
 		}
 	}
-	t.Logf("%d views, %d invalid, %d of them repaired", counts.all, counts.invalid, counts.repaired)
+	t.Logf("%d views, %d of them invalid, %d of these repaired", counts.all, counts.invalid, counts.repaired)
 }
 
 func checkAgainstReference(t *rapid.T, view *View, limits Limits, counts *viewCounts) {
 	t.Helper()
 	findings := Check(view, limits)
-	got := strings.Join(describe(findings), "\n")
+	got := strings.Join(findingLines(findings), "\n")
 	want := strings.Join(referenceFindings(view, limits), "\n")
 	if got != want {
-		t.Fatalf("Check finds\n%s\nthe reference\n%s\n%+v %+v", got, want, view, limits)
+		t.Fatalf("Check returns the findings\n%s\nwant those of the reference\n%s\nview %+v, limits %+v",
+			got, want, view, limits)
 	}
 	counts.all++
 
 	rows, remaining := Repair(view, limits)
-	got = strings.Join(describe(remaining), "\n")
+	got = strings.Join(findingLines(remaining), "\n")
 	want = strings.Join(referenceFindings(view.withDecided(rows), limits), "\n")
 	if got != want {
-		t.Fatalf("Repair leaves\n%s\nthe reference finds in its rows\n%s", got, want)
+		t.Fatalf("Repair reports the remaining findings\n%s\nwant those of the reference\n%s", got, want)
 	}
 	if len(findings) == 0 {
-		if !sameRows(rows, view.decided()) {
-			t.Fatal("a valid view was changed")
+		if !sameRows(rows, view.decidedRows()) {
+			t.Fatalf("Repair returns rows %v for a valid view, want the decided rows %v", rows, view.decidedRows())
 		}
 		return
 	}
@@ -65,8 +66,8 @@
 	}
 }
 
-// describe lists findings in the form of the reference.
-func describe(findings []Finding) (lines []string) {
+// findingLines lists findings in the form of referenceFindings.
+func findingLines(findings []Finding) (lines []string) {
 	for _, finding := range findings {
 		lines = append(lines, finding.Check+": "+finding.Subject)
 	}
@@ -74,7 +75,7 @@
 	return lines
 }
 
-// sameRows reports whether rows are the same, with NaN equal to itself.
+// sameRows reports whether rows are the same, where NaN is equal to NaN.
 func sameRows(a, b [][]float64) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
 
 // TestEachCheck compares the findings of views that each break one check, and what Repair returns for them, with the
@@ -164,7 +165,7 @@
 		fmt.Fprintln(out, "  "+finding.String())
 	}
 	rows, remaining := Repair(view, limits)
-	if !sameRows(rows, view.decided()) {
+	if !sameRows(rows, view.decidedRows()) {
 		fmt.Fprintf(out, "  repaired: %.3v\n", rows)
 	}
 	for _, finding := range remaining {
--- a/guard/endpointloss_test.go
+++ b/guard/endpointloss_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// TestEndpointLossGuard checks that a list that loses too much at once is held back until the hosts are back, their
-// loss is confirmed, or the hold time is over. The steps share one guard.
+// TestEndpointLossGuard checks that a list that loses too many hosts at once is held back until the hosts are back,
+// their loss is confirmed, or the hold time is over. The steps share one guard.
 func TestEndpointLossGuard(t *testing.T) {
 	guard := NewEndpointLossGuard(EndpointLossLimits{MaxLossRatio: 0.5, HoldMs: 1500})
 	steps := []struct {
 		name                   string
 		nowMs                  float64
 		ready, lost, confirmed int
-		held                   bool
+		want                   bool
 	}{
 		{"half lost", 0, 10, 5, 0, false},
 		{"more than half lost", 100, 10, 6, 0, true},
@@ -26,11 +26,11 @@
 	for _, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
 			held := guard.Observe(step.nowMs, step.ready, step.lost, step.confirmed)
-			if held != step.held {
-				t.Errorf("held %v, want %v", held, step.held)
+			if held != step.want {
+				t.Errorf("Observe returns held %v, want %v", held, step.want)
 			}
-			if _, holding := guard.HeldUntil(); holding != step.held {
-				t.Errorf("HeldUntil: holding %v, want %v", holding, step.held)
+			if _, holding := guard.HeldUntil(); holding != step.want {
+				t.Errorf("HeldUntil returns holding %v, want %v", holding, step.want)
 			}
 		})
 	}
@@ -44,13 +44,13 @@
 	}
 	untilMs, holding := guard.HeldUntil()
 	if untilMs != 1600 || !holding {
-		t.Errorf("held until %g ms, holding %v, want 1600 ms, true", untilMs, holding)
+		t.Errorf("HeldUntil returns %g ms, holding %v, want 1600 ms, true", untilMs, holding)
 	}
 }
 
 // TestEndpointLossGuardWithoutLimit checks that nothing is held back without a limit.
 func TestEndpointLossGuardWithoutLimit(t *testing.T) {
 	if NewEndpointLossGuard(EndpointLossLimits{}).Observe(0, 10, 10, 0) {
-		t.Error("held without a limit")
+		t.Error("Observe returns held true without a limit, want false")
 	}
 }
--- a/guard/finding.go
+++ b/guard/finding.go
@@ -19,11 +19,12 @@
 const (
 	// InvalidWeight is a weight that is negative, infinite or NaN.
 	InvalidWeight = "a weight is no number"
-	// NoHost is a demand without a host that may take it, where some warm host may.
+	// NoHost is a demand that no host with weight may take, although a warm host may.
 	NoHost = "no host may take it"
 	// OverCapacity is a host that is given more than its capacity allows.
 	OverCapacity = "over its cap"
-	// OverSlowStartBudget is a host that is warming up and is given more than it can take by now.
+	// OverSlowStartBudget is a host that is warming up and is given more than it can take at this point of its slow
+	// start.
 	OverSlowStartBudget = "a cold host over its budget"
 	// OverCapacityWithoutZone is a host that would be given more than its capacity allows if the zone that carries
 	// the most load were lost.
@@ -32,10 +33,10 @@
 	TrafficJump = "too much moves at once"
 )
 
-// severities are the weights of findings in the comparison of candidates. They differ by large factors, so that a
-// repair never trades minor findings for a more severe one.
+// severities say how much a finding of each check counts in the comparison of candidate repairs. They differ by large
+// factors, so that a repair never trades minor findings for a more severe one.
 var severities = map[string]float64{
-	InvalidWeight:              1e9,
+	InvalidWeight:           1e9,
 	NoHost:                  1e9,
 	OverSlowStartBudget:     1e6,
 	TrafficJump:             1e3,
--- a/guard/load.go
+++ b/guard/load.go
@@ -20,7 +20,7 @@
 func (c *checker) addRouteLoads(loads []float64, route *Route, lost zoneNumber) {
 	weightSum := 0.0
 	for i, weight := range route.Decided {
-		if isPositiveWeight(weight) && c.remains(i, lost) {
+		if isPositiveWeight(weight) && c.isAvailable(i, lost) {
 			weightSum += weight
 		}
 	}
@@ -29,14 +29,14 @@
 	}
 	workPerWeight := route.totalWork() / weightSum
 	for i, weight := range route.Decided {
-		if isPositiveWeight(weight) && c.remains(i, lost) {
+		if isPositiveWeight(weight) && c.isAvailable(i, lost) {
 			loads[i] += weight * workPerWeight
 		}
 	}
 }
 
-// remains reports whether a host is ready and outside the lost zone.
-func (c *checker) remains(host int, lost zoneNumber) bool {
+// isAvailable reports whether a host is ready and outside the lost zone.
+func (c *checker) isAvailable(host int, lost zoneNumber) bool {
 	zone := c.zoneOf[host]
 	return zone != zoneNotReady && zone != lost
 }
@@ -51,7 +51,7 @@
 	}
 	capacity := 0.0
 	for i := range c.zoneOf {
-		if c.remains(i, lost) {
+		if c.isAvailable(i, lost) {
 			capacity += c.view.Hosts[i].Capacity * c.view.Hosts[i].SlowStartFactor
 		}
 	}
--- a/guard/random_test.go
+++ b/guard/random_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawView draws a view and limits, near the limits as often as far from them: one route for all demands, or a route
-// for each zone with a class that stays there; and sometimes one more route. Some routes are read-only.
+// drawView draws a view and limits: one route for all demands, or a route for each zone with a zone-local class, and
+// sometimes one more route. Some routes are read-only. Loads are often near the limits.
 func drawView(t *rapid.T) (*View, Limits) {
 	view := &View{}
 	limits := Limits{
--- a/guard/reference_test.go
+++ b/guard/reference_test.go
@@ -7,13 +7,12 @@
 	"sort"
 )
 
-// This file computes the findings a second time, in the plainest way, as the reference for Check. It shares the types
-// and the names of the checks with the code under test, and nothing else: no function of the package is called here.
-// Sums go in the order of the hosts, as in the package, because a sum in another order may round to the other side of a
-// limit.
+// This file computes the findings a second time, in the simplest way, as the reference for Check. It uses the types
+// and the names of the checks of the code under test, but calls no function of the package. It sums in the order of the
+// hosts, as the package does, because a sum in another order may round to the other side of a limit.
 
-// allZones stands for the loss of no zone.
-const allZones = ""
+// noZoneLost is the lost zone where no zone is lost.
+const noZoneLost = ""
 
 // referenceFindings lists the findings of a view's decided weights as "check: subject", sorted.
 func referenceFindings(view *View, limits Limits) []string {
@@ -32,7 +31,7 @@
 	return findings
 }
 
-// referenceIsWeight reports whether a weight is a finite number from 0.
+// referenceIsWeight reports whether a weight is finite and at least 0.
 func referenceIsWeight(weight float64) bool {
 	if math.IsNaN(weight) || math.IsInf(weight, 0) {
 		return false
@@ -40,7 +39,7 @@
 	return weight >= 0
 }
 
-// referenceInvalidWeights finds weights that are no numbers.
+// referenceInvalidWeights finds weights that are negative, infinite or NaN.
 func referenceInvalidWeights(view *View, route Route) []string {
 	var findings []string
 	first := route.Demands[0]
@@ -52,7 +51,7 @@
 	return findings
 }
 
-// referenceDemandsWithoutHost finds demands that no host with weight may take, where a warm host may.
+// referenceDemandsWithoutHost finds demands that no host with weight may take, although a warm host may.
 func referenceDemandsWithoutHost(view *View, route Route) []string {
 	var findings []string
 	for _, demand := range route.Demands {
@@ -79,7 +78,7 @@
 	return findings
 }
 
-// referenceTrafficJump finds a shift of the route's traffic above the limit: half the distance between the shares.
+// referenceTrafficJump finds a traffic shift of the route above the limit: half the distance between the shares.
 func referenceTrafficJump(view *View, route Route, limit float64) []string {
 	before := referenceShares(view, route.Published)
 	after := referenceShares(view, route.Decided)
@@ -118,11 +117,12 @@
 	return shares
 }
 
-// referenceOverloads finds hosts that are given too much, with all zones and without the one that carries most.
+// referenceOverloads finds hosts that are given too much load, with all zones and without the one that carries the
+// most.
 func referenceOverloads(view *View, limits Limits) []string {
 	var findings []string
-	loads := referenceLoads(view, allZones)
-	multiple := referenceCapacityMultiple(view, limits, allZones)
+	loads := referenceLoads(view, noZoneLost)
+	multiple := referenceCapacityMultiple(view, limits, noZoneLost)
 	for i, host := range view.Hosts {
 		if host.Capacity > 0 && loads[i] > host.Capacity*multiple {
 			findings = append(findings, OverCapacity+": "+host.Name)
@@ -148,12 +148,12 @@
 	return findings
 }
 
-// referenceStays reports whether a host still takes traffic once those that are not ready and the lost zone are gone.
-func referenceStays(host Host, lostZone string) bool {
+// referenceIsAvailable reports whether a host is ready and outside the lost zone.
+func referenceIsAvailable(host Host, lostZone string) bool {
 	if !host.Ready {
 		return false
 	}
-	return lostZone == allZones || host.Zone != lostZone
+	return lostZone == noZoneLost || host.Zone != lostZone
 }
 
 // referenceWork returns the work of a route's demands.
@@ -166,13 +166,13 @@
 }
 
 // referenceLoads returns the work that each host is given once a zone is lost: every route's work, split by the weights
-// of the hosts that stay.
+// of the available hosts.
 func referenceLoads(view *View, lostZone string) []float64 {
 	loads := make([]float64, len(view.Hosts))
 	for _, route := range view.Routes {
 		total := 0.0
 		for i, host := range view.Hosts {
-			if referenceStays(host, lostZone) && referenceIsWeight(route.Decided[i]) {
+			if referenceIsAvailable(host, lostZone) && referenceIsWeight(route.Decided[i]) {
 				total += route.Decided[i]
 			}
 		}
@@ -181,7 +181,7 @@
 		}
 		workPerWeight := referenceWork(route) / total
 		for i, host := range view.Hosts {
-			if referenceStays(host, lostZone) && referenceIsWeight(route.Decided[i]) {
+			if referenceIsAvailable(host, lostZone) && referenceIsWeight(route.Decided[i]) {
 				loads[i] += route.Decided[i] * workPerWeight
 			}
 		}
@@ -198,7 +198,7 @@
 	}
 	capacity := 0.0
 	for _, host := range view.Hosts {
-		if referenceStays(host, lostZone) {
+		if referenceIsAvailable(host, lostZone) {
 			capacity += host.Capacity * host.SlowStartFactor
 		}
 	}
@@ -208,8 +208,8 @@
 	return max(limits.CapacityMultiple, 1.1*work/capacity)
 }
 
-// referenceHeaviestZone returns the zone whose hosts carry most, of equals the first by name, and whether any zone
-// carries something.
+// referenceHeaviestZone returns the zone whose hosts carry the most load, of equal ones the first by name, and whether
+// any zone carries load.
 func referenceHeaviestZone(view *View, loads []float64) (heaviest string, found bool) {
 	loadByZone := map[string]float64{}
 	var zones []string
--- a/guard/relieve.go
+++ b/guard/relieve.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// targetFill is the fraction of its limit to which a host's load is reduced, so that demand can grow a little
-	// before the row must be published again.
-	targetFill = 0.97
+	// targetLoadFraction is the fraction of its limit to which a host's load is reduced, so that demand can grow a
+	// little before the row must be published again.
+	targetLoadFraction = 0.97
 	// maxReliefPasses bounds the passes over all hosts. They end earlier when one moves nothing.
 	maxReliefPasses = 8
 	// maxTargetLoad is the target load of a host without a limit, in ms per ms.
 	maxTargetLoad = 1e9
 )
 
-// relieve moves the work above each host's limit to the warm hosts of the same route with the most headroom, those of
-// its zone first, so that few weight entries change. Where a route has no headroom, the work is not moved. It changes
-// the decided rows of the view.
-func (r *repairer) relieve(view *View) {
+// relieveOverloadedHosts moves the work above each host's limit to the warm hosts of the same route with the most
+// headroom, those of its zone first, so that few weight entries change. Where a route has no headroom, the work is not
+// moved. It changes the decided rows of the view.
+func (r *repairer) relieveOverloadedHosts(view *View) {
 	c := newChecker(view, r.limits)
 	for range maxReliefPasses {
 		loads := c.hostLoads(noZone)
-		if !r.relieveHosts(view, loads) {
+		if !r.runReliefPass(view, loads) {
 			return
 		}
 	}
 }
 
-// relieveHosts visits all hosts once, and reports whether any work was moved. It updates loads.
-func (r *repairer) relieveHosts(view *View, loads []float64) (moved bool) {
+// runReliefPass visits all hosts once, and reports whether any work was moved. It updates loads.
+func (r *repairer) runReliefPass(view *View, loads []float64) (moved bool) {
 	for host := range view.Hosts {
 		limit := r.loadLimit(&view.Hosts[host])
 		if loads[host] <= limit {
 			continue
 		}
-		excess := 1 - limit*targetFill/loads[host]
+		excess := 1 - limit*targetLoadFraction/loads[host]
 		for i := range view.Routes {
 			route := &view.Routes[i]
 			if !route.ReadOnly && route.Decided[host] > 0 && r.shiftLoad(route, host, excess, loads) {
@@ -77,7 +77,7 @@
 	for i, weight := range route.Decided {
 		host := &r.view.Hosts[i]
 		isCandidate := i != from && weight > 0 && host.Ready && host.isWarm()
-		if isCandidate && loads[i] < r.loadLimit(host)*targetFill {
+		if isCandidate && loads[i] < r.loadLimit(host)*targetLoadFraction {
 			hosts = append(hosts, i)
 		}
 	}
@@ -94,6 +94,6 @@
 
 // headroom returns the work in ms per ms that a host can still be given.
 func (r *repairer) headroom(host int, loads []float64) float64 {
-	target := r.loadLimit(&r.view.Hosts[host]) * targetFill
+	target := r.loadLimit(&r.view.Hosts[host]) * targetLoadFraction
 	return math.Min(target, maxTargetLoad) - loads[host]
 }
--- a/guard/repair.go
+++ b/guard/repair.go
@@ -19,19 +19,19 @@
 // decided row has none, unless a demand would otherwise have no host; and the share of a host that is warming up is
 // at most the decided one. So Repair delays no removal, and gives no host more traffic in its slow start.
 func Repair(view *View, limits Limits) (rows [][]float64, remaining []Finding) {
-	rows = view.decided()
+	rows = view.decidedRows()
 	remaining = Check(view, limits)
 	if len(remaining) == 0 {
 		return rows, nil
 	}
 	r := newRepairer(view, limits)
-	cleaned := r.cleaned()
+	cleaned := r.cleanedRows()
 	r.keepIfBetter(cleaned)
-	within := view.withDecided(cleaned)
-	r.relieve(within)
-	r.keepIfBetter(within.decided())
+	relieved := view.withDecided(cleaned)
+	r.relieveOverloadedHosts(relieved)
+	r.keepIfBetter(relieved.decidedRows())
 	if limits.SurviveZoneLoss && r.hasRemaining(OverCapacityWithoutZone) {
-		r.equalizeUtilization(within)
+		r.equalizeUtilization(relieved)
 	}
 	if limits.MaxTrafficShift > 0 && r.hasRemaining(TrafficJump) {
 		for _, fraction := range shiftFractions {
@@ -41,8 +41,8 @@
 	return r.best, r.remaining
 }
 
-// decided returns the decided rows of all routes.
-func (v *View) decided() (rows [][]float64) {
+// decidedRows returns the decided rows of all routes.
+func (v *View) decidedRows() (rows [][]float64) {
 	for i := range v.Routes {
 		rows = append(rows, v.Routes[i].Decided)
 	}
@@ -113,10 +113,10 @@
 	return limit
 }
 
-// cleaned returns the decided rows without invalid weights and hosts that are not ready. A demand that then has no
+// cleanedRows returns the decided rows without invalid weights and hosts that are not ready. A demand that then has no
 // host gets the warm hosts, in proportion to their capacities.
-func (r *repairer) cleaned() [][]float64 {
-	view := r.view.withDecided(r.view.decided())
+func (r *repairer) cleanedRows() [][]float64 {
+	view := r.view.withDecided(r.view.decidedRows())
 	for i := range view.Routes {
 		route := &view.Routes[i]
 		if route.ReadOnly {
@@ -130,7 +130,7 @@
 			}
 		}
 	}
-	return view.decided()
+	return view.decidedRows()
 }
 
 // dropInvalid sets the weights to 0 that are invalid or of hosts that are not ready.
--- a/guard/repair_test.go
+++ b/guard/repair_test.go
@@ -8,15 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// checkRepairedRow checks what must hold of a repaired row whatever else is wrong: a read-only row is unchanged; the
-// weights are numbers; no host that is not ready has weight, and none that the decided row leaves out unless a demand
-// had no host; and no host that is warming up has a larger share than decided.
+// checkRepairedRow checks the properties that every repaired row must have: a read-only row is unchanged; all weights
+// are valid; a host that is not ready has no weight; a host without weight in the decided row has none, unless a demand
+// had no host; and a host that is warming up has at most its decided share.
 func checkRepairedRow(t *rapid.T, view *View, index int, row []float64) {
 	t.Helper()
 	route := &view.Routes[index]
 	if route.ReadOnly {
 		if !sameRows([][]float64{row}, [][]float64{route.Decided}) {
-			t.Fatal("a read-only row was changed")
+			t.Fatalf("got the read-only row %v, want the decided one %v", row, route.Decided)
 		}
 		return
 	}
@@ -26,21 +26,21 @@
 	hadReadyHost := countReadyHosts(view, route.Decided) > 0
 	for i, weight := range row {
 		host := &view.Hosts[i]
-		before := share(view, route.Decided, i)
-		after := share(view, row, i)
+		before := weightShare(view, route.Decided, i)
+		after := weightShare(view, row, i)
 		problem := ""
 		switch {
 		case math.IsNaN(weight) || weight < 0 || weight > largestWeight:
-			problem = "has a weight that is no number"
+			problem = fmt.Sprintf("has the weight %g, want one from 0 to %g", weight, largestWeight)
 		case weight > 0 && !host.Ready:
-			problem = "is not ready and has weight"
+			problem = fmt.Sprintf("is not ready and has the weight %g, want 0", weight)
 		case weight > 0 && !(route.Decided[i] > 0) && !mayAddHosts:
-			problem = "has weight and was left out of the decided row"
+			problem = fmt.Sprintf("has the weight %g, want 0 as in the decided row", weight)
 		case weight > 0 && host.SlowStartFactor < 1 && hadReadyHost && after > before*(1+roundingError):
-			problem = fmt.Sprintf("is warming up and has a share of %.3f, decided %.3f", after, before)
+			problem = fmt.Sprintf("is warming up and has a share of %.3f, want at most %.3f", after, before)
 		}
 		if problem != "" {
-			t.Fatalf("row %d: %s %s\n%+v\n%v", index, host.Name, problem, view, row)
+			t.Fatalf("row %d: host %s %s\nview %+v\nrow %v", index, host.Name, problem, view, row)
 		}
 	}
 }
@@ -64,8 +64,8 @@
 		hosts := 0
 		for i, weight := range route.Decided {
 			host := &view.Hosts[i]
-			inReach := !demand.ZoneLocal || host.Zone == demand.Zone
-			if givesTraffic(weight) && host.Ready && inReach {
+			isAllowed := !demand.ZoneLocal || host.Zone == demand.Zone
+			if givesTraffic(weight) && host.Ready && isAllowed {
 				hosts++
 			}
 		}
@@ -76,8 +76,8 @@
 	return false
 }
 
-// share returns the fraction of the weight of a row's ready hosts that a host has, NaN if there is none.
-func share(view *View, row []float64, host int) float64 {
+// weightShare returns the fraction of the weight of a row's ready hosts that a host has, NaN if there is none.
+func weightShare(view *View, row []float64, host int) float64 {
 	sum := 0.0
 	for i, weight := range row {
 		if givesTraffic(weight) && view.Hosts[i].Ready {
@@ -87,8 +87,8 @@
 	return row[host] / sum
 }
 
-// TestRepeatedRepairSettles checks that repairs in sequence, each published before the next, come to rest without a
-// finding once the decided weights stay the same, and that none moves more traffic than the limit.
+// TestRepeatedRepairSettles checks that repairs in sequence, each published before the next, converge to weights
+// without findings while the decided weights stay the same, and that none moves more traffic than the limit.
 func TestRepeatedRepairSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := &View{Routes: []Route{{Demands: []Demand{{Class: "sheet", Zone: "a", Work: 4}}}}}
@@ -123,7 +123,7 @@
 		rows, remaining := Repair(view, limits)
 		shift := shiftTo(view, limits, rows[0])
 		if shift > limits.MaxTrafficShift+roundingError {
-			t.Fatalf("moved %g of the traffic at once", shift)
+			t.Fatalf("one update moves %g of the traffic, want at most %g", shift, limits.MaxTrafficShift)
 		}
 		previous := route.Published
 		route.Published = rows[0]
@@ -131,7 +131,8 @@
 			return
 		}
 	}
-	t.Fatalf("after %d updates the weights are %v, decided %v", maxUpdates, route.Published, route.Decided)
+	t.Fatalf("weights are %v after %d updates, want valid and unchanged ones; decided %v",
+		route.Published, maxUpdates, route.Decided)
 }
 
 // shiftTo returns the fraction of the first route's traffic that a row would move.
--- a/guard/update.go
+++ b/guard/update.go
@@ -1,9 +1,8 @@
 package guard
 
-// MinimalUpdate returns the smallest change of a published row that delays no removal, for use while the channel has
-// no capacity for a better one: the published row without the hosts that are not ready or have no weight in the
-// decided row, and with no more weight for a host that is warming up than either row gives it. It reports whether a
-// warm host is left.
+// MinimalUpdate returns the published row with only the changes that must not wait, for use while the control channel
+// has no capacity for the decided row. It removes the hosts that are not ready or have no weight in the decided row,
+// and gives a host that is warming up the lower of its two weights. It reports whether a warm host is left.
 func MinimalUpdate(hosts []Host, published, decided []float64) (row []float64, warmHostLeft bool) {
 	row = make([]float64, len(decided))
 	for i, weight := range published {
--- a/guard/update_test.go
+++ b/guard/update_test.go
@@ -35,13 +35,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			row, warmHostLeft := MinimalUpdate(test.hosts, test.published, test.decided)
 			if !slices.Equal(row, test.want) || warmHostLeft != test.warmHostLeft {
-				t.Errorf("got %v, %v, want %v, %v", row, warmHostLeft, test.want, test.warmHostLeft)
+				t.Errorf("got row %v, warmHostLeft %v, want %v, %v", row, warmHostLeft, test.want, test.warmHostLeft)
 			}
 		})
 	}
 }
 
-func TestChanged(t *testing.T) {
+func TestCountChanges(t *testing.T) {
 	tests := []struct {
 		name               string
 		published, decided []float64
@@ -58,7 +58,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			entries, removal := CountChanges(test.published, test.decided)
 			if entries != test.entries || removal != test.removal {
-				t.Errorf("got %d, %v, want %d, %v", entries, removal, test.entries, test.removal)
+				t.Errorf("got %d entries, removal %v, want %d, %v", entries, removal, test.entries, test.removal)
 			}
 		})
 	}
--- a/guard/view.go
+++ b/guard/view.go
@@ -67,7 +67,7 @@
 	return sum
 }
 
-// isValidWeight reports whether a weight is a finite number from 0.
+// isValidWeight reports whether a weight is finite and at least 0.
 func isValidWeight(weight float64) bool { return weight >= 0 && weight <= math.MaxFloat64 }
 
 // isPositiveWeight reports whether a weight is valid and gives its host traffic.
