--- a/intake/consistency.go
+++ b/intake/consistency.go
@@ -69,7 +69,7 @@
 	if host.attempts.successes < minSuccesses || nowMs < host.attempts.startMs+minObservationMs {
 		return ""
 	}
-	if reason := t.stuckReports(host); reason != "" {
+	if reason := t.checkStuck(host); reason != "" {
 		return reason
 	}
 	// A host reports falling traffic before the slower sum has decayed, so the lower rate counts.
@@ -79,18 +79,18 @@
 		t.rates.observe(nowMs, load.RequestRate, observedRate)
 		fleetRatio = t.rates.ratio()
 	}
-	if reason := lowRate(load, fleetRatio, observedRate); reason != "" {
+	if reason := checkRequestRate(load, fleetRatio, observedRate); reason != "" {
 		return reason
 	}
-	if reason := lowUtilization(load, fleetRatio*observedRate, capacity); reason != "" {
+	if reason := checkUtilization(load, fleetRatio*observedRate, capacity); reason != "" {
 		return reason
 	}
-	return slowWhileIdle(load, host.attempts.meanLatencyMs(), t.fleet.meanLatencyMs())
+	return checkIdleLatency(load, host.attempts.meanLatencyMs(), t.fleet.meanLatencyMs())
 }
 
-// stuckReports returns a reason where the host's load has been unchanged for so many reports that chance is an
+// checkStuck returns a reason where the host's load has been unchanged for so many reports that chance is an
 // implausible explanation (Limits.StuckProbability).
-func (t *Trust) stuckReports(host *hostState) string {
+func (t *Trust) checkStuck(host *hostState) string {
 	probability := t.repeats.probability(host.repeats)
 	isStuck := host.repeats >= minStuckRepeats && probability < t.limits.StuckProbability
 	if !isStuck {
@@ -99,9 +99,9 @@
 	return fmt.Sprintf("the same %d times, by chance once in %.0f", host.repeats+1, 1/probability)
 }
 
-// lowRate returns a reason where the host reports a lower request rate than that of the proxies' successful attempts
-// there.
-func lowRate(load routing.HostLoad, fleetRatio, observedRate float64) string {
+// checkRequestRate returns a reason where the host reports a lower request rate than that of the proxies' successful
+// attempts there.
+func checkRequestRate(load routing.HostLoad, fleetRatio, observedRate float64) string {
 	isLow := load.RequestRate >= 0 && load.RequestRate+rateTolerance < minRateRatio*fleetRatio*observedRate
 	if !isLow {
 		return ""
@@ -109,8 +109,8 @@
 	return fmt.Sprintf("it tells %.3g a second, our proxies alone had %.3g fulfilled", load.RequestRate, observedRate)
 }
 
-// lowUtilization returns a reason where the host reports a lower utilization than the proxies' attempts alone cause.
-func lowUtilization(load routing.HostLoad, rate float64, capacity Capacity) string {
+// checkUtilization returns a reason where the host reports a lower utilization than the proxies' attempts alone cause.
+func checkUtilization(load routing.HostLoad, rate float64, capacity Capacity) string {
 	if !capacity.isKnown() {
 		return ""
 	}
@@ -122,9 +122,9 @@
 	return fmt.Sprintf("it tells a busy part of %.2f, our proxies' work alone makes %.2f", load.Utilization, observed)
 }
 
-// slowWhileIdle returns a reason where the host reports that it is idle but its mean latency is far above the
+// checkIdleLatency returns a reason where the host reports that it is idle but its mean latency is far above the
 // fleet's.
-func slowWhileIdle(load routing.HostLoad, latencyMs, fleetLatencyMs float64) string {
+func checkIdleLatency(load routing.HostLoad, latencyMs, fleetLatencyMs float64) string {
 	isIdle := load.Utilization >= 0 && load.Utilization < idleUtilization && load.QueueLength <= 0
 	isSlow := latencyMs > maxIdleLatencyRatio*fleetLatencyMs
 	if !isIdle || !isSlow {
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -138,51 +138,51 @@
 // more are queued, it serves the sources in turn, each with its report of the highest priority. Reports that are too
 // old are dropped. The attempts of the others are scaled by the weight of their age.
 func (q *Queue) Dequeue(nowMs float64, maxReports int) []Report {
-	var taken []*queuedReport
+	var dequeued []*queuedReport
 	if q.length <= maxReports {
-		taken = q.takeAll()
+		dequeued = q.dequeueAll()
 	} else {
-		taken = q.takeInTurns(maxReports)
+		dequeued = q.dequeueRoundRobin(maxReports)
 	}
-	slices.SortFunc(taken, func(a, b *queuedReport) int { return cmp.Compare(a.sequence, b.sequence) })
-	return q.weighted(nowMs, taken)
+	slices.SortFunc(dequeued, func(a, b *queuedReport) int { return cmp.Compare(a.sequence, b.sequence) })
+	return q.applyAgeWeights(nowMs, dequeued)
 }
 
-func (q *Queue) takeAll() []*queuedReport {
-	var taken []*queuedReport
+func (q *Queue) dequeueAll() []*queuedReport {
+	var dequeued []*queuedReport
 	for _, queue := range q.bySource {
-		taken = append(taken, queue.reports...)
+		dequeued = append(dequeued, queue.reports...)
 	}
 	q.bySource = map[string]*sourceQueue{}
 	q.bySize = nil
 	q.length = 0
-	return taken
-}
-
-// takeInTurns takes one report of each source in turn. The source with the oldest report is served first.
-func (q *Queue) takeInTurns(maxReports int) []*queuedReport {
-	var taken []*queuedReport
-	turn := slices.Clone(q.bySize)
-	slices.SortFunc(turn, func(a, b *sourceQueue) int { return cmp.Compare(a.firstSequence(), b.firstSequence()) })
-	for len(taken) < maxReports {
-		nextTurn := turn[:0]
-		for _, queue := range turn {
-			if len(taken) == maxReports {
+	return dequeued
+}
+
+// dequeueRoundRobin removes one report of each source in turn. The source with the oldest report is served first.
+func (q *Queue) dequeueRoundRobin(maxReports int) []*queuedReport {
+	var dequeued []*queuedReport
+	sources := slices.Clone(q.bySize)
+	slices.SortFunc(sources, func(a, b *sourceQueue) int { return cmp.Compare(a.firstSequence(), b.firstSequence()) })
+	for len(dequeued) < maxReports {
+		remaining := sources[:0]
+		for _, queue := range sources {
+			if len(dequeued) == maxReports {
 				break
 			}
-			taken = append(taken, q.remove(queue, queue.highestPriority()))
+			dequeued = append(dequeued, q.remove(queue, queue.highestPriority()))
 			if len(queue.reports) > 0 {
-				nextTurn = append(nextTurn, queue)
+				remaining = append(remaining, queue)
 			}
 		}
-		turn = nextTurn
+		sources = remaining
 	}
-	return taken
+	return dequeued
 }
 
-// weighted drops the reports that are too old and scales the attempts of the others by the weight of their age. Demand
-// is not scaled: it is a rate over the report's window.
-func (q *Queue) weighted(nowMs float64, queued []*queuedReport) []Report {
+// applyAgeWeights drops the reports that are too old and scales the attempts of the others by the weight of their age.
+// Demand is not scaled: it is a rate over the report's window.
+func (q *Queue) applyAgeWeights(nowMs float64, queued []*queuedReport) []Report {
 	var reports []Report
 	for _, report := range queued {
 		weight := q.limits.ageWeight(nowMs - report.ObservedMs)
@@ -191,15 +191,15 @@
 			continue
 		}
 		if weight < 1 && !report.IsDemand {
-			report.Attempts = scaled(report.Attempts, weight)
-			report.Failed = scaled(report.Failed, weight)
+			report.Attempts = scaleCount(report.Attempts, weight)
+			report.Failed = scaleCount(report.Failed, weight)
 		}
 		reports = append(reports, report.Report)
 	}
 	return reports
 }
 
-func scaled(count int, weight float64) int { return int(math.Round(float64(count) * weight)) }
+func scaleCount(count int, weight float64) int { return int(math.Round(float64(count) * weight)) }
 
 // ageWeight returns the weight of a report of the given age, from 1 to 0.
 func (l Limits) ageWeight(ageMs float64) float64 {
--- a/intake/queue_test.go
+++ b/intake/queue_test.go
@@ -29,7 +29,7 @@
 
 func (q *queueTrace) printf(format string, args ...any) { fmt.Fprintf(&q.out, format+"\n", args...) }
 
-func (q *queueTrace) reports(reports []Report) {
+func (q *queueTrace) printReports(reports []Report) {
 	for _, report := range reports {
 		q.printf("  %s of %s: %d tries, %d failed, mean %.1f, span %.0f",
 			report.Source, report.Subject, report.Attempts, report.Failed, report.MeanLatencyMs, report.WindowMs)
@@ -51,7 +51,7 @@
 	}
 	queue.Add(hostReport("p", "x", 2, 0))
 	trace.printf("all, those of one source on one host beyond the fourth as one")
-	trace.reports(queue.Dequeue(500, 100))
+	trace.printReports(queue.Dequeue(500, 100))
 
 	for i := range 8 {
 		queue.Add(hostReport("flood", fmt.Sprint("h", i), 1+i, float64(i*100)))
@@ -61,7 +61,7 @@
 	waiting, sources := queue.Size()
 	trace.printf("%d of %d sources wait, dropped %v", waiting, sources, queue.Dropped())
 	trace.printf("three of them")
-	trace.reports(queue.Dequeue(800, 3))
+	trace.printReports(queue.Dequeue(800, 3))
 
 	queue.DropSource("flood")
 	waiting, _ = queue.Size()
@@ -72,15 +72,15 @@
 	queue.Add(Report{Source: "p", Subject: "sheet", IsDemand: true, Attempts: 100, WindowMs: 1000, ObservedMs: 1000})
 	queue.Add(hostReport("p", "too old", 100, -3000))
 	trace.printf("of two and three seconds, one of usage, and one that is too old")
-	trace.reports(queue.Dequeue(3000, 100))
+	trace.printReports(queue.Dequeue(3000, 100))
 	trace.printf("dropped %v", queue.Dropped())
 	golden.Compare(t, "queue", trace.out.String())
 }
 
 // queueModel counts what happens to the reports that are offered to a queue.
 type queueModel struct {
-	queue                  *Queue
-	offered, taken, merged int
+	queue                     *Queue
+	offered, dequeued, merged int
 }
 
 // reportsOf returns how many reports of a source are queued.
@@ -129,7 +129,7 @@
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			if rapid.IntRange(0, 9).Draw(t, "take") == 0 {
 				maxReports := rapid.IntRange(1, 12).Draw(t, "maxReports")
-				model.taken += len(model.queue.Dequeue(float64(i), maxReports))
+				model.dequeued += len(model.queue.Dequeue(float64(i), maxReports))
 				continue
 			}
 			source := rapid.SampledFrom([]string{"a", "a", "a", "b", "c"}).Draw(t, "source")
@@ -139,9 +139,9 @@
 		}
 		waiting, _ := model.queue.Size()
 		dropped := int(model.queue.dropped[QueueFull])
-		if model.offered != model.taken+model.merged+dropped+waiting {
+		if model.offered != model.dequeued+model.merged+dropped+waiting {
 			t.Fatalf("%d offered, %d taken, %d merged, %d dropped, %d queued",
-				model.offered, model.taken, model.merged, dropped, waiting)
+				model.offered, model.dequeued, model.merged, dropped, waiting)
 		}
 	})
 }
--- a/intake/rate_limiter.go
+++ b/intake/rate_limiter.go
@@ -43,15 +43,15 @@
 // first come, first served, so that a source that floods the controller never uses the rate that is guaranteed to
 // another one. It is safe for concurrent use.
 type RateLimiter struct {
-	mu          sync.Mutex
-	limits      RateLimits
-	ratio       float64                  // of the limits that is in force, at most 1
-	sources     map[string]*list.Element // by name, elements of recent
-	recent      *list.List               // of *source, the most recently seen first
-	shared      *rate.Limiter            // the fraction of the total rate that is not guaranteed
-	balancedFor int                      // number of sources at the last rebalance
-	rejected    int64                    // requests of sources that exceeded their own limit
-	shed        int64                    // requests beyond the guaranteed and the shared rate
+	mu              sync.Mutex
+	limits          RateLimits
+	ratio           float64                  // of the limits that is in force, at most 1
+	sources         map[string]*list.Element // by name, elements of recent
+	recent          *list.List               // of *source, the most recently seen first
+	shared          *rate.Limiter            // the fraction of the total rate that is not guaranteed
+	balancedSources int                      // number of sources at the last rebalance
+	rejected        int64                    // requests of sources that exceeded their own limit
+	shed            int64                    // requests beyond the guaranteed and the shared rate
 }
 
 // source is one sender of reports with its token buckets.
@@ -82,17 +82,17 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.evictIdle(now)
-	bucket := l.sourceBucket(now, sourceName)
-	reports = min(max(reports, 1), bucket.own.Burst())
-	if !bucket.own.AllowN(now, reports) {
+	sender := l.getOrAddSource(now, sourceName)
+	reports = min(max(reports, 1), sender.own.Burst())
+	if !sender.own.AllowN(now, reports) {
 		l.rejected++
-		return false, timeUntilAvailable(bucket.own, now, reports)
+		return false, timeUntilAvailable(sender.own, now, reports)
 	}
-	if bucket.guaranteed.AllowN(now, reports) || l.shared.AllowN(now, reports) {
+	if sender.guaranteed.AllowN(now, reports) || l.shared.AllowN(now, reports) {
 		return true, 0
 	}
 	l.shed++
-	return false, timeUntilAvailable(bucket.guaranteed, now, reports)
+	return false, timeUntilAvailable(sender.guaranteed, now, reports)
 }
 
 // timeUntilAvailable returns the time until a token bucket holds the given tokens, within the bounds of a
@@ -103,8 +103,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// sourceBucket returns the source of a name, and creates it if it is unknown. It marks the source as seen.
-func (l *RateLimiter) sourceBucket(now time.Time, name string) *source {
+// getOrAddSource returns the source of a name, and creates it if it is unknown. It marks the source as seen.
+func (l *RateLimiter) getOrAddSource(now time.Time, name string) *source {
 	element := l.sources[name]
 	if element == nil && len(l.sources) >= maxSources {
 		name = overflowSource
@@ -158,17 +158,17 @@
 // rebalance at each new source would cost time linear in their number.
 func (l *RateLimiter) needsRebalance() bool {
 	count := len(l.sources)
-	return l.balancedFor == 0 || count > l.balancedFor*5/4 || count < l.balancedFor*3/4
+	return l.balancedSources == 0 || count > l.balancedSources*5/4 || count < l.balancedSources*3/4
 }
 
 // rebalance sets the rates of all buckets by the number of sources and the ratio in force.
 func (l *RateLimiter) rebalance(now time.Time) {
-	l.balancedFor = len(l.sources)
-	guaranteed := l.guaranteedRate(l.balancedFor)
+	l.balancedSources = len(l.sources)
+	guaranteed := l.guaranteedRate(l.balancedSources)
 	for element := l.recent.Front(); element != nil; element = element.Next() {
-		bucket := sourceOf(element)
-		bucket.guaranteed.SetLimitAt(now, guaranteed)
-		bucket.own.SetLimitAt(now, l.sourceRate())
+		sender := sourceOf(element)
+		sender.guaranteed.SetLimitAt(now, guaranteed)
+		sender.own.SetLimitAt(now, l.sourceRate())
 	}
 	l.shared.SetLimitAt(now, rate.Limit(l.limits.Total*l.ratio*(1-guaranteedFraction)))
 }
--- a/intake/trust_test.go
+++ b/intake/trust_test.go
@@ -21,8 +21,9 @@
 
 func newTrustTest() *trustTest { return &trustTest{Trust: NewTrust(DefaultLimits())} }
 
-// second reports a second's attempts at a host together with its load, and returns the load that routing gets.
-func (f *trustTest) second(
+// reportSecond reports the attempts of one second at a host together with its load, and returns the load that routing
+// gets.
+func (f *trustTest) reportSecond(
 	host string, attempts, meanLatencyMs float64, load routing.HostLoad, capacity Capacity,
 ) routing.HostLoad {
 	report := Report{
@@ -49,29 +50,29 @@
 var specialHosts = []string{"idle", "slow", "lies", "lies-no-cores", "stuck", "stops"}
 
 // reportFleet reports a second of 20 ordinary hosts. trafficDivisor is 4 while only a quarter of the traffic is left.
-func (f *trustTest) reportFleet(wobble, trafficDivisor float64) {
+func (f *trustTest) reportFleet(variation, trafficDivisor float64) {
 	for i := range 20 {
-		utilization := (0.5 + wobble*float64(i+1)/10) / trafficDivisor
-		requestRate := (40 + float64(i%3) + wobble) / trafficDivisor
-		f.second(fmt.Sprint("plain-", i), 40/trafficDivisor, 55, hostLoad(utilization, requestRate), testCapacity)
+		utilization := (0.5 + variation*float64(i+1)/10) / trafficDivisor
+		requestRate := (40 + float64(i%3) + variation) / trafficDivisor
+		f.reportSecond(fmt.Sprint("plain-", i), 40/trafficDivisor, 55, hostLoad(utilization, requestRate), testCapacity)
 	}
 }
 
 // reportSpecialHosts reports a second of the special hosts and returns the loads that routing gets.
-func (f *trustTest) reportSpecialHosts(wobble float64, isFaulty bool) map[string]routing.HostLoad {
+func (f *trustTest) reportSpecialHosts(variation float64, isFaulty bool) map[string]routing.HostLoad {
 	loads := map[string]routing.HostLoad{}
-	loads["idle"] = f.second("idle", 0, 0, hostLoad(0, 0), testCapacity)
-	loads["slow"] = f.second("slow", 20, 110, hostLoad(0.5+wobble, 20+wobble), testCapacity)
-	loads["lies"] = f.second("lies", 70, 300, hostLoad(0.1+wobble, 7+wobble), testCapacity)
-	loads["lies-no-cores"] = f.second("lies-no-cores", 70, 300, hostLoad(0.1+wobble, -1), Capacity{ProxyShare: 1})
-	stuckLoad := hostLoad(0.5+wobble, 40+wobble)
+	loads["idle"] = f.reportSecond("idle", 0, 0, hostLoad(0, 0), testCapacity)
+	loads["slow"] = f.reportSecond("slow", 20, 110, hostLoad(0.5+variation, 20+variation), testCapacity)
+	loads["lies"] = f.reportSecond("lies", 70, 300, hostLoad(0.1+variation, 7+variation), testCapacity)
+	loads["lies-no-cores"] = f.reportSecond("lies-no-cores", 70, 300, hostLoad(0.1+variation, -1), Capacity{ProxyShare: 1})
+	stuckLoad := hostLoad(0.5+variation, 40+variation)
 	stoppedLoad := stuckLoad
 	if isFaulty {
 		stuckLoad = hostLoad(0.5, 41)
 		stoppedLoad = routing.UnknownLoad
 	}
-	loads["stuck"] = f.second("stuck", 40, 55, stuckLoad, testCapacity)
-	loads["stops"] = f.second("stops", 40, 55, stoppedLoad, testCapacity)
+	loads["stuck"] = f.reportSecond("stuck", 40, 55, stuckLoad, testCapacity)
+	loads["stops"] = f.reportSecond("stops", 40, 55, stoppedLoad, testCapacity)
 	return loads
 }
 
@@ -95,13 +96,13 @@
 	test := newTrustTest()
 	for i := range 80 {
 		test.nowMs += 1000
-		wobble := 0.02 * math.Sin(float64(i)*1.7)
+		variation := 0.02 * math.Sin(float64(i)*1.7)
 		trafficDivisor := 1.0
 		if i > 20 && i <= 30 {
 			trafficDivisor = 4
 		}
-		test.reportFleet(wobble, trafficDivisor)
-		loads := test.reportSpecialHosts(wobble, i >= 40)
+		test.reportFleet(variation, trafficDivisor)
+		loads := test.reportSpecialHosts(variation, i >= 40)
 		test.printSecond(i+1, loads)
 	}
 	report, _ := test.Host(test.nowMs, "stops", testCapacity)
@@ -123,14 +124,14 @@
 		}
 		for range rapid.IntRange(5, 60).Draw(t, "seconds") {
 			test.nowMs += 1000
-			test.second("other", 40, 50, hostLoad(0.5+math.Mod(test.nowMs, 7)/100, 40), capacity)
+			test.reportSecond("other", 40, 50, hostLoad(0.5+math.Mod(test.nowMs, 7)/100, 40), capacity)
 			reported := hostLoad(
 				rapid.SampledFrom([]float64{0, 0.1, 0.5, 1}).Draw(t, "utilization"),
 				rapid.SampledFrom([]float64{-1, 1, 40}).Draw(t, "requestRate"),
 			)
 			attempts := rapid.SampledFrom([]float64{0, 10, 40, 80}).Draw(t, "attempts")
 			meanLatencyMs := rapid.SampledFrom([]float64{20, 50, 400}).Draw(t, "meanLatencyMs")
-			load := test.second("h", attempts, meanLatencyMs, reported, capacity)
+			load := test.reportSecond("h", attempts, meanLatencyMs, reported, capacity)
 			isEstimate := load != reported
 			if isEstimate && (load.Utilization < reported.Utilization || load.Utilization > 1) {
 				t.Fatalf("%+v became %+v", reported, load)
