--- a/intake/consistency.go
+++ b/intake/consistency.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	minObservationMs     = 3000.0 // observation of a host before its reports are compared with its attempts
-	minSuccesses         = 20.0   // decayed number of successful attempts before that, too
+	minObservationMs     = 3000.0 // time for which a host is observed before its reports are checked
+	minSuccesses         = 20.0   // decayed number of successful attempts at a host before its reports are checked
 	minRateRatio         = 0.8    // a reported rate below this fraction of the observed one is inconsistent
-	rateTolerance        = 1      // tolerance of that, in requests per second
+	rateTolerance        = 1      // added to the reported rate before that, in requests per second
 	minUtilizationRatio  = 0.5    // a reported utilization below this fraction of the observed one is inconsistent
-	utilizationTolerance = 0.1    // tolerance of that
+	utilizationTolerance = 0.1    // added to the reported utilization before that
 	idleUtilization      = 0.5    // a host that reports less utilization than this, and an empty queue, is idle
-	maxIdleLatencyRatio  = 2.5    // multiple of the fleet's mean latency above which an idle host's one is inconsistent
+	maxIdleLatencyRatio  = 2.5    // multiple of the fleet's mean latency above which an idle host's report is inconsistent
 	minStuckRepeats      = 5      // equal reports in a row from which a host's reports may count as stuck
-	repeatSmoothing      = 0.999  // weight of the past in the fleet's share of repeated reports, per report
+	repeatSmoothing      = 0.999  // decay of the fleet's counts of reports, per report
 )
 
 // repeatStats counts the fleet's load reports, and those of them that were equal to the one before, with decay.
@@ -59,9 +59,8 @@
 // everywhere, which hosts report before the observed sums have decayed.
 func (s *rateSums) ratio() float64 { return math.Min(1, s.reported/math.Max(s.observed, minDivisor)) }
 
-// inconsistency returns the reason why a load report is not believed: it contradicts what proxies observed at the
-// host. It returns "" for a consistent report. Proxies see only their own attempts, so these are a lower bound of the
-// host's work.
+// inconsistency returns how a load report contradicts what proxies observed at the host, or "" for a consistent report.
+// The controller knows only the attempts of its own proxies, so these are a lower bound of the host's work.
 func (t *Trust) inconsistency(nowMs float64, host *hostState, load routing.HostLoad, capacity Capacity) string {
 	host.attempts.decay(nowMs)
 	host.recentAttempts.decay(nowMs)
@@ -72,7 +71,7 @@
 	if reason := t.checkStuck(host); reason != "" {
 		return reason
 	}
-	// A host reports falling traffic before the slower sum has decayed, so the lower rate counts.
+	// When traffic falls, a host reports it before the slower of the two sums has decayed, so the lower rate is used.
 	observedRate := math.Min(host.attempts.successesPerSecond(), host.recentAttempts.successesPerSecond())
 	fleetRatio := 1.0
 	if load.RequestRate >= 0 {
--- a/intake/host_state.go
+++ b/intake/host_state.go
@@ -36,10 +36,10 @@
 
 const (
 	attemptDecayMs      = 5000.0 // decay time of the attempts of a host and of the fleet
-	fastDecayMs         = 1500.0 // decay time of the sums that follow a change of traffic sooner
+	fastDecayMs         = 1500.0 // decay time of the sums that follow a change of traffic faster
 	intervalSmoothing   = 0.2    // weight of the newest interval in the moving average
-	maxSilentMultiple   = 10     // a longer interval counts as this multiple of Limits.SilentAfterMs
-	silentIntervals     = 5.0    // intervals without a report after which a host's reports have stopped
+	maxSilentMultiple   = 10     // bound of an interval in the moving average, as a multiple of Limits.SilentAfterMs
+	silentIntervals     = 5.0    // mean intervals without a report after which a host's reports have stopped
 	samplingIntervalMs  = 500.0  // least time between two checked reports of a host
 	fullConfidence      = 1
 	distrustThreshold   = 0.5  // confidence below which load reports are distrusted
--- a/intake/ingest_pacer.go
+++ b/intake/ingest_pacer.go
@@ -19,9 +19,9 @@
 	onTimeRoundsToLower = 25    // rounds on time in a row that lower the level by one
 	maxSheddingLevel    = 3
 	latenessSmoothing   = 0.3 // weight of the newest round in the moving average
-	minReportsPerRound  = 100 // ingested at any level
-	roundShiftPerLevel  = 2   // each level divides the reports per round by 2 to the power of this
-	levelOfSlowerRounds = 2   // first level that also slows the rounds: reports are shed first
+	minReportsPerRound  = 100 // reports that a round may ingest at any level
+	roundShiftPerLevel  = 2   // right shift of the reports per round by each level: a quarter of the level before
+	levelOfSlowerRounds = 2   // first level that also slows the rounds; below it, only reports are shed
 )
 
 // ObserveRound records how late a round started, in milliseconds, and reports whether the shedding level changed.
@@ -62,7 +62,7 @@
 // LatenessMs returns the moving average of the rounds' lateness, in milliseconds.
 func (p *IngestPacer) LatenessMs() float64 { return p.smoothedLatenessMs }
 
-// Ratio returns the fraction of the rate limits that must be in force, from 1, halved with each level.
+// Ratio returns the fraction of the rate limits that applies: 1 at level 0, halved with each level.
 func (p *IngestPacer) Ratio() float64 { return math.Exp2(-float64(p.level)) }
 
 // MaxReports returns the number of reports that a round may ingest, where normalMax is the number at level 0.
@@ -70,7 +70,8 @@
 	return max(normalMax>>(roundShiftPerLevel*p.level), minReportsPerRound)
 }
 
-// IntervalFactor returns the factor on the interval between the controller's rounds: 1, and from level 2 on 2 and 4.
+// IntervalFactor returns the factor on the interval between the controller's rounds: 1 up to level 1, 2 at level 2 and
+// 4 at level 3.
 func (p *IngestPacer) IntervalFactor() float64 {
 	return math.Max(1, math.Exp2(float64(p.level-levelOfSlowerRounds+1)))
 }
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -1,7 +1,7 @@
-// Package intake decides which load reports and request stats of proxies and hosts the controller ingests: how much
-// each source may send ([RateLimiter]), in which order queued reports are ingested and which are dropped ([Queue]),
-// the weight of an old report, which hosts' load reports are believed ([Trust]), and how many reports an overloaded
-// controller sheds before it slows its own rounds ([IngestPacer]).
+// Package intake decides which load reports and request stats of proxies and hosts the controller ingests. It limits
+// how much each source may send ([RateLimiter]), orders and drops queued reports and gives old ones less weight
+// ([Queue]), decides which hosts' load reports are trusted ([Trust]), and decides how many reports an overloaded
+// controller sheds and when it also slows its own rounds ([IngestPacer]).
 //
 // The package does no I/O, reads no clock and starts no goroutine: callers pass the current time. Unless a parameter
 // is a [time.Time], instants and durations are float64 milliseconds. Except for RateLimiter, no type is safe for
@@ -17,9 +17,9 @@
 	MaxAgeMs           float64 // age from which a report is dropped
 	TrustAll           bool    // use all load reports unchecked
 	SilentAfterMs      float64 // least time without load reports after which they count as stopped
-	UncertainAfterMs   float64 // age of the last trusted report at which an estimate has the uncertainty 1
+	UncertainAfterMs   float64 // age of the last trusted report from which an estimate has the uncertainty 1
 	UnknownUtilization float64 // utilization assumed of an unknown host: neither headroom nor overload
-	StuckProbability   float64 // reports count as stuck where their repetition by chance is less probable than this
+	StuckProbability   float64 // equal reports in a row count as stuck if they are less probable than this by chance
 }
 
 // minPeriodMs is the lower bound of the half-life and the uncertainty period of the limits, by which ages are
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -9,8 +9,8 @@
 )
 
 // Queue holds reports until a round ingests them. At most maxPerSubject reports of one source on one subject are
-// queued; further ones are merged into the last, so that a source that sends often takes no more memory. When the
-// queue is full, the report of the lowest priority of the source with the most reports is dropped.
+// queued; further ones are merged into the last, so that a source that sends often uses no more memory. When the queue
+// is full, it drops the lowest-priority report of the source that has the most reports queued.
 type Queue struct {
 	limits       Limits
 	bySource     map[string]*sourceQueue
@@ -53,8 +53,9 @@
 	return &Queue{limits: limits, bySource: map[string]*sourceQueue{}, dropped: map[string]int64{}}
 }
 
-// priority returns the logarithm of the report's attempts, halved with each half-life of its age: log2(attempts + 1)
-// + t / h. Because all reports age at the same rate, their order does not change while they are queued.
+// priority returns a number that orders reports by their attempts, halved with each half-life h of their age. It is the
+// logarithm log2(attempts + 1) + t / h for a report that was sent at the instant t. Because all reports age at the same
+// rate, it does not depend on the current time, and their order does not change while they are queued.
 func (q *Queue) priority(report *Report) float64 {
 	return math.Log2(float64(report.Attempts)+1) + report.ObservedMs/math.Max(q.limits.HalfLifeMs, minPeriodMs)
 }
--- a/intake/rate_limiter.go
+++ b/intake/rate_limiter.go
@@ -28,8 +28,8 @@
 	sourceIdleTimeout = 10 * time.Second
 	// maxSources bounds the memory. Further sources share the buckets of overflowSource.
 	maxSources = 100000
-	// overflowSource is the name of all sources beyond maxSources together. No real source has a name that begins
-	// with NUL.
+	// overflowSource is the common name of all sources beyond maxSources. No real source has a name that begins with
+	// NUL.
 	overflowSource = "\x00others"
 	// minBurst is the number of reports that any source may send at once, however low its rate.
 	minBurst = 100
@@ -49,7 +49,7 @@
 	sources         map[string]*list.Element // by name, elements of recent
 	recent          *list.List               // of *source, the most recently seen first
 	shared          *rate.Limiter            // the fraction of the total rate that is not guaranteed
-	balancedSources int                      // number of sources at the last rebalance
+	balancedSources int                      // number of sources at the last rebalance; 0: there was none
 	rejected        int64                    // requests of sources that exceeded their own limit
 	shed            int64                    // requests beyond the guaranteed and the shared rate
 }
--- a/intake/reporters.go
+++ b/intake/reporters.go
@@ -3,11 +3,11 @@
 import "slices"
 
 // Reporters distinguishes new reports of one source from repeated ones, by the sequence number that each incarnation
-// of the source increments. A source that restarts sends a new incarnation id. An incarnation that reports again
-// after another one has shows that two processes report under one name. The zero value is ready to use.
+// of the source increments. A source that restarts sends a new incarnation id. If an incarnation reports again after a
+// later one did, two processes report under one name. The zero value is ready to use.
 type Reporters struct {
 	recent          []reporter // the newest last
-	duplicateSeenMs float64    // instant at which two reporters last alternated; 0: never
+	duplicateSeenMs float64    // instant at which two reporters were last seen to alternate; 0: never
 }
 
 // reporter is one incarnation of a source.
@@ -18,11 +18,11 @@
 }
 
 const (
-	maxReporters      = 4       // incarnations that are kept of one source
+	maxReporters      = 4       // incarnations of one source that are remembered
 	duplicateWindowMs = 10000.0 // time for which a name counts as duplicate after two reporters alternated
 )
 
-// Accept reports whether a report's sequence number is new, and whether two reporters use the same name.
+// Accept records a report. It reports whether the sequence number is new, and whether two reporters use the same name.
 func (r *Reporters) Accept(nowMs float64, id string, sequence int64) (isNew, duplicate bool) {
 	isNew = r.observe(nowMs, id, sequence)
 	return isNew, r.HasDuplicate(nowMs)
--- a/intake/trust.go
+++ b/intake/trust.go
@@ -6,7 +6,7 @@
 	"barleysail/routing"
 )
 
-// Trust decides which load reports of hosts are believed. It checks them against the attempts that proxies made there
+// Trust decides which load reports of hosts are used. It compares them with the attempts that proxies made at the host
 // (inconsistency). Inconsistent reports lower the confidence in a host, and below distrustThreshold its reports are
 // distrusted. The load of a host that is distrusted, or whose reports have stopped, is estimated instead. An estimate
 // never shows more headroom than the host reported, and it rises with the age of the last trusted report to
@@ -23,7 +23,7 @@
 // Capacity is the configured capacity of a host, and the fraction of its traffic that this controller observes.
 type Capacity struct {
 	Cores      float64 // CPU cores times their speed relative to the reference core; 0: unknown
-	MeanWorkMs float64 // mean CPU time of a request on a core of speed 1; 0: unknown
+	MeanWorkMs float64 // mean CPU time of a request on the reference core; 0: unknown
 	ProxyShare float64 // fraction of the proxies whose request stats this controller receives
 }
 
