--- a/intake/clock_test.go
+++ b/intake/clock_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// The age of a stamped report does not depend on the sender's clock being right, and a clock that is set does not make
-// a report look younger or older.
+// The age of a stamped report does not depend on the offset of the sender's clock, and setting the clock forward or
+// back changes no age.
 func TestClockAge(t *testing.T) {
 	const (
 		startMs = 1e12
 		hourMs  = 3600e3
 		delayMs = 20.0
-		queueMs = 2000.0 // that each tenth report waits before it is sent
+		queueMs = 2000.0 // time for which each tenth report waits before it is sent
 	)
 	for _, test := range []struct {
 		name    string
@@ -32,16 +32,16 @@
 				}
 				ageMs := clock.Age(nowMs, nowMs+test.aheadMs-totalDelayMs)
 				if math.Abs(ageMs-wantMs) > 1e-3 && i > 0 {
-					t.Fatalf("age %g of report %d with a delay of %g", ageMs, i, totalDelayMs)
+					t.Fatalf("report %d with a delay of %g ms: got age %g ms, want %g ms", i, totalDelayMs, ageMs, wantMs)
 				}
 			}
 			nowMs := startMs + 101e3
 			if ageMs := clock.Age(nowMs, nowMs+test.aheadMs+60e3); ageMs != 0 {
-				t.Errorf("age %g after the clock was set ahead by a minute", ageMs)
+				t.Errorf("got age %g ms after the clock was set forward by a minute, want 0", ageMs)
 			}
 			nowMs = startMs + 102e3
 			if ageMs := clock.Age(nowMs, nowMs+test.aheadMs-hourMs); ageMs != 0 {
-				t.Errorf("age %g after the clock was set back by an hour", ageMs)
+				t.Errorf("got age %g ms after the clock was set back by an hour, want 0", ageMs)
 			}
 		})
 	}
--- a/intake/ingest_pacer_test.go
+++ b/intake/ingest_pacer_test.go
@@ -8,7 +8,8 @@
 	"barleysail/internal/golden"
 )
 
-// A controller that falls behind sheds half of the reports, then more, then slows its rounds, and recovers by steps.
+// While rounds start late, the pacer sheds more reports with each level and slows the rounds from level 2 on. Once they
+// start on time, it returns to level 0, one level after the other.
 func TestIngestPacer(t *testing.T) {
 	var out strings.Builder
 	var pacer IngestPacer
--- a/intake/queue_test.go
+++ b/intake/queue_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// queueTrace writes what a queue does into a text that is compared with a golden file.
+// queueTrace prints the results of a queue for the golden file.
 type queueTrace struct{ out strings.Builder }
 
 func (q *queueTrace) printf(format string, args ...any) { fmt.Fprintf(&q.out, format+"\n", args...) }
@@ -36,8 +36,9 @@
 	}
 }
 
-// Reports are taken in the order of arrival while the round has room, else in turns of the sources by priority. A full
-// queue drops the lowest priority of the source with the most reports. Old reports have less weight.
+// If a round can ingest all queued reports, they are dequeued in the order of arrival, otherwise round-robin over the
+// sources and by priority. A full queue drops the lowest-priority report of the source with the most reports. Old
+// reports have less weight.
 func TestQueue(t *testing.T) {
 	var trace queueTrace
 	queue := NewQueue(Limits{MaxQueued: 6, FullWeightMs: 1000, HalfLifeMs: 1000, MaxAgeMs: 5000})
@@ -77,10 +78,10 @@
 	golden.Compare(t, "queue", trace.out.String())
 }
 
-// queueModel counts what happens to the reports that are offered to a queue.
+// queueModel counts the reports that are added to a queue, and what becomes of them.
 type queueModel struct {
-	queue                     *Queue
-	offered, dequeued, merged int
+	queue                   *Queue
+	added, dequeued, merged int
 }
 
 // reportsOf returns how many reports of a source are queued.
@@ -100,29 +101,29 @@
 	return most
 }
 
-// add offers a report, and checks that only a source with the most reports loses one.
+// add adds a report, and checks that only a source with the most reports loses one.
 func (m *queueModel) add(t *rapid.T, report Report) {
 	waitingBefore, _ := m.queue.Size()
 	droppedBefore := m.queue.dropped[QueueFull]
 	ownBefore := m.reportsOf(report.Source)
 	m.queue.Add(report)
-	m.offered++
+	m.added++
 	waiting, _ := m.queue.Size()
 	hasDropped := m.queue.dropped[QueueFull] > droppedBefore
 	if waiting == waitingBefore && !hasDropped {
 		m.merged++
 	}
 	if waiting > m.queue.limits.MaxQueued {
-		t.Fatalf("%d reports are queued", waiting)
+		t.Fatalf("got %d queued reports, want at most %d", waiting, m.queue.limits.MaxQueued)
 	}
 	own := m.reportsOf(report.Source)
 	if most := m.mostReports(); hasDropped && own < ownBefore && own+1 < most {
-		t.Fatalf("%s lost a report with %d where another source has %d", report.Source, own, most)
+		t.Fatalf("source %s with %d reports lost one, want it from the source with %d", report.Source, ownBefore, most)
 	}
 }
 
-// Whatever is offered, the queue stays within its limit, each report that is lost is counted, and no source loses a
-// report while another has more.
+// For any reports that are added, the queue stays within its limit, each dropped report is counted, and a source loses
+// a report only if no other source has more.
 func TestQueueAccountsForAllReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := queueModel{queue: NewQueue(Limits{MaxQueued: 10, FullWeightMs: 1e9, HalfLifeMs: 1000, MaxAgeMs: 1e9})}
@@ -139,9 +140,9 @@
 		}
 		waiting, _ := model.queue.Size()
 		dropped := int(model.queue.dropped[QueueFull])
-		if model.offered != model.dequeued+model.merged+dropped+waiting {
-			t.Fatalf("%d offered, %d taken, %d merged, %d dropped, %d queued",
-				model.offered, model.dequeued, model.merged, dropped, waiting)
+		if model.added != model.dequeued+model.merged+dropped+waiting {
+			t.Fatalf("got %d added reports, want the sum of %d dequeued, %d merged, %d dropped, %d queued",
+				model.added, model.dequeued, model.merged, dropped, waiting)
 		}
 	})
 }
--- a/intake/rate_limiter_test.go
+++ b/intake/rate_limiter_test.go
@@ -32,7 +32,7 @@
 	}
 	l.rejected[source] += reports
 	if retryAfter <= 0 {
-		t.Errorf("%s may retry after %v", source, retryAfter)
+		t.Errorf("source %s is rejected with retry after %v, want a positive duration", source, retryAfter)
 	}
 }
 
@@ -52,21 +52,23 @@
 	}
 }
 
-// A source that floods gets its guaranteed rate and what nobody else needs; all reports of the others are admitted.
+// A source that floods gets its guaranteed rate and the shared rate that no other source needs; all reports of the
+// others are admitted.
 func TestRateLimiterIsolatesFlood(t *testing.T) {
 	limiter := newLimiterTest(RateLimits{PerSource: 2000, Total: 1000})
 	limiter.runFlood(t)
 	for i := range 20 {
 		source := fmt.Sprint("p", i)
 		if limiter.rejected[source] > 0 || limiter.admitted[source] != 400 {
-			t.Errorf("%s: %d admitted, %d rejected", source, limiter.admitted[source], limiter.rejected[source])
+			t.Errorf("%s: got %d reports admitted and %d rejected, want 400 and 0",
+				source, limiter.admitted[source], limiter.rejected[source])
 		}
 	}
 	if admitted := limiter.admitted["flood"]; admitted < 20*500 || admitted > 20*560+2000 {
-		t.Errorf("%d reports of the flood were admitted in 20 s", admitted)
+		t.Errorf("got %d reports of the flood admitted in 20 s, want %d to %d", admitted, 20*500, 20*560+2000)
 	}
 	if report := limiter.Report(); report.Sources != 21 || report.Shed+report.Rejected == 0 {
-		t.Errorf("%+v", report)
+		t.Errorf("got %+v, want 21 sources and some requests shed or rejected", report)
 	}
 
 	limiter.SetRatio(limiter.now, 0.25)
@@ -78,23 +80,23 @@
 		}
 	}
 	if admitted := limiter.admitted["flood"]; admitted > 10*140+700 {
-		t.Errorf("at a quarter %d reports of the flood were admitted in 10 s", admitted)
+		t.Errorf("got %d reports of the flood admitted in 10 s at ratio 0.25, want at most %d", admitted, 10*140+700)
 	}
 
 	limiter.now = limiter.now.Add(time.Minute)
 	limiter.send(t, "p1", 1)
 	if sources := limiter.Report().Sources; sources != 1 {
-		t.Errorf("%d sources are known after all but one were idle", sources)
+		t.Errorf("got %d known sources after all but one were idle, want 1", sources)
 	}
 }
 
-// The number of sources that are known is bounded, however many names are used.
+// The number of known sources is bounded, however many names send reports.
 func TestRateLimiterBoundsSources(t *testing.T) {
 	limiter := NewRateLimiter(DefaultRateLimits())
 	for i := range maxSources + 1000 {
 		limiter.Allow(time.Unix(1000, 0), fmt.Sprint("p", i), 1)
 	}
 	if sources := limiter.Report().Sources; sources > maxSources+1 {
-		t.Errorf("%d sources are known", sources)
+		t.Errorf("got %d known sources, want at most %d", sources, maxSources+1)
 	}
 }
--- a/intake/reporters_test.go
+++ b/intake/reporters_test.go
@@ -8,7 +8,8 @@
 	"barleysail/internal/golden"
 )
 
-// A repeated sequence number is not new, a restarted reporter is, and two that alternate are known as duplicates.
+// A report with a repeated sequence number is not new, one of a restarted reporter is, and two reporters that alternate
+// are duplicates.
 func TestReporters(t *testing.T) {
 	var out strings.Builder
 	var reporters Reporters
@@ -27,7 +28,7 @@
 		{4600, "b", 3},
 		{20000, "b", 4},
 		{21000, "b", 5},
-		{22000, "c", 1}, // more than are remembered
+		{22000, "c", 1}, // from here on, more reporters than are remembered
 		{23000, "d", 1},
 		{24000, "e", 1},
 		{25000, "f", 1},
--- a/intake/trust_test.go
+++ b/intake/trust_test.go
@@ -76,7 +76,7 @@
 	return loads
 }
 
-// printSecond writes the loads each eighth second, and all changes of trust.
+// printSecond prints the loads in each eighth second, and all changes of trust.
 func (f *trustTest) printSecond(second int, loads map[string]routing.HostLoad) {
 	if second%8 == 0 {
 		fmt.Fprintf(&f.out, "%2d s:", second)
@@ -90,8 +90,8 @@
 	}
 }
 
-// Load reports that are false, stuck or missing are found out and replaced by estimates without free capacity; those of
-// a host that is merely slow, idle or at a steady load are trusted, also while the traffic of the fleet falls.
+// Load reports that are false, stuck or missing are detected and replaced by estimates without headroom. Reports of a
+// host that is only slow, idle or at a steady load are trusted, also while the traffic of the fleet falls.
 func TestTrust(t *testing.T) {
 	test := newTrustTest()
 	for i := range 80 {
@@ -113,7 +113,7 @@
 	golden.Compare(t, "trust", test.out.String())
 }
 
-// Whatever a host reports and proxies observe, the load in place of a report never has more free capacity.
+// For any reports of a host and observations of proxies, an estimate in place of a report never shows more headroom.
 func TestEstimateAddsNoCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		test := newTrustTest()
@@ -134,10 +134,11 @@
 			load := test.reportSecond("h", attempts, meanLatencyMs, reported, capacity)
 			isEstimate := load != reported
 			if isEstimate && (load.Utilization < reported.Utilization || load.Utilization > 1) {
-				t.Fatalf("%+v became %+v", reported, load)
+				t.Fatalf("got utilization %g in place of the reported %g, want at least that and at most 1",
+					load.Utilization, reported.Utilization)
 			}
 			if isEstimate && (load.RequestRate >= 0 || load.QueueLength >= 0) {
-				t.Fatalf("%+v became %+v", reported, load)
+				t.Fatalf("got estimate %+v, want unknown request rate and queue length", load)
 			}
 		}
 		test.nowMs += 30000
@@ -146,7 +147,7 @@
 			load := test.Load(test.nowMs, "h", routing.UnknownLoad, capacity)
 			minUtilization := DefaultLimits().UnknownUtilization - 1e-9
 			if load != routing.UnknownLoad && load.Utilization < minUtilization {
-				t.Fatalf("%+v after half a minute without reports", load)
+				t.Fatalf("got %+v after half a minute without reports, want a utilization of at least %g", load, minUtilization)
 			}
 		}
 	})
