--- a/intake/ingest_pacer_test.go
+++ b/intake/ingest_pacer_test.go
@@ -21,7 +21,7 @@
 		if !pacer.ObserveRound(latenessMs) {
 			continue
 		}
-		fmt.Fprintf(&out, "round %3d: level %d, %.3f of the intake, %d of 20000 lines, rounds %.0f times as long\n",
+		fmt.Fprintf(&out, "round %3d: level %d, ratio %.3f, %d of 20000 reports, interval factor %.0f\n",
 			round, pacer.SheddingLevel(), pacer.Ratio(), pacer.MaxReports(20000), pacer.IntervalFactor())
 	}
 	golden.Compare(t, "ingest_pacer", out.String())
--- a/intake/queue_test.go
+++ b/intake/queue_test.go
@@ -31,7 +31,7 @@
 
 func (q *queueTrace) printReports(reports []Report) {
 	for _, report := range reports {
-		q.printf("  %s of %s: %d tries, %d failed, mean %.1f, span %.0f",
+		q.printf("  %s of %s: %d attempts, %d failed, mean %.1f ms, window %.0f ms",
 			report.Source, report.Subject, report.Attempts, report.Failed, report.MeanLatencyMs, report.WindowMs)
 	}
 }
@@ -51,7 +51,7 @@
 		queue.Add(hostReport("p", "x", 1, 0))
 	}
 	queue.Add(hostReport("p", "x", 2, 0))
-	trace.printf("all, those of one source on one host beyond the fourth as one")
+	trace.printf("all reports, those of one source on one host merged from the fourth on")
 	trace.printReports(queue.Dequeue(500, 100))
 
 	for i := range 8 {
@@ -60,19 +60,19 @@
 	queue.Add(hostReport("p", "x", 1, 0))
 	queue.Add(hostReport("q", "x", 1, 0))
 	waiting, sources := queue.Size()
-	trace.printf("%d of %d sources wait, dropped %v", waiting, sources, queue.Dropped())
-	trace.printf("three of them")
+	trace.printf("%d reports of %d sources are queued, dropped %v", waiting, sources, queue.Dropped())
+	trace.printf("at most three reports")
 	trace.printReports(queue.Dequeue(800, 3))
 
 	queue.DropSource("flood")
 	waiting, _ = queue.Size()
-	trace.printf("the flood's source leaves: %d wait, dropped %v", waiting, queue.Dropped())
+	trace.printf("the source flood is dropped: %d reports are queued, dropped %v", waiting, queue.Dropped())
 
 	queue.Add(hostReport("p", "old", 100, 1000))
 	queue.Add(hostReport("p", "older", 100, 0))
 	queue.Add(Report{Source: "p", Subject: "sheet", IsDemand: true, Attempts: 100, WindowMs: 1000, ObservedMs: 1000})
 	queue.Add(hostReport("p", "too old", 100, -3000))
-	trace.printf("of two and three seconds, one of usage, and one that is too old")
+	trace.printf("reports of an age of two and three seconds, one of demand, and one that is too old")
 	trace.printReports(queue.Dequeue(3000, 100))
 	trace.printf("dropped %v", queue.Dropped())
 	golden.Compare(t, "queue", trace.out.String())
--- a/intake/reporters_test.go
+++ b/intake/reporters_test.go
@@ -35,7 +35,7 @@
 		{60000, "c", 1},
 	} {
 		isNew, duplicate := reporters.Accept(report.atMs, report.id, report.sequence)
-		fmt.Fprintf(&out, "%5.0f %s %d: news %v, twice %v\n",
+		fmt.Fprintf(&out, "%5.0f %s %d: new %v, duplicate %v\n",
 			report.atMs, report.id, report.sequence, isNew, duplicate)
 	}
 	golden.Compare(t, "reporters", out.String())
--- a/intake/trust_test.go
+++ b/intake/trust_test.go
@@ -106,10 +106,10 @@
 		test.printSecond(i+1, loads)
 	}
 	report, _ := test.Host(test.nowMs, "stops", testCapacity)
-	fmt.Fprintf(&test.out, "stops: silent %v, estimate %.2f, unsure %.2f, age %.0f ms, %.0f good tries\n",
+	fmt.Fprintf(&test.out, "stops: silent %v, estimate %.2f, uncertainty %.2f, age %.0f ms, %.0f successful attempts\n",
 		report.Silent, report.Estimate, report.Uncertainty, report.AgeMs, report.Count)
 	known, distrusted, silent := test.Count(test.nowMs)
-	fmt.Fprintf(&test.out, "%d known, %d doubted, %d silent\n", known, distrusted, silent)
+	fmt.Fprintf(&test.out, "%d known, %d distrusted, %d silent\n", known, distrusted, silent)
 	golden.Compare(t, "trust", test.out.String())
 }
 
