--- a/operator/command.go
+++ b/operator/command.go
@@ -46,11 +46,11 @@
 	DurationMs  float64    // ms after which the override expires; 0: never
 	Queue       bool       // queues the command, instead of rejecting it, where it may be applied later
 	Operator    string     // name of the operator
-	Add         *AddedHost // adds the host, which must not be on the endpoint list
-	Remove      bool       // removes a host that an operator added
+	Add         *AddedHost // adds the host, which must not exist yet; nil: adds none
+	Remove      bool       // removes a host that an operator added and that is in maintenance
 }
 
-// revertsToList reports whether the command removes every override of its host.
+// revertsToList reports whether the command sets its host back to the listed state without setting a weight.
 func (c *Command) revertsToList() bool {
 	return !c.KeepState && c.State == Listed && c.Weight < 0 && c.Add == nil
 }
--- a/operator/due.go
+++ b/operator/due.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// expiryOperator is the operator of the command that reports an override's expiry. Events and logs show it.
+// expiryOperator is the Command.Operator of an override that expired. Events and logs show it.
 const expiryOperator = "the end of its time"
 
 // pendingCheckIntervalMs is the interval in ms at which queued commands are checked, once the drain grace of the last
--- a/operator/errors.go
+++ b/operator/errors.go
@@ -6,7 +6,7 @@
 type RejectedError struct {
 	Host        string
 	Reason      string // part of the HTTP and runtime APIs
-	UnknownHost bool   // there is no such host
+	UnknownHost bool   // no host has that name
 }
 
 // Error implements error.
--- a/operator/override.go
+++ b/operator/override.go
@@ -34,7 +34,7 @@
 	case command.ClearWeight:
 		o.Weight = 0
 		o.WeightRatio = 0
-	case command.Weight == 0: // HAProxy's management guide: a weight of 0 means no new traffic
+	case command.Weight == 0: // in HAProxy's management guide, too, a server with a weight of 0 gets no new traffic
 		o.State = Draining
 	case command.Weight > 0 && command.Relative:
 		o.Weight = 0
--- a/operator/rules.go
+++ b/operator/rules.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// maxWeight is the largest weight that an operator may set. It bounds the sums of weights far from overflow.
+// maxWeight is the largest weight that an operator may set. It keeps sums of weights far from overflow.
 const maxWeight = 1_000_000
 
 // minListedWeight is the lower bound of a listed weight in the limit on the weight of a host that is warming up. It
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// checkRules returns a *RejectedError where a command would break a rule if it were applied now. A host that is not
-// in the view, being new or in maintenance, gets no traffic, so no rule limits it.
+// checkRules returns a *RejectedError where a command would break a rule if it were applied now. A host that is not in
+// the view because it is new or in maintenance gets no traffic, so no rule limits it.
 func checkRules(view *View, command *Command) error {
 	host, listed := view.host(command.Host)
 	if !listed {
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// checkLastWarmHost rejects taking traffic from the last warm host that is ready, or from the last one of a zone that
-// some request class may not leave.
+// checkLastWarmHost rejects the drain of the last warm host that is ready, or of the last one in its zone where a
+// request class may not leave the zone.
 func checkLastWarmHost(view *View, host Host) error {
 	if !host.Ready || !host.isWarm() {
 		return nil
@@ -112,18 +112,18 @@
 	return false
 }
 
-// checkAll returns a *RejectedError where a rule would be broken once all of the commands are applied, each of which
-// removes its host's traffic.
+// checkAll returns a *RejectedError where the commands, each of which removes its host's traffic, would together leave
+// too few warm hosts.
 func (s *OverrideStore) checkAll(view *View, commands []Command) error {
-	leaving := map[string]bool{}
+	draining := map[string]bool{}
 	for i := range commands {
-		leaving[commands[i].Host] = true
+		draining[commands[i].Host] = true
 	}
 	remaining := 0
 	remainingByZone := map[string]int{}
 	for i := range view.Hosts {
 		host := &view.Hosts[i]
-		if !leaving[host.Name] && host.Ready && host.isWarm() && s.overrides[host.Name].State == Listed {
+		if !draining[host.Name] && host.Ready && host.isWarm() && s.overrides[host.Name].State == Listed {
 			remaining++
 			remainingByZone[host.Zone]++
 		}
--- a/operator/store.go
+++ b/operator/store.go
@@ -73,8 +73,8 @@
 }
 
 // ApplyAll queues commands that drain several hosts, such as those of a zone, so that they are applied one by one. It
-// rejects all of them with a *RejectedError where one is invalid or the last of them could never be applied. There
-// must be at least one command.
+// rejects all of them with a *RejectedError where one is invalid or the last of them could never be applied. commands
+// must not be empty.
 func (s *OverrideStore) ApplyAll(view View, commands []Command) error {
 	for i := range commands {
 		if err := s.validate(&view, &commands[i]); err != nil {
--- a/operator/view.go
+++ b/operator/view.go
@@ -5,7 +5,7 @@
 // fullyWarm is the slow-start factor of a host that has all of its capacity.
 const fullyWarm = 1
 
-// Host is a host of the endpoint list, with the overrides applied except for the weight.
+// Host is a host of the endpoint list, with all overrides applied except for the weight.
 type Host struct {
 	Name            string
 	Zone            string
@@ -18,15 +18,16 @@
 // isWarm reports whether the host has all of its capacity.
 func (h *Host) isWarm() bool { return h.SlowStartFactor >= fullyWarm }
 
-// View is the state by which commands are checked.
+// View is the current state of the hosts, against which commands are checked.
 type View struct {
 	NowMs            float64  // current instant, ms
 	Hosts            []Host   // hosts on the endpoint list or added by operators, except those in maintenance
 	ZoneLocalClasses []string // request classes whose requests stay in their zone
 	Zones            []string // zones that have proxies
 	NoUpdatePending  bool     // all proxies acknowledged the updates that were sent to them
-	DrainGraceMs     float64  // time that a draining host keeps for its last requests
-	// Known reports whether there is a host of that name outside Hosts, as one in maintenance; nil: there is none.
+	DrainGraceMs     float64  // time that a draining host has to finish its last requests
+	// Known reports whether a host of that name exists that is not in Hosts, such as one in maintenance; nil: none
+	// does.
 	Known func(host string) bool
 }
 
