--- a/operator/simulation_test.go
+++ b/operator/simulation_test.go
@@ -10,7 +10,7 @@
 // drainGraceMs is the drain grace of the simulations.
 const drainGraceMs = 3000
 
-// simulation is an override store and the hosts that it is about, with a clock. Like the controller, it applies the
+// simulation is an override store with its hosts and a simulated clock. Like the controller, it applies the
 // overrides to the hosts before it passes them back to the store as a view.
 type simulation struct {
 	*OverrideStore
@@ -20,7 +20,8 @@
 	log              *strings.Builder
 }
 
-// newSimulation has two warm hosts and one that is warming up in zone a, and one warm host in zone b.
+// newSimulation returns a simulation with two warm hosts and one that is warming up in zone a, and one warm host in
+// zone b.
 func newSimulation() *simulation {
 	return &simulation{
 		OverrideStore: NewOverrideStore(),
@@ -64,17 +65,17 @@
 	return listed || s.overrides[name].Added != nil
 }
 
-// hasWarmReadyHost reports whether some host can take all of its traffic.
+// hasWarmReadyHost reports whether at least one warm host is ready.
 func (s *simulation) hasWarmReadyHost() bool {
 	return slices.ContainsFunc(s.view().Hosts, func(host Host) bool { return host.Ready && host.SlowStartFactor >= 1 })
 }
 
-// logf adds a line to the log, with the instant.
+// logf adds a line to the log, with the current time.
 func (s *simulation) logf(format string, args ...any) {
 	fmt.Fprintf(s.log, "%6.0f  "+format+"\n", append([]any{s.nowMs}, args...)...)
 }
 
-// apply applies a command and logs what became of it.
+// apply applies a command and logs its outcome.
 func (s *simulation) apply(command Command) {
 	queued, err := s.Apply(s.view(), command)
 	outcome := "applied"
@@ -87,7 +88,7 @@
 	s.logf("%s %v weight %g relative %v: %s", command.Host, command.State, command.Weight, command.Relative, outcome)
 }
 
-// advance advances the time, and logs the commands that are applied when they are due.
+// advance advances the clock, and applies and logs the commands that become due.
 func (s *simulation) advance(durationMs float64) {
 	endMs := s.nowMs + durationMs
 	for {
@@ -115,11 +116,11 @@
 	}
 }
 
-// mustApply applies a command that must be applied at once.
+// mustApply applies a command, and fails the test if it is rejected or queued.
 func (s *simulation) mustApply(t *testing.T, command Command) {
 	t.Helper()
 	queued, err := s.Apply(s.view(), command)
 	if err != nil || queued {
-		t.Fatalf("%+v: queued %v, error %v", command, queued, err)
+		t.Fatalf("%+v: got queued %v, error %v, want false and no error", command, queued, err)
 	}
 }
--- a/operator/store_test.go
+++ b/operator/store_test.go
@@ -17,7 +17,7 @@
 // drain returns the command that drains a host.
 func drain(host string) Command { return Command{Host: host, State: Draining, Weight: keepWeight} }
 
-// TestCommands compares what becomes of each kind of command with the golden file.
+// TestCommands compares the outcome of each kind of command, at once and later, with the golden file.
 func TestCommands(t *testing.T) {
 	s := newSimulation()
 	logDrainWithExpiry(s)
@@ -86,8 +86,8 @@
 	s.apply(Command{Host: "c1", State: Maintenance, Weight: keepWeight, Remove: true})
 }
 
-// TestApplyAllDrainsOneByOne checks that the drain of a zone goes host by host, each once the grace of the one before
-// is over.
+// TestApplyAllDrainsOneByOne checks that the hosts of a zone are drained one after the other, each once the drain grace
+// of the one before is over.
 func TestApplyAllDrainsOneByOne(t *testing.T) {
 	s := newSimulation()
 	if err := s.ApplyAll(s.view(), []Command{drain("a1"), drain("a2"), drain("a3")}); err != nil {
@@ -105,7 +105,7 @@
 }
 
 // TestApplyAllRejects checks that commands which would leave no warm host, or none in a zone that a class may not
-// leave, are rejected together and none of them queued.
+// leave, are all rejected, and that none of them is queued.
 func TestApplyAllRejects(t *testing.T) {
 	tests := []struct {
 		name             string
@@ -140,7 +140,7 @@
 			checkRejected(t, s.ApplyAll(s.view(), test.commands), test.want)
 			for _, command := range test.commands {
 				if _, pending := s.Pending(command.Host); pending {
-					t.Errorf("%s is queued", command.Host)
+					t.Errorf("got a queued command of %s, want none", command.Host)
 				}
 			}
 		})
@@ -152,10 +152,10 @@
 	t.Helper()
 	var rejected *RejectedError
 	if !errors.As(err, &rejected) {
-		t.Fatalf("error %v, want %v", err, &want)
+		t.Fatalf("got error %v, want %v", err, &want)
 	}
 	if *rejected != want {
-		t.Errorf("rejected with %+v, want %+v", *rejected, want)
+		t.Errorf("got rejection %+v, want %+v", *rejected, want)
 	}
 }
 
@@ -181,7 +181,7 @@
 			_, err := s.Apply(s.view(), test.command)
 			checkRejected(t, err, RejectedError{Host: "a1", Reason: test.reason})
 			if _, found := s.Override("a1"); found {
-				t.Error("a rejected command left an override")
+				t.Error("got an override after a rejected command, want none")
 			}
 		})
 	}
@@ -194,22 +194,22 @@
 	for _, weight := range []float64{2, 3} {
 		queued, err := s.Apply(s.view(), Command{Host: "a3", Weight: weight, KeepState: true, Queue: true})
 		if err != nil || !queued {
-			t.Fatalf("weight %g: queued %v, error %v", weight, queued, err)
+			t.Fatalf("weight %g: got queued %v, error %v, want true and no error", weight, queued, err)
 		}
 	}
 	if command, found := s.Pending("a3"); !found || command.Weight != 3 {
-		t.Errorf("pending %v with weight %g, want the last command, with weight 3", found, command.Weight)
+		t.Errorf("got pending %v with weight %g, want the last command, with weight 3", found, command.Weight)
 	}
 	if _, found := s.Pending("a1"); found {
-		t.Error("a host without a queued command has one pending")
+		t.Error("got a pending command of a host without a queued one, want none")
 	}
 	s.mustApply(t, Command{Host: "a3", Weight: keepWeight})
 	if _, found := s.Pending("a3"); found {
-		t.Error("still pending after a command back to the listed state")
+		t.Error("got a pending command after one back to the listed state, want none")
 	}
 }
 
-// TestRestore checks that restored overrides are the ones that were set, and that empty ones are not kept.
+// TestRestore checks that restored overrides are equal to the ones that were set, and that empty ones are dropped.
 func TestRestore(t *testing.T) {
 	before := newSimulation()
 	before.mustApply(t, Command{Host: "a1", Weight: 3, KeepState: true})
@@ -221,15 +221,15 @@
 	}
 	after.Restore("a3", Override{Operator: "x"})
 	if len(after.Overrides()) != 3 {
-		t.Errorf("restored %v, want those of a1, a2 and b1", after.Overrides())
+		t.Errorf("got restored overrides %v, want those of a1, a2 and b1", after.Overrides())
 	}
 	for host, hasWeight := range map[string]bool{"a1": true, "a2": true, "a3": false, "b1": false} {
 		if got := after.HasWeight(host); got != hasWeight {
-			t.Errorf("%s: weight set %v, want %v", host, got, hasWeight)
+			t.Errorf("HasWeight(%s) = %v, want %v", host, got, hasWeight)
 		}
 		want, wasSet := before.Override(host)
 		if got, isSet := after.Override(host); isSet != wasSet || got != want {
-			t.Errorf("%s: %+v, want %+v", host, got, want)
+			t.Errorf("%s: got override %+v, found %v, want %+v, %v", host, got, isSet, want, wasSet)
 		}
 	}
 }
@@ -251,14 +251,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			got, known := ParseState(test.name)
 			if got != test.want || known != test.known {
-				t.Errorf("got %v, %v, want %v, %v", got, known, test.want, test.known)
+				t.Errorf("ParseState(%q) = %v, %v, want %v, %v", test.name, got, known, test.want, test.known)
 			}
 		})
 	}
 }
 
-// TestAWarmHostStaysReady checks, over random commands and pauses, that a warm host stays ready, also by queued
-// commands that are applied later.
+// TestAWarmHostStaysReady checks, over random commands and pauses, that at least one warm host is always ready, also
+// after queued commands are applied.
 func TestAWarmHostStaysReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation()
@@ -267,12 +267,12 @@
 			_, err := s.Apply(s.view(), drawCommand(t))
 			var rejected *RejectedError
 			if err != nil && !errors.As(err, &rejected) {
-				t.Fatalf("an error that is no rejection: %v", err)
+				t.Fatalf("got error %v, want none or a *RejectedError", err)
 			}
 			s.nowMs += rapid.SampledFrom([]float64{0, 300, 4000}).Draw(t, "pause")
 			s.ApplyDue(s.view())
 			if !s.hasWarmReadyHost() {
-				t.Fatalf("no warm host is ready: %+v", s.overrides)
+				t.Fatalf("got no warm host that is ready, want at least one; overrides %+v", s.overrides)
 			}
 		}
 	})
