--- a/auth/errors.go
+++ b/auth/errors.go
@@ -10,9 +10,9 @@
 	// ErrNoScheme means that a rule's ID is not a SPIFFE ID.
 	ErrNoScheme = errors.New("does not begin with spiffe://")
 	// ErrNoPath means that a rule's ID has only a trust domain.
-	ErrNoPath = errors.New("a path is needed, a trust domain alone names nobody")
+	ErrNoPath = errors.New("the path is missing: a trust domain alone identifies no caller")
 	// ErrNoAction means that a rule lists no action.
-	ErrNoAction = errors.New("no action is allowed")
+	ErrNoAction = errors.New("no actions are listed")
 )
 
 // UnknownActionError means that no action has the name.
@@ -20,7 +20,7 @@
 
 // Error implements error.
 func (e *UnknownActionError) Error() string {
-	return fmt.Sprintf("%q is no action: %v are", e.Name, actions)
+	return fmt.Sprintf("unknown action %q, want one of %v", e.Name, actions)
 }
 
 // RuleError is the reason why a rule is invalid.
--- a/auth/policy.go
+++ b/auth/policy.go
@@ -44,5 +44,5 @@
 		rule := &p.rules[i]
 		lines = append(lines, fmt.Sprintf("rule %d: %s may %v", i, rule.id, rule.actions))
 	}
-	return append(lines, "what no rule allows is denied")
+	return append(lines, "requests that no rule allows are denied")
 }
--- a/auth/policy_test.go
+++ b/auth/policy_test.go
@@ -85,7 +85,7 @@
 	)
 	want := "rule 0: spiffe://race.example/operator/* may [see set]\n" +
 		"rule 1: spiffe://race.example/steward/* may [follow]\n" +
-		"what no rule allows is denied"
+		"requests that no rule allows are denied"
 	if got := strings.Join(policy.Rules(), "\n"); got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
--- a/auth/rule_test.go
+++ b/auth/rule_test.go
@@ -17,7 +17,7 @@
 	}{
 		{"no scheme", "race.example/x", []Action{See}, `"race.example/x" does not begin with spiffe://`},
 		{"no path", "spiffe://race.example", []Action{See},
-			`"spiffe://race.example": a path is needed, a trust domain alone names nobody`},
+			`"spiffe://race.example": the path is missing: a trust domain alone identifies no caller`},
 		{"capital in the trust domain", "spiffe://Race.example/x", []Action{See}, `"spiffe://Race.example/x": `},
 		{"port", "spiffe://race.example:80/x", []Action{See}, `"spiffe://race.example:80/x": `},
 		{"empty segment", "spiffe://race.example/x/", []Action{See}, `"spiffe://race.example/x/": segment "": `},
@@ -25,7 +25,7 @@
 		{"dots", "spiffe://race.example/../x", []Action{See}, `"spiffe://race.example/../x": segment "..": `},
 		{"unknown capture", "spiffe://race.example/{who}", []Action{See},
 			`"spiffe://race.example/{who}": segment "{who}": `},
-		{"no action", "spiffe://race.example/x", nil, `"spiffe://race.example/x": no action is allowed`},
+		{"no action", "spiffe://race.example/x", nil, `"spiffe://race.example/x": no actions are listed`},
 		{"poll for any proxy", "spiffe://race.example/forwarder/{zone}", []Action{Poll},
 			`"spiffe://race.example/forwarder/{zone}": poll needs {proxy} in the path, or * for any`},
 		{"report for any host", "spiffe://race.example/host", []Action{Report},
@@ -93,7 +93,7 @@
 	if !errors.As(err, &unknown) || unknown.Name != "rule" {
 		t.Fatalf("error %v, want an UnknownActionError", err)
 	}
-	checkText(t, err, `"rule" is no action: [poll sums report see set follow] are`)
+	checkText(t, err, `unknown action "rule", want one of [poll sums report see set follow]`)
 }
 
 func TestHostSegment(t *testing.T) {
