--- a/auth/action.go
+++ b/auth/action.go
@@ -8,15 +8,15 @@
 const (
 	// Poll reads the routing tables of a proxy of a zone, and removes the proxy when it shuts down.
 	Poll Action = "poll"
-	// Stats posts the request statistics of a proxy.
+	// Stats posts the request stats of a proxy.
 	Stats Action = "sums"
-	// Report posts the load of a host.
+	// Report posts the load reports of a host.
 	Report Action = "report"
 	// See reads hosts, proxies, tables, events and status.
 	See Action = "see"
-	// Set changes operators' overrides.
+	// Set changes the overrides of operators.
 	Set Action = "set"
-	// Follow reads the state, for a standby.
+	// Follow reads the state of the controller, for a standby.
 	Follow Action = "follow"
 )
 
@@ -32,8 +32,8 @@
 	return action, nil
 }
 
-// requiredCapture returns the segment that a rule's path must have to allow the action, or "" if none is required: an
-// identity that acts for a proxy or a host must name it.
+// requiredCapture returns the capture that a rule's path must have to allow the action, or "" if none is required. The
+// path of an identity that acts for a proxy or a host must name it.
 func (a Action) requiredCapture() string {
 	switch a {
 	case Poll, Stats:
--- a/auth/errors.go
+++ b/auth/errors.go
@@ -15,7 +15,7 @@
 	ErrNoAction = errors.New("no actions are listed")
 )
 
-// UnknownActionError means that no action has the name.
+// UnknownActionError means that no action has the given name.
 type UnknownActionError struct{ Name string }
 
 // Error implements error.
--- a/auth/rule.go
+++ b/auth/rule.go
@@ -11,7 +11,7 @@
 // scheme begins every SPIFFE ID.
 const scheme = "spiffe://"
 
-// Segments of a rule's path that are not literal.
+// Segments of a rule's path that are not literal: a wildcard and captures.
 const (
 	wildcard     = "*" // any segment
 	captureProxy = "{proxy}"
@@ -25,9 +25,9 @@
 	Proxy, Zone, Host string
 }
 
-// Rule allows actions to the identities that match a pattern: a trust domain and a path. The segments of the path are
-// literal, * for any segment, or {proxy}, {zone} or {host} for the one that the request names. A host's segment is
-// its HostSegment.
+// Rule allows actions to the identities that match a pattern: a trust domain and a path. A segment of the path is
+// literal, * for any segment, or a capture: {proxy}, {zone} or {host} for the one that the request names, where a host
+// is written as its HostSegment.
 type Rule struct {
 	id      string // the pattern as configured, for messages
 	domain  spiffeid.TrustDomain
@@ -44,7 +44,7 @@
 	return rule, nil
 }
 
-// parseRule parses a rule. Its errors are causes of a RuleError.
+// parseRule parses a rule. Its errors are the causes that NewRule wraps in a RuleError.
 func parseRule(id string, allowed []Action) (Rule, error) {
 	rest, hasScheme := strings.CutPrefix(id, scheme)
 	if !hasScheme {
@@ -127,8 +127,8 @@
 	}
 }
 
-// HostSegment returns the path segment of a host, address:port. Paths of SPIFFE IDs have neither colons nor brackets,
-// so _ replaces the colon before the port, - those of an IPv6 address, and brackets are omitted.
+// HostSegment returns the path segment for a host with the name address:port. Paths of SPIFFE IDs have neither colons
+// nor brackets, so _ replaces the colon before the port, - replaces those of an IPv6 address, and brackets are omitted.
 func HostSegment(host string) string {
 	port := strings.LastIndexByte(host, ':')
 	if port >= 0 {
--- a/auth/tokens.go
+++ b/auth/tokens.go
@@ -5,12 +5,12 @@
 	"crypto/sha256"
 )
 
-// digest identifies a token without keeping its text.
+// digest is the SHA-256 of a token's text. It identifies the token in the record, which must not hold the text.
 type digest [sha256.Size]byte
 
-// Tokens rejects copied bearer tokens: a token is bound to the connection on which it was first used, until it
-// expires. On any other connection it is rejected, even if its owner reconnected: the owner needs a fresh token.
-// Tokens is not safe for concurrent use.
+// Tokens rejects copied bearer tokens: until it expires, a token is bound to the connection on which it was first used.
+// On any other connection it is rejected, even if its owner reconnects: a new connection needs a new token. Tokens is
+// not safe for concurrent use.
 type Tokens struct {
 	maxTokens int
 	byDigest  map[digest]*token
@@ -29,9 +29,9 @@
 	return &Tokens{maxTokens: maxTokens, byDigest: map[digest]*token{}}
 }
 
-// Use reports whether a token may be used on a connection now; instants are in ms. It returns false for an expired
-// token, for one that is bound to another connection, and for a new one while the record is full: removing a token
-// before it expires would allow the use of a copy.
+// Use reports whether a token may be used on a connection now, and binds a new token to it; instants are in ms. It
+// returns false for an expired token, for one that is bound to another connection, and for a new one while the record
+// is full: removing another token before it expires would allow the use of a copy of that one.
 func (t *Tokens) Use(nowMs float64, text string, expiresMs float64, connection int64) bool {
 	t.dropExpired(nowMs)
 	if expiresMs <= nowMs {
