--- a/auth/policy_test.go
+++ b/auth/policy_test.go
@@ -33,7 +33,7 @@
 	return rule
 }
 
-// TestPolicy compares what the policy decides, and why it denies, with the golden file.
+// TestPolicy compares the verdicts of the policy, and its reasons for a denial, with the golden file.
 func TestPolicy(t *testing.T) {
 	const (
 		proxyID    = "spiffe://race.example/forwarder/addis/f1"
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestNobodyActsAsAnother checks, over random requests, that an identity which names a proxy and a zone may poll and
-// post for these alone.
+// TestNobodyActsAsAnother checks, over random requests, that an identity which names a proxy and a zone may only poll
+// and post request stats, and only for that proxy in that zone.
 func TestNobodyActsAsAnother(t *testing.T) {
 	policy := newTestPolicy(t)
 	name := rapid.SampledFrom([]string{"a", "b", "a-b", "addis", "10.0.1.1:9000", "10.0.1.1_9000", "[::1]:80", ""})
@@ -113,7 +113,7 @@
 		isProxyAction := request.Action == Poll || request.Action == Stats
 		want := isProxyAction && request.Proxy == proxy && request.Zone == zone
 		if got := policy.Decide(id, request).Allowed; got != want {
-			t.Fatalf("%s %+v: allowed %v, want %v", id, request, got, want)
+			t.Fatalf("%s %+v: got allowed %v, want %v", id, request, got, want)
 		}
 	})
 }
--- a/auth/rule_test.go
+++ b/auth/rule_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestNewRuleErrors checks that rules which cannot be meant are rejected, with the reason and their ID. wantText is
-// the whole text, or its beginning where the rest is of the spiffeid package.
+// TestNewRuleErrors checks that invalid rules are rejected with their ID and the reason. wantText is the whole text of
+// the error, or its beginning where the spiffeid package writes the rest.
 func TestNewRuleErrors(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -36,10 +36,10 @@
 			_, err := NewRule(test.id, test.allowed)
 			var ruleError *RuleError
 			if !errors.As(err, &ruleError) {
-				t.Fatalf("error %v, want a RuleError", err)
+				t.Fatalf("got error %v, want a *RuleError", err)
 			}
 			if ruleError.ID != test.id || errors.Unwrap(err) == nil {
-				t.Errorf("rule %q with the cause %v, want %q and a cause", ruleError.ID, ruleError.Err, test.id)
+				t.Errorf("got ID %q, cause %v, want ID %q and a cause", ruleError.ID, ruleError.Err, test.id)
 			}
 			checkText(t, err, test.wantText)
 		})
@@ -54,7 +54,7 @@
 		got = got[:len(want)]
 	}
 	if got != want {
-		t.Errorf("error text %q, want %q", err, want)
+		t.Errorf("got error text %q, want %q", err, want)
 	}
 }
 
@@ -62,36 +62,36 @@
 func TestRuleErrorCauses(t *testing.T) {
 	for id, want := range map[string]error{"race.example/x": ErrNoScheme, "spiffe://race.example": ErrNoPath} {
 		if _, err := NewRule(id, []Action{See}); !errors.Is(err, want) {
-			t.Errorf("%q: error %v, want %v", id, err, want)
+			t.Errorf("%q: got error %v, want %v", id, err, want)
 		}
 	}
 	if _, err := NewRule("spiffe://race.example/x", nil); !errors.Is(err, ErrNoAction) {
-		t.Errorf("error %v, want %v", err, ErrNoAction)
+		t.Errorf("got error %v, want %v", err, ErrNoAction)
 	}
 	var segment *SegmentError
 	if _, err := NewRule("spiffe://race.example/a/..", []Action{See}); !errors.As(err, &segment) {
-		t.Errorf("error %v, want a SegmentError", err)
+		t.Errorf("got error %v, want a *SegmentError", err)
 	} else if segment.Segment != ".." || segment.Unwrap() == nil {
-		t.Errorf("segment %q with the cause %v, want .. and a cause", segment.Segment, segment.Err)
+		t.Errorf("got segment %q, cause %v, want segment \"..\" and a cause", segment.Segment, segment.Err)
 	}
 	var missing *MissingCaptureError
 	if _, err := NewRule("spiffe://race.example/x", []Action{Stats}); !errors.As(err, &missing) {
-		t.Errorf("error %v, want a MissingCaptureError", err)
+		t.Errorf("got error %v, want a *MissingCaptureError", err)
 	} else if missing.Action != Stats || missing.Capture != "{proxy}" {
-		t.Errorf("%s needs %s, want sums and {proxy}", missing.Action, missing.Capture)
+		t.Errorf("got action %s, capture %s, want sums, {proxy}", missing.Action, missing.Capture)
 	}
 }
 
 func TestParseAction(t *testing.T) {
 	for _, want := range []Action{Poll, Stats, Report, See, Set, Follow} {
 		if got, err := ParseAction(string(want)); err != nil || got != want {
-			t.Errorf("%s is parsed as %q, error %v", want, got, err)
+			t.Errorf("ParseAction(%q) = %q, error %v, want the action and no error", want, got, err)
 		}
 	}
 	_, err := ParseAction("rule")
 	var unknown *UnknownActionError
 	if !errors.As(err, &unknown) || unknown.Name != "rule" {
-		t.Fatalf("error %v, want an UnknownActionError", err)
+		t.Fatalf("got error %v, want an *UnknownActionError of \"rule\"", err)
 	}
 	checkText(t, err, `unknown action "rule", want one of [poll sums report see set follow]`)
 }
@@ -107,7 +107,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := HostSegment(test.host); got != test.want {
-				t.Errorf("got %q, want %q", got, test.want)
+				t.Errorf("HostSegment(%q) = %q, want %q", test.host, got, test.want)
 			}
 		})
 	}
--- a/auth/tokens.go
+++ b/auth/tokens.go
@@ -5,7 +5,7 @@
 	"crypto/sha256"
 )
 
-// digest is the SHA-256 of a token's text. It identifies the token in the record, which must not hold the text.
+// digest is the SHA-256 hash of a token's text. It identifies a token without storing the text.
 type digest [sha256.Size]byte
 
 // Tokens rejects copied bearer tokens: until it expires, a token is bound to the connection on which it was first used.
