--- a/publisher/fake_proxy_test.go
+++ b/publisher/fake_proxy_test.go
@@ -124,8 +124,8 @@
 	return weight
 }
 
-// takesTraffic reports whether a backend has a server that takes traffic.
-func (p *fakeProxy) takesTraffic(backend string) bool {
+// hasReadyServer reports whether a backend has a server that takes traffic.
+func (p *fakeProxy) hasReadyServer(backend string) bool {
 	for _, state := range p.servers {
 		if state.Backend == backend && state.Admin == 0 && state.Weight > 0 {
 			return true
@@ -134,8 +134,8 @@
 	return false
 }
 
-// drive sends the proxy the updater's commands, at most maxCommands. The only errors may be rejections.
-func (p *fakeProxy) drive(updater *ProxyUpdater, nowMs float64, maxCommands int) {
+// sendCommands sends the proxy the updater's commands, at most maxCommands. The only errors may be rejections.
+func (p *fakeProxy) sendCommands(updater *ProxyUpdater, nowMs float64, maxCommands int) {
 	p.t.Helper()
 	for range maxCommands {
 		command, ok := updater.NextCommand(nowMs)
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -56,7 +56,7 @@
 // ObserveServers records the proxy's state as "show servers state" returns it: after connecting, and periodically,
 // since others may change it too. It returns the number of servers that differ from the state that this updater set.
 func (p *ProxyUpdater) ObserveServers(nowMs float64, states []haproxy.ServerState) (foreignChanges int) {
-	fresh := map[string]map[string]server{}
+	current := map[string]map[string]server{}
 	for i := range states {
 		state := &states[i]
 		observed := newServer(nowMs, state)
@@ -67,16 +67,16 @@
 		if observed != known || !isKnown {
 			foreignChanges++
 		}
-		if fresh[state.Backend] == nil {
-			fresh[state.Backend] = map[string]server{}
+		if current[state.Backend] == nil {
+			current[state.Backend] = map[string]server{}
 		}
-		fresh[state.Backend][state.Server] = observed
+		current[state.Backend][state.Server] = observed
 	}
-	foreignChanges += countMissing(p.servers, fresh)
+	foreignChanges += countMissing(p.servers, current)
 	if !p.observed {
 		foreignChanges = 0
 	}
-	p.servers = fresh
+	p.servers = current
 	p.observed = true
 	p.inFlight = nil
 	p.plan = nil
@@ -95,12 +95,12 @@
 	}
 }
 
-// countMissing returns the number of known servers that are not among the fresh ones.
-func countMissing(known, fresh map[string]map[string]server) int {
+// countMissing returns the number of known servers that the proxy no longer has.
+func countMissing(known, current map[string]map[string]server) int {
 	missing := 0
 	for backend, servers := range known {
 		for name := range servers {
-			if _, ok := fresh[backend][name]; !ok {
+			if _, ok := current[backend][name]; !ok {
 				missing++
 			}
 		}
@@ -145,7 +145,7 @@
 	if !p.observed || p.inFlight != nil {
 		return false
 	}
-	next := p.peek(nowMs)
+	next := p.nextPlanned(nowMs)
 	return next == nil || next.removesServer()
 }
 
@@ -154,7 +154,7 @@
 	if !p.observed || p.inFlight != nil {
 		return "", false
 	}
-	next := p.peek(nowMs)
+	next := p.nextPlanned(nowMs)
 	if next == nil {
 		return "", false
 	}
@@ -163,9 +163,9 @@
 	return next.text(), true
 }
 
-// peek returns the first command of the plan, or nil if there is nothing to do. It builds a new plan where the last
-// one is done.
-func (p *ProxyUpdater) peek(nowMs float64) *command {
+// nextPlanned returns the first command of the plan, or nil if there is nothing to do. It builds a new plan where the
+// last one is done.
+func (p *ProxyUpdater) nextPlanned(nowMs float64) *command {
 	if len(p.plan) == 0 {
 		p.plan = p.buildPlan(nowMs)
 	}
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -39,7 +39,7 @@
 	var out strings.Builder
 	step := func(title string, nowMs float64) {
 		proxy.commands = nil
-		proxy.drive(updater, nowMs, 100)
+		proxy.sendCommands(updater, nowMs, 100)
 		fmt.Fprintf(&out, "%s at %.0f, settled %v\n", title, nowMs, updater.Converged(nowMs))
 		for _, command := range proxy.commands {
 			fmt.Fprintln(&out, "  "+command)
@@ -105,21 +105,21 @@
 	proxy := newFakeProxy(t, "old:80", "a:80")
 	updater := NewProxyUpdater(3000)
 	updater.ObserveServers(0, proxy.states())
-	expect := func(wantMs float64) {
+	checkDeadline := func(wantMs float64) {
 		t.Helper()
 		if deadlineMs := updater.NextDeadlineMs(); deadlineMs != wantMs {
 			t.Errorf("the deadline is %g, want %g", deadlineMs, wantMs)
 		}
 	}
-	expect(math.Inf(1))
+	checkDeadline(math.Inf(1))
 	updater.SetTarget(routingTables(1, weightedHost{"a:80", 1}))
-	proxy.drive(updater, 1000, 100)
-	expect(4000)
+	proxy.sendCommands(updater, 1000, 100)
+	checkDeadline(4000)
 	if !updater.Converged(4000) {
 		t.Error("a drained server counts as unsettled")
 	}
-	proxy.drive(updater, 4000, 100)
-	expect(math.Inf(1))
+	proxy.sendCommands(updater, 4000, 100)
+	checkDeadline(math.Inf(1))
 }
 
 // A backend without any server gets its first one.
@@ -128,8 +128,8 @@
 	updater := NewProxyUpdater(3000)
 	updater.ObserveServers(0, proxy.states())
 	updater.SetTarget(routingTables(1, weightedHost{"a:80", 1}))
-	proxy.drive(updater, 0, 100)
-	if !proxy.takesTraffic("sheet") || !updater.Converged(0) {
+	proxy.sendCommands(updater, 0, 100)
+	if !proxy.hasReadyServer("sheet") || !updater.Converged(0) {
 		t.Errorf("%v after %v", proxy.servers, proxy.commands)
 	}
 }
@@ -173,12 +173,12 @@
 	}
 }
 
-// settle advances the time and passes readings until the updater reaches its target.
-func (u *updaterTest) settle() {
+// converge passes time and readings of the state for as long as the updater needs to reach its target.
+func (u *updaterTest) converge() {
 	for range 3 {
 		u.nowMs += 2000
 		u.updater.ObserveServers(u.nowMs, u.proxy.states())
-		u.proxy.drive(u.updater, u.nowMs, 1000)
+		u.proxy.sendCommands(u.updater, u.nowMs, 1000)
 	}
 }
 
@@ -215,13 +215,13 @@
 			test.nowMs += rapid.SampledFrom([]float64{1, 400, 1500}).Draw(t, "pauseMs")
 			test.drawChange()
 			for range rapid.IntRange(0, 12).Draw(t, "commands") {
-				test.proxy.drive(test.updater, test.nowMs, 1)
-				if !test.proxy.takesTraffic("sheet") {
+				test.proxy.sendCommands(test.updater, test.nowMs, 1)
+				if !test.proxy.hasReadyServer("sheet") {
 					t.Fatalf("no server takes traffic after %v", test.proxy.commands)
 				}
 			}
 		}
-		test.settle()
+		test.converge()
 		if test.target != nil {
 			test.checkTarget()
 		}
