--- a/publisher/command.go
+++ b/publisher/command.go
@@ -10,7 +10,7 @@
 // request class in thousandths, for the proxy's own rules. The class name follows it.
 const AdmissionRatioVariablePrefix = "share_"
 
-// ratioUnits is the number of units in which an admission ratio of 1 is written.
+// ratioUnits is the number that is sent for an admission ratio of 1: ratios are sent in thousandths.
 const ratioUnits = 1000
 
 // operation is the kind of a command of the runtime API.
@@ -78,7 +78,7 @@
 func (e *RejectedError) Error() string { return e.Command + ": " + e.Response }
 
 // successPrefixes are the prefixes, in lower case, of responses that report success. An empty response reports
-// success, too; any other one is a rejection.
+// success, too. Any other response is a rejection.
 var successPrefixes = []string{"new server registered", "server deleted"}
 
 // isSuccess reports whether a response reports success.
--- a/publisher/counters.go
+++ b/publisher/counters.go
@@ -12,8 +12,8 @@
 // maxCounter is the largest counter value that is accepted; a larger one counts as 0.
 const maxCounter = 1e15
 
-// Counters converts the cumulative counters of a proxy's "show stat" into request stats: their increase since the
-// last reading. A counter that is lower than before was reset. Use [NewCounters] to create one.
+// Counters converts the cumulative counters of a proxy's "show stat" into request stats by their increase since the
+// last reading. A counter that is lower than before counts as reset. Use [NewCounters] to create one.
 type Counters struct {
 	previous    map[string]serverCounters // by backend/server
 	readMs      float64                   // instant of the last reading
@@ -34,10 +34,10 @@
 	return &Counters{previous: map[string]serverCounters{}, sender: sender}
 }
 
-// Read returns the request stats since the last reading, by the rows of "show stat". ok is false at the first
-// reading, which only sets the baseline. Attempts are the sessions and the failed connections of a server, failed
-// attempts are those whose connection or response failed, and the mean latency is the average that the proxy
-// publishes over its latest sessions. Servers for which isKnownHost is false are omitted.
+// Read records the counters in the rows of "show stat", and returns the request stats since the last reading. ok is
+// false at the first reading, which only sets the baseline. Attempts are the sessions and the failed connections of a
+// server, failed attempts are those whose connection or response failed, and the mean latency is the average that the
+// proxy reports over its latest sessions. Servers for which isKnownHost returns false are omitted.
 func (c *Counters) Read(
 	nowMs float64, rows []haproxy.Row, isKnownHost func(host string) bool,
 ) (stats controller.ProxyStats, ok bool) {
--- a/publisher/plan.go
+++ b/publisher/plan.go
@@ -10,9 +10,11 @@
 	// maxRejections is the number of rejected commands after which a server gets no command until the proxy's state
 	// is read again.
 	maxRejections = 3
-	// minRatioChange is the smallest change of an admission ratio that is published: half of its unit.
+	// minRatioChange is the smallest change of an admission ratio that is published: half of the unit in which it is
+	// sent.
 	minRatioChange = 0.5 / ratioUnits
-	// unpublishedRatio is the published admission ratio of a class for which the proxy has none yet.
+	// unpublishedRatio replaces the published admission ratio of a class for which the proxy has none yet. It is
+	// below any ratio, so that the first one is always published.
 	unpublishedRatio = -1
 )
 
@@ -21,15 +23,16 @@
 	key          serverKey
 	exists       bool
 	current      server
-	targetWeight int // 0: it should be removed
+	targetWeight int // 0: the server is to be removed
 }
 
 // planStep returns the command of one kind that a server needs, or nil.
 type planStep func(nowMs float64, diff serverDiff) *command
 
-// buildPlan returns the most urgent commands, all of one kind, in the order of backends and servers. Servers that
-// should get traffic come first, then weights, drains, removals, and last the admission ratios. A backend is
-// therefore never left without a ready server, since drains wait until other servers are ready.
+// buildPlan returns the most urgent commands, all of one planStep, in the order of backends and servers. Servers that
+// should get traffic are started first, then weights are changed, servers drained and removed, and last the admission
+// ratios are set. Since drains wait until other servers are ready, a backend with a target is never left without a
+// ready server.
 func (p *ProxyUpdater) buildPlan(nowMs float64) []*command {
 	diffs := p.diffServers()
 	for _, step := range []planStep{p.startServer, p.updateWeight, p.drainServer, p.removeServer} {
@@ -97,7 +100,8 @@
 	return &command{operation: setWeight, server: diff.key, weight: diff.targetWeight}
 }
 
-// drainServer drains a server that should get no traffic, once another server of its backend is ready.
+// drainServer drains a server that should get no traffic, once a server of its backend that should get traffic is
+// ready. A backend whose target has no servers is drained at once.
 func (p *ProxyUpdater) drainServer(_ float64, diff serverDiff) *command {
 	if !diff.exists || diff.targetWeight > 0 || !diff.current.ready {
 		return nil
@@ -109,8 +113,8 @@
 	return &command{operation: setDrain, server: diff.key}
 }
 
-// hasReadyTarget reports whether a server that should get traffic is ready. A server that the proxy did not add is
-// not.
+// hasReadyTarget reports whether a server that should get traffic is ready. A server that the proxy refused to add is
+// not ready.
 func (p *ProxyUpdater) hasReadyTarget(backend string) bool {
 	for name, targetWeight := range p.target[backend] {
 		current := p.servers[backend][name]
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -1,11 +1,11 @@
 // Package publisher decides which commands are sent to a proxy that is controlled by its runtime socket. It updates
-// the proxy's servers and weights to the routing tables by one command after the other, and uses each response as the
-// acknowledgement ([ProxyUpdater]); it converts the proxy's counters into request stats ([Counters]); and it elects
-// the one controller that controls the proxy ([SocketOwner]).
+// the proxy's servers and weights to match the routing tables, one command at a time, and uses each response as the
+// acknowledgement ([ProxyUpdater]). It converts the proxy's counters into request stats ([Counters]), and elects the
+// one controller that controls the proxy ([SocketOwner]).
 //
-// A backend of the proxy is a request class, a server is a host named by its address. The package does no I/O, reads no
-// clock and starts no goroutine; instants and durations are float64 milliseconds. Its types are not safe for concurrent
-// use.
+// Each backend of the proxy is a request class, and each server of a backend is a host, named by its address. The
+// package does no I/O, reads no clock and starts no goroutine; instants and durations are float64 milliseconds. Its
+// types are not safe for concurrent use.
 package publisher
 
 import (
@@ -19,7 +19,7 @@
 // ProxyUpdater updates one proxy to the target state. It keeps the state of the proxy's servers, as it was last read
 // and changed since, and plans the commands that lead to the target.
 type ProxyUpdater struct {
-	drainGraceMs    float64                      // from the drain of a server to its removal
+	drainGraceMs    float64                      // time from the drain of a server to its removal
 	servers         map[string]map[string]server // current state by backend and server name
 	target          map[string]map[string]int    // weights by backend and server name
 	scales          map[string]float64           // of the target's quantized weights, by request class
@@ -28,7 +28,7 @@
 	rejections      map[serverKey]int            // rejected commands since the state was last read
 	inFlight        *command                     // sent, without a response yet
 	plan            []*command                   // to be sent next, in order
-	observed        bool                         // the state was read since the connection was made
+	observed        bool                         // the state has been read on the current connection
 }
 
 // server is the state of a server in the proxy.
@@ -53,8 +53,9 @@
 	}
 }
 
-// ObserveServers records the proxy's state as "show servers state" returns it: after connecting, and periodically,
-// since others may change it too. It returns the number of servers that differ from the state that this updater set.
+// ObserveServers records the proxy's state as "show servers state" returns it. It must be called after connecting, and
+// periodically, since other clients of the socket may change the state, too. It returns the number of servers that
+// differ from the state that this updater set.
 func (p *ProxyUpdater) ObserveServers(nowMs float64, states []haproxy.ServerState) (foreignChanges int) {
 	current := map[string]map[string]server{}
 	for i := range states {
@@ -108,8 +109,8 @@
 	return missing
 }
 
-// ConnectionLost records that the connection was lost. Until the state is read again, only the instants of drains
-// remain valid.
+// ConnectionLost records that the connection was lost. Of the known state, only the instants at which servers were
+// drained remain valid.
 func (p *ProxyUpdater) ConnectionLost() {
 	p.observed = false
 	p.inFlight = nil
@@ -176,8 +177,8 @@
 }
 
 // ObserveResponse records the response to the command in flight. It returns a *RejectedError where the proxy rejected
-// the command. The command is then retried, until a server has maxRejections rejected commands; it gets no further
-// command until the state is read again.
+// the command. The command is then retried. Once maxRejections commands for a server were rejected, the server gets no
+// further command until the state is read again.
 func (p *ProxyUpdater) ObserveResponse(nowMs float64, response string) error {
 	sent := p.inFlight
 	p.inFlight = nil
--- a/publisher/weights.go
+++ b/publisher/weights.go
@@ -5,10 +5,10 @@
 // maxWeight is the largest weight that the runtime API accepts.
 const maxWeight = 256
 
-// quantizeWeights maps the weights of a table to integers from 1 to maxWeight, and to 0 for a weight of 0. The
-// previous scale is kept where it maps the largest weight into the upper half of the range, so that an unchanged
-// weight needs no command; otherwise the largest weight becomes maxWeight. The error of each host's share is less
-// than 1 divided by the sum of the quantized weights.
+// quantizeWeights scales the weights of a table to integers from 1 to maxWeight, and a weight of 0 to 0. The previous
+// scale is kept where it maps the largest weight into the upper half of the range, so that an unchanged weight needs
+// no command; otherwise the largest weight becomes maxWeight. The error of each host's share is less than 1 divided by
+// the sum of the quantized weights.
 func quantizeWeights(weights []float64, previousScale float64) (quantized []int, scale float64) {
 	largest := 0.0
 	for _, weight := range weights {
