--- a/publisher/fake_proxy_test.go
+++ b/publisher/fake_proxy_test.go
@@ -12,14 +12,14 @@
 	"barleysail/internal/haproxy"
 )
 
-// fakeProxy is a model of a proxy that is driven by its runtime socket. It carries out commands, rejects what HAProxy's
-// management guide says is rejected, and can be changed by others.
+// fakeProxy is a model of a proxy that is controlled by its runtime socket. It executes commands, and rejects those
+// that HAProxy rejects by its management guide. Tests can change its state as other clients of the socket would.
 type fakeProxy struct {
 	t             rapid.TB
 	servers       map[string]haproxy.ServerState // by backend/server
 	rejectsAdding bool
 	rejectsRatios bool
-	commands      []string // that it got
+	commands      []string // received so far
 }
 
 // newFakeProxy returns a proxy with servers of the backend "sheet", all ready with the largest weight.
@@ -39,14 +39,14 @@
 	return states
 }
 
-// setWeight changes a weight as somebody else would.
+// setWeight changes a weight as another client of the socket would.
 func (p *fakeProxy) setWeight(key string, weight int) {
 	state := p.servers[key]
 	state.Weight = weight
 	p.servers[key] = state
 }
 
-// execute carries out a command and returns the response.
+// execute executes a command and returns the response.
 func (p *fakeProxy) execute(command string) (response string) {
 	p.t.Helper()
 	p.commands = append(p.commands, command)
@@ -98,7 +98,7 @@
 	return "Server deleted.\n"
 }
 
-// changeServer carries out "set weight KEY WEIGHT" and "set server KEY state STATE".
+// changeServer executes "set weight KEY WEIGHT" and "set server KEY state STATE".
 func (p *fakeProxy) changeServer(key string, words []string) (response string) {
 	p.t.Helper()
 	state, ok := p.servers[key]
@@ -134,7 +134,7 @@
 	return false
 }
 
-// sendCommands sends the proxy the updater's commands, at most maxCommands. The only errors may be rejections.
+// sendCommands sends the proxy at most maxCommands of the updater's commands. Any error but a rejection fails the test.
 func (p *fakeProxy) sendCommands(updater *ProxyUpdater, nowMs float64, maxCommands int) {
 	p.t.Helper()
 	for range maxCommands {
@@ -145,7 +145,7 @@
 		err := updater.ObserveResponse(nowMs, p.execute(command))
 		var rejected *RejectedError
 		if err != nil && !errors.As(err, &rejected) {
-			p.t.Fatal(err)
+			p.t.Fatalf("%q: got error %v, want none or a *RejectedError", command, err)
 		}
 	}
 }
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -31,8 +31,8 @@
 	return []controller.Table{table}
 }
 
-// A proxy with an old configuration is brought to its tables by the commands that are missing: servers with traffic
-// first, weights, drains, and after the drain grace the removals.
+// A proxy with an old configuration reaches its target in the order of buildPlan: first the servers that should get
+// traffic, then weights, drains, and after the drain grace the removals.
 func TestReconcile(t *testing.T) {
 	proxy := newFakeProxy(t, "old:80", "a:80")
 	updater := NewProxyUpdater(3000)
@@ -70,37 +70,37 @@
 	golden.Compare(t, "reconcile", out.String())
 }
 
-// A rejection names the command and the response. An admission ratio that is rejected is not sent again.
+// A RejectedError names the command and the response. A rejected admission ratio is not sent again.
 func TestRejectedRatio(t *testing.T) {
 	proxy := newFakeProxy(t, "a:80")
 	proxy.rejectsRatios = true
 	updater := NewProxyUpdater(3000)
 	if err := updater.ObserveResponse(0, "without a command"); err != nil {
-		t.Errorf("a response without a command: %v", err)
+		t.Errorf("got error %v for a response without a command, want none", err)
 	}
 	updater.SetTarget(routingTables(0.5, weightedHost{"a:80", 1}))
 	updater.ObserveServers(0, proxy.states())
 	command, ok := updater.NextCommand(0)
 	if !ok {
-		t.Fatal("no command")
+		t.Fatal("got no command, want one that sets the admission ratio")
 	}
 	if _, ok := updater.NextCommand(0); ok || updater.Converged(0) {
-		t.Error("a second command, or settled, while one is in flight")
+		t.Errorf("got command %v, converged %v while a command is in flight, want false, false", ok, updater.Converged(0))
 	}
 	err := updater.ObserveResponse(0, proxy.execute(command))
 	var rejected *RejectedError
 	if !errors.As(err, &rejected) {
-		t.Fatalf("%v is no RejectedError", err)
+		t.Fatalf("got error %v, want a *RejectedError", err)
 	}
 	if want := "set var proc.share_sheet int(500): unknown command."; err.Error() != want {
-		t.Errorf("%q, want %q", err, want)
+		t.Errorf("got error %q, want %q", err, want)
 	}
 	if command, ok := updater.NextCommand(0); ok || !updater.Converged(0) {
-		t.Errorf("%q is sent after the ratio was rejected", command)
+		t.Errorf("got command %q after the ratio was rejected, want none and a converged proxy", command)
 	}
 }
 
-// The deadline is the end of the drain grace of a server that is drained, and none after its removal.
+// The deadline is the end of the drain grace of a drained server; there is none after its removal.
 func TestNextDeadline(t *testing.T) {
 	proxy := newFakeProxy(t, "old:80", "a:80")
 	updater := NewProxyUpdater(3000)
@@ -108,7 +108,7 @@
 	checkDeadline := func(wantMs float64) {
 		t.Helper()
 		if deadlineMs := updater.NextDeadlineMs(); deadlineMs != wantMs {
-			t.Errorf("the deadline is %g, want %g", deadlineMs, wantMs)
+			t.Errorf("got deadline %g ms, want %g ms", deadlineMs, wantMs)
 		}
 	}
 	checkDeadline(math.Inf(1))
@@ -116,13 +116,13 @@
 	proxy.sendCommands(updater, 1000, 100)
 	checkDeadline(4000)
 	if !updater.Converged(4000) {
-		t.Error("a drained server counts as unsettled")
+		t.Error("got converged false with a drained server, want true")
 	}
 	proxy.sendCommands(updater, 4000, 100)
 	checkDeadline(math.Inf(1))
 }
 
-// A backend without any server gets its first one.
+// The updater adds the first server of a backend that has none.
 func TestFirstServerOfBackend(t *testing.T) {
 	proxy := newFakeProxy(t)
 	updater := NewProxyUpdater(3000)
@@ -130,11 +130,12 @@
 	updater.SetTarget(routingTables(1, weightedHost{"a:80", 1}))
 	proxy.sendCommands(updater, 0, 100)
 	if !proxy.hasReadyServer("sheet") || !updater.Converged(0) {
-		t.Errorf("%v after %v", proxy.servers, proxy.commands)
+		t.Errorf("got servers %v after the commands %v, want a ready one and a converged proxy",
+			proxy.servers, proxy.commands)
 	}
 }
 
-// updaterTest drives a proxy with drawn targets, changes by others and lost connections.
+// updaterTest runs an updater on a proxy with random targets, changes by other clients and lost connections.
 type updaterTest struct {
 	t       *rapid.T
 	proxy   *fakeProxy
@@ -143,7 +144,7 @@
 	target  *controller.Table // nil before the first one
 }
 
-// drawChange draws what happens in a step: a new target, a lost connection, a change by others, or nothing.
+// drawChange draws the event of a step: a new target, a lost connection, a change by another client, or none.
 func (u *updaterTest) drawChange() {
 	switch rapid.IntRange(0, 3).Draw(u.t, "change") {
 	case 0:
@@ -151,7 +152,7 @@
 	case 1:
 		u.updater.ConnectionLost()
 		u.updater.ObserveServers(u.nowMs, u.proxy.states())
-	case 2: // somebody else changes weights, and leaves a server that takes traffic
+	case 2: // another client changes the weights, and leaves a server that takes traffic
 		for _, key := range slices.Sorted(maps.Keys(u.proxy.servers)) {
 			u.proxy.setWeight(key, 7)
 		}
@@ -194,19 +195,19 @@
 	}
 	for i, host := range u.target.Hosts {
 		if got[host] != want[i] {
-			u.t.Fatalf("%s has the weight %d, want %d: %v", host, got[host], want[i], got)
+			u.t.Fatalf("host %s: got weight %d, want %d; all weights %v", host, got[host], want[i], got)
 		}
 	}
 	if len(got) != len(want) || len(u.proxy.servers) != len(want) {
-		u.t.Fatalf("the proxy has %v, want %v of %v", u.proxy.servers, want, u.target.Hosts)
+		u.t.Fatalf("got servers %v, want the weights %v of %v", u.proxy.servers, want, u.target.Hosts)
 	}
 	if !u.updater.Converged(u.nowMs) {
-		u.t.Fatalf("not settled with %v", u.proxy.servers)
+		u.t.Fatalf("got converged false with %v, want true", u.proxy.servers)
 	}
 }
 
-// Whatever the targets are, whatever others change and whenever the connection breaks, no backend is left without a
-// server that takes traffic, and in the end the proxy has what it should.
+// For any targets, changes by other clients and lost connections, a backend always has a server that takes traffic, and
+// in the end the proxy has the servers and weights of its target.
 func TestBackendIsNeverEmpty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		test := &updaterTest{t: t, proxy: newFakeProxy(t, "h0:80"), updater: NewProxyUpdater(1000)}
@@ -217,7 +218,7 @@
 			for range rapid.IntRange(0, 12).Draw(t, "commands") {
 				test.proxy.sendCommands(test.updater, test.nowMs, 1)
 				if !test.proxy.hasReadyServer("sheet") {
-					t.Fatalf("no server takes traffic after %v", test.proxy.commands)
+					t.Fatalf("got no server that takes traffic after the commands %v, want one", test.proxy.commands)
 				}
 			}
 		}
--- a/publisher/weights_test.go
+++ b/publisher/weights_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A host's share by quantized weights is off by less than one part in their sum, and no positive weight becomes 0.
+// The error of a host's share by quantized weights is less than 1 divided by their sum, and no positive weight becomes
+// 0.
 func TestQuantizeWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(1e-6, 1e6), 1, 500).Draw(t, "weights")
@@ -16,7 +17,7 @@
 		quantized, scale := quantizeWeights(weights, previousScale)
 		sum := 0.0
 		quantizedSum := 0.0
-		raised := 0.0 // weights that were raised to 1
+		raised := 0.0 // number of weights that were raised to 1
 		for i, weight := range weights {
 			sum += weight
 			quantizedSum += float64(quantized[i])
@@ -26,13 +27,13 @@
 		}
 		for i, weight := range weights {
 			if quantized[i] < 1 || quantized[i] > 256 {
-				t.Fatalf("%g became %d", weight, quantized[i])
+				t.Fatalf("weight %g: got quantized weight %d, want one from 1 to 256", weight, quantized[i])
 			}
-			// The share is off by the rounding of this weight, and by how the rounding of the others moves the sum.
+			// The error is that of rounding this weight, and that of the sum by rounding the other weights.
 			bound := (0.5 + raised + float64(len(weights))*0.5*weight/sum) / quantizedSum * 1.0001
 			difference := math.Abs(float64(quantized[i])/quantizedSum - weight/sum)
 			if raised == 0 && difference > bound {
-				t.Fatalf("the share of %g is off by %g, bound %g", weight, difference, bound)
+				t.Fatalf("weight %g: got a share with an error of %g, want at most %g", weight, difference, bound)
 			}
 		}
 	})
@@ -53,7 +54,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			got, scale := quantizeWeights(test.weights, test.scale)
 			if !slices.Equal(got, test.want) || scale != test.wantScale {
-				t.Errorf("%v by %g, want %v by %g", got, scale, test.want, test.wantScale)
+				t.Errorf("got weights %v, scale %g, want %v, %g", got, scale, test.want, test.wantScale)
 			}
 		})
 	}
