--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -40,31 +40,31 @@
 	step := func(title string, nowMs float64) {
 		proxy.commands = nil
 		proxy.sendCommands(updater, nowMs, 100)
-		fmt.Fprintf(&out, "%s at %.0f, settled %v\n", title, nowMs, updater.Converged(nowMs))
+		fmt.Fprintf(&out, "%s at %.0f ms, converged %v\n", title, nowMs, updater.Converged(nowMs))
 		for _, command := range proxy.commands {
 			fmt.Fprintln(&out, "  "+command)
 		}
 	}
 	updater.SetTarget(routingTables(1, weightedHost{"a:80", 1}, weightedHost{"b:80", 0.5}))
-	step("before anything is known", 0)
+	step("before the state is read", 0)
 	updater.ObserveServers(0, proxy.states())
-	step("its old file", 0)
-	step("before the grace is over", 2999)
-	step("after it", 3000)
+	step("after its old configuration is read", 0)
+	step("before the end of the drain grace", 2999)
+	step("at the end of the drain grace", 3000)
 	updater.SetTarget(routingTables(0.25, weightedHost{"a:80", 1}, weightedHost{"b:80", 0.5}))
-	step("a level", 4000)
+	step("a lower admission ratio", 4000)
 	updater.SetTarget(routingTables(0.25, weightedHost{"a:80", 1}, weightedHost{"b:80", 0.001}))
 	step("a small weight", 5000)
 	delete(proxy.servers, "sheet/b:80")
 	proxy.setWeight("sheet/a:80", 3)
-	fmt.Fprintf(&out, "others changed %d\n", updater.ObserveServers(6000, proxy.states()))
-	step("behind its back", 6000)
+	fmt.Fprintf(&out, "%d foreign changes\n", updater.ObserveServers(6000, proxy.states()))
+	step("after changes by another client", 6000)
 	proxy.rejectsAdding = true
 	updater.SetTarget(routingTables(0.25, weightedHost{"c:80", 1}))
-	step("a proxy that takes no further server keeps those it has", 7000)
+	step("a proxy that rejects new servers keeps its servers", 7000)
 	proxy.rejectsAdding = false
 	updater.ObserveServers(8000, proxy.states())
-	step("once it does", 8000)
+	step("once it accepts new servers", 8000)
 	updater.ConnectionLost()
 	step("without a connection", 9000)
 	golden.Compare(t, "reconcile", out.String())
--- a/publisher/socket_owner_test.go
+++ b/publisher/socket_owner_test.go
@@ -21,7 +21,7 @@
 	if newValue != "" {
 		o.value = newValue
 	}
-	fmt.Fprintf(&o.out, "%s drives %v, the mark is %s\n", name, isOwner, o.value)
+	fmt.Fprintf(&o.out, "%s is owner %v, value %s\n", name, isOwner, o.value)
 }
 
 func (o *ownerTest) cycleBoth(cycles int) {
@@ -36,13 +36,13 @@
 func TestSocketOwner(t *testing.T) {
 	test := &ownerTest{a: NewSocketOwner("A"), b: NewSocketOwner("B")}
 	test.cycleBoth(3)
-	fmt.Fprintln(&test.out, "a is gone")
+	fmt.Fprintln(&test.out, "a has failed")
 	for range 6 {
 		test.cycle("b", test.b)
 	}
 	fmt.Fprintln(&test.out, "a is back")
 	test.cycleBoth(3)
-	fmt.Fprintln(&test.out, "both read an empty mark, and both set theirs")
+	fmt.Fprintln(&test.out, "both read an empty value, and both set theirs")
 	if _, newValue := test.a.Observe(""); newValue == "" {
 		t.Error("Observe(\"\") of a returns no new value, want one since the variable is not set")
 	}
