--- a/guard/check_test.go
+++ b/guard/check_test.go
@@ -86,15 +86,15 @@
 		change func(view *View, limits *Limits)
 	}{
 		{"valid", func(*View, *Limits) {}},
-		{"a weight that is no number", func(view *View, _ *Limits) {
+		{"a weight of NaN", func(view *View, _ *Limits) {
 			view.Routes[0].Decided[0] = math.NaN()
 		}},
-		{"a host for one class and none for the other, which is zone-local", func(view *View, _ *Limits) {
+		{"a ready host for one class, but none for the other one, which is zone-local", func(view *View, _ *Limits) {
 			view.Routes[1].Demands[1].ZoneLocal = true
 			view.Routes[1].Decided = []float64{1, 1, 0}
 			view.Routes[1].Published = nil
 		}},
-		{"only a draining host", func(view *View, limits *Limits) {
+		{"weight on a draining host only", func(view *View, limits *Limits) {
 			view.Hosts[0].Ready = false
 			view.Routes[0].Decided = []float64{1, 0, 0}
 			limits.MaxTrafficShift = 0
@@ -103,7 +103,7 @@
 			view.Hosts[2].Capacity = 0.5
 			limits.MaxTrafficShift = 0
 		}},
-		{"a host over its capacity once the draining one is gone", func(view *View, limits *Limits) {
+		{"a host over its capacity without the draining host", func(view *View, limits *Limits) {
 			view.Hosts[0].Ready = false
 			view.Hosts[2].Capacity = 1.2
 			limits.MaxTrafficShift = 0
@@ -112,12 +112,12 @@
 			view.Hosts[1].SlowStartFactor = 0.2
 			view.Hosts[1].SlowStartLimit = 0.7
 		}},
-		{"valid without the zone that carries most", func(view *View, limits *Limits) {
+		{"valid without the zone that carries the most load", func(view *View, limits *Limits) {
 			view.Hosts[1].Capacity = 2.9
 			view.Hosts[2].Capacity = 3.1
 			limits.SurviveZoneLoss = true
 		}},
-		{"a host over its capacity without the zone that carries most", func(view *View, limits *Limits) {
+		{"a host over its capacity without the zone that carries the most load", func(view *View, limits *Limits) {
 			view.Hosts = append(view.Hosts, warmHost("v", "b", 1))
 			for i := range view.Routes {
 				view.Routes[i].Decided = []float64{1, 1, 1, 1}
@@ -128,7 +128,7 @@
 		{"too large a traffic shift", func(view *View, _ *Limits) {
 			view.Routes[0].Decided = []float64{9, 0.5, 0.5}
 		}},
-		{"more demand than capacity: load shedding helps, no table does", func(view *View, _ *Limits) {
+		{"more demand than capacity, for which load must be shed: no finding", func(view *View, _ *Limits) {
 			view.Routes[0].Demands[0].Work = 100
 		}},
 	}
