--- a/operator/rules.go
+++ b/operator/rules.go
@@ -112,9 +112,9 @@
 	return false
 }
 
-// checkAll returns a *RejectedError where the commands, each of which removes its host's traffic, would together leave
+// checkRemainingHosts returns a *RejectedError where the commands, each of which removes its host's traffic, would together leave
 // too few warm hosts.
-func (s *OverrideStore) checkAll(view *View, commands []Command) error {
+func (s *OverrideStore) checkRemainingHosts(view *View, commands []Command) error {
 	draining := map[string]bool{}
 	for i := range commands {
 		draining[commands[i].Host] = true
--- a/operator/store.go
+++ b/operator/store.go
@@ -81,7 +81,7 @@
 			return err
 		}
 	}
-	if err := s.checkAll(&view, commands); err != nil {
+	if err := s.checkRemainingHosts(&view, commands); err != nil {
 		return err
 	}
 	s.pending = append(s.pending, commands...)
