--- a/operator/rules.go
+++ b/operator/rules.go
@@ -112,8 +112,8 @@
 	return false
 }
 
-// checkRemainingHosts returns a *RejectedError where the commands, each of which removes its host's traffic, would together leave
-// too few warm hosts.
+// checkRemainingHosts returns a *RejectedError where the commands, each of which removes its host's traffic, would
+// together leave too few warm hosts.
 func (s *OverrideStore) checkRemainingHosts(view *View, commands []Command) error {
 	draining := map[string]bool{}
 	for i := range commands {
