--- a/intake/ingest_pacer_test.go
+++ b/intake/ingest_pacer_test.go
@@ -8,7 +8,8 @@
 	"barleysail/internal/golden"
 )
 
-// A controller that falls behind sheds half of the reports, then more, then slows its rounds, and recovers by steps.
+// While rounds start late, the pacer sheds more reports with each level and slows the rounds from level 2 on. Once they
+// start on time, it returns to level 0, one level after the other.
 func TestIngestPacer(t *testing.T) {
 	var out strings.Builder
 	var pacer IngestPacer
@@ -20,7 +21,7 @@
 		if !pacer.ObserveRound(latenessMs) {
 			continue
 		}
-		fmt.Fprintf(&out, "round %3d: level %d, %.3f of the intake, %d of 20000 lines, rounds %.0f times as long\n",
+		fmt.Fprintf(&out, "round %3d: level %d, ratio %.3f, %d of 20000 reports, interval factor %.0f\n",
 			round, pacer.SheddingLevel(), pacer.Ratio(), pacer.MaxReports(20000), pacer.IntervalFactor())
 	}
 	golden.Compare(t, "ingest_pacer", out.String())
--- a/intake/queue.go
+++ b/intake/queue.go
@@ -9,8 +9,8 @@
 )
 
 // Queue holds reports until a round ingests them. At most maxPerSubject reports of one source on one subject are
-// queued; further ones are merged into the last, so that a source that sends often takes no more memory. When the
-// queue is full, the report of the lowest priority of the source with the most reports is dropped.
+// queued; further ones are merged into the last, so that a source that sends often uses no more memory. When the queue
+// is full, it drops the lowest-priority report of the source that has the most reports queued.
 type Queue struct {
 	limits       Limits
 	bySource     map[string]*sourceQueue
@@ -53,8 +53,9 @@
 	return &Queue{limits: limits, bySource: map[string]*sourceQueue{}, dropped: map[string]int64{}}
 }
 
-// priority returns the logarithm of the report's attempts, halved with each half-life of its age: log2(attempts + 1)
-// + t / h. Because all reports age at the same rate, their order does not change while they are queued.
+// priority returns a number that orders reports by their attempts, halved with each half-life h of their age. It is the
+// logarithm log2(attempts + 1) + t / h for a report that was sent at the instant t. Because all reports age at the same
+// rate, it does not depend on the current time, and their order does not change while they are queued.
 func (q *Queue) priority(report *Report) float64 {
 	return math.Log2(float64(report.Attempts)+1) + report.ObservedMs/math.Max(q.limits.HalfLifeMs, minPeriodMs)
 }
@@ -78,7 +79,7 @@
 	heap.Fix(&q.bySize, queue.heapIndex)
 	q.length++
 	if q.length > q.limits.MaxQueued {
-		q.Drop(QueueFull, 1)
+		q.CountDropped(QueueFull, 1)
 		q.remove(q.bySize[0], 0)
 	}
 }
@@ -97,8 +98,8 @@
 // Dropped returns the number of reports that were dropped, by reason.
 func (q *Queue) Dropped() map[string]int64 { return maps.Clone(q.dropped) }
 
-// Drop counts reports that were dropped for a reason.
-func (q *Queue) Drop(reason string, reports int) { q.dropped[reason] += int64(reports) }
+// CountDropped adds to the number of reports that were dropped for a reason. It removes none from the queue.
+func (q *Queue) CountDropped(reason string, reports int) { q.dropped[reason] += int64(reports) }
 
 // remove removes and returns the report at an index of a source's heap.
 func (q *Queue) remove(queue *sourceQueue, index int) *queuedReport {
@@ -123,83 +124,83 @@
 	delete(q.bySource, queue.source)
 }
 
-// Forget drops the queued reports of a source that has disconnected (SubjectGone).
-func (q *Queue) Forget(source string) {
+// DropSource drops the queued reports of a source that has disconnected (SubjectGone).
+func (q *Queue) DropSource(source string) {
 	queue := q.bySource[source]
 	if queue == nil {
 		return
 	}
-	q.Drop(SubjectGone, len(queue.reports))
+	q.CountDropped(SubjectGone, len(queue.reports))
 	q.length -= len(queue.reports)
 	q.removeSource(queue)
 }
 
-// Take removes and returns the reports that a round ingests, at most maxReports, in the order of their arrival. Where
-// more are queued, the sources are served in turn, each with its report of the highest priority. Reports that are too
+// Dequeue removes and returns the reports that a round ingests, at most maxReports, in the order of their arrival. If
+// more are queued, it serves the sources in turn, each with its report of the highest priority. Reports that are too
 // old are dropped. The attempts of the others are scaled by the weight of their age.
-func (q *Queue) Take(nowMs float64, maxReports int) []Report {
-	var taken []*queuedReport
+func (q *Queue) Dequeue(nowMs float64, maxReports int) []Report {
+	var dequeued []*queuedReport
 	if q.length <= maxReports {
-		taken = q.takeAll()
+		dequeued = q.dequeueAll()
 	} else {
-		taken = q.takeInTurns(maxReports)
+		dequeued = q.dequeueRoundRobin(maxReports)
 	}
-	slices.SortFunc(taken, func(a, b *queuedReport) int { return cmp.Compare(a.sequence, b.sequence) })
-	return q.weighted(nowMs, taken)
+	slices.SortFunc(dequeued, func(a, b *queuedReport) int { return cmp.Compare(a.sequence, b.sequence) })
+	return q.applyAgeWeights(nowMs, dequeued)
 }
 
-func (q *Queue) takeAll() []*queuedReport {
-	var taken []*queuedReport
+func (q *Queue) dequeueAll() []*queuedReport {
+	var dequeued []*queuedReport
 	for _, queue := range q.bySource {
-		taken = append(taken, queue.reports...)
+		dequeued = append(dequeued, queue.reports...)
 	}
 	q.bySource = map[string]*sourceQueue{}
 	q.bySize = nil
 	q.length = 0
-	return taken
-}
-
-// takeInTurns takes one report of each source in turn. The source with the oldest report is served first.
-func (q *Queue) takeInTurns(maxReports int) []*queuedReport {
-	var taken []*queuedReport
-	turn := slices.Clone(q.bySize)
-	slices.SortFunc(turn, func(a, b *sourceQueue) int { return cmp.Compare(a.firstSequence(), b.firstSequence()) })
-	for len(taken) < maxReports {
-		nextTurn := turn[:0]
-		for _, queue := range turn {
-			if len(taken) == maxReports {
+	return dequeued
+}
+
+// dequeueRoundRobin removes one report of each source in turn. The source with the oldest report is served first.
+func (q *Queue) dequeueRoundRobin(maxReports int) []*queuedReport {
+	var dequeued []*queuedReport
+	sources := slices.Clone(q.bySize)
+	slices.SortFunc(sources, func(a, b *sourceQueue) int { return cmp.Compare(a.firstSequence(), b.firstSequence()) })
+	for len(dequeued) < maxReports {
+		remaining := sources[:0]
+		for _, queue := range sources {
+			if len(dequeued) == maxReports {
 				break
 			}
-			taken = append(taken, q.remove(queue, queue.highestPriority()))
+			dequeued = append(dequeued, q.remove(queue, queue.highestPriority()))
 			if len(queue.reports) > 0 {
-				nextTurn = append(nextTurn, queue)
+				remaining = append(remaining, queue)
 			}
 		}
-		turn = nextTurn
+		sources = remaining
 	}
-	return taken
+	return dequeued
 }
 
-// weighted drops the reports that are too old and scales the attempts of the others by the weight of their age. Demand
-// is not scaled: it is a rate over the report's window.
-func (q *Queue) weighted(nowMs float64, queued []*queuedReport) []Report {
+// applyAgeWeights drops the reports that are too old and scales the attempts of the others by the weight of their age.
+// Demand is not scaled: it is a rate over the report's window.
+func (q *Queue) applyAgeWeights(nowMs float64, queued []*queuedReport) []Report {
 	var reports []Report
 	for _, report := range queued {
 		weight := q.limits.ageWeight(nowMs - report.ObservedMs)
 		if weight == 0 {
-			q.Drop(TooOld, 1)
+			q.CountDropped(TooOld, 1)
 			continue
 		}
 		if weight < 1 && !report.IsDemand {
-			report.Attempts = scaled(report.Attempts, weight)
-			report.Failed = scaled(report.Failed, weight)
+			report.Attempts = scaleCount(report.Attempts, weight)
+			report.Failed = scaleCount(report.Failed, weight)
 		}
 		reports = append(reports, report.Report)
 	}
 	return reports
 }
 
-func scaled(count int, weight float64) int { return int(math.Round(float64(count) * weight)) }
+func scaleCount(count int, weight float64) int { return int(math.Round(float64(count) * weight)) }
 
 // ageWeight returns the weight of a report of the given age, from 1 to 0.
 func (l Limits) ageWeight(ageMs float64) float64 {
@@ -209,8 +210,8 @@
 	return math.Exp2(-math.Max(ageMs-l.FullWeightMs, 0) / math.Max(l.HalfLifeMs, minPeriodMs))
 }
 
-// Waiting returns the number of queued reports, and of their sources.
-func (q *Queue) Waiting() (reports, sources int) { return q.length, len(q.bySource) }
+// Size returns the number of queued reports, and of their sources.
+func (q *Queue) Size() (reports, sources int) { return q.length, len(q.bySource) }
 
 // firstSequence returns the sequence number of the oldest report.
 func (s *sourceQueue) firstSequence() int64 {
--- a/operator/store.go
+++ b/operator/store.go
@@ -14,8 +14,8 @@
 	lastPendingAppliedMs float64   // when a queued command was last applied
 }
 
-// New returns an empty store.
-func New() *OverrideStore {
+// NewOverrideStore returns an empty store.
+func NewOverrideStore() *OverrideStore {
 	return &OverrideStore{overrides: map[string]Override{}, lastPendingAppliedMs: math.Inf(-1)}
 }
 
@@ -73,15 +73,15 @@
 }
 
 // ApplyAll queues commands that drain several hosts, such as those of a zone, so that they are applied one by one. It
-// rejects all of them with a *RejectedError where one is invalid or the last of them could never be applied. There
-// must be at least one command.
+// rejects all of them with a *RejectedError where one is invalid or the last of them could never be applied. commands
+// must not be empty.
 func (s *OverrideStore) ApplyAll(view View, commands []Command) error {
 	for i := range commands {
 		if err := s.validate(&view, &commands[i]); err != nil {
 			return err
 		}
 	}
-	if err := s.checkAll(&view, commands); err != nil {
+	if err := s.checkRemainingHosts(&view, commands); err != nil {
 		return err
 	}
 	s.pending = append(s.pending, commands...)
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -1,11 +1,11 @@
 // Package publisher decides which commands are sent to a proxy that is controlled by its runtime socket. It updates
-// the proxy's servers and weights to the routing tables by one command after the other, and uses each response as the
-// acknowledgement ([ProxyUpdater]); it converts the proxy's counters into request stats ([Counters]); and it elects
-// the one controller that controls the proxy ([SocketOwner]).
+// the proxy's servers and weights to match the routing tables, one command at a time, and uses each response as the
+// acknowledgement ([ProxyUpdater]). It converts the proxy's counters into request stats ([Counters]), and elects the
+// one controller that controls the proxy ([SocketOwner]).
 //
-// A backend of the proxy is a request class, a server is a host named by its address. The package does no I/O, reads no
-// clock and starts no goroutine; instants and durations are float64 milliseconds. Its types are not safe for concurrent
-// use.
+// Each backend of the proxy is a request class, and each server of a backend is a host, named by its address. The
+// package does no I/O, reads no clock and starts no goroutine; instants and durations are float64 milliseconds. Its
+// types are not safe for concurrent use.
 package publisher
 
 import (
@@ -19,7 +19,7 @@
 // ProxyUpdater updates one proxy to the target state. It keeps the state of the proxy's servers, as it was last read
 // and changed since, and plans the commands that lead to the target.
 type ProxyUpdater struct {
-	drainGraceMs    float64                      // from the drain of a server to its removal
+	drainGraceMs    float64                      // time from the drain of a server to its removal
 	servers         map[string]map[string]server // current state by backend and server name
 	target          map[string]map[string]int    // weights by backend and server name
 	scales          map[string]float64           // of the target's quantized weights, by request class
@@ -28,7 +28,7 @@
 	rejections      map[serverKey]int            // rejected commands since the state was last read
 	inFlight        *command                     // sent, without a response yet
 	plan            []*command                   // to be sent next, in order
-	observed        bool                         // the state was read since the connection was made
+	observed        bool                         // the state has been read on the current connection
 }
 
 // server is the state of a server in the proxy.
@@ -53,10 +53,11 @@
 	}
 }
 
-// ObserveServers records the proxy's state as "show servers state" returns it: after connecting, and periodically,
-// since others may change it too. It returns the number of servers that differ from the state that this updater set.
+// ObserveServers records the proxy's state as "show servers state" returns it. It must be called after connecting, and
+// periodically, since other clients of the socket may change the state, too. It returns the number of servers that
+// differ from the state that this updater set.
 func (p *ProxyUpdater) ObserveServers(nowMs float64, states []haproxy.ServerState) (foreignChanges int) {
-	fresh := map[string]map[string]server{}
+	current := map[string]map[string]server{}
 	for i := range states {
 		state := &states[i]
 		observed := newServer(nowMs, state)
@@ -67,16 +68,16 @@
 		if observed != known || !isKnown {
 			foreignChanges++
 		}
-		if fresh[state.Backend] == nil {
-			fresh[state.Backend] = map[string]server{}
+		if current[state.Backend] == nil {
+			current[state.Backend] = map[string]server{}
 		}
-		fresh[state.Backend][state.Server] = observed
+		current[state.Backend][state.Server] = observed
 	}
-	foreignChanges += countMissing(p.servers, fresh)
+	foreignChanges += countMissing(p.servers, current)
 	if !p.observed {
 		foreignChanges = 0
 	}
-	p.servers = fresh
+	p.servers = current
 	p.observed = true
 	p.inFlight = nil
 	p.plan = nil
@@ -95,12 +96,12 @@
 	}
 }
 
-// countMissing returns the number of known servers that are not among the fresh ones.
-func countMissing(known, fresh map[string]map[string]server) int {
+// countMissing returns the number of known servers that the proxy no longer has.
+func countMissing(known, current map[string]map[string]server) int {
 	missing := 0
 	for backend, servers := range known {
 		for name := range servers {
-			if _, ok := fresh[backend][name]; !ok {
+			if _, ok := current[backend][name]; !ok {
 				missing++
 			}
 		}
@@ -108,8 +109,8 @@
 	return missing
 }
 
-// ConnectionLost records that the connection was lost. Until the state is read again, only the instants of drains
-// remain valid.
+// ConnectionLost records that the connection was lost. Of the known state, only the instants at which servers were
+// drained remain valid.
 func (p *ProxyUpdater) ConnectionLost() {
 	p.observed = false
 	p.inFlight = nil
@@ -145,7 +146,7 @@
 	if !p.observed || p.inFlight != nil {
 		return false
 	}
-	next := p.peek(nowMs)
+	next := p.nextPlanned(nowMs)
 	return next == nil || next.removesServer()
 }
 
@@ -154,7 +155,7 @@
 	if !p.observed || p.inFlight != nil {
 		return "", false
 	}
-	next := p.peek(nowMs)
+	next := p.nextPlanned(nowMs)
 	if next == nil {
 		return "", false
 	}
@@ -163,9 +164,9 @@
 	return next.text(), true
 }
 
-// peek returns the first command of the plan, or nil if there is nothing to do. It builds a new plan where the last
-// one is done.
-func (p *ProxyUpdater) peek(nowMs float64) *command {
+// nextPlanned returns the first command of the plan, or nil if there is nothing to do. It builds a new plan where the
+// last one is done.
+func (p *ProxyUpdater) nextPlanned(nowMs float64) *command {
 	if len(p.plan) == 0 {
 		p.plan = p.buildPlan(nowMs)
 	}
@@ -176,8 +177,8 @@
 }
 
 // ObserveResponse records the response to the command in flight. It returns a *RejectedError where the proxy rejected
-// the command. The command is then retried, until a server has maxRejections rejected commands; it gets no further
-// command until the state is read again.
+// the command. The command is then retried. Once maxRejections commands for a server were rejected, the server gets no
+// further command until the state is read again.
 func (p *ProxyUpdater) ObserveResponse(nowMs float64, response string) error {
 	sent := p.inFlight
 	p.inFlight = nil
