--- a/solver/problem.go
+++ b/solver/problem.go
@@ -26,25 +26,25 @@
 
 // Class of transactions: earnings of one, its mean work (ms on a core of speed 1), the least share to be let in.
 type Class struct {
-	Name     string
-	Earnings float64
-	Work     float64
-	Least    float64
-	Local    bool // only hosts of the proxy's own zone may take it
+	Name     string  `json:"Name"`
+	Earnings float64 `json:"Earnings"`
+	Work     float64 `json:"Work"`
+	Least    float64 `json:"Least"`
+	Local    bool    `json:"Local"` // only hosts of the proxy's own zone may take it
 }
 
 // Host with what it can do. Work that it is given takes Work / Speed ms on one of its cores.
 type Host struct {
-	Name     string
-	Zone     string
-	Kind     string
-	Cores    float64
-	Speed    float64
-	Warm     float64            // the part of its capacity that it has now, 0 to 1
-	WarmIn   float64            // ms until it has all of it, growing evenly; 0: it stays as it is
-	Draining bool               // takes nothing new
-	Most     float64            // of its capacity that may be used, 0 to 1; 0: all that the cap leaves
-	Factor   map[string]float64 // by class: its work here against that at other hosts of the speed; absent: 1
+	Name     string             `json:"Name"`
+	Zone     string             `json:"Zone"`
+	Kind     string             `json:"Kind"`
+	Cores    float64            `json:"Cores"`
+	Speed    float64            `json:"Speed"`
+	Warm     float64            `json:"Warm"`     // the part of its capacity that it has now, 0 to 1
+	WarmIn   float64            `json:"WarmIn"`   // ms until it has all of it, growing evenly; 0: it stays as it is
+	Draining bool               `json:"Draining"` // takes nothing new
+	Most     float64            `json:"Most"`     // of its capacity that may be used, 0 to 1; 0: all that the cap leaves
+	Factor   map[string]float64 `json:"Factor"`   // by class: its work here against that at other hosts of the speed; absent: 1
 }
 
 // factor is what a class's work is here against that at other hosts of the speed.
@@ -57,32 +57,33 @@
 
 // Prices and weights of the goal, as parts of the result.
 type Goal struct {
-	Whole, WorstClass float64
-	Cross             float64 // of each transaction that crosses zones once
-	Connect           float64 // of each connection that a proxy keeps to a host
-	Order             float64 // of each message that gives a proxy another table
+	Whole      float64 `json:"Whole"`
+	WorstClass float64 `json:"WorstClass"`
+	Cross      float64 `json:"Cross"`   // of each transaction that crosses zones once
+	Connect    float64 `json:"Connect"` // of each connection that a proxy keeps to a host
+	Order      float64 `json:"Order"`   // of each message that gives a proxy another table
 }
 
 // Problem is a fleet with its demand, in transactions a second by class and zone of the proxies.
 type Problem struct {
-	Classes []Class
-	Zones   []string
-	Hosts   []Host
-	Demand  map[string]map[string]float64
-	Proxies map[string]int // by zone; for the prices of connections and orders
-	Goal    Goal
+	Classes []Class                       `json:"Classes"`
+	Zones   []string                      `json:"Zones"`
+	Hosts   []Host                        `json:"Hosts"`
+	Demand  map[string]map[string]float64 `json:"Demand"`
+	Proxies map[string]int                `json:"Proxies"` // by zone; for the prices of connections and orders
+	Goal    Goal                          `json:"Goal"`
 	// Deadline d of the cap in ms, as a multiple of the mean time a transaction takes; 0: no margin below capacity.
 	// The module starts at 3.2 (docs/design.md).
-	Deadline float64
-	Doubt    Doubt
+	Deadline float64 `json:"Deadline"`
+	Doubt    Doubt   `json:"Doubt"`
 }
 
 // Doubt says how wrong the stated capacities may be: each host's lies between (1 - Spread) of it and all of it, and
 // at most Worst hosts are at their least at once. What those cannot do of their load is lost, at the mean earnings
 // of work (after Bertsimas and Sim, "The Price of Robustness", 2004, with the loss in the objective).
 type Doubt struct {
-	Spread float64
-	Worst  int
+	Spread float64 `json:"Spread"`
+	Worst  int     `json:"Worst"`
 }
 
 // epsilon is the part of the transactions that may miss the deadline, as in package decide.
--- a/solver/solve.go
+++ b/solver/solve.go
@@ -14,23 +14,23 @@
 
 // Solution of a problem.
 type Solution struct {
-	Result   float64 // of the goal, with prices taken off; at most Whole + WorstClass
-	Earned   float64 // earnings a second
-	Asked    float64
-	Share    map[string]float64                       // let in, by class
-	ZoneIn   map[string]map[string]float64            // let in, by class and zone of the proxies
-	Weights  map[string]map[string]map[string]float64 // by class, zone of the proxies and host; they sum to 1
-	Load     map[string]float64                       // of each host's cap that is used
-	Price    map[string]float64                       // of each host's cap: earnings a second that one more core like its own would bring
-	Crossing float64                                  // transactions a second that cross zones
+	Result   float64                                  `json:"Result"` // of the goal, with prices taken off; at most Whole + WorstClass
+	Earned   float64                                  `json:"Earned"` // earnings a second
+	Asked    float64                                  `json:"Asked"`
+	Share    map[string]float64                       `json:"Share"`    // let in, by class
+	ZoneIn   map[string]map[string]float64            `json:"ZoneIn"`   // let in, by class and zone of the proxies
+	Weights  map[string]map[string]map[string]float64 `json:"Weights"`  // by class, zone of the proxies and host; they sum to 1
+	Load     map[string]float64                       `json:"Load"`     // of each host's cap that is used
+	Price    map[string]float64                       `json:"Price"`    // of each host's cap: earnings a second that one more core like its own would bring
+	Crossing float64                                  `json:"Crossing"` // transactions a second that cross zones
 	// Connections that the proxies keep, where they have a price.
-	Connections int
-	Bound       float64     // what no answer's result is above, where connections have a price
-	AtRisk      float64     // with doubt: earnings a second lost when the worst comes
+	Connections int         `json:"Connections"`
+	Bound       float64     `json:"Bound"`  // what no answer's result is above, where connections have a price
+	AtRisk      float64     `json:"AtRisk"` // with doubt: earnings a second lost when the worst comes
 	basis       []string    // names of the programme's variables that are above 0
 	linear      float64     // the result but for connections
 	used        [][]float64 // part of each group's cap that is used from each zone
-	Unmet       []string    // least shares that the caps do not leave room for, with what they get
+	Unmet       []string    `json:"Unmet"` // least shares that the caps do not leave room for, with what they get
 }
 
 // penalty of a least share that is not met, against a result of about 1: large enough to be paid only where there is
