--- a/cmd/barleysail/plan.go
+++ b/cmd/barleysail/plan.go
@@ -37,15 +37,15 @@
 				if err != nil {
 					return fmt.Errorf("--add %s: %w", addition, err)
 				}
-				change.Add = append(change.Add, hosts...)
+				change.AddHosts = append(change.AddHosts, hosts...)
 			}
 			return printPlan(cmd.OutOrStdout(), problem, change, pace)
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringSliceVar(&change.Drain, "drain", nil, "hosts to drain")
-	flags.StringSliceVar(&change.Lose, "lose", nil, "zones to lose")
-	flags.Float64Var(&change.Demand, "demand", 0, "factor of the demand, as in 1.4")
+	flags.StringSliceVar(&change.DrainHosts, "drain", nil, "hosts to drain")
+	flags.StringSliceVar(&change.LoseZones, "lose", nil, "zones to lose")
+	flags.Float64Var(&change.DemandFactor, "demand", 0, "factor of the demand, as in 1.4")
 	flags.StringArrayVar(&additions, "add", nil, "HOST:ZONE:COUNT, hosts to add that are like one of the file; repeatable")
 	return cmd
 }
@@ -73,7 +73,7 @@
 		host.Name = fmt.Sprintf("added-%d-%d", flagNumber, i)
 		host.Zone = zone
 		host.Draining = false
-		host.Warm = 1
+		host.WarmFraction = 1
 		hosts = append(hosts, host)
 	}
 	return hosts, nil
@@ -91,7 +91,7 @@
 
 // printPlan prints the result for a fleet before and after a change, its growth while hosts warm up, and the steps of
 // a drain.
-func printPlan(out io.Writer, problem *solver.Problem, change solver.Change, pace solver.Pace) error {
+func printPlan(out io.Writer, problem *solver.Problem, change solver.Change, pace solver.DrainPace) error {
 	changed, err := problem.With(change)
 	if err != nil {
 		return err
@@ -113,10 +113,10 @@
 	if err := printWarmUp(out, changed); err != nil {
 		return err
 	}
-	if len(change.Drain) == 0 {
+	if len(change.DrainHosts) == 0 {
 		return nil
 	}
-	steps, err := problem.Drain(change.Drain, pace)
+	steps, err := problem.PlanDrain(change.DrainHosts, pace)
 	if err != nil {
 		return err
 	}
@@ -126,52 +126,53 @@
 func printEffect(out io.Writer, problem *solver.Problem, before, after *solver.Solution) error {
 	columns := newColumnPrinter(out)
 	columns.println("\tnow\tafter")
-	columns.printf("asked for, a second\t%.1f\t%.1f\n", before.Asked, after.Asked)
-	columns.printf("earned\t%.1f\t%.1f\n", before.Earned, after.Earned)
-	columns.printf("result\t%.4f\t%.4f\n", before.Result, after.Result)
-	columns.printf("crossing, a second\t%.1f\t%.1f\n", before.Crossing, after.Crossing)
+	columns.printf("asked for, a second\t%.1f\t%.1f\n", before.DemandEarningsPerS, after.DemandEarningsPerS)
+	columns.printf("earned\t%.1f\t%.1f\n", before.EarningsPerS, after.EarningsPerS)
+	columns.printf("result\t%.4f\t%.4f\n", before.ObjectiveValue, after.ObjectiveValue)
+	columns.printf("crossing, a second\t%.1f\t%.1f\n", before.CrossZoneRate, after.CrossZoneRate)
 	for _, class := range problem.Classes {
-		columns.printf("%s let in\t%.4f\t%.4f\n", class.Name, before.Share[class.Name], after.Share[class.Name])
+		columns.printf("%s let in\t%.4f\t%.4f\n", class.Name, before.AdmissionRatio[class.Name],
+			after.AdmissionRatio[class.Name])
 	}
-	columns.printf("hosts at their caps\t%d\t%d\n", len(before.Binding()), len(after.Binding()))
+	columns.printf("hosts at their caps\t%d\t%d\n", len(before.BindingHosts()), len(after.BindingHosts()))
 	return columns.flush()
 }
 
 // printFullHosts prints the hosts at capacity, sorted by the gain of a further core.
 func printFullHosts(out io.Writer, solution *solver.Solution) error {
 	p := newPrinter(out)
-	fullHosts := solution.Binding()
+	fullHosts := solution.BindingHosts()
 	for i, host := range fullHosts {
 		if i == maxFullHosts {
 			p.printf("and %d more\n", len(fullHosts)-i)
 			break
 		}
-		p.printf("at its cap: %s; a core more there earns %.2f a second\n", host, solution.Price[host])
+		p.printf("at its cap: %s; a core more there earns %.2f a second\n", host, solution.DualPrice[host])
 	}
 	return p.flush()
 }
 
 // printWarmUp prints the result at each stage of the hosts' slow start, or nothing if no host is warming up.
 func printWarmUp(out io.Writer, problem *solver.Problem) error {
-	stages, err := problem.Warming()
+	stages, err := problem.WarmUpStages()
 	if err != nil || len(stages) < 2 {
 		return err
 	}
 	p := newPrinter(out)
 	p.println("\nwhile cold hosts warm:")
 	for _, stage := range stages {
-		p.printf("  after %6.1f s  earns %.1f a second, result %.4f\n", seconds(stage.At), stage.Solution.Earned,
-			stage.Solution.Result)
+		p.printf("  after %6.1f s  earns %.1f a second, result %.4f\n", seconds(stage.AtMs), stage.Solution.EarningsPerS,
+			stage.Solution.ObjectiveValue)
 	}
 	return p.flush()
 }
 
-func printDrainSteps(out io.Writer, steps []solver.Step) error {
+func printDrainSteps(out io.Writer, steps []solver.DrainStep) error {
 	p := newPrinter(out)
 	p.println("\nto drain them in order, each step once the one before is through the channel and its grace is over:")
 	for _, step := range steps {
-		p.printf("  after %6.1f s  %s; result %.4f, the fullest host at %.2f of its cap\n", seconds(step.At),
-			strings.Join(step.Hosts, ", "), step.Result, step.Load)
+		p.printf("  after %6.1f s  %s; result %.4f, the fullest host at %.2f of its cap\n", seconds(step.AtMs),
+			strings.Join(step.Hosts, ", "), step.ObjectiveValue, step.PeakUtilization)
 	}
 	return p.flush()
 }
--- a/cmd/barleysail/solve.go
+++ b/cmd/barleysail/solve.go
@@ -13,7 +13,7 @@
 
 func solveCommand() *cobra.Command {
 	var asJSON bool
-	var uncertainty solver.Doubt
+	var uncertainty solver.Uncertainty
 	cmd := &cobra.Command{
 		Use:   "solve FLEET",
 		Short: "Compute the best weights and admitted shares for a fleet, from a file or a running controller's URL",
@@ -28,7 +28,7 @@
 	}
 	flags := cmd.Flags()
 	flags.Float64Var(&uncertainty.Spread, "spread", 0, "part of their stated capacity that hosts may lack, as in 0.2")
-	flags.IntVar(&uncertainty.Worst, "worst", 1, "number of hosts that may lack it at once")
+	flags.IntVar(&uncertainty.DegradedHosts, "worst", 1, "number of hosts that may lack it at once")
 	flags.BoolVar(&asJSON, "json", false, "print JSON, with the weights")
 	return cmd
 }
@@ -47,9 +47,9 @@
 }
 
 // solveAndPrint solves a problem under an uncertainty of the hosts' capacities, verifies the solution and prints it.
-func solveAndPrint(out io.Writer, problem *solver.Problem, uncertainty solver.Doubt, asJSON bool) error {
+func solveAndPrint(out io.Writer, problem *solver.Problem, uncertainty solver.Uncertainty, asJSON bool) error {
 	certain := *problem
-	problem.Doubt = uncertainty
+	problem.Uncertainty = uncertainty
 	solution, err := problem.Solve()
 	if err != nil {
 		return err
@@ -72,15 +72,15 @@
 // printCautionCost prints the difference in result between a solution under an uncertainty and the solution without
 // it.
 func printCautionCost(
-	out io.Writer, certain *solver.Problem, uncertainty solver.Doubt, solution *solver.Solution,
+	out io.Writer, certain *solver.Problem, uncertainty solver.Uncertainty, solution *solver.Solution,
 ) error {
 	unguarded, err := certain.Solve()
 	if err != nil {
 		return err
 	}
 	p := newPrinter(out)
-	p.printf("\nagainst %d hosts with %.0f%% less than stated: ", uncertainty.Worst, 100*uncertainty.Spread)
-	p.printf("costs %.4f of the result, and leaves %.2f a second at risk\n", unguarded.Result-solution.Result,
-		solution.AtRisk)
+	p.printf("\nagainst %d hosts with %.0f%% less than stated: ", uncertainty.DegradedHosts, 100*uncertainty.Spread)
+	p.printf("costs %.4f of the result, and leaves %.2f a second at risk\n",
+		unguarded.ObjectiveValue-solution.ObjectiveValue, solution.WorstCaseLossPerS)
 	return p.flush()
 }
--- a/cmd/barleysail/solve_output.go
+++ b/cmd/barleysail/solve_output.go
@@ -36,8 +36,8 @@
 	if host.Draining {
 		return name + ", draining"
 	}
-	if host.Warm < 1 {
-		return name + fmt.Sprintf(", %g warm", host.Warm)
+	if host.WarmFraction < 1 {
+		return name + fmt.Sprintf(", %g warm", host.WarmFraction)
 	}
 	return name
 }
@@ -46,10 +46,10 @@
 func printSolution(out io.Writer, problem *solver.Problem, solution *solver.Solution) error {
 	p := newPrinter(out)
 	p.printf("earns %.1f of %.1f a second asked for; result %.4f; %.1f transactions a second cross zones\n\n",
-		solution.Earned, solution.Asked, solution.Result, solution.Crossing)
-	if cost := problem.Goal.Connect; cost > 0 {
+		solution.EarningsPerS, solution.DemandEarningsPerS, solution.ObjectiveValue, solution.CrossZoneRate)
+	if cost := problem.Objective.ConnectionCost; cost > 0 {
 		p.printf("%d connections, which cost %.4f of the result; no other answer is above %.4f\n\n", solution.Connections,
-			cost*float64(solution.Connections), solution.Bound)
+			cost*float64(solution.Connections), solution.UpperBound)
 	}
 	groups := groupHosts(problem)
 	columns := newColumnPrinter(out)
@@ -59,7 +59,7 @@
 	if err := errors.Join(p.flush(), columns.flush()); err != nil {
 		return err
 	}
-	for _, unmet := range solution.Unmet {
+	for _, unmet := range solution.UnmetMinimums {
 		p.println("not met:", unmet)
 	}
 	return p.flush()
@@ -78,9 +78,9 @@
 	columns.printf("class\tlet in")
 	printZones(columns, problem, "\tof %s")
 	for _, class := range problem.Classes {
-		columns.printf("%s\t%.4f", class.Name, solution.Share[class.Name])
+		columns.printf("%s\t%.4f", class.Name, solution.AdmissionRatio[class.Name])
 		for _, zone := range problem.Zones {
-			columns.printf("\t%.4f", solution.ZoneIn[class.Name][zone])
+			columns.printf("\t%.4f", solution.ZoneAdmissionRatio[class.Name][zone])
 		}
 		columns.println()
 	}
@@ -91,8 +91,8 @@
 	columns.println("\nhosts\tnumber\tcap, cores\tused of it\ta core more earns a second")
 	for _, group := range groups {
 		name := group.first.Name
-		columns.printf("%s\t%d\t%.3f\t%.3f\t%.3f\n", group.name, group.count, problem.HostCap(group.first),
-			solution.Load[name], solution.Price[name])
+		columns.printf("%s\t%d\t%.3f\t%.3f\t%.3f\n", group.name, group.count, problem.HostCapacity(group.first),
+			solution.Utilization[name], solution.DualPrice[name])
 	}
 }
 
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -19,7 +19,7 @@
 	h, list := newRepairHarness(t, guard.Limits{CapacityMultiple: 0.85})
 	h.reportDemand(30, 22)
 	h.printf("decided %.3g, published %s", h.tables.table(0).decided, h.describeTable("p"))
-	if gap := h.solverGap(); gap == nil || gap.Result < 0.85 { // 0.71 without repair
+	if gap := h.solverGap(); gap == nil || gap.ObjectiveValue < 0.85 { // 0.71 without repair
 		t.Errorf("gap %+v", gap)
 	}
 	h.printf("a large host drains")
--- a/controller/solver.go
+++ b/controller/solver.go
@@ -69,8 +69,8 @@
 		return
 	}
 	solved := capacityWeights(problem)
-	before := problem.Earn(uniformTables(problem, c.baseWeights()))
-	after := problem.Earn(uniformTables(problem, solved))
+	before := problem.Evaluate(uniformTables(problem, c.baseWeights()))
+	after := problem.Evaluate(uniformTables(problem, solved))
 	changed := c.changedWeights(solved)
 	if after-before < math.Max(weights.minGain, c.updateCost(len(changed))) {
 		return
@@ -118,11 +118,11 @@
 func capacityWeights(problem *solver.Problem) map[string]float64 {
 	total := 0.0
 	for _, host := range problem.Hosts {
-		total += problem.HostCap(host)
+		total += problem.HostCapacity(host)
 	}
 	weights := map[string]float64{}
 	for _, host := range problem.Hosts {
-		weights[host.Name] = roundWeight(problem.HostCap(host) / total * float64(len(problem.Hosts)))
+		weights[host.Name] = roundWeight(problem.HostCapacity(host) / total * float64(len(problem.Hosts)))
 	}
 	return weights
 }
--- a/controller/solver_problem.go
+++ b/controller/solver_problem.go
@@ -38,11 +38,11 @@
 // nil if there is no demand or no host, or if a host has no cores given, which hostWithoutCores then names.
 func (c *Controller) solverProblem() (problem *solver.Problem, hostWithoutCores string) {
 	problem = &solver.Problem{
-		Zones:    c.deployment.Zones,
-		Demand:   c.fleetDemand(),
-		Goal:     solver.Goal{Whole: 1},
-		Deadline: deadlineMeans,
-		Proxies:  map[string]int{},
+		Zones:         c.deployment.Zones,
+		Demand:        c.fleetDemand(),
+		Objective:     solver.Objective{TotalWeight: 1},
+		DeadlineMeans: deadlineMeans,
+		Proxies:       map[string]int{},
 	}
 	for _, session := range c.sessions.byIndex {
 		if session != nil {
@@ -58,11 +58,11 @@
 			return nil, host
 		}
 		problem.Hosts = append(problem.Hosts, solver.Host{
-			Name:  host,
-			Zone:  endpoint.Zone,
-			Cores: endpoint.Cores,
-			Speed: endpoint.speed(),
-			Warm:  1,
+			Name:         host,
+			Zone:         endpoint.Zone,
+			Cores:        endpoint.Cores,
+			Speed:        endpoint.speed(),
+			WarmFraction: 1,
 		})
 	}
 	totalDemand := 0.0
@@ -71,10 +71,10 @@
 			totalDemand += problem.Demand[class.Name][zone]
 		}
 		problem.Classes = append(problem.Classes, solver.Class{
-			Name:     class.Name,
-			Earnings: class.PriorityWeight,
-			Work:     math.Max(class.MeanWorkMs, minWorkMs),
-			Local:    class.ZoneLocal,
+			Name:      class.Name,
+			Earnings:  class.PriorityWeight,
+			WorkMs:    math.Max(class.MeanWorkMs, minWorkMs),
+			ZoneLocal: class.ZoneLocal,
 		})
 	}
 	if totalDemand == 0 || len(problem.Hosts) == 0 {
@@ -98,7 +98,7 @@
 	if problem == nil {
 		return nil, tables
 	}
-	pool := solver.NewPool()
+	pool := solver.NewTableAggregator()
 	for _, session := range c.sessions.byIndex {
 		if session == nil || len(session.versions) == 0 {
 			continue
--- a/controller/solver_test.go
+++ b/controller/solver_test.go
@@ -18,7 +18,7 @@
 	h.reportDemand(30, 22)
 	h.printf("weights %v", h.baseWeights())
 	gap := h.solverGap()
-	if gap == nil || gap.Best < 0.98 || gap.Result < 0.92 || gap.Over[hostName(0)] > 1.1 {
+	if gap == nil || gap.BestValue < 0.98 || gap.ObjectiveValue < 0.92 || gap.Overloaded[hostName(0)] > 1.1 {
 		t.Errorf("gap %+v", gap)
 	}
 	h.printf("a host that tells no cores")
@@ -29,7 +29,7 @@
 
 	off, _ := newUnevenHarness(t, false)
 	off.reportDemand(30, 22)
-	if gap := off.solverGap(); gap == nil || gap.Result > 0.8 || gap.Over[hostName(0)] < 2 {
+	if gap := off.solverGap(); gap == nil || gap.ObjectiveValue > 0.8 || gap.Overloaded[hostName(0)] < 2 {
 		t.Errorf("without solver weights: gap %+v", gap)
 	}
 	if strings.Contains(off.trace.String(), "solved") || off.baseWeights()[hostName(1)] != 1 {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,14 +13,14 @@
 )
 
 // LoadFleet reads a fleet file: the solver's problem, and the pace of changes.
-func LoadFleet(file string) (*solver.Problem, solver.Pace, error) {
+func LoadFleet(file string) (*solver.Problem, solver.DrainPace, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return nil, solver.Pace{}, fmt.Errorf("reading the fleet: %w", err)
+		return nil, solver.DrainPace{}, fmt.Errorf("reading the fleet: %w", err)
 	}
 	set := &configpb.FleetFile{}
 	if err := prototext.Unmarshal(text, set); err != nil {
-		return nil, solver.Pace{}, wrong(file, err)
+		return nil, solver.DrainPace{}, wrong(file, err)
 	}
 	p := proto.Float64
 	c := &configpb.FleetFile{Whole: p(0.75), WorstClass: p(0.1), CrossPrice: p(0.01), Deadline: p(3.2), Proxies: proto.Int32(8),
@@ -33,8 +33,8 @@
 	f.within("deadline", *c.Deadline, 0, 1000)
 	f.within("lines_per_s", *c.LinesPerS, 1, 1e9)
 	f.within("grace_ms", *c.GraceMs, 0, hour)
-	q := &solver.Problem{Zones: c.Zones, Deadline: *c.Deadline, Demand: map[string]map[string]float64{},
-		Goal: solver.Goal{Whole: *c.Whole, WorstClass: *c.WorstClass, Cross: *c.CrossPrice, Connect: c.ConnectPrice}, Proxies: map[string]int{}}
+	q := &solver.Problem{Zones: c.Zones, DeadlineMeans: *c.Deadline, Demand: map[string]map[string]float64{},
+		Objective: solver.Objective{TotalWeight: *c.Whole, WorstClassWeight: *c.WorstClass, CrossZoneCost: *c.CrossPrice, ConnectionCost: c.ConnectPrice}, Proxies: map[string]int{}}
 	f.within("connect_price", c.ConnectPrice, 0, 1000)
 	f.whole("proxies", *c.Proxies, 0, 1e6)
 	proxies := int(*c.Proxies)
@@ -52,7 +52,7 @@
 		if k.WorkMs == nil {
 			f.fail(fmt.Sprintf("classes[%d].work_ms", i), "is missing")
 		}
-		q.Classes = append(q.Classes, solver.Class{Name: k.Name, Earnings: or(k.Earnings, 1), Work: k.GetWorkMs(), Least: k.Least, Local: k.Local})
+		q.Classes = append(q.Classes, solver.Class{Name: k.Name, Earnings: or(k.Earnings, 1), WorkMs: k.GetWorkMs(), MinAdmissionRatio: k.Least, ZoneLocal: k.Local})
 	}
 	for i, h := range c.Hosts {
 		f.hosts(q, i, h)
@@ -67,13 +67,13 @@
 	if f.err == nil {
 		f.refused(q)
 	}
-	return q, solver.Pace{Proxies: proxies, LinesPerS: *c.LinesPerS, Head: *c.HeadLines, Grace: *c.GraceMs}, f.err
+	return q, solver.DrainPace{Proxies: proxies, EntriesPerS: *c.LinesPerS, MessageOverhead: *c.HeadLines, GraceMs: *c.GraceMs}, f.err
 }
 
 // refused words what the solver refuses of a problem with file and line.
 func (f *fields) refused(q *solver.Problem) {
 	if _, err := q.Solve(); err != nil {
-		var fault *solver.Fault
+		var fault *solver.FieldError
 		if errors.As(err, &fault) {
 			f.fail(fault.Field, "%s", fault.Reason)
 		} else {
@@ -103,13 +103,13 @@
 		name = h.Zone + "-" + h.Kind
 	}
 	for k := range n {
-		x := solver.Host{Name: name, Zone: h.Zone, Kind: h.Kind, Cores: or(h.Cores, 4), Speed: or(h.Speed, 1), Warm: or(h.Warm, 1),
-			Draining: h.Draining, Most: h.Most, WarmIn: h.WarmInMs, Factor: map[string]float64{}}
+		x := solver.Host{Name: name, Zone: h.Zone, Kind: h.Kind, Cores: or(h.Cores, 4), Speed: or(h.Speed, 1), WarmFraction: or(h.Warm, 1),
+			Draining: h.Draining, MaxUtilization: h.Most, WarmUpMs: h.WarmInMs, WorkFactor: map[string]float64{}}
 		if n > 1 || h.Name == "" {
 			x.Name = fmt.Sprintf("%s-%d", name, k)
 		}
 		for _, v := range h.Factors {
-			x.Factor[v.Class] = v.Times
+			x.WorkFactor[v.Class] = v.Times
 		}
 		q.Hosts = append(q.Hosts, x)
 	}
--- a/internal/daemon/api_test.go
+++ b/internal/daemon/api_test.go
@@ -164,7 +164,7 @@
 		t.Fatalf("%+v", result)
 	}
 	solution, err := problem.Solve()
-	if err != nil || len(problem.Hosts) != 2 || solution.Asked <= 0 || problem.Verify(solution) != nil {
+	if err != nil || len(problem.Hosts) != 2 || solution.DemandEarningsPerS <= 0 || problem.Verify(solution) != nil {
 		t.Errorf("%+v, %v", solution, err)
 	}
 	if result := d.get("/v1/status"); !strings.Contains(result.body, `"gap":{"result":`) {
--- a/internal/rehearse/gap.go
+++ b/internal/rehearse/gap.go
@@ -30,17 +30,17 @@
 		d.gaps.unmeasured = err
 		return
 	}
-	gap := g.Best - g.Result
+	gap := g.BestValue - g.ObjectiveValue
 	d.gaps.n++
 	d.gaps.samples = append(d.gaps.samples, sample{passed, gap})
 	d.gaps.sum += gap
-	if len(g.Over) > 0 {
+	if len(g.Overloaded) > 0 {
 		d.gaps.samplesOver++
 	}
 	if gap > d.gaps.worst {
 		d.gaps.worst, d.gaps.worstAt = gap, passed
-		for class, best := range g.Share {
-			if lost := best - g.ShareTo[class]; d.gaps.worstClass == "" || lost > g.Share[d.gaps.worstClass]-g.ShareTo[d.gaps.worstClass] {
+		for class, best := range g.BestServedShare {
+			if lost := best - g.ServedShare[class]; d.gaps.worstClass == "" || lost > g.BestServedShare[d.gaps.worstClass]-g.ServedShare[d.gaps.worstClass] {
 				d.gaps.worstClass = class
 			}
 		}
@@ -50,13 +50,13 @@
 // problem is the fleet as it truly is now: what hangs or is down has no capacity, what is slow or cold a part.
 func (d *day) problem() *solver.Problem {
 	c := d.config
-	p := &solver.Problem{Zones: c.Zones, Demand: map[string]map[string]float64{}, Goal: solver.Goal{Whole: *c.Goal.Whole,
-		WorstClass: *c.Goal.WorstClass}}
+	p := &solver.Problem{Zones: c.Zones, Demand: map[string]map[string]float64{}, Objective: solver.Objective{TotalWeight: *c.Goal.Whole,
+		WorstClassWeight: *c.Goal.WorstClass}}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, h := range d.hosts {
 		cores, speed := h.Able()
-		p.Hosts = append(p.Hosts, solver.Host{Name: h.Address, Zone: h.zone, Cores: cores, Speed: speed, Warm: 1,
+		p.Hosts = append(p.Hosts, solver.Host{Name: h.Address, Zone: h.zone, Cores: cores, Speed: speed, WarmFraction: 1,
 			Draining: h.draining || !h.listed})
 	}
 	forwarders, total := map[string]float64{}, 0.0
@@ -69,7 +69,7 @@
 			if t.Class != k.Name {
 				continue
 			}
-			p.Classes = append(p.Classes, solver.Class{Name: k.Name, Earnings: *k.Earnings, Work: t.WorkMs, Local: k.Local})
+			p.Classes = append(p.Classes, solver.Class{Name: k.Name, Earnings: *k.Earnings, WorkMs: t.WorkMs, ZoneLocal: k.Local})
 			p.Demand[k.Name] = map[string]float64{}
 			for zone, n := range forwarders {
 				p.Demand[k.Name][zone] = t.Rate * n / total
@@ -81,7 +81,7 @@
 
 // tables are the forwarders' own, put together by zone: each forwarder gets the same traffic.
 func (d *day) tables() solver.Tables {
-	pool := solver.NewPool()
+	pool := solver.NewTableAggregator()
 	for _, f := range d.forwarders {
 		for class, table := range f.Client.Tables() {
 			pool.Add(class, f.Zone(), table.AdmissionRatio, func(yield func(string, float64) bool) {
--- a/replay/gap.go
+++ b/replay/gap.go
@@ -32,7 +32,7 @@
 	if len(came) == 0 || len(e.listed) == 0 {
 		return
 	}
-	p := &solver.Problem{Demand: came, Goal: solver.Goal{Whole: 1}}
+	p := &solver.Problem{Demand: came, Objective: solver.Objective{TotalWeight: 1}}
 	for _, by := range came {
 		for zone := range by {
 			by[zone] *= 1000 / windowLength
@@ -43,7 +43,7 @@
 		h := e.listed[name]
 		fit := e.scan.model.Host(name)
 		answers, _ := e.scan.model.Alive(name, e.now)
-		x := solver.Host{Name: name, Zone: h.zone, Speed: 1 / math.Max(e.scan.model.Slowness(name, e.now)*fit.Speed, 1e-6), Warm: 1,
+		x := solver.Host{Name: name, Zone: h.zone, Speed: 1 / math.Max(e.scan.model.Slowness(name, e.now)*fit.Speed, 1e-6), WarmFraction: 1,
 			Draining: !h.ready}
 		if answers {
 			x.Cores = float64(fit.Cores)
@@ -57,17 +57,17 @@
 	p.Zones = slices.Sorted(maps.Keys(zones))
 	for _, c := range e.set.Classes {
 		if by := came[c.Name]; len(by) > 0 {
-			p.Classes = append(p.Classes, solver.Class{Name: c.Name, Earnings: c.PriorityWeight, Work: e.scan.model.UsualTime(c.Name), Local: c.ZoneLocal})
+			p.Classes = append(p.Classes, solver.Class{Name: c.Name, Earnings: c.PriorityWeight, WorkMs: e.scan.model.UsualTime(c.Name), ZoneLocal: c.ZoneLocal})
 		}
 	}
 	if g, err := p.Measure(e.standing()); err == nil {
-		e.out.Gaps = append(e.out.Gaps, g.Best-g.Result)
+		e.out.Gaps = append(e.out.Gaps, g.BestValue-g.ObjectiveValue)
 	}
 }
 
 // standing are the proxies' tables, put together by zone.
 func (e *engine) standing() solver.Tables {
-	pool := solver.NewPool()
+	pool := solver.NewTableAggregator()
 	for _, name := range slices.Sorted(maps.Keys(e.proxies)) {
 		q := e.proxies[name]
 		for class, table := range q.tables {
--- a/solver/connections.go
+++ b/solver/connections.go
@@ -35,7 +35,7 @@
 	for z, zone := range p.Zones {
 		c.fixed[z] = make([]float64, len(c.groups))
 		for g := range c.groups {
-			c.fixed[z][g] = p.Goal.Connect * float64(p.Proxies[zone]) * float64(len(c.groups[g].hosts))
+			c.fixed[z][g] = p.Objective.ConnectionCost * float64(p.Proxies[zone]) * float64(len(c.groups[g].hosts))
 		}
 	}
 	if err := c.scale(); err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.best.Bound = math.Max(bound, c.best.Result)
+	c.best.UpperBound = math.Max(bound, c.best.ObjectiveValue)
 	return c.best, nil
 }
 
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.best == nil || s.Result > c.best.Result+1e-12 {
+	if c.best == nil || s.ObjectiveValue > c.best.ObjectiveValue+1e-12 {
 		c.best = s
 	}
 	return s, nil
@@ -124,7 +124,7 @@
 	for n := 0; len(open) > 0 && n < nodesMost; n++ {
 		x := open[len(open)-1]
 		open = open[:len(open)-1]
-		if x.bound <= c.best.Result+1e-9 {
+		if x.bound <= c.best.ObjectiveValue+1e-9 {
 			continue
 		}
 		s, err := c.solve(x.ways)
@@ -145,7 +145,7 @@
 				}
 			}
 		}
-		if x.bound <= c.best.Result+1e-9 || unpaid <= 1e-9 {
+		if x.bound <= c.best.ObjectiveValue+1e-9 || unpaid <= 1e-9 {
 			continue
 		}
 		without, with := x.branch(at, false), x.branch(at, true)
@@ -182,7 +182,7 @@
 	for i, x := range m.columns {
 		s.used[x.z][x.g] += math.Max(y[i], 0) * m.usage(x)
 	}
-	if m.p.Goal.Connect == 0 {
+	if m.p.Objective.ConnectionCost == 0 {
 		return
 	}
 	for z, zone := range m.p.Zones {
--- a/solver/greedy.go
+++ b/solver/greedy.go
@@ -61,7 +61,7 @@
 		}
 	}
 	y[m.t] = 1
-	if m.p.Goal.WorstClass > 0 {
+	if m.p.Objective.WorstClassWeight > 0 {
 		for c := range m.p.Classes {
 			if d := m.p.classDemand(c); d > 0 {
 				in := 0.0
--- a/solver/orders.go
+++ b/solver/orders.go
@@ -1,27 +1,27 @@
 package solver
 
-// Renewal tells which zones' proxies are worth other tables.
-type Renewal struct {
-	Zones    []string // whose proxies get the best tables; the others keep theirs
-	Messages int
-	Result   float64 // with the messages paid for
-	Before   float64 // of the tables as they stand
+// UpdateChoice tells which zones' proxies are worth other tables.
+type UpdateChoice struct {
+	Zones          []string // whose proxies get the best tables; the others keep theirs
+	Messages       int
+	ObjectiveValue float64 // with the messages paid for
+	CurrentValue   float64 // of the tables as they stand
 }
 
 // zonesTried together; of more zones the choice is made one by one.
 const zonesTried = 8
 
-// Renew weighs a solution against the tables that stand: a message to each proxy of a zone, at the goal's price of
+// ChooseUpdates weighs a solution against the tables that stand: a message to each proxy of a zone, at the goal's price of
 // orders, is paid for only where the result gains more by it. Up to eight zones all choices are tried. Levels are not
 // priced: every proxy is told of those in any case.
-func (p *Problem) Renew(standing Tables, s *Solution) Renewal {
+func (p *Problem) ChooseUpdates(standing Tables, s *Solution) UpdateChoice {
 	best := p.renewal(standing, s, make([]bool, len(p.Zones)))
-	best.Before = p.Earn(standing)
+	best.CurrentValue = p.Evaluate(standing)
 	n := len(p.Zones)
 	try := func(change []bool) bool {
 		r := p.renewal(standing, s, change)
-		r.Before = best.Before
-		if r.Result > best.Result+1e-12 {
+		r.CurrentValue = best.CurrentValue
+		if r.ObjectiveValue > best.ObjectiveValue+1e-12 {
 			best = r
 			return true
 		}
@@ -52,13 +52,13 @@
 }
 
 // renewal is the one that changes the tables of some zones.
-func (p *Problem) renewal(standing Tables, s *Solution, change []bool) Renewal {
-	t, r := Tables{Weights: map[string]map[string]map[string]float64{}, Share: standing.Share}, Renewal{}
+func (p *Problem) renewal(standing Tables, s *Solution, change []bool) UpdateChoice {
+	t, r := Tables{Weights: map[string]map[string]map[string]float64{}, AdmissionRatio: standing.AdmissionRatio}, UpdateChoice{}
 	for z, zone := range p.Zones {
 		if change[z] {
 			r.Zones = append(r.Zones, zone)
 			r.Messages += p.Proxies[zone]
-			t.Share = s.Share
+			t.AdmissionRatio = s.AdmissionRatio
 		}
 	}
 	for _, k := range p.Classes {
@@ -71,6 +71,6 @@
 		}
 		t.Weights[k.Name] = by
 	}
-	r.Result = p.Earn(t) - p.Goal.Order*float64(r.Messages)
+	r.ObjectiveValue = p.Evaluate(t) - p.Objective.UpdateCost*float64(r.Messages)
 	return r
 }
--- a/solver/plan_test.go
+++ b/solver/plan_test.go
@@ -12,17 +12,17 @@
 	for _, x := range []struct {
 		c     Change
 		sheet float64
-	}{{Change{}, 1}, {Change{Demand: 2}, 0.5}, {Change{Lose: []string{"b"}}, 0.5}, {Change{Drain: []string{"h1"}}, 0.5},
-		{Change{Lose: []string{"b"}, Add: []Host{{Name: "new", Zone: "a", Cores: 2, Speed: 1, Warm: 1}}}, 1}} {
+	}{{Change{}, 1}, {Change{DemandFactor: 2}, 0.5}, {Change{LoseZones: []string{"b"}}, 0.5}, {Change{DrainHosts: []string{"h1"}}, 0.5},
+		{Change{LoseZones: []string{"b"}, AddHosts: []Host{{Name: "new", Zone: "a", Cores: 2, Speed: 1, WarmFraction: 1}}}, 1}} {
 		q, err := p.With(x.c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s := solve(t, q); !near(s.Share["sheet"], x.sheet, 1e-6) || !near(s.Share["finish"], 1, 1e-6) {
-			t.Errorf("%+v: %v", x.c, s.Share)
+		if s := solve(t, q); !near(s.AdmissionRatio["sheet"], x.sheet, 1e-6) || !near(s.AdmissionRatio["finish"], 1, 1e-6) {
+			t.Errorf("%+v: %v", x.c, s.AdmissionRatio)
 		}
 	}
-	for field, c := range map[string]Change{"drain": {Drain: []string{"x"}}, "lose": {Lose: []string{"x"}}, "demand": {Demand: -1}} {
+	for field, c := range map[string]Change{"drain": {DrainHosts: []string{"x"}}, "lose": {LoseZones: []string{"x"}}, "demand": {DemandFactor: -1}} {
 		if _, err := p.With(c); err == nil || !strings.HasPrefix(err.Error(), field) {
 			t.Errorf("%s: %v", field, err)
 		}
@@ -35,14 +35,14 @@
 // Hosts are drained together while nothing is lost by it, then one by one, and never one without its grace.
 func TestDrainInSteps(t *testing.T) {
 	p := fleet(Host{Zone: "a", Cores: 4}, Host{Zone: "a", Cores: 1}, Host{Zone: "b", Cores: 1}, Host{Zone: "b", Cores: 2})
-	steps, err := p.Drain([]string{"h0", "h1", "h2"}, Pace{Proxies: 100, LinesPerS: 7000, Head: 6, Grace: 3000})
+	steps, err := p.PlanDrain([]string{"h0", "h1", "h2"}, DrainPace{Proxies: 100, EntriesPerS: 7000, MessageOverhead: 6, GraceMs: 3000})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(steps) != 2 || len(steps[0].Hosts) != 2 || !near(steps[0].Result, 1, 1e-6) || steps[1].Hosts[0] != "h0" || steps[1].Result > 0.9 {
+	if len(steps) != 2 || len(steps[0].Hosts) != 2 || !near(steps[0].ObjectiveValue, 1, 1e-6) || steps[1].Hosts[0] != "h0" || steps[1].ObjectiveValue > 0.9 {
 		t.Errorf("%+v", steps)
 	}
-	if wait := steps[1].At - steps[0].At; !near(wait, 3000+100*8.0/7, 1e-6) {
+	if wait := steps[1].AtMs - steps[0].AtMs; !near(wait, 3000+100*8.0/7, 1e-6) {
 		t.Errorf("the second step begins %.1f ms after the first", wait)
 	}
 }
@@ -56,19 +56,19 @@
 		t.Fatal(err)
 	}
 	// Three cores' work comes to h1, which has two: a third of half of all is lost.
-	if !near(g.Result, 1-1.0/6, 1e-9) || !near(g.Best, 1, 1e-6) || !near(g.Over["h1"], 1.5, 1e-9) || !near(g.Shift["h0"], 1, 1e-6) {
+	if !near(g.ObjectiveValue, 1-1.0/6, 1e-9) || !near(g.BestValue, 1, 1e-6) || !near(g.Overloaded["h1"], 1.5, 1e-9) || !near(g.WorkShift["h0"], 1, 1e-6) {
 		t.Errorf("%+v", g)
 	}
 	random := rand.New(rand.NewPCG(8, 8))
 	for n := range 200 {
 		p := drawn(random, 2+random.IntN(10), 2, 2)
 		s := solve(t, p)
-		own, err := p.Measure(Tables{Weights: s.Weights, Share: s.Share})
+		own, err := p.Measure(Tables{Weights: s.Weights, AdmissionRatio: s.AdmissionRatio})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if own.Result > own.Best+1e-6 {
-			t.Errorf("fleet %d: tables earn %.6f, the best is %.6f", n, own.Result, own.Best)
+		if own.ObjectiveValue > own.BestValue+1e-6 {
+			t.Errorf("fleet %d: tables earn %.6f, the best is %.6f", n, own.ObjectiveValue, own.BestValue)
 		}
 		tables := Tables{Weights: map[string]map[string]map[string]float64{}}
 		for _, k := range p.Classes {
@@ -80,8 +80,8 @@
 				}
 			}
 		}
-		if some, err := p.Measure(tables); err != nil || some.Result > some.Best+1e-6 {
-			t.Errorf("fleet %d: tables drawn at random earn %.6f, the best is %.6f, %v", n, some.Result, some.Best, err)
+		if some, err := p.Measure(tables); err != nil || some.ObjectiveValue > some.BestValue+1e-6 {
+			t.Errorf("fleet %d: tables drawn at random earn %.6f, the best is %.6f, %v", n, some.ObjectiveValue, some.BestValue, err)
 		}
 	}
 }
@@ -91,34 +91,34 @@
 func TestDoubt(t *testing.T) {
 	p := fleet(Host{Zone: "a", Cores: 4}, Host{Zone: "b", Cores: 4})
 	p.Demand = map[string]map[string]float64{"sheet": {"a": 20}} // four cores' work, all in zone a
-	p.Goal.Cross = 0.01
+	p.Objective.CrossZoneCost = 0.01
 	plain := solve(t, p)
-	if !near(plain.Load["h0"], 1, 1e-6) || plain.AtRisk != 0 {
+	if !near(plain.Utilization["h0"], 1, 1e-6) || plain.WorstCaseLossPerS != 0 {
 		t.Errorf("without doubt: %+v", plain)
 	}
-	p.Doubt = Doubt{Spread: 0.5, Worst: 1}
-	if s := solve(t, p); !near(s.Load["h0"], 0.5, 1e-6) || !near(s.Load["h1"], 0.5, 1e-6) || !near(s.AtRisk, 0, 1e-6) || !near(s.Earned, plain.Earned, 1e-6) {
+	p.Uncertainty = Uncertainty{Spread: 0.5, DegradedHosts: 1}
+	if s := solve(t, p); !near(s.Utilization["h0"], 0.5, 1e-6) || !near(s.Utilization["h1"], 0.5, 1e-6) || !near(s.WorstCaseLossPerS, 0, 1e-6) || !near(s.EarningsPerS, plain.EarningsPerS, 1e-6) {
 		t.Errorf("one host may have half: %+v", s)
 	}
-	p.Goal.Cross = 2 // dearer than the loss: what is earned for sure is what the host's least can do
-	if s := solve(t, p); s.Crossing > 1e-9 || !near(s.Earned-s.AtRisk, 2/0.2*3, 1e-6) {
+	p.Objective.CrossZoneCost = 2 // dearer than the loss: what is earned for sure is what the host's least can do
+	if s := solve(t, p); s.CrossZoneRate > 1e-9 || !near(s.EarningsPerS-s.WorstCaseLossPerS, 2/0.2*3, 1e-6) {
 		t.Errorf("crossing dearer than the loss: %+v", s)
 	}
 	random := rand.New(rand.NewPCG(9, 9))
 	for n := range 100 {
 		p := drawn(random, 2+random.IntN(12), 3, 2)
 		sure := solve(t, p)
-		p.Doubt = Doubt{Spread: 0.3, Worst: 1 + random.IntN(3)}
+		p.Uncertainty = Uncertainty{Spread: 0.3, DegradedHosts: 1 + random.IntN(3)}
 		s := solve(t, p)
-		if s.Result > sure.Result+1e-6 || s.AtRisk < -1e-9 {
-			t.Errorf("fleet %d: %.6f with doubt, %.6f without, %.3f at risk", n, s.Result, sure.Result, s.AtRisk)
+		if s.ObjectiveValue > sure.ObjectiveValue+1e-6 || s.WorstCaseLossPerS < -1e-9 {
+			t.Errorf("fleet %d: %.6f with doubt, %.6f without, %.3f at risk", n, s.ObjectiveValue, sure.ObjectiveValue, s.WorstCaseLossPerS)
 		}
-		p.Doubt = Doubt{Worst: 3}
-		if again := solve(t, p); !near(again.Result, sure.Result, 1e-9) {
-			t.Errorf("fleet %d: a spread of nothing changes %.9f to %.9f", n, sure.Result, again.Result)
+		p.Uncertainty = Uncertainty{DegradedHosts: 3}
+		if again := solve(t, p); !near(again.ObjectiveValue, sure.ObjectiveValue, 1e-9) {
+			t.Errorf("fleet %d: a spread of nothing changes %.9f to %.9f", n, sure.ObjectiveValue, again.ObjectiveValue)
 		}
 	}
-	p.Doubt = Doubt{Spread: 2}
+	p.Uncertainty = Uncertainty{Spread: 2}
 	if _, err := p.Solve(); err == nil || !strings.HasPrefix(err.Error(), "doubt") {
 		t.Error(err)
 	}
--- a/solver/prices_test.go
+++ b/solver/prices_test.go
@@ -23,7 +23,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		best = math.Max(best, s.Result)
+		best = math.Max(best, s.ObjectiveValue)
 	}
 	return best
 }
@@ -36,27 +36,27 @@
 	if s := solve(t, p); s.Connections != 0 {
 		t.Errorf("%d connections are counted without a price", s.Connections)
 	}
-	p.Goal.Connect = 0.001
-	if s := solve(t, p); s.Connections != 8 || !near(s.Result, 1-0.008, 1e-6) {
-		t.Errorf("each zone's proxies need one host: %d connections, result %.4f", s.Connections, s.Result)
+	p.Objective.ConnectionCost = 0.001
+	if s := solve(t, p); s.Connections != 8 || !near(s.ObjectiveValue, 1-0.008, 1e-6) {
+		t.Errorf("each zone's proxies need one host: %d connections, result %.4f", s.Connections, s.ObjectiveValue)
 	}
-	p.Goal.Connect = 0.2 // dearer than all that is earned over one
-	if s := solve(t, p); s.Connections != 0 || s.Result != 0 {
+	p.Objective.ConnectionCost = 0.2 // dearer than all that is earned over one
+	if s := solve(t, p); s.Connections != 0 || s.ObjectiveValue != 0 {
 		t.Errorf("at too high a price: %+v", s)
 	}
 	random := rand.New(rand.NewPCG(31, 31))
 	for n := range 100 {
 		p := drawn(random, 1+random.IntN(4), 2, 2)
-		p.Goal.Connect, p.Proxies = 0.02*random.Float64(), map[string]int{"zone0": random.IntN(4), "zone1": random.IntN(4)}
+		p.Objective.ConnectionCost, p.Proxies = 0.02*random.Float64(), map[string]int{"zone0": random.IntN(4), "zone1": random.IntN(4)}
 		s := solve(t, p)
-		if want := exhaustiveWays(t, p); !near(s.Result, want, 1e-6) || !near(s.Bound, want, 1e-6) {
-			t.Errorf("fleet %d: %.6f, at most %.6f, over all sets of ways %.6f", n, s.Result, s.Bound, want)
+		if want := exhaustiveWays(t, p); !near(s.ObjectiveValue, want, 1e-6) || !near(s.UpperBound, want, 1e-6) {
+			t.Errorf("fleet %d: %.6f, at most %.6f, over all sets of ways %.6f", n, s.ObjectiveValue, s.UpperBound, want)
 		}
 	}
 	p = drawn(random, 12, 3, 3) // too many ways to try all
-	p.Goal.Connect, p.Proxies = 0.0004, map[string]int{"zone0": 3, "zone1": 3, "zone2": 3}
-	if s := solve(t, p); s.Bound < s.Result || s.Bound > s.Result+0.01 || s.Connections == 0 {
-		t.Errorf("%.6f, at most %.6f, with %d connections", s.Result, s.Bound, s.Connections)
+	p.Objective.ConnectionCost, p.Proxies = 0.0004, map[string]int{"zone0": 3, "zone1": 3, "zone2": 3}
+	if s := solve(t, p); s.UpperBound < s.ObjectiveValue || s.UpperBound > s.ObjectiveValue+0.01 || s.Connections == 0 {
+		t.Errorf("%.6f, at most %.6f, with %d connections", s.ObjectiveValue, s.UpperBound, s.Connections)
 	}
 }
 
@@ -69,46 +69,46 @@
 		standing.Weights[k.Name] = map[string]map[string]float64{"a": {"h0": 1, "h1": 1}, "b": {"h2": 1, "h3": 1}}
 	}
 	s := solve(t, p)
-	p.Goal.Order = 0.001
-	if r := p.Renew(standing, s); len(r.Zones) != 1 || r.Zones[0] != "a" || r.Messages != 5 || !near(r.Result, 1-0.005, 1e-6) || r.Before > 0.95 {
+	p.Objective.UpdateCost = 0.001
+	if r := p.ChooseUpdates(standing, s); len(r.Zones) != 1 || r.Zones[0] != "a" || r.Messages != 5 || !near(r.ObjectiveValue, 1-0.005, 1e-6) || r.CurrentValue > 0.95 {
 		t.Errorf("%+v", r)
 	}
-	p.Goal.Order = 0.1
-	if r := p.Renew(standing, s); len(r.Zones) != 0 || r.Messages != 0 || r.Result != r.Before {
+	p.Objective.UpdateCost = 0.1
+	if r := p.ChooseUpdates(standing, s); len(r.Zones) != 0 || r.Messages != 0 || r.ObjectiveValue != r.CurrentValue {
 		t.Errorf("at a high price: %+v", r)
 	}
-	p.Goal.Order = 0
+	p.Objective.UpdateCost = 0
 	for z := range 9 { // chosen one by one
 		p.Zones = append(p.Zones, string(rune('c'+z)))
 	}
-	if r := p.Renew(standing, s); !near(r.Result, 1, 1e-6) {
+	if r := p.ChooseUpdates(standing, s); !near(r.ObjectiveValue, 1, 1e-6) {
 		t.Errorf("with many zones: %+v", r)
 	}
 }
 
 // A cold host gets what it can take now, and more at each stage of its warming.
 func TestWarming(t *testing.T) {
-	p := fleet(Host{Zone: "a", Cores: 4, Warm: 0.25, WarmIn: 10000}, Host{Zone: "b", Cores: 2})
-	stages, err := p.Warming()
-	if err != nil || len(stages) != 5 || stages[4].At != 10000 {
+	p := fleet(Host{Zone: "a", Cores: 4, WarmFraction: 0.25, WarmUpMs: 10000}, Host{Zone: "b", Cores: 2})
+	stages, err := p.WarmUpStages()
+	if err != nil || len(stages) != 5 || stages[4].AtMs != 10000 {
 		t.Fatalf("%v %+v", err, stages)
 	}
 	for i, x := range stages {
 		part := 0.25 + 0.75*float64(i)/4
-		if got, want := x.Solution.Earned, 180+math.Min(60, (4*part+2-2)/0.2*3); !near(got, want, 1e-6) {
-			t.Errorf("at %.0f ms %.2f is earned, room is for %.2f", x.At, got, want)
+		if got, want := x.Solution.EarningsPerS, 180+math.Min(60, (4*part+2-2)/0.2*3); !near(got, want, 1e-6) {
+			t.Errorf("at %.0f ms %.2f is earned, room is for %.2f", x.AtMs, got, want)
 		}
-		if err := p.After(x.At).Verify(x.Solution); err != nil {
+		if err := p.After(x.AtMs).Verify(x.Solution); err != nil {
 			t.Error(err)
 		}
 	}
-	if stages, _ = fleet(Host{Zone: "a", Cores: 4}).Warming(); len(stages) != 1 {
+	if stages, _ = fleet(Host{Zone: "a", Cores: 4}).WarmUpStages(); len(stages) != 1 {
 		t.Errorf("%d stages though none is cold", len(stages))
 	}
 	// The warm host may go for nothing only once the other is warm.
-	p = fleet(Host{Zone: "a", Cores: 8, Warm: 0.25, WarmIn: 3000}, Host{Zone: "b", Cores: 6}, Host{Zone: "b", Cores: 1})
-	steps, err := p.Drain([]string{"h2", "h1"}, Pace{Proxies: 2, LinesPerS: 1000, Head: 5, Grace: 3000})
-	if err != nil || len(steps) != 2 || steps[0].Hosts[0] != "h2" || steps[1].Result < 1-1e-6 {
+	p = fleet(Host{Zone: "a", Cores: 8, WarmFraction: 0.25, WarmUpMs: 3000}, Host{Zone: "b", Cores: 6}, Host{Zone: "b", Cores: 1})
+	steps, err := p.PlanDrain([]string{"h2", "h1"}, DrainPace{Proxies: 2, EntriesPerS: 1000, MessageOverhead: 5, GraceMs: 3000})
+	if err != nil || len(steps) != 2 || steps[0].Hosts[0] != "h2" || steps[1].ObjectiveValue < 1-1e-6 {
 		t.Errorf("%v %+v", err, steps)
 	}
 }
--- a/solver/problem.go
+++ b/solver/problem.go
@@ -26,73 +26,73 @@
 
 // Class of transactions: earnings of one, its mean work (ms on a core of speed 1), the least share to be let in.
 type Class struct {
-	Name     string  `json:"Name"`
-	Earnings float64 `json:"Earnings"`
-	Work     float64 `json:"Work"`
-	Least    float64 `json:"Least"`
-	Local    bool    `json:"Local"` // only hosts of the proxy's own zone may take it
+	Name              string  `json:"Name"`
+	Earnings          float64 `json:"Earnings"`
+	WorkMs            float64 `json:"Work"`
+	MinAdmissionRatio float64 `json:"Least"`
+	ZoneLocal         bool    `json:"Local"` // only hosts of the proxy's own zone may take it
 }
 
 // Host with what it can do. Work that it is given takes Work / Speed ms on one of its cores.
 type Host struct {
-	Name     string             `json:"Name"`
-	Zone     string             `json:"Zone"`
-	Kind     string             `json:"Kind"`
-	Cores    float64            `json:"Cores"`
-	Speed    float64            `json:"Speed"`
-	Warm     float64            `json:"Warm"`     // the part of its capacity that it has now, 0 to 1
-	WarmIn   float64            `json:"WarmIn"`   // ms until it has all of it, growing evenly; 0: it stays as it is
-	Draining bool               `json:"Draining"` // takes nothing new
-	Most     float64            `json:"Most"`     // of its capacity that may be used, 0 to 1; 0: all that the cap leaves
-	Factor   map[string]float64 `json:"Factor"`   // by class: its work here against that at other hosts of the speed; absent: 1
+	Name           string             `json:"Name"`
+	Zone           string             `json:"Zone"`
+	Kind           string             `json:"Kind"`
+	Cores          float64            `json:"Cores"`
+	Speed          float64            `json:"Speed"`
+	WarmFraction   float64            `json:"Warm"`     // the part of its capacity that it has now, 0 to 1
+	WarmUpMs       float64            `json:"WarmIn"`   // ms until it has all of it, growing evenly; 0: it stays as it is
+	Draining       bool               `json:"Draining"` // takes nothing new
+	MaxUtilization float64            `json:"Most"`     // of its capacity that may be used, 0 to 1; 0: all that the cap leaves
+	WorkFactor     map[string]float64 `json:"Factor"`   // by class: its work here against that at other hosts of the speed; absent: 1
 }
 
 // factor is what a class's work is here against that at other hosts of the speed.
 func (h Host) factor(class string) float64 {
-	if f, ok := h.Factor[class]; ok {
+	if f, ok := h.WorkFactor[class]; ok {
 		return f
 	}
 	return 1
 }
 
 // Prices and weights of the goal, as parts of the result.
-type Goal struct {
-	Whole      float64 `json:"Whole"`
-	WorstClass float64 `json:"WorstClass"`
-	Cross      float64 `json:"Cross"`   // of each transaction that crosses zones once
-	Connect    float64 `json:"Connect"` // of each connection that a proxy keeps to a host
-	Order      float64 `json:"Order"`   // of each message that gives a proxy another table
+type Objective struct {
+	TotalWeight      float64 `json:"Whole"`
+	WorstClassWeight float64 `json:"WorstClass"`
+	CrossZoneCost    float64 `json:"Cross"`   // of each transaction that crosses zones once
+	ConnectionCost   float64 `json:"Connect"` // of each connection that a proxy keeps to a host
+	UpdateCost       float64 `json:"Order"`   // of each message that gives a proxy another table
 }
 
 // Problem is a fleet with its demand, in transactions a second by class and zone of the proxies.
 type Problem struct {
-	Classes []Class                       `json:"Classes"`
-	Zones   []string                      `json:"Zones"`
-	Hosts   []Host                        `json:"Hosts"`
-	Demand  map[string]map[string]float64 `json:"Demand"`
-	Proxies map[string]int                `json:"Proxies"` // by zone; for the prices of connections and orders
-	Goal    Goal                          `json:"Goal"`
-	// Deadline d of the cap in ms, as a multiple of the mean time a transaction takes; 0: no margin below capacity.
+	Classes   []Class                       `json:"Classes"`
+	Zones     []string                      `json:"Zones"`
+	Hosts     []Host                        `json:"Hosts"`
+	Demand    map[string]map[string]float64 `json:"Demand"`
+	Proxies   map[string]int                `json:"Proxies"` // by zone; for the prices of connections and orders
+	Objective Objective                     `json:"Goal"`
+	// DeadlineMeans d of the cap in ms, as a multiple of the mean time a transaction takes; 0: no margin below capacity.
 	// The module starts at 3.2 (docs/design.md).
-	Deadline float64 `json:"Deadline"`
-	Doubt    Doubt   `json:"Doubt"`
+	DeadlineMeans float64     `json:"Deadline"`
+	Uncertainty   Uncertainty `json:"Doubt"`
 }
 
-// Doubt says how wrong the stated capacities may be: each host's lies between (1 - Spread) of it and all of it, and
+// Uncertainty says how wrong the stated capacities may be: each host's lies between (1 - Spread) of it and all of it, and
 // at most Worst hosts are at their least at once. What those cannot do of their load is lost, at the mean earnings
 // of work (after Bertsimas and Sim, "The Price of Robustness", 2004, with the loss in the objective).
-type Doubt struct {
-	Spread float64 `json:"Spread"`
-	Worst  int     `json:"Worst"`
+type Uncertainty struct {
+	Spread        float64 `json:"Spread"`
+	DegradedHosts int     `json:"Worst"`
 }
 
 // epsilon is the part of the transactions that may miss the deadline, as in package decide.
 const epsilon = 0.05
 
-// Cap is the load, in transactions a second, up to which a server of rate mu meets the deadline d (ms) for all but
+// DeadlineCapacity is the load, in transactions a second, up to which a server of rate mu meets the deadline d (ms) for all but
 // a part epsilon of them: mu - K, K = |ln epsilon / d|, and half of mu at least ("Deadline Guaranteed Service for
 // Multi-Tenant Cloud Storage", section 3, with the floor of the project's design).
-func Cap(mu, d float64) float64 {
+func DeadlineCapacity(mu, d float64) float64 {
 	if d <= 0 {
 		return mu
 	}
@@ -110,14 +110,14 @@
 	caps   []float64
 }
 
-// Fault names what is wrong with a problem.
-type Fault struct{ Field, Reason string }
+// FieldError names what is wrong with a problem.
+type FieldError struct{ Field, Reason string }
 
-func (f *Fault) Error() string { return f.Field + ": " + f.Reason }
+func (f *FieldError) Error() string { return f.Field + ": " + f.Reason }
 
 func (p *Problem) check() error {
 	if len(p.Classes) == 0 || len(p.Zones) == 0 {
-		return &Fault{"classes, zones", "at least one of each is needed"}
+		return &FieldError{"classes, zones", "at least one of each is needed"}
 	}
 	zones, classes := map[string]bool{}, map[string]bool{}
 	for _, z := range p.Zones {
@@ -125,43 +125,43 @@
 	}
 	for i, c := range p.Classes {
 		if classes[c.Name] || c.Name == "" {
-			return &Fault{fmt.Sprintf("classes[%d].name", i), "it is empty or stands there twice"}
+			return &FieldError{fmt.Sprintf("classes[%d].name", i), "it is empty or stands there twice"}
 		}
 		classes[c.Name] = true
-		if !(c.Work > 0) || math.IsInf(c.Work, 0) || !(c.Earnings >= 0) || math.IsInf(c.Earnings, 0) || !(c.Least >= 0 && c.Least <= 1) {
-			return &Fault{"classes[" + c.Name + "]", "work above 0, earnings from 0 and a least share from 0 to 1 are needed"}
+		if !(c.WorkMs > 0) || math.IsInf(c.WorkMs, 0) || !(c.Earnings >= 0) || math.IsInf(c.Earnings, 0) || !(c.MinAdmissionRatio >= 0 && c.MinAdmissionRatio <= 1) {
+			return &FieldError{"classes[" + c.Name + "]", "work above 0, earnings from 0 and a least share from 0 to 1 are needed"}
 		}
 	}
 	for i, h := range p.Hosts {
 		if !zones[h.Zone] {
-			return &Fault{fmt.Sprintf("hosts[%d].zone", i), fmt.Sprintf("%q is not among the zones", h.Zone)}
+			return &FieldError{fmt.Sprintf("hosts[%d].zone", i), fmt.Sprintf("%q is not among the zones", h.Zone)}
 		}
-		for _, x := range []float64{h.Cores, h.Speed, h.Warm, h.Most, h.WarmIn} {
+		for _, x := range []float64{h.Cores, h.Speed, h.WarmFraction, h.MaxUtilization, h.WarmUpMs} {
 			if !(x >= 0) || math.IsInf(x, 0) {
-				return &Fault{fmt.Sprintf("hosts[%d]", i), h.Name + " has a figure below 0, or none"}
+				return &FieldError{fmt.Sprintf("hosts[%d]", i), h.Name + " has a figure below 0, or none"}
 			}
 		}
-		for class, f := range h.Factor {
+		for class, f := range h.WorkFactor {
 			if !classes[class] || !(f > 0) || math.IsInf(f, 0) {
-				return &Fault{fmt.Sprintf("hosts[%d].factor", i), fmt.Sprintf("class %q with factor %g", class, f)}
+				return &FieldError{fmt.Sprintf("hosts[%d].factor", i), fmt.Sprintf("class %q with factor %g", class, f)}
 			}
 		}
 	}
-	if !(p.Doubt.Spread >= 0 && p.Doubt.Spread <= 1) || p.Doubt.Worst < 0 {
-		return &Fault{"doubt", "a spread from 0 to 1 and a number of hosts are needed"}
+	if !(p.Uncertainty.Spread >= 0 && p.Uncertainty.Spread <= 1) || p.Uncertainty.DegradedHosts < 0 {
+		return &FieldError{"doubt", "a spread from 0 to 1 and a number of hosts are needed"}
 	}
 	for zone, n := range p.Proxies {
 		if !zones[zone] || n < 0 {
-			return &Fault{"proxies", fmt.Sprintf("%d in zone %q", n, zone)}
+			return &FieldError{"proxies", fmt.Sprintf("%d in zone %q", n, zone)}
 		}
 	}
-	if g := p.Goal; !(g.Connect >= 0) || math.IsInf(g.Connect, 0) || !(g.Order >= 0) || math.IsInf(g.Order, 0) {
-		return &Fault{"goal", "prices from 0 are needed"}
+	if g := p.Objective; !(g.ConnectionCost >= 0) || math.IsInf(g.ConnectionCost, 0) || !(g.UpdateCost >= 0) || math.IsInf(g.UpdateCost, 0) {
+		return &FieldError{"goal", "prices from 0 are needed"}
 	}
 	for class, by := range p.Demand {
 		for zone, d := range by {
 			if !classes[class] || !zones[zone] || !(d >= 0) || math.IsInf(d, 0) {
-				return &Fault{"demand", fmt.Sprintf("%g of class %q in zone %q", d, class, zone)}
+				return &FieldError{"demand", fmt.Sprintf("%g of class %q in zone %q", d, class, zone)}
 			}
 		}
 	}
@@ -183,27 +183,27 @@
 	work, n := 0.0, 0.0
 	for c, k := range p.Classes {
 		for z := range p.Zones {
-			work, n = work+p.demand(c, z)*k.Work, n+p.demand(c, z)
+			work, n = work+p.demand(c, z)*k.WorkMs, n+p.demand(c, z)
 		}
 	}
 	if n == 0 {
-		return p.Classes[0].Work
+		return p.Classes[0].WorkMs
 	}
 	return work / n
 }
 
-// HostCap is the work, in ms a ms, that a host may be given: its cap mu - K in transactions of mean work, by what of
+// HostCapacity is the work, in ms a ms, that a host may be given: its cap mu - K in transactions of mean work, by what of
 // its capacity it has now, within its stated bound.
-func (p *Problem) HostCap(h Host) float64 {
-	if h.Draining || h.Cores <= 0 || h.Speed <= 0 || h.Warm <= 0 {
+func (p *Problem) HostCapacity(h Host) float64 {
+	if h.Draining || h.Cores <= 0 || h.Speed <= 0 || h.WarmFraction <= 0 {
 		return 0
 	}
 	mean := p.meanWork()
-	full := h.Cores * h.Speed * math.Min(h.Warm, 1)
+	full := h.Cores * h.Speed * math.Min(h.WarmFraction, 1)
 	mu := full / mean * 1000
-	load := Cap(mu, p.Deadline*mean/h.Speed) / 1000 * mean
-	if h.Most > 0 {
-		load = math.Min(load, h.Most*full)
+	load := DeadlineCapacity(mu, p.DeadlineMeans*mean/h.Speed) / 1000 * mean
+	if h.MaxUtilization > 0 {
+		load = math.Min(load, h.MaxUtilization*full)
 	}
 	return load
 }
@@ -216,7 +216,7 @@
 	}
 	var all []group
 	for i, h := range p.Hosts {
-		load := p.HostCap(h)
+		load := p.HostCapacity(h)
 		if load <= 0 {
 			continue
 		}
@@ -226,7 +226,7 @@
 			g.factor[c] = h.factor(k.Name)
 			key += fmt.Sprintf("/%g", g.factor[c])
 		}
-		if p.Goal.Connect > 0 && len(p.Hosts) <= connectsSingly {
+		if p.Objective.ConnectionCost > 0 && len(p.Hosts) <= connectsSingly {
 			key += "/" + h.Name // which hosts are connected to is a question then
 		}
 		at, ok := by[key]
--- a/solver/solve.go
+++ b/solver/solve.go
@@ -14,23 +14,23 @@
 
 // Solution of a problem.
 type Solution struct {
-	Result   float64                                  `json:"Result"` // of the goal, with prices taken off; at most Whole + WorstClass
-	Earned   float64                                  `json:"Earned"` // earnings a second
-	Asked    float64                                  `json:"Asked"`
-	Share    map[string]float64                       `json:"Share"`    // let in, by class
-	ZoneIn   map[string]map[string]float64            `json:"ZoneIn"`   // let in, by class and zone of the proxies
-	Weights  map[string]map[string]map[string]float64 `json:"Weights"`  // by class, zone of the proxies and host; they sum to 1
-	Load     map[string]float64                       `json:"Load"`     // of each host's cap that is used
-	Price    map[string]float64                       `json:"Price"`    // of each host's cap: earnings a second that one more core like its own would bring
-	Crossing float64                                  `json:"Crossing"` // transactions a second that cross zones
+	ObjectiveValue     float64                                  `json:"Result"` // of the goal, with prices taken off; at most Whole + WorstClass
+	EarningsPerS       float64                                  `json:"Earned"` // earnings a second
+	DemandEarningsPerS float64                                  `json:"Asked"`
+	AdmissionRatio     map[string]float64                       `json:"Share"`    // let in, by class
+	ZoneAdmissionRatio map[string]map[string]float64            `json:"ZoneIn"`   // let in, by class and zone of the proxies
+	Weights            map[string]map[string]map[string]float64 `json:"Weights"`  // by class, zone of the proxies and host; they sum to 1
+	Utilization        map[string]float64                       `json:"Load"`     // of each host's cap that is used
+	DualPrice          map[string]float64                       `json:"Price"`    // of each host's cap: earnings a second that one more core like its own would bring
+	CrossZoneRate      float64                                  `json:"Crossing"` // transactions a second that cross zones
 	// Connections that the proxies keep, where they have a price.
-	Connections int         `json:"Connections"`
-	Bound       float64     `json:"Bound"`  // what no answer's result is above, where connections have a price
-	AtRisk      float64     `json:"AtRisk"` // with doubt: earnings a second lost when the worst comes
-	basis       []string    // names of the programme's variables that are above 0
-	linear      float64     // the result but for connections
-	used        [][]float64 // part of each group's cap that is used from each zone
-	Unmet       []string    `json:"Unmet"` // least shares that the caps do not leave room for, with what they get
+	Connections       int         `json:"Connections"`
+	UpperBound        float64     `json:"Bound"`  // what no answer's result is above, where connections have a price
+	WorstCaseLossPerS float64     `json:"AtRisk"` // with doubt: earnings a second lost when the worst comes
+	basis             []string    // names of the programme's variables that are above 0
+	linear            float64     // the result but for connections
+	used              [][]float64 // part of each group's cap that is used from each zone
+	UnmetMinimums     []string    `json:"Unmet"` // least shares that the caps do not leave room for, with what they get
 }
 
 // penalty of a least share that is not met, against a result of about 1: large enough to be paid only where there is
@@ -71,7 +71,7 @@
 	if err := p.check(); err != nil {
 		return nil, err
 	}
-	if p.Goal.Connect > 0 {
+	if p.Objective.ConnectionCost > 0 {
 		return p.connected(last)
 	}
 	return p.solve(last, nil)
@@ -116,7 +116,7 @@
 	for c, k := range p.Classes {
 		for z := range p.Zones {
 			for g := range m.groups {
-				if p.demand(c, z) > 0 && (!k.Local || m.groups[g].zone == z) && !m.ways.closed(z, g) {
+				if p.demand(c, z) > 0 && (!k.ZoneLocal || m.groups[g].zone == z) && !m.ways.closed(z, g) {
 					m.columns = append(m.columns, column{c, z, g})
 				}
 			}
@@ -153,8 +153,8 @@
 	}
 	m.first = len(m.rows)
 	for c, k := range p.Classes {
-		if k.Least > 0 && m.p.classDemand(c) > 0 {
-			r := m.row(n, k.Least)
+		if k.MinAdmissionRatio > 0 && m.p.classDemand(c) > 0 {
+			r := m.row(n, k.MinAdmissionRatio)
 			m.least = append(m.least, c)
 			for i, x := range m.columns {
 				if x.c == c {
@@ -169,7 +169,7 @@
 // usage is the part of its group's cap that a variable takes when it is 1.
 func (m *programme) usage(x column) float64 {
 	g := &m.groups[x.g]
-	return m.p.Classes[x.c].Work / 1000 * g.factor[x.c] * m.p.demand(x.c, x.z) / g.cap
+	return m.p.Classes[x.c].WorkMs / 1000 * g.factor[x.c] * m.p.demand(x.c, x.z) / g.cap
 }
 
 func (m *programme) row(n int, right float64) int {
@@ -181,26 +181,26 @@
 const nearer = 1e-7
 
 func (m *programme) gains() {
-	goal := m.p.Goal
+	goal := m.p.Objective
 	for _, x := range m.columns {
 		d, gain := m.p.demand(x.c, x.z), 0.0
 		if m.asked > 0 {
-			gain = goal.Whole * m.p.Classes[x.c].Earnings * d / m.asked
+			gain = goal.TotalWeight * m.p.Classes[x.c].Earnings * d / m.asked
 		}
 		if m.groups[x.g].zone != x.z {
-			gain -= goal.Cross*d/m.total + nearer*math.Abs(gain)
+			gain -= goal.CrossZoneCost*d/m.total + nearer*math.Abs(gain)
 		}
 		if m.ways != nil {
 			gain -= m.ways[x.z][x.g].price * m.usage(x)
 		}
 		m.gain = append(m.gain, gain)
 	}
-	m.gain = append(m.gain, goal.WorstClass)
+	m.gain = append(m.gain, goal.WorstClassWeight)
 }
 
 // worst bounds t by the share of each class.
 func (m *programme) worst(n int) {
-	if m.p.Goal.WorstClass == 0 {
+	if m.p.Objective.WorstClassWeight == 0 {
 		m.rows[m.row(n, 1)][m.t] = 1 // t has no worth, but the method wants it bounded
 		return
 	}
@@ -233,15 +233,15 @@
 	}
 	mean := all / float64(hosts)
 	m.unit = mean * m.asked / (p.meanWork() / 1000 * m.total) // earnings a second of a mean host's cap
-	worth := p.Goal.Whole * m.unit / m.asked
-	m.gain = append(m.gain, -worth*float64(p.Doubt.Worst))
+	worth := p.Objective.TotalWeight * m.unit / m.asked
+	m.gain = append(m.gain, -worth*float64(p.Uncertainty.DegradedHosts))
 	for i, g := range m.groups {
 		m.gain = append(m.gain, -worth*float64(len(g.hosts)))
 		each := float64(len(g.hosts))
-		r := m.row(n, (1-p.Doubt.Spread)*g.cap/each/mean)
+		r := m.row(n, (1-p.Uncertainty.Spread)*g.cap/each/mean)
 		for k, x := range m.columns {
 			if x.g == i {
-				m.rows[r][k] = p.Classes[x.c].Work / 1000 * g.factor[x.c] * p.demand(x.c, x.z) / each / mean
+				m.rows[r][k] = p.Classes[x.c].WorkMs / 1000 * g.factor[x.c] * p.demand(x.c, x.z) / each / mean
 			}
 		}
 		m.rows[r][m.t+1], m.rows[r][m.t+2+i] = -1, -1
@@ -249,7 +249,7 @@
 }
 
 // doubted tells whether capacities are doubted at all.
-func (p *Problem) doubted() bool { return p.Doubt.Spread > 0 && p.Doubt.Worst > 0 }
+func (p *Problem) doubted() bool { return p.Uncertainty.Spread > 0 && p.Uncertainty.DegradedHosts > 0 }
 
 // run solves the programme by gonum's simplex method, and its dual for the prices of the caps. Slacks are a basis to
 // begin with; a row of a least share begins with the variable that pays for not meeting it.
@@ -412,21 +412,21 @@
 // read makes the programme's answer a solution.
 func (m *programme) read(y, dual []float64) *Solution {
 	p := m.p
-	s := &Solution{Asked: m.asked, Share: map[string]float64{}, ZoneIn: map[string]map[string]float64{},
-		Weights: map[string]map[string]map[string]float64{}, Load: map[string]float64{}, Price: map[string]float64{}}
+	s := &Solution{DemandEarningsPerS: m.asked, AdmissionRatio: map[string]float64{}, ZoneAdmissionRatio: map[string]map[string]float64{},
+		Weights: map[string]map[string]map[string]float64{}, Utilization: map[string]float64{}, DualPrice: map[string]float64{}}
 	served := make([][]float64, len(p.Classes))
 	for c, k := range p.Classes {
 		served[c] = make([]float64, len(p.Zones))
-		s.Weights[k.Name], s.ZoneIn[k.Name] = map[string]map[string]float64{}, map[string]float64{}
-		s.Share[k.Name] = 1
+		s.Weights[k.Name], s.ZoneAdmissionRatio[k.Name] = map[string]map[string]float64{}, map[string]float64{}
+		s.AdmissionRatio[k.Name] = 1
 	}
 	used, cross := make([]float64, len(m.groups)), 0.0
 	for i, x := range m.columns {
 		part := math.Max(y[i], 0)
 		served[x.c][x.z] += part
 		d := part * p.demand(x.c, x.z)
-		used[x.g] += d * p.Classes[x.c].Work / 1000 * m.groups[x.g].factor[x.c]
-		s.Earned += d * p.Classes[x.c].Earnings
+		used[x.g] += d * p.Classes[x.c].WorkMs / 1000 * m.groups[x.g].factor[x.c]
+		s.EarningsPerS += d * p.Classes[x.c].Earnings
 		if m.groups[x.g].zone != x.z {
 			cross += d
 		}
@@ -440,36 +440,36 @@
 		in, d := 0.0, m.p.classDemand(c)
 		for z, zone := range p.Zones {
 			if x := p.demand(c, z); x > 0 {
-				s.ZoneIn[k.Name][zone] = math.Min(served[c][z], 1)
+				s.ZoneAdmissionRatio[k.Name][zone] = math.Min(served[c][z], 1)
 				in += served[c][z] * x
 			}
 		}
 		if d > 0 {
-			s.Share[k.Name] = math.Min(in/d, 1)
+			s.AdmissionRatio[k.Name] = math.Min(in/d, 1)
 		}
 	}
 	for g, grp := range m.groups {
 		for i, h := range grp.hosts {
-			s.Load[p.Hosts[h].Name] = used[g] / grp.cap
-			if p.Goal.Whole > 0 {
-				s.Price[p.Hosts[h].Name] = dual[m.caps[g]] / grp.cap * m.asked / p.Goal.Whole * grp.caps[i] /
+			s.Utilization[p.Hosts[h].Name] = used[g] / grp.cap
+			if p.Objective.TotalWeight > 0 {
+				s.DualPrice[p.Hosts[h].Name] = dual[m.caps[g]] / grp.cap * m.asked / p.Objective.TotalWeight * grp.caps[i] /
 					p.Hosts[h].Cores
 			}
 		}
 	}
-	s.Crossing = cross
+	s.CrossZoneRate = cross
 	m.connections(s, y)
 	if p.doubted() {
-		s.AtRisk = m.unit * float64(p.Doubt.Worst) * y[m.t+1]
+		s.WorstCaseLossPerS = m.unit * float64(p.Uncertainty.DegradedHosts) * y[m.t+1]
 		for i, g := range m.groups {
-			s.AtRisk += m.unit * float64(len(g.hosts)) * y[m.t+2+i]
+			s.WorstCaseLossPerS += m.unit * float64(len(g.hosts)) * y[m.t+2+i]
 		}
 	}
-	s.Result = s.goal(p, m.total)
+	s.ObjectiveValue = s.goal(p, m.total)
 	for _, c := range m.least {
-		if k := p.Classes[c]; s.Share[k.Name] < k.Least-1e-6 {
-			s.Unmet = append(s.Unmet, fmt.Sprintf("class %s: a least share of %.3f is asked for, %.3f is the most there is room for", k.Name,
-				k.Least, s.Share[k.Name]))
+		if k := p.Classes[c]; s.AdmissionRatio[k.Name] < k.MinAdmissionRatio-1e-6 {
+			s.UnmetMinimums = append(s.UnmetMinimums, fmt.Sprintf("class %s: a least share of %.3f is asked for, %.3f is the most there is room for", k.Name,
+				k.MinAdmissionRatio, s.AdmissionRatio[k.Name]))
 		}
 	}
 	return s
@@ -480,18 +480,18 @@
 	worst := 1.0
 	for c, k := range p.Classes {
 		if p.classDemand(c) > 0 {
-			worst = math.Min(worst, s.Share[k.Name])
+			worst = math.Min(worst, s.AdmissionRatio[k.Name])
 		}
 	}
-	result := p.Goal.WorstClass * worst
-	if s.Asked > 0 {
-		result += p.Goal.Whole * s.Earned / s.Asked
+	result := p.Objective.WorstClassWeight * worst
+	if s.DemandEarningsPerS > 0 {
+		result += p.Objective.TotalWeight * s.EarningsPerS / s.DemandEarningsPerS
 	}
 	if total > 0 {
-		result -= p.Goal.Cross * s.Crossing / total
+		result -= p.Objective.CrossZoneCost * s.CrossZoneRate / total
 	}
 	s.linear = result
-	return result - p.Goal.Connect*float64(s.Connections)
+	return result - p.Objective.ConnectionCost*float64(s.Connections)
 }
 
 // spread gives a part of a demand to the hosts of a group by their caps.
@@ -508,35 +508,35 @@
 	}
 }
 
-// ErrBroken tells that an answer does not keep the problem's bounds.
-var ErrBroken = errors.New("the answer breaks a bound")
+// ErrInfeasible tells that an answer does not keep the problem's bounds.
+var ErrInfeasible = errors.New("the answer breaks a bound")
 
 // Verify reckons a solution's bounds anew, from its weights and shares alone.
 func (p *Problem) Verify(s *Solution) error {
 	load, caps, names, hosts := map[string]float64{}, map[string]float64{}, []string{}, map[string]Host{}
 	for _, h := range p.Hosts {
-		caps[h.Name], hosts[h.Name] = p.HostCap(h), h
+		caps[h.Name], hosts[h.Name] = p.HostCapacity(h), h
 		names = append(names, h.Name)
 	}
 	for c, k := range p.Classes {
 		for z, zone := range p.Zones {
-			sum, d := 0.0, p.demand(c, z)*s.ZoneIn[k.Name][zone]
+			sum, d := 0.0, p.demand(c, z)*s.ZoneAdmissionRatio[k.Name][zone]
 			for host, w := range s.Weights[k.Name][zone] {
 				if w < 0 || math.IsNaN(w) {
-					return fmt.Errorf("%w: %s has the weight %g", ErrBroken, host, w)
+					return fmt.Errorf("%w: %s has the weight %g", ErrInfeasible, host, w)
 				}
 				sum += w
-				load[host] += w * d * k.Work / 1000 * hosts[host].factor(k.Name)
+				load[host] += w * d * k.WorkMs / 1000 * hosts[host].factor(k.Name)
 			}
 			if d > 1e-9 && math.Abs(sum-1) > 1e-6 {
-				return fmt.Errorf("%w: the weights of %s in %s sum to %g", ErrBroken, k.Name, zone, sum)
+				return fmt.Errorf("%w: the weights of %s in %s sum to %g", ErrInfeasible, k.Name, zone, sum)
 			}
 		}
 	}
 	sort.Strings(names)
 	for _, h := range names {
 		if load[h] > caps[h]*(1+1e-6)+1e-12 {
-			return fmt.Errorf("%w: %s gets %g of %g", ErrBroken, h, load[h], caps[h])
+			return fmt.Errorf("%w: %s gets %g of %g", ErrInfeasible, h, load[h], caps[h])
 		}
 	}
 	return nil
--- a/solver/solver_test.go
+++ b/solver/solver_test.go
@@ -21,12 +21,12 @@
 		if h.Speed == 0 {
 			h.Speed = 1
 		}
-		if h.Warm == 0 {
-			h.Warm = 1
+		if h.WarmFraction == 0 {
+			h.WarmFraction = 1
 		}
 	}
-	return &Problem{Zones: []string{"a", "b"}, Hosts: hosts, Goal: Goal{Whole: 1},
-		Classes: []Class{{Name: "sheet", Earnings: 3, Work: 200}, {Name: "finish", Earnings: 9, Work: 100}},
+	return &Problem{Zones: []string{"a", "b"}, Hosts: hosts, Objective: Objective{TotalWeight: 1},
+		Classes: []Class{{Name: "sheet", Earnings: 3, WorkMs: 200}, {Name: "finish", Earnings: 9, WorkMs: 100}},
 		Demand:  map[string]map[string]float64{"sheet": {"a": 10, "b": 10}, "finish": {"a": 10, "b": 10}}}
 }
 
@@ -46,22 +46,22 @@
 func TestShortage(t *testing.T) {
 	p := fleet(Host{Zone: "a", Cores: 2}, Host{Zone: "b", Cores: 2}) // 4 of 6 cores' work
 	s := solve(t, p)
-	if !near(s.Share["finish"], 1, 1e-6) || !near(s.Share["sheet"], 0.5, 1e-6) || !near(s.Earned, 9*20+3*10, 1e-6) {
+	if !near(s.AdmissionRatio["finish"], 1, 1e-6) || !near(s.AdmissionRatio["sheet"], 0.5, 1e-6) || !near(s.EarningsPerS, 9*20+3*10, 1e-6) {
 		t.Errorf("%+v", s)
 	}
-	if !near(s.Price["h0"], 3/0.2, 1e-6) { // a core more serves five sheets a second more
-		t.Errorf("prices %v", s.Price)
+	if !near(s.DualPrice["h0"], 3/0.2, 1e-6) { // a core more serves five sheets a second more
+		t.Errorf("prices %v", s.DualPrice)
 	}
-	p.Goal = Goal{Whole: 0.1, WorstClass: 0.9}
-	if s = solve(t, p); !near(s.Share["finish"], s.Share["sheet"], 1e-6) || !near(s.Share["sheet"], 4.0/6, 1e-6) {
-		t.Errorf("for the worst class: %+v", s.Share)
+	p.Objective = Objective{TotalWeight: 0.1, WorstClassWeight: 0.9}
+	if s = solve(t, p); !near(s.AdmissionRatio["finish"], s.AdmissionRatio["sheet"], 1e-6) || !near(s.AdmissionRatio["sheet"], 4.0/6, 1e-6) {
+		t.Errorf("for the worst class: %+v", s.AdmissionRatio)
 	}
-	p.Goal, p.Classes[0].Least = Goal{Whole: 1}, 0.8
-	if s = solve(t, p); !near(s.Share["sheet"], 0.8, 1e-6) || len(s.Unmet) != 0 || !near(s.Share["finish"], 0.4, 1e-6) {
+	p.Objective, p.Classes[0].MinAdmissionRatio = Objective{TotalWeight: 1}, 0.8
+	if s = solve(t, p); !near(s.AdmissionRatio["sheet"], 0.8, 1e-6) || len(s.UnmetMinimums) != 0 || !near(s.AdmissionRatio["finish"], 0.4, 1e-6) {
 		t.Errorf("with a least share: %+v", s)
 	}
-	p.Classes[1].Least = 0.9 // 0.8 x 4 + 0.9 x 2 = 5 cores of 4
-	if s = solve(t, p); len(s.Unmet) == 0 || !strings.Contains(strings.Join(s.Unmet, ""), "least share") {
+	p.Classes[1].MinAdmissionRatio = 0.9 // 0.8 x 4 + 0.9 x 2 = 5 cores of 4
+	if s = solve(t, p); len(s.UnmetMinimums) == 0 || !strings.Contains(strings.Join(s.UnmetMinimums, ""), "least share") {
 		t.Errorf("bounds in conflict: %+v", s)
 	}
 }
@@ -69,20 +69,20 @@
 // Zones: near hosts first, others at the price of crossing; a class that may not cross is shed instead.
 func TestZones(t *testing.T) {
 	p := fleet(Host{Zone: "a", Cores: 3}, Host{Zone: "b", Cores: 3})
-	if s := solve(t, p); s.Crossing > 1e-9 || s.Weights["sheet"]["a"]["h0"] != 1 {
+	if s := solve(t, p); s.CrossZoneRate > 1e-9 || s.Weights["sheet"]["a"]["h0"] != 1 {
 		t.Errorf("crossing without need: %+v", s)
 	}
 	p.Hosts[1].Draining, p.Hosts[0].Cores = true, 8
-	if s := solve(t, p); !near(s.Crossing, 20, 1e-6) || !near(s.Earned, s.Asked, 1e-6) {
+	if s := solve(t, p); !near(s.CrossZoneRate, 20, 1e-6) || !near(s.EarningsPerS, s.DemandEarningsPerS, 1e-6) {
 		t.Errorf("a drained zone is served from the other: %+v", s)
 	}
-	p.Classes[0].Local = true
-	if s := solve(t, p); !near(s.ZoneIn["sheet"]["b"], 0, 1e-9) || !near(s.Share["sheet"], 0.5, 1e-6) {
+	p.Classes[0].ZoneLocal = true
+	if s := solve(t, p); !near(s.ZoneAdmissionRatio["sheet"]["b"], 0, 1e-9) || !near(s.AdmissionRatio["sheet"], 0.5, 1e-6) {
 		t.Errorf("a local class: %+v", s)
 	}
-	p.Goal.Cross = 10 // dearer than what is earned
-	p.Classes[0].Local = false
-	if s := solve(t, p); s.Crossing > 1e-6 {
+	p.Objective.CrossZoneCost = 10 // dearer than what is earned
+	p.Classes[0].ZoneLocal = false
+	if s := solve(t, p); s.CrossZoneRate > 1e-6 {
 		t.Errorf("crossing at a loss: %+v", s)
 	}
 }
@@ -95,28 +95,28 @@
 		"all drain":             fleet(Host{Zone: "a", Cores: 9, Draining: true}),
 	} {
 		s := solve(t, p)
-		if s.Earned != 0 || len(s.Weights["sheet"]["a"]) != 0 {
+		if s.EarningsPerS != 0 || len(s.Weights["sheet"]["a"]) != 0 {
 			t.Errorf("%s: %+v", name, s)
 		}
 	}
-	cold := fleet(Host{Zone: "a", Cores: 10, Warm: 0.15}, Host{Zone: "b", Cores: 10, Warm: 0.3})
-	if s := solve(t, cold); !near(s.Share["finish"], 1, 1e-6) || !near(s.Share["sheet"], 0.625, 1e-6) {
+	cold := fleet(Host{Zone: "a", Cores: 10, WarmFraction: 0.15}, Host{Zone: "b", Cores: 10, WarmFraction: 0.3})
+	if s := solve(t, cold); !near(s.AdmissionRatio["finish"], 1, 1e-6) || !near(s.AdmissionRatio["sheet"], 0.625, 1e-6) {
 		t.Errorf("all cold: %+v", s)
 	}
 	wide := fleet(Host{Zone: "a", Cores: 1e6}, Host{Zone: "b", Cores: 1e-3})
 	wide.Classes[0].Earnings = 1e-6
 	wide.Classes[1].Earnings = 1e3
-	if s := solve(t, wide); !near(s.Share["finish"], 1, 1e-6) || !near(s.Share["sheet"], 1, 1e-6) {
+	if s := solve(t, wide); !near(s.AdmissionRatio["finish"], 1, 1e-6) || !near(s.AdmissionRatio["sheet"], 1, 1e-6) {
 		t.Errorf("figures that differ by 1e9: %+v", s)
 	}
 	none := fleet(Host{Zone: "a", Cores: 9})
 	none.Demand = nil
-	if s := solve(t, none); s.Asked != 0 || s.Share["sheet"] != 1 {
+	if s := solve(t, none); s.DemandEarningsPerS != 0 || s.AdmissionRatio["sheet"] != 1 {
 		t.Errorf("no demand: %+v", s)
 	}
-	p := fleet(Host{Zone: "a", Cores: 2}, Host{Zone: "a", Cores: 4}, Host{Zone: "a", Cores: 4, Most: 0.25})
+	p := fleet(Host{Zone: "a", Cores: 2}, Host{Zone: "a", Cores: 4}, Host{Zone: "a", Cores: 4, MaxUtilization: 0.25})
 	s := solve(t, p)
-	if w := s.Weights["finish"]["a"]; !near(w["h1"], 2*w["h0"], 1e-9) || s.Load["h2"] > 1+1e-9 {
+	if w := s.Weights["finish"]["a"]; !near(w["h1"], 2*w["h0"], 1e-9) || s.Utilization["h2"] > 1+1e-9 {
 		t.Errorf("hosts alike share by their caps: %v", w)
 	}
 	if again := solve(t, p); !reflect.DeepEqual(s, again) {
@@ -124,7 +124,7 @@
 	}
 	for field, bad := range map[string]func(*Problem){
 		"hosts[0].zone":  func(p *Problem) { p.Hosts[0].Zone = "c" },
-		"classes[sheet]": func(p *Problem) { p.Classes[0].Work = math.NaN() },
+		"classes[sheet]": func(p *Problem) { p.Classes[0].WorkMs = math.NaN() },
 		"demand":         func(p *Problem) { p.Demand["sheet"]["a"] = -1 },
 		"hosts[0]":       func(p *Problem) { p.Hosts[0].Cores = math.Inf(1) },
 	} {
@@ -139,8 +139,8 @@
 // The cap of the design: mu - K, and half of mu at least.
 func TestCap(t *testing.T) {
 	k := math.Log(20) / 1000 * 1000 // d of a second
-	if !near(Cap(10, 1000), 10-k, 1e-9) || Cap(4, 1000) != 2 || Cap(10, 0) != 10 {
-		t.Errorf("%g %g %g", Cap(10, 1000), Cap(4, 1000), Cap(10, 0))
+	if !near(DeadlineCapacity(10, 1000), 10-k, 1e-9) || DeadlineCapacity(4, 1000) != 2 || DeadlineCapacity(10, 0) != 10 {
+		t.Errorf("%g %g %g", DeadlineCapacity(10, 1000), DeadlineCapacity(4, 1000), DeadlineCapacity(10, 0))
 	}
 }
 
@@ -171,7 +171,7 @@
 		for n := 0; n <= min(left, caps[g]); n++ {
 			gain := p.Classes[needs[k].c].Earnings
 			if p.Hosts[g].Zone != p.Zones[needs[k].z] {
-				gain -= p.Goal.Cross * asked(p) / total // the goal counts crossings as a part of the result
+				gain -= p.Objective.CrossZoneCost * asked(p) / total // the goal counts crossings as a part of the result
 			}
 			caps[g] -= n
 			best = math.Max(best, float64(n)*gain+deal(k, g+1, left-n))
@@ -195,8 +195,8 @@
 func TestAgainstExhaustiveSearch(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	for n := range 2000 {
-		p := &Problem{Zones: []string{"a", "b"}, Goal: Goal{Whole: 1, Cross: []float64{0, 0.1, 0.6}[random.IntN(3)]},
-			Classes: []Class{{Name: "sheet", Earnings: float64(1 + random.IntN(4)), Work: 1000}, {Name: "finish", Earnings: float64(1 + random.IntN(9)), Work: 1000}},
+		p := &Problem{Zones: []string{"a", "b"}, Objective: Objective{TotalWeight: 1, CrossZoneCost: []float64{0, 0.1, 0.6}[random.IntN(3)]},
+			Classes: []Class{{Name: "sheet", Earnings: float64(1 + random.IntN(4)), WorkMs: 1000}, {Name: "finish", Earnings: float64(1 + random.IntN(9)), WorkMs: 1000}},
 			Demand:  map[string]map[string]float64{}}
 		for _, c := range p.Classes {
 			p.Demand[c.Name] = map[string]float64{"a": float64(random.IntN(4)), "b": float64(random.IntN(4))}
@@ -205,15 +205,15 @@
 		for h := range 1 + random.IntN(3) {
 			cores := random.IntN(5)
 			caps = append(caps, cores)
-			p.Hosts = append(p.Hosts, Host{Name: fmt.Sprint(h), Zone: p.Zones[random.IntN(2)], Cores: float64(cores), Speed: 1, Warm: 1})
+			p.Hosts = append(p.Hosts, Host{Name: fmt.Sprint(h), Zone: p.Zones[random.IntN(2)], Cores: float64(cores), Speed: 1, WarmFraction: 1})
 		}
 		if asked(p) == 0 {
 			continue
 		}
 		s := solve(t, p)
 		want := exhaustive(p, caps) / asked(p)
-		if !near(s.Result, want, 1e-5) {
-			t.Fatalf("fleet %d: %.6f, all tried %.6f: %+v", n, s.Result, want, p)
+		if !near(s.ObjectiveValue, want, 1e-5) {
+			t.Fatalf("fleet %d: %.6f, all tried %.6f: %+v", n, s.ObjectiveValue, want, p)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 	random := rand.New(rand.NewPCG(6, 6))
 	for n := range 300 {
 		p := drawn(random, 2+random.IntN(20), 3, 3)
-		p.Goal = Goal{Whole: 1, Cross: 0.1 * random.Float64()}
+		p.Objective = Objective{TotalWeight: 1, CrossZoneCost: 0.1 * random.Float64()}
 		s := solve(t, p)
 		// One more core of a host earns what its price says, as long as the basis stays.
 		h := random.IntN(len(p.Hosts))
@@ -232,35 +232,35 @@
 		more := *p
 		more.Hosts = append([]Host(nil), p.Hosts...)
 		more.Hosts[h].Cores += step
-		more.Deadline, p.Deadline = 0, 0
+		more.DeadlineMeans, p.DeadlineMeans = 0, 0
 		b, a := solve(t, &more), solve(t, p)
-		gain := (b.Result - a.Result) * a.Asked / step
-		if price := a.Price[p.Hosts[h].Name]; gain < -1e-4*a.Asked || gain > price+1e-2*(1+price) && p.Hosts[h].Warm == 1 && price > 0 {
+		gain := (b.ObjectiveValue - a.ObjectiveValue) * a.DemandEarningsPerS / step
+		if price := a.DualPrice[p.Hosts[h].Name]; gain < -1e-4*a.DemandEarningsPerS || gain > price+1e-2*(1+price) && p.Hosts[h].WarmFraction == 1 && price > 0 {
 			t.Errorf("fleet %d: a core more at %s earns %.4f, its price is %.4f", n, p.Hosts[h].Name, gain, price)
 		}
-		if s.Result > 1+1e-9 {
-			t.Errorf("fleet %d: a result of %g", n, s.Result)
+		if s.ObjectiveValue > 1+1e-9 {
+			t.Errorf("fleet %d: a result of %g", n, s.ObjectiveValue)
 		}
 	}
 }
 
 // drawn is a fleet drawn at random.
 func drawn(random *rand.Rand, hosts, zones, classes int) *Problem {
-	p := &Problem{Deadline: 3.2, Goal: Goal{Whole: 0.9, WorstClass: 0.1, Cross: 0.05}, Demand: map[string]map[string]float64{}}
+	p := &Problem{DeadlineMeans: 3.2, Objective: Objective{TotalWeight: 0.9, WorstClassWeight: 0.1, CrossZoneCost: 0.05}, Demand: map[string]map[string]float64{}}
 	for z := range zones {
 		p.Zones = append(p.Zones, fmt.Sprint("zone", z))
 	}
 	for c := range classes {
-		k := Class{Name: fmt.Sprint("class", c), Earnings: 1 + 9*random.Float64(), Work: 20 + 400*random.Float64()}
+		k := Class{Name: fmt.Sprint("class", c), Earnings: 1 + 9*random.Float64(), WorkMs: 20 + 400*random.Float64()}
 		p.Classes, p.Demand[k.Name] = append(p.Classes, k), map[string]float64{}
 		for _, z := range p.Zones {
 			p.Demand[k.Name][z] = 4 * float64(hosts) * random.Float64() / float64(zones*classes) * 10
 		}
 	}
 	for h := range hosts {
-		x := Host{Name: fmt.Sprint("host", h), Zone: p.Zones[random.IntN(zones)], Cores: float64(1 + random.IntN(8)), Speed: 0.5 + random.Float64(), Warm: 1}
+		x := Host{Name: fmt.Sprint("host", h), Zone: p.Zones[random.IntN(zones)], Cores: float64(1 + random.IntN(8)), Speed: 0.5 + random.Float64(), WarmFraction: 1}
 		if kind := random.IntN(4); kind == 0 {
-			x.Factor = map[string]float64{"class0": 2}
+			x.WorkFactor = map[string]float64{"class0": 2}
 		}
 		p.Hosts = append(p.Hosts, x)
 	}
@@ -289,8 +289,8 @@
 			if err := p.Verify(s); err != nil {
 				t.Fatal(err)
 			}
-			if plain := solve(t, p); !near(s.Result, plain.Result, 1e-6) {
-				t.Errorf("fleet %d: %.7f from an earlier answer, %.7f from nothing", n, s.Result, plain.Result)
+			if plain := solve(t, p); !near(s.ObjectiveValue, plain.ObjectiveValue, 1e-6) {
+				t.Errorf("fleet %d: %.7f from an earlier answer, %.7f from nothing", n, s.ObjectiveValue, plain.ObjectiveValue)
 			}
 			last = s
 		}
@@ -302,7 +302,7 @@
 func BenchmarkAgain(b *testing.B) {
 	p := drawn(rand.New(rand.NewPCG(7, 7)), 506, 3, 4)
 	for h := range p.Hosts {
-		p.Hosts[h].Factor = map[string]float64{"class1": 1 + float64(h%25)/100}
+		p.Hosts[h].WorkFactor = map[string]float64{"class1": 1 + float64(h%25)/100}
 	}
 	last, err := p.Solve()
 	if err != nil {
