--- a/solver/connections.go
+++ b/solver/connections.go
@@ -2,193 +2,195 @@
 
 import "math"
 
-// way from the proxies of a zone to a group: its price, for all of the group's cap, and whether it may be used.
-type way struct {
-	price  float64
-	closed bool
+// arc leads from the proxies of a zone to a group.
+type arc struct {
+	cost   float64 // in units of the objective, if the zone uses all of the group's capacity; else in proportion
+	closed bool    // carries no requests
 }
 
-// ways by zone and group.
-type ways [][]way
+// arcs are indexed by zone and group. Nil stands for open arcs without cost.
+type arcs [][]arc
 
-func (w ways) closed(z, g int) bool { return w != nil && w[z][g].closed }
+func (a arcs) closed(zone, group int) bool { return a != nil && a[zone][group].closed }
 
-// connectsSingly hosts or fewer are each a group of their own where connections have a price; of more, alike ones
-// are connected to together or not at all.
-const connectsSingly = 64
+// maxSeparateHosts is the largest fleet in which each host is a group of its own if connections have a cost. In larger
+// fleets the proxies of a zone connect to all hosts of a group of equal hosts or to none.
+const maxSeparateHosts = 64
 
-// rounds of slope scaling, and nodes of the search after it.
 const (
-	slopeRounds = 8
-	nodesMost   = 400
+	maxSlopeRounds = 8   // linear programs of the slope scaling
+	maxSearchNodes = 400 // linear programs of branch and bound
 )
 
-// connected solves where connections have a price. A way between a zone and a group is paid for once, however much
-// goes over it, which no linear programme says. A good answer comes from slope scaling (Kim and Pardalos, "A solution
-// approach to the fixed charge network flow problem using a dynamic slope scaling procedure", 1999): each way is priced
-// by what went over it last, until nothing changes. From there branch and bound: a way is paid for or closed, and the
-// rest is priced as if each paid for the used part only, which earns at least as much as can be. The search ends after
-// nodesMost programmes at the latest; Bound then tells what could be missing.
-func (p *Problem) connected(last *Solution) (*Solution, error) {
-	c := &connecting{p: p, last: last, groups: p.groups()}
-	c.fixed = make([][]float64, len(p.Zones))
+// solveWithConnectionCosts solves a problem with a cost of connections. The cost of an arc is fixed: it is due once
+// the arc carries any requests, which a linear program cannot express. Slope scaling (Kim and Pardalos, "A solution
+// approach to the fixed charge network flow problem using a dynamic slope scaling procedure", 1999) finds a good
+// solution: each arc costs in proportion to its use, at the rate at which its last use would have paid the fixed cost,
+// until the costs no longer change. Branch and bound follows: each node pays for or closes some arcs, and for the
+// others counts only the part of the cost that corresponds to their use, which gives an upper bound. The search stops
+// after maxSearchNodes linear programs; the solution's UpperBound then shows how far it may be from the optimum.
+func (p *Problem) solveWithConnectionCosts(earlier *Solution) (*Solution, error) {
+	search := &connectionSearch{problem: p, earlier: earlier, groups: p.groups()}
+	search.fixedCosts = make([][]float64, len(p.Zones))
 	for z, zone := range p.Zones {
-		c.fixed[z] = make([]float64, len(c.groups))
-		for g := range c.groups {
-			c.fixed[z][g] = p.Objective.ConnectionCost * float64(p.Proxies[zone]) * float64(len(c.groups[g].hosts))
+		search.fixedCosts[z] = make([]float64, len(search.groups))
+		for g := range search.groups {
+			search.fixedCosts[z][g] = p.Objective.ConnectionCost * float64(p.Proxies[zone]) *
+				float64(len(search.groups[g].hosts))
 		}
 	}
-	if err := c.scale(); err != nil {
+	if err := search.scaleSlopes(); err != nil {
 		return nil, err
 	}
-	bound, err := c.search()
+	bound, err := search.branchAndBound()
 	if err != nil {
 		return nil, err
 	}
-	c.best.UpperBound = math.Max(bound, c.best.ObjectiveValue)
-	return c.best, nil
+	search.best.UpperBound = math.Max(bound, search.best.ObjectiveValue)
+	return search.best, nil
 }
 
-// connecting is a search for the ways that are worth their price.
-type connecting struct {
-	p      *Problem
-	groups []group
-	fixed  [][]float64 // price of a way, by zone and group
-	last   *Solution
-	best   *Solution
+// connectionSearch searches for the arcs that are worth their fixed cost.
+type connectionSearch struct {
+	problem    *Problem
+	groups     []group
+	fixedCosts [][]float64 // of the arcs, by zone and group
+	earlier    *Solution   // to start from; may be nil
+	best       *Solution
 }
 
-// relaxed gives the ways with each at its price for all of the group's cap.
-func (c *connecting) relaxed() ways {
-	w := make(ways, len(c.fixed))
-	for z := range w {
-		w[z] = make([]way, len(c.groups))
-		for g := range w[z] {
-			w[z][g].price = c.fixed[z][g]
+// relaxedArcs returns open arcs whose cost is in proportion to their use, up to the fixed cost at full use.
+func (s *connectionSearch) relaxedArcs() arcs {
+	relaxed := make(arcs, len(s.fixedCosts))
+	for z := range relaxed {
+		relaxed[z] = make([]arc, len(s.groups))
+		for g := range relaxed[z] {
+			relaxed[z][g].cost = s.fixedCosts[z][g]
 		}
 	}
-	return w
+	return relaxed
 }
 
-// solve solves at given prices, and keeps the answer if it is the best so far.
-func (c *connecting) solve(w ways) (*Solution, error) {
-	s, err := c.p.solve(c.last, w)
+// solve solves the linear program with the given arcs, and keeps the solution if it is the best so far.
+func (s *connectionSearch) solve(arcs arcs) (*Solution, error) {
+	solution, err := s.problem.solve(s.earlier, arcs)
 	if err != nil {
 		return nil, err
 	}
-	if c.best == nil || s.ObjectiveValue > c.best.ObjectiveValue+1e-12 {
-		c.best = s
+	if s.best == nil || solution.ObjectiveValue > s.best.ObjectiveValue+minGain {
+		s.best = solution
 	}
-	return s, nil
+	return solution, nil
 }
 
-// scale prices the ways by their use until nothing changes.
-func (c *connecting) scale() error {
-	w := c.relaxed()
-	for range slopeRounds {
-		s, err := c.solve(w)
+// scaleSlopes sets the cost of each arc by its last use until the costs no longer change.
+func (s *connectionSearch) scaleSlopes() error {
+	arcs := s.relaxedArcs()
+	for range maxSlopeRounds {
+		solution, err := s.solve(arcs)
 		if err != nil {
 			return err
 		}
-		moved := false
-		for z := range w {
-			for g := range w[z] {
-				if u := s.used[z][g]; u > 1e-9 {
-					next := c.fixed[z][g] / u
-					moved = moved || math.Abs(next-w[z][g].price) > 1e-9*next
-					w[z][g].price = next
+		changed := false
+		for z := range arcs {
+			for g := range arcs[z] {
+				if use := solution.groupUtilization[z][g]; use > minPositive {
+					cost := s.fixedCosts[z][g] / use
+					changed = changed || math.Abs(cost-arcs[z][g].cost) > minPositive*cost
+					arcs[z][g].cost = cost
 				}
 			}
 		}
-		if !moved {
+		if !changed {
 			break
 		}
 	}
 	return nil
 }
 
-// node of the search: which ways are paid for and which are closed, and what can be earned there at most.
+// node is a node of the search tree.
 type node struct {
-	ways  ways
-	paid  [][]bool
-	bound float64
+	arcs  arcs
+	paid  [][]bool // by zone and group: whether the fixed cost of the arc is paid
+	bound float64  // upper bound of the objective value below this node
 }
 
-// search branches on the way whose price is paid least of, depth first, and gives what no answer can be above.
-func (c *connecting) search() (bound float64, err error) {
-	paid := make([][]bool, len(c.fixed))
+// branchAndBound searches depth first, and branches on the arc with the largest unpaid part of its fixed cost. It
+// returns an upper bound of the nodes that are left when it stops.
+func (s *connectionSearch) branchAndBound() (bound float64, err error) {
+	paid := make([][]bool, len(s.fixedCosts))
 	for z := range paid {
-		paid[z] = make([]bool, len(c.groups))
+		paid[z] = make([]bool, len(s.groups))
 	}
-	open := []node{{c.relaxed(), paid, math.Inf(1)}}
-	for n := 0; len(open) > 0 && n < nodesMost; n++ {
-		x := open[len(open)-1]
+	open := []node{{s.relaxedArcs(), paid, math.Inf(1)}}
+	for count := 0; len(open) > 0 && count < maxSearchNodes; count++ {
+		current := open[len(open)-1]
 		open = open[:len(open)-1]
-		if x.bound <= c.best.ObjectiveValue+1e-9 {
+		if current.bound <= s.best.ObjectiveValue+minPositive {
 			continue
 		}
-		s, err := c.solve(x.ways)
+		solution, err := s.solve(current.arcs)
 		if err != nil {
 			return 0, err
 		}
-		x.bound = s.linear
-		at, unpaid, usedThere := [2]int{}, 1e-9, 0.0
-		for z := range x.ways {
-			for g, u := range s.used[z] {
-				if x.paid[z][g] {
-					x.bound -= c.fixed[z][g]
+		current.bound = solution.linearObjective
+		branchArc, maxUnpaid, branchArcUse := [2]int{}, minPositive, 0.0
+		for z := range current.arcs {
+			for g, use := range solution.groupUtilization[z] {
+				if current.paid[z][g] {
+					current.bound -= s.fixedCosts[z][g]
 					continue
 				}
-				x.bound -= c.fixed[z][g] * u
-				if rest := c.fixed[z][g] * (1 - u); u > 1e-9 && rest > unpaid {
-					at, unpaid, usedThere = [2]int{z, g}, rest, u
+				current.bound -= s.fixedCosts[z][g] * use
+				if unpaid := s.fixedCosts[z][g] * (1 - use); use > minPositive && unpaid > maxUnpaid {
+					branchArc, maxUnpaid, branchArcUse = [2]int{z, g}, unpaid, use
 				}
 			}
 		}
-		if x.bound <= c.best.ObjectiveValue+1e-9 || unpaid <= 1e-9 {
+		if current.bound <= s.best.ObjectiveValue+minPositive || maxUnpaid <= minPositive {
 			continue
 		}
-		without, with := x.branch(at, false), x.branch(at, true)
-		if usedThere > 0.5 {
+		without, with := current.branch(branchArc, false), current.branch(branchArc, true)
+		if branchArcUse > 0.5 { // the last node is searched first
 			open = append(open, without, with)
 		} else {
 			open = append(open, with, without)
 		}
 	}
 	bound = math.Inf(-1)
-	for _, x := range open {
-		bound = math.Max(bound, x.bound)
+	for _, unsearched := range open {
+		bound = math.Max(bound, unsearched.bound)
 	}
 	return bound, nil
 }
 
-// branch gives the node in which a way is paid for, or closed.
-func (x node) branch(at [2]int, pay bool) node {
-	n := node{make(ways, len(x.ways)), make([][]bool, len(x.paid)), x.bound}
-	for z := range x.ways {
-		n.ways[z], n.paid[z] = append([]way(nil), x.ways[z]...), append([]bool(nil), x.paid[z]...)
+// branch returns a child node in which the arc at (zone, group) is paid or else closed.
+func (n node) branch(at [2]int, pay bool) node {
+	child := node{make(arcs, len(n.arcs)), make([][]bool, len(n.paid)), n.bound}
+	for z := range n.arcs {
+		child.arcs[z], child.paid[z] = append([]arc(nil), n.arcs[z]...), append([]bool(nil), n.paid[z]...)
 	}
-	n.ways[at[0]][at[1]] = way{closed: !pay}
-	n.paid[at[0]][at[1]] = pay
-	return n
+	child.arcs[at[0]][at[1]] = arc{closed: !pay}
+	child.paid[at[0]][at[1]] = pay
+	return child
 }
 
-// connections counts what an answer's ways cost.
-func (m *programme) connections(s *Solution, y []float64) {
-	s.used = make([][]float64, len(m.p.Zones))
-	for z := range s.used {
-		s.used[z] = make([]float64, len(m.groups))
+// countConnections sets the use of the groups from each zone and, if they have a cost, the number of connections.
+func (l *linearProgram) countConnections(s *Solution, values []float64) {
+	s.groupUtilization = make([][]float64, len(l.problem.Zones))
+	for z := range s.groupUtilization {
+		s.groupUtilization[z] = make([]float64, len(l.groups))
 	}
-	for i, x := range m.columns {
-		s.used[x.z][x.g] += math.Max(y[i], 0) * m.usage(x)
+	for j, column := range l.columns {
+		s.groupUtilization[column.zone][column.group] += math.Max(values[j], 0) * l.capacityUse(column)
 	}
-	if m.p.Objective.ConnectionCost == 0 {
+	if l.problem.Objective.ConnectionCost == 0 {
 		return
 	}
-	for z, zone := range m.p.Zones {
-		for g, u := range s.used[z] {
-			if u > 1e-9 {
-				s.Connections += m.p.Proxies[zone] * len(m.groups[g].hosts)
+	for z, zone := range l.problem.Zones {
+		for g, use := range s.groupUtilization[z] {
+			if use > minPositive {
+				s.Connections += l.problem.Proxies[zone] * len(l.groups[g].hosts)
 			}
 		}
 	}
--- a/solver/greedy.go
+++ b/solver/greedy.go
@@ -7,87 +7,91 @@
 	"gonum.org/v1/gonum/floats"
 )
 
-// greedy gives a basis to begin with: each demand, the one that earns most for its work first, fills the groups where
-// it earns most for what it takes of their caps. It is a vertex of the programme near the best one, so the simplex
-// method has little left to do; where it keeps a bound badly (least shares) the method begins from nothing.
-func (m *programme) greedy() *Solution {
-	by := map[[2]int][]int{}
-	for i, x := range m.columns {
-		by[[2]int{x.c, x.z}] = append(by[[2]int{x.c, x.z}], i)
+// greedySolution returns a basis to start the simplex method from. In the order of earnings for the work, each demand
+// fills the groups where it earns most for the capacity that it uses. That is a vertex of the program near the
+// optimal one, so that few pivots are left. If it is infeasible, as it may be with minimum admission ratios, the
+// simplex method starts from the slacks.
+func (l *linearProgram) greedySolution() *Solution {
+	columnsOf := map[[2]int][]int{} // by class and zone
+	for j, column := range l.columns {
+		columnsOf[[2]int{column.class, column.zone}] = append(columnsOf[[2]int{column.class, column.zone}], j)
 	}
 	type demand struct {
 		columns []int
-		gain    float64 // for the cap that it takes
+		gain    float64 // of the best column, for its capacity use
 	}
-	worth := func(i int) float64 { return m.gain[i] / (m.usage(m.columns[i]) * m.groups[m.columns[i].g].cap) }
-	dear := func(i int) float64 { return floats.Sum(m.groups[m.columns[i].g].factor) }
-	var all []demand
-	for c := range m.p.Classes {
-		for z := range m.p.Zones {
-			columns := by[[2]int{c, z}]
+	gain := func(j int) float64 {
+		return l.objective[j] / (l.capacityUse(l.columns[j]) * l.groups[l.columns[j].group].capacity)
+	}
+	totalWorkFactor := func(j int) float64 { return floats.Sum(l.groups[l.columns[j].group].workFactors) }
+	var demands []demand
+	for c := range l.problem.Classes {
+		for z := range l.problem.Zones {
+			columns := columnsOf[[2]int{c, z}]
 			if len(columns) == 0 {
 				continue
 			}
 			sort.SliceStable(columns, func(i, j int) bool {
-				a, b := worth(columns[i]), worth(columns[j])
-				if math.Abs(a-b) > 1e-9*math.Abs(a) {
+				a, b := gain(columns[i]), gain(columns[j])
+				if math.Abs(a-b) > minPositive*math.Abs(a) {
 					return a > b
 				}
-				return dear(columns[i]) > dear(columns[j]) // leave the others' best groups to them
+				// Groups that are slow for the other classes come first, which leaves the fast ones to those.
+				return totalWorkFactor(columns[i]) > totalWorkFactor(columns[j])
 			})
-			all = append(all, demand{columns, worth(columns[0])})
+			demands = append(demands, demand{columns, gain(columns[0])})
 		}
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].gain > all[j].gain })
-	y, left := make([]float64, len(m.gain)), make([]float64, len(m.groups))
-	for g := range left {
-		left[g] = 1
+	sort.SliceStable(demands, func(i, j int) bool { return demands[i].gain > demands[j].gain })
+	values, freeCapacity := make([]float64, len(l.objective)), make([]float64, len(l.groups))
+	for g := range freeCapacity {
+		freeCapacity[g] = 1
 	}
-	for _, d := range all {
-		rest := 1.0
-		for _, i := range d.columns {
-			x := m.columns[i]
-			y[i] = math.Min(rest, left[x.g]/m.usage(x))
-			if m.gain[i] <= 0 {
-				y[i] = 0
+	for _, demand := range demands {
+		unserved := 1.0
+		for _, j := range demand.columns {
+			column := l.columns[j]
+			values[j] = math.Min(unserved, freeCapacity[column.group]/l.capacityUse(column))
+			if l.objective[j] <= 0 {
+				values[j] = 0
 			}
-			rest -= y[i]
-			if left[x.g] -= y[i] * m.usage(x); left[x.g] < 1e-12 {
-				left[x.g] = 0
+			unserved -= values[j]
+			if freeCapacity[column.group] -= values[j] * l.capacityUse(column); freeCapacity[column.group] < minFraction {
+				freeCapacity[column.group] = 0
 			}
-			if rest < 1e-12 {
+			if unserved < minFraction {
 				break
 			}
 		}
 	}
-	y[m.t] = 1
-	if m.p.Objective.WorstClassWeight > 0 {
-		for c := range m.p.Classes {
-			if d := m.p.classDemand(c); d > 0 {
-				in := 0.0
-				for i, x := range m.columns {
-					if x.c == c {
-						in += y[i] * m.p.demand(x.c, x.z) / d
+	values[l.worstClassColumn] = 1
+	if l.problem.Objective.WorstClassWeight > 0 {
+		for c := range l.problem.Classes {
+			if classDemand := l.problem.classDemand(c); classDemand > 0 {
+				admissionRatio := 0.0
+				for j, column := range l.columns {
+					if column.class == c {
+						admissionRatio += values[j] * l.problem.demand(column.class, column.zone) / classDemand
 					}
 				}
-				y[m.t] = math.Min(y[m.t], in)
+				values[l.worstClassColumn] = math.Min(values[l.worstClassColumn], admissionRatio)
 			}
 		}
 	}
-	s := &Solution{}
-	for j, v := range y {
-		if v > 1e-12 {
-			s.basis = append(s.basis, m.name(j))
+	solution := &Solution{}
+	for j, value := range values {
+		if value > minFraction {
+			solution.basis = append(solution.basis, l.variableName(j))
 		}
 	}
-	for i, row := range m.rows { // a row that is not full has its slack in the basis
+	for i, row := range l.rows { // the slack of a row that doesn't bind is in the basis
 		sum := 0.0
-		for j, a := range row {
-			sum += a * y[j]
+		for j, coefficient := range row {
+			sum += coefficient * values[j]
 		}
-		if m.right[i]-sum > 1e-9 {
-			s.basis = append(s.basis, m.name(len(m.gain)+i))
+		if l.rightHandSides[i]-sum > minPositive {
+			solution.basis = append(solution.basis, l.variableName(len(l.objective)+i))
 		}
 	}
-	return s
+	return solution
 }
--- a/solver/plan.go
+++ b/solver/plan.go
@@ -8,157 +8,159 @@
 	"sort"
 )
 
-// Change is a what-if question.
+// Change is a hypothetical change of a problem.
 type Change struct {
-	DrainHosts   []string // hosts
-	LoseZones    []string // zones, with their hosts; their proxies stay
-	DemandFactor float64  // times; 0: as it is
+	DrainHosts   []string
+	LoseZones    []string // all hosts of these zones drain; their proxies stay
+	DemandFactor float64  // 0: the demand doesn't change
 	AddHosts     []Host
 }
 
-// With gives the problem after a change.
-func (p *Problem) With(c Change) (*Problem, error) {
-	q := *p
-	q.Hosts = append(slices.Clone(p.Hosts), c.AddHosts...)
-	for _, name := range c.DrainHosts {
-		i := slices.IndexFunc(q.Hosts, func(h Host) bool { return h.Name == name })
+// With returns the problem after a change.
+func (p *Problem) With(change Change) (*Problem, error) {
+	changed := *p
+	changed.Hosts = append(slices.Clone(p.Hosts), change.AddHosts...)
+	for _, name := range change.DrainHosts {
+		i := slices.IndexFunc(changed.Hosts, func(host Host) bool { return host.Name == name })
 		if i < 0 {
-			return nil, &FieldError{"drain", fmt.Sprintf("no host is named %q", name)}
+			return nil, &FieldError{"drain", fmt.Sprintf("host %q is unknown", name)}
 		}
-		q.Hosts[i].Draining = true
+		changed.Hosts[i].Draining = true
 	}
-	for _, zone := range c.LoseZones {
-		if !slices.Contains(q.Zones, zone) {
-			return nil, &FieldError{"lose", fmt.Sprintf("no zone is named %q", zone)}
+	for _, zone := range change.LoseZones {
+		if !slices.Contains(changed.Zones, zone) {
+			return nil, &FieldError{"lose", fmt.Sprintf("zone %q is unknown", zone)}
 		}
-		for i := range q.Hosts {
-			q.Hosts[i].Draining = q.Hosts[i].Draining || q.Hosts[i].Zone == zone
+		for i := range changed.Hosts {
+			changed.Hosts[i].Draining = changed.Hosts[i].Draining || changed.Hosts[i].Zone == zone
 		}
 	}
-	if c.DemandFactor < 0 || math.IsNaN(c.DemandFactor) || math.IsInf(c.DemandFactor, 0) {
-		return nil, &FieldError{"demand", fmt.Sprintf("%g times", c.DemandFactor)}
+	if change.DemandFactor < 0 || math.IsNaN(change.DemandFactor) || math.IsInf(change.DemandFactor, 0) {
+		return nil, &FieldError{"demand", fmt.Sprintf("factor %g must be finite and not negative", change.DemandFactor)}
 	}
-	if c.DemandFactor > 0 {
-		q.Demand = map[string]map[string]float64{}
-		for class, by := range p.Demand {
-			q.Demand[class] = map[string]float64{}
-			for zone, d := range by {
-				q.Demand[class][zone] = d * c.DemandFactor
+	if change.DemandFactor > 0 {
+		changed.Demand = map[string]map[string]float64{}
+		for class, byZone := range p.Demand {
+			changed.Demand[class] = map[string]float64{}
+			for zone, rate := range byZone {
+				changed.Demand[class][zone] = rate * change.DemandFactor
 			}
 		}
 	}
-	return &q, nil
+	return &changed, nil
 }
 
-// After gives the problem as it is so many ms later, with cold hosts warmer by then.
+// After returns the problem at a later time, when hosts have warmed up further.
 func (p *Problem) After(ms float64) *Problem {
-	q := *p
-	q.Hosts = slices.Clone(p.Hosts)
-	for i := range q.Hosts {
-		h := &q.Hosts[i]
-		if h.WarmUpMs <= 0 || h.WarmFraction >= 1 {
+	later := *p
+	later.Hosts = slices.Clone(p.Hosts)
+	for i := range later.Hosts {
+		host := &later.Hosts[i]
+		if host.WarmUpMs <= 0 || host.WarmFraction >= 1 {
 			continue
 		}
-		part := math.Min(ms/h.WarmUpMs, 1)
-		h.WarmFraction += (1 - h.WarmFraction) * part
-		h.WarmUpMs -= h.WarmUpMs * part
+		progress := math.Min(ms/host.WarmUpMs, 1)
+		host.WarmFraction += (1 - host.WarmFraction) * progress
+		host.WarmUpMs -= host.WarmUpMs * progress
 	}
-	return &q
+	return &later
 }
 
-// WarmUpStage of warming: what is earned so many ms on.
+// WarmUpStage is the solution at a time while hosts warm up.
 type WarmUpStage struct {
-	AtMs     float64
+	AtMs     float64 // from now
 	Solution *Solution
 }
 
-// warmingStages of a plan, evenly over the longest warming.
-const warmingStages = 4
+// warmUpIntervals is the number of equal parts into which the stages divide the longest warm-up.
+const warmUpIntervals = 4
 
-// WarmUpStages solves along the hosts' warming, from now until the last of them is warm, each stage from the one before;
-// a single stage where none is cold.
+// WarmUpStages solves the problem at equal intervals from now until all hosts are warm. It returns a single stage if no
+// host is warming up.
 func (p *Problem) WarmUpStages() ([]WarmUpStage, error) {
-	longest := 0.0
-	for _, h := range p.Hosts {
-		if h.WarmFraction < 1 && !h.Draining {
-			longest = math.Max(longest, h.WarmUpMs)
+	longestMs := 0.0
+	for _, host := range p.Hosts {
+		if host.WarmFraction < 1 && !host.Draining {
+			longestMs = math.Max(longestMs, host.WarmUpMs)
 		}
 	}
-	var all []WarmUpStage
-	var last *Solution
-	for i := range warmingStages + 1 {
-		at := longest * float64(i) / warmingStages
-		s, err := p.After(at).SolveFrom(last)
+	var stages []WarmUpStage
+	var previous *Solution
+	for i := range warmUpIntervals + 1 {
+		atMs := longestMs * float64(i) / warmUpIntervals
+		solution, err := p.After(atMs).SolveFrom(previous)
 		if err != nil {
 			return nil, err
 		}
-		all, last = append(all, WarmUpStage{at, s}), s
-		if longest == 0 {
+		stages, previous = append(stages, WarmUpStage{atMs, solution}), solution
+		if longestMs == 0 {
 			break
 		}
 	}
-	return all, nil
+	return stages, nil
 }
 
-// DrainPace is what a change of the tables costs: each line goes to every proxy over the steward's channel.
+// DrainPace limits how fast hosts can be drained: each change of a table entry is sent to every proxy over the control
+// channel, which has a limited rate.
 type DrainPace struct {
 	Proxies         int
-	EntriesPerS     float64
-	MessageOverhead float64 // lines that a message costs besides its own
-	GraceMs         float64 // ms until a drained host is sent nothing more
+	EntriesPerS     float64 // rate of the channel
+	MessageOverhead float64 // of a message besides its entries, in entries
+	GraceMs         float64 // until a drained host gets no more requests
 }
 
-// DrainStep of a plan: hosts that may be drained at once, when it may begin (ms after the plan's), and what is earned
-// after it.
+// DrainStep is a step of a drain plan. Its hosts can be drained at the same time.
 type DrainStep struct {
 	Hosts           []string
-	AtMs            float64
-	ObjectiveValue  float64
-	PeakUtilization float64 // the fullest host's, of its cap
+	AtMs            float64 // earliest start, from the start of the plan
+	ObjectiveValue  float64 // after the step
+	PeakUtilization float64 // highest utilization of a host after the step
 }
 
-// full is how much of the result a step may cost and still count as none.
-const full = 1e-6
+// maxLoss is the largest loss of the objective value that counts as none.
+const maxLoss = 1e-6
 
-// PlanDrain orders hosts to be drained one after the other in steps: in each as many as leave all that was earned before,
-// those that cost least first. A step waits until the one before is through the channel and its grace is over. Where
-// no further host can go without a loss the rest follow one by one, dearest last.
+// PlanDrain returns the steps to drain hosts. A step has as many hosts as can be drained without a loss of the
+// objective value, in the order of their loss. It starts once the messages of the step before are sent and its grace is
+// over. When no further host can be drained without a loss, each of the others is a step of its own, in the order of
+// their loss.
 func (p *Problem) PlanDrain(hosts []string, pace DrainPace) ([]DrainStep, error) {
-	now, err := p.With(Change{})
+	current, err := p.With(Change{})
 	if err != nil {
 		return nil, err
 	}
-	left := slices.Clone(hosts)
-	sort.Strings(left)
-	before, err := now.Solve()
+	remaining := slices.Clone(hosts)
+	sort.Strings(remaining)
+	initial, err := current.Solve()
 	if err != nil {
 		return nil, err
 	}
-	result, at := before.ObjectiveValue, 0.0
+	value, atMs := initial.ObjectiveValue, 0.0
 	var steps []DrainStep
-	for len(left) > 0 {
-		step := DrainStep{AtMs: at}
-		if at > 0 { // cold hosts have warmed since the step before
-			now = now.After(at - steps[len(steps)-1].AtMs)
-			if s, err := now.Solve(); err != nil {
+	for len(remaining) > 0 {
+		step := DrainStep{AtMs: atMs}
+		if atMs > 0 { // hosts have warmed up since the step before
+			current = current.After(atMs - steps[len(steps)-1].AtMs)
+			if solution, err := current.Solve(); err != nil {
 				return nil, err
-			} else if s.ObjectiveValue > result {
-				result = s.ObjectiveValue
+			} else if solution.ObjectiveValue > value {
+				value = solution.ObjectiveValue
 			}
 		}
-		for len(left) > 0 {
-			name, s, err := now.cheapest(left)
+		for len(remaining) > 0 {
+			name, solution, err := current.cheapestDrain(remaining)
 			if err != nil {
 				return nil, err
 			}
-			if s.ObjectiveValue < result-full && len(step.Hosts) > 0 {
+			if solution.ObjectiveValue < value-maxLoss && len(step.Hosts) > 0 {
 				break
 			}
-			step.Hosts, step.ObjectiveValue, step.PeakUtilization = append(step.Hosts, name), s.ObjectiveValue, fullest(s)
-			loss := s.ObjectiveValue < result-full
-			result = math.Min(result, s.ObjectiveValue)
-			left = slices.DeleteFunc(left, func(x string) bool { return x == name })
-			if now, err = now.With(Change{DrainHosts: []string{name}}); err != nil {
+			step.Hosts = append(step.Hosts, name)
+			step.ObjectiveValue, step.PeakUtilization = solution.ObjectiveValue, peakUtilization(solution)
+			loss := solution.ObjectiveValue < value-maxLoss
+			value = math.Min(value, solution.ObjectiveValue)
+			remaining = slices.DeleteFunc(remaining, func(host string) bool { return host == name })
+			if current, err = current.With(Change{DrainHosts: []string{name}}); err != nil {
 				return nil, err
 			}
 			if loss {
@@ -166,166 +168,171 @@
 			}
 		}
 		steps = append(steps, step)
-		lines := float64(pace.Proxies) * (float64(len(step.Hosts)) + pace.MessageOverhead)
-		at += pace.GraceMs
+		entries := float64(pace.Proxies) * (float64(len(step.Hosts)) + pace.MessageOverhead)
+		atMs += pace.GraceMs
 		if pace.EntriesPerS > 0 {
-			at += lines / pace.EntriesPerS * 1000
+			atMs += entries / pace.EntriesPerS * msPerSecond
 		}
 	}
 	return steps, nil
 }
 
-// cheapest finds the host whose going costs least, the first by name of those that cost the same.
-func (p *Problem) cheapest(hosts []string) (name string, best *Solution, err error) {
-	for _, h := range hosts {
-		q, err := p.With(Change{DrainHosts: []string{h}})
+// cheapestDrain returns the host whose drain leaves the highest objective value, and the solution without it. Among
+// equal hosts it returns the first.
+func (p *Problem) cheapestDrain(hosts []string) (name string, best *Solution, err error) {
+	for _, host := range hosts {
+		drained, err := p.With(Change{DrainHosts: []string{host}})
 		if err != nil {
 			return "", nil, err
 		}
-		s, err := q.Solve()
+		solution, err := drained.Solve()
 		if err != nil {
 			return "", nil, err
 		}
-		if best == nil || s.ObjectiveValue > best.ObjectiveValue+full {
-			name, best = h, s
+		if best == nil || solution.ObjectiveValue > best.ObjectiveValue+maxLoss {
+			name, best = host, solution
 		}
 	}
 	return name, best, nil
 }
 
-func fullest(s *Solution) float64 {
-	most := 0.0
-	for _, l := range s.Utilization {
-		most = math.Max(most, l)
+func peakUtilization(s *Solution) float64 {
+	peak := 0.0
+	for _, utilization := range s.Utilization {
+		peak = math.Max(peak, utilization)
 	}
-	return most
+	return peak
 }
 
-// BindingHosts gives the hosts that work at their caps, by what a core more at each would earn, dearest first.
+// BindingHosts returns the hosts that are at capacity, sorted by dual price from the highest.
 func (s *Solution) BindingHosts() []string {
-	var all []string
-	for host, l := range s.Utilization {
-		if l > 1-1e-6 {
-			all = append(all, host)
+	var hosts []string
+	for host, utilization := range s.Utilization {
+		if utilization > 1-ratioTolerance {
+			hosts = append(hosts, host)
 		}
 	}
-	sort.Slice(all, func(i, j int) bool {
-		a, b := s.DualPrice[all[i]], s.DualPrice[all[j]]
-		return a > b || a == b && all[i] < all[j]
+	sort.Slice(hosts, func(i, j int) bool {
+		a, b := s.DualPrice[hosts[i]], s.DualPrice[hosts[j]]
+		return a > b || a == b && hosts[i] < hosts[j]
 	})
-	return all
+	return hosts
 }
 
-// Tables are weights by class, zone of the proxies and host, with the share let in by class; weights need not sum
-// to 1, and a class without a share lets all in.
+// Tables are routing tables, aggregated by zone of the proxies. The weights of a class and zone need not sum to 1.
 type Tables struct {
-	Weights        map[string]map[string]map[string]float64
-	AdmissionRatio map[string]float64
+	Weights        map[string]map[string]map[string]float64 // by class, zone and host
+	AdmissionRatio map[string]float64                       // by class; absent: 1
 }
 
-// Gap is how far tables are from the best there is.
+// Gap is the difference between given tables and the optimal ones.
 type Gap struct {
-	ObjectiveValue   float64            `json:"result"`
-	BestValue        float64            `json:"best"`
-	EarningsPerS     float64            `json:"earned"` // earnings a second
-	BestEarningsPerS float64            `json:"most"`
-	Overloaded       map[string]float64 `json:"over,omitempty"`  // hosts over their caps: load against the cap
-	WorkShift        map[string]float64 `json:"shift,omitempty"` // by host: work that the best gives it more than the tables, ms a ms
-	ServedShare      map[string]float64 `json:"served"`          // by class
-	BestServedShare  map[string]float64 `json:"best_served"`
+	ObjectiveValue   float64 `json:"result"`
+	BestValue        float64 `json:"best"`
+	EarningsPerS     float64 `json:"earned"`
+	BestEarningsPerS float64 `json:"most"`
+	// Overloaded is, by host above its capacity, the ratio of its load to the capacity.
+	Overloaded map[string]float64 `json:"over,omitempty"`
+	// WorkShift is, by host, the load with the optimal tables minus that with the given ones, in ms of work per ms.
+	WorkShift       map[string]float64 `json:"shift,omitempty"`
+	ServedShare     map[string]float64 `json:"served"`      // of the demand, by class
+	BestServedShare map[string]float64 `json:"best_served"` // of the demand, by class
 }
 
-// Measure reckons what tables earn and how far that is from the best.
-func (p *Problem) Measure(t Tables) (*Gap, error) {
+// Measure solves the problem and returns the gap between tables and the optimal ones.
+func (p *Problem) Measure(tables Tables) (*Gap, error) {
 	best, err := p.Solve()
 	if err != nil {
 		return nil, err
 	}
-	g, load := p.earn(t)
-	g.BestValue, g.BestEarningsPerS, g.BestServedShare = best.ObjectiveValue, best.EarningsPerS, best.AdmissionRatio
-	for _, h := range p.Hosts {
-		if d := best.Utilization[h.Name]*p.HostCapacity(h) - load[h.Name]; math.Abs(d) > 1e-9 {
-			g.WorkShift[h.Name] = d
+	gap, loads := p.evaluate(tables)
+	gap.BestValue, gap.BestEarningsPerS, gap.BestServedShare = best.ObjectiveValue, best.EarningsPerS, best.AdmissionRatio
+	for _, host := range p.Hosts {
+		shift := best.Utilization[host.Name]*p.HostCapacity(host) - loads[host.Name]
+		if math.Abs(shift) > minPositive {
+			gap.WorkShift[host.Name] = shift
 		}
 	}
-	return g, nil
+	return gap, nil
 }
 
-// Evaluate reckons the result of tables alone, which takes no solving.
-func (p *Problem) Evaluate(t Tables) float64 {
-	g, _ := p.earn(t)
-	return g.ObjectiveValue
+// Evaluate returns the objective value of tables. It doesn't solve the problem, and so takes little time.
+func (p *Problem) Evaluate(tables Tables) float64 {
+	gap, _ := p.evaluate(tables)
+	return gap.ObjectiveValue
 }
 
-// earn deals the demand out: what comes to a host over its cap is lost there in the same part for all classes.
-func (p *Problem) earn(t Tables) (*Gap, map[string]float64) {
-	g := &Gap{Overloaded: map[string]float64{}, WorkShift: map[string]float64{}, ServedShare: map[string]float64{}}
-	load, flows := p.flows(t)
-	caps := map[string]float64{}
-	for _, h := range p.Hosts {
-		caps[h.Name] = p.HostCapacity(h)
-		if load[h.Name] > caps[h.Name]*(1+1e-9) {
-			g.Overloaded[h.Name] = load[h.Name] / math.Max(caps[h.Name], 1e-12)
+// evaluate returns a gap without the values of the optimal tables, and the loads of hosts in ms of work per ms. A host
+// above its capacity loses the same fraction of the requests of each class.
+func (p *Problem) evaluate(tables Tables) (gap *Gap, loads map[string]float64) {
+	gap = &Gap{Overloaded: map[string]float64{}, WorkShift: map[string]float64{}, ServedShare: map[string]float64{}}
+	loads, flows := p.flows(tables)
+	capacities := map[string]float64{}
+	for _, host := range p.Hosts {
+		capacities[host.Name] = p.HostCapacity(host)
+		if loads[host.Name] > capacities[host.Name]*(1+minPositive) {
+			gap.Overloaded[host.Name] = loads[host.Name] / math.Max(capacities[host.Name], minFraction)
 		}
 	}
-	served, crossing, total := map[string]float64{}, 0.0, 0.0
-	for _, f := range flows {
-		part := 1.0
-		if l := load[f.host]; l > caps[f.host] {
-			part = caps[f.host] / l
+	served, crossZoneRate, demandRate := map[string]float64{}, 0.0, 0.0
+	for _, flow := range flows {
+		fraction := 1.0
+		if load := loads[flow.host]; load > capacities[flow.host] {
+			fraction = capacities[flow.host] / load
 		}
-		served[f.class] += f.rate * part
-		if f.cross {
-			crossing += f.rate
+		served[flow.class] += flow.rate * fraction
+		if flow.crossZone {
+			crossZoneRate += flow.rate
 		}
 	}
-	asked, worst := 0.0, 1.0
-	for c, k := range p.Classes {
-		d := p.classDemand(c)
-		total, asked = total+d, asked+d*k.Earnings
-		g.EarningsPerS += served[k.Name] * k.Earnings
-		if d > 0 {
-			g.ServedShare[k.Name] = served[k.Name] / d
-			worst = math.Min(worst, served[k.Name]/d)
+	demandEarnings, worst := 0.0, 1.0
+	for c, class := range p.Classes {
+		classDemand := p.classDemand(c)
+		demandRate, demandEarnings = demandRate+classDemand, demandEarnings+classDemand*class.Earnings
+		gap.EarningsPerS += served[class.Name] * class.Earnings
+		if classDemand > 0 {
+			gap.ServedShare[class.Name] = served[class.Name] / classDemand
+			worst = math.Min(worst, served[class.Name]/classDemand)
 		}
 	}
-	g.ObjectiveValue = p.Objective.WorstClassWeight * worst
-	if asked > 0 {
-		g.ObjectiveValue += p.Objective.TotalWeight*g.EarningsPerS/asked - p.Objective.CrossZoneCost*crossing/total
+	gap.ObjectiveValue = p.Objective.WorstClassWeight * worst
+	if demandEarnings > 0 {
+		gap.ObjectiveValue += p.Objective.TotalWeight*gap.EarningsPerS/demandEarnings -
+			p.Objective.CrossZoneCost*crossZoneRate/demandRate
 	}
-	return g, load
+	return gap, loads
 }
 
-// flow of transactions to a host.
+// flow is the traffic of a class from the proxies of a zone to a host, in requests per second.
 type flow struct {
 	class, host string
 	rate        float64
-	cross       bool
+	crossZone   bool
 }
 
-// flows deals the demand out by tables, in order.
-func (p *Problem) flows(t Tables) (load map[string]float64, all []flow) {
-	load = map[string]float64{}
-	for c, k := range p.Classes {
-		in, ok := t.AdmissionRatio[k.Name]
+// flows returns the traffic that tables lead to, in a fixed order, and the load of each host in ms of work per ms.
+func (p *Problem) flows(tables Tables) (loads map[string]float64, flows []flow) {
+	loads = map[string]float64{}
+	for c, class := range p.Classes {
+		admissionRatio, ok := tables.AdmissionRatio[class.Name]
 		if !ok {
-			in = 1
+			admissionRatio = 1
 		}
 		for z, zone := range p.Zones {
-			row, sum := t.Weights[k.Name][zone], 0.0
-			for _, host := range slices.Sorted(maps.Keys(row)) { // in order, so that the sum is the same each time
-				sum += row[host]
+			weights, sum := tables.Weights[class.Name][zone], 0.0
+			for _, host := range slices.Sorted(maps.Keys(weights)) { // a fixed order, for the same rounding
+				sum += weights[host]
 			}
-			for _, h := range p.Hosts {
-				w := row[h.Name]
-				if w <= 0 || sum <= 0 {
+			for _, host := range p.Hosts {
+				weight := weights[host.Name]
+				if weight <= 0 || sum <= 0 {
 					continue
 				}
-				rate := p.demand(c, z) * math.Min(in, 1) * w / sum
-				load[h.Name] += rate * k.WorkMs / 1000 * h.factor(k.Name)
-				all = append(all, flow{k.Name, h.Name, rate, h.Zone != zone})
+				rate := p.demand(c, z) * math.Min(admissionRatio, 1) * weight / sum
+				loads[host.Name] += rate * class.WorkMs / msPerSecond * host.workFactor(class.Name)
+				flows = append(flows, flow{class.Name, host.Name, rate, host.Zone != zone})
 			}
 		}
 	}
-	return load, all
+	return loads, flows
 }
--- a/solver/prices_test.go
+++ b/solver/prices_test.go
@@ -12,9 +12,9 @@
 	groups := p.groups()
 	n, best := len(groups)*len(p.Zones), math.Inf(-1)
 	for set := range 1 << n {
-		w := make(ways, len(p.Zones))
+		w := make(arcs, len(p.Zones))
 		for z := range w {
-			w[z] = make([]way, len(groups))
+			w[z] = make([]arc, len(groups))
 			for g := range groups {
 				w[z][g].closed = set>>(z*len(groups)+g)&1 == 0
 			}
--- a/solver/problem.go
+++ b/solver/problem.go
@@ -1,21 +1,22 @@
-// Package solver finds the weights and the shares let in that earn most under the hosts' capacities, and tells how
-// far a table is from them. It decides no table: the design's mechanism does. It does no I/O.
+// Package solver computes the weights and admission ratios that maximise an objective within the capacity of the
+// hosts, and measures how far given routing tables are from that optimum. It doesn't decide which tables are
+// published: the balancer does. It does no I/O.
 //
-// The problem is a linear programme. For class c, proxies of zone z and group g of hosts alike, y[c,z,g] is the
-// part of the demand D[c,z] that goes to g:
+// The problem is a linear program. For request class c, proxies of zone z and group g of equal hosts, the variable
+// y[c,z,g] is the fraction of the demand D[c,z] that is sent to g:
 //
-//	maximise   whole x sum(e[c] D[c,z] y[c,z,g]) / sum(e[c] D[c,z])  +  worst x t
-//	           - cross x sum(D[c,z] y[c,z,g], z not the zone of g) / sum(D[c,z])
-//	subject to sum over g of y[c,z,g] <= 1                     each demand is served once
-//	           sum over c, z of w[c,g] D[c,z] y[c,z,g] <= C[g]   each group works within its cap
-//	           t <= sum over z, g of D y / sum over z of D       t is the share of the worst class
-//	           sum over z, g of D y >= least[c] x sum of D       stated least shares
-//	with a price of connections: less that x proxies[z] x hosts of g, for each z and g with any y above 0
-//	with doubt: less the loss L of Gamma hosts at their least, L = Gamma theta + sum n[g] pi[g], with
-//	           load of a host of g - theta - pi[g] <= its least capacity
+//	maximise   TotalWeight x sum(e[c] D[c,z] y[c,z,g]) / sum(e[c] D[c,z])  +  WorstClassWeight x t
+//	           - CrossZoneCost x sum(D[c,z] y[c,z,g], z not the zone of g) / sum(D[c,z])
+//	subject to sum over g of y[c,z,g] <= 1                     each request is served once
+//	           sum over c, z of w[c,g] D[c,z] y[c,z,g] <= C[g]   each group stays within its capacity
+//	           t <= sum over z, g of D y / sum over z of D       t is the admission ratio of the worst class
+//	           sum over z, g of D y >= min[c] x sum of D         minimum admission ratios
+//	with a cost of connections: minus the cost x proxies[z] x hosts of g, for each z and g with any y above 0
+//	with uncertain capacities: minus the loss L if Gamma hosts have their lowest capacity,
+//	           L = Gamma theta + sum n[g] pi[g], with load of a host of g - theta - pi[g] <= its lowest capacity
 //
-// with e the earnings, w the work of a transaction at the group, C the group's cap by Cap. The dual value of a
-// group's cap is what a further core there would earn, as long as the same bounds bind.
+// with e the earnings of a request, w its work at a host of the group, and C the sum of the group's HostCapacity. The
+// dual price of a group's capacity row is what a further core there would earn, as long as the same constraints bind.
 package solver
 
 import (
@@ -24,220 +25,241 @@
 	"sort"
 )
 
-// Class of transactions: earnings of one, its mean work (ms on a core of speed 1), the least share to be let in.
+const msPerSecond = 1000
+
+// Class is a request class.
 type Class struct {
 	Name              string  `json:"Name"`
-	Earnings          float64 `json:"Earnings"`
-	WorkMs            float64 `json:"Work"`
-	MinAdmissionRatio float64 `json:"Least"`
-	ZoneLocal         bool    `json:"Local"` // only hosts of the proxy's own zone may take it
+	Earnings          float64 `json:"Earnings"` // of one request
+	WorkMs            float64 `json:"Work"`     // mean work of a request, on a core of speed 1
+	MinAdmissionRatio float64 `json:"Least"`    // from 0 to 1
+	ZoneLocal         bool    `json:"Local"`    // only hosts in the proxy's own zone may serve it
 }
 
-// Host with what it can do. Work that it is given takes Work / Speed ms on one of its cores.
+// Host is a host with its capacity. A request takes its work / Speed on one of the host's cores.
 type Host struct {
-	Name           string             `json:"Name"`
-	Zone           string             `json:"Zone"`
-	Kind           string             `json:"Kind"`
-	Cores          float64            `json:"Cores"`
-	Speed          float64            `json:"Speed"`
-	WarmFraction   float64            `json:"Warm"`     // the part of its capacity that it has now, 0 to 1
-	WarmUpMs       float64            `json:"WarmIn"`   // ms until it has all of it, growing evenly; 0: it stays as it is
-	Draining       bool               `json:"Draining"` // takes nothing new
-	MaxUtilization float64            `json:"Most"`     // of its capacity that may be used, 0 to 1; 0: all that the cap leaves
-	WorkFactor     map[string]float64 `json:"Factor"`   // by class: its work here against that at other hosts of the speed; absent: 1
+	Name           string  `json:"Name"`
+	Zone           string  `json:"Zone"`
+	Kind           string  `json:"Kind"`
+	Cores          float64 `json:"Cores"`
+	Speed          float64 `json:"Speed"`
+	WarmFraction   float64 `json:"Warm"`     // of its full capacity that it has now, from 0 to 1
+	WarmUpMs       float64 `json:"WarmIn"`   // time to full capacity, with linear growth; 0: WarmFraction doesn't change
+	Draining       bool    `json:"Draining"` // gets no requests
+	MaxUtilization float64 `json:"Most"`     // of its present capacity, from 0 to 1; 0: no further limit
+	// WorkFactor is, by class, the work of a request on this host relative to other hosts of the same speed. The
+	// factor of a class that is not listed is 1.
+	WorkFactor map[string]float64 `json:"Factor"`
 }
 
-// factor is what a class's work is here against that at other hosts of the speed.
-func (h Host) factor(class string) float64 {
-	if f, ok := h.WorkFactor[class]; ok {
-		return f
+// workFactor returns the host's work factor of a class.
+func (h Host) workFactor(class string) float64 {
+	if factor, ok := h.WorkFactor[class]; ok {
+		return factor
 	}
 	return 1
 }
 
-// Prices and weights of the goal, as parts of the result.
+// Objective has the weights and costs of the objective. Costs are in units of the objective value.
 type Objective struct {
-	TotalWeight      float64 `json:"Whole"`
-	WorstClassWeight float64 `json:"WorstClass"`
-	CrossZoneCost    float64 `json:"Cross"`   // of each transaction that crosses zones once
-	ConnectionCost   float64 `json:"Connect"` // of each connection that a proxy keeps to a host
-	UpdateCost       float64 `json:"Order"`   // of each message that gives a proxy another table
+	TotalWeight      float64 `json:"Whole"`      // of the earnings, as a fraction of the earnings of all demand
+	WorstClassWeight float64 `json:"WorstClass"` // of the lowest admission ratio of a class
+	CrossZoneCost    float64 `json:"Cross"`      // if all requests cross zones; in proportion for a part of them
+	ConnectionCost   float64 `json:"Connect"`    // of each connection from a proxy to a host
+	UpdateCost       float64 `json:"Order"`      // of each update message with new tables for a proxy
 }
 
-// Problem is a fleet with its demand, in transactions a second by class and zone of the proxies.
+// Problem is a fleet with its demand, in requests per second by class and zone of the proxies.
 type Problem struct {
 	Classes   []Class                       `json:"Classes"`
 	Zones     []string                      `json:"Zones"`
 	Hosts     []Host                        `json:"Hosts"`
 	Demand    map[string]map[string]float64 `json:"Demand"`
-	Proxies   map[string]int                `json:"Proxies"` // by zone; for the prices of connections and orders
+	Proxies   map[string]int                `json:"Proxies"` // by zone; for the costs of connections and updates
 	Objective Objective                     `json:"Goal"`
-	// DeadlineMeans d of the cap in ms, as a multiple of the mean time a transaction takes; 0: no margin below capacity.
-	// The module starts at 3.2 (docs/design.md).
+	// DeadlineMeans is the deadline of a request as a multiple of its mean time on one core. At 0 there is no
+	// deadline, and hosts may use their full capacity.
 	DeadlineMeans float64     `json:"Deadline"`
 	Uncertainty   Uncertainty `json:"Doubt"`
 }
 
-// Uncertainty says how wrong the stated capacities may be: each host's lies between (1 - Spread) of it and all of it, and
-// at most Worst hosts are at their least at once. What those cannot do of their load is lost, at the mean earnings
-// of work (after Bertsimas and Sim, "The Price of Robustness", 2004, with the loss in the objective).
+// Uncertainty bounds the error of the stated capacities: each lies between (1 - Spread) of the stated value and the
+// stated value, and at most DegradedHosts hosts have their lowest capacity at once. The load that those hosts cannot
+// serve is lost, valued at the mean earnings of work (after Bertsimas and Sim, "The Price of Robustness", 2004, with
+// the loss in the objective).
 type Uncertainty struct {
 	Spread        float64 `json:"Spread"`
 	DegradedHosts int     `json:"Worst"`
 }
 
-// epsilon is the part of the transactions that may miss the deadline, as in package decide.
-const epsilon = 0.05
+// missProbability is the fraction of the requests that may miss the deadline, the same as in package routing.
+const missProbability = 0.05
 
-// DeadlineCapacity is the load, in transactions a second, up to which a server of rate mu meets the deadline d (ms) for all but
-// a part epsilon of them: mu - K, K = |ln epsilon / d|, and half of mu at least ("Deadline Guaranteed Service for
-// Multi-Tenant Cloud Storage", section 3, with the floor of the project's design).
-func DeadlineCapacity(mu, d float64) float64 {
-	if d <= 0 {
+// DeadlineCapacity returns the load, in requests per second, up to which a host with service rate mu meets the
+// deadline for all but the fraction missProbability of the requests: mu - K with K = |ln missProbability / deadline|,
+// and at least half of mu ("Deadline Guaranteed Service for Multi-Tenant Cloud Storage", section 3; the lower limit
+// is this project's).
+func DeadlineCapacity(mu, deadlineMs float64) float64 {
+	if deadlineMs <= 0 {
 		return mu
 	}
-	return math.Max(mu-math.Abs(math.Log(epsilon))/d*1000, mu/2)
+	return math.Max(mu-math.Abs(math.Log(missProbability))/deadlineMs*msPerSecond, mu/2)
 }
 
-// group is hosts alike: of one zone, with the same factors. Their capacity counts as one, and what they are given
-// is shared by capacity, so none is over its cap unless the group is.
+// group is a group of equal hosts: of the same zone, with the same work factors. The program has one capacity row for
+// the whole group. Its load is split in proportion to the hosts' capacities, so no host exceeds its capacity unless
+// the group does.
 type group struct {
-	zone   int
-	key    string    // names it in any problem
-	factor []float64 // by class
-	cap    float64   // work ms a ms
-	hosts  []int
-	caps   []float64
+	zone        int
+	key         string    // identifies the group across problems
+	workFactors []float64 // by class
+	capacity    float64   // ms of work per ms
+	hosts       []int
+	capacities  []float64 // of the hosts
 }
 
-// FieldError names what is wrong with a problem.
+// FieldError reports an invalid field of a problem.
 type FieldError struct{ Field, Reason string }
 
-func (f *FieldError) Error() string { return f.Field + ": " + f.Reason }
+func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
+// check returns a FieldError if a field is invalid.
 func (p *Problem) check() error {
 	if len(p.Classes) == 0 || len(p.Zones) == 0 {
-		return &FieldError{"classes, zones", "at least one of each is needed"}
+		return &FieldError{"classes, zones", "at least one class and one zone are required"}
 	}
 	zones, classes := map[string]bool{}, map[string]bool{}
-	for _, z := range p.Zones {
-		zones[z] = true
+	for _, zone := range p.Zones {
+		zones[zone] = true
 	}
-	for i, c := range p.Classes {
-		if classes[c.Name] || c.Name == "" {
-			return &FieldError{fmt.Sprintf("classes[%d].name", i), "it is empty or stands there twice"}
+	for i, class := range p.Classes {
+		if classes[class.Name] || class.Name == "" {
+			return &FieldError{fmt.Sprintf("classes[%d].name", i), "the name is empty or a duplicate"}
 		}
-		classes[c.Name] = true
-		if !(c.WorkMs > 0) || math.IsInf(c.WorkMs, 0) || !(c.Earnings >= 0) || math.IsInf(c.Earnings, 0) || !(c.MinAdmissionRatio >= 0 && c.MinAdmissionRatio <= 1) {
-			return &FieldError{"classes[" + c.Name + "]", "work above 0, earnings from 0 and a least share from 0 to 1 are needed"}
+		classes[class.Name] = true
+		if !(class.WorkMs > 0) || math.IsInf(class.WorkMs, 0) || !(class.Earnings >= 0) ||
+			math.IsInf(class.Earnings, 0) || !(class.MinAdmissionRatio >= 0 && class.MinAdmissionRatio <= 1) {
+			return &FieldError{"classes[" + class.Name + "]",
+				"work must be positive, earnings not negative, and the minimum admission ratio from 0 to 1"}
 		}
 	}
-	for i, h := range p.Hosts {
-		if !zones[h.Zone] {
-			return &FieldError{fmt.Sprintf("hosts[%d].zone", i), fmt.Sprintf("%q is not among the zones", h.Zone)}
+	for i, host := range p.Hosts {
+		if !zones[host.Zone] {
+			return &FieldError{fmt.Sprintf("hosts[%d].zone", i), fmt.Sprintf("zone %q is unknown", host.Zone)}
 		}
-		for _, x := range []float64{h.Cores, h.Speed, h.WarmFraction, h.MaxUtilization, h.WarmUpMs} {
-			if !(x >= 0) || math.IsInf(x, 0) {
-				return &FieldError{fmt.Sprintf("hosts[%d]", i), h.Name + " has a figure below 0, or none"}
+		for _, value := range []float64{
+			host.Cores, host.Speed, host.WarmFraction, host.MaxUtilization, host.WarmUpMs,
+		} {
+			if !(value >= 0) || math.IsInf(value, 0) {
+				return &FieldError{fmt.Sprintf("hosts[%d]", i), fmt.Sprintf(
+					"a value of host %s is %g; values must be finite and not negative", host.Name, value)}
 			}
 		}
-		for class, f := range h.WorkFactor {
-			if !classes[class] || !(f > 0) || math.IsInf(f, 0) {
-				return &FieldError{fmt.Sprintf("hosts[%d].factor", i), fmt.Sprintf("class %q with factor %g", class, f)}
+		for class, factor := range host.WorkFactor {
+			if !classes[class] || !(factor > 0) || math.IsInf(factor, 0) {
+				return &FieldError{fmt.Sprintf("hosts[%d].factor", i), fmt.Sprintf(
+					"factor %g of class %q: the class must be known, and the factor finite and positive", factor, class)}
 			}
 		}
 	}
 	if !(p.Uncertainty.Spread >= 0 && p.Uncertainty.Spread <= 1) || p.Uncertainty.DegradedHosts < 0 {
-		return &FieldError{"doubt", "a spread from 0 to 1 and a number of hosts are needed"}
+		return &FieldError{"doubt", "the spread must be from 0 to 1, and the number of degraded hosts not negative"}
 	}
-	for zone, n := range p.Proxies {
-		if !zones[zone] || n < 0 {
-			return &FieldError{"proxies", fmt.Sprintf("%d in zone %q", n, zone)}
+	for zone, count := range p.Proxies {
+		if !zones[zone] || count < 0 {
+			return &FieldError{"proxies", fmt.Sprintf(
+				"%d in zone %q: the zone must be known, and the number not negative", count, zone)}
 		}
 	}
-	if g := p.Objective; !(g.ConnectionCost >= 0) || math.IsInf(g.ConnectionCost, 0) || !(g.UpdateCost >= 0) || math.IsInf(g.UpdateCost, 0) {
-		return &FieldError{"goal", "prices from 0 are needed"}
+	if objective := p.Objective; !(objective.ConnectionCost >= 0) || math.IsInf(objective.ConnectionCost, 0) ||
+		!(objective.UpdateCost >= 0) || math.IsInf(objective.UpdateCost, 0) {
+		return &FieldError{"goal", "the costs of connections and updates must be finite and not negative"}
 	}
-	for class, by := range p.Demand {
-		for zone, d := range by {
-			if !classes[class] || !zones[zone] || !(d >= 0) || math.IsInf(d, 0) {
-				return &FieldError{"demand", fmt.Sprintf("%g of class %q in zone %q", d, class, zone)}
+	for class, byZone := range p.Demand {
+		for zone, rate := range byZone {
+			if !classes[class] || !zones[zone] || !(rate >= 0) || math.IsInf(rate, 0) {
+				return &FieldError{"demand", fmt.Sprintf(
+					"rate %g of class %q in zone %q: class and zone must be known, and the rate finite and not negative",
+					rate, class, zone)}
 			}
 		}
 	}
 	return nil
 }
 
-func (p *Problem) demand(c, z int) float64 { return p.Demand[p.Classes[c].Name][p.Zones[z]] }
+func (p *Problem) demand(class, zone int) float64 {
+	return p.Demand[p.Classes[class].Name][p.Zones[zone]]
+}
 
-// classDemand of all zones together.
-func (p *Problem) classDemand(c int) (d float64) {
-	for z := range p.Zones {
-		d += p.demand(c, z)
+// classDemand returns the demand of a class in all zones.
+func (p *Problem) classDemand(class int) (rate float64) {
+	for zone := range p.Zones {
+		rate += p.demand(class, zone)
 	}
-	return d
+	return rate
 }
 
-// meanWork of a transaction, by demand.
-func (p *Problem) meanWork() float64 {
-	work, n := 0.0, 0.0
-	for c, k := range p.Classes {
+// meanWorkMs returns the mean work of a request of the demand.
+func (p *Problem) meanWorkMs() float64 {
+	work, requests := 0.0, 0.0
+	for c, class := range p.Classes {
 		for z := range p.Zones {
-			work, n = work+p.demand(c, z)*k.WorkMs, n+p.demand(c, z)
+			work, requests = work+p.demand(c, z)*class.WorkMs, requests+p.demand(c, z)
 		}
 	}
-	if n == 0 {
+	if requests == 0 {
 		return p.Classes[0].WorkMs
 	}
-	return work / n
+	return work / requests
 }
 
-// HostCapacity is the work, in ms a ms, that a host may be given: its cap mu - K in transactions of mean work, by what of
-// its capacity it has now, within its stated bound.
-func (p *Problem) HostCapacity(h Host) float64 {
-	if h.Draining || h.Cores <= 0 || h.Speed <= 0 || h.WarmFraction <= 0 {
+// HostCapacity returns the load that a host may get, in ms of work per ms: the deadline-guaranteed capacity of its
+// present capacity for requests of mean work, limited by its MaxUtilization.
+func (p *Problem) HostCapacity(host Host) float64 {
+	if host.Draining || host.Cores <= 0 || host.Speed <= 0 || host.WarmFraction <= 0 {
 		return 0
 	}
-	mean := p.meanWork()
-	full := h.Cores * h.Speed * math.Min(h.WarmFraction, 1)
-	mu := full / mean * 1000
-	load := DeadlineCapacity(mu, p.DeadlineMeans*mean/h.Speed) / 1000 * mean
-	if h.MaxUtilization > 0 {
-		load = math.Min(load, h.MaxUtilization*full)
+	meanWorkMs := p.meanWorkMs()
+	present := host.Cores * host.Speed * math.Min(host.WarmFraction, 1)
+	mu := present / meanWorkMs * msPerSecond
+	capacity := DeadlineCapacity(mu, p.DeadlineMeans*meanWorkMs/host.Speed) / msPerSecond * meanWorkMs
+	if host.MaxUtilization > 0 {
+		capacity = math.Min(capacity, host.MaxUtilization*present)
 	}
-	return load
+	return capacity
 }
 
-// groups puts hosts alike together, in an order that depends on nothing but the hosts.
+// groups returns the hosts with any capacity in groups of equal ones, in an order that depends only on the hosts.
 func (p *Problem) groups() []group {
-	by, zone := map[string]int{}, map[string]int{}
-	for i, z := range p.Zones {
-		zone[z] = i
-	}
-	var all []group
-	for i, h := range p.Hosts {
-		load := p.HostCapacity(h)
-		if load <= 0 {
+	indexOf, zoneIndex := map[string]int{}, map[string]int{}
+	for i, zone := range p.Zones {
+		zoneIndex[zone] = i
+	}
+	var groups []group
+	for i, host := range p.Hosts {
+		capacity := p.HostCapacity(host)
+		if capacity <= 0 {
 			continue
 		}
-		g := group{zone: zone[h.Zone], factor: make([]float64, len(p.Classes))}
-		key := h.Zone
-		for c, k := range p.Classes {
-			g.factor[c] = h.factor(k.Name)
-			key += fmt.Sprintf("/%g", g.factor[c])
+		created := group{zone: zoneIndex[host.Zone], workFactors: make([]float64, len(p.Classes))}
+		key := host.Zone
+		for c, class := range p.Classes {
+			created.workFactors[c] = host.workFactor(class.Name)
+			key += fmt.Sprintf("/%g", created.workFactors[c])
 		}
-		if p.Objective.ConnectionCost > 0 && len(p.Hosts) <= connectsSingly {
-			key += "/" + h.Name // which hosts are connected to is a question then
+		if p.Objective.ConnectionCost > 0 && len(p.Hosts) <= maxSeparateHosts {
+			key += "/" + host.Name // the solver decides for each host whether to connect to it
 		}
-		at, ok := by[key]
-		if !ok {
-			at = len(all)
-			by[key], g.key = at, key
-			all = append(all, g)
+		index, known := indexOf[key]
+		if !known {
+			index = len(groups)
+			indexOf[key], created.key = index, key
+			groups = append(groups, created)
 		}
-		all[at].cap += load
-		all[at].hosts, all[at].caps = append(all[at].hosts, i), append(all[at].caps, load)
+		groups[index].capacity += capacity
+		groups[index].hosts = append(groups[index].hosts, i)
+		groups[index].capacities = append(groups[index].capacities, capacity)
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].zone < all[j].zone })
-	return all
+	sort.SliceStable(groups, func(i, j int) bool { return groups[i].zone < groups[j].zone })
+	return groups
 }
--- a/solver/solve.go
+++ b/solver/solve.go
@@ -12,348 +12,378 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Solution of a problem.
+// Solution is the solution of a problem. Zones are those of the proxies.
 type Solution struct {
-	ObjectiveValue     float64                                  `json:"Result"` // of the goal, with prices taken off; at most Whole + WorstClass
-	EarningsPerS       float64                                  `json:"Earned"` // earnings a second
-	DemandEarningsPerS float64                                  `json:"Asked"`
-	AdmissionRatio     map[string]float64                       `json:"Share"`    // let in, by class
-	ZoneAdmissionRatio map[string]map[string]float64            `json:"ZoneIn"`   // let in, by class and zone of the proxies
-	Weights            map[string]map[string]map[string]float64 `json:"Weights"`  // by class, zone of the proxies and host; they sum to 1
-	Utilization        map[string]float64                       `json:"Load"`     // of each host's cap that is used
-	DualPrice          map[string]float64                       `json:"Price"`    // of each host's cap: earnings a second that one more core like its own would bring
-	CrossZoneRate      float64                                  `json:"Crossing"` // transactions a second that cross zones
-	// Connections that the proxies keep, where they have a price.
-	Connections       int         `json:"Connections"`
-	UpperBound        float64     `json:"Bound"`  // what no answer's result is above, where connections have a price
-	WorstCaseLossPerS float64     `json:"AtRisk"` // with doubt: earnings a second lost when the worst comes
-	basis             []string    // names of the programme's variables that are above 0
-	linear            float64     // the result but for connections
-	used              [][]float64 // part of each group's cap that is used from each zone
-	UnmetMinimums     []string    `json:"Unmet"` // least shares that the caps do not leave room for, with what they get
+	// ObjectiveValue is the value of the objective after costs, at most TotalWeight + WorstClassWeight.
+	ObjectiveValue     float64                                  `json:"Result"`
+	EarningsPerS       float64                                  `json:"Earned"`
+	DemandEarningsPerS float64                                  `json:"Asked"`   // if all demand were served
+	AdmissionRatio     map[string]float64                       `json:"Share"`   // by class
+	ZoneAdmissionRatio map[string]map[string]float64            `json:"ZoneIn"`  // by class and zone
+	Weights            map[string]map[string]map[string]float64 `json:"Weights"` // by class, zone and host; sum to 1
+	Utilization        map[string]float64                       `json:"Load"`    // by host, of its HostCapacity
+	// DualPrice is the gain in earnings per second for one more core like the present ones, by host.
+	DualPrice     map[string]float64 `json:"Price"`
+	CrossZoneRate float64            `json:"Crossing"` // requests per second to hosts in other zones
+	// Connections is the number of connections from proxies to hosts, 0 if they cost nothing.
+	Connections int `json:"Connections"`
+	// UpperBound is a value that no solution's objective exceeds. It is set if connections have a cost.
+	UpperBound float64 `json:"Bound"`
+	// WorstCaseLossPerS is the loss of earnings per second in the worst case of uncertain capacities.
+	WorstCaseLossPerS float64 `json:"AtRisk"`
+
+	basis            []string    // names of the variables above 0, to start the simplex method from
+	linearObjective  float64     // the objective value before the cost of connections
+	groupUtilization [][]float64 // by zone and group: fraction of the group's capacity in use from the zone
+
+	// UnmetMinimums describes the minimum admission ratios for which there is not enough capacity.
+	UnmetMinimums []string `json:"Unmet"`
 }
 
-// penalty of a least share that is not met, against a result of about 1: large enough to be paid only where there is
-// no other way.
-const penalty = 1000.0
+// unmetPenalty is the cost of an unmet minimum admission ratio. It exceeds any gain in the objective value, which is
+// about 1, so that a minimum is only missed if it cannot be met.
+const unmetPenalty = 1000.0
 
-// tolerance of the simplex method; the programme is scaled so that its right sides are 1.
-const tolerance = 1e-10
+// Tolerances for rounding errors. The program is scaled so that its right-hand sides are 1.
+const (
+	simplexTolerance = 1e-10 // of reduced costs
+	minPositive      = 1e-9  // variables, pivots and differences of objective values up to this count as 0
+	minFraction      = 1e-12 // smaller fractions of a demand, and smaller loads, are ignored
+	ratioTolerance   = 1e-6  // of sums of weights, admission ratios and utilizations in a solution
 
-// column is a variable: the part of a demand that goes to a group.
-type column struct{ c, z, g int }
+	// maxCondition is the condition number above which a basis matrix counts as singular.
+	maxCondition = 1e12
+)
 
-// programme is the linear programme in equality form, with a slack for each row.
-type programme struct {
-	p       *Problem
-	groups  []group
-	ways    ways
-	columns []column
-	rows    [][]float64 // by row, over columns and t
-	right   []float64
-	gain    []float64 // of each column and t
-	caps    []int     // row of each group's cap
-	least   []int     // class of each row of a least share, after all others
-	first   int       // of them
-	asked   float64
-	total   float64 // transactions a second
-	t       int     // index of the worst class's share
-	unit    float64 // with doubt: earnings a second of a mean host's cap
+// column is a variable of the program: the fraction of the demand of a class in a zone that is sent to a group.
+type column struct{ class, zone, group int }
+
+// linearProgram is a linear program in equality form. Its variables are, in this order: those of the columns, the
+// worst class's admission ratio, with uncertain capacities theta and the pi of each group, and a slack for each row.
+type linearProgram struct {
+	problem              *Problem
+	groups               []group
+	arcs                 arcs
+	columns              []column
+	rows                 [][]float64 // coefficients by row and variable, without the slacks
+	rightHandSides       []float64   // by row
+	objective            []float64   // coefficients by variable, without the slacks
+	capacityRows         []int       // by group
+	minimumClasses       []int       // class of each row of a minimum admission ratio; these rows are the last
+	firstMinimumRow      int
+	demandEarnings       float64 // earnings per second if all demand were served
+	demandRate           float64 // requests per second
+	worstClassColumn     int     // index of the variable t
+	meanHostEarningsPerS float64 // earnings per second of the mean capacity of a host; set if capacities are uncertain
 }
 
-// Solve finds what earns most. Of several that earn the same it always gives the same one, with near hosts before
-// far ones and hosts alike in proportion to their caps.
+// Solve returns an optimal solution. Among solutions of equal value it always returns the same one, which prefers
+// hosts in the proxy's own zone and loads equal hosts in proportion to their capacities.
 func (p *Problem) Solve() (*Solution, error) { return p.SolveFrom(nil) }
 
-// SolveFrom does the same beginning from an earlier answer, to this problem or to one like it; the nearer the
-// problems, the sooner it is done. Where the earlier answer is no help it begins from nothing.
-func (p *Problem) SolveFrom(last *Solution) (*Solution, error) {
+// SolveFrom does the same as Solve, starting from an earlier solution of this or a similar problem. The more similar
+// the problems, the sooner it is done. A solution that is not feasible for this problem is ignored.
+func (p *Problem) SolveFrom(earlier *Solution) (*Solution, error) {
 	if err := p.check(); err != nil {
 		return nil, err
 	}
 	if p.Objective.ConnectionCost > 0 {
-		return p.connected(last)
+		return p.solveWithConnectionCosts(earlier)
 	}
-	return p.solve(last, nil)
+	return p.solve(earlier, nil)
 }
 
-// solve does it at given prices of ways between zones and groups, none where nil.
-func (p *Problem) solve(last *Solution, ways ways) (*Solution, error) {
-	m := p.programme(ways)
-	y, dual, err := m.run(last)
+// solve solves the linear program. Arcs may be nil, which leaves all arcs open at no cost.
+func (p *Problem) solve(earlier *Solution, arcs arcs) (*Solution, error) {
+	program := p.linearProgram(arcs)
+	values, duals, err := program.optimize(earlier)
 	if err != nil {
 		return nil, err
 	}
-	s := m.read(y, dual)
-	for j, v := range y {
-		if v > 1e-9 {
-			s.basis = append(s.basis, m.name(j))
+	solution := program.solution(values, duals)
+	for j, value := range values {
+		if value > minPositive {
+			solution.basis = append(solution.basis, program.variableName(j))
 		}
 	}
-	return s, nil
+	return solution, nil
 }
 
-// name of a variable, the same in any programme over the same classes, zones and kinds of hosts.
-func (m *programme) name(j int) string {
-	n := len(m.gain)
+// variableName returns the name of a variable, which is the same in all programs with the same classes, zones and
+// groups.
+func (l *linearProgram) variableName(j int) string {
+	variables := len(l.objective)
 	switch {
-	case j < len(m.columns):
-		x := m.columns[j]
-		return fmt.Sprintf("y %d %d %s", x.c, x.z, m.groups[x.g].key)
-	case j < n:
-		return fmt.Sprintf("more %d", j-len(m.columns))
+	case j < len(l.columns):
+		column := l.columns[j]
+		return fmt.Sprintf("y %d %d %s", column.class, column.zone, l.groups[column.group].key)
+	case j < variables:
+		return fmt.Sprintf("more %d", j-len(l.columns))
 	}
-	return fmt.Sprintf("slack %d", j-n)
+	return fmt.Sprintf("slack %d", j-variables)
 }
 
-func (p *Problem) programme(ways ways) *programme {
-	m := &programme{p: p, groups: p.groups(), ways: ways}
-	for c, k := range p.Classes {
+// linearProgram returns the linear program of a problem. Arcs may be nil.
+func (p *Problem) linearProgram(arcs arcs) *linearProgram {
+	program := &linearProgram{problem: p, groups: p.groups(), arcs: arcs}
+	for c, class := range p.Classes {
 		for z := range p.Zones {
-			m.asked, m.total = m.asked+k.Earnings*p.demand(c, z), m.total+p.demand(c, z)
+			program.demandEarnings, program.demandRate = program.demandEarnings+class.Earnings*p.demand(c, z),
+				program.demandRate+p.demand(c, z)
 		}
 	}
-	for c, k := range p.Classes {
+	for c, class := range p.Classes {
 		for z := range p.Zones {
-			for g := range m.groups {
-				if p.demand(c, z) > 0 && (!k.ZoneLocal || m.groups[g].zone == z) && !m.ways.closed(z, g) {
-					m.columns = append(m.columns, column{c, z, g})
+			for g := range program.groups {
+				if p.demand(c, z) > 0 && (!class.ZoneLocal || program.groups[g].zone == z) && !program.arcs.closed(z, g) {
+					program.columns = append(program.columns, column{c, z, g})
 				}
 			}
 		}
 	}
-	m.gains()
-	m.t = len(m.columns)
-	n := m.t + 1
-	if p.doubted() {
-		n += 1 + len(m.groups)
+	program.setObjective()
+	program.worstClassColumn = len(program.columns)
+	variables := program.worstClassColumn + 1
+	if p.uncertain() {
+		variables += 1 + len(program.groups)
 	}
-	demand := map[[2]int]int{}
-	for i, x := range m.columns {
-		key := [2]int{x.c, x.z}
-		r, ok := demand[key]
+	demandRows := map[[2]int]int{}
+	for j, column := range program.columns {
+		key := [2]int{column.class, column.zone}
+		row, ok := demandRows[key]
 		if !ok {
-			r = m.row(n, 1)
-			demand[key] = r
+			row = program.addRow(variables, 1)
+			demandRows[key] = row
 		}
-		m.rows[r][i] = 1
+		program.rows[row][j] = 1
 	}
-	for g := range m.groups {
-		r := m.row(n, 1)
-		m.caps = append(m.caps, r)
-		for i, x := range m.columns {
-			if x.g == g {
-				m.rows[r][i] = m.usage(x)
+	for g := range program.groups {
+		row := program.addRow(variables, 1)
+		program.capacityRows = append(program.capacityRows, row)
+		for j, column := range program.columns {
+			if column.group == g {
+				program.rows[row][j] = program.capacityUse(column)
 			}
 		}
 	}
-	m.worst(n)
-	if p.doubted() {
-		m.doubt(n)
+	program.addWorstClassRows(variables)
+	if p.uncertain() {
+		program.addUncertainty(variables)
 	}
-	m.first = len(m.rows)
-	for c, k := range p.Classes {
-		if k.MinAdmissionRatio > 0 && m.p.classDemand(c) > 0 {
-			r := m.row(n, k.MinAdmissionRatio)
-			m.least = append(m.least, c)
-			for i, x := range m.columns {
-				if x.c == c {
-					m.rows[r][i] = p.demand(x.c, x.z) / m.p.classDemand(c)
+	program.firstMinimumRow = len(program.rows)
+	for c, class := range p.Classes {
+		if class.MinAdmissionRatio > 0 && program.problem.classDemand(c) > 0 {
+			row := program.addRow(variables, class.MinAdmissionRatio)
+			program.minimumClasses = append(program.minimumClasses, c)
+			for j, column := range program.columns {
+				if column.class == c {
+					program.rows[row][j] = p.demand(column.class, column.zone) / program.problem.classDemand(c)
 				}
 			}
 		}
 	}
-	return m
+	return program
 }
 
-// usage is the part of its group's cap that a variable takes when it is 1.
-func (m *programme) usage(x column) float64 {
-	g := &m.groups[x.g]
-	return m.p.Classes[x.c].WorkMs / 1000 * g.factor[x.c] * m.p.demand(x.c, x.z) / g.cap
+// capacityUse returns the fraction of its group's capacity that a column uses at value 1.
+func (l *linearProgram) capacityUse(column column) float64 {
+	group := &l.groups[column.group]
+	return l.problem.Classes[column.class].WorkMs / msPerSecond * group.workFactors[column.class] *
+		l.problem.demand(column.class, column.zone) / group.capacity
 }
 
-func (m *programme) row(n int, right float64) int {
-	m.rows, m.right = append(m.rows, make([]float64, n)), append(m.right, right)
-	return len(m.rows) - 1
+// addRow adds a row of zeros and returns its index.
+func (l *linearProgram) addRow(variables int, rightHandSide float64) int {
+	l.rows, l.rightHandSides = append(l.rows, make([]float64, variables)), append(l.rightHandSides, rightHandSide)
+	return len(l.rows) - 1
 }
 
-// nearer is the part of its gain by which a near group is preferred, so that equal answers are one.
-const nearer = 1e-7
+// crossZonePenalty is the fraction of its objective coefficient that a column to another zone loses, so that of
+// solutions of equal value the one with less traffic across zones is optimal.
+const crossZonePenalty = 1e-7
 
-func (m *programme) gains() {
-	goal := m.p.Objective
-	for _, x := range m.columns {
-		d, gain := m.p.demand(x.c, x.z), 0.0
-		if m.asked > 0 {
-			gain = goal.TotalWeight * m.p.Classes[x.c].Earnings * d / m.asked
+// setObjective sets the objective's coefficients of the columns and the worst class's admission ratio.
+func (l *linearProgram) setObjective() {
+	objective := l.problem.Objective
+	for _, column := range l.columns {
+		rate, coefficient := l.problem.demand(column.class, column.zone), 0.0
+		if l.demandEarnings > 0 {
+			coefficient = objective.TotalWeight * l.problem.Classes[column.class].Earnings * rate / l.demandEarnings
 		}
-		if m.groups[x.g].zone != x.z {
-			gain -= goal.CrossZoneCost*d/m.total + nearer*math.Abs(gain)
+		if l.groups[column.group].zone != column.zone {
+			coefficient -= objective.CrossZoneCost*rate/l.demandRate + crossZonePenalty*math.Abs(coefficient)
 		}
-		if m.ways != nil {
-			gain -= m.ways[x.z][x.g].price * m.usage(x)
+		if l.arcs != nil {
+			coefficient -= l.arcs[column.zone][column.group].cost * l.capacityUse(column)
 		}
-		m.gain = append(m.gain, gain)
+		l.objective = append(l.objective, coefficient)
 	}
-	m.gain = append(m.gain, goal.WorstClassWeight)
+	l.objective = append(l.objective, objective.WorstClassWeight)
 }
 
-// worst bounds t by the share of each class.
-func (m *programme) worst(n int) {
-	if m.p.Objective.WorstClassWeight == 0 {
-		m.rows[m.row(n, 1)][m.t] = 1 // t has no worth, but the method wants it bounded
+// addWorstClassRows limits t to the admission ratio of each class.
+func (l *linearProgram) addWorstClassRows(variables int) {
+	if l.problem.Objective.WorstClassWeight == 0 {
+		l.rows[l.addRow(variables, 1)][l.worstClassColumn] = 1 // the simplex method needs a bound, though t earns nothing
 		return
 	}
-	for c := range m.p.Classes {
-		d := m.p.classDemand(c)
-		if d == 0 {
+	for c := range l.problem.Classes {
+		classDemand := l.problem.classDemand(c)
+		if classDemand == 0 {
 			continue
 		}
-		r := m.row(n, 0)
-		m.rows[r][m.t] = 1
-		for i, x := range m.columns {
-			if x.c == c {
-				m.rows[r][i] = -m.p.demand(x.c, x.z) / d
+		row := l.addRow(variables, 0)
+		l.rows[row][l.worstClassColumn] = 1
+		for j, column := range l.columns {
+			if column.class == c {
+				l.rows[row][j] = -l.problem.demand(column.class, column.zone) / classDemand
 			}
 		}
 	}
-	m.rows[m.row(n, 1)][m.t] = 1
+	l.rows[l.addRow(variables, 1)][l.worstClassColumn] = 1
 }
 
-// doubt takes the loss off that comes when the worst hosts are at their least. Theta is what every one of them
-// loses, pi what those of a group lose beyond it, in units of the mean cap of a host.
-func (m *programme) doubt(n int) {
-	p, hosts, all := m.p, 0, 0.0
-	for _, g := range m.groups {
-		hosts, all = hosts+len(g.hosts), all+g.cap
-	}
-	if hosts == 0 || m.asked == 0 {
-		m.gain = append(m.gain, make([]float64, n-len(m.gain))...)
+// addUncertainty subtracts the loss that occurs when the hosts that matter most have their lowest capacity. Theta is
+// the loss common to each of them, and pi the further loss of each host of a group, in units of the mean capacity of
+// a host.
+func (l *linearProgram) addUncertainty(variables int) {
+	p, hosts, totalCapacity := l.problem, 0, 0.0
+	for _, group := range l.groups {
+		hosts, totalCapacity = hosts+len(group.hosts), totalCapacity+group.capacity
+	}
+	if hosts == 0 || l.demandEarnings == 0 {
+		l.objective = append(l.objective, make([]float64, variables-len(l.objective))...)
 		return
 	}
-	mean := all / float64(hosts)
-	m.unit = mean * m.asked / (p.meanWork() / 1000 * m.total) // earnings a second of a mean host's cap
-	worth := p.Objective.TotalWeight * m.unit / m.asked
-	m.gain = append(m.gain, -worth*float64(p.Uncertainty.DegradedHosts))
-	for i, g := range m.groups {
-		m.gain = append(m.gain, -worth*float64(len(g.hosts)))
-		each := float64(len(g.hosts))
-		r := m.row(n, (1-p.Uncertainty.Spread)*g.cap/each/mean)
-		for k, x := range m.columns {
-			if x.g == i {
-				m.rows[r][k] = p.Classes[x.c].WorkMs / 1000 * g.factor[x.c] * p.demand(x.c, x.z) / each / mean
+	meanCapacity := totalCapacity / float64(hosts)
+	l.meanHostEarningsPerS = meanCapacity * l.demandEarnings / (p.meanWorkMs() / msPerSecond * l.demandRate)
+	lossCost := p.Objective.TotalWeight * l.meanHostEarningsPerS / l.demandEarnings
+	l.objective = append(l.objective, -lossCost*float64(p.Uncertainty.DegradedHosts))
+	for g, group := range l.groups {
+		l.objective = append(l.objective, -lossCost*float64(len(group.hosts)))
+		hostCount := float64(len(group.hosts))
+		row := l.addRow(variables, (1-p.Uncertainty.Spread)*group.capacity/hostCount/meanCapacity)
+		for j, column := range l.columns {
+			if column.group == g {
+				l.rows[row][j] = p.Classes[column.class].WorkMs / msPerSecond * group.workFactors[column.class] *
+					p.demand(column.class, column.zone) / hostCount / meanCapacity
 			}
 		}
-		m.rows[r][m.t+1], m.rows[r][m.t+2+i] = -1, -1
+		l.rows[row][l.worstClassColumn+1], l.rows[row][l.worstClassColumn+2+g] = -1, -1
 	}
 }
 
-// doubted tells whether capacities are doubted at all.
-func (p *Problem) doubted() bool { return p.Uncertainty.Spread > 0 && p.Uncertainty.DegradedHosts > 0 }
+// uncertain tells whether the capacities are uncertain.
+func (p *Problem) uncertain() bool {
+	return p.Uncertainty.Spread > 0 && p.Uncertainty.DegradedHosts > 0
+}
 
-// run solves the programme by gonum's simplex method, and its dual for the prices of the caps. Slacks are a basis to
-// begin with; a row of a least share begins with the variable that pays for not meeting it.
-func (m *programme) run(last *Solution) (y, dual []float64, err error) {
-	n, r := len(m.gain), len(m.rows)
-	least := r - m.first
-	a := mat.NewDense(r, n+r+least, nil)
-	cost, basis := make([]float64, n+r+least), make([]int, r)
-	for i, row := range m.rows {
-		for j, x := range row {
-			a.Set(i, j, x)
-		}
-		if i < m.first {
-			a.Set(i, n+i, 1)
-			basis[i] = n + i
+// optimize solves the program by gonum's simplex method and computes the dual prices of the rows. Without a usable
+// earlier solution the initial basis has the slack of each row, and for a minimum admission ratio the artificial
+// variable with the penalty.
+func (l *linearProgram) optimize(earlier *Solution) (values, duals []float64, err error) {
+	variables, rows := len(l.objective), len(l.rows)
+	minimumRows := rows - l.firstMinimumRow
+	matrix := mat.NewDense(rows, variables+rows+minimumRows, nil)
+	costs, slackBasis := make([]float64, variables+rows+minimumRows), make([]int, rows)
+	for i, row := range l.rows {
+		for j, coefficient := range row {
+			matrix.Set(i, j, coefficient)
+		}
+		if i < l.firstMinimumRow {
+			matrix.Set(i, variables+i, 1)
+			slackBasis[i] = variables + i
 		} else {
-			unmet := n + r + i - m.first
-			a.Set(i, n+i, -1) // what is over the least
-			a.Set(i, unmet, 1)
-			cost[unmet], basis[i] = penalty, unmet
+			artificial := variables + rows + i - l.firstMinimumRow
+			matrix.Set(i, variables+i, -1) // the surplus over the minimum
+			matrix.Set(i, artificial, 1)
+			costs[artificial], slackBasis[i] = unmetPenalty, artificial
 		}
 	}
-	for j, g := range m.gain {
-		cost[j] = -g
+	for j, coefficient := range l.objective {
+		costs[j] = -coefficient
 	}
-	if last == nil && !m.p.doubted() {
-		last = m.greedy()
+	if earlier == nil && !l.problem.uncertain() {
+		earlier = l.greedySolution()
 	}
-	var x []float64
-	err = errors.New("no earlier answer")
-	if begin := m.begin(last, a); begin != nil {
-		_, x, err = lp.Simplex(cost, a, m.right, tolerance, begin)
+	var optimum []float64
+	err = errors.New("no earlier solution")
+	if initial := l.initialBasis(earlier, matrix); initial != nil {
+		_, optimum, err = lp.Simplex(costs, matrix, l.rightHandSides, simplexTolerance, initial)
 	}
 	if err != nil {
-		_, x, err = lp.Simplex(cost, a, m.right, tolerance, basis)
+		_, optimum, err = lp.Simplex(costs, matrix, l.rightHandSides, simplexTolerance, slackBasis)
 	}
 	if err != nil {
-		return nil, nil, fmt.Errorf("solving for the weights: %w", err)
+		return nil, nil, fmt.Errorf("solving the linear program: %w", err)
 	}
-	dual, err = m.dual(x, n, a, cost)
-	return x[:n+r+least], dual, err
+	duals, err = l.dualPrices(optimum, matrix, costs)
+	return optimum[:variables+rows+minimumRows], duals, err
 }
 
-// begin gives the basis of an earlier answer, filled up with slacks, if it is a basis of this programme and its
-// answer keeps the bounds; else nil.
-func (m *programme) begin(last *Solution, a *mat.Dense) []int {
-	if last == nil || len(last.basis) == 0 {
+// initialBasis returns the basis of an earlier solution, completed with slacks. It returns nil if that is not a basis
+// of this program, or not a feasible one.
+func (l *linearProgram) initialBasis(earlier *Solution, matrix *mat.Dense) []int {
+	if earlier == nil || len(earlier.basis) == 0 {
 		return nil
 	}
-	r, all := a.Dims()
-	named := make(map[string]bool, len(last.basis))
-	for _, name := range last.basis {
-		named[name] = true
+	rows, variables := matrix.Dims()
+	inBasis := make(map[string]bool, len(earlier.basis))
+	for _, name := range earlier.basis {
+		inBasis[name] = true
 	}
-	var wanted []int
-	for j := range all {
-		if named[m.name(j)] {
-			wanted = append(wanted, j)
+	var candidates []int
+	for j := range variables {
+		if inBasis[l.variableName(j)] {
+			candidates = append(candidates, j)
 		}
 	}
-	for i := range r {
-		wanted = append(wanted, len(m.gain)+i)
+	for i := range rows {
+		candidates = append(candidates, len(l.objective)+i)
 	}
-	basis := independent(a, wanted)
-	if len(basis) != r {
+	basis := independentColumns(matrix, candidates)
+	if len(basis) != rows {
 		return nil
 	}
-	b := mat.NewDense(r, r, nil)
+	basisMatrix := mat.NewDense(rows, rows, nil)
 	for k, j := range basis {
-		for i := range r {
-			b.Set(i, k, a.At(i, j))
+		for i := range rows {
+			basisMatrix.Set(i, k, matrix.At(i, j))
 		}
 	}
-	var lu mat.LU
-	lu.Factorize(b)
-	var x mat.VecDense
-	if lu.Cond() > 1e12 || lu.SolveVecTo(&x, false, mat.NewVecDense(r, m.right)) != nil {
+	var factors mat.LU
+	factors.Factorize(basisMatrix)
+	var values mat.VecDense
+	if factors.Cond() > maxCondition ||
+		factors.SolveVecTo(&values, false, mat.NewVecDense(rows, l.rightHandSides)) != nil {
 		return nil
 	}
-	for i := range r {
-		if x.AtVec(i) < 0 {
+	for i := range rows {
+		if values.AtVec(i) < 0 {
 			return nil
 		}
 	}
 	return basis
 }
 
-// independent takes columns in order as long as they are linearly independent of those taken before, by elimination.
-func independent(a *mat.Dense, wanted []int) []int {
-	r, _ := a.Dims()
-	var taken []int
-	var done [][]float64 // columns taken, each 1 in its pivot's row, where those before it are 0
+// independentColumns returns the candidates, in order, without those that depend linearly on earlier ones. It finds
+// them by Gaussian elimination.
+func independentColumns(matrix *mat.Dense, candidates []int) []int {
+	rows, _ := matrix.Dims()
+	var independent []int
+	var reduced [][]float64 // the independent columns; each is 1 in its pivot row and 0 in those of earlier ones
 	var pivots []int
-	for _, j := range wanted {
-		if len(taken) == r {
+	for _, j := range candidates {
+		if len(independent) == rows {
 			break
 		}
-		if slices.Contains(taken, j) {
+		if slices.Contains(independent, j) {
 			continue
 		}
-		column := mat.Col(nil, j, a)
-		for k, d := range done {
-			if f := column[pivots[k]]; f != 0 {
-				floats.AddScaled(column, -f, d)
+		column := mat.Col(nil, j, matrix)
+		for k, earlier := range reduced {
+			if factor := column[pivots[k]]; factor != 0 {
+				floats.AddScaled(column, -factor, earlier)
 			}
 		}
 		pivot := 0
@@ -362,181 +392,189 @@
 				pivot = i
 			}
 		}
-		if math.Abs(column[pivot]) < 1e-9 {
+		if math.Abs(column[pivot]) < minPositive {
 			continue
 		}
 		floats.Scale(1/column[pivot], column)
-		taken, done, pivots = append(taken, j), append(done, column), append(pivots, pivot)
+		independent, reduced, pivots = append(independent, j), append(reduced, column), append(pivots, pivot)
 	}
-	return taken
+	return independent
 }
 
-// dual gives the price of each row: the prices solve B'u = c for the basis B of the answer, since reduced costs of
-// basic variables are 0. Where fewer variables are above 0 than there are rows (a degenerate answer) the least
-// prices that fit are taken.
-func (m *programme) dual(x []float64, n int, a *mat.Dense, cost []float64) ([]float64, error) {
-	r := len(m.rows)
+// dualPrices returns the dual price of each row. The prices solve B'u = c for the basis matrix B, since the reduced
+// costs of basic variables are 0. If fewer variables are above 0 than there are rows (a degenerate solution), it
+// returns the prices with the smallest norm.
+func (l *linearProgram) dualPrices(values []float64, matrix *mat.Dense, costs []float64) ([]float64, error) {
+	rows := len(l.rows)
 	var basic []int
-	for j, v := range x {
-		if v > 1e-9 {
+	for j, value := range values {
+		if value > minPositive {
 			basic = append(basic, j)
 		}
 	}
-	b := mat.NewDense(len(basic), r, nil)
-	c := mat.NewVecDense(len(basic), nil)
+	transposedBasis := mat.NewDense(len(basic), rows, nil)
+	basicGains := mat.NewVecDense(len(basic), nil)
 	for k, j := range basic {
-		for i := range r {
-			b.Set(k, i, a.At(i, j))
+		for i := range rows {
+			transposedBasis.Set(k, i, matrix.At(i, j))
 		}
-		c.SetVec(k, -cost[j])
+		basicGains.SetVec(k, -costs[j])
 	}
 	var svd mat.SVD
-	if len(basic) == 0 || !svd.Factorize(b, mat.SVDThin) {
-		return make([]float64, r), nil
+	if len(basic) == 0 || !svd.Factorize(transposedBasis, mat.SVDThin) {
+		return make([]float64, rows), nil
 	}
-	var u mat.VecDense
+	var duals mat.VecDense
 	rank := 0
-	for _, s := range svd.Values(nil) {
-		if s > 1e-9*svd.Values(nil)[0] {
+	for _, singularValue := range svd.Values(nil) {
+		if singularValue > minPositive*svd.Values(nil)[0] {
 			rank++
 		}
 	}
-	svd.SolveVecTo(&u, c, rank)
-	prices := make([]float64, r)
+	svd.SolveVecTo(&duals, basicGains, rank)
+	prices := make([]float64, rows)
 	for i := range prices {
-		prices[i] = math.Max(u.AtVec(i), 0)
+		prices[i] = math.Max(duals.AtVec(i), 0)
 	}
 	return prices, nil
 }
 
-// read makes the programme's answer a solution.
-func (m *programme) read(y, dual []float64) *Solution {
-	p := m.p
-	s := &Solution{DemandEarningsPerS: m.asked, AdmissionRatio: map[string]float64{}, ZoneAdmissionRatio: map[string]map[string]float64{},
-		Weights: map[string]map[string]map[string]float64{}, Utilization: map[string]float64{}, DualPrice: map[string]float64{}}
-	served := make([][]float64, len(p.Classes))
-	for c, k := range p.Classes {
+// solution converts the values of the variables and the dual prices of the rows to a solution of the problem.
+func (l *linearProgram) solution(values, duals []float64) *Solution {
+	p := l.problem
+	s := &Solution{DemandEarningsPerS: l.demandEarnings, AdmissionRatio: map[string]float64{},
+		ZoneAdmissionRatio: map[string]map[string]float64{}, Weights: map[string]map[string]map[string]float64{},
+		Utilization: map[string]float64{}, DualPrice: map[string]float64{}}
+	served := make([][]float64, len(p.Classes)) // by class and zone: fraction of the demand
+	for c, class := range p.Classes {
 		served[c] = make([]float64, len(p.Zones))
-		s.Weights[k.Name], s.ZoneAdmissionRatio[k.Name] = map[string]map[string]float64{}, map[string]float64{}
-		s.AdmissionRatio[k.Name] = 1
+		s.Weights[class.Name], s.ZoneAdmissionRatio[class.Name] = map[string]map[string]float64{}, map[string]float64{}
+		s.AdmissionRatio[class.Name] = 1
 	}
-	used, cross := make([]float64, len(m.groups)), 0.0
-	for i, x := range m.columns {
-		part := math.Max(y[i], 0)
-		served[x.c][x.z] += part
-		d := part * p.demand(x.c, x.z)
-		used[x.g] += d * p.Classes[x.c].WorkMs / 1000 * m.groups[x.g].factor[x.c]
-		s.EarningsPerS += d * p.Classes[x.c].Earnings
-		if m.groups[x.g].zone != x.z {
-			cross += d
+	groupLoads, crossZoneRate := make([]float64, len(l.groups)), 0.0
+	for j, column := range l.columns {
+		fraction := math.Max(values[j], 0)
+		served[column.class][column.zone] += fraction
+		rate := fraction * p.demand(column.class, column.zone)
+		groupLoads[column.group] += rate * p.Classes[column.class].WorkMs / msPerSecond *
+			l.groups[column.group].workFactors[column.class]
+		s.EarningsPerS += rate * p.Classes[column.class].Earnings
+		if l.groups[column.group].zone != column.zone {
+			crossZoneRate += rate
 		}
 	}
-	for i, x := range m.columns {
-		if part := y[i] / math.Max(served[x.c][x.z], 1e-300); y[i] > 1e-12 {
-			m.spread(s, x, part)
+	for j, column := range l.columns {
+		weight := values[j] / math.Max(served[column.class][column.zone], 1e-300) // the limit avoids a division by 0
+		if values[j] > minFraction {
+			l.addWeights(s, column, weight)
 		}
 	}
-	for c, k := range p.Classes {
-		in, d := 0.0, m.p.classDemand(c)
+	for c, class := range p.Classes {
+		admitted, classDemand := 0.0, l.problem.classDemand(c)
 		for z, zone := range p.Zones {
-			if x := p.demand(c, z); x > 0 {
-				s.ZoneAdmissionRatio[k.Name][zone] = math.Min(served[c][z], 1)
-				in += served[c][z] * x
+			if rate := p.demand(c, z); rate > 0 {
+				s.ZoneAdmissionRatio[class.Name][zone] = math.Min(served[c][z], 1)
+				admitted += served[c][z] * rate
 			}
 		}
-		if d > 0 {
-			s.AdmissionRatio[k.Name] = math.Min(in/d, 1)
+		if classDemand > 0 {
+			s.AdmissionRatio[class.Name] = math.Min(admitted/classDemand, 1)
 		}
 	}
-	for g, grp := range m.groups {
-		for i, h := range grp.hosts {
-			s.Utilization[p.Hosts[h].Name] = used[g] / grp.cap
+	for g, group := range l.groups {
+		for i, host := range group.hosts {
+			s.Utilization[p.Hosts[host].Name] = groupLoads[g] / group.capacity
 			if p.Objective.TotalWeight > 0 {
-				s.DualPrice[p.Hosts[h].Name] = dual[m.caps[g]] / grp.cap * m.asked / p.Objective.TotalWeight * grp.caps[i] /
-					p.Hosts[h].Cores
+				s.DualPrice[p.Hosts[host].Name] = duals[l.capacityRows[g]] / group.capacity * l.demandEarnings /
+					p.Objective.TotalWeight * group.capacities[i] / p.Hosts[host].Cores
 			}
 		}
 	}
-	s.CrossZoneRate = cross
-	m.connections(s, y)
-	if p.doubted() {
-		s.WorstCaseLossPerS = m.unit * float64(p.Uncertainty.DegradedHosts) * y[m.t+1]
-		for i, g := range m.groups {
-			s.WorstCaseLossPerS += m.unit * float64(len(g.hosts)) * y[m.t+2+i]
+	s.CrossZoneRate = crossZoneRate
+	l.countConnections(s, values)
+	if p.uncertain() {
+		s.WorstCaseLossPerS = l.meanHostEarningsPerS * float64(p.Uncertainty.DegradedHosts) * values[l.worstClassColumn+1]
+		for g, group := range l.groups {
+			s.WorstCaseLossPerS += l.meanHostEarningsPerS * float64(len(group.hosts)) * values[l.worstClassColumn+2+g]
 		}
 	}
-	s.ObjectiveValue = s.goal(p, m.total)
-	for _, c := range m.least {
-		if k := p.Classes[c]; s.AdmissionRatio[k.Name] < k.MinAdmissionRatio-1e-6 {
-			s.UnmetMinimums = append(s.UnmetMinimums, fmt.Sprintf("class %s: a least share of %.3f is asked for, %.3f is the most there is room for", k.Name,
-				k.MinAdmissionRatio, s.AdmissionRatio[k.Name]))
+	s.ObjectiveValue = s.evaluate(p, l.demandRate)
+	for _, c := range l.minimumClasses {
+		if class := p.Classes[c]; s.AdmissionRatio[class.Name] < class.MinAdmissionRatio-ratioTolerance {
+			s.UnmetMinimums = append(s.UnmetMinimums, fmt.Sprintf(
+				"class %s: a least share of %.3f is asked for, %.3f is the most there is room for", class.Name,
+				class.MinAdmissionRatio, s.AdmissionRatio[class.Name]))
 		}
 	}
 	return s
 }
 
-// goal is the result by the goal's weights and prices.
-func (s *Solution) goal(p *Problem, total float64) float64 {
+// evaluate returns the objective value of a solution, and sets its linear part.
+func (s *Solution) evaluate(p *Problem, demandRate float64) float64 {
 	worst := 1.0
-	for c, k := range p.Classes {
+	for c, class := range p.Classes {
 		if p.classDemand(c) > 0 {
-			worst = math.Min(worst, s.AdmissionRatio[k.Name])
+			worst = math.Min(worst, s.AdmissionRatio[class.Name])
 		}
 	}
-	result := p.Objective.WorstClassWeight * worst
+	value := p.Objective.WorstClassWeight * worst
 	if s.DemandEarningsPerS > 0 {
-		result += p.Objective.TotalWeight * s.EarningsPerS / s.DemandEarningsPerS
+		value += p.Objective.TotalWeight * s.EarningsPerS / s.DemandEarningsPerS
 	}
-	if total > 0 {
-		result -= p.Objective.CrossZoneCost * s.CrossZoneRate / total
+	if demandRate > 0 {
+		value -= p.Objective.CrossZoneCost * s.CrossZoneRate / demandRate
 	}
-	s.linear = result
-	return result - p.Objective.ConnectionCost*float64(s.Connections)
+	s.linearObjective = value
+	return value - p.Objective.ConnectionCost*float64(s.Connections)
 }
 
-// spread gives a part of a demand to the hosts of a group by their caps.
-func (m *programme) spread(s *Solution, x column, part float64) {
-	class, zone := m.p.Classes[x.c].Name, m.p.Zones[x.z]
-	w := s.Weights[class][zone]
-	if w == nil {
-		w = map[string]float64{}
-		s.Weights[class][zone] = w
-	}
-	g := m.groups[x.g]
-	for i, h := range g.hosts {
-		w[m.p.Hosts[h].Name] += part * g.caps[i] / g.cap
+// addWeights splits the weight of a column among the hosts of its group in proportion to their capacities.
+func (l *linearProgram) addWeights(s *Solution, column column, weight float64) {
+	class, zone := l.problem.Classes[column.class].Name, l.problem.Zones[column.zone]
+	weights := s.Weights[class][zone]
+	if weights == nil {
+		weights = map[string]float64{}
+		s.Weights[class][zone] = weights
+	}
+	group := l.groups[column.group]
+	for i, host := range group.hosts {
+		weights[l.problem.Hosts[host].Name] += weight * group.capacities[i] / group.capacity
 	}
 }
 
-// ErrInfeasible tells that an answer does not keep the problem's bounds.
-var ErrInfeasible = errors.New("the answer breaks a bound")
+// ErrInfeasible reports that a solution violates a constraint of its problem.
+var ErrInfeasible = errors.New("the solution is infeasible")
 
-// Verify reckons a solution's bounds anew, from its weights and shares alone.
+// Verify checks that a solution meets the constraints of the problem. It uses only the solution's weights and
+// admission ratios.
 func (p *Problem) Verify(s *Solution) error {
-	load, caps, names, hosts := map[string]float64{}, map[string]float64{}, []string{}, map[string]Host{}
-	for _, h := range p.Hosts {
-		caps[h.Name], hosts[h.Name] = p.HostCapacity(h), h
-		names = append(names, h.Name)
+	loads, capacities, names, hosts := map[string]float64{}, map[string]float64{}, []string{}, map[string]Host{}
+	for _, host := range p.Hosts {
+		capacities[host.Name], hosts[host.Name] = p.HostCapacity(host), host
+		names = append(names, host.Name)
 	}
-	for c, k := range p.Classes {
+	for c, class := range p.Classes {
 		for z, zone := range p.Zones {
-			sum, d := 0.0, p.demand(c, z)*s.ZoneAdmissionRatio[k.Name][zone]
-			for host, w := range s.Weights[k.Name][zone] {
-				if w < 0 || math.IsNaN(w) {
-					return fmt.Errorf("%w: %s has the weight %g", ErrInfeasible, host, w)
+			sum, admitted := 0.0, p.demand(c, z)*s.ZoneAdmissionRatio[class.Name][zone]
+			for host, weight := range s.Weights[class.Name][zone] {
+				if weight < 0 || math.IsNaN(weight) {
+					return fmt.Errorf("%w: weight %g of host %s for class %s in zone %s, want 0 or more", ErrInfeasible,
+						weight, host, class.Name, zone)
 				}
-				sum += w
-				load[host] += w * d * k.WorkMs / 1000 * hosts[host].factor(k.Name)
+				sum += weight
+				loads[host] += weight * admitted * class.WorkMs / msPerSecond * hosts[host].workFactor(class.Name)
 			}
-			if d > 1e-9 && math.Abs(sum-1) > 1e-6 {
-				return fmt.Errorf("%w: the weights of %s in %s sum to %g", ErrInfeasible, k.Name, zone, sum)
+			if admitted > minPositive && math.Abs(sum-1) > ratioTolerance {
+				return fmt.Errorf("%w: the weights for class %s in zone %s sum to %g, want 1", ErrInfeasible,
+					class.Name, zone, sum)
 			}
 		}
 	}
 	sort.Strings(names)
-	for _, h := range names {
-		if load[h] > caps[h]*(1+1e-6)+1e-12 {
-			return fmt.Errorf("%w: %s gets %g of %g", ErrInfeasible, h, load[h], caps[h])
+	for _, host := range names {
+		if loads[host] > capacities[host]*(1+ratioTolerance)+minFraction {
+			return fmt.Errorf("%w: load %g of host %s exceeds its capacity %g", ErrInfeasible, loads[host], host,
+				capacities[host])
 		}
 	}
 	return nil
