--- a/controller/solver_test.go
+++ b/controller/solver_test.go
@@ -21,7 +21,7 @@
 	h.reportDemand(30, 22)
 	h.printf("base weights %v", h.baseWeights())
 	gap := h.solverGap()
-	if gap == nil || gap.Best < 0.98 || gap.Result < 0.92 || gap.Over[hostName(0)] > 1.1 {
+	if gap == nil || gap.BestValue < 0.98 || gap.ObjectiveValue < 0.92 || gap.Overloaded[hostName(0)] > 1.1 {
 		t.Errorf("the gap is %+v, want the best at 0.98, the result at 0.92 and the small host at 1.1 or better", gap)
 	}
 	h.printf("a host without cores given")
@@ -32,7 +32,7 @@
 
 	off, _ := newUnevenHarness(t, false)
 	off.reportDemand(30, 22)
-	if gap := off.solverGap(); gap == nil || gap.Result > 0.8 || gap.Over[hostName(0)] < 2 {
+	if gap := off.solverGap(); gap == nil || gap.ObjectiveValue > 0.8 || gap.Overloaded[hostName(0)] < 2 {
 		t.Errorf("without solver weights the gap is %+v, want a result of at most 0.8 and the small host at 2 or more", gap)
 	}
 	if strings.Contains(off.trace.String(), solverLogPrefix) || off.baseWeights()[hostName(1)] != 1 {
