--- a/cmd/simadapter/update_writer.go
+++ b/cmd/simadapter/update_writer.go
@@ -14,7 +14,7 @@
 
 // SetWeight writes the weight of a host in a table.
 func (c *controllerInstance) SetWeight(table, host int, weight float64) {
-	c.writer.Weigh(c.number, table, c.balancer.HostID(host), weight)
+	c.writer.Weigh(c.number, table, c.balancer.HostName(host), weight)
 }
 
 // AssignTable writes that a proxy uses a table for the request classes of a bit mask.
@@ -31,7 +31,9 @@
 func (c *controllerInstance) StampVersion(version int) { c.writer.Seal(c.number, version) }
 
 // CheckHealth writes a request for a health check.
-func (c *controllerInstance) CheckHealth(host int) { c.writer.Probe(c.number, c.balancer.HostID(host)) }
+func (c *controllerInstance) CheckHealth(host int) {
+	c.writer.Probe(c.number, c.balancer.HostName(host))
+}
 
 // ScheduleRound writes a request for an alarm at a simulated time in ms, rounded up to the simulator's microseconds.
 func (c *controllerInstance) ScheduleRound(atMs float64) {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -129,7 +129,7 @@
 	if !i.ForgetHost(host) {
 		return false
 	}
-	i.hosts.Release(i.HostID(host))
+	i.hosts.Release(i.HostName(host))
 	return true
 }
 
@@ -142,8 +142,8 @@
 // HostIndexCount returns the number of host indices, including free ones. Every host index is less than it.
 func (i *Instance) HostIndexCount() int { return len(i.hosts.Names) }
 
-// HostID returns the name of the host with an index, or an empty string for a free index.
-func (i *Instance) HostID(host int) string { return i.hosts.Names[host] }
+// HostName returns the name of the host with an index, or an empty string for a free index.
+func (i *Instance) HostName(host int) string { return i.hosts.Names[host] }
 
 // ZoneIndex returns the index of a zone, and reports whether it is in the settings.
 func (i *Instance) ZoneIndex(name string) (int, bool) {
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -83,9 +83,9 @@
 		t.Error("class write, which is not in the settings, has an index; want none")
 	}
 	first, second := instance.HostIndex("s-1"), instance.HostIndex("s-2")
-	if first == second || instance.HostIndex("s-1") != first || instance.HostID(second) != "s-2" {
+	if first == second || instance.HostIndex("s-1") != first || instance.HostName(second) != "s-2" {
 		t.Errorf("hosts s-1 and s-2 got indices %d and %d, then %d for s-1, and index %d has name %q; "+
-			"want two indices that stay", first, second, instance.HostIndex("s-1"), second, instance.HostID(second))
+			"want two indices that stay", first, second, instance.HostIndex("s-1"), second, instance.HostName(second))
 	}
 	if !instance.ReleaseHost(first) {
 		t.Fatal("ReleaseHost returned false for a host that no table refers to, want true")
--- a/internal/platform/balancer_output.go
+++ b/internal/platform/balancer_output.go
@@ -24,7 +24,7 @@
 
 // Log logs an event of the balancer at info level, with the names of its hosts.
 func (o *balancerOutput) Log(event routing.Event) {
-	o.node.log.Info().Msg(event.Text(o.node.balancer.HostID))
+	o.node.log.Info().Msg(event.Text(o.node.balancer.HostName))
 }
 
 // CheckHealth starts a health check of a host at its current address and returns at once. The check runs in a goroutine
@@ -33,7 +33,7 @@
 // context.
 func (o *balancerOutput) CheckHealth(host int) {
 	node := o.node
-	target := healthCheckTarget{host, node.balancer.HostID(host), node.hosts.processes[host]}
+	target := healthCheckTarget{host, node.balancer.HostName(host), node.hosts.processes[host]}
 	node.goroutines.Go(func() {
 		select {
 		case node.healthCheckSlots <- struct{}{}:
--- a/internal/platform/host_registry.go
+++ b/internal/platform/host_registry.go
@@ -32,7 +32,7 @@
 
 // markRemoved records when a host was removed, unless it was removed before or its index is free.
 func (n *Node) markRemoved(host int) {
-	if !n.hosts.isRemoved(host) && n.balancer.HostID(host) != "" {
+	if !n.hosts.isRemoved(host) && n.balancer.HostName(host) != "" {
 		n.hosts.removedAtMs[host] = n.clock.Now()
 	}
 }
--- a/internal/platform/host_trace.go
+++ b/internal/platform/host_trace.go
@@ -20,7 +20,7 @@
 	for host := range n.balancer.HostIndexCount() {
 		view, known := n.balancer.Explain(host)
 		if known && (view.State != routing.Removed || view.PublishedWeight != 0) {
-			hosts.Object(hostTrace{n.balancer.HostID(host), view, nowMs})
+			hosts.Object(hostTrace{n.balancer.HostName(host), view, nowMs})
 		}
 	}
 	n.log.Debug().
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -83,7 +83,7 @@
 		sessions:         newSessionRegistry(),
 		hosts:            newHostRegistry(),
 	}
-	node.updates = newUpdateEncoder(classNames(config), balancer.HostID, node.connectedProxies)
+	node.updates = newUpdateEncoder(classNames(config), balancer.HostName, node.connectedProxies)
 	node.watcher = newEndpointWatcher(log, node.warnings, balancer.ZoneIndex, node.postWatchEvent)
 	return node, nil
 }
--- a/internal/platform/simadapter_equivalence_test.go
+++ b/internal/platform/simadapter_equivalence_test.go
@@ -31,7 +31,7 @@
 }
 
 func (o simadapterOutput) SetWeight(table, host int, weight float64) {
-	o.wire.Weigh(0, table, o.balancer.HostID(host), weight)
+	o.wire.Weigh(0, table, o.balancer.HostName(host), weight)
 }
 func (o simadapterOutput) AssignTable(proxy, table, classes int) {
 	o.wire.AttachTable(0, proxy, table, classes)
@@ -40,7 +40,7 @@
 	o.wire.Throttle(0, table, classes, ratio, retryPolicy)
 }
 func (o simadapterOutput) StampVersion(number int) { o.wire.Seal(0, number) }
-func (o simadapterOutput) CheckHealth(host int)    { o.wire.Probe(0, o.balancer.HostID(host)) }
+func (o simadapterOutput) CheckHealth(host int)    { o.wire.Probe(0, o.balancer.HostName(host)) }
 func (o simadapterOutput) ScheduleRound(atMs float64) {
 	o.wire.After(0, int64(atMs*microsecondsPerMs), 1)
 }
