--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -100,7 +100,7 @@
 		Seed:               seed,
 		Limits:             raw.Limits,
 		Settings:           settings,
-		RoundDelay:         microseconds(settings.StepUs, defaultRoundDelay),
+		RoundDelay:         durationFromMicroseconds(settings.StepUs, defaultRoundDelay),
 		HealthCheckTimeout: healthCheckTimeout(settings),
 		knownEndpoints:     decodeKnownEndpoints(raw.Known),
 		settingsText:       settingsText.Bytes(),
@@ -115,12 +115,12 @@
 	return nil
 }
 
-// microseconds converts a setting in microseconds to a duration; 0 stands for the default.
-func microseconds(us float64, byDefault time.Duration) time.Duration {
+// durationFromMicroseconds converts a setting in durationFromMicroseconds to a duration; 0 stands for the default.
+func durationFromMicroseconds(us float64, defaultDuration time.Duration) time.Duration {
 	if us > 0 {
 		return time.Duration(us * nanosecondsPerMicrosecond)
 	}
-	return byDefault
+	return defaultDuration
 }
 
 // healthCheckTimeout returns half of the shortest latency objective: a host serves a health check like a request, and
@@ -131,7 +131,7 @@
 	for _, service := range settings.Services {
 		objectiveUs = math.Min(objectiveUs, *service.AimUs)
 	}
-	dialTimeout := microseconds(settings.Limits.DialTimeoutUs, defaultDialTimeout)
+	dialTimeout := durationFromMicroseconds(settings.Limits.DialTimeoutUs, defaultDialTimeout)
 	return max(time.Duration(objectiveUs/2*nanosecondsPerMicrosecond), dialTimeout)
 }
 
--- a/internal/platform/connection_limiter.go
+++ b/internal/platform/connection_limiter.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// minUnidentified is the least number of unidentified connections that are always allowed.
-	minUnidentified = 8
+	// minUnidentifiedLimit is the lower bound of unidentifiedLimit.
+	minUnidentifiedLimit = 8
 	// minUnidentifiedTime is how long a connection may take to identify itself before it may be evicted for a newer
 	// one.
 	minUnidentifiedTime = 150 * time.Millisecond
@@ -37,7 +37,7 @@
 
 // unidentifiedLimit returns how many unidentified connections may be open: half of the limit, since the other half is
 // reserved for connections that have identified themselves.
-func (l *connectionLimiter) unidentifiedLimit() int { return max(l.limit/2, minUnidentified) }
+func (l *connectionLimiter) unidentifiedLimit() int { return max(l.limit/2, minUnidentifiedLimit) }
 
 // admitDecision is the limiter's decision on a new connection.
 type admitDecision struct {
--- a/internal/platform/connection_limiter_test.go
+++ b/internal/platform/connection_limiter_test.go
@@ -58,8 +58,8 @@
 	}
 	discovery := listen(t)
 	node.watcher.setAddress(discovery.Addr().String())
-	_, call := acceptCall(t, discovery)
-	answer(t, call, endpointList(8, true, hostOne))
+	_, call := acceptRequest(t, discovery)
+	writeResponse(t, call, endpointList(8, true, hostOne))
 	mustClose(t, proxies[1])
 	waitUntil(t, node, func() bool { return node.sessions.active[1] == nil })
 	expectSnapshot(t, dial(t, address, "SUBSCRIBE proxy 901 zone a weight 1 fresh 1"))
@@ -68,7 +68,7 @@
 // The connection of an unresponsive session is closed as soon as another connection needs its descriptor.
 func TestUnresponsiveSessionEvicted(t *testing.T) {
 	node, address, proxies := fillNode(t)
-	found := query(t, node, func() bool {
+	found := callInEventLoop(t, node, func() bool {
 		node.lastMaintenanceMs = 0
 		node.maintain(node.clock.Now() + unresponsiveRetentionMs/2)
 		return len(node.sessions.unresponsive) == 1 && node.sessions.unresponsive[0] != nil
@@ -93,8 +93,8 @@
 // fillLimiter makes a limiter whose descriptors are all held by unidentified connections.
 func fillLimiter(t *testing.T) *limiterRun {
 	t.Helper()
-	run := &limiterRun{t: t, limiter: newConnectionLimiter(minUnidentified)}
-	for range minUnidentified {
+	run := &limiterRun{t: t, limiter: newConnectionLimiter(minUnidentifiedLimit)}
+	for range minUnidentifiedLimit {
 		if !run.admit() {
 			t.Fatal("a connection is rejected though there is room")
 		}
--- a/internal/platform/endpoint_watcher_test.go
+++ b/internal/platform/endpoint_watcher_test.go
@@ -10,14 +10,14 @@
 	"github.com/rs/zerolog"
 )
 
-// watchCall is the target of a watch call for what is newer than a generation.
-func watchCall(generation int) string {
+// longPollTarget returns the target of a long poll for the changes after a generation.
+func longPollTarget(generation int) string {
 	return fmt.Sprintf("%s?from=%d&hold_ms=1500", endpointListPath, generation)
 }
 
-// acceptCall accepts a connection and reads a request, within the timeout. It returns the request's target and the
-// connection, on which nothing was answered yet.
-func acceptCall(t *testing.T, listener *net.TCPListener) (target string, conn net.Conn) {
+// acceptRequest accepts a connection and reads a request, within testTimeout. It returns the request's target and the
+// connection; the caller writes the response.
+func acceptRequest(t *testing.T, listener *net.TCPListener) (target string, conn net.Conn) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
 	if err := listener.SetDeadline(deadline); err != nil {
@@ -31,11 +31,11 @@
 	if err := conn.SetDeadline(deadline); err != nil {
 		t.Fatal(err)
 	}
-	return nextCall(t, conn), conn
+	return readRequest(t, conn), conn
 }
 
-// nextCall reads one more request on a connection and returns its target.
-func nextCall(t *testing.T, conn net.Conn) (target string) {
+// readRequest reads the next request on a connection and returns its target.
+func readRequest(t *testing.T, conn net.Conn) (target string) {
 	t.Helper()
 	request := ""
 	for !strings.Contains(request, "\r\n\r\n") {
@@ -57,8 +57,8 @@
 	}
 }
 
-// answer writes a response with a body.
-func answer(t *testing.T, conn net.Conn, body string) {
+// writeResponse writes a 200 response with a body.
+func writeResponse(t *testing.T, conn net.Conn, body string) {
 	t.Helper()
 	if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 // expectHosts compares which of s-1 and s-2 are known and not removed, joined by a plus sign.
 func expectHosts(t *testing.T, node *Node, want string) {
 	t.Helper()
-	got := query(t, node, func() string {
+	got := callInEventLoop(t, node, func() string {
 		var names []string
 		for _, name := range []string{"s-1", "s-2"} {
 			host, known := node.balancer.LookupHost(name)
@@ -90,12 +90,12 @@
 	node, address := startNode(t, newTestConfig(t, first, 0))
 	proxy := dial(t, address, subscribeProxy0)
 	proxy.expect(firstSnapshot)
-	for _, want := range []string{endpointListPath, watchCall(7)} {
+	for _, want := range []string{endpointListPath, longPollTarget(7)} {
 		expectTarget(t, receive(t, firstCalls), want)
 	}
 	node.watcher.setAddress(first)
 	node.watcher.setAddress(second)
-	for _, want := range []string{endpointListPath, watchCall(7)} {
+	for _, want := range []string{endpointListPath, longPollTarget(7)} {
 		expectTarget(t, receive(t, secondCalls), want)
 	}
 	expectHosts(t, node, "s-1+s-2")
@@ -106,23 +106,23 @@
 func TestStaleSnapshotAfterAddressChange(t *testing.T) {
 	first, second := listen(t), listen(t)
 	node, _ := startNode(t, newTestConfig(t, first.Addr().String(), 0))
-	target, conn := acceptCall(t, first)
+	target, conn := acceptRequest(t, first)
 	expectTarget(t, target, endpointListPath)
-	answer(t, conn, endpointList(7, true, hostTwo)) // s-1 is removed
-	expectTarget(t, nextCall(t, conn), watchCall(7))
+	writeResponse(t, conn, endpointList(7, true, hostTwo)) // s-1 is removed
+	expectTarget(t, readRequest(t, conn), longPollTarget(7))
 	node.watcher.setAddress(second.Addr().String())
-	target, conn = acceptCall(t, second)
+	target, conn = acceptRequest(t, second)
 	expectTarget(t, target, endpointListPath)
-	answer(t, conn, endpointList(6, true, hostOne, hostTwo))
-	expectTarget(t, nextCall(t, conn), endpointListPath)
+	writeResponse(t, conn, endpointList(6, true, hostOne, hostTwo))
+	expectTarget(t, readRequest(t, conn), endpointListPath)
 	expectHosts(t, node, "s-2")
-	answer(t, conn, endpointList(7, true, hostTwo))
-	nextCall(t, conn)
-	answer(t, conn, endpointList(8, false, hostOne))
-	nextCall(t, conn)
+	writeResponse(t, conn, endpointList(7, true, hostTwo))
+	readRequest(t, conn)
+	writeResponse(t, conn, endpointList(8, false, hostOne))
+	readRequest(t, conn)
 	expectHosts(t, node, "s-1+s-2")
-	answer(t, conn, endpointList(3, false)) // a watch call with nothing new, at an agent that restarted or lags behind
-	expectTarget(t, nextCall(t, conn), endpointListPath)
+	writeResponse(t, conn, endpointList(3, false)) // an empty delta from a replica that restarted or has not caught up
+	expectTarget(t, readRequest(t, conn), endpointListPath)
 }
 
 // A service that returns an older list for longer than the stale limit has restarted its generations: the list is
@@ -136,9 +136,9 @@
 	node.watcher.generation = 40
 	node.watcher.staleLimit = 0
 	runNode(t, node)
-	_, conn := acceptCall(t, discovery)
-	answer(t, conn, endpointList(1, true, hostTwo))
-	expectTarget(t, nextCall(t, conn), watchCall(1))
+	_, conn := acceptRequest(t, discovery)
+	writeResponse(t, conn, endpointList(1, true, hostTwo))
+	expectTarget(t, readRequest(t, conn), longPollTarget(1))
 	expectHosts(t, node, "s-2")
 }
 
@@ -156,16 +156,16 @@
 		t.Run(test.name, func(t *testing.T) {
 			discovery := listen(t)
 			node, _ := startNode(t, newTestConfig(t, discovery.Addr().String(), 0))
-			_, conn := acceptCall(t, discovery)
-			answer(t, conn, test.body)
-			expectTarget(t, nextCall(t, conn), endpointListPath)
+			_, conn := acceptRequest(t, discovery)
+			writeResponse(t, conn, test.body)
+			expectTarget(t, readRequest(t, conn), endpointListPath)
 			expectHosts(t, node, "s-1")
 			half := endpointList(8, true)[:20]
 			if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n%s", half); err != nil {
 				t.Fatal(err)
 			}
 			mustClose(t, conn)
-			target, _ := acceptCall(t, discovery)
+			target, _ := acceptRequest(t, discovery)
 			expectTarget(t, target, endpointListPath)
 		})
 	}
@@ -176,14 +176,14 @@
 func TestIdleConnectionReset(t *testing.T) {
 	discovery := listen(t)
 	node, _ := startNode(t, newTestConfig(t, discovery.Addr().String(), 0))
-	_, conn := acceptCall(t, discovery)
-	answer(t, conn, endpointList(7, true, hostTwo))
-	expectTarget(t, nextCall(t, conn), watchCall(7))
+	_, conn := acceptRequest(t, discovery)
+	writeResponse(t, conn, endpointList(7, true, hostTwo))
+	expectTarget(t, readRequest(t, conn), longPollTarget(7))
 	resetConnection(t, conn)
-	target, conn := acceptCall(t, discovery)
-	expectTarget(t, target, watchCall(7))
-	answer(t, conn, endpointList(8, false, hostOne))
-	nextCall(t, conn)
+	target, conn := acceptRequest(t, discovery)
+	expectTarget(t, target, longPollTarget(7))
+	writeResponse(t, conn, endpointList(8, false, hostOne))
+	readRequest(t, conn)
 	expectHosts(t, node, "s-1+s-2")
 }
 
--- a/internal/platform/health_check_moved_host_test.go
+++ b/internal/platform/health_check_moved_host_test.go
@@ -26,12 +26,12 @@
 			moved := config.knownEndpoints.Endpoints[0]
 			moved.Address = newHost.Addr().String()
 			node, _ := startNode(t, config)
-			_, call := acceptCall(t, oldHost)
-			query(t, node, func() bool { test.move(node, moved); return true })
+			_, call := acceptRequest(t, oldHost)
+			callInEventLoop(t, node, func() bool { test.move(node, moved); return true })
 			mustClose(t, oldHost) // a retry there is refused
 			resetConnection(t, call)
-			acceptCall(t, newHost)
-			failures := query(t, node, func() int {
+			acceptRequest(t, newHost)
+			failures := callInEventLoop(t, node, func() int {
 				view, _ := node.balancer.Explain(0)
 				return view.ConsecutiveFailures
 			})
--- a/internal/platform/health_check_test.go
+++ b/internal/platform/health_check_test.go
@@ -13,14 +13,14 @@
 	"barleysail/internal/http1"
 )
 
-// lateAnswer is how long a host holds a health check that it answers late.
-const lateAnswer = 150 * time.Millisecond
+// lateResponseDelay is how long a host waits before a late response to a health check.
+const lateResponseDelay = 150 * time.Millisecond
 
-// Answers of a host.
+// Responses of a host to a health check.
 const (
-	healthyAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\nConnection: close\r\n\r\n" +
+	healthyResponse = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\nConnection: close\r\n\r\n" +
 		"{\"util\":0.5,\"qps\":\"odd\"}\n"
-	unavailableAnswer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	unavailableResponse = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
 // startHost runs a host that treats each connection by the next letter of its script, and further ones by the last: r
@@ -57,20 +57,20 @@
 
 func serveStep(t *testing.T, conn net.Conn, step byte) {
 	t.Helper()
-	answer := ""
+	response := ""
 	switch step {
 	case 'r':
 		resetConnection(t, conn)
 		return
 	case 'f':
-		answer = healthyAnswer
+		response = healthyResponse
 	case 'l':
-		time.Sleep(lateAnswer)
-		answer = unavailableAnswer
+		time.Sleep(lateResponseDelay)
+		response = unavailableResponse
 	case 'b':
-		answer = unavailableAnswer
+		response = unavailableResponse
 	}
-	if _, err := io.WriteString(conn, answer); err != nil {
+	if _, err := io.WriteString(conn, response); err != nil {
 		t.Error(err)
 	}
 	mustClose(t, conn)
@@ -88,7 +88,7 @@
 			address = startHost(t, script)
 		}
 		client := &http1.Client{Idle: -1}
-		result, load, err := healthCheck(context.Background(), client, address, 2*lateAnswer-lateAnswer/10)
+		result, load, err := healthCheck(context.Background(), client, address, 2*lateResponseDelay-lateResponseDelay/10)
 		fmt.Fprintf(&trace, "%q: outcome %d, util %.2f, qps %.0f, fine %v\n",
 			script, result, load.Utilization, load.RequestRate, err == nil)
 	}
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -98,18 +98,18 @@
 	}
 }
 
-// query runs a function in the event loop, after all events that were posted before.
-func query[T any](t *testing.T, node *Node, function func() T) T {
+// callInEventLoop calls a function in the event loop, after all events that were posted before, and returns its result.
+func callInEventLoop[T any](t *testing.T, node *Node, function func() T) T {
 	t.Helper()
-	answer := make(chan T, 1)
-	node.post(func() { answer <- function() })
-	return receive(t, answer)
+	result := make(chan T, 1)
+	node.post(func() { result <- function() })
+	return receive(t, result)
 }
 
 // waitUntil asks the event loop until a condition holds, within the timeout.
 func waitUntil(t *testing.T, node *Node, condition func() bool) {
 	t.Helper()
-	for began := time.Now(); !query(t, node, condition); {
+	for began := time.Now(); !callInEventLoop(t, node, condition); {
 		if time.Since(began) > testTimeout {
 			t.Fatalf("the condition does not hold within %v", testTimeout)
 		}
@@ -120,7 +120,7 @@
 // before.
 func waitForRound(t *testing.T, node *Node) {
 	t.Helper()
-	scheduledMs := query(t, node, func() float64 { return node.nextRoundMs })
+	scheduledMs := callInEventLoop(t, node, func() float64 { return node.nextRoundMs })
 	waitUntil(t, node, func() bool { return node.nextRoundMs != scheduledMs })
 }
 
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -61,10 +61,10 @@
 }
 
 // connections returns how many connections may be open: the descriptors that health checks and reservedDescriptors
-// leave, but at least twice minUnidentified.
+// leave, but at least twice minUnidentifiedLimit.
 func (l Limits) connections(healthChecks int) int {
 	if l.Sockets == 0 {
 		return unlimitedConnections
 	}
-	return max(l.Sockets-healthChecks-reservedDescriptors, 2*minUnidentified)
+	return max(l.Sockets-healthChecks-reservedDescriptors, 2*minUnidentifiedLimit)
 }
--- a/internal/platform/message_decoder.go
+++ b/internal/platform/message_decoder.go
@@ -113,8 +113,8 @@
 	return index
 }
 
-// yesOrNo reads a boolean field, which must be valueYes or valueNo.
-func (r *fieldReader) yesOrNo(name string) bool {
+// boolean reads a boolean field, whose value must be valueYes or valueNo.
+func (r *fieldReader) boolean(name string) bool {
 	value := r.values[name]
 	if value != valueNo && value != valueYes {
 		r.fail(invalidValue(name, value))
@@ -145,10 +145,10 @@
 	maxMeanMs  float64 // largest valid mean latency, in ms
 }
 
-func newMessageDecoder(settings *simwire.Settings, names *instance.Instance) *messageDecoder {
+func newMessageDecoder(settings *simwire.Settings, balancer *instance.Instance) *messageDecoder {
 	decoder := &messageDecoder{
-		zoneIndex:  names.ZoneIndex,
-		classIndex: names.ClassIndex,
+		zoneIndex:  balancer.ZoneIndex,
+		classIndex: balancer.ClassIndex,
 		maxProxy:   *settings.FamilyInfo.DataPlaneSize - 1,
 	}
 	for _, service := range settings.Services {
@@ -188,7 +188,7 @@
 		zone:   reader.index(fieldZone, d.zoneIndex),
 		weight: reader.number(fieldWeight, maxWeight),
 	}
-	reader.yesOrNo(fieldFresh) // only validated: a proxy always gets a snapshot
+	reader.boolean(fieldFresh) // only validated: a proxy always gets a snapshot
 	return message
 }
 
--- a/internal/platform/message_decoder_test.go
+++ b/internal/platform/message_decoder_test.go
@@ -14,7 +14,7 @@
 
 // Good and malformed messages, and what is read of them: a message with a field too few, of another type or out of
 // range is dropped by itself, and none reaches the balancer.
-func TestReports(t *testing.T) {
+func TestDecodedMessages(t *testing.T) {
 	balancer, decoder := newTestBalancer(t)
 	var trace strings.Builder
 	for _, words := range []string{
@@ -51,17 +51,17 @@
 		"ACK proxy 3 mark 905 took_ms -1",
 		"ACK proxy 3 took_ms 1",
 	} {
-		spelled, err := spellMessage(balancer, decoder, splitWords(words))
+		formatted, err := formatMessage(balancer, decoder, splitWords(words))
 		if err != nil {
-			spelled = "malformed: " + err.Error()
+			formatted = "malformed: " + err.Error()
 		}
-		fmt.Fprintf(&trace, "%s\n    %s\n", words, spelled)
+		fmt.Fprintf(&trace, "%s\n    %s\n", words, formatted)
 	}
 	golden.Trace(t, trace.String())
 }
 
-// spellMessage decodes a message and spells it as the golden file has it, whatever the names in the code.
-func spellMessage(balancer *instance.Instance, decoder *messageDecoder, words []string) (string, error) {
+// formatMessage decodes a message and formats it for the golden file.
+func formatMessage(balancer *instance.Instance, decoder *messageDecoder, words []string) (string, error) {
 	if words[0] == kindSubscribe {
 		reader, err := newFieldReader(words)
 		if err != nil {
--- a/internal/platform/serve.go
+++ b/internal/platform/serve.go
@@ -16,8 +16,9 @@
 	// identifyTimeout is how long a connection may take to identify itself. A client sends its first message within
 	// 1 s.
 	identifyTimeout = 1500 * time.Millisecond
-	// maxPingsBeforeIdentify bounds the messages that an unidentified connection may send.
-	maxPingsBeforeIdentify = 32
+	// maxUnidentifiedMessages bounds the messages that a connection may send, up to and including the one with which it
+	// identifies itself; those before it are PINGs.
+	maxUnidentifiedMessages = 32
 )
 
 var (
@@ -116,7 +117,7 @@
 // errNotIdentified.
 func readFirstMessage(reader *resp.Reader, conn *connection) ([]string, error) {
 	var words []string
-	for range maxPingsBeforeIdentify {
+	for range maxUnidentifiedMessages {
 		var err error
 		words, err = reader.Read(words, identifyLimits)
 		if err != nil || len(words) == 0 {
--- a/internal/platform/session_lifecycle.go
+++ b/internal/platform/session_lifecycle.go
@@ -34,7 +34,7 @@
 // the connections were accepted decides which is earlier, since their first messages are read by different goroutines
 // and may arrive here in any order.
 func (n *Node) connectProxy(session *peerSession) {
-	others := n.sessions.others(session)
+	others := n.sessions.otherSessions(session)
 	for _, other := range others {
 		if other.acceptNumber > session.acceptNumber {
 			session.terminate()
--- a/internal/platform/session_registry.go
+++ b/internal/platform/session_registry.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// others returns the other sessions of the same proxy.
-func (r *sessionRegistry) others(session *peerSession) []*peerSession {
+// otherSessions returns the other sessions of the same proxy.
+func (r *sessionRegistry) otherSessions(session *peerSession) []*peerSession {
 	var others []*peerSession
 	for _, other := range []*peerSession{r.active[session.proxy], r.unresponsive[session.proxy]} {
 		if other != nil && other != session {
--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -161,7 +161,7 @@
 	}
 	newer.send("PING")
 	newer.expect("PONG")
-	if !query(t, node, func() bool { return node.sessions.active[0] != nil }) {
+	if !callInEventLoop(t, node, func() bool { return node.sessions.active[0] != nil }) {
 		t.Error("the proxy has no session")
 	}
 }
@@ -176,8 +176,8 @@
 	proxy.send("PING")
 	proxy.expect("PONG")
 	waitForRound(t, node)
-	_, call := acceptCall(t, discovery)
-	answer(t, call, endpointList(7, true, hostOne))
+	_, call := acceptRequest(t, discovery)
+	writeResponse(t, call, endpointList(7, true, hostOne))
 	proxy.expect(firstSnapshot)
 }
 
--- a/internal/platform/update_encoder.go
+++ b/internal/platform/update_encoder.go
@@ -54,24 +54,24 @@
 // tracks what it has sent on the current session of each proxy, and assumes nothing else about the proxy's tables. It
 // belongs to the event loop. Together with balancerOutput it implements routing.UpdateWriter.
 type updateEncoder struct {
-	hostName   func(host int) string
-	classNames []string             // of all request classes, by index
-	connected  func() iter.Seq[int] // the proxies with a session
-	tables     map[int]*routeTable  // by number
-	policies   []admissionPolicy    // by request class; they hold for all tables
-	assigned   map[int]int          // by proxy: the table sent as a snapshot on its session
-	updated    map[int]bool         // proxies to which the policies were sent on their session
-	round      roundChanges
+	hostName     func(host int) string
+	classNames   []string             // of all request classes, by index
+	connected    func() iter.Seq[int] // the proxies with a session
+	tables       map[int]*routeTable  // by number
+	policies     []admissionPolicy    // by request class; they hold for all tables
+	assigned     map[int]int          // by proxy: the table sent as a snapshot on its session
+	policiesSent map[int]bool         // proxies to which the policies were sent on their session
+	round        roundChanges
 }
 
 func newUpdateEncoder(classNames []string, hostName func(int) string, connected func() iter.Seq[int]) *updateEncoder {
 	encoder := &updateEncoder{
-		hostName:   hostName,
-		classNames: classNames,
-		connected:  connected,
-		tables:     map[int]*routeTable{},
-		assigned:   map[int]int{},
-		updated:    map[int]bool{},
+		hostName:     hostName,
+		classNames:   classNames,
+		connected:    connected,
+		tables:       map[int]*routeTable{},
+		assigned:     map[int]int{},
+		policiesSent: map[int]bool{},
 	}
 	for range classNames {
 		encoder.policies = append(encoder.policies, admissionPolicy{ratio: unsetRatio})
@@ -95,7 +95,7 @@
 		delete(e.tables[number].subscribers, proxy)
 	}
 	delete(e.assigned, proxy)
-	delete(e.updated, proxy)
+	delete(e.policiesSent, proxy)
 }
 
 // SetWeight sets the weight of a host in a table; 0 removes the host from it.
@@ -144,9 +144,9 @@
 	messages := map[updateContent][]byte{}
 	for _, proxy := range slices.Sorted(maps.Keys(contents)) {
 		content := contents[proxy]
-		if !e.updated[proxy] { // the first update on a session has the policies
+		if !e.policiesSent[proxy] { // the first update on a session has the policies
 			content.policies = true
-			e.updated[proxy] = true
+			e.policiesSent[proxy] = true
 		}
 		message, encoded := messages[content]
 		if !encoded {
@@ -219,7 +219,7 @@
 	if content.policies {
 		policies = e.policyGroups()
 	}
-	if len(policies) == 1 && e.holdsForAll(policies[0]) {
+	if len(policies) == 1 && e.coversAllClasses(policies[0]) {
 		return [][]string{append(tableFields, e.policyFields(policies[0])...)}
 	}
 	var parts [][]string
@@ -291,15 +291,15 @@
 	return groups
 }
 
-// holdsForAll reports whether all request classes have the group's policy.
-func (e *updateEncoder) holdsForAll(group policyGroup) bool {
+// coversAllClasses reports whether all request classes have the group's policy.
+func (e *updateEncoder) coversAllClasses(group policyGroup) bool {
 	return len(group.classes) == len(e.classNames)
 }
 
 // policyFields returns the fields for a policy, with its request classes unless all classes have it.
 func (e *updateEncoder) policyFields(group policyGroup) []string {
 	var fields []string
-	if !e.holdsForAll(group) {
+	if !e.coversAllClasses(group) {
 		fields = append(fields, fieldClasses, strings.Join(group.classes, "+"))
 	}
 	return append(fields, fieldAdmissionRatio, formatFloat(group.ratio),
