--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -34,8 +34,8 @@
 	RoundDelay         time.Duration // from the first event of a batch to the round that decides on the batch
 	HealthCheckTimeout time.Duration // of a health check, from its first connection attempt to the end of its response
 
-	knownEndpoints watchEvent // the last known endpoint list, to start from; its age is unknown
-	settingsText   []byte     // the settings as they were written, without white space
+	knownEndpoints watchEvent // last known endpoint list, which the node starts with; its age is unknown
+	settingsText   []byte     // JSON text of the settings, without white space
 }
 
 // ConfigError is the error of an invalid field of a configuration.
@@ -48,9 +48,9 @@
 
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// LoadConfig reads and validates a configuration file. The error for an invalid field is one line that names the field:
-// a *ConfigError, or the error of simwire.ReadSettings. A file that cannot be read, or is not JSON, returns the error
-// of package os or encoding/json. All errors are wrapped.
+// LoadConfig reads and validates a configuration file. The error for an invalid field is one line that names the field,
+// and wraps a *ConfigError or the error of simwire.ReadSettings. The error for a file that cannot be read, or is not
+// JSON, wraps that of package os or encoding/json.
 func LoadConfig(file string) (*Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// durationFromMicroseconds converts a setting in durationFromMicroseconds to a duration; 0 stands for the default.
+// durationFromMicroseconds converts a setting in microseconds to a duration; 0 stands for the default.
 func durationFromMicroseconds(us float64, defaultDuration time.Duration) time.Duration {
 	if us > 0 {
 		return time.Duration(us * nanosecondsPerMicrosecond)
@@ -123,9 +123,9 @@
 	return defaultDuration
 }
 
-// healthCheckTimeout returns half of the shortest latency objective: a host serves a health check like a request, and
-// one that has not answered by then would hardly meet the objective. The timeout is never shorter than the dial
-// timeout, so that there is time to establish the connection.
+// healthCheckTimeout returns half of the shortest latency objective: a host serves a health check like a request, and a
+// host that has not responded by then would probably miss the objective for requests too. The timeout is never shorter
+// than the dial timeout, so that there is time to establish the connection.
 func healthCheckTimeout(settings *simwire.Settings) time.Duration {
 	objectiveUs := math.Inf(1)
 	for _, service := range settings.Services {
--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -21,8 +21,8 @@
 // the queue is empty or the connection is closed.
 type connection struct {
 	net.Conn
-	acceptNumber uint64          // counts the accepted connections
-	goroutines   *sync.WaitGroup // the node's, which waits for the goroutine that writes
+	acceptNumber uint64          // sequence number in the order in which the node accepted connections
+	goroutines   *sync.WaitGroup // of the node, which waits for the goroutine that writes
 	admittedAt   time.Time       // set by the connection limiter
 	lastReadMs   atomic.Int64    // when the last message was read, in ms of the node's clock
 
@@ -75,7 +75,7 @@
 }
 
 // takeQueue removes and returns the queued messages, with their size in bytes. If there are none, or the connection is
-// closed, it returns 0 and marks the writing as ended.
+// closed, it returns a size of 0 and clears writing, since the goroutine that writes ends then.
 func (c *connection) takeQueue() (queue net.Buffers, size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +89,7 @@
 	return queue, c.queuedBytes
 }
 
-// terminate closes the connection and drops the queued messages. The goroutines that read and write it then end.
+// terminate closes the connection and drops the queued messages. This ends the goroutines that read and write it.
 func (c *connection) terminate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,5 +98,5 @@
 
 func (c *connection) closeLocked() {
 	c.closed = true
-	_ = c.Close() // the connection is given up: an error changes nothing
+	_ = c.Close() // the connection is not used any more, whether or not Close fails
 }
--- a/internal/platform/connection_limiter.go
+++ b/internal/platform/connection_limiter.go
@@ -21,7 +21,7 @@
 // these run out, it evicts the oldest unresponsive connection, or else the oldest unidentified one once it has been
 // open for minUnidentifiedTime. It is safe for concurrent use.
 type connectionLimiter struct {
-	released chan struct{} // holds one element when a connection has ended since admit last looked
+	released chan struct{} // holds an element if a connection was released since admit last received from it
 
 	mu           sync.Mutex           // guards the fields below
 	limit        int                  // of open connections
@@ -93,13 +93,13 @@
 	return l.evict(oldest)
 }
 
-// evict returns the decision to terminate an open connection and then to try again.
+// evict makes an open connection no longer evictable, and returns the decision to terminate it and then to try again.
 func (l *connectionLimiter) evict(victim *connection) admitDecision {
 	l.removeEvictable(victim)
 	return admitDecision{evict: victim, wait: evictionWait}
 }
 
-// removeEvictable takes a connection off the lists of those that may be evicted.
+// removeEvictable removes a connection from the lists of connections that may be evicted.
 func (l *connectionLimiter) removeEvictable(conn *connection) {
 	for _, list := range []*[]*connection{&l.unidentified, &l.unresponsive} {
 		if i := slices.Index(*list, conn); i >= 0 {
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -78,8 +78,8 @@
 	return known
 }
 
-// validate returns an error for an event with any malformed entry. The whole event is then a rejected list: if only the
-// malformed entries of a snapshot were dropped, their hosts would be removed. The error wraps an *endpointError.
+// validate returns an error, which wraps an *endpointError, for an event with any malformed entry. The caller rejects
+// the whole event: if it dropped only the malformed entries of a snapshot, their hosts would be removed.
 func (e watchEvent) validate(zoneIndex func(string) (int, bool)) error {
 	for _, endpoint := range e.Endpoints {
 		if err := endpoint.validate(zoneIndex); err != nil {
--- a/internal/platform/endpoint_apply.go
+++ b/internal/platform/endpoint_apply.go
@@ -7,8 +7,9 @@
 	"barleysail/routing"
 )
 
-// applyKnownEndpoints starts with the endpoint list of the configuration. Unlike a rejected list from the discovery
-// service, this one has no older list to fall back to, so only its malformed entries are dropped.
+// applyKnownEndpoints applies the known endpoints of the configuration when the node starts. There is no endpoint list
+// in force that could stay, as it does after a rejected list of the discovery service, so only malformed entries are
+// dropped.
 func (n *Node) applyKnownEndpoints() {
 	known := n.config.knownEndpoints
 	known.Snapshot = true
--- a/internal/platform/endpoint_watcher.go
+++ b/internal/platform/endpoint_watcher.go
@@ -42,19 +42,19 @@
 
 // endpointWatcher watches the endpoint list at an address that may change. It asks for a snapshot, then long-polls for
 // deltas, and retries with backoff after a failure. A rejected list, that is, one with a malformed entry or of an older
-// generation, is logged as "endpoint list call failed"; the endpoint list in force stays. No valid list is held back,
-// however many hosts it removes: only "barleysail run" does that, see package guard. One goroutine runs the watcher,
-// with one follower at a time, and one connection.
+// generation, is logged as "endpoint list call failed"; the endpoint list in force stays. Every valid list is accepted,
+// however many hosts it removes: only "barleysail run" holds such lists back, see package guard. One goroutine runs the
+// watcher. It starts a follower goroutine for each address, one at a time, which uses one connection.
 type endpointWatcher struct {
 	client     *http1.Client
 	log        zerolog.Logger
 	warnings   *rateLimitedLog
 	zoneIndex  func(name string) (int, bool)
-	newAddress chan string      // holds the newest address until the watcher uses it
+	newAddress chan string      // holds the newest address until run receives it
 	deliver    func(watchEvent) // is called with each valid event, in order
 	staleLimit time.Duration    // staleSnapshotLimit, except in tests
 
-	// The fields below belong to the follower.
+	// The fields below belong to the follower goroutine.
 	generation int64     // of the last accepted event
 	staleSince time.Time // when an older list was first received; zero: the last one was not older
 }
@@ -139,8 +139,8 @@
 	}
 }
 
-// poll makes one call and returns an event that is valid and not older than the last one. The error says why there is
-// none: errStaleGeneration, errNoSnapshot, or that of fetch.
+// poll makes one call and returns an event that is valid and not older than the last one. The error is
+// errNoSnapshot, that of fetch, or wraps errStaleGeneration.
 func (w *endpointWatcher) poll(ctx context.Context, address string, snapshotDue bool) (watchEvent, error) {
 	target := endpointListPath
 	timeout := snapshotTimeout
@@ -156,9 +156,9 @@
 }
 
 // accept checks that a valid event is not older than the last one, and records its generation. After a change of
-// address, a restart or a partition, a replica of the discovery service that has not caught up responds with an older
-// list, which would bring back hosts that have drained: that is errStaleGeneration. If snapshots stay older for the
-// stale limit, the next one is accepted.
+// address, a restart or a partition, a replica of the discovery service that has not caught up may respond with an
+// older list, which would bring back hosts that have drained: accept then returns errStaleGeneration. If the lists stay
+// older for staleLimit, the next snapshot is accepted.
 func (w *endpointWatcher) accept(event watchEvent, snapshotDue bool) error {
 	if snapshotDue && !event.Snapshot {
 		return errNoSnapshot
--- a/internal/platform/event_loop.go
+++ b/internal/platform/event_loop.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// runEventLoop runs events until the context ends. It is the one goroutine that owns the balancer. After an event it
-// collects further ones for the round delay, and then the balancer decides on the batch in one round.
+// runEventLoop runs events until the context ends. Only its goroutine uses the balancer. After an event it runs further
+// ones for the round delay, and then the balancer decides on the batch in one round.
 func (n *Node) runEventLoop(ctx context.Context) {
 	output := &balancerOutput{updateEncoder: n.updates, node: n, ctx: ctx}
 	timer := time.NewTimer(0)
--- a/internal/platform/health_check.go
+++ b/internal/platform/health_check.go
@@ -30,7 +30,7 @@
 }
 
 // checkHealth checks a host and posts the result to the event loop. If the host has meanwhile changed its address,
-// restarted or been removed, the answer of its former process says nothing about it: the result is then Rejected.
+// restarted or been removed, the response of its former process says nothing about it: the result is then Rejected.
 func (n *Node) checkHealth(ctx context.Context, target healthCheckTarget) {
 	began := time.Now()
 	result, load, err := healthCheck(ctx, n.healthClient, target.process.address, n.config.HealthCheckTimeout)
--- a/internal/platform/host_registry.go
+++ b/internal/platform/host_registry.go
@@ -12,9 +12,9 @@
 	incarnation int     // number of times that the host has come back after a removal
 }
 
-// hostRegistry holds, by host index, what the node itself has to know about hosts besides the balancer. It belongs to
-// the event loop. Hosts that were removed long ago are dropped, so that a fleet whose hosts are replaced one by one
-// does not grow the memory in use.
+// hostRegistry holds, by host index, the state of hosts that the node keeps in addition to that of the balancer. It
+// belongs to the event loop. Hosts that were removed longer than removedHostRetentionMs ago are dropped, so that memory
+// use stays bounded while the hosts of a fleet are replaced one by one.
 type hostRegistry struct {
 	processes   map[int]hostProcess
 	removedAtMs map[int]float64 // when a host was removed, for those that have not come back
--- a/internal/platform/load_report.go
+++ b/internal/platform/load_report.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	utilizationName = "util"
-	maxUtilization  = 4.0 // as a ratio of the capacity; above 1 since reports are noisy
-	maxLoadValue    = 1e9 // exclusive bound of any value
+	utilizationName = "util" // name of the utilization in a load report
+	maxUtilization  = 4.0    // as a ratio of the capacity; above 1 since reports are noisy
+	maxLoadValue    = 1e9    // exclusive bound of any value
 )
 
 // parseLoad parses the load report in a host report: name:value pairs, separated by commas. The error is a
--- a/internal/platform/message_decoder.go
+++ b/internal/platform/message_decoder.go
@@ -24,7 +24,8 @@
 	latencyTolerance = 2
 )
 
-// layoutError is the error of a message whose words are not a kind followed by pairs of a name and a value.
+// layoutError is the error of a message whose words are not a kind followed by pairs of a field name and a value, or in
+// which a field name occurs twice.
 type layoutError struct {
 	problem string
 }
@@ -34,13 +35,13 @@
 // fieldError is the error of a field that is missing, malformed or out of range, or that names something unknown.
 type fieldError struct {
 	field   string
-	problem string // follows the field's name
+	problem string // the rest of the error text, after the name of the field
 }
 
 func (e *fieldError) Error() string { return e.field + " " + e.problem }
 
-// invalidValue returns the error of a field with an invalid value. Its text truncates the value, whose length the peer
-// chooses.
+// invalidValue returns the error of a field with an invalid value. It truncates the value, since a peer may send a very
+// long one.
 func invalidValue(field, value string) error {
 	return &fieldError{field, fmt.Sprintf("is %.20q", value)}
 }
@@ -59,8 +60,7 @@
 	err    error
 }
 
-// newFieldReader returns a reader of the fields that follow a message's kind. The error is a *layoutError: words are
-// missing, or a name occurs twice.
+// newFieldReader returns a reader of the fields that follow a message's kind. The error is a *layoutError.
 func newFieldReader(words []string) (*fieldReader, error) {
 	if len(words)%2 != 1 {
 		return nil, &layoutError{fmt.Sprintf("%d words", len(words))}
--- a/internal/platform/message_handler.go
+++ b/internal/platform/message_handler.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// handleMessage passes a message of a session to the balancer. The error says why the message was dropped; decodeErr is
-// that of decoding it. Any message with a kind and fields, even a malformed one, reconnects an unresponsive session.
+// handleMessage passes a message of a session to the balancer. decodeErr is the error of decoding the message, if any.
+// The error says why the message was dropped. Every message except one with a *layoutError, even a malformed one,
+// reconnects an unresponsive session.
 func (n *Node) handleMessage(session *peerSession, message sessionMessage, decodeErr error) error {
 	var badLayout *layoutError
 	hasFields := !errors.As(decodeErr, &badLayout)
@@ -50,8 +51,8 @@
 }
 
 // acknowledge records that a proxy has acknowledged a version stamp and all that were sent before it: updates keep
-// their order on a connection, and an earlier acknowledgement may have been malformed. It returns a *fieldError for a
-// stamp that is not unacknowledged, or of another proxy.
+// their order on a connection, and an earlier acknowledgement may have been dropped as malformed. It returns a
+// *fieldError for another proxy than that of the session, and for a stamp that awaits no acknowledgement.
 func (n *Node) acknowledge(session *peerSession, message ackMessage) error {
 	if session.proxy != message.proxy {
 		return wrongProxy(message.proxy, session)
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -60,8 +60,8 @@
 	lastTraceMs       float64 // when the hosts were last traced
 }
 
-// New returns a node that does not serve yet. The error wraps that of instance.New: the settings ask for something that
-// is not supported.
+// New returns a node that does not serve yet. The error, for settings that are not supported, wraps that of
+// instance.New.
 func New(config *Config, log zerolog.Logger) (*Node, error) {
 	balancer, err := instance.New(config.Settings, config.Seed)
 	if err != nil {
--- a/internal/platform/serve.go
+++ b/internal/platform/serve.go
@@ -28,8 +28,8 @@
 	messageLimits = resp.Limits{Words: 256, Bytes: 1 << 20}
 )
 
-// errNotIdentified is the error of a connection that has ended, timed out or sent another message before it identified
-// itself.
+// errNotIdentified is the error of a connection that ended, timed out or sent any message other than PING before it
+// identified itself.
 var errNotIdentified = errors.New("the connection does not identify itself")
 
 // acceptConnections accepts connections until the listener is closed and serves each in its own goroutine. The
--- a/internal/platform/session.go
+++ b/internal/platform/session.go
@@ -5,8 +5,8 @@
 const (
 	noProxy = -1 // in peerSession.proxy: the session of a collector
 
-	// maxUnacknowledged bounds the version stamps that are kept for one session. The balancer takes minutes to send as
-	// many.
+	// maxUnacknowledged bounds the unacknowledged version stamps that are kept for one session. The balancer takes
+	// minutes to send that many.
 	maxUnacknowledged = 256
 
 	// A session is unresponsive if a version stamp has been unacknowledged for longer than minAckTimeoutMs plus
--- a/internal/platform/session_lifecycle.go
+++ b/internal/platform/session_lifecycle.go
@@ -1,7 +1,8 @@
 package platform
 
 const (
-	// ackLatencyDecay is the factor by which the longest acknowledgement latency decays at each check.
+	// ackLatencyDecay is the factor by which expireSessions decays the longest recent acknowledgement latency at each
+	// check.
 	ackLatencyDecay = 0.95
 
 	// unresponsiveRetentionMs is the age of the oldest unacknowledged stamp at which the connection of an unresponsive
@@ -49,7 +50,7 @@
 	n.sessions.active[session.proxy] = session
 	session.unacknowledged = nil
 	n.updates.forgetProxy(session.proxy)
-	if n.balancer.HostIndexCount() > 0 { // before a host is known the table would be empty: the proxy keeps its own
+	if n.balancer.HostIndexCount() > 0 { // else the table would be empty; the proxy keeps the one it has
 		n.balancer.ConnectProxy(session.proxy, session.zone, session.weight)
 	}
 }
@@ -65,7 +66,8 @@
 }
 
 // expireSessions disconnects the proxies of unresponsive sessions. Their connections stay open for
-// unresponsiveRetentionMs: if a message arrives in that time, the session is connected again.
+// unresponsiveRetentionMs after the oldest unacknowledged stamp was sent. If a message arrives before then, the session
+// is connected again.
 func (n *Node) expireSessions(nowMs float64) {
 	n.sessions.maxAckLatencyMs *= ackLatencyDecay
 	for _, session := range n.sessions.active {
--- a/internal/platform/session_registry.go
+++ b/internal/platform/session_registry.go
@@ -10,7 +10,7 @@
 // bounds the proxy sessions, and maxCollectorsPerZone those of collectors.
 type sessionRegistry struct {
 	active       map[int]*peerSession   // by proxy
-	unresponsive map[int]*peerSession   // by proxy; they count as disconnected, but their connections stay open for a time
+	unresponsive map[int]*peerSession   // by proxy; disconnected in the balancer, but the connection is still open
 	collectors   map[int][]*peerSession // by zone, oldest first
 
 	maxAckLatencyMs float64 // longest recent time from an update to its acknowledgement
--- a/internal/platform/update_encoder.go
+++ b/internal/platform/update_encoder.go
@@ -51,14 +51,14 @@
 }
 
 // updateEncoder collects what the balancer writes in a round and encodes it as one update for each affected proxy. It
-// tracks what it has sent on the current session of each proxy, and assumes nothing else about the proxy's tables. It
-// belongs to the event loop. Together with balancerOutput it implements routing.UpdateWriter.
+// tracks what it has sent on the current session of each proxy, and assumes nothing about what earlier sessions sent.
+// It belongs to the event loop. Together with balancerOutput it implements routing.UpdateWriter.
 type updateEncoder struct {
 	hostName     func(host int) string
 	classNames   []string             // of all request classes, by index
 	connected    func() iter.Seq[int] // the proxies with a session
 	tables       map[int]*routeTable  // by number
-	policies     []admissionPolicy    // by request class; they hold for all tables
+	policies     []admissionPolicy    // by request class; they apply to all tables
 	assigned     map[int]int          // by proxy: the table sent as a snapshot on its session
 	policiesSent map[int]bool         // proxies to which the policies were sent on their session
 	round        roundChanges
