--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -94,8 +94,8 @@
 	if err != nil {
 		return 0, err
 	}
-	if first != prefix { // an error at once: the rest of the line might never arrive
-		return 0, protocolErrorf("%q stands where %q is due", first, prefix)
+	if first != prefix { // the error is returned at once, since the rest of the line may never arrive
+		return 0, protocolErrorf("unexpected byte %q, want %q", first, prefix)
 	}
 	length, digits, err := r.readDigits()
 	if err != nil {
@@ -106,11 +106,11 @@
 		return 0, withinMessage(err)
 	}
 	if last != '\n' {
-		return 0, protocolErrorf("a length ends with %q", last)
+		return 0, protocolErrorf("length line has %q after CR, want %q", last, '\n')
 	}
 	r.bytesLeft -= digits + lineOverhead
 	if length > limit || r.bytesLeft < 0 {
-		return 0, protocolErrorf("a length of %d where %d are left", length, limit)
+		return 0, protocolErrorf("length %d exceeds the limit of %d or the byte limit of the message", length, limit)
 	}
 	return length, nil
 }
@@ -126,7 +126,7 @@
 			return number, digits, nil
 		}
 		if next < '0' || next > '9' || digits >= maxDigits {
-			return 0, 0, protocolErrorf("%q stands in a length", next)
+			return 0, 0, protocolErrorf("unexpected byte %q after %d digits of a length", next, digits)
 		}
 		number = number*10 + int(next-'0')
 		digits++
@@ -138,7 +138,7 @@
 func (r *Reader) readBulk(size int) (string, error) {
 	r.bytesLeft -= size + len(lineEnd)
 	if r.bytesLeft < 0 {
-		return "", protocolErrorf("a message is too long")
+		return "", protocolErrorf("message exceeds its byte limit")
 	}
 	var body bytes.Buffer
 	var chunk [bulkChunkBytes]byte
@@ -155,7 +155,7 @@
 			return "", err
 		}
 		if got != want {
-			return "", protocolErrorf("a bulk string ends with %q", got)
+			return "", protocolErrorf("bulk string is followed by %q, want %q", got, want)
 		}
 	}
 	return body.String(), nil
