--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -15,7 +15,8 @@
 
 var testLimits = Limits{Words: 4, Bytes: 60}
 
-// Each line of the trace holds an input and the messages that were read from it, up to the error that ended it.
+// TestMessages reads valid and malformed inputs, each in one piece and byte by byte. Each line of the golden file holds
+// an input, the messages that were read from it, and the error that ended the reading.
 func TestMessages(t *testing.T) {
 	var trace strings.Builder
 	for _, input := range []string{
@@ -33,7 +34,7 @@
 	golden.Trace(t, trace.String())
 }
 
-// readAll spells the messages that come and the error that ends them.
+// readAll reads messages until an error, and formats the messages and the error.
 func readAll(reader *Reader) string {
 	output := ""
 	for {
@@ -46,8 +47,8 @@
 	}
 }
 
-// A message that was written can be read, and one that was read is the same when written again; nothing panics or
-// exceeds the limits.
+// FuzzRead checks that a message that was read is the same after it is written and read again, that no message has more
+// words than its limit, and that no input makes the reader panic.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte("*2\r\n$1\r\na\r\n$0\r\n\r\n"))
 	f.Add([]byte("*1\r\n$4\r\nPING\r\n*9\r\n"))
@@ -59,9 +60,10 @@
 				return
 			}
 			written := string(Append(nil, words...))
-			again, err := NewReader(strings.NewReader(written)).Read(nil, testLimits)
-			if diff := cmp.Diff(words, again); diff != "" || err != nil || len(words) > testLimits.Words {
-				t.Fatalf("%q: %v, %s", input, err, diff)
+			reread, err := NewReader(strings.NewReader(written)).Read(nil, testLimits)
+			if diff := cmp.Diff(words, reread); diff != "" || err != nil || len(words) > testLimits.Words {
+				t.Fatalf("input %q: message of %d words, want at most %d; read again after writing it: error %v, want nil; "+
+					"(-first +reread):\n%s", input, len(words), testLimits.Words, err, diff)
 			}
 		}
 	})
