--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -83,7 +83,7 @@
 		return nil, &ConfigError{"seed", fmt.Errorf("seed: %w", err)}
 	}
 	if !raw.Limits.valid() {
-		return nil, &ConfigError{"limits", errors.New("limits: a figure is below 0")}
+		return nil, &ConfigError{"limits", errors.New("limits: a value is below 0")}
 	}
 	settings, err := simwire.ReadSettings(raw.Settings)
 	if err != nil {
@@ -110,7 +110,7 @@
 func checkAddress(field, address string) error {
 	_, _, err := net.SplitHostPort(address)
 	if err != nil {
-		return &ConfigError{field, fmt.Errorf("%s is no address: %w", field, err)}
+		return &ConfigError{field, fmt.Errorf("%s is not a valid address: %w", field, err)}
 	}
 	return nil
 }
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -101,7 +101,7 @@
 func (e endpointEntry) validate(zoneIndex func(string) (int, bool)) error {
 	state, known := lifecycleStates[e.Lifecycle]
 	if e.Name == "" || !known || e.Weight < 0 || e.StartedAtMs < 0 {
-		problem := fmt.Sprintf("lifecycle %.20q, weight %g, started %g", e.Lifecycle, e.Weight, e.StartedAtMs)
+		problem := fmt.Sprintf("invalid name, lifecycle %.20q, weight %g or start time %g", e.Lifecycle, e.Weight, e.StartedAtMs)
 		return &endpointError{e.Name, problem}
 	}
 	if state == routing.Removed {
@@ -110,7 +110,7 @@
 	_, zoneKnown := zoneIndex(e.Zone)
 	_, _, err := net.SplitHostPort(e.Address)
 	if err != nil || !zoneKnown {
-		return &endpointError{e.Name, fmt.Sprintf("zone %.40q, address %.40q", e.Zone, e.Address)}
+		return &endpointError{e.Name, fmt.Sprintf("unknown zone %.40q or invalid address %.40q", e.Zone, e.Address)}
 	}
 	return nil
 }
--- a/internal/platform/endpoint_watcher.go
+++ b/internal/platform/endpoint_watcher.go
@@ -36,8 +36,8 @@
 )
 
 var (
-	errStaleGeneration = errors.New("endpoint list is older than the one held")
-	errNoSnapshot      = errors.New("endpoint list: a delta came where a snapshot is due")
+	errStaleGeneration = errors.New("endpoint list is older than the one in force")
+	errNoSnapshot      = errors.New("endpoint list: received a delta in response to a call for a snapshot")
 )
 
 // endpointWatcher watches the endpoint list at an address that may change. It asks for a snapshot, then long-polls for
--- a/internal/platform/load_report.go
+++ b/internal/platform/load_report.go
@@ -23,7 +23,7 @@
 		name, digits, _ := strings.Cut(pair, ":")
 		value, err := strconv.ParseFloat(digits, 64)
 		if err != nil || name == "" || !validLoad(name, value) {
-			return routing.UnknownLoad, &fieldError{fieldLoad, fmt.Sprintf("holds %.30q", pair)}
+			return routing.UnknownLoad, &fieldError{fieldLoad, fmt.Sprintf("has invalid entry %.30q", pair)}
 		}
 		values[name] = value
 	}
--- a/internal/platform/message_decoder.go
+++ b/internal/platform/message_decoder.go
@@ -43,7 +43,7 @@
 // invalidValue returns the error of a field with an invalid value. It truncates the value, since a peer may send a very
 // long one.
 func invalidValue(field, value string) error {
-	return &fieldError{field, fmt.Sprintf("is %.20q", value)}
+	return &fieldError{field, fmt.Sprintf("has invalid value %.20q", value)}
 }
 
 // unknownKindError is the error of a message of a kind that a session may not send.
@@ -63,13 +63,13 @@
 // newFieldReader returns a reader of the fields that follow a message's kind. The error is a *layoutError.
 func newFieldReader(words []string) (*fieldReader, error) {
 	if len(words)%2 != 1 {
-		return nil, &layoutError{fmt.Sprintf("%d words", len(words))}
+		return nil, &layoutError{fmt.Sprintf("%d words are not a kind and pairs of a name and a value", len(words))}
 	}
 	values := make(map[string]string, len(words)/2)
 	for i := 1; i < len(words); i += 2 {
 		name := words[i]
 		if _, duplicate := values[name]; duplicate {
-			return nil, &layoutError{fmt.Sprintf("%.20q stands twice", name)}
+			return nil, &layoutError{fmt.Sprintf("field %.20q occurs twice", name)}
 		}
 		values[name] = words[i+1]
 	}
@@ -204,7 +204,7 @@
 		load:          routing.UnknownLoad,
 	}
 	if message.failures > message.attempts {
-		problem := fmt.Sprintf("is %d of %d", message.failures, message.attempts)
+		problem := fmt.Sprintf("is %d, more than the %d attempts", message.failures, message.attempts)
 		reader.fail(&fieldError{fieldFailures, problem})
 	}
 	message.meanMs = reader.number(fieldMeanMs, d.maxMeanMs)
--- a/internal/platform/message_decoder_test.go
+++ b/internal/platform/message_decoder_test.go
@@ -89,7 +89,7 @@
 	case ackMessage:
 		return fmt.Sprint(message.proxy, message.stamp), nil
 	default:
-		return "", fmt.Errorf("a message of type %T", decoded)
+		return "", fmt.Errorf("unexpected message type %T", decoded)
 	}
 }
 
--- a/internal/platform/message_handler.go
+++ b/internal/platform/message_handler.go
@@ -26,7 +26,7 @@
 	case ackMessage:
 		return n.acknowledge(session, message)
 	default:
-		return fmt.Errorf("a message of type %T is not handled", message)
+		return fmt.Errorf("unhandled message type %T", message)
 	}
 }
 
@@ -61,7 +61,7 @@
 		return stamp.number == message.stamp
 	})
 	if index < 0 {
-		return &fieldError{fieldStamp, fmt.Sprintf("is %d, which is not unacknowledged", message.stamp)}
+		return &fieldError{fieldStamp, fmt.Sprintf("is %d, which awaits no acknowledgement", message.stamp)}
 	}
 	if n.sessions.active[session.proxy] == session {
 		n.balancer.Ack(session.proxy, message.stamp)
--- a/internal/platform/serve.go
+++ b/internal/platform/serve.go
@@ -30,7 +30,7 @@
 
 // errNotIdentified is the error of a connection that ended, timed out or sent any message other than PING before it
 // identified itself.
-var errNotIdentified = errors.New("the connection does not identify itself")
+var errNotIdentified = errors.New("the connection did not identify itself")
 
 // acceptConnections accepts connections until the listener is closed and serves each in its own goroutine. The
 // connection limiter bounds their number, and closes them when the node shuts down.
