--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -64,14 +64,14 @@
 		{`"DialTimeoutUs":100000`, `"DialTimeoutUs":-100000`},
 		{`"Instances":1`, `"Instances":0`},
 	} {
-		outcome := "starts"
+		outcome := "valid"
 		if err := startWith(configText(change.old, change.replacement)); err != nil {
 			outcome = err.Error()
 		}
 		if strings.Contains(outcome, "\n") {
-			t.Errorf("%s for %s: error of several lines, want one: %s", change.replacement, change.old, outcome)
+			t.Errorf("%s replaced by %s: error of several lines, want one: %s", change.old, change.replacement, outcome)
 		}
-		fmt.Fprintf(&trace, "%s for %s: %s\n", change.replacement, change.old, outcome)
+		fmt.Fprintf(&trace, "%s replaced by %s: %s\n", change.old, change.replacement, outcome)
 	}
 	golden.Trace(t, trace.String())
 }
--- a/internal/platform/health_check_test.go
+++ b/internal/platform/health_check_test.go
@@ -95,7 +95,7 @@
 		}
 		client := &http1.Client{Idle: -1}
 		result, load, err := healthCheck(context.Background(), client, address, 2*lateResponseDelay-lateResponseDelay/10)
-		fmt.Fprintf(&trace, "%q: outcome %d, util %.2f, qps %.0f, fine %v\n",
+		fmt.Fprintf(&trace, "%q: result %d, utilization %.2f, request rate %.0f, no error %v\n",
 			script, result, load.Utilization, load.RequestRate, err == nil)
 	}
 	golden.Trace(t, trace.String())
--- a/internal/platform/watch_event_test.go
+++ b/internal/platform/watch_event_test.go
@@ -28,7 +28,7 @@
 		if err == nil {
 			err = event.validate(node.balancer.ZoneIndex)
 		}
-		fmt.Fprintf(&trace, "%s for %s: %v\n", change.replacement, change.old, err)
+		fmt.Fprintf(&trace, "%s replaced by %s: %v\n", change.old, change.replacement, err)
 	}
 	golden.Trace(t, trace.String())
 }
