--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -80,7 +80,7 @@
 	stacks := make([]byte, 1<<20)
 	stacks = stacks[:runtime.Stack(stacks, true)]
 	for _, stack := range strings.Split(string(stacks), "\n\n") {
-		for _, owner := range []string{"(*Node)", "(*endpointWatcher)", "(*connection)", "(*session)"} {
+		for _, owner := range []string{"(*Node)", "(*endpointWatcher)", "(*connection)", "(*peerSession)"} {
 			if strings.Contains(stack, "platform."+owner) {
 				t.Errorf("goroutine still runs after the shutdown:\n%s", stack)
 			}
