--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -78,8 +78,8 @@
 	return known
 }
 
-// validate returns an error for an event with any malformed entry. The whole event is then a rejected list: if only the
-// malformed entries of a snapshot were dropped, their hosts would be removed. The error wraps an *endpointError.
+// validate returns an error, which wraps an *endpointError, for an event with any malformed entry. The caller rejects
+// the whole event: if it dropped only the malformed entries of a snapshot, their hosts would be removed.
 func (e watchEvent) validate(zoneIndex func(string) (int, bool)) error {
 	for _, endpoint := range e.Endpoints {
 		if err := endpoint.validate(zoneIndex); err != nil {
@@ -101,7 +101,8 @@
 func (e endpointEntry) validate(zoneIndex func(string) (int, bool)) error {
 	state, known := lifecycleStates[e.Lifecycle]
 	if e.Name == "" || !known || e.Weight < 0 || e.StartedAtMs < 0 {
-		problem := fmt.Sprintf("lifecycle %.20q, weight %g, started %g", e.Lifecycle, e.Weight, e.StartedAtMs)
+		problem := fmt.Sprintf("invalid name, lifecycle %.20q, weight %g or start time %g",
+			e.Lifecycle, e.Weight, e.StartedAtMs)
 		return &endpointError{e.Name, problem}
 	}
 	if state == routing.Removed {
@@ -110,7 +111,7 @@
 	_, zoneKnown := zoneIndex(e.Zone)
 	_, _, err := net.SplitHostPort(e.Address)
 	if err != nil || !zoneKnown {
-		return &endpointError{e.Name, fmt.Sprintf("zone %.40q, address %.40q", e.Zone, e.Address)}
+		return &endpointError{e.Name, fmt.Sprintf("unknown zone %.40q or invalid address %.40q", e.Zone, e.Address)}
 	}
 	return nil
 }
--- a/internal/platform/health_check_test.go
+++ b/internal/platform/health_check_test.go
@@ -13,18 +13,24 @@
 	"barleysail/internal/http1"
 )
 
-// lateAnswer is how long a host holds a health check that it answers late.
-const lateAnswer = 150 * time.Millisecond
+// lateResponseDelay is how long a host waits before a late response to a health check.
+const lateResponseDelay = 150 * time.Millisecond
 
-// Answers of a host.
+// Responses of a host to a health check.
 const (
-	healthyAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\nConnection: close\r\n\r\n" +
+	healthyResponse = "HTTP/1.1 200 OK\r\nContent-Length: 24\r\nConnection: close\r\n\r\n" +
 		"{\"util\":0.5,\"qps\":\"odd\"}\n"
-	unavailableAnswer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	unavailableResponse = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 )
 
-// startHost runs a host that treats each connection by the next letter of its script, and further ones by the last: r
-// resets it, s sends nothing, f answers healthy, b rejects the check, l does so after it has held the check.
+// startHost runs a host that handles each connection as the next letter of its script says, and further ones as the
+// last letter says:
+//
+//	f responds with status 200 and a load report
+//	b responds with status 503
+//	l responds with status 503 after lateResponseDelay
+//	r resets the connection
+//	s sends nothing
 func startHost(t *testing.T, script string) (address string) {
 	t.Helper()
 	listener := listen(t)
@@ -57,26 +63,26 @@
 
 func serveStep(t *testing.T, conn net.Conn, step byte) {
 	t.Helper()
-	answer := ""
+	response := ""
 	switch step {
 	case 'r':
 		resetConnection(t, conn)
 		return
 	case 'f':
-		answer = healthyAnswer
+		response = healthyResponse
 	case 'l':
-		time.Sleep(lateAnswer)
-		answer = unavailableAnswer
+		time.Sleep(lateResponseDelay)
+		response = unavailableResponse
 	case 'b':
-		answer = unavailableAnswer
+		response = unavailableResponse
 	}
-	if _, err := io.WriteString(conn, answer); err != nil {
+	if _, err := io.WriteString(conn, response); err != nil {
 		t.Error(err)
 	}
 	mustClose(t, conn)
 }
 
-// Connections that the network resets must not make a host count as unreachable: only a refused connection does.
+// Only a refused connection makes a host count as unreachable; connections that are reset do not.
 func TestHealthCheck(t *testing.T) {
 	unused := listen(t)
 	refusing := unused.Addr().String()
@@ -88,8 +94,8 @@
 			address = startHost(t, script)
 		}
 		client := &http1.Client{Idle: -1}
-		result, load, err := healthCheck(context.Background(), client, address, 2*lateAnswer-lateAnswer/10)
-		fmt.Fprintf(&trace, "%q: outcome %d, util %.2f, qps %.0f, fine %v\n",
+		result, load, err := healthCheck(context.Background(), client, address, 2*lateResponseDelay-lateResponseDelay/10)
+		fmt.Fprintf(&trace, "%q: result %d, utilization %.2f, request rate %.0f, no error %v\n",
 			script, result, load.Utilization, load.RequestRate, err == nil)
 	}
 	golden.Trace(t, trace.String())
--- a/internal/platform/message_decoder.go
+++ b/internal/platform/message_decoder.go
@@ -24,7 +24,8 @@
 	latencyTolerance = 2
 )
 
-// layoutError is the error of a message whose words are not a kind followed by pairs of a name and a value.
+// layoutError is the error of a message whose words are not a kind followed by pairs of a field name and a value, or in
+// which a field name occurs twice.
 type layoutError struct {
 	problem string
 }
@@ -34,15 +35,15 @@
 // fieldError is the error of a field that is missing, malformed or out of range, or that names something unknown.
 type fieldError struct {
 	field   string
-	problem string // follows the field's name
+	problem string // the rest of the error text, after the name of the field
 }
 
 func (e *fieldError) Error() string { return e.field + " " + e.problem }
 
-// invalidValue returns the error of a field with an invalid value. Its text truncates the value, whose length the peer
-// chooses.
+// invalidValue returns the error of a field with an invalid value. It truncates the value, since a peer may send a very
+// long one.
 func invalidValue(field, value string) error {
-	return &fieldError{field, fmt.Sprintf("is %.20q", value)}
+	return &fieldError{field, fmt.Sprintf("has invalid value %.20q", value)}
 }
 
 // unknownKindError is the error of a message of a kind that a session may not send.
@@ -59,17 +60,16 @@
 	err    error
 }
 
-// newFieldReader returns a reader of the fields that follow a message's kind. The error is a *layoutError: words are
-// missing, or a name occurs twice.
+// newFieldReader returns a reader of the fields that follow a message's kind. The error is a *layoutError.
 func newFieldReader(words []string) (*fieldReader, error) {
 	if len(words)%2 != 1 {
-		return nil, &layoutError{fmt.Sprintf("%d words", len(words))}
+		return nil, &layoutError{fmt.Sprintf("%d words are not a kind and pairs of a name and a value", len(words))}
 	}
 	values := make(map[string]string, len(words)/2)
 	for i := 1; i < len(words); i += 2 {
 		name := words[i]
 		if _, duplicate := values[name]; duplicate {
-			return nil, &layoutError{fmt.Sprintf("%.20q stands twice", name)}
+			return nil, &layoutError{fmt.Sprintf("field %.20q occurs twice", name)}
 		}
 		values[name] = words[i+1]
 	}
@@ -113,8 +113,8 @@
 	return index
 }
 
-// yesOrNo reads a boolean field, which must be valueYes or valueNo.
-func (r *fieldReader) yesOrNo(name string) bool {
+// boolean reads a boolean field, whose value must be valueYes or valueNo.
+func (r *fieldReader) boolean(name string) bool {
 	value := r.values[name]
 	if value != valueNo && value != valueYes {
 		r.fail(invalidValue(name, value))
@@ -145,10 +145,10 @@
 	maxMeanMs  float64 // largest valid mean latency, in ms
 }
 
-func newMessageDecoder(settings *simwire.Settings, names *instance.Instance) *messageDecoder {
+func newMessageDecoder(settings *simwire.Settings, balancer *instance.Instance) *messageDecoder {
 	decoder := &messageDecoder{
-		zoneIndex:  names.ZoneIndex,
-		classIndex: names.ClassIndex,
+		zoneIndex:  balancer.ZoneIndex,
+		classIndex: balancer.ClassIndex,
 		maxProxy:   *settings.FamilyInfo.DataPlaneSize - 1,
 	}
 	for _, service := range settings.Services {
@@ -188,7 +188,7 @@
 		zone:   reader.index(fieldZone, d.zoneIndex),
 		weight: reader.number(fieldWeight, maxWeight),
 	}
-	reader.yesOrNo(fieldFresh) // only validated: a proxy always gets a snapshot
+	reader.boolean(fieldFresh) // only validated: a proxy always gets a snapshot
 	return message
 }
 
@@ -204,7 +204,7 @@
 		load:          routing.UnknownLoad,
 	}
 	if message.failures > message.attempts {
-		problem := fmt.Sprintf("is %d of %d", message.failures, message.attempts)
+		problem := fmt.Sprintf("is %d, more than the %d attempts", message.failures, message.attempts)
 		reader.fail(&fieldError{fieldFailures, problem})
 	}
 	message.meanMs = reader.number(fieldMeanMs, d.maxMeanMs)
--- a/internal/platform/message_decoder_test.go
+++ b/internal/platform/message_decoder_test.go
@@ -12,9 +12,9 @@
 
 func splitWords(text string) []string { return strings.Split(text, " ") }
 
-// Good and malformed messages, and what is read of them: a message with a field too few, of another type or out of
-// range is dropped by itself, and none reaches the balancer.
-func TestReports(t *testing.T) {
+// TestDecodedMessages decodes valid and malformed messages. The golden file holds the values that were read, or the
+// error of a message with a field that is missing, malformed or out of range.
+func TestDecodedMessages(t *testing.T) {
 	balancer, decoder := newTestBalancer(t)
 	var trace strings.Builder
 	for _, words := range []string{
@@ -51,17 +51,17 @@
 		"ACK proxy 3 mark 905 took_ms -1",
 		"ACK proxy 3 took_ms 1",
 	} {
-		spelled, err := spellMessage(balancer, decoder, splitWords(words))
+		formatted, err := formatMessage(balancer, decoder, splitWords(words))
 		if err != nil {
-			spelled = "malformed: " + err.Error()
+			formatted = "malformed: " + err.Error()
 		}
-		fmt.Fprintf(&trace, "%s\n    %s\n", words, spelled)
+		fmt.Fprintf(&trace, "%s\n    %s\n", words, formatted)
 	}
 	golden.Trace(t, trace.String())
 }
 
-// spellMessage decodes a message and spells it as the golden file has it, whatever the names in the code.
-func spellMessage(balancer *instance.Instance, decoder *messageDecoder, words []string) (string, error) {
+// formatMessage decodes a message and formats it for the golden file.
+func formatMessage(balancer *instance.Instance, decoder *messageDecoder, words []string) (string, error) {
 	if words[0] == kindSubscribe {
 		reader, err := newFieldReader(words)
 		if err != nil {
@@ -89,11 +89,11 @@
 	case ackMessage:
 		return fmt.Sprint(message.proxy, message.stamp), nil
 	default:
-		return "", fmt.Errorf("a message of type %T", decoded)
+		return "", fmt.Errorf("unexpected message type %T", decoded)
 	}
 }
 
-// The error of a message says what kind of fault it has, and in which field.
+// The type of an error distinguishes a malformed field, a malformed layout and an unknown kind of message.
 func TestMessageErrors(t *testing.T) {
 	_, decoder := newTestBalancer(t)
 	for _, test := range []struct{ words, field string }{
@@ -107,17 +107,17 @@
 			_, err := decoder.decodeSessionMessage(splitWords(test.words))
 			var fieldErr *fieldError
 			if !errors.As(err, &fieldErr) || fieldErr.field != test.field {
-				t.Errorf("error %v", err)
+				t.Errorf("error %v, want a *fieldError of field %s", err, test.field)
 			}
 		})
 	}
 	var layout *layoutError
 	if _, err := decoder.decodeSessionMessage([]string{kindAck, fieldProxy}); !errors.As(err, &layout) {
-		t.Errorf("a name without a value: error %v", err)
+		t.Errorf("field name without a value: error %v, want a *layoutError", err)
 	}
 	var unknownKind *unknownKindError
 	_, err := decoder.decodeSessionMessage([]string{"NOISE"})
 	if !errors.As(err, &unknownKind) || unknownKind.kind != "NOISE" {
-		t.Errorf("an unknown kind: error %v", err)
+		t.Errorf("unknown kind: error %v, want an *unknownKindError of kind NOISE", err)
 	}
 }
--- a/internal/platform/session_registry.go
+++ b/internal/platform/session_registry.go
@@ -10,7 +10,7 @@
 // bounds the proxy sessions, and maxCollectorsPerZone those of collectors.
 type sessionRegistry struct {
 	active       map[int]*peerSession   // by proxy
-	unresponsive map[int]*peerSession   // by proxy; they count as disconnected, but their connections stay open for a time
+	unresponsive map[int]*peerSession   // by proxy; disconnected in the balancer, but the connection is still open
 	collectors   map[int][]*peerSession // by zone, oldest first
 
 	maxAckLatencyMs float64 // longest recent time from an update to its acknowledgement
@@ -24,8 +24,8 @@
 	}
 }
 
-// others returns the other sessions of the same proxy.
-func (r *sessionRegistry) others(session *peerSession) []*peerSession {
+// otherSessions returns the other sessions of the same proxy.
+func (r *sessionRegistry) otherSessions(session *peerSession) []*peerSession {
 	var others []*peerSession
 	for _, other := range []*peerSession{r.active[session.proxy], r.unresponsive[session.proxy]} {
 		if other != nil && other != session {
--- a/internal/platform/update_encoder_test.go
+++ b/internal/platform/update_encoder_test.go
@@ -10,8 +10,8 @@
 	"barleysail/internal/golden"
 )
 
-// Each proxy gets at most one update a round, the same bytes for the same content. A snapshot brings the admission
-// policies again, since a proxy drops them with its table; what was sent on an ended session is forgotten.
+// Each proxy gets at most one update per round, and the same bytes as others with the same content. A snapshot has the
+// admission policies, since a proxy drops them with its table. What was sent on an ended session is forgotten.
 func TestUpdates(t *testing.T) {
 	connected := []int{1, 2, 3}
 	encoder := newUpdateEncoder([]string{"read", "sign"}, func(host int) string { return fmt.Sprintf("s-%d", host) },
@@ -21,7 +21,7 @@
 		fmt.Fprintf(&trace, "%s\n", title)
 		encoder.flush(func(proxy int, message []byte, stamp int) {
 			words := strings.ReplaceAll(string(message), "\r\n", " ")
-			fmt.Fprintf(&trace, "    proxy %d, mark %d: %s\n", proxy, stamp, words)
+			fmt.Fprintf(&trace, "    proxy %d, stamp %d: %s\n", proxy, stamp, words)
 		})
 	}
 	const allClasses, readOnly, signOnly = 0, 1, 2 // bit sets of request classes
@@ -30,26 +30,26 @@
 	encoder.AssignTable(1, 0, allClasses)
 	encoder.AssignTable(2, 0, allClasses)
 	encoder.StampVersion(1)
-	flush("two get the table, the third nothing")
-	flush("nothing new")
+	flush("table 0 is assigned to proxies 1 and 2, and not to proxy 3")
+	flush("no changes")
 	encoder.SetWeight(0, 2, 0)
 	encoder.SetWeight(0, 3, 1234567)
 	encoder.SetWeight(0, 3, 1e-7)
 	encoder.StampVersion(2)
-	flush("changes, the last of a line counts")
+	flush("weights change, that of host 3 twice: only the last is sent")
 	encoder.SetAdmission(0, readOnly, 0.5, 0)
 	encoder.SetAdmission(0, signOnly, 1, 1)
-	flush("levels for all, by class")
+	flush("each request class has its own admission policy")
 	encoder.SetAdmission(0, allClasses, 1e6, 1)
 	encoder.SetWeight(0, 1, 2)
 	encoder.AssignTable(3, 0, allClasses)
-	flush("levels for all alike, a change, and the third joins")
+	flush("all classes have the same admission policy, a weight changes, and table 0 is assigned to proxy 3")
 	encoder.forgetProxy(1)
 	encoder.SetWeight(0, 1, 3)
-	flush("a stream has ended")
+	flush("the session of proxy 1 has ended, and a weight changes")
 	encoder.SetWeight(9, 1, 1)
 	encoder.AssignTable(2, 9, allClasses)
 	encoder.SetWeight(0, 1, 4)
-	flush("one goes to a table of its own")
+	flush("table 9 is assigned to proxy 2, and a weight of table 0 changes")
 	golden.Trace(t, trace.String())
 }
