--- a/replay/compare.go
+++ b/replay/compare.go
@@ -9,7 +9,11 @@
 )
 
 // Estimate is a figure with the interval in which it lies in 95 of 100 days like this one.
-type Estimate struct{ Value, Low, High float64 }
+type Estimate struct {
+	Value float64 `json:"Value"`
+	Low   float64 `json:"Low"`
+	High  float64 `json:"High"`
+}
 
 // Sure tells whether the figure differs from nothing.
 func (x Estimate) Sure() bool { return x.Low > 0 || x.High < 0 }
@@ -17,22 +21,28 @@
 // ClassDifference is the service of a class in two replays of a day, as shares of the earnings asked for, and
 // what was recorded.
 type ClassDifference struct {
-	Class                string
-	Recorded, One, Other float64
-	Difference           Estimate // other less one
+	Class      string   `json:"Class"`
+	Recorded   float64  `json:"Recorded"`
+	One        float64  `json:"One"`
+	Other      float64  `json:"Other"`
+	Difference Estimate `json:"Difference"` // other less one
 }
 
 // Comparison of two replays of a day.
 type Comparison struct {
-	All      ClassDifference
-	Classes  []ClassDifference
-	Model    Estimate // the first replay less the record: how far the model is off
-	Parted   []Parting
-	Messages [2]int
+	All      ClassDifference   `json:"All"`
+	Classes  []ClassDifference `json:"Classes"`
+	Model    Estimate          `json:"Model"` // the first replay less the record: how far the model is off
+	Parted   []Parting         `json:"Parted"`
+	Messages [2]int            `json:"Messages"`
 }
 
 // Parting is a window in which two replays differ.
-type Parting struct{ From, One, Other float64 }
+type Parting struct {
+	From  float64 `json:"From"`
+	One   float64 `json:"One"`
+	Other float64 `json:"Other"`
+}
 
 // Bootstrap: blocks of so many windows, since what happens in one lasts into the next, drawn so many times.
 const (
--- a/replay/other.go
+++ b/replay/other.go
@@ -28,23 +28,25 @@
 
 // Window is a span of a day in earnings by class, for transactions that came in it.
 type Window struct {
-	Asked, Recorded, Replayed []float64
+	Asked    []float64 `json:"Asked"`
+	Recorded []float64 `json:"Recorded"`
+	Replayed []float64 `json:"Replayed"`
 }
 
 // Outcome of a day, as it was recorded and as it was replayed.
 type Outcome struct {
-	From     float64
-	Classes  []string
-	Windows  []Window // of windowLength each
-	Verdicts []rules.Verdict
-	Messages int // wholes and deltas sent
-	Moments  []Moment
-	Tries    int
-	Beyond   int                 // answers of hosts that are extrapolated
-	AsSeen   int                 // transactions of proxies without tables, taken as recorded
-	Gaps     []float64           // of the tables to the best, by window in which there was traffic
-	Offsets  map[string][]Offset // of the proxies' clocks
-	Doubled  int                 // transactions recorded twice, played once
+	From     float64             `json:"From"`
+	Classes  []string            `json:"Classes"`
+	Windows  []Window            `json:"Windows"` // of windowLength each
+	Verdicts []rules.Verdict     `json:"Verdicts"`
+	Messages int                 `json:"Messages"` // wholes and deltas sent
+	Moments  []Moment            `json:"Moments"`
+	Tries    int                 `json:"Tries"`
+	Beyond   int                 `json:"Beyond"`  // answers of hosts that are extrapolated
+	AsSeen   int                 `json:"AsSeen"`  // transactions of proxies without tables, taken as recorded
+	Gaps     []float64           `json:"Gaps"`    // of the tables to the best, by window in which there was traffic
+	Offsets  map[string][]Offset `json:"Offsets"` // of the proxies' clocks
+	Doubled  int                 `json:"Doubled"` // transactions recorded twice, played once
 }
 
 const windowLength = 5000.0
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -217,7 +217,9 @@
 	fmt.Fprintf(&now, "%d records, %d proxies, %d hosts\n", s.Records, s.Proxies, s.Hosts)
 	for i, x := range s.Spans {
 		if i%5 == 0 {
-			fmt.Fprintf(&now, "%.0f: %+v\n", x.From, x)
+			fmt.Fprintf(&now, "%.0f: {From:%g Came:%d Unanswered:%d Tries:%d Failed:%d Messages:%d Joined:%d Left:%d "+
+				"ProbesFine:%d ProbesOther:%d}\n", x.From, x.From, x.Came, x.Unanswered, x.Tries, x.Failed, x.Messages,
+				x.Joined, x.Left, x.ProbesFine, x.ProbesOther)
 		}
 	}
 	for _, m := range s.Moments {
--- a/replay/scan.go
+++ b/replay/scan.go
@@ -30,8 +30,9 @@
 // Offset is how far a proxy's clock is behind its stewards', and how sure that is, in ms. A clock that was set anew
 // during the day has more than one, each from the version named on.
 type Offset struct {
-	Version    string
-	By, Within float64
+	Version string  `json:"Version"`
+	By      float64 `json:"By"`
+	Within  float64 `json:"Within"`
 }
 
 // shifter puts a proxy's records onto the stewards' clock, in the order in which they were written.
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -14,31 +14,36 @@
 
 // Moment of a day that is worth telling: a change of mode, a list, a join or a leave of many.
 type Moment struct {
-	At   float64
-	Text string
+	At   float64 `json:"At"`
+	Text string  `json:"Text"`
 }
 
 // Span is a stretch of a day in figures.
 type Span struct {
-	From                    float64
-	Came, Unanswered        int64 // as proxies told
-	Tries, Failed           int64
-	Messages                int // wholes and deltas that left
-	Joined, Left            int
-	ProbesFine, ProbesOther int
+	From        float64 `json:"From"`
+	Came        int64   `json:"Came"`       // as proxies told
+	Unanswered  int64   `json:"Unanswered"` // as proxies told
+	Tries       int64   `json:"Tries"`
+	Failed      int64   `json:"Failed"`
+	Messages    int     `json:"Messages"` // wholes and deltas that left
+	Joined      int     `json:"Joined"`
+	Left        int     `json:"Left"`
+	ProbesFine  int     `json:"ProbesFine"`
+	ProbesOther int     `json:"ProbesOther"`
 }
 
 // Summary of a day.
 type Summary struct {
-	Start    *recordpb.Start
-	From, To float64
-	Records  int
-	Proxies  int // the most that were joined at once
-	Hosts    int // the most that were listed at once
-	Spans    []Span
-	Moments  []Moment
-	Lost     int   // moments that were not kept
-	End      error // nil at a clean end
+	Start   *recordpb.Start `json:"Start"`
+	From    float64         `json:"From"`
+	To      float64         `json:"To"`
+	Records int             `json:"Records"`
+	Proxies int             `json:"Proxies"` // the most that were joined at once
+	Hosts   int             `json:"Hosts"`   // the most that were listed at once
+	Spans   []Span          `json:"Spans"`
+	Moments []Moment        `json:"Moments"`
+	Lost    int             `json:"Lost"` // moments that were not kept
+	End     error           `json:"End"`  // nil at a clean end
 }
 
 // bounds of what a summary keeps, so that it does not grow with the day: spans are widened, moments left out.
