--- a/cmd/barleysail/compare.go
+++ b/cmd/barleysail/compare.go
@@ -72,10 +72,10 @@
 		outcome *replay.Outcome
 		err     error
 	}
-	replayWith := func(setting replay.Setting) result {
+	replayWith := func(setting replay.Settings) result {
 		recordings := &recordingSet{names: names}
 		defer recordings.close()
-		outcome, err := replay.Replay(recordings.sources, setting)
+		outcome, err := replay.Simulate(recordings.sources, setting)
 		return result{outcome, err}
 	}
 	changedResult := make(chan result, 1)
@@ -165,11 +165,11 @@
 
 // setting returns the settings of a replay by a configuration. change is applied to the configuration of each
 // controller's recording.
-func (c *settingsComparison) setting(settings *configpb.Config, change configChange) replay.Setting {
-	setting := replay.Setting{
-		Figures: config.Rules(settings, c.collapseMs),
-		Probes:  *settings.Probes.TimeoutMs,
-		Make: func(start *recordpb.Start) (*controller.Controller, error) {
+func (c *settingsComparison) setting(settings *configpb.Config, change configChange) replay.Settings {
+	setting := replay.Settings{
+		Limits:               config.Rules(settings, c.collapseMs),
+		HealthCheckTimeoutMs: *settings.Probes.TimeoutMs,
+		NewController: func(start *recordpb.Start) (*controller.Controller, error) {
 			recorded, err := config.Parse(recordedConfig, []byte(start.Config))
 			if err != nil {
 				return nil, err
--- a/cmd/barleysail/compare_output.go
+++ b/cmd/barleysail/compare_output.go
@@ -29,8 +29,8 @@
 		estimate.Low = math.Max(estimate.Low, -1)
 		estimate.High = math.Min(estimate.High, 1)
 	}
-	clip(&comparison.All.Difference)
-	clip(&comparison.Model)
+	clip(&comparison.Overall.Difference)
+	clip(&comparison.ModelError)
 	for i := range comparison.Classes {
 		clip(&comparison.Classes[i].Difference)
 	}
@@ -40,7 +40,7 @@
 // significantly from 0.
 func formatEstimate(estimate replay.Estimate) string {
 	mark := ""
-	if !estimate.Sure() {
+	if !estimate.Significant() {
 		mark = "  none"
 	}
 	return fmt.Sprintf("%+.4f (%+.4f to %+.4f)%s", estimate.Value, estimate.Low, estimate.High, mark)
@@ -66,9 +66,9 @@
 func (r *comparisonReport) printService(out io.Writer) error {
 	columns := newColumnPrinter(out)
 	columns.println("service\trecorded\treplayed\twith the other setting\tdifference (95 of 100)")
-	rows := append([]replay.ClassDifference{r.Comparison.All}, r.Comparison.Classes...)
+	rows := append([]replay.ClassDifference{r.Comparison.Overall}, r.Comparison.Classes...)
 	for _, row := range rows {
-		columns.printf("%s\t%.4f\t%.4f\t%.4f\t%s\n", row.Class, row.Recorded, row.One, row.Other,
+		columns.printf("%s\t%.4f\t%.4f\t%.4f\t%s\n", row.Class, row.Recorded, row.Baseline, row.Variant,
 			formatEstimate(row.Difference))
 	}
 	return columns.flush()
@@ -78,11 +78,11 @@
 func (r *comparisonReport) printModel(p *printer) {
 	one := r.Recorded
 	other := r.Changed
-	p.printf("\nthe model, replayed less recorded: %s\n", formatEstimate(r.Comparison.Model))
+	p.printf("\nthe model, replayed less recorded: %s\n", formatEstimate(r.Comparison.ModelError))
 	p.printf("answers extrapolated, where nothing was seen of the host: %.1f%% and %.1f%%; taken as recorded: %d and %d\n",
-		percentage(one.Beyond, one.Tries), percentage(other.Beyond, other.Tries), one.AsSeen, other.AsSeen)
+		percentage(one.ExtrapolatedAttempts, one.Attempts), percentage(other.ExtrapolatedAttempts, other.Attempts), one.UnroutedRequests, other.UnroutedRequests)
 	p.printf("messages to proxies: %d and %d; mean gap to the best tables: %.4f and %.4f\n\n",
-		r.Comparison.Messages[0], r.Comparison.Messages[1], one.MeanGap(), other.MeanGap())
+		r.Comparison.Messages[0], r.Comparison.Messages[1], one.MeanOptimalityGap(), other.MeanOptimalityGap())
 }
 
 // percentage returns a fraction of a total in percent, 0 for a total of 0.
@@ -102,9 +102,9 @@
 }
 
 func (r *comparisonReport) printDifferingWindows(p *printer) {
-	for _, window := range r.Comparison.Parted {
-		p.printf("parted at %.0f s: service %.3f, with the other %.3f\n", seconds(window.From-r.Recorded.From),
-			window.One, window.Other)
+	for _, window := range r.Comparison.DifferingWindows {
+		p.printf("parted at %.0f s: service %.3f, with the other %.3f\n", seconds(window.FromMs-r.Recorded.FromMs),
+			window.Baseline, window.Variant)
 	}
 }
 
@@ -113,26 +113,26 @@
 func (r *comparisonReport) printClocks(p *printer) {
 	maxErrorMs := 0.0
 	adjustments := 0
-	for _, offsets := range r.Recorded.Offsets {
+	for _, offsets := range r.Recorded.ClockOffsets {
 		adjustments += len(offsets) - 1
 		for _, offset := range offsets {
-			maxErrorMs = math.Max(maxErrorMs, offset.Within)
+			maxErrorMs = math.Max(maxErrorMs, offset.ErrorMs)
 		}
 	}
 	p.printf("clocks of %d proxies set to the stewards', within %.1f ms; %d were set anew during the day\n",
-		len(r.Recorded.Offsets), maxErrorMs, adjustments)
-	if r.Recorded.Doubled > 0 {
-		p.printf("%d transactions were recorded twice, and are played once\n", r.Recorded.Doubled)
+		len(r.Recorded.ClockOffsets), maxErrorMs, adjustments)
+	if r.Recorded.DuplicateRequests > 0 {
+		p.printf("%d transactions were recorded twice, and are played once\n", r.Recorded.DuplicateRequests)
 	}
 }
 
 func printModeChanges(p *printer, name string, outcome *replay.Outcome) {
 	p.printf("changes of mode, %s:\n", name)
-	for i, moment := range outcome.Moments {
+	for i, moment := range outcome.Events {
 		if i == maxModeChanges {
-			p.printf("  and %d more\n", len(outcome.Moments)-i)
+			p.printf("  and %d more\n", len(outcome.Events)-i)
 			return
 		}
-		p.printf("  %9.3f s  %s\n", seconds(moment.At-outcome.From), moment.Text)
+		p.printf("  %9.3f s  %s\n", seconds(moment.AtMs-outcome.FromMs), moment.Text)
 	}
 }
--- a/cmd/barleysail/compare_plot.go
+++ b/cmd/barleysail/compare_plot.go
@@ -131,7 +131,7 @@
 	for i, window := range l.outcome.Windows {
 		requested := 0.0
 		served := 0.0
-		for class, weight := range window.Asked {
+		for class, weight := range window.Offered {
 			requested += weight
 			served += l.served(window)[class]
 		}
--- a/cmd/barleysail/guard_replay.go
+++ b/cmd/barleysail/guard_replay.go
@@ -43,7 +43,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		columns.printf("%s\t%.1f s\t%d\t%s\n", name, seconds(result.To-result.From), report.Runs,
+		columns.printf("%s\t%.1f s\t%d\t%s\n", name, seconds(result.ToMs-result.FromMs), report.Runs,
 			formatCounts(report.NewFindings))
 		for check, count := range report.NewFindings {
 			totals[check] += count
@@ -56,14 +56,14 @@
 }
 
 // guardReplay replays a recording with a table validator that only reports, and returns its findings.
-func guardReplay(name string) (*replay.Same, *controller.ValidationReport, error) {
+func guardReplay(name string) (*replay.Verification, *controller.ValidationReport, error) {
 	recording, err := openRecording(name)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer recording.close()
 	var replayed *controller.Controller
-	result, err := replay.Again(recording.Next, func(start *recordpb.Start) (*controller.Controller, error) {
+	result, err := replay.Verify(recording.Next, func(start *recordpb.Start) (*controller.Controller, error) {
 		var err error
 		replayed, err = rebuildWithGuard(start)
 		return replayed, err
@@ -71,8 +71,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if result.First != nil {
-		return nil, nil, fmt.Errorf("the replay differs from the recording: %v", result.First)
+	if result.FirstDifference != nil {
+		return nil, nil, fmt.Errorf("the replay differs from the recording: %v", result.FirstDifference)
 	}
 	report := replayed.ValidationReport()
 	return result, &report, nil
--- a/cmd/barleysail/recordings_cut.go
+++ b/cmd/barleysail/recordings_cut.go
@@ -76,7 +76,7 @@
 }
 
 // prepend returns a reader of records that returns first before those of next.
-func prepend(first *recordpb.Record, next replay.Next) replay.Next {
+func prepend(first *recordpb.Record, next replay.NextFunc) replay.NextFunc {
 	returned := false
 	return func() (*recordpb.Record, error) {
 		if !returned {
--- a/cmd/barleysail/recordings_show.go
+++ b/cmd/barleysail/recordings_show.go
@@ -49,18 +49,18 @@
 func printSummary(out io.Writer, summary *replay.Summary) error {
 	p := newPrinter(out)
 	p.printf("from %s, %.1f s, steward %s of version %s\n%d records; at most %d proxies joined and %d hosts listed\n\n",
-		formatTime(summary.From), seconds(summary.To-summary.From), summary.Start.Life, summary.Start.Program,
-		summary.Records, summary.Proxies, summary.Hosts)
+		formatTime(summary.FromMs), seconds(summary.ToMs-summary.FromMs), summary.Start.Life, summary.Start.Program,
+		summary.Records, summary.MaxProxies, summary.MaxHosts)
 	spansErr := printSpans(out, summary)
 	p.println()
-	for _, moment := range summary.Moments {
-		p.printf("%9.3f s  %s\n", seconds(moment.At-summary.From), moment.Text)
+	for _, moment := range summary.Events {
+		p.printf("%9.3f s  %s\n", seconds(moment.AtMs-summary.FromMs), moment.Text)
 	}
-	if summary.Lost > 0 {
-		p.printf("and %d more\n", summary.Lost)
+	if summary.OmittedEvents > 0 {
+		p.printf("and %d more\n", summary.OmittedEvents)
 	}
-	if summary.End != nil {
-		p.printf("the recording ends early: %v\n", summary.End)
+	if summary.ReadErr != nil {
+		p.printf("the recording ends early: %v\n", summary.ReadErr)
 	}
 	return errors.Join(spansErr, p.flush())
 }
@@ -69,10 +69,10 @@
 func printSpans(out io.Writer, summary *replay.Summary) error {
 	columns := newRightAlignedPrinter(out)
 	columns.println("from s\tcame\tunanswered\ttries\tfailed\tmessages\tjoined\tleft\tprobes answered\tnot\t")
-	for _, span := range summary.Spans {
-		columns.printf("%.0f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", seconds(span.From-summary.From), span.Came,
-			span.Unanswered, span.Tries, span.Failed, span.Messages, span.Joined, span.Left, span.ProbesFine,
-			span.ProbesOther)
+	for _, span := range summary.Intervals {
+		columns.printf("%.0f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", seconds(span.FromMs-summary.FromMs), span.Arrivals,
+			span.NoResponse, span.Attempts, span.Failed, span.Messages, span.Joined, span.Left, span.HealthyChecks,
+			span.UnhealthyChecks)
 	}
 	return columns.flush()
 }
--- a/cmd/barleysail/replay.go
+++ b/cmd/barleysail/replay.go
@@ -75,20 +75,20 @@
 	}
 	defer recording.close()
 	began := time.Now()
-	result, err := replay.Again(recording.Next, rebuildController)
+	result, err := replay.Verify(recording.Next, rebuildController)
 	if err != nil {
 		return false, err
 	}
 	elapsed := time.Since(began)
 	p := newPrinter(out)
 	p.printf("%s: %.1f s of the day in %.2f s: %d inputs, %d answers as recorded\n", name,
-		seconds(result.To-result.From), elapsed.Seconds(), result.Inputs, result.Answers)
+		seconds(result.ToMs-result.FromMs), elapsed.Seconds(), result.Inputs, result.Responses)
 	recording.printFaults(p)
-	if isReadError(result.End) {
-		p.printf("the recording ends early: %v\n", result.End)
+	if isReadError(result.ReadErr) {
+		p.printf("the recording ends early: %v\n", result.ReadErr)
 	}
-	if result.First != nil {
-		p.printf("first difference %v\n", result.First)
+	if result.FirstDifference != nil {
+		p.printf("first difference %v\n", result.FirstDifference)
 	}
-	return result.First == nil, p.flush()
+	return result.FirstDifference == nil, p.flush()
 }
--- a/internal/daemon/persister_test.go
+++ b/internal/daemon/persister_test.go
@@ -73,8 +73,8 @@
 		t.Fatal(err)
 	}
 	defer closeOrFail(t, file)
-	result, err := replay.Again(record.NewReader(file).Next, recordedController)
-	if err != nil || result.First != nil || result.Answers == 0 {
+	result, err := replay.Verify(record.NewReader(file).Next, recordedController)
+	if err != nil || result.FirstDifference != nil || result.Responses == 0 {
 		t.Errorf("replayed: %+v, %v", result, err)
 	}
 }
--- a/internal/record/former_test.go
+++ b/internal/record/former_test.go
@@ -65,11 +65,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	result, err := replay.Again(record.NewReader(bytes.NewReader(content)).Next, newController)
+	result, err := replay.Verify(record.NewReader(bytes.NewReader(content)).Next, newController)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if result.First != nil || result.Answers == 0 || result.End != nil {
-		t.Errorf("%d answers, first difference %v, end %v", result.Answers, result.First, result.End)
+	if result.FirstDifference != nil || result.Responses == 0 || result.ReadErr != nil {
+		t.Errorf("%d answers, first difference %v, end %v", result.Responses, result.FirstDifference, result.ReadErr)
 	}
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -103,11 +103,11 @@
 			continue
 		}
 		lives++
-		r, err := replay.Again(s.Next, build)
-		if err != nil || r.First != nil {
+		r, err := replay.Verify(s.Next, build)
+		if err != nil || r.FirstDifference != nil {
 			t.Fatalf("%s: %+v, %v", s.Name, r, err)
 		}
-		answers += r.Answers
+		answers += r.Responses
 	}
 	if lives != 3 || answers < 10 {
 		t.Errorf("%d lives of stewards, %d answers", lives, answers)
@@ -117,18 +117,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := replay.Setting{Make: build, Figures: config.Rules(c, 3000), Probes: 250, Classes: []controller.RequestClass{
+	set := replay.Settings{NewController: build, Limits: config.Rules(c, 3000), HealthCheckTimeoutMs: 250, Classes: []controller.RequestClass{
 		{Name: "sheet", RequestClass: routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 2500, PriorityWeight: 3}},
 		{Name: "finish", RequestClass: routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1200, PriorityWeight: 9}}}}
-	o, err := replay.Replay(open, set)
+	o, err := replay.Simulate(open, set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if all := replay.Compare(o, o, 1).All; math.Abs(all.Recorded-all.One) > 0.15 || all.Difference.Value != 0 || o.Tries < 300 {
-		t.Errorf("recorded %.3f, replayed %.3f, %d tries", all.Recorded, all.One, o.Tries)
+	if all := replay.Compare(o, o, 1).Overall; math.Abs(all.Recorded-all.Baseline) > 0.15 || all.Difference.Value != 0 || o.Attempts < 300 {
+		t.Errorf("recorded %.3f, replayed %.3f, %d tries", all.Recorded, all.Baseline, o.Attempts)
 	}
-	for name, by := range o.Offsets { // one machine, one clock
-		if len(by) != 1 || math.Abs(by[0].By) > 20 {
+	for name, by := range o.ClockOffsets { // one machine, one clock
+		if len(by) != 1 || math.Abs(by[0].OffsetMs) > 20 {
 			t.Errorf("%s is taken to be off: %+v", name, by)
 		}
 	}
--- a/replay/ahead.go
+++ b/replay/ahead.go
@@ -36,7 +36,7 @@
 // aheadMore is how much further than a client's patience the model knows the day.
 const aheadMore = 3000.0
 
-func (sc *scan) ahead(open Open, patience float64, lines bool) (*ahead, error) {
+func (sc *scan) ahead(open OpenFunc, patience float64, lines bool) (*ahead, error) {
 	m, err := merge(open, sc.offsets, patience)
 	if err != nil {
 		return nil, err
--- a/replay/compare.go
+++ b/replay/compare.go
@@ -16,32 +16,32 @@
 }
 
 // Sure tells whether the figure differs from nothing.
-func (x Estimate) Sure() bool { return x.Low > 0 || x.High < 0 }
+func (x Estimate) Significant() bool { return x.Low > 0 || x.High < 0 }
 
 // ClassDifference is the service of a class in two replays of a day, as shares of the earnings asked for, and
 // what was recorded.
 type ClassDifference struct {
 	Class      string   `json:"Class"`
 	Recorded   float64  `json:"Recorded"`
-	One        float64  `json:"One"`
-	Other      float64  `json:"Other"`
+	Baseline   float64  `json:"One"`
+	Variant    float64  `json:"Other"`
 	Difference Estimate `json:"Difference"` // other less one
 }
 
 // Comparison of two replays of a day.
 type Comparison struct {
-	All      ClassDifference   `json:"All"`
-	Classes  []ClassDifference `json:"Classes"`
-	Model    Estimate          `json:"Model"` // the first replay less the record: how far the model is off
-	Parted   []Parting         `json:"Parted"`
-	Messages [2]int            `json:"Messages"`
+	Overall          ClassDifference   `json:"All"`
+	Classes          []ClassDifference `json:"Classes"`
+	ModelError       Estimate          `json:"Model"` // the first replay less the record: how far the model is off
+	DifferingWindows []DifferingWindow `json:"Parted"`
+	Messages         [2]int            `json:"Messages"`
 }
 
 // Parting is a window in which two replays differ.
-type Parting struct {
-	From  float64 `json:"From"`
-	One   float64 `json:"One"`
-	Other float64 `json:"Other"`
+type DifferingWindow struct {
+	FromMs   float64 `json:"From"`
+	Baseline float64 `json:"One"`
+	Variant  float64 `json:"Other"`
 }
 
 // Bootstrap: blocks of so many windows, since what happens in one lasts into the next, drawn so many times.
@@ -103,21 +103,21 @@
 	recorded := make([]float64, windows)
 	for i := range windows {
 		a, b := one.Windows[i], other.Windows[i]
-		asked, x, y := sum(a.Asked), sum(a.Replayed), sum(b.Replayed)
+		asked, x, y := sum(a.Offered), sum(a.Replayed), sum(b.Replayed)
 		recorded[i] = sum(a.Recorded)
 		all.add(asked, x, y)
 		model.add(asked, recorded[i], x)
 		if asked > 0 && math.Abs(x-y) > partedLeast*asked {
-			c.Parted = append(c.Parted, Parting{one.From + float64(i)*windowLength, x / asked, y / asked})
+			c.DifferingWindows = append(c.DifferingWindows, DifferingWindow{one.FromMs + float64(i)*windowLength, x / asked, y / asked})
 		}
 	}
-	c.All = ClassDifference{"all", share(recorded, all.asked), share(all.one, all.asked), share(all.other, all.asked), all.difference(seed)}
-	c.Model = model.difference(seed)
+	c.Overall = ClassDifference{"all", share(recorded, all.asked), share(all.one, all.asked), share(all.other, all.asked), all.difference(seed)}
+	c.ModelError = model.difference(seed)
 	for k, name := range one.Classes {
 		var p pairs
 		was := make([]float64, windows)
 		for i := range windows {
-			p.add(one.Windows[i].Asked[k], one.Windows[i].Replayed[k], other.Windows[i].Replayed[k])
+			p.add(one.Windows[i].Offered[k], one.Windows[i].Replayed[k], other.Windows[i].Replayed[k])
 			was[i] = one.Windows[i].Recorded[k]
 		}
 		c.Classes = append(c.Classes, ClassDifference{name, share(was, p.asked), share(p.one, p.asked), share(p.other, p.asked), p.difference(seed)})
--- a/replay/gap.go
+++ b/replay/gap.go
@@ -61,7 +61,7 @@
 		}
 	}
 	if g, err := p.Measure(e.standing()); err == nil {
-		e.out.Gaps = append(e.out.Gaps, g.Best-g.Result)
+		e.out.OptimalityGaps = append(e.out.OptimalityGaps, g.Best-g.Result)
 	}
 }
 
@@ -84,9 +84,9 @@
 }
 
 // MeanGap of a day's windows.
-func (o *Outcome) MeanGap() float64 {
-	if len(o.Gaps) == 0 {
+func (o *Outcome) MeanOptimalityGap() float64 {
+	if len(o.OptimalityGaps) == 0 {
 		return 0
 	}
-	return sum(o.Gaps) / float64(len(o.Gaps))
+	return sum(o.OptimalityGaps) / float64(len(o.OptimalityGaps))
 }
--- a/replay/other.go
+++ b/replay/other.go
@@ -19,41 +19,41 @@
 )
 
 // Setting is what a day is replayed with.
-type Setting struct {
-	Make    Make // of a steward, by the start of its life
-	Classes []controller.RequestClass
-	Figures rules.Limits
-	Probes  float64 // ms until a probe without an answer is given up
+type Settings struct {
+	NewController        ControllerFactory // of a steward, by the start of its life
+	Classes              []controller.RequestClass
+	Limits               rules.Limits
+	HealthCheckTimeoutMs float64 // ms until a probe without an answer is given up
 }
 
 // Window is a span of a day in earnings by class, for transactions that came in it.
 type Window struct {
-	Asked    []float64 `json:"Asked"`
+	Offered  []float64 `json:"Asked"`
 	Recorded []float64 `json:"Recorded"`
 	Replayed []float64 `json:"Replayed"`
 }
 
 // Outcome of a day, as it was recorded and as it was replayed.
 type Outcome struct {
-	From     float64             `json:"From"`
-	Classes  []string            `json:"Classes"`
-	Windows  []Window            `json:"Windows"` // of windowLength each
-	Verdicts []rules.Verdict     `json:"Verdicts"`
-	Messages int                 `json:"Messages"` // wholes and deltas sent
-	Moments  []Moment            `json:"Moments"`
-	Tries    int                 `json:"Tries"`
-	Beyond   int                 `json:"Beyond"`  // answers of hosts that are extrapolated
-	AsSeen   int                 `json:"AsSeen"`  // transactions of proxies without tables, taken as recorded
-	Gaps     []float64           `json:"Gaps"`    // of the tables to the best, by window in which there was traffic
-	Offsets  map[string][]Offset `json:"Offsets"` // of the proxies' clocks
-	Doubled  int                 `json:"Doubled"` // transactions recorded twice, played once
+	FromMs               float64                  `json:"From"`
+	Classes              []string                 `json:"Classes"`
+	Windows              []Window                 `json:"Windows"` // of windowLength each
+	Verdicts             []rules.Verdict          `json:"Verdicts"`
+	Messages             int                      `json:"Messages"` // wholes and deltas sent
+	Events               []Event                  `json:"Moments"`
+	Attempts             int                      `json:"Tries"`
+	ExtrapolatedAttempts int                      `json:"Beyond"`  // answers of hosts that are extrapolated
+	UnroutedRequests     int                      `json:"AsSeen"`  // transactions of proxies without tables, taken as recorded
+	OptimalityGaps       []float64                `json:"Gaps"`    // of the tables to the best, by window in which there was traffic
+	ClockOffsets         map[string][]ClockOffset `json:"Offsets"` // of the proxies' clocks
+	DuplicateRequests    int                      `json:"Doubled"` // transactions recorded twice, played once
 }
 
 const windowLength = 5000.0
 
 // Replay plays a day's arrivals against the tables that its stewards now decide with a setting. List, joins, leaves,
 // broken polls and the times of sums are as recorded; what hosts answer comes from a model fitted from the record.
-func Replay(open Open, set Setting) (*Outcome, error) {
+func Simulate(open OpenFunc, set Settings) (*Outcome, error) {
 	sc, err := read(open)
 	if err != nil {
 		return nil, err
@@ -71,7 +71,7 @@
 	}
 	e := &engine{set: set, scan: sc, hosts: response.NewHosts(sc.model), journal: rules.NewEventLog(),
 		lives: map[string]*life{}, proxies: map[string]*proxy{}, class: map[string]int{},
-		out: &Outcome{From: sc.from, Offsets: map[string][]Offset{}}}
+		out: &Outcome{FromMs: sc.from, ClockOffsets: map[string][]ClockOffset{}}}
 	e.journal.Lean()
 	e.sampled = sc.from
 	e.dues.Schedule(sc.from+windowLength, e.sample)
@@ -81,7 +81,7 @@
 		e.out.Classes = append(e.out.Classes, c.Name)
 	}
 	for name, by := range sc.offsets {
-		e.out.Offsets[sc.proxies[name].Proxy] = by
+		e.out.ClockOffsets[sc.proxies[name].Proxy] = by
 	}
 	for {
 		x, err := w.next()
@@ -97,14 +97,14 @@
 		}
 	}
 	e.until(e.now + patience)
-	e.out.Doubled = w.m.Doubled
+	e.out.DuplicateRequests = w.m.Doubled
 	e.finish()
 	return e.out, nil
 }
 
 // engine plays the day.
 type engine struct {
-	set     Setting
+	set     Settings
 	scan    *scan
 	hosts   *response.Hosts
 	journal *rules.EventLog
@@ -192,7 +192,7 @@
 	l := e.lives[x.source]
 	switch r := x.record.What.(type) {
 	case *recordpb.Record_Start:
-		s, err := e.set.Make(r.Start)
+		s, err := e.set.NewController(r.Start)
 		if err != nil {
 			return err
 		}
@@ -273,7 +273,7 @@
 			p.repeats[class] = true
 		}
 		for _, k := range e.set.Classes {
-			if s.Format < 3 && !e.set.Figures.NonIdempotentClasses[k.Name] {
+			if s.Format < 3 && !e.set.Limits.NonIdempotentClasses[k.Name] {
 				p.repeats[k.Name] = true
 			}
 		}
@@ -409,7 +409,7 @@
 	answers, there := l.e.scan.model.Alive(host, l.e.now)
 	wait, how := 1.0, routing.Healthy
 	if !answers && there {
-		wait, how = l.e.set.Probes, routing.TimedOut
+		wait, how = l.e.set.HealthCheckTimeoutMs, routing.TimedOut
 	} else if !answers {
 		how = routing.Unreachable
 	}
@@ -424,8 +424,8 @@
 func (l *life) WatchEndpoints() {}
 
 func (l *life) Log(text string) {
-	if len(l.e.out.Moments) < momentsKept {
-		l.e.out.Moments = append(l.e.out.Moments, Moment{l.e.now, l.name + ": " + text})
+	if len(l.e.out.Events) < momentsKept {
+		l.e.out.Events = append(l.e.out.Events, Event{l.e.now, l.name + ": " + text})
 	}
 }
 
@@ -455,12 +455,12 @@
 const foldEvery = 60000.0
 
 func (e *engine) fold() {
-	e.journal.Compact(e.set.Figures, e.now)
+	e.journal.Compact(e.set.Limits, e.now)
 	e.after(foldEvery, e.fold)
 }
 
 func (e *engine) finish() {
-	e.out.Tries, e.out.Beyond = e.hosts.Tries, e.hosts.Beyond
-	e.out.Verdicts = e.journal.Check(e.set.Figures, e.now)
+	e.out.Attempts, e.out.ExtrapolatedAttempts = e.hosts.Tries, e.hosts.Beyond
+	e.out.Verdicts = e.journal.Check(e.set.Limits, e.now)
 	e.out.Verdicts[1] = e.twice() // the journal is lean, and holds a part only
 }
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-func from(records []*recordpb.Record) Next {
+func from(records []*recordpb.Record) NextFunc {
 	i := 0
 	return func() (*recordpb.Record, error) {
 		if i == len(records) {
@@ -141,14 +141,14 @@
 	var now strings.Builder
 	day := made()
 	say := func(what string, day []*recordpb.Record) {
-		s, err := Again(from(day), build)
+		s, err := Verify(from(day), build)
 		if err != nil {
 			fmt.Fprintf(&now, "%s: error %v\n", what, err)
 			return
 		}
-		fmt.Fprintf(&now, "%s: %d inputs, %d answers, %.0f to %.0f ms\n", what, s.Inputs, s.Answers, s.From, s.To)
-		if s.First != nil {
-			fmt.Fprintf(&now, "%v\n", s.First)
+		fmt.Fprintf(&now, "%s: %d inputs, %d answers, %.0f to %.0f ms\n", what, s.Inputs, s.Responses, s.FromMs, s.ToMs)
+		if s.FirstDifference != nil {
+			fmt.Fprintf(&now, "%v\n", s.FirstDifference)
 		}
 	}
 	say("as it was", day)
@@ -197,8 +197,8 @@
 		}); err != nil {
 			t.Fatal(err)
 		}
-		s, err := Again(from(cut), build)
-		if err != nil || s.First != nil || s.Answers == 0 || len(cut) >= len(day) || s.To > part[1] {
+		s, err := Verify(from(cut), build)
+		if err != nil || s.FirstDifference != nil || s.Responses == 0 || len(cut) >= len(day) || s.ToMs > part[1] {
 			t.Errorf("%v: %d records, %+v, %v", part, len(cut), s, err)
 		}
 	}
@@ -214,30 +214,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprintf(&now, "%d records, %d proxies, %d hosts\n", s.Records, s.Proxies, s.Hosts)
-	for i, x := range s.Spans {
+	fmt.Fprintf(&now, "%d records, %d proxies, %d hosts\n", s.Records, s.MaxProxies, s.MaxHosts)
+	for i, x := range s.Intervals {
 		if i%5 == 0 {
 			fmt.Fprintf(&now, "%.0f: {From:%g Came:%d Unanswered:%d Tries:%d Failed:%d Messages:%d Joined:%d Left:%d "+
-				"ProbesFine:%d ProbesOther:%d}\n", x.From, x.From, x.Came, x.Unanswered, x.Tries, x.Failed, x.Messages,
-				x.Joined, x.Left, x.ProbesFine, x.ProbesOther)
+				"ProbesFine:%d ProbesOther:%d}\n", x.FromMs, x.FromMs, x.Arrivals, x.NoResponse, x.Attempts, x.Failed, x.Messages,
+				x.Joined, x.Left, x.HealthyChecks, x.UnhealthyChecks)
 		}
 	}
-	for _, m := range s.Moments {
-		fmt.Fprintf(&now, "%.0f %s\n", m.At, m.Text)
+	for _, m := range s.Events {
+		fmt.Fprintf(&now, "%.0f %s\n", m.AtMs, m.Text)
 	}
 	golden.Trace(t, now.String())
-	z := &summarizer{Summary: &Summary{From: 0}, width: firstSpan}
+	z := &summarizer{Summary: &Summary{FromMs: 0}, width: firstSpan}
 	came := int64(0)
 	for z.now = 0; z.now < 3e6; z.now += 700 {
-		z.span().Came++
+		z.span().Arrivals++
 		came++
 	}
 	sum := int64(0)
-	for _, x := range z.Spans {
-		sum += x.Came
+	for _, x := range z.Intervals {
+		sum += x.Arrivals
 	}
-	if len(z.Spans) > spansKept || sum != came {
-		t.Errorf("%d spans hold %d of %d", len(z.Spans), sum, came)
+	if len(z.Intervals) > spansKept || sum != came {
+		t.Errorf("%d spans hold %d of %d", len(z.Intervals), sum, came)
 	}
 	if _, err := Summarize(func() (*recordpb.Record, error) { return nil, io.EOF }, build); !errors.Is(err, errNoStart) {
 		t.Error(err)
@@ -250,7 +250,7 @@
 	play(60, 150, 400, func(r *recordpb.Record) { day = append(day, r) })
 	b.ResetTimer()
 	for range b.N {
-		if s, err := Again(from(day), build); err != nil || s.First != nil {
+		if s, err := Verify(from(day), build); err != nil || s.FirstDifference != nil {
 			b.Fatal(s, err)
 		}
 	}
@@ -260,7 +260,7 @@
 // traffic is a day of a steward and its proxies: each proxy's transactions, and the versions that it applied. The
 // record of a transaction may be changed, or left out by nil, or given more than once.
 func traffic(seconds, hosts, proxies, rate int, day []*recordpb.Record, offset func(p int, at float64) float64,
-	change func(p, n int, r *recordpb.Record) []*recordpb.Record) Open {
+	change func(p, n int, r *recordpb.Record) []*recordpb.Record) OpenFunc {
 	applied := map[string][]*recordpb.Record{}
 	for _, r := range day {
 		if p := r.GetPublished(); p != nil && controller.ResponseKind(p.Kind) != controller.NotModified {
@@ -315,7 +315,7 @@
 }
 
 // forgotten leaves out what the proxies tell of the versions that they go by: each draw is then by the new tables alone.
-func forgotten(open Open) Open {
+func forgotten(open OpenFunc) OpenFunc {
 	return func() ([]Source, error) {
 		all, err := open()
 		for i, s := range all {
@@ -334,10 +334,10 @@
 func still(int, float64) float64                              { return 0 }
 func asItWas(_, _ int, r *recordpb.Record) []*recordpb.Record { return []*recordpb.Record{r} }
 
-func plainSetting() Setting {
-	set := Setting{Make: build, Probes: 250, Classes: []controller.RequestClass{{Name: "sheet", RequestClass: routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 2500, PriorityWeight: 3}},
+func plainSetting() Settings {
+	set := Settings{NewController: build, HealthCheckTimeoutMs: 250, Classes: []controller.RequestClass{{Name: "sheet", RequestClass: routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 2500, PriorityWeight: 3}},
 		{Name: "finish", RequestClass: routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1200, PriorityWeight: 9}}}}
-	f := &set.Figures
+	f := &set.Limits
 	f.EmptyTableMs, f.DrainGraceMs, f.SlowStartMs, f.CollapseMultiple, f.CollapseMs, f.EntriesPerSecond, f.MaxBacklog = 5000, 3000, 18000, 4, 3000, 1e6, 1e6
 	return set
 }
@@ -347,7 +347,7 @@
 	day := made()
 	play := func(offset func(int, float64) float64, change func(p, n int, r *recordpb.Record) []*recordpb.Record) *Outcome {
 		t.Helper()
-		o, err := Replay(traffic(30, 12, 4, 100, day, offset, change), plainSetting())
+		o, err := Simulate(traffic(30, 12, 4, 100, day, offset, change), plainSetting())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -355,16 +355,16 @@
 	}
 	asked := func(o *Outcome) (n float64) {
 		for _, w := range o.Windows {
-			n += w.Asked[0] / 3
+			n += w.Offered[0] / 3
 		}
 		return n
 	}
 	plain := play(still, asItWas)
-	if n := asked(plain); n < 2890 || n > 2910 || Compare(plain, plain, 1).All.One < 0.97 {
-		t.Fatalf("%.0f transactions, %+v", n, Compare(plain, plain, 1).All)
+	if n := asked(plain); n < 2890 || n > 2910 || Compare(plain, plain, 1).Overall.Baseline < 0.97 {
+		t.Fatalf("%.0f transactions, %+v", n, Compare(plain, plain, 1).Overall)
 	}
-	if len(plain.Gaps) < 5 || plain.MeanGap() < -1e-9 || plain.MeanGap() > 0.2 {
-		t.Errorf("gaps %v", plain.Gaps)
+	if len(plain.OptimalityGaps) < 5 || plain.MeanOptimalityGap() < -1e-9 || plain.MeanOptimalityGap() > 0.2 {
+		t.Errorf("gaps %v", plain.OptimalityGaps)
 	}
 	doubled := play(still, func(_, n int, r *recordpb.Record) []*recordpb.Record {
 		if n%10 == 0 {
@@ -372,8 +372,8 @@
 		}
 		return []*recordpb.Record{r}
 	})
-	if asked(doubled) != asked(plain) || doubled.Doubled < 280 || Compare(plain, doubled, 1).All.Difference.Value != 0 {
-		t.Errorf("doubled: %.0f transactions, %d told", asked(doubled), doubled.Doubled)
+	if asked(doubled) != asked(plain) || doubled.DuplicateRequests < 280 || Compare(plain, doubled, 1).Overall.Difference.Value != 0 {
+		t.Errorf("doubled: %.0f transactions, %d told", asked(doubled), doubled.DuplicateRequests)
 	}
 	held := map[int][]*recordpb.Record{}
 	shuffled := play(still, func(p, n int, r *recordpb.Record) []*recordpb.Record {
@@ -387,7 +387,7 @@
 		delete(held, p)
 		return []*recordpb.Record{h[3], h[0], h[4], h[1], h[2]}
 	})
-	if n := asked(shuffled); n < asked(plain)-80 || Compare(shuffled, shuffled, 1).All.One < 0.97 {
+	if n := asked(shuffled); n < asked(plain)-80 || Compare(shuffled, shuffled, 1).Overall.Baseline < 0.97 {
 		t.Errorf("out of order: %.0f transactions", n)
 	}
 	missing := play(still, func(_, _ int, r *recordpb.Record) []*recordpb.Record {
@@ -406,10 +406,10 @@
 		return 300 * float64(p)
 	}, asItWas)
 	// The proxies of this day poll once a second, so their clocks are known to half of that.
-	if by := jumped.Offsets["p1"]; len(by) != 2 || math.Abs(by[0].By+300) > by[0].Within+5 || math.Abs(by[1].By-4000) > by[1].Within+5 {
+	if by := jumped.ClockOffsets["p1"]; len(by) != 2 || math.Abs(by[0].OffsetMs+300) > by[0].ErrorMs+5 || math.Abs(by[1].OffsetMs-4000) > by[1].ErrorMs+5 {
 		t.Errorf("a clock that was set back: %+v", by)
 	}
-	if by := jumped.Offsets["p3"]; len(by) != 1 || math.Abs(by[0].By+900) > by[0].Within+5 || by[0].Within > 500 {
+	if by := jumped.ClockOffsets["p3"]; len(by) != 1 || math.Abs(by[0].OffsetMs+900) > by[0].ErrorMs+5 || by[0].ErrorMs > 500 {
 		t.Errorf("a clock that is off: %+v", by)
 	}
 	early := play(still, func(_, n int, r *recordpb.Record) []*recordpb.Record {
@@ -431,18 +431,18 @@
 		}
 		return []*recordpb.Record{r}
 	})
-	if c := Compare(cancelled, cancelled, 1).All; c.Recorded > 0.7 || c.Recorded < 0.6 {
+	if c := Compare(cancelled, cancelled, 1).Overall; c.Recorded > 0.7 || c.Recorded < 0.6 {
 		t.Errorf("cancelled: %+v", c)
 	}
-	seldom, err := Replay(forgotten(traffic(30, 12, 4, 100, day, still, func(_, n int, r *recordpb.Record) []*recordpb.Record {
+	seldom, err := Simulate(forgotten(traffic(30, 12, 4, 100, day, still, func(_, n int, r *recordpb.Record) []*recordpb.Record {
 		r.GetTransaction().Tries[0].Host = "10.0.0.3:80" // all others were never tried in the record
 		return []*recordpb.Record{r}
 	})), plainSetting())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if float64(seldom.Beyond) < 0.8*float64(seldom.Tries) {
-		t.Errorf("%d of %d answers extrapolated", seldom.Beyond, seldom.Tries)
+	if float64(seldom.ExtrapolatedAttempts) < 0.8*float64(seldom.Attempts) {
+		t.Errorf("%d of %d answers extrapolated", seldom.ExtrapolatedAttempts, seldom.Attempts)
 	}
 }
 
@@ -466,7 +466,7 @@
 				changed[i] = x
 			}
 		}
-		s, err := Again(from(changed), build)
+		s, err := Verify(from(changed), build)
 		if err != nil {
 			r.Fatal(err)
 		}
@@ -476,8 +476,8 @@
 				recorded++
 			}
 		}
-		if s.First == nil && s.Answers != recorded {
-			r.Fatalf("%d answers agreed of %d recorded, and no difference is told", s.Answers, recorded)
+		if s.FirstDifference == nil && s.Responses != recorded {
+			r.Fatalf("%d answers agreed of %d recorded, and no difference is told", s.Responses, recorded)
 		}
 		if _, err := Summarize(from(changed), build); err != nil {
 			r.Fatal(err)
@@ -494,11 +494,11 @@
 	b.ResetTimer()
 	tries := 0
 	for range b.N {
-		o, err := Replay(open, plainSetting())
+		o, err := Simulate(open, plainSetting())
 		if err != nil {
 			b.Fatal(err)
 		}
-		tries = o.Tries
+		tries = o.Attempts
 	}
 	b.ReportMetric(float64(tries), "tries")
 	b.ReportMetric(b.Elapsed().Seconds()/float64(b.N)*3600/seconds, "s/hour-of-day")
--- a/replay/same.go
+++ b/replay/same.go
@@ -14,26 +14,26 @@
 )
 
 // Next gives the records of a day one by one, and io.EOF at its end.
-type Next func() (*recordpb.Record, error)
+type NextFunc func() (*recordpb.Record, error)
 
 // Make makes the steward that a recording's start describes.
-type Make func(*recordpb.Start) (*controller.Controller, error)
+type ControllerFactory func(*recordpb.Start) (*controller.Controller, error)
 
 // Difference is where a replay first parts from the record.
 type Difference struct {
-	At       float64 // ms
-	Proxy    string
-	What     string // which host of which class, with both values
-	AgreedAt float64
-	Inputs   []string // since the last answer that agreed, the newest last
-	Left     int      // so many more inputs before those
+	AtMs            float64 // ms
+	Proxy           string
+	Description     string // which host of which class, with both values
+	LastAgreementMs float64
+	Inputs          []string // since the last answer that agreed, the newest last
+	OmittedInputs   int      // so many more inputs before those
 }
 
 func (d *Difference) String() string {
-	s := fmt.Sprintf("at %.3f s, proxy %s: %s\nthe last answer that agreed is from %.3f s; inputs since then", d.At/1000, d.Proxy,
-		d.What, d.AgreedAt/1000)
-	if d.Left > 0 {
-		s += fmt.Sprintf(" (%d more before these)", d.Left)
+	s := fmt.Sprintf("at %.3f s, proxy %s: %s\nthe last answer that agreed is from %.3f s; inputs since then", d.AtMs/1000, d.Proxy,
+		d.Description, d.LastAgreementMs/1000)
+	if d.OmittedInputs > 0 {
+		s += fmt.Sprintf(" (%d more before these)", d.OmittedInputs)
 	}
 	for _, in := range d.Inputs {
 		s += "\n  " + in
@@ -42,11 +42,11 @@
 }
 
 // Same is what a replay with the same setting came to.
-type Same struct {
-	Inputs, Answers int
-	From, To        float64
-	First           *Difference // nil: all came out as recorded
-	End             error       // why the recording ended, nil at a clean end
+type Verification struct {
+	Inputs, Responses int
+	FromMs, ToMs      float64
+	FirstDifference   *Difference // nil: all came out as recorded
+	ReadErr           error       // why the recording ended, nil at a clean end
 }
 
 // inputsKept of those since the last agreement are told.
@@ -80,13 +80,13 @@
 }
 
 // Again feeds a day to the library with the setting it was recorded with, up to the first difference.
-func Again(next Next, build Make) (*Same, error) {
-	c := &comparison{same: &Same{}, out: &replayer{}, build: build}
-	for c.same.First == nil {
+func Verify(next NextFunc, build ControllerFactory) (*Verification, error) {
+	c := &comparison{same: &Verification{}, out: &replayer{}, build: build}
+	for c.same.FirstDifference == nil {
 		r, err := next()
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
-				c.same.End = err
+				c.same.ReadErr = err
 			}
 			break
 		}
@@ -102,9 +102,9 @@
 
 // comparison holds a replay beside its record.
 type comparison struct {
-	same    *Same
+	same    *Verification
 	out     *replayer
-	build   Make
+	build   ControllerFactory
 	steward *controller.Controller
 	agreed  float64
 	inputs  []string
@@ -114,13 +114,13 @@
 func (c *comparison) take(r *recordpb.Record) error {
 	if start := r.GetStart(); start != nil {
 		s, err := c.build(start)
-		c.steward, c.same.From, c.agreed = s, r.At, r.At
+		c.steward, c.same.FromMs, c.agreed = s, r.At, r.At
 		return err
 	}
 	if c.steward == nil {
 		return errNoStart
 	}
-	c.same.To = r.At
+	c.same.ToMs = r.At
 	if p := r.GetPublished(); p != nil {
 		c.compare(r.At, p)
 		return nil
@@ -145,7 +145,7 @@
 }
 
 func (c *comparison) part(at float64, proxy, what string) {
-	c.same.First = &Difference{At: at, Proxy: proxy, What: what, AgreedAt: c.agreed, Inputs: c.inputs, Left: c.left}
+	c.same.FirstDifference = &Difference{AtMs: at, Proxy: proxy, Description: what, LastAgreementMs: c.agreed, Inputs: c.inputs, OmittedInputs: c.left}
 }
 
 func (c *comparison) compare(at float64, p *recordpb.Published) {
@@ -158,7 +158,7 @@
 	body := a.Body()
 	if a.poll == p.Poll && a.Proxy == p.Proxy && a.Kind == controller.ResponseKind(p.Kind) && a.Tag == p.Tag && a.BaseTag == p.Base &&
 		record.Sum(body) == p.Sum {
-		c.same.Answers++
+		c.same.Responses++
 		c.agreed, c.inputs, c.left = at, c.inputs[:0], 0
 		return
 	}
--- a/replay/scan.go
+++ b/replay/scan.go
@@ -21,23 +21,23 @@
 // Source is one recording of a day: a steward's life, or a proxy's.
 type Source struct {
 	Name string
-	Next Next
+	Next NextFunc
 }
 
 // Open gives all recordings of a day from their beginnings. It is called once for each pass over the day.
-type Open func() ([]Source, error)
+type OpenFunc func() ([]Source, error)
 
 // Offset is how far a proxy's clock is behind its stewards', and how sure that is, in ms. A clock that was set anew
 // during the day has more than one, each from the version named on.
-type Offset struct {
-	Version string  `json:"Version"`
-	By      float64 `json:"By"`
-	Within  float64 `json:"Within"`
+type ClockOffset struct {
+	FromVersion string  `json:"Version"`
+	OffsetMs    float64 `json:"By"`
+	ErrorMs     float64 `json:"Within"`
 }
 
 // shifter puts a proxy's records onto the stewards' clock, in the order in which they were written.
 type shifter struct {
-	offsets []Offset
+	offsets []ClockOffset
 	at      int
 }
 
@@ -45,10 +45,10 @@
 	if len(s.offsets) == 0 {
 		return
 	}
-	if tag := r.GetApplied(); tag != "" && s.at+1 < len(s.offsets) && tag == s.offsets[s.at+1].Version {
+	if tag := r.GetApplied(); tag != "" && s.at+1 < len(s.offsets) && tag == s.offsets[s.at+1].FromVersion {
 		s.at++
 	}
-	by := s.offsets[s.at].By
+	by := s.offsets[s.at].OffsetMs
 	r.At += by
 	if t := r.GetTransaction(); t != nil {
 		t.Came += by
@@ -63,15 +63,15 @@
 	lives   map[string]*recordpb.Start // by source
 	proxies map[string]*recordpb.ProxyStart
 	from    float64
-	ends    map[string]float64  // of each source's records
-	offsets map[string][]Offset // by proxy
-	late    float64             // from an answer to the next poll with its tag
+	ends    map[string]float64       // of each source's records
+	offsets map[string][]ClockOffset // by proxy
+	late    float64                  // from an answer to the next poll with its tag
 	model   *response.Model
 	loads   bool // hosts report their load
 }
 
 // each goes over all records of a day, one recording after the other.
-func each(open Open, f func(name string, r *recordpb.Record) error) error {
+func each(open OpenFunc, f func(name string, r *recordpb.Record) error) error {
 	sources, err := open()
 	if err != nil {
 		return err
@@ -91,9 +91,9 @@
 }
 
 // read makes the first pass: the clocks, what the list states of the hosts, and the classes' usual times.
-func read(open Open) (*scan, error) {
+func read(open OpenFunc) (*scan, error) {
 	sc := &scan{lives: map[string]*recordpb.Start{}, proxies: map[string]*recordpb.ProxyStart{}, from: math.Inf(1),
-		ends: map[string]float64{}, offsets: map[string][]Offset{}}
+		ends: map[string]float64{}, offsets: map[string][]ClockOffset{}}
 	usual := response.New(0)
 	v := newVersions(versionsMost)
 	err := each(open, func(name string, r *recordpb.Record) error {
@@ -241,12 +241,12 @@
 	return true
 }
 
-func (b *offsetBounds) offset() Offset {
-	return Offset{b.version, (b.least + b.most) / 2, math.Abs(b.most-b.least) / 2}
+func (b *offsetBounds) offset() ClockOffset {
+	return ClockOffset{b.version, (b.least + b.most) / 2, math.Abs(b.most-b.least) / 2}
 }
 
 // fit makes the two passes that fit the model of the hosts: their cores and states, then their work.
-func (sc *scan) fit(open Open, patience float64) error {
+func (sc *scan) fit(open OpenFunc, patience float64) error {
 	for _, pass := range []struct {
 		lines bool
 		end   func()
@@ -283,7 +283,7 @@
 	record *recordpb.Record
 }
 
-func merge(open Open, offsets map[string][]Offset, patience float64) (*merged, error) {
+func merge(open OpenFunc, offsets map[string][]ClockOffset, patience float64) (*merged, error) {
 	sources, err := open()
 	if err != nil {
 		return nil, err
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -13,37 +13,37 @@
 )
 
 // Moment of a day that is worth telling: a change of mode, a list, a join or a leave of many.
-type Moment struct {
-	At   float64 `json:"At"`
+type Event struct {
+	AtMs float64 `json:"At"`
 	Text string  `json:"Text"`
 }
 
 // Span is a stretch of a day in figures.
-type Span struct {
-	From        float64 `json:"From"`
-	Came        int64   `json:"Came"`       // as proxies told
-	Unanswered  int64   `json:"Unanswered"` // as proxies told
-	Tries       int64   `json:"Tries"`
-	Failed      int64   `json:"Failed"`
-	Messages    int     `json:"Messages"` // wholes and deltas that left
-	Joined      int     `json:"Joined"`
-	Left        int     `json:"Left"`
-	ProbesFine  int     `json:"ProbesFine"`
-	ProbesOther int     `json:"ProbesOther"`
+type Interval struct {
+	FromMs          float64 `json:"From"`
+	Arrivals        int64   `json:"Came"`       // as proxies told
+	NoResponse      int64   `json:"Unanswered"` // as proxies told
+	Attempts        int64   `json:"Tries"`
+	Failed          int64   `json:"Failed"`
+	Messages        int     `json:"Messages"` // wholes and deltas that left
+	Joined          int     `json:"Joined"`
+	Left            int     `json:"Left"`
+	HealthyChecks   int     `json:"ProbesFine"`
+	UnhealthyChecks int     `json:"ProbesOther"`
 }
 
 // Summary of a day.
 type Summary struct {
-	Start   *recordpb.Start `json:"Start"`
-	From    float64         `json:"From"`
-	To      float64         `json:"To"`
-	Records int             `json:"Records"`
-	Proxies int             `json:"Proxies"` // the most that were joined at once
-	Hosts   int             `json:"Hosts"`   // the most that were listed at once
-	Spans   []Span          `json:"Spans"`
-	Moments []Moment        `json:"Moments"`
-	Lost    int             `json:"Lost"` // moments that were not kept
-	End     error           `json:"End"`  // nil at a clean end
+	Start         *recordpb.Start `json:"Start"`
+	FromMs        float64         `json:"From"`
+	ToMs          float64         `json:"To"`
+	Records       int             `json:"Records"`
+	MaxProxies    int             `json:"Proxies"` // the most that were joined at once
+	MaxHosts      int             `json:"Hosts"`   // the most that were listed at once
+	Intervals     []Interval      `json:"Spans"`
+	Events        []Event         `json:"Moments"`
+	OmittedEvents int             `json:"Lost"` // moments that were not kept
+	ReadErr       error           `json:"End"`  // nil at a clean end
 }
 
 // bounds of what a summary keeps, so that it does not grow with the day: spans are widened, moments left out.
@@ -54,7 +54,7 @@
 )
 
 // Summarize tells what happened in a day. It is replayed, since changes of mode are not recorded but follow.
-func Summarize(next Next, build Make) (*Summary, error) {
+func Summarize(next NextFunc, build ControllerFactory) (*Summary, error) {
 	z := &summarizer{Summary: &Summary{}, width: firstSpan, joined: map[string]bool{}, out: &replayer{}}
 	z.out.lines = func(text string) { z.moment(text) }
 	for {
@@ -62,14 +62,14 @@
 		if errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
-			z.End = err
+			z.ReadErr = err
 			break
 		}
 		if start := r.GetStart(); start != nil {
 			if z.steward, err = build(start); err != nil {
 				return nil, err
 			}
-			z.Start, z.From = start, r.At
+			z.Start, z.FromMs = start, r.At
 		}
 		if z.steward == nil {
 			return nil, errNoStart
@@ -96,50 +96,50 @@
 }
 
 func (z *summarizer) moment(text string) {
-	if len(z.Moments) < momentsKept {
-		z.Moments = append(z.Moments, Moment{z.now, text})
+	if len(z.Events) < momentsKept {
+		z.Events = append(z.Events, Event{z.now, text})
 	} else {
-		z.Lost++
+		z.OmittedEvents++
 	}
 }
 
 // span gives the span of the present time; when there are too many, two become one.
-func (z *summarizer) span() *Span {
-	for i := int((z.now - z.From) / z.width); ; i = int((z.now - z.From) / z.width) {
+func (z *summarizer) span() *Interval {
+	for i := int((z.now - z.FromMs) / z.width); ; i = int((z.now - z.FromMs) / z.width) {
 		if i >= spansKept {
 			z.widen()
 			continue
 		}
-		for len(z.Spans) <= i {
-			z.Spans = append(z.Spans, Span{From: z.From + float64(len(z.Spans))*z.width})
+		for len(z.Intervals) <= i {
+			z.Intervals = append(z.Intervals, Interval{FromMs: z.FromMs + float64(len(z.Intervals))*z.width})
 		}
-		return &z.Spans[max(i, 0)]
+		return &z.Intervals[max(i, 0)]
 	}
 }
 
 func (z *summarizer) widen() {
 	z.width *= 2
-	half := z.Spans[:0:0]
-	for i, s := range z.Spans {
+	half := z.Intervals[:0:0]
+	for i, s := range z.Intervals {
 		if i%2 == 0 {
 			half = append(half, s)
 			continue
 		}
 		h := &half[len(half)-1]
-		h.Came, h.Unanswered, h.Tries, h.Failed = h.Came+s.Came, h.Unanswered+s.Unanswered, h.Tries+s.Tries, h.Failed+s.Failed
+		h.Arrivals, h.NoResponse, h.Attempts, h.Failed = h.Arrivals+s.Arrivals, h.NoResponse+s.NoResponse, h.Attempts+s.Attempts, h.Failed+s.Failed
 		h.Messages, h.Joined, h.Left = h.Messages+s.Messages, h.Joined+s.Joined, h.Left+s.Left
-		h.ProbesFine, h.ProbesOther = h.ProbesFine+s.ProbesFine, h.ProbesOther+s.ProbesOther
+		h.HealthyChecks, h.UnhealthyChecks = h.HealthyChecks+s.HealthyChecks, h.UnhealthyChecks+s.UnhealthyChecks
 	}
-	z.Spans = half
+	z.Intervals = half
 }
 
 func (z *summarizer) take(r *recordpb.Record) {
-	z.now, z.To = r.At, r.At
+	z.now, z.ToMs = r.At, r.At
 	z.Records++
 	s := z.span()
 	switch x := r.What.(type) {
 	case *recordpb.Record_Listed:
-		z.Hosts = max(z.Hosts, len(x.Listed.Hosts))
+		z.MaxHosts = max(z.MaxHosts, len(x.Listed.Hosts))
 		_, text, _ := strings.Cut(Describe(r), "  ")
 		z.moment(text)
 	case *recordpb.Record_ListFailed:
@@ -148,7 +148,7 @@
 		if !z.joined[x.Poll.Proxy] {
 			z.joined[x.Poll.Proxy] = true
 			s.Joined++
-			z.Proxies = max(z.Proxies, len(z.joined))
+			z.MaxProxies = max(z.MaxProxies, len(z.joined))
 		}
 	case *recordpb.Record_Leave:
 		if z.joined[x.Leave] {
@@ -157,16 +157,16 @@
 		}
 	case *recordpb.Record_Sums:
 		for _, h := range x.Sums.Hosts {
-			s.Tries, s.Failed = s.Tries+h.Tries, s.Failed+h.Failed
+			s.Attempts, s.Failed = s.Attempts+h.Tries, s.Failed+h.Failed
 		}
 		for _, u := range x.Sums.Usage {
-			s.Came, s.Unanswered = s.Came+u.Came, s.Unanswered+u.Unanswered
+			s.Arrivals, s.NoResponse = s.Arrivals+u.Came, s.NoResponse+u.Unanswered
 		}
 	case *recordpb.Record_Probed:
 		if routing.HealthCheckResult(x.Probed.Outcome) == routing.Healthy {
-			s.ProbesFine++
+			s.HealthyChecks++
 		} else {
-			s.ProbesOther++
+			s.UnhealthyChecks++
 		}
 	case *recordpb.Record_Published:
 		if controller.ResponseKind(x.Published.Kind) != controller.NotModified {
@@ -178,7 +178,7 @@
 // Cut gives a part of a day as a day of its own: the list and the proxies that were joined when it begins, then
 // its inputs, with the answers that the library now gives. What was learned before the part is not in it, so its
 // answers may differ from the day's; replayed again they come out the same.
-func Cut(next Next, build Make, from, to float64, emit func(*recordpb.Record) error) error {
+func Cut(next NextFunc, build ControllerFactory, from, to float64, emit func(*recordpb.Record) error) error {
 	c := &cutter{proxies: map[string]*recordpb.Record{}, out: &replayer{}, emit: emit, build: build, from: from}
 	for {
 		r, err := next()
@@ -205,7 +205,7 @@
 	steward     *controller.Controller
 	out         *replayer
 	emit        func(*recordpb.Record) error
-	build       Make
+	build       ControllerFactory
 	from        float64
 }
 
--- a/replay/transactions.go
+++ b/replay/transactions.go
@@ -35,7 +35,7 @@
 	p, c := e.proxy(name, zone), e.set.Classes[k]
 	e.came(t.Class, zone)
 	w := e.window(t.Came)
-	w.Asked[k] += c.PriorityWeight
+	w.Offered[k] += c.PriorityWeight
 	earned := 0.0
 	if last := len(t.Tries) - 1; t.Fulfilled && t.Tries[last].At+t.Tries[last].Took-t.Came <= c.LatencyObjectiveMs {
 		earned = c.PriorityWeight
@@ -49,7 +49,7 @@
 		id: fmt.Sprintf("%s-%d", name, e.counter)}
 	table := p.tables[t.Class]
 	if !table.Assigned { // it went by hosts of its own, which no steward ordered
-		e.out.AsSeen++
+		e.out.UnroutedRequests++
 		w.Replayed[k] += earned
 		return
 	}
@@ -87,7 +87,7 @@
 
 // window gives the window of a time.
 func (e *engine) window(at float64) *Window {
-	i := max(int((at-e.out.From)/windowLength), 0)
+	i := max(int((at-e.out.FromMs)/windowLength), 0)
 	n := len(e.out.Classes)
 	for len(e.out.Windows) <= i {
 		e.out.Windows = append(e.out.Windows, Window{make([]float64, n), make([]float64, n), make([]float64, n)})
@@ -114,10 +114,10 @@
 	if how != response.NeverRan {
 		x.ran++
 	}
-	if e.set.Figures.NonIdempotentClasses[x.class] && len(x.tried) == 1 {
+	if e.set.Limits.NonIdempotentClasses[x.class] && len(x.tried) == 1 {
 		e.once++
 	}
-	if e.set.Figures.NonIdempotentClasses[x.class] && x.ran == 2 {
+	if e.set.Limits.NonIdempotentClasses[x.class] && x.ran == 2 {
 		e.doubled++
 	}
 	e.dues.Schedule(done, func() { e.ended(p, x, host, began, how) })
