--- a/replay/ahead.go
+++ b/replay/ahead.go
@@ -15,8 +15,8 @@
 type ahead struct {
 	m       *merged
 	model   *response.Model
-	lines   *response.Lines // nil: they are not wanted
-	by      float64         // ms that it reads ahead
+	lines   *response.QueueReconstruction // nil: they are not wanted
+	by      float64                       // ms that it reads ahead
 	queue   []*workedItem
 	pending deadlinequeue.Queue[func()]
 	at      float64 // of what was read last
@@ -43,7 +43,7 @@
 	}
 	a := &ahead{m: m, model: sc.model, by: patience + aheadMore, at: sc.from}
 	if lines {
-		a.lines = response.NewLines(sc.model)
+		a.lines = response.NewQueueReconstruction(sc.model)
 	}
 	return a, nil
 }
@@ -54,7 +54,7 @@
 		if errors.Is(err, io.EOF) {
 			a.ended = true
 			a.reckon(endless)
-			a.model.Settle(a.at + a.by)
+			a.model.CloseWindows(a.at + a.by)
 			break
 		}
 		if err != nil {
@@ -64,8 +64,8 @@
 		a.reckon(x.at)
 		if a.at >= a.settled+settleEvery {
 			a.settled = a.at
-			a.model.Settle(a.at)
-			a.model.Drop(a.at - a.by)
+			a.model.CloseWindows(a.at)
+			a.model.DiscardBefore(a.at - a.by)
 		}
 		a.add(x)
 	}
@@ -103,27 +103,27 @@
 		t := r.Transaction
 		i.works = make([]tryWork, len(t.Tries))
 		for k, r := range t.Tries {
-			a.model.Saw(t.Class, r.Host, r.At, r.Took, response.Outcome(r.Result))
+			a.model.ObserveAttempt(t.Class, r.Host, r.At, r.Took, response.Result(r.Result))
 			if a.lines != nil {
 				a.pending.Schedule(r.At, func() { a.take(i, t.Class, k, r) })
 			}
 		}
 	case *recordpb.Record_Probed:
-		a.model.Probed(r.Probed.Host, x.at, r.Probed.Outcome == 0, r.Probed.Outcome == 3)
+		a.model.ObserveHealthCheck(r.Probed.Host, x.at, r.Probed.Outcome == 0, r.Probed.Outcome == 3)
 	case *recordpb.Record_Sums:
 		for _, h := range r.Sums.Hosts {
 			if h.Load != nil {
-				a.model.Loaded(h.Host, x.at, h.Load.Util)
+				a.model.ObserveUtilization(h.Host, x.at, h.Load.Util)
 			}
 		}
 	}
 }
 
 func (a *ahead) take(i *workedItem, class string, k int, r *recordpb.Try) {
-	how := response.Outcome(r.Result)
-	begin, service := a.lines.Took(class, r.Host, r.At, r.Took, how)
+	how := response.Result(r.Result)
+	begin, service := a.lines.AddAttempt(class, r.Host, r.At, r.Took, how)
 	i.works[k] = tryWork{begin, service}
-	a.model.Worked(class, r.Host, r.At, r.Took, begin, service, how)
+	a.model.ObserveServiceTime(class, r.Host, r.At, r.Took, begin, service, how)
 }
 
 // all reads the day to its end.
--- a/replay/gap.go
+++ b/replay/gap.go
@@ -41,9 +41,9 @@
 	zones := map[string]bool{}
 	for _, name := range slices.Sorted(maps.Keys(e.listed)) {
 		h := e.listed[name]
-		fit := e.scan.model.Host(name)
-		answers, _ := e.scan.model.Alive(name, e.now)
-		x := solver.Host{Name: name, Zone: h.zone, Speed: 1 / math.Max(e.scan.model.Slowness(name, e.now)*fit.Speed, 1e-6), Warm: 1,
+		fit := e.scan.model.Parameters(name)
+		answers, _ := e.scan.model.Liveness(name, e.now)
+		x := solver.Host{Name: name, Zone: h.zone, Speed: 1 / math.Max(e.scan.model.SlowdownFactor(name, e.now)*fit.ServiceTimeFactor, 1e-6), Warm: 1,
 			Draining: !h.ready}
 		if answers {
 			x.Cores = float64(fit.Cores)
@@ -57,7 +57,7 @@
 	p.Zones = slices.Sorted(maps.Keys(zones))
 	for _, c := range e.set.Classes {
 		if by := came[c.Name]; len(by) > 0 {
-			p.Classes = append(p.Classes, solver.Class{Name: c.Name, Earnings: c.PriorityWeight, Work: e.scan.model.UsualTime(c.Name), Local: c.ZoneLocal})
+			p.Classes = append(p.Classes, solver.Class{Name: c.Name, Earnings: c.PriorityWeight, Work: e.scan.model.BaseServiceTime(c.Name), Local: c.ZoneLocal})
 		}
 	}
 	if g, err := p.Measure(e.standing()); err == nil {
--- a/replay/other.go
+++ b/replay/other.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &engine{set: set, scan: sc, hosts: response.NewHosts(sc.model), journal: rules.NewEventLog(),
+	e := &engine{set: set, scan: sc, hosts: response.NewSimulatedHosts(sc.model), journal: rules.NewEventLog(),
 		lives: map[string]*life{}, proxies: map[string]*proxy{}, class: map[string]int{},
 		out: &Outcome{FromMs: sc.from, ClockOffsets: map[string][]ClockOffset{}}}
 	e.journal.Lean()
@@ -106,7 +106,7 @@
 type engine struct {
 	set     Settings
 	scan    *scan
-	hosts   *response.Hosts
+	hosts   *response.SimulatedHosts
 	journal *rules.EventLog
 	out     *Outcome
 
@@ -342,8 +342,8 @@
 	for _, x := range entries {
 		ready := x.State == routing.Ready
 		l.e.listed[x.Host], seen[x.Host] = listedHost{x.Zone, ready}, rules.Listed{Ready: ready, Started: x.StartedMs}
-		fit := l.e.scan.model.Host(x.Host)
-		l.e.journal.LogCapacity(x.Host, float64(fit.Cores)/fit.Speed)
+		fit := l.e.scan.model.Parameters(x.Host)
+		l.e.journal.LogCapacity(x.Host, float64(fit.Cores)/fit.ServiceTimeFactor)
 	}
 	l.e.journal.LogEndpoints(l.e.now, seen)
 	l.steward.SetEndpoints(l.e.now, entries)
@@ -406,7 +406,7 @@
 }
 
 func (l *life) CheckHealth(host string) {
-	answers, there := l.e.scan.model.Alive(host, l.e.now)
+	answers, there := l.e.scan.model.Liveness(host, l.e.now)
 	wait, how := 1.0, routing.Healthy
 	if !answers && there {
 		wait, how = l.e.set.HealthCheckTimeoutMs, routing.TimedOut
@@ -460,7 +460,7 @@
 }
 
 func (e *engine) finish() {
-	e.out.Attempts, e.out.ExtrapolatedAttempts = e.hosts.Tries, e.hosts.Beyond
+	e.out.Attempts, e.out.ExtrapolatedAttempts = e.hosts.Attempts, e.hosts.Extrapolated
 	e.out.Verdicts = e.journal.Check(e.set.Limits, e.now)
 	e.out.Verdicts[1] = e.twice() // the journal is lean, and holds a part only
 }
--- a/replay/response/cells.go
+++ b/replay/response/cells.go
@@ -69,7 +69,7 @@
 }
 
 // Settle takes in what was seen up to a time: nothing more is told of a window that ends before it.
-func (m *Model) Settle(before float64) { m.settle(m.window(before)) }
+func (m *Model) CloseWindows(before float64) { m.settle(m.window(before)) }
 
 func (m *Model) settle(end int) {
 	for host, r := range m.rows {
@@ -91,7 +91,7 @@
 }
 
 // Drop forgets what is not asked for from a time on, but what holds on from before it.
-func (m *Model) Drop(before float64) {
+func (m *Model) DiscardBefore(before float64) {
 	keep := m.window(before) - reach - 1
 	for _, r := range m.rows {
 		if n := min(keep, r.settled) - r.base; n >= dropLeast {
@@ -105,15 +105,15 @@
 const dropLeast = 32
 
 // slow works out by how much a host was slower in a window that is settled.
-func (r *row) slow(i int, c *cell, h Host) {
+func (r *row) slow(i int, c *cell, h HostParameters) {
 	if c.state() != alive {
 		return
 	}
 	switch {
 	case c.straight.done >= slowLeast:
-		c.slow = c.straight.ratio() / h.Speed
+		c.slow = c.straight.ratio() / h.ServiceTimeFactor
 	case c.all.done >= slowLeast:
-		c.slow = math.Min(c.all.ratio()/h.Speed, math.Max(1, float64(h.Cores)*window/(c.work*h.Speed)))
+		c.slow = math.Min(c.all.ratio()/h.ServiceTimeFactor, math.Max(1, float64(h.Cores)*window/(c.work*h.ServiceTimeFactor)))
 		if r.last > 0 { // when these began is not sure, so what was last seen counts too
 			n := float64(c.all.done)
 			c.slow = (n*c.slow + unsureAs*r.last) / (n + unsureAs)
--- a/replay/response/fit.go
+++ b/replay/response/fit.go
@@ -71,15 +71,15 @@
 // stated, the tries in hand, by their times (Little's law), over the part of them that it reported as busy, in windows
 // where few waited; without such as many as its busiest window needs. It is as fast as its tries are on average in its
 // quicker windows, where few wait, until FitWork knows better.
-func (m *Model) Fit() {
+func (m *Model) FitCores() {
 	m.next(fittingWork)
 	for host, x := range m.sums {
-		h := Host{Speed: 1, Cores: 1}
+		h := HostParameters{ServiceTimeFactor: 1, Cores: 1}
 		if len(x.ratios.all) > 0 {
-			h.Learned, h.Speed = true, math.Max(x.ratios.part(0.25), 0.05)
+			h.Observed, h.ServiceTimeFactor = true, math.Max(x.ratios.part(0.25), 0.05)
 		}
-		cores := x.busiest * h.Speed
-		if inHand, busy := x.inQuiet(h.Speed); busy > 0 {
+		cores := x.busiest * h.ServiceTimeFactor
+		if inHand, busy := x.inQuiet(h.ServiceTimeFactor); busy > 0 {
 			cores = inHand / busy
 		}
 		if stated, ok := m.stated[host]; ok {
@@ -111,8 +111,8 @@
 func (m *Model) quickened() {
 	told := m.statedTime(0.25, nil) // waiting makes it longer only
 	for host, x := range m.stated {
-		if h := m.hosts[host]; h.Learned && told > 0 {
-			h.Speed = math.Min(h.Speed, told/x.speed)
+		if h := m.hosts[host]; h.Observed && told > 0 {
+			h.ServiceTimeFactor = math.Min(h.ServiceTimeFactor, told/x.speed)
 			m.hosts[host] = h
 		}
 	}
@@ -123,8 +123,8 @@
 func (m *Model) statedTime(part float64, out map[string]bool) float64 {
 	var all []float64
 	for host, x := range m.stated {
-		if h := m.hosts[host]; h.Learned && !out[host] {
-			all = append(all, h.Speed*x.speed)
+		if h := m.hosts[host]; h.Observed && !out[host] {
+			all = append(all, h.ServiceTimeFactor*x.speed)
 		}
 	}
 	if sort.Float64s(all); len(all) > 0 {
@@ -157,21 +157,21 @@
 // it had worked, and not as one that was done: so the mean is right where the slow ones are those that are cut off
 // (the estimate of a rate under censoring). The speed is that of the middle window. Hosts that were never at work, or
 // where tries waited all day, are taken to be as the others are for what the list states.
-func (m *Model) FitWork() {
+func (m *Model) FitServiceTimes() {
 	m.next(asking)
 	unsure := map[string]bool{}
 	for host, h := range m.hosts {
 		x := m.sum(host)
-		h.Full = int(x.full.part(0.5))
+		h.QueueLimit = int(x.full.part(0.5))
 		if unsure[host] = x.straight < speedLeast; !unsure[host] {
-			h.Speed = math.Max(x.ratios.part(0.5), 0.05)
+			h.ServiceTimeFactor = math.Max(x.ratios.part(0.5), 0.05)
 		}
 		m.hosts[host] = h
 	}
 	told := m.statedTime(0.5, unsure)
 	for host, x := range m.stated {
-		if h := m.hosts[host]; (!h.Learned || unsure[host]) && told > 0 {
-			h.Speed, h.Cores = told/x.speed, max(int(math.Round(x.cores)), 1)
+		if h := m.hosts[host]; (!h.Observed || unsure[host]) && told > 0 {
+			h.ServiceTimeFactor, h.Cores = told/x.speed, max(int(math.Round(x.cores)), 1)
 			m.hosts[host] = h
 		}
 	}
--- a/replay/response/line.go
+++ b/replay/response/line.go
@@ -10,7 +10,7 @@
 // Line puts together a host's queue from the tries that it got, in the order in which they came: with first come,
 // first served over known cores a try begins when all but one fewer than the cores of those ahead of it are done
 // (Kiefer and Wolfowitz's recursion, read backwards), so what it waited and what it worked come apart.
-type Line struct {
+type ReconstructedQueue struct {
 	cores int
 	ends  []end   // when those that are still in it are done, in order
 	blind bool    // a try was given up, and none since was done so soon that nobody can have waited before it
@@ -24,10 +24,12 @@
 }
 
 // NewLine makes an empty one.
-func NewLine(cores int) *Line { return &Line{cores: max(cores, 1), ratio: 1} }
+func NewReconstructedQueue(cores int) *ReconstructedQueue {
+	return &ReconstructedQueue{cores: max(cores, 1), ratio: 1}
+}
 
 // Begins tells when a try that comes at a time begins. Times must not fall.
-func (l *Line) Begins(at float64) float64 {
+func (l *ReconstructedQueue) StartTime(at float64) float64 {
 	l.ends = l.ends[sort.Search(len(l.ends), func(i int) bool { return l.ends[i].at > at }):]
 	if n := len(l.ends); n >= l.cores {
 		return l.ends[n-l.cores].at
@@ -36,13 +38,13 @@
 }
 
 // Done notes when the try that came last is done, and whether that is a guess.
-func (l *Line) Done(at float64, guess bool) {
+func (l *ReconstructedQueue) AddCompletion(at float64, guess bool) {
 	i := sort.Search(len(l.ends), func(i int) bool { return l.ends[i].at >= at })
 	l.ends = slices.Insert(l.ends, i, end{at, guess})
 }
 
 // Sooner moves the guesses by so much: a try was done before they would have let it begin.
-func (l *Line) Sooner(ms float64) {
+func (l *ReconstructedQueue) AdvanceEstimates(ms float64) {
 	for i := range l.ends {
 		if l.ends[i].guess {
 			l.ends[i].at -= ms
@@ -52,36 +54,38 @@
 }
 
 // Lines are those of a model's hosts.
-type Lines struct {
+type QueueReconstruction struct {
 	model *Model
-	lines map[string]*Line
+	lines map[string]*ReconstructedQueue
 }
 
 // NewLines makes empty lines, over the cores that the model has found.
-func NewLines(m *Model) *Lines { return &Lines{m, map[string]*Line{}} }
+func NewQueueReconstruction(m *Model) *QueueReconstruction {
+	return &QueueReconstruction{m, map[string]*ReconstructedQueue{}}
+}
 
 // Took tells, of a try as it was recorded, when its work began and how long that took; for one that failed how long
 // it had worked when it was given up, which may be nothing. Tries of a host must come in the order of their times.
-func (l *Lines) Took(class, host string, at, took float64, how Outcome) (begin, service float64) {
+func (l *QueueReconstruction) AddAttempt(class, host string, at, took float64, how Result) (begin, service float64) {
 	line := l.lines[host]
 	if line == nil {
-		h := l.model.Host(host)
-		line = NewLine(h.Cores)
-		line.ratio = h.Speed
+		h := l.model.Parameters(host)
+		line = NewReconstructedQueue(h.Cores)
+		line.ratio = h.ServiceTimeFactor
 		l.lines[host] = line
 	}
-	begin, done := line.Begins(at), at+took
+	begin, done := line.StartTime(at), at+took
 	if how == NeverRan {
 		l.model.refused(host, at, len(line.ends)-line.cores)
 		return at, 0
 	}
-	usual := l.model.UsualTime(class)
+	usual := l.model.BaseServiceTime(class)
 	if began := math.Max(at, done-usual*line.ratio); how == Fulfilled {
 		if done-at < soonDone*usual*line.ratio {
 			line.blind = false
 		}
 		if begin >= done {
-			line.Sooner(begin - began)
+			line.AdvanceEstimates(begin - began)
 			begin = began
 		} else if line.blind && done-begin > soonDone*usual*line.ratio {
 			begin = began // it waited longer than the guesses have it, rather than that it was slow
@@ -96,7 +100,7 @@
 	} else { // it was given up and not stopped: it is taken to work as long as those lately done
 		done = begin + usual*line.ratio
 	}
-	line.Done(done, how != Fulfilled)
+	line.AddCompletion(done, how != Fulfilled)
 	return begin, service
 }
 
--- a/replay/response/model.go
+++ b/replay/response/model.go
@@ -7,21 +7,21 @@
 import "math"
 
 // Outcome of a try.
-type Outcome int
+type Result int
 
 // As in package client.
 const (
-	Fulfilled Outcome = iota
+	Fulfilled Result = iota
 	Failed
 	NeverRan
 )
 
 // Host is what the fit found of one.
-type Host struct {
-	Speed   float64 // times a class's usual time that an unhurried try takes here
-	Cores   int
-	Full    int  // so many may wait, further tries are refused; 0: never seen
-	Learned bool // from its own tries
+type HostParameters struct {
+	ServiceTimeFactor float64 // times a class's usual time that an unhurried try takes here
+	Cores             int
+	QueueLimit        int  // so many may wait, further tries are refused; 0: never seen
+	Observed          bool // from its own tries
 }
 
 // Model is fitted in passes over a day, each in the order of time, and keeps of a day only what lies about the present:
@@ -34,7 +34,7 @@
 	pass    pass
 	samples map[string]*sample // usual times by class
 	usual   map[string]float64
-	hosts   map[string]Host
+	hosts   map[string]HostParameters
 	stated  map[string]capacity
 	sums    map[string]*summary // of the pass, by host
 }
@@ -51,11 +51,11 @@
 // New makes a model of a day that begins at a time.
 func New(start float64) *Model {
 	return &Model{rows: map[string]*row{}, start: start, samples: map[string]*sample{}, usual: map[string]float64{},
-		hosts: map[string]Host{}, stated: map[string]capacity{}, sums: map[string]*summary{}}
+		hosts: map[string]HostParameters{}, stated: map[string]capacity{}, sums: map[string]*summary{}}
 }
 
 // Begin sets the time at which the day begins, before anything is seen.
-func (m *Model) Begin(start float64) { m.start = start }
+func (m *Model) SetStart(start float64) { m.start = start }
 
 func (m *Model) sum(host string) *summary {
 	x := m.sums[host]
@@ -73,7 +73,7 @@
 }
 
 // Usual notes a good try's time for its class's usual time. All tries go through it before any goes to Saw.
-func (m *Model) Usual(class string, took float64) {
+func (m *Model) ObserveLatency(class string, took float64) {
 	s := m.samples[class]
 	if s == nil {
 		s = &sample{}
@@ -86,7 +86,7 @@
 const usualPart = 0.35
 
 // UsualTime is that of a class: what a try takes that is not held up.
-func (m *Model) UsualTime(class string) float64 {
+func (m *Model) BaseServiceTime(class string) float64 {
 	t, ok := m.usual[class]
 	if !ok {
 		if s := m.samples[class]; s != nil {
@@ -99,7 +99,7 @@
 }
 
 // Saw notes a try as it was recorded.
-func (m *Model) Saw(class, host string, at, took float64, how Outcome) {
+func (m *Model) ObserveAttempt(class, host string, at, took float64, how Result) {
 	switch how {
 	case Fulfilled:
 		c := m.cell(host, at+took) // it was alive when it answered
@@ -107,7 +107,7 @@
 		if c.firstGood < 0 || at < c.firstGood {
 			c.firstGood = at
 		}
-		usual := m.UsualTime(class)
+		usual := m.BaseServiceTime(class)
 		c.work, c.took = c.work+usual, c.took+took
 		c.ratios += took / usual
 	default:
@@ -124,7 +124,7 @@
 }
 
 // Probed notes a probe: fine, or without an answer, or with nothing found there.
-func (m *Model) Probed(host string, at float64, fine, absent bool) {
+func (m *Model) ObserveHealthCheck(host string, at float64, fine, absent bool) {
 	c := m.cell(host, at)
 	switch {
 	case fine:
@@ -137,7 +137,7 @@
 }
 
 // Loaded notes the busy part of a host's cores, as it reported it.
-func (m *Model) Loaded(host string, at, util float64) {
+func (m *Model) ObserveUtilization(host string, at, util float64) {
 	if util >= 0 {
 		m.cell(host, at).util = math.Min(util, 1)
 	}
@@ -147,7 +147,7 @@
 type capacity struct{ cores, speed float64 }
 
 // Stated notes a host's cores and the speed of each, against others, as the list tells them; cores 0: not told.
-func (m *Model) Stated(host string, cores, speed float64) {
+func (m *Model) SetListedCapacity(host string, cores, speed float64) {
 	if cores > 0 {
 		if speed <= 0 {
 			speed = 1
@@ -157,7 +157,7 @@
 }
 
 // Worked notes what Lines tells of a try: when its work began, and how long it went on.
-func (m *Model) Worked(class, host string, at, took, begin, service float64, how Outcome) {
+func (m *Model) ObserveServiceTime(class, host string, at, took, begin, service float64, how Result) {
 	switch how {
 	case NeverRan:
 		return
@@ -174,17 +174,17 @@
 		if w == &c.straight && begin > at {
 			continue
 		}
-		if w.service += service / m.UsualTime(class); how == Fulfilled {
+		if w.service += service / m.BaseServiceTime(class); how == Fulfilled {
 			w.done++
 		}
 	}
 }
 
 // Host gives what the fit found.
-func (m *Model) Host(host string) Host {
+func (m *Model) Parameters(host string) HostParameters {
 	h, ok := m.hosts[host]
 	if !ok {
-		return Host{Speed: 1, Cores: 1}
+		return HostParameters{ServiceTimeFactor: 1, Cores: 1}
 	}
 	return h
 }
@@ -214,24 +214,24 @@
 }
 
 // Alive tells whether a probe at a time would be answered, and if not whether anything is there at all.
-func (m *Model) Alive(host string, t float64) (answers, there bool) {
+func (m *Model) Liveness(host string, t float64) (answers, there bool) {
 	s, _, _ := m.at(host, t)
 	return s == alive, s != dead
 }
 
 // Takes is how long an unhurried try of usual work takes at a host at a time.
-func (m *Model) Takes(class, host string, t float64) float64 {
+func (m *Model) ServiceTime(class, host string, t float64) float64 {
 	_, slow, _ := m.at(host, t)
-	return m.UsualTime(class) * m.Host(host).Speed * slow
+	return m.BaseServiceTime(class) * m.Parameters(host).ServiceTimeFactor * slow
 }
 
 // Work is what a transaction was against its class's usual, by what Lines tells of a good try of it.
-func (m *Model) Work(class, host string, begin, service float64) float64 {
-	return service / m.Takes(class, host, begin)
+func (m *Model) RelativeWork(class, host string, begin, service float64) float64 {
+	return service / m.ServiceTime(class, host, begin)
 }
 
 // Slowness is how many times slower than usual a host is at a time.
-func (m *Model) Slowness(host string, t float64) float64 {
+func (m *Model) SlowdownFactor(host string, t float64) float64 {
 	_, slow, _ := m.at(host, t)
 	return slow
 }
--- a/replay/response/response_test.go
+++ b/replay/response/response_test.go
@@ -9,7 +9,7 @@
 )
 
 // record makes a day's tries at hosts whose truth is known: some cores, a speed, and what ails them by time.
-func record(m *Model, pass func(class, host string, at, took float64, how Outcome), probe func(host string, at float64, fine, absent bool)) {
+func record(m *Model, pass func(class, host string, at, took float64, how Result), probe func(host string, at float64, fine, absent bool)) {
 	for h, truth := range hosts {
 		random := rand.New(rand.NewPCG(uint64(h), 7))
 		free := make([]float64, truth.cores)
@@ -43,7 +43,7 @@
 			if truth.ails == "slow" && at >= 20000 && at < 46000 { // until what waited is done
 				busy = 1
 			}
-			m.Loaded(fmt.Sprint("h", h), at, math.Min(1, busy))
+			m.ObserveUtilization(fmt.Sprint("h", h), at, math.Min(1, busy))
 		}
 	}
 }
@@ -56,30 +56,30 @@
 
 // passed makes a pass over the day, with the lines where they are wanted.
 func passed(m *Model, lines bool) {
-	record(m, m.Saw, m.Probed)
+	record(m, m.ObserveAttempt, m.ObserveHealthCheck)
 	if !lines {
 		return
 	}
-	l := NewLines(m)
-	record(m, func(class, host string, at, took float64, how Outcome) {
-		begin, service := l.Took(class, host, at, took, how)
-		m.Worked(class, host, at, took, begin, service, how)
+	l := NewQueueReconstruction(m)
+	record(m, func(class, host string, at, took float64, how Result) {
+		begin, service := l.AddAttempt(class, host, at, took, how)
+		m.ObserveServiceTime(class, host, at, took, begin, service, how)
 	}, nil)
 }
 
 // fitted makes all passes up to where the model is asked.
 func fitted(m *Model) {
-	record(m, func(class, _ string, _, took float64, how Outcome) {
+	record(m, func(class, _ string, _, took float64, how Result) {
 		if how == Fulfilled {
-			m.Usual(class, took)
+			m.ObserveLatency(class, took)
 		}
 	}, nil)
 	passed(m, false)
-	m.Fit()
+	m.FitCores()
 	passed(m, true)
-	m.FitWork()
+	m.FitServiceTimes()
 	passed(m, true)
-	m.Settle(70000)
+	m.CloseWindows(70000)
 }
 
 // The fit finds cores and speeds, and when a host was slow, hung or dead; asked again it answers about as the
@@ -88,15 +88,15 @@
 	m := New(0)
 	fitted(m)
 	for h, truth := range hosts {
-		fit, usual := m.Host(fmt.Sprint("h", h)), m.UsualTime("sheet")/100
+		fit, usual := m.Parameters(fmt.Sprint("h", h)), m.BaseServiceTime("sheet")/100
 		if h == 5 { // of one that cannot keep up, and of which no list tells the cores, little can be told
-			if does := float64(fit.Cores) / fit.Speed / usual; does < 1.2 || does > 2.6 {
+			if does := float64(fit.Cores) / fit.ServiceTimeFactor / usual; does < 1.2 || does > 2.6 {
 				t.Errorf("host 5 is taken to do %.2f of 2 cores' work: %+v", does, fit)
 			}
 			continue
 		}
-		if math.Abs(float64(fit.Cores-truth.cores)) > 1 || math.Abs(fit.Speed*usual/truth.speed-1) > 0.25 {
-			t.Errorf("host %d: %+v of %+v, usual %.0f", h, fit, truth, m.UsualTime("sheet"))
+		if math.Abs(float64(fit.Cores-truth.cores)) > 1 || math.Abs(fit.ServiceTimeFactor*usual/truth.speed-1) > 0.25 {
+			t.Errorf("host %d: %+v of %+v, usual %.0f", h, fit, truth, m.BaseServiceTime("sheet"))
 		}
 	}
 	for _, x := range []struct {
@@ -104,24 +104,24 @@
 		at             float64
 		answers, there bool
 	}{{"h0", 25000, true, true}, {"h2", 26000, false, true}, {"h3", 26000, false, false}, {"h3", 40000, true, true}, {"h2", 10000, true, true}} {
-		if answers, there := m.Alive(x.host, x.at); answers != x.answers || there != x.there {
+		if answers, there := m.Liveness(x.host, x.at); answers != x.answers || there != x.there {
 			t.Errorf("%+v: %v %v", x, answers, there)
 		}
 	}
 	if _, slow, _ := m.at("h1", 26500); slow < 3 || slow > 9 {
 		t.Errorf("a host six times slower is taken as %.1f times", slow)
 	}
-	again, was, now := NewHosts(m), [6]float64{}, [6]float64{}
-	lines := NewLines(m)
-	record(m, func(class, host string, at, took float64, how Outcome) {
+	again, was, now := NewSimulatedHosts(m), [6]float64{}, [6]float64{}
+	lines := NewQueueReconstruction(m)
+	record(m, func(class, host string, at, took float64, how Result) {
 		if how == Fulfilled && took <= 500 {
 			was[host[1]-'0']++
 		}
 		work := 1.0
-		if begin, service := lines.Took(class, host, at, took, how); how == Fulfilled {
-			work = m.Work(class, host, begin, service)
+		if begin, service := lines.AddAttempt(class, host, at, took, how); how == Fulfilled {
+			work = m.RelativeWork(class, host, begin, service)
 		}
-		if done, how := again.Answer(class, host, at, work, 2500); how == Fulfilled && done-at <= 500 {
+		if done, how := again.Respond(class, host, at, work, 2500); how == Fulfilled && done-at <= 500 {
 			now[host[1]-'0']++
 		}
 	}, nil)
@@ -137,63 +137,63 @@
 func TestStated(t *testing.T) {
 	m := New(0)
 	for h, truth := range hosts {
-		m.Stated(fmt.Sprint("h", h), float64(truth.cores), 1/truth.speed)
+		m.SetListedCapacity(fmt.Sprint("h", h), float64(truth.cores), 1/truth.speed)
 	}
-	m.Stated("idle", 6, 0.5)
+	m.SetListedCapacity("idle", 6, 0.5)
 	fitted(m)
-	usual := m.UsualTime("sheet") / 100
+	usual := m.BaseServiceTime("sheet") / 100
 	for h, truth := range hosts {
-		if fit := m.Host(fmt.Sprint("h", h)); fit.Cores != truth.cores || math.Abs(fit.Speed*usual/truth.speed-1) > 0.1 {
+		if fit := m.Parameters(fmt.Sprint("h", h)); fit.Cores != truth.cores || math.Abs(fit.ServiceTimeFactor*usual/truth.speed-1) > 0.1 {
 			t.Errorf("host %d: %+v of %+v, usual %.2f", h, fit, truth, usual)
 		}
 	}
-	if fit := m.Host("idle"); fit.Cores != 6 || math.Abs(fit.Speed*usual/2-1) > 0.1 {
+	if fit := m.Parameters("idle"); fit.Cores != 6 || math.Abs(fit.ServiceTimeFactor*usual/2-1) > 0.1 {
 		t.Errorf("one that was never at work: %+v", fit)
 	}
 }
 
 // A try begins when a core is free for it: what it waited is told from what it worked.
 func TestLine(t *testing.T) {
-	l := NewLine(2)
+	l := NewReconstructedQueue(2)
 	var got []float64
 	for _, x := range [][2]float64{{0, 100}, {10, 50}, {20, 90}, {30, 180}, {200, 210}} {
-		got = append(got, l.Begins(x[0]))
-		l.Done(x[1], x[1] == 180)
+		got = append(got, l.StartTime(x[0]))
+		l.AddCompletion(x[1], x[1] == 180)
 	}
 	if want := []float64{0, 10, 50, 90, 200}; !slices.Equal(got, want) {
 		t.Errorf("tries begin at %v, should at %v", got, want)
 	}
-	l.Done(500, true)
-	l.Done(600, true)
-	if l.Begins(300) != 500 {
-		t.Errorf("behind two guesses: %v", l.Begins(300))
+	l.AddCompletion(500, true)
+	l.AddCompletion(600, true)
+	if l.StartTime(300) != 500 {
+		t.Errorf("behind two guesses: %v", l.StartTime(300))
 	}
-	if l.Sooner(150); l.Begins(300) != 350 {
-		t.Errorf("with the guesses moved: %v", l.Begins(300))
+	if l.AdvanceEstimates(150); l.StartTime(300) != 350 {
+		t.Errorf("with the guesses moved: %v", l.StartTime(300))
 	}
 }
 
 // A host that was never tried is answered for, and counted as extrapolated; more load than its cores can do waits.
 func TestBeyondTheRecord(t *testing.T) {
 	m := New(0)
-	m.Usual("sheet", 100)
-	m.Fit()
-	h := NewHosts(m)
-	if done, how := h.Answer("sheet", "new", 0, 1, 2500); done != 100 || how != Fulfilled || h.Beyond != 1 {
-		t.Errorf("%.0f %d, %d beyond", done, how, h.Beyond)
+	m.ObserveLatency("sheet", 100)
+	m.FitCores()
+	h := NewSimulatedHosts(m)
+	if done, how := h.Respond("sheet", "new", 0, 1, 2500); done != 100 || how != Fulfilled || h.Extrapolated != 1 {
+		t.Errorf("%.0f %d, %d beyond", done, how, h.Extrapolated)
 	}
-	if done, _ := h.Answer("sheet", "new", 0, 1, 2500); done != 200 {
+	if done, _ := h.Respond("sheet", "new", 0, 1, 2500); done != 200 {
 		t.Errorf("one core was free at %.0f", done)
 	}
 	for range 40 {
-		h.Answer("sheet", "new", 1, 1, 2500)
+		h.Respond("sheet", "new", 1, 1, 2500)
 	}
 	m = New(0)
-	m.Usual("sheet", 100)
-	m.Stated("full", 1, 1)
+	m.ObserveLatency("sheet", 100)
+	m.SetListedCapacity("full", 1, 1)
 	type try struct {
 		at, took float64
-		how      Outcome
+		how      Result
 	}
 	var all []try
 	for i := range 30 {
@@ -204,34 +204,34 @@
 	}
 	all = append(all, try{8001, 1, NeverRan}, try{8002, 1, NeverRan})
 	for pass := range 3 {
-		lines := NewLines(m)
+		lines := NewQueueReconstruction(m)
 		for _, x := range all {
-			m.Saw("sheet", "full", x.at, x.took, x.how)
+			m.ObserveAttempt("sheet", "full", x.at, x.took, x.how)
 		}
 		for _, x := range all {
 			if pass > 0 {
-				begin, service := lines.Took("sheet", "full", x.at, x.took, x.how)
-				m.Worked("sheet", "full", x.at, x.took, begin, service, x.how)
+				begin, service := lines.AddAttempt("sheet", "full", x.at, x.took, x.how)
+				m.ObserveServiceTime("sheet", "full", x.at, x.took, begin, service, x.how)
 			}
 		}
 		switch pass {
 		case 0:
-			m.Fit()
+			m.FitCores()
 		case 1:
-			m.FitWork()
+			m.FitServiceTimes()
 		}
 	}
-	m.Settle(9000)
-	f := NewHosts(m)
+	m.CloseWindows(9000)
+	f := NewSimulatedHosts(m)
 	for i := range 4 {
-		if done, how := f.Answer("sheet", "full", 8500, 1, 2500); how != Fulfilled || math.Abs(done-8600-100*float64(i)) > 1 {
+		if done, how := f.Respond("sheet", "full", 8500, 1, 2500); how != Fulfilled || math.Abs(done-8600-100*float64(i)) > 1 {
 			t.Errorf("try %d: %.0f %d", i, done, how)
 		}
 	}
-	if done, how := f.Answer("sheet", "full", 8500, 1, 2500); how != NeverRan || done != 8501 {
-		t.Errorf("behind as many as a full host was seen to let wait: %.0f %d, %+v", done, how, m.Host("full"))
+	if done, how := f.Respond("sheet", "full", 8500, 1, 2500); how != NeverRan || done != 8501 {
+		t.Errorf("behind as many as a full host was seen to let wait: %.0f %d, %+v", done, how, m.Parameters("full"))
 	}
-	if done, how := h.Answer("sheet", "new", 1, 1, 2500); how != Failed || done != 2501 {
+	if done, how := h.Respond("sheet", "new", 1, 1, 2500); how != Failed || done != 2501 {
 		t.Errorf("behind forty others: %.0f %d", done, how)
 	}
 }
@@ -239,30 +239,30 @@
 // What the model keeps of a day does not grow with it, and what it knows does not change by what it drops.
 func TestDrop(t *testing.T) {
 	m := New(0)
-	m.Usual("sheet", 100)
+	m.ObserveLatency("sheet", 100)
 	for pass := range 3 {
 		for at := 0.0; at < 20e6; at += 500 {
-			m.Saw("sheet", "x", at, 100, Fulfilled)
+			m.ObserveAttempt("sheet", "x", at, 100, Fulfilled)
 			if pass > 0 {
-				m.Worked("sheet", "x", at, 100, at, 100, Fulfilled)
+				m.ObserveServiceTime("sheet", "x", at, 100, at, 100, Fulfilled)
 			}
-			m.Settle(at)
-			m.Drop(at - 5000)
+			m.CloseWindows(at)
+			m.DiscardBefore(at - 5000)
 			if n := len(m.rows["x"].cells); n > 100 {
 				t.Fatalf("%d windows are kept", n)
 			}
 		}
 		switch pass {
 		case 0:
-			m.Fit()
+			m.FitCores()
 		case 1:
-			m.FitWork()
+			m.FitServiceTimes()
 		}
 	}
-	if h := m.Host("x"); math.Abs(h.Speed-1) > 1e-9 {
+	if h := m.Parameters("x"); math.Abs(h.ServiceTimeFactor-1) > 1e-9 {
 		t.Errorf("%+v", h)
 	}
-	if answers, _ := m.Alive("x", 20e6-100); !answers {
+	if answers, _ := m.Liveness("x", 20e6-100); !answers {
 		t.Error("no longer alive")
 	}
 }
--- a/replay/scan.go
+++ b/replay/scan.go
@@ -111,7 +111,7 @@
 			}
 		case *recordpb.Record_Listed:
 			for _, h := range x.Listed.Hosts {
-				usual.Stated(h.Address, h.Cores, h.Speed)
+				usual.SetListedCapacity(h.Address, h.Cores, h.Speed)
 			}
 		case *recordpb.Record_Sums:
 			for _, h := range x.Sums.Hosts {
@@ -124,8 +124,8 @@
 			}
 		case *recordpb.Record_Transaction:
 			for _, t := range x.Transaction.Tries {
-				if response.Outcome(t.Result) == response.Fulfilled {
-					usual.Usual(x.Transaction.Class, t.Took)
+				if response.Result(t.Result) == response.Fulfilled {
+					usual.ObserveLatency(x.Transaction.Class, t.Took)
 				}
 			}
 		}
@@ -142,7 +142,7 @@
 		return nil, errors.New("no proxy's recording is among them: what came, and when, is not known")
 	}
 	sc.clocks(v.published, v.polled, v.applied)
-	usual.Begin(sc.from)
+	usual.SetStart(sc.from)
 	sc.model = usual
 	return sc, nil
 }
@@ -250,7 +250,7 @@
 	for _, pass := range []struct {
 		lines bool
 		end   func()
-	}{{false, sc.model.Fit}, {true, sc.model.FitWork}} {
+	}{{false, sc.model.FitCores}, {true, sc.model.FitServiceTimes}} {
 		a, err := sc.ahead(open, patience, pass.lines)
 		if err != nil {
 			return err
--- a/replay/transactions.go
+++ b/replay/transactions.go
@@ -78,8 +78,8 @@
 // work is what a transaction took against its class's usual time, as far as its record tells.
 func (e *engine) work(t *recordpb.Transaction, works []tryWork) float64 {
 	for k, x := range t.Tries {
-		if response.Outcome(x.Result) == response.Fulfilled {
-			return e.scan.model.Work(t.Class, x.Host, works[k].begin, works[k].service)
+		if response.Result(x.Result) == response.Fulfilled {
+			return e.scan.model.RelativeWork(t.Class, x.Host, works[k].begin, works[k].service)
 		}
 	}
 	return 1
@@ -107,9 +107,9 @@
 		return
 	}
 	began := e.now
-	done, how := e.hosts.Answer(x.class, host, e.now, x.work, x.came+x.patience-e.now)
-	fit := e.scan.model.Host(host)
-	e.journal.LogAttempt(e.now, host, p.name, x.class, x.id, e.scan.model.Takes(x.class, host, e.now)/fit.Speed*x.work, how != response.NeverRan)
+	done, how := e.hosts.Respond(x.class, host, e.now, x.work, x.came+x.patience-e.now)
+	fit := e.scan.model.Parameters(host)
+	e.journal.LogAttempt(e.now, host, p.name, x.class, x.id, e.scan.model.ServiceTime(x.class, host, e.now)/fit.ServiceTimeFactor*x.work, how != response.NeverRan)
 	x.tried = append(x.tried, host)
 	if how != response.NeverRan {
 		x.ran++
@@ -123,7 +123,7 @@
 	e.dues.Schedule(done, func() { e.ended(p, x, host, began, how) })
 }
 
-func (e *engine) ended(p *proxy, x *carried, host string, began float64, how response.Outcome) {
+func (e *engine) ended(p *proxy, x *carried, host string, began float64, how response.Result) {
 	v, met := p.sums.Hosts[host]
 	if !met {
 		v.Load = routing.UnknownLoad
@@ -152,7 +152,7 @@
 }
 
 // met has a proxy shun a host that failed it so many times in a row, as package client does.
-func (p *proxy) met(host string, how response.Outcome, now float64) {
+func (p *proxy) met(host string, how response.Result, now float64) {
 	if p.ejects == 0 {
 		return
 	}
@@ -174,7 +174,7 @@
 }
 
 // again tells whether a proxy tries again after so many tries: as its table says.
-func again(tries, made int, last response.Outcome, repeats bool) bool {
+func again(tries, made int, last response.Result, repeats bool) bool {
 	most := tries
 	if tries > 1 {
 		most = tries - 1
--- a/replay/transactions_test.go
+++ b/replay/transactions_test.go
@@ -117,9 +117,9 @@
 // Work is told of a transaction whose try waited at its host behind another's, and items keep their order.
 func TestWorked(t *testing.T) {
 	m := response.New(0)
-	m.Usual("sheet", 100)
-	m.Saw("sheet", "x", 0, 100, response.Fulfilled)
-	m.Fit() // one core
+	m.ObserveLatency("sheet", 100)
+	m.ObserveAttempt("sheet", "x", 0, 100, response.Fulfilled)
+	m.FitCores() // one core
 	tx := func(came, at, took float64) *recordpb.Record {
 		return &recordpb.Record{At: at + took, What: &recordpb.Record_Transaction{Transaction: &recordpb.Transaction{Class: "sheet", Came: came,
 			Fulfilled: true, Tries: []*recordpb.Try{{At: at, Host: "x", Took: took}}}}}
@@ -129,7 +129,7 @@
 	for _, r := range records {
 		pass.Schedule(r.GetTransaction().Came, item{r.GetTransaction().Came, "p", r})
 	}
-	w := &ahead{m: &merged{buffer: pass, seen: map[uint32]float64{}}, model: m, lines: response.NewLines(m), by: 3000}
+	w := &ahead{m: &merged{buffer: pass, seen: map[uint32]float64{}}, model: m, lines: response.NewQueueReconstruction(m), by: 3000}
 	for i, want := range []tryWork{{0, 100}, {400, 120}, {100, 100}} {
 		x, err := w.next()
 		if err != nil || x.record != records[i] || x.works[0] != want {
