--- a/cmd/barleysail/recording.go
+++ b/cmd/barleysail/recording.go
@@ -28,7 +28,7 @@
 
 // printFaults prints the damaged parts of the recording that were skipped.
 func (r *recordingFile) printFaults(p *printer) {
-	for _, fault := range r.Faults {
+	for _, fault := range r.DamagedRanges {
 		p.printf("damaged: %v\n", fault)
 	}
 }
@@ -36,9 +36,9 @@
 // condition describes whether a recording that was read to its end is complete and undamaged.
 func (r *recordingFile) condition() string {
 	switch {
-	case len(r.Faults) > 0:
-		return fmt.Sprintf("%d parts damaged", len(r.Faults))
-	case !r.Clean():
+	case len(r.DamagedRanges) > 0:
+		return fmt.Sprintf("%d parts damaged", len(r.DamagedRanges))
+	case !r.EndedCleanly():
 		return "not ended cleanly"
 	}
 	return "whole"
@@ -46,12 +46,12 @@
 
 // isDamaged reports whether a recording whose last read returned end is damaged or incomplete.
 func (r *recordingFile) isDamaged(end error) bool {
-	return len(r.Faults) > 0 || !errors.Is(end, io.EOF)
+	return len(r.DamagedRanges) > 0 || !errors.Is(end, io.EOF)
 }
 
 // isReadError reports whether end is neither the proper end of a recording nor a last record that a crash truncated.
 func isReadError(end error) bool {
-	return end != nil && !errors.Is(end, io.EOF) && !errors.Is(end, record.ErrTorn)
+	return end != nil && !errors.Is(end, io.EOF) && !errors.Is(end, record.ErrTruncated)
 }
 
 // countRecords reads a recording to its end. It returns the number of records and the error of the last read, which
--- a/cmd/barleysail/recordings_test.go
+++ b/cmd/barleysail/recordings_test.go
@@ -39,11 +39,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorder := record.NewProxy(file, "test", client.Options{Proxy: "p", Zone: "a"})
+	recorder := record.NewProxyRecorder(file, "test", client.Options{Proxy: "p", Zone: "a"})
 	poll()
 	for range 10 {
 		began := time.Now()
-		recorder.Ended(client.Request{Class: "sheet", ArrivedAt: began, Admitted: true, Fulfilled: true,
+		recorder.RecordRequest(client.Request{Class: "sheet", ArrivedAt: began, Admitted: true, Fulfilled: true,
 			Attempts: []client.Attempt{{Host: "10.0.0.1:80", StartedAt: began, Duration: time.Millisecond}}})
 	}
 	if err := recorder.Close(); err != nil {
--- a/internal/daemon/controller_inputs.go
+++ b/internal/daemon/controller_inputs.go
@@ -12,20 +12,20 @@
 // names the invalid field; the list in force then stays.
 func (l *controllerLoop) setEndpoints(endpoints []controller.Endpoint) (err error) {
 	l.recordedCall(
-		func(nowMs float64) *recordpb.Record { return record.Listed(nowMs, endpoints) },
+		func(nowMs float64) *recordpb.Record { return record.EndpointList(nowMs, endpoints) },
 		func(nowMs float64) { err = l.controller.SetEndpoints(nowMs, endpoints) })
 	return err
 }
 
 // observeWatchFailure notifies the controller that the watch of the endpoint list has failed.
 func (l *controllerLoop) observeWatchFailure() {
-	l.recordedCall(record.ListFailed, l.controller.ObserveWatchFailure)
+	l.recordedCall(record.WatchFailure, l.controller.ObserveWatchFailure)
 }
 
 // observeHealthCheck passes the result of a health check to the controller.
 func (l *controllerLoop) observeHealthCheck(host string, result routing.HealthCheckResult, load routing.HostLoad) {
 	l.recordedCall(
-		func(nowMs float64) *recordpb.Record { return record.Probed(nowMs, host, result, load) },
+		func(nowMs float64) *recordpb.Record { return record.HealthCheck(nowMs, host, result, load) },
 		func(nowMs float64) { l.controller.ObserveHealthCheck(nowMs, host, result, load) })
 }
 
@@ -51,7 +51,7 @@
 // cancelPoll ends a pending poll whose proxy has closed the connection.
 func (l *controllerLoop) cancelPoll(proxy string, id int64) {
 	l.recordedCall(
-		func(nowMs float64) *recordpb.Record { return record.PollGone(nowMs, proxy, id) },
+		func(nowMs float64) *recordpb.Record { return record.CanceledPoll(nowMs, proxy, id) },
 		func(nowMs float64) {
 			delete(l.pendingPolls, id)
 			l.controller.CancelPoll(nowMs, proxy, id)
@@ -61,7 +61,7 @@
 // disconnect ends a proxy's session and reports whether it had one.
 func (l *controllerLoop) disconnect(proxy string) (connected bool) {
 	l.recordedCall(
-		func(nowMs float64) *recordpb.Record { return record.Leave(nowMs, proxy) },
+		func(nowMs float64) *recordpb.Record { return record.Disconnect(nowMs, proxy) },
 		func(nowMs float64) { connected = l.controller.Disconnect(nowMs, proxy, l) })
 	return connected
 }
@@ -71,7 +71,7 @@
 func (l *controllerLoop) observeProxyStats(proxy string, stats controller.ProxyStats) (counted bool, err error) {
 	err = errStopping
 	l.recordedCall(
-		func(nowMs float64) *recordpb.Record { return record.Sums(nowMs, proxy, stats) },
+		func(nowMs float64) *recordpb.Record { return record.ProxyStats(nowMs, proxy, stats) },
 		func(nowMs float64) { counted, err = l.controller.ObserveProxyStats(nowMs, proxy, stats) })
 	return counted, err
 }
@@ -81,7 +81,7 @@
 func (l *controllerLoop) observeLoadReport(host string, report controller.LoadReport) (counted bool, err error) {
 	err = errStopping
 	l.recordedCall(
-		func(nowMs float64) *recordpb.Record { return record.HostLoad(nowMs, host, report) },
+		func(nowMs float64) *recordpb.Record { return record.LoadReport(nowMs, host, report) },
 		func(nowMs float64) { counted, err = l.controller.ObserveLoadReport(nowMs, host, report) })
 	return counted, err
 }
@@ -91,7 +91,7 @@
 func (l *controllerLoop) applyOverrides(commands []operator.Command) (queued bool, err error) {
 	err = errStopping
 	l.recordedCall(
-		func(nowMs float64) *recordpb.Record { return record.Operate(nowMs, commands) },
+		func(nowMs float64) *recordpb.Record { return record.Overrides(nowMs, commands) },
 		func(nowMs float64) { queued, err = l.controller.ApplyOverrides(nowMs, commands, l) })
 	return queued, err
 }
--- a/internal/daemon/controller_loop.go
+++ b/internal/daemon/controller_loop.go
@@ -147,7 +147,7 @@
 // shutDown ends the loop for a graceful shutdown: it responds to pending polls and closes the recording. Later calls on
 // the loop do nothing.
 func (l *controllerLoop) shutDown() {
-	l.recordedCall(record.Release, func(nowMs float64) { l.controller.ReleasePolls(nowMs, l) })
+	l.recordedCall(record.ReleasePolls, func(nowMs float64) { l.controller.ReleasePolls(nowMs, l) })
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopLocked()
--- a/internal/daemon/controller_state.go
+++ b/internal/daemon/controller_state.go
@@ -26,7 +26,7 @@
 	defer l.mu.Unlock()
 	nowMs := l.advanceClock()
 	if l.recorder != nil {
-		l.recorder.write(record.Recall(nowMs, text, wallMs, coldMs))
+		l.recorder.write(record.Restore(nowMs, text, wallMs, coldMs))
 	}
 	l.controller.Restore(nowMs, restored)
 	return restored, nil
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -25,7 +25,7 @@
 // Respond implements controller.Effects. It records the response, and drops it if the poll was canceled meanwhile.
 func (l *controllerLoop) Respond(pollID int64, response controller.Response) {
 	if l.recorder != nil {
-		l.recorder.write(record.Published(l.lastCallMs, pollID, response))
+		l.recorder.write(record.Response(l.lastCallMs, pollID, response))
 	}
 	deliver := l.pendingPolls[pollID]
 	if deliver == nil {
--- a/internal/daemon/recording_test.go
+++ b/internal/daemon/recording_test.go
@@ -39,7 +39,7 @@
 	if diff := cmp.Diff(recorded, replayed); diff != "" {
 		t.Errorf("(-recorded +replayed):\n%s", diff)
 	}
-	if _, _, err := replayRecording(t, text[:len(text)/2]); !errors.Is(err, record.ErrTorn) {
+	if _, _, err := replayRecording(t, text[:len(text)/2]); !errors.Is(err, record.ErrTruncated) {
 		t.Errorf("a torn tail: %v", err)
 	}
 }
@@ -66,7 +66,7 @@
 
 func (c *responseCollector) Respond(poll int64, response controller.Response) {
 	c.responses = append(c.responses, fmt.Sprint(poll, response.Proxy, response.Kind, response.Tag, response.BaseTag,
-		record.Sum(response.Body())))
+		record.Checksum(response.Body())))
 }
 func (c *responseCollector) CheckHealth(string) {}
 func (c *responseCollector) WatchEndpoints()    {}
@@ -92,7 +92,7 @@
 			recorded = append(recorded, fmt.Sprint(response.Poll, response.Proxy,
 				controller.ResponseKind(response.Kind), response.Tag, response.Base, response.Sum))
 		default:
-			err = record.Feed(instance, entry, collector)
+			err = record.Apply(instance, entry, collector)
 		}
 		if err != nil {
 			t.Fatal(err)
--- a/internal/record/former_test.go
+++ b/internal/record/former_test.go
@@ -51,8 +51,8 @@
 			published++
 		}
 	}
-	if !reader.Clean() || len(reader.Faults) > 0 {
-		t.Errorf("clean end %v, faults %v", reader.Clean(), reader.Faults)
+	if !reader.EndedCleanly() || len(reader.DamagedRanges) > 0 {
+		t.Errorf("clean end %v, faults %v", reader.EndedCleanly(), reader.DamagedRanges)
 	}
 	if restores != 1 || statistics != 8 || published == 0 {
 		t.Errorf("%d restores, %d reports of proxies, %d published tables", restores, statistics, published)
--- a/internal/record/inputs.go
+++ b/internal/record/inputs.go
@@ -17,7 +17,7 @@
 )
 
 // Listed records a list.
-func Listed(at float64, entries []controller.Endpoint) *recordpb.Record {
+func EndpointList(at float64, entries []controller.Endpoint) *recordpb.Record {
 	l := &recordpb.Listed{}
 	for _, e := range entries {
 		l.Hosts = append(l.Hosts, &recordpb.Host{Address: e.Host, Zone: e.Zone, Phase: int32(e.State), Weight: e.Weight,
@@ -27,7 +27,7 @@
 }
 
 // Entries gives a recorded list.
-func Entries(l *recordpb.Listed) []controller.Endpoint {
+func Endpoints(l *recordpb.Listed) []controller.Endpoint {
 	var entries []controller.Endpoint
 	for _, h := range l.Hosts {
 		entries = append(entries, controller.Endpoint{Host: h.Address, Zone: h.Zone, State: routing.HostState(h.Phase),
@@ -37,7 +37,7 @@
 }
 
 // ListFailed records that the list could not be had.
-func ListFailed(at float64) *recordpb.Record {
+func WatchFailure(at float64) *recordpb.Record {
 	return &recordpb.Record{At: at, What: &recordpb.Record_ListFailed{ListFailed: true}}
 }
 
@@ -66,12 +66,12 @@
 }
 
 // PollGone records that a poll's caller is gone.
-func PollGone(at float64, proxy string, id int64) *recordpb.Record {
+func CanceledPoll(at float64, proxy string, id int64) *recordpb.Record {
 	return &recordpb.Record{At: at, What: &recordpb.Record_PollGone{PollGone: &recordpb.PollGone{Id: id, Proxy: proxy}}}
 }
 
 // Leave records that a proxy leaves.
-func Leave(at float64, proxy string) *recordpb.Record {
+func Disconnect(at float64, proxy string) *recordpb.Record {
 	return &recordpb.Record{At: at, What: &recordpb.Record_Leave{Leave: proxy}}
 }
 
@@ -101,18 +101,18 @@
 }
 
 // Recall records what an earlier life knew, as it was kept, with the wall clock's time.
-func Recall(at float64, text []byte, now, cold float64) *recordpb.Record {
+func Restore(at float64, text []byte, now, cold float64) *recordpb.Record {
 	return &recordpb.Record{At: at, What: &recordpb.Record_Recall{Recall: &recordpb.Recall{State: text, Now: now, Cold: cold}}}
 }
 
 // HostLoad records a host's own load report.
-func HostLoad(at float64, host string, r controller.LoadReport) *recordpb.Record {
+func LoadReport(at float64, host string, r controller.LoadReport) *recordpb.Record {
 	return &recordpb.Record{At: at, What: &recordpb.Record_HostReport{HostReport: &recordpb.HostReport{Host: host, Sender: r.Sender,
 		Number: r.Sequence, Stamp: r.SentAtMs, Load: load(r.Load)}}}
 }
 
 // Sums records sums, hosts and classes in order.
-func Sums(at float64, proxy string, u controller.ProxyStats) *recordpb.Record {
+func ProxyStats(at float64, proxy string, u controller.ProxyStats) *recordpb.Record {
 	s := &recordpb.Sums{Proxy: proxy, Sender: u.Sender, Number: u.Sequence, Stamp: u.SentAtMs}
 	for _, host := range slices.Sorted(maps.Keys(u.Hosts)) {
 		v := u.Hosts[host]
@@ -128,7 +128,7 @@
 }
 
 // Probed records a probe's end.
-func Probed(at float64, host string, how routing.HealthCheckResult, l routing.HostLoad) *recordpb.Record {
+func HealthCheck(at float64, host string, how routing.HealthCheckResult, l routing.HostLoad) *recordpb.Record {
 	return &recordpb.Record{At: at, What: &recordpb.Record_Probed{Probed: &recordpb.Probed{Host: host,
 		Outcome: int32(how), Load: load(l)}}}
 }
@@ -139,12 +139,12 @@
 }
 
 // Release records that all held polls are answered.
-func Release(at float64) *recordpb.Record {
+func ReleasePolls(at float64) *recordpb.Record {
 	return &recordpb.Record{At: at, What: &recordpb.Record_Release{Release: true}}
 }
 
 // Operate records operators' orders.
-func Operate(at float64, orders []operator.Command) *recordpb.Record {
+func Overrides(at float64, orders []operator.Command) *recordpb.Record {
 	x := &recordpb.Operate{}
 	for _, o := range orders {
 		r := &recordpb.Order{Host: o.Host, State: int32(o.State), Weight: o.Weight, Clear: o.ClearWeight, Part: o.Relative, For: o.DurationMs,
@@ -158,7 +158,7 @@
 }
 
 // Orders gives recorded orders.
-func Orders(x *recordpb.Operate) []operator.Command {
+func Commands(x *recordpb.Operate) []operator.Command {
 	var all []operator.Command
 	for _, r := range x.Orders {
 		o := operator.Command{Host: r.Host, State: operator.State(r.State), Weight: r.Weight, ClearWeight: r.Clear, Relative: r.Part, DurationMs: r.For,
@@ -172,18 +172,18 @@
 }
 
 // Published records an answer to a poll.
-func Published(at float64, poll int64, a controller.Response) *recordpb.Record {
+func Response(at float64, poll int64, a controller.Response) *recordpb.Record {
 	body := a.Body()
 	return &recordpb.Record{At: at, What: &recordpb.Record_Published{Published: &recordpb.Published{Poll: poll,
-		Proxy: a.Proxy, Kind: int32(a.Kind), Tag: a.Tag, Base: a.BaseTag, Sum: Sum(body), Body: body}}}
+		Proxy: a.Proxy, Kind: int32(a.Kind), Tag: a.Tag, Base: a.BaseTag, Sum: Checksum(body), Body: body}}}
 }
 
 // Feed gives a recorded input to a steward; outputs and the start are passed over. An input that the steward
 // refused when it came is refused again, which is no error.
-func Feed(s *controller.Controller, r *recordpb.Record, out controller.Effects) error {
+func Apply(s *controller.Controller, r *recordpb.Record, out controller.Effects) error {
 	switch x := r.What.(type) {
 	case *recordpb.Record_Listed:
-		s.SetEndpoints(r.At, Entries(x.Listed))
+		s.SetEndpoints(r.At, Endpoints(x.Listed))
 	case *recordpb.Record_ListFailed:
 		s.ObserveWatchFailure(r.At)
 	case *recordpb.Record_Poll:
@@ -217,7 +217,7 @@
 	case *recordpb.Record_Advance:
 		s.Advance(r.At, out)
 	case *recordpb.Record_Operate:
-		s.ApplyOverrides(r.At, Orders(x.Operate), out)
+		s.ApplyOverrides(r.At, Commands(x.Operate), out)
 	case *recordpb.Record_Release:
 		s.ReleasePolls(r.At, out)
 	case *recordpb.Record_Published, *recordpb.Record_Start, *recordpb.Record_ProxyStart, *recordpb.Record_Transaction,
--- a/internal/record/proxy.go
+++ b/internal/record/proxy.go
@@ -11,7 +11,7 @@
 
 // Proxy records what a proxy did. Its methods may be called from any goroutine; Ended and Applied are made to be
 // a client's options.
-type Proxy struct {
+type ProxyRecorder struct {
 	mu sync.Mutex
 	w  *Writer
 }
@@ -19,8 +19,8 @@
 func unixMs(t time.Time) float64 { return float64(t.UnixMicro()) / 1000 }
 
 // NewProxy begins a proxy's recording. The options are those of its client.
-func NewProxy(w io.Writer, program string, o client.Options) *Proxy {
-	p := &Proxy{w: NewWriter(w)}
+func NewProxyRecorder(w io.Writer, program string, o client.Options) *ProxyRecorder {
+	p := &ProxyRecorder{w: NewWriter(w)}
 	if o.EjectionTime == 0 {
 		o.EjectionTime = client.DefaultEjectionTime
 	}
@@ -30,14 +30,14 @@
 	return p
 }
 
-func (p *Proxy) write(r *recordpb.Record) {
+func (p *ProxyRecorder) write(r *recordpb.Record) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.w.Write(r)
 }
 
 // Ended records a transaction.
-func (p *Proxy) Ended(x client.Request) {
+func (p *ProxyRecorder) RecordRequest(x client.Request) {
 	t := &recordpb.Transaction{Class: x.Class, Came: unixMs(x.ArrivedAt), LetIn: x.Admitted, Fulfilled: x.Fulfilled}
 	for _, a := range x.Attempts {
 		t.Tries = append(t.Tries, &recordpb.Try{At: unixMs(a.StartedAt), Host: a.Host, Took: a.Duration.Seconds() * 1000,
@@ -47,12 +47,12 @@
 }
 
 // Applied records that the proxy goes by other tables.
-func (p *Proxy) Applied(tag string) {
+func (p *ProxyRecorder) RecordTables(tag string) {
 	p.write(&recordpb.Record{At: unixMs(time.Now()), What: &recordpb.Record_Applied{Applied: tag}})
 }
 
 // Close ends the recording.
-func (p *Proxy) Close() error {
+func (p *ProxyRecorder) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.w.Close()
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -16,24 +16,24 @@
 
 // Reader reads a recording of either format, front to back; memory does not grow with its length.
 type Reader struct {
-	in     *bufio.Reader
-	at     int64
-	format int
-	block  []byte
-	last   error
-	Faults []Fault // parts that were damaged and passed over, format 2
-	whole  bool
+	in            *bufio.Reader
+	at            int64
+	format        int
+	block         []byte
+	last          error
+	DamagedRanges []DamagedRange // parts that were damaged and passed over, format 2
+	whole         bool
 }
 
 // Fault is a part of a recording that cannot be used.
-type Fault struct {
-	From, To int64 // bytes
-	After    float64
-	Why      string
+type DamagedRange struct {
+	FromByte, ToByte int64 // bytes
+	AfterMs          float64
+	Reason           string
 }
 
-func (f Fault) String() string {
-	return fmt.Sprintf("bytes %d to %d, after %.3f s: %s", f.From, f.To, f.After/1000, f.Why)
+func (f DamagedRange) String() string {
+	return fmt.Sprintf("bytes %d to %d, after %.3f s: %s", f.FromByte, f.ToByte, f.AfterMs/1000, f.Reason)
 }
 
 // NewReader reads from r.
@@ -63,7 +63,7 @@
 }
 
 // Clean tells whether the recording ended with its index.
-func (r *Reader) Clean() bool { return r.whole }
+func (r *Reader) EndedCleanly() bool { return r.whole }
 
 func (r *Reader) skip(n int) { k, _ := r.in.Discard(n); r.at += int64(k) }
 
@@ -113,11 +113,11 @@
 		n, err := io.ReadFull(r.in, packed)
 		r.at += int64(n)
 		if err != nil {
-			r.Faults = append(r.Faults, Fault{from, r.at, first, "the recording ends inside a block"})
-			return ErrTorn
+			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, first, "the recording ends inside a block"})
+			return ErrTruncated
 		}
-		if Sum(packed) != want {
-			r.Faults = append(r.Faults, Fault{from, r.at, first, "the checksum of a block does not fit"})
+		if Checksum(packed) != want {
+			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, first, "the checksum of a block does not fit"})
 			continue
 		}
 		if kind == 'I' {
@@ -129,7 +129,7 @@
 			return fmt.Errorf("making a decoder: %w", err)
 		}
 		if r.block, err = z.DecodeAll(packed, nil); err != nil {
-			r.Faults = append(r.Faults, Fault{from, r.at, first, err.Error()})
+			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, first, err.Error()})
 			r.block = nil
 			continue
 		}
@@ -141,8 +141,8 @@
 func (r *Reader) tail(after float64) error {
 	from := r.at
 	r.skip(headBytes)
-	r.Faults = append(r.Faults, Fault{from, r.at, after, "the recording ends inside a block"})
-	return ErrTorn
+	r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, after, "the recording ends inside a block"})
+	return ErrTruncated
 }
 
 // resync passes over bytes until a block may begin.
@@ -153,11 +153,11 @@
 		head, err := r.in.Peek(4)
 		if err != nil {
 			r.skip(len(head))
-			r.Faults = append(r.Faults, Fault{from, r.at, after, why})
-			return ErrTorn
+			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, after, why})
+			return ErrTruncated
 		}
 		if bytes.Equal(head[:3], []byte{0xB5, 'B', 'L'}) {
-			r.Faults = append(r.Faults, Fault{from, r.at, after, why})
+			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, after, why})
 			return nil
 		}
 	}
@@ -179,7 +179,7 @@
 	if _, err := io.ReadFull(r.in, body); err != nil {
 		return nil, torn(err)
 	}
-	if Sum(body[4:]) != binary.LittleEndian.Uint32(body) {
+	if Checksum(body[4:]) != binary.LittleEndian.Uint32(body) {
 		return nil, fmt.Errorf("record at byte %d: its checksum does not fit", r.at)
 	}
 	rec := &recordpb.Record{}
@@ -192,7 +192,7 @@
 
 func torn(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return ErrTorn
+		return ErrTruncated
 	}
 	return err
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -46,7 +46,7 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Sum is the checksum of a document.
-func Sum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
+func Checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
 // Writer writes a recording. It keeps the first error and writes nothing after it.
 type Writer struct {
@@ -117,7 +117,7 @@
 	head = binary.LittleEndian.AppendUint32(head, uint32(len(packed)))
 	head = binary.LittleEndian.AppendUint32(head, uint32(records))
 	head = binary.LittleEndian.AppendUint64(head, math.Float64bits(first))
-	head = binary.LittleEndian.AppendUint32(head, Sum(packed))
+	head = binary.LittleEndian.AppendUint32(head, Checksum(packed))
 	w.put(append(head, packed...))
 }
 
@@ -135,7 +135,7 @@
 }
 
 // ErrTorn ends a recording whose last part is not whole.
-var ErrTorn = errors.New("the recording ends inside a record")
+var ErrTruncated = errors.New("the recording ends inside a record")
 
 // unzip is shared: decoders are costly to make, and this one is safe for use from any goroutine.
 var unzip = sync.OnceValues(func() (*zstd.Decoder, error) {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -17,7 +17,7 @@
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	for i := range n {
-		w.Write(Leave(float64(i), fmt.Sprint("proxy-", i)))
+		w.Write(Disconnect(float64(i), fmt.Sprint("proxy-", i)))
 		if (i+1)%block == 0 {
 			w.Flush()
 		}
@@ -47,15 +47,15 @@
 func TestTornAndDamaged(t *testing.T) {
 	text := written(30, 10, true)
 	all, r, err := read(text)
-	if len(all) != 30 || !errors.Is(err, io.EOF) || !r.Clean() || len(r.Faults) != 0 {
-		t.Fatalf("%d records, %v, clean %v", len(all), err, r.Clean())
+	if len(all) != 30 || !errors.Is(err, io.EOF) || !r.EndedCleanly() || len(r.DamagedRanges) != 0 {
+		t.Fatalf("%d records, %v, clean %v", len(all), err, r.EndedCleanly())
 	}
 	for cut := len(magic); cut < len(text)-16; cut++ {
 		times, r, err := read(text[:cut])
-		if len(times)%10 != 0 || r.Clean() || err != io.EOF && err != ErrTorn {
+		if len(times)%10 != 0 || r.EndedCleanly() || err != io.EOF && err != ErrTruncated {
 			t.Fatalf("cut at %d: %d records, %v", cut, len(times), err)
 		}
-		if err == ErrTorn && len(r.Faults) == 0 {
+		if err == ErrTruncated && len(r.DamagedRanges) == 0 {
 			t.Fatalf("cut at %d: nothing named", cut)
 		}
 	}
@@ -71,7 +71,7 @@
 			t.Fatalf("byte %d: %d records", at, len(times))
 		}
 		if len(times) < 30 {
-			if lost++; len(r.Faults) == 0 {
+			if lost++; len(r.DamagedRanges) == 0 {
 				t.Fatalf("byte %d: %d records and no fault named", at, len(times))
 			}
 		}
@@ -87,13 +87,13 @@
 	for i := range 3 {
 		body, _ := proto.Marshal(&recordpb.Record{At: float64(i), What: &recordpb.Record_Leave{Leave: "p"}})
 		text = binary.AppendUvarint(text, uint64(len(body)))
-		text = binary.LittleEndian.AppendUint32(text, Sum(body))
+		text = binary.LittleEndian.AppendUint32(text, Checksum(body))
 		text = append(text, body...)
 	}
 	if times, _, err := read(text); len(times) != 3 || err != io.EOF {
 		t.Errorf("%v, %v", times, err)
 	}
-	if times, _, err := read(text[:len(text)-1]); len(times) != 2 || err != ErrTorn {
+	if times, _, err := read(text[:len(text)-1]); len(times) != 2 || err != ErrTruncated {
 		t.Errorf("%v, %v", times, err)
 	}
 }
--- a/internal/rehearse/day.go
+++ b/internal/rehearse/day.go
@@ -345,9 +345,9 @@
 	if err != nil {
 		return fmt.Errorf("starting a recording: %w", err)
 	}
-	p := record.NewProxy(f, d.version, set.Options())
+	p := record.NewProxyRecorder(f, d.version, set.Options())
 	d.recordings = append(d.recordings, func() error { return errors.Join(p.Close(), f.Close()) })
-	set.Transacted, set.Applied = p.Ended, p.Applied
+	set.Transacted, set.Applied = p.RecordRequest, p.RecordTables
 	return nil
 }
 
--- a/replay/other.go
+++ b/replay/other.go
@@ -221,7 +221,7 @@
 	case *recordpb.Record_ListFailed:
 		l.steward.ObserveWatchFailure(e.now)
 	case *recordpb.Record_Operate:
-		l.steward.ApplyOverrides(e.now, record.Orders(r.Operate), l) // one that is now refused is refused
+		l.steward.ApplyOverrides(e.now, record.Commands(r.Operate), l) // one that is now refused is refused
 	case *recordpb.Record_Poll:
 		p := e.proxy(r.Poll.Proxy, r.Poll.Zone)
 		if p.life != l {
@@ -337,7 +337,7 @@
 }
 
 func (l *life) listed(list *recordpb.Listed) {
-	entries, seen := record.Entries(list), map[string]rules.Listed{}
+	entries, seen := record.Endpoints(list), map[string]rules.Listed{}
 	l.e.listed = map[string]listedHost{}
 	for _, x := range entries {
 		ready := x.State == routing.Ready
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -41,7 +41,7 @@
 }
 
 func (r *recorder) Respond(poll int64, a controller.Response) {
-	r.emit(record.Published(r.at, poll, a))
+	r.emit(record.Response(r.at, poll, a))
 	r.tags[a.Proxy] = a.Tag
 }
 func (r *recorder) CheckHealth(string) {}
@@ -50,7 +50,7 @@
 
 func (r *recorder) in(x *recordpb.Record) {
 	r.emit(proto.Clone(x).(*recordpb.Record))
-	record.Feed(r.s, x, r)
+	record.Apply(r.s, x, r)
 	r.advance()
 }
 
@@ -75,17 +75,17 @@
 	for i := range hosts {
 		list = append(list, controller.Endpoint{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: []string{"a", "b"}[i%2], State: routing.Ready, Weight: 1})
 	}
-	r.in(record.Listed(r.at, list))
+	r.in(record.EndpointList(r.at, list))
 	for second := range seconds {
 		switch second {
 		case seconds / 3:
 			list[0].State = routing.Draining
-			r.in(record.Listed(r.at, list))
+			r.in(record.EndpointList(r.at, list))
 		case seconds / 2:
-			r.in(record.Listed(r.at, list[1:]))
+			r.in(record.EndpointList(r.at, list[1:]))
 		case seconds * 3 / 4:
 			list[0].State, list[0].StartedMs = routing.Ready, r.at
-			r.in(record.Listed(r.at, list))
+			r.in(record.EndpointList(r.at, list))
 		}
 		for p := range proxies {
 			name := fmt.Sprint("p", p)
@@ -104,7 +104,7 @@
 				}
 				u.Hosts[h.Host] = controller.HostStats{Attempts: 20, MeanLatencyMs: mean, WindowMs: 1000, Load: routing.UnknownLoad}
 			}
-			r.in(record.Sums(r.at, name, u))
+			r.in(record.ProxyStats(r.at, name, u))
 		}
 		for end := r.at + 1000; ; {
 			next := math.Max(r.s.NextMs(), r.at)
@@ -168,7 +168,7 @@
 	}, func(r *recordpb.Record) {
 		p := r.GetPublished()
 		p.Body = []byte(strings.ReplaceAll(string(p.Body), "null", "0.25"))
-		p.Sum = record.Sum(p.Body)
+		p.Sum = record.Checksum(p.Body)
 	}))
 	say("sums told of slow answers", changed(func(r *recordpb.Record) bool { return r.GetSums() != nil && r.At > 3000 },
 		func(r *recordpb.Record) {
--- a/replay/same.go
+++ b/replay/same.go
@@ -133,7 +133,7 @@
 	}
 	c.note(r)
 	c.same.Inputs++
-	return record.Feed(c.steward, r, c.out)
+	return record.Apply(c.steward, r, c.out)
 }
 
 func (c *comparison) note(r *recordpb.Record) {
@@ -157,7 +157,7 @@
 	c.out.waiting = c.out.waiting[1:]
 	body := a.Body()
 	if a.poll == p.Poll && a.Proxy == p.Proxy && a.Kind == controller.ResponseKind(p.Kind) && a.Tag == p.Tag && a.BaseTag == p.Base &&
-		record.Sum(body) == p.Sum {
+		record.Checksum(body) == p.Sum {
 		c.same.Responses++
 		c.agreed, c.inputs, c.left = at, c.inputs[:0], 0
 		return
--- a/replay/scan.go
+++ b/replay/scan.go
@@ -343,7 +343,7 @@
 	if err != nil {
 		return false
 	}
-	sum := record.Sum(append(body, x.source...))
+	sum := record.Checksum(append(body, x.source...))
 	if _, ok := m.seen[sum]; ok {
 		m.Doubled++
 		return true
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -75,7 +75,7 @@
 			return nil, errNoStart
 		}
 		z.take(r)
-		if err := record.Feed(z.steward, r, z.out); err != nil {
+		if err := record.Apply(z.steward, r, z.out); err != nil {
 			return nil, err
 		}
 		z.out.waiting = z.out.waiting[:0]
@@ -272,14 +272,14 @@
 
 // feed gives an input to the steward, and passes it and what is answered on.
 func (c *cutter) feed(r *recordpb.Record) error {
-	if err := record.Feed(c.steward, r, c.out); err != nil {
+	if err := record.Apply(c.steward, r, c.out); err != nil {
 		return err
 	}
 	if err := c.emit(r); err != nil {
 		return err
 	}
 	for _, a := range c.out.waiting {
-		if err := c.emit(record.Published(r.At, a.poll, a.Response)); err != nil {
+		if err := c.emit(record.Response(r.At, a.poll, a.Response)); err != nil {
 			return err
 		}
 	}
