--- a/replay/compare.go
+++ b/replay/compare.go
@@ -16,7 +16,7 @@
 }
 
 // Sure tells whether the figure differs from nothing.
-func (x Estimate) Significant() bool { return x.Low > 0 || x.High < 0 }
+func (e Estimate) Significant() bool { return e.Low > 0 || e.High < 0 }
 
 // ClassDifference is the service of a class in two replays of a day, as shares of the earnings asked for, and
 // what was recorded.
@@ -46,92 +46,92 @@
 
 // Bootstrap: blocks of so many windows, since what happens in one lasts into the next, drawn so many times.
 const (
-	blockWindows = 3
-	draws        = 2000
+	bootstrapBlockWindows = 3
+	bootstrapSamples      = 2000
 )
 
 // pairs are earnings of two replays and what was asked for, by window.
-type pairs struct{ asked, one, other []float64 }
+type windowSeries struct{ offered, baseline, variant []float64 }
 
-func (p *pairs) add(asked, one, other float64) {
-	p.asked, p.one, p.other = append(p.asked, asked), append(p.one, one), append(p.other, other)
+func (s *windowSeries) add(offered, baseline, variant float64) {
+	s.offered, s.baseline, s.variant = append(s.offered, offered), append(s.baseline, baseline), append(s.variant, variant)
 }
 
-func share(earned, asked []float64) float64 {
-	e, a := 0.0, 0.0
-	for i := range asked {
-		e, a = e+earned[i], a+asked[i]
+func servedShare(served, offered []float64) float64 {
+	servedSum, offeredSum := 0.0, 0.0
+	for i := range offered {
+		servedSum, offeredSum = servedSum+served[i], offeredSum+offered[i]
 	}
-	if a == 0 {
+	if offeredSum == 0 {
 		return 1
 	}
-	return e / a
+	return servedSum / offeredSum
 }
 
 // difference is other's service less one's, with an interval by a moving-block bootstrap (Kuensch 1989): blocks of
 // windows are drawn with repeats, the same for both, so that what befell both cancels.
-func (p *pairs) difference(seed uint64) Estimate {
-	n := len(p.asked)
-	e := Estimate{Value: share(p.other, p.asked) - share(p.one, p.asked)}
-	e.Low, e.High = math.Inf(-1), math.Inf(1)
-	if n < 2*blockWindows {
-		return e // too short a day to tell
+func (s *windowSeries) difference(seed uint64) Estimate {
+	windows := len(s.offered)
+	estimate := Estimate{Value: servedShare(s.variant, s.offered) - servedShare(s.baseline, s.offered)}
+	estimate.Low, estimate.High = math.Inf(-1), math.Inf(1)
+	if windows < 2*bootstrapBlockWindows {
+		return estimate // too short a day to tell
 	}
-	random, all := rand.New(rand.NewPCG(seed, 1)), make([]float64, draws)
-	for d := range all {
-		asked, gain := 0.0, 0.0
-		for k := 0; k < n; k += blockWindows {
-			at := random.IntN(n - blockWindows + 1)
-			for i := at; i < at+min(blockWindows, n-k); i++ {
-				asked, gain = asked+p.asked[i], gain+p.other[i]-p.one[i]
+	random, differences := rand.New(rand.NewPCG(seed, 1)), make([]float64, bootstrapSamples)
+	for sample := range differences {
+		offered, gain := 0.0, 0.0
+		for drawn := 0; drawn < windows; drawn += bootstrapBlockWindows {
+			start := random.IntN(windows - bootstrapBlockWindows + 1)
+			for i := start; i < start+min(bootstrapBlockWindows, windows-drawn); i++ {
+				offered, gain = offered+s.offered[i], gain+s.variant[i]-s.baseline[i]
 			}
 		}
-		if asked > 0 {
-			all[d] = gain / asked
+		if offered > 0 {
+			differences[sample] = gain / offered
 		}
 	}
-	sort.Float64s(all)
-	e.Low, e.High = stat.Quantile(0.025, stat.Empirical, all, nil), stat.Quantile(0.975, stat.Empirical, all, nil)
-	return e
+	sort.Float64s(differences)
+	estimate.Low, estimate.High = stat.Quantile(0.025, stat.Empirical, differences, nil), stat.Quantile(0.975, stat.Empirical, differences, nil)
+	return estimate
 }
 
 // Compare sets two replays of one day beside each other. They are told apart by seed alone where it matters.
-func Compare(one, other *Outcome, seed uint64) *Comparison {
-	c := &Comparison{Messages: [2]int{one.Messages, other.Messages}}
-	var all, model pairs
-	windows := min(len(one.Windows), len(other.Windows))
+func Compare(baseline, variant *Outcome, seed uint64) *Comparison {
+	comparison := &Comparison{Messages: [2]int{baseline.Messages, variant.Messages}}
+	var overall, model windowSeries
+	windows := min(len(baseline.Windows), len(variant.Windows))
 	recorded := make([]float64, windows)
 	for i := range windows {
-		a, b := one.Windows[i], other.Windows[i]
-		asked, x, y := sum(a.Offered), sum(a.Replayed), sum(b.Replayed)
-		recorded[i] = sum(a.Recorded)
-		all.add(asked, x, y)
-		model.add(asked, recorded[i], x)
-		if asked > 0 && math.Abs(x-y) > partedLeast*asked {
-			c.DifferingWindows = append(c.DifferingWindows, DifferingWindow{one.FromMs + float64(i)*windowLength, x / asked, y / asked})
+		baselineWindow, variantWindow := baseline.Windows[i], variant.Windows[i]
+		offered, baselineServed, variantServed := sum(baselineWindow.Offered), sum(baselineWindow.Replayed), sum(variantWindow.Replayed)
+		recorded[i] = sum(baselineWindow.Recorded)
+		overall.add(offered, baselineServed, variantServed)
+		model.add(offered, recorded[i], baselineServed)
+		if offered > 0 && math.Abs(baselineServed-variantServed) > minReportedDifference*offered {
+			comparison.DifferingWindows = append(comparison.DifferingWindows, DifferingWindow{baseline.FromMs + float64(i)*windowMs, baselineServed / offered, variantServed / offered})
 		}
 	}
-	c.Overall = ClassDifference{"all", share(recorded, all.asked), share(all.one, all.asked), share(all.other, all.asked), all.difference(seed)}
-	c.ModelError = model.difference(seed)
-	for k, name := range one.Classes {
-		var p pairs
-		was := make([]float64, windows)
+	comparison.Overall = ClassDifference{"all", servedShare(recorded, overall.offered), servedShare(overall.baseline, overall.offered), servedShare(overall.variant, overall.offered), overall.difference(seed)}
+	comparison.ModelError = model.difference(seed)
+	for class, name := range baseline.Classes {
+		var series windowSeries
+		recordedByClass := make([]float64, windows)
 		for i := range windows {
-			p.add(one.Windows[i].Offered[k], one.Windows[i].Replayed[k], other.Windows[i].Replayed[k])
-			was[i] = one.Windows[i].Recorded[k]
+			series.add(baseline.Windows[i].Offered[class], baseline.Windows[i].Replayed[class], variant.Windows[i].Replayed[class])
+			recordedByClass[i] = baseline.Windows[i].Recorded[class]
 		}
-		c.Classes = append(c.Classes, ClassDifference{name, share(was, p.asked), share(p.one, p.asked), share(p.other, p.asked), p.difference(seed)})
+		comparison.Classes = append(comparison.Classes, ClassDifference{name, servedShare(recordedByClass, series.offered), servedShare(series.baseline, series.offered), servedShare(series.variant, series.offered), series.difference(seed)})
 	}
-	return c
+	return comparison
 }
 
 // partedLeast is a difference in a window's service that is worth telling.
-const partedLeast = 0.02
+const minReportedDifference = 0.02
 
-func sum(all []float64) float64 {
-	s := 0.0
-	for _, x := range all {
-		s += x
+func sum(values []float64) float64 {
+	total := 0.0
+	for _, value := range values {
+		total += value
 	}
-	return s
+	return total
 }
--- a/replay/coupling.go
+++ b/replay/coupling.go
@@ -16,169 +16,169 @@
 // make of it, not chance.
 
 // going is what a proxy went by in the record: weights by class and host, and the shares let in.
-type going struct {
+type recordedTables struct {
 	known   bool // since a whole document
 	classes map[string]*controller.Table
-	waiting []*recordpb.Published // documents on their way
+	pending []*recordpb.Published // documents on their way
 }
 
 // goingMost documents may be on their way to a proxy; before that it has taken one.
-const goingMost = 64
+const maxPendingResponses = 64
 
 // published notes a document on its way.
-func (g *going) published(p *recordpb.Published) {
-	if controller.ResponseKind(p.Kind) == controller.NotModified {
+func (r *recordedTables) addResponse(response *recordpb.Published) {
+	if controller.ResponseKind(response.Kind) == controller.NotModified {
 		return
 	}
-	if g.waiting = append(g.waiting, p); len(g.waiting) > goingMost {
-		g.waiting, g.known = g.waiting[1:], false
+	if r.pending = append(r.pending, response); len(r.pending) > maxPendingResponses {
+		r.pending, r.known = r.pending[1:], false
 	}
 }
 
 // applied takes the documents in up to a version. One that is not known leaves the proxy's tables unknown until the
 // next whole one.
-func (g *going) applied(tag string) {
-	for i, p := range g.waiting {
-		if p.Tag != tag {
+func (r *recordedTables) apply(tag string) {
+	for i, response := range r.pending {
+		if response.Tag != tag {
 			continue
 		}
-		for _, p := range g.waiting[:i+1] {
-			g.take(p)
+		for _, pending := range r.pending[:i+1] {
+			r.applyResponse(pending)
 		}
-		g.waiting = append(g.waiting[:0], g.waiting[i+1:]...)
+		r.pending = append(r.pending[:0], r.pending[i+1:]...)
 		return
 	}
-	g.known = false
+	r.known = false
 }
 
-func (g *going) take(p *recordpb.Published) {
-	var d tables
-	whole := controller.ResponseKind(p.Kind) == controller.Snapshot
-	if err := json.Unmarshal(p.Body, &d); err != nil {
-		g.known = false // format 1 has no documents
+func (r *recordedTables) applyResponse(response *recordpb.Published) {
+	var document tablesDocument
+	isSnapshot := controller.ResponseKind(response.Kind) == controller.Snapshot
+	if err := json.Unmarshal(response.Body, &document); err != nil {
+		r.known = false // format 1 has no documents
 		return
 	}
-	g.known = g.known || whole
-	for class, change := range d.Tables {
-		t := g.classes[class]
-		if t == nil {
-			t = &controller.Table{AdmissionRatio: 1}
-			g.classes[class] = t
+	r.known = r.known || isSnapshot
+	for class, change := range document.Tables {
+		table := r.classes[class]
+		if table == nil {
+			table = &controller.Table{AdmissionRatio: 1}
+			r.classes[class] = table
 		}
-		if change.Share != nil {
-			t.AdmissionRatio = *change.Share
+		if change.AdmissionRatio != nil {
+			table.AdmissionRatio = *change.AdmissionRatio
 		}
-		if whole && change.Hosts != nil {
-			t.Hosts, t.Weights = nil, nil
+		if isSnapshot && change.Hosts != nil {
+			table.Hosts, table.Weights = nil, nil
 		}
-		for host, w := range change.Hosts {
-			setWeight(t, host, w)
+		for host, weight := range change.Hosts {
+			setWeight(table, host, weight)
 		}
 	}
 }
 
 // setWeight puts a line into a table, or with nil takes it out; the hosts stay in order.
-func setWeight(t *controller.Table, host string, w *float64) {
-	i, has := slices.BinarySearch(t.Hosts, host)
+func setWeight(table *controller.Table, host string, weight *float64) {
+	i, found := slices.BinarySearch(table.Hosts, host)
 	switch {
-	case w == nil && has:
-		t.Hosts, t.Weights = slices.Delete(t.Hosts, i, i+1), slices.Delete(t.Weights, i, i+1)
-	case w != nil && has:
-		t.Weights[i] = *w
-	case w != nil:
-		t.Hosts, t.Weights = slices.Insert(t.Hosts, i, host), slices.Insert(t.Weights, i, *w)
+	case weight == nil && found:
+		table.Hosts, table.Weights = slices.Delete(table.Hosts, i, i+1), slices.Delete(table.Weights, i, i+1)
+	case weight != nil && found:
+		table.Weights[i] = *weight
+	case weight != nil:
+		table.Hosts, table.Weights = slices.Insert(table.Hosts, i, host), slices.Insert(table.Weights, i, *weight)
 	}
 }
 
 // weight of a host in a table, 0 where it has none.
-func weight(t *controller.Table, host string) float64 {
-	if i, has := slices.BinarySearch(t.Hosts, host); has {
-		return t.Weights[i]
+func weight(table *controller.Table, host string) float64 {
+	if i, found := slices.BinarySearch(table.Hosts, host); found {
+		return table.Weights[i]
 	}
 	return 0
 }
 
 // total weight of a table's hosts that are not out.
-func total(t *controller.Table, out func(host string) bool) (sum float64) {
-	for i, host := range t.Hosts {
-		if !out(host) {
-			sum += t.Weights[i]
+func totalWeight(table *controller.Table, excluded func(host string) bool) (sum float64) {
+	for i, host := range table.Hosts {
+		if !excluded(host) {
+			sum += table.Weights[i]
 		}
 	}
 	return sum
 }
 
 // by gives what the proxy went by for a class, nil where that is not known.
-func (g *going) by(class string) *controller.Table {
-	if !g.known {
+func (r *recordedTables) table(class string) *controller.Table {
+	if !r.known {
 		return nil
 	}
-	return g.classes[class]
+	return r.classes[class]
 }
 
 // letIn tells whether a transaction is let in, by what became of it in the record.
-func (e *engine) letIn(share float64, old *controller.Table, was bool) bool {
-	x, part := e.chance(), math.Min(share, 1)
-	if old == nil {
-		return x < part
+func (s *simulation) admit(ratio float64, recorded *controller.Table, wasAdmitted bool) bool {
+	draw, capped := s.random(), math.Min(ratio, 1)
+	if recorded == nil {
+		return draw < capped
 	}
-	before := math.Min(old.AdmissionRatio, 1)
-	if was {
-		return before <= 0 || x*before < part
+	recordedRatio := math.Min(recorded.AdmissionRatio, 1)
+	if wasAdmitted {
+		return recordedRatio <= 0 || draw*recordedRatio < capped
 	}
-	return part > before && x*(1-before) < part-before
+	return capped > recordedRatio && draw*(1-recordedRatio) < capped-recordedRatio
 }
 
 // draw draws a host by weight, none that is out, by the host that the recorded draw fell on; "": it is not known.
-func (e *engine) draw(t, old *controller.Table, was string, out func(host string) bool) (string, bool) {
-	if old == nil || was == "" || !(weight(old, was) > 0) || out(was) {
-		return e.pick(t, out)
+func (s *simulation) drawCoupled(table, recorded *controller.Table, recordedHost string, excluded func(host string) bool) (string, bool) {
+	if recorded == nil || recordedHost == "" || !(weight(recorded, recordedHost) > 0) || excluded(recordedHost) {
+		return s.drawByWeight(table, excluded)
 	}
-	before, now := total(old, out), total(t, out)
-	if now <= 0 {
+	recordedTotal, newTotal := totalWeight(recorded, excluded), totalWeight(table, excluded)
+	if newTotal <= 0 {
 		return "", false
 	}
-	if e.chance()*weight(old, was)/before < weight(t, was)/now {
-		return was, true
+	if s.random()*weight(recorded, recordedHost)/recordedTotal < weight(table, recordedHost)/newTotal {
+		return recordedHost, true
 	}
-	host, ok := e.choose(t.Hosts, func(i int) float64 { // what the new table has over the old one of a host
-		if out(t.Hosts[i]) {
+	host, ok := s.weightedChoice(table.Hosts, func(i int) float64 { // what the new table has over the old one of a host
+		if excluded(table.Hosts[i]) {
 			return 0
 		}
-		return math.Max(t.Weights[i]/now-weight(old, t.Hosts[i])/before, 0)
+		return math.Max(table.Weights[i]/newTotal-weight(recorded, table.Hosts[i])/recordedTotal, 0)
 	})
 	if !ok {
-		return e.pick(t, out)
+		return s.drawByWeight(table, excluded)
 	}
 	return host, true
 }
 
 // pick draws a host by weight, none that is out.
-func (e *engine) pick(t *controller.Table, out func(host string) bool) (string, bool) {
-	return e.choose(t.Hosts, func(i int) float64 {
-		if out(t.Hosts[i]) {
+func (s *simulation) drawByWeight(table *controller.Table, excluded func(host string) bool) (string, bool) {
+	return s.weightedChoice(table.Hosts, func(i int) float64 {
+		if excluded(table.Hosts[i]) {
 			return 0
 		}
-		return t.Weights[i]
+		return table.Weights[i]
 	})
 }
 
 // choose draws a host by weights above 0; false where none is.
-func (e *engine) choose(hosts []string, weight func(i int) float64) (last string, ok bool) {
-	sum := 0.0
+func (s *simulation) weightedChoice(hosts []string, weight func(i int) float64) (chosen string, ok bool) {
+	total := 0.0
 	for i := range hosts {
-		sum += weight(i)
+		total += weight(i)
 	}
-	at := e.chance() * sum
+	remaining := s.random() * total
 	for i, host := range hosts {
-		w := weight(i)
-		if w <= 0 {
+		hostWeight := weight(i)
+		if hostWeight <= 0 {
 			continue
 		}
-		if last, ok = host, true; at < w {
+		if chosen, ok = host, true; remaining < hostWeight {
 			break
 		}
-		at -= w
+		remaining -= hostWeight
 	}
-	return last, ok
+	return chosen, ok
 }
--- /dev/null
+++ b/replay/lookahead.go
@@ -0,0 +1,138 @@
+package replay
+
+import (
+	"errors"
+	"io"
+	"math"
+
+	"barleysail/internal/deadlinequeue"
+	"barleysail/internal/record/recordpb"
+	"barleysail/replay/response"
+)
+
+// ahead follows a merged day a little ahead of what it gives: the model sees what it reads, the hosts' lines are put
+// together, and each item comes with what its tries worked, once the model knows the day for a while beyond it.
+type lookahead struct {
+	records     *recordMerger
+	model       *response.Model
+	queues      *response.QueueReconstruction // nil: they are not wanted
+	lookaheadMs float64                       // ms that it reads ahead
+	output      []*analyzedRecord
+	pending     deadlinequeue.Queue[func()]
+	readMs      float64 // of what was read last
+	closedMs    float64 // the model has taken in what was read up to then
+	ended       bool
+}
+
+// workedItem is an item, with each try's work in the order of the tries.
+type analyzedRecord struct {
+	timedRecord
+	services []attemptService
+}
+
+// tryWork tells when a try's work began and how long it went on.
+type attemptService struct{ startMs, serviceMs float64 }
+
+// aheadMore is how much further than a client's patience the model knows the day.
+const extraLookaheadMs = 3000.0
+
+func (a *analysis) newLookahead(open OpenFunc, reorderMs float64, queues bool) (*lookahead, error) {
+	records, err := mergeRecords(open, a.clockOffsets, reorderMs)
+	if err != nil {
+		return nil, err
+	}
+	l := &lookahead{records: records, model: a.model, lookaheadMs: reorderMs + extraLookaheadMs, readMs: a.fromMs}
+	if queues {
+		l.queues = response.NewQueueReconstruction(a.model)
+	}
+	return l, nil
+}
+
+func (l *lookahead) next() (*analyzedRecord, error) {
+	for !l.ended && (len(l.output) == 0 || l.output[0].atMs > l.readMs-l.lookaheadMs) {
+		record, err := l.records.next()
+		if errors.Is(err, io.EOF) {
+			l.ended = true
+			l.addAttemptsUntil(infiniteMs)
+			l.model.CloseWindows(l.readMs + l.lookaheadMs)
+			break
+		}
+		if err != nil {
+			return nil, err
+		}
+		l.readMs = math.Max(l.readMs, record.atMs)
+		l.addAttemptsUntil(record.atMs)
+		if l.readMs >= l.closedMs+closeIntervalMs {
+			l.closedMs = l.readMs
+			l.model.CloseWindows(l.readMs)
+			l.model.DiscardBefore(l.readMs - l.lookaheadMs)
+		}
+		l.add(record)
+	}
+	if len(l.output) == 0 {
+		return nil, io.EOF
+	}
+	first := l.output[0]
+	l.output[0] = nil
+	l.output = l.output[1:]
+	return first, nil
+}
+
+// settleEvery ms of the day the model takes in what was read, and drops what lies behind what is given.
+const closeIntervalMs = 250.0
+
+const infiniteMs = 1e18
+
+// reckon takes the tries that began before a time into their hosts' lines: none can come before it any more.
+func (l *lookahead) addAttemptsUntil(atMs float64) {
+	for {
+		addAttempt, ok := l.pending.Pop(atMs)
+		if !ok {
+			return
+		}
+		addAttempt()
+	}
+}
+
+// add lets the model see an item.
+func (l *lookahead) add(record timedRecord) {
+	analyzed := &analyzedRecord{timedRecord: record}
+	l.output = append(l.output, analyzed)
+	switch what := record.record.What.(type) {
+	case *recordpb.Record_Transaction:
+		request := what.Transaction
+		analyzed.services = make([]attemptService, len(request.Tries))
+		for i, attempt := range request.Tries {
+			l.model.ObserveAttempt(request.Class, attempt.Host, attempt.At, attempt.Took, response.Result(attempt.Result))
+			if l.queues != nil {
+				l.pending.Schedule(attempt.At, func() { l.addAttempt(analyzed, request.Class, i, attempt) })
+			}
+		}
+	case *recordpb.Record_Probed:
+		l.model.ObserveHealthCheck(what.Probed.Host, record.atMs, what.Probed.Outcome == 0, what.Probed.Outcome == 3)
+	case *recordpb.Record_Sums:
+		for _, host := range what.Sums.Hosts {
+			if host.Load != nil {
+				l.model.ObserveUtilization(host.Host, record.atMs, host.Load.Util)
+			}
+		}
+	}
+}
+
+func (l *lookahead) addAttempt(record *analyzedRecord, class string, i int, attempt *recordpb.Try) {
+	result := response.Result(attempt.Result)
+	startMs, serviceMs := l.queues.AddAttempt(class, attempt.Host, attempt.At, attempt.Took, result)
+	record.services[i] = attemptService{startMs, serviceMs}
+	l.model.ObserveServiceTime(class, attempt.Host, attempt.At, attempt.Took, startMs, serviceMs, result)
+}
+
+// all reads the day to its end.
+func (l *lookahead) readAll() error {
+	for {
+		if _, err := l.next(); errors.Is(err, io.EOF) {
+			return nil
+		} else if err != nil {
+			return err
+		}
+	}
+}
--- /dev/null
+++ b/replay/simulate.go
@@ -0,0 +1,466 @@
+package replay
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"hash/crc32"
+	"io"
+	"math"
+	"sort"
+
+	"barleysail/controller"
+	"barleysail/internal/deadlinequeue"
+	"barleysail/internal/record"
+	"barleysail/internal/record/recordpb"
+	"barleysail/internal/rules"
+	"barleysail/replay/response"
+	"barleysail/routing"
+)
+
+// Setting is what a day is replayed with.
+type Settings struct {
+	NewController        ControllerFactory // of a steward, by the start of its life
+	Classes              []controller.RequestClass
+	Limits               rules.Limits
+	HealthCheckTimeoutMs float64 // ms until a probe without an answer is given up
+}
+
+// Window is a span of a day in earnings by class, for transactions that came in it.
+type Window struct {
+	Offered  []float64 `json:"Asked"`
+	Recorded []float64 `json:"Recorded"`
+	Replayed []float64 `json:"Replayed"`
+}
+
+// Outcome of a day, as it was recorded and as it was replayed.
+type Outcome struct {
+	FromMs               float64                  `json:"From"`
+	Classes              []string                 `json:"Classes"`
+	Windows              []Window                 `json:"Windows"` // of windowLength each
+	Verdicts             []rules.Verdict          `json:"Verdicts"`
+	Messages             int                      `json:"Messages"` // wholes and deltas sent
+	Events               []Event                  `json:"Moments"`
+	Attempts             int                      `json:"Tries"`
+	ExtrapolatedAttempts int                      `json:"Beyond"`  // answers of hosts that are extrapolated
+	UnroutedRequests     int                      `json:"AsSeen"`  // transactions of proxies without tables, taken as recorded
+	OptimalityGaps       []float64                `json:"Gaps"`    // of the tables to the best, by window in which there was traffic
+	ClockOffsets         map[string][]ClockOffset `json:"Offsets"` // of the proxies' clocks
+	DuplicateRequests    int                      `json:"Doubled"` // transactions recorded twice, played once
+}
+
+const windowMs = 5000.0
+
+// Replay plays a day's arrivals against the tables that its stewards now decide with a setting. List, joins, leaves,
+// broken polls and the times of sums are as recorded; what hosts answer comes from a model fitted from the record.
+func Simulate(open OpenFunc, settings Settings) (*Outcome, error) {
+	a, err := analyze(open)
+	if err != nil {
+		return nil, err
+	}
+	maxDeadlineMs := 0.0
+	for _, class := range settings.Classes {
+		maxDeadlineMs = math.Max(maxDeadlineMs, class.DeadlineMs)
+	}
+	if err := a.fitModel(open, maxDeadlineMs+5000); err != nil {
+		return nil, err
+	}
+	records, err := a.newLookahead(open, maxDeadlineMs+5000, true)
+	if err != nil {
+		return nil, err
+	}
+	s := &simulation{settings: settings, analysis: a, hosts: response.NewSimulatedHosts(a.model), eventLog: rules.NewEventLog(),
+		controllers: map[string]*simulatedController{}, proxies: map[string]*simulatedProxy{}, classIndex: map[string]int{},
+		outcome: &Outcome{FromMs: a.fromMs, ClockOffsets: map[string][]ClockOffset{}}}
+	s.eventLog.Lean()
+	s.gapMeasuredMs = a.fromMs
+	s.timers.Schedule(a.fromMs+windowMs, s.measureGap)
+	s.timers.Schedule(a.fromMs+compactIntervalMs, s.compactEventLog)
+	for i, class := range settings.Classes {
+		s.classIndex[class.Name] = i
+		s.outcome.Classes = append(s.outcome.Classes, class.Name)
+	}
+	for name, offsets := range a.clockOffsets {
+		s.outcome.ClockOffsets[a.proxyStarts[name].Proxy] = offsets
+	}
+	for {
+		entry, err := records.next()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			return nil, err
+		}
+		s.runTimersUntil(entry.atMs)
+		if err := s.play(entry); err != nil {
+			return nil, err
+		}
+	}
+	s.runTimersUntil(s.nowMs + maxDeadlineMs)
+	s.outcome.DuplicateRequests = records.records.duplicates
+	s.finish()
+	return s.outcome, nil
+}
+
+// engine plays the day.
+type simulation struct {
+	settings Settings
+	analysis *analysis
+	hosts    *response.SimulatedHosts
+	eventLog *rules.EventLog
+	outcome  *Outcome
+
+	nowMs       float64
+	timers      deadlinequeue.Queue[func()]
+	controllers map[string]*simulatedController // by source
+	proxies     map[string]*simulatedProxy
+	classIndex  map[string]int
+	lastPollID  int64
+	counter     uint64
+
+	endpoints     map[string]endpoint // by the newest list of any steward
+	demand        demand
+	gapMeasuredMs float64
+
+	nonIdempotentRequests, executedTwice int // transactions that must not run twice, and those that did
+}
+
+// twice is the verdict on transactions that must not run twice. A transaction is followed to its end, so it is
+// known then how often it ran.
+func (s *simulation) idempotenceVerdict() rules.Verdict {
+	verdict := rules.Verdict{Rule: "no effect twice", Kept: s.executedTwice == 0, Margin: 1 - 2*float64(s.executedTwice)}
+	verdict.Seen = fmt.Sprintf("%d of %d ran twice", s.executedTwice, s.nonIdempotentRequests)
+	return verdict
+}
+
+// listedHost is what the list says of a host.
+type endpoint struct {
+	zone  string
+	ready bool
+}
+
+// life is a steward's, from its start to its end.
+type simulatedController struct {
+	simulation *simulation
+	name       string
+	controller *controller.Controller
+	polls      map[int64]*simulatedProxy
+	wakeupMs   float64 // the time for which a wake is noted
+	stopped    bool
+}
+
+// proxy as it is replayed.
+type simulatedProxy struct {
+	name, zone   string
+	controller   *simulatedController
+	pollID       int64 // 0: none is out
+	tag          string
+	tables       map[string]controller.Table
+	stats        controller.ProxyStats
+	statsSinceMs float64
+	sequence     int64
+
+	recorded recordedTables // in the record
+
+	ejectAfterFailures int     // failures in a row after which it shuns a host
+	ejectionMs         float64 // ms
+	ejections          map[string]ejection
+	idempotentClasses  map[string]bool // classes that may run twice
+}
+
+// until does all that is due by a time.
+func (s *simulation) runTimersUntil(atMs float64) {
+	for s.timers.Next() <= atMs {
+		s.nowMs = math.Max(s.nowMs, s.timers.Next())
+		timer, _ := s.timers.Pop(s.nowMs)
+		timer()
+	}
+	s.nowMs = math.Max(s.nowMs, atMs)
+}
+
+func (s *simulation) after(delayMs float64, timer func()) { s.timers.Schedule(s.nowMs+delayMs, timer) }
+
+func (s *simulation) random() float64 {
+	s.counter++
+	var bytes [8]byte
+	binary.LittleEndian.PutUint64(bytes[:], s.counter*0x9e3779b97f4a7c15)
+	return float64(crc32.ChecksumIEEE(bytes[:])) / (1 << 32)
+}
+
+// take plays a recorded item.
+func (s *simulation) play(entry *analyzedRecord) error {
+	c := s.controllers[entry.source]
+	switch what := entry.record.What.(type) {
+	case *recordpb.Record_Start:
+		instance, err := s.settings.NewController(what.Start)
+		if err != nil {
+			return err
+		}
+		c = &simulatedController{simulation: s, name: entry.source, controller: instance, polls: map[int64]*simulatedProxy{}, wakeupMs: math.Inf(1)}
+		s.controllers[entry.source] = c
+		s.timers.Schedule(s.analysis.endMs[entry.source]+0.001, c.stop)
+	case *recordpb.Record_Transaction:
+		s.startRequest(s.analysis.proxyStarts[entry.source].Proxy, s.analysis.proxyStarts[entry.source].Zone, what.Transaction, entry.services)
+		return nil
+	case *recordpb.Record_Applied:
+		start := s.analysis.proxyStarts[entry.source]
+		s.proxy(start.Proxy, start.Zone).recorded.apply(what.Applied)
+		return nil
+	case *recordpb.Record_Published:
+		if p := s.proxies[what.Published.Proxy]; p != nil {
+			p.recorded.addResponse(what.Published)
+		}
+		return nil
+	}
+	if c == nil || c.stopped {
+		return nil
+	}
+	switch what := entry.record.What.(type) {
+	case *recordpb.Record_Listed:
+		c.setEndpoints(what.Listed)
+	case *recordpb.Record_ListFailed:
+		c.controller.ObserveWatchFailure(s.nowMs)
+	case *recordpb.Record_Operate:
+		c.controller.ApplyOverrides(s.nowMs, record.Commands(what.Operate), c) // one that is now refused is refused
+	case *recordpb.Record_Poll:
+		p := s.proxy(what.Poll.Proxy, what.Poll.Zone)
+		if p.controller != c {
+			p.disconnect()
+			p.controller, p.tag = c, ""
+		}
+		if p.pollID == 0 {
+			p.sendPoll(what.Poll.Rate)
+		}
+	case *recordpb.Record_PollGone:
+		if p := s.proxies[what.PollGone.Proxy]; p != nil && p.controller == c {
+			p.disconnect()
+		}
+	case *recordpb.Record_Leave:
+		c.controller.Disconnect(s.nowMs, what.Leave, c)
+		if p := s.proxies[what.Leave]; p != nil && p.controller == c {
+			p.controller, p.pollID = nil, 0
+		}
+	case *recordpb.Record_Sums:
+		if p := s.proxies[what.Sums.Proxy]; p != nil && p.controller == c {
+			p.sendStats()
+		}
+	}
+	c.advance()
+	return nil
+}
+
+func (s *simulation) proxy(name, zone string) *simulatedProxy {
+	p := s.proxies[name]
+	if p == nil {
+		p = &simulatedProxy{name: name, zone: zone, tables: map[string]controller.Table{}, statsSinceMs: s.nowMs, ejections: map[string]ejection{},
+			idempotentClasses: map[string]bool{}, recorded: recordedTables{classes: map[string]*controller.Table{}}}
+		p.resetStats()
+		s.applyRecordedOptions(p)
+		s.proxies[name] = p
+	}
+	return p
+}
+
+// ways are how a proxy shuns and repeats, by its own recording. Before format 3 that was not told: classes may run
+// twice then unless the setting says otherwise.
+func (s *simulation) applyRecordedOptions(p *simulatedProxy) {
+	for _, start := range s.analysis.proxyStarts {
+		if start.Proxy != p.name {
+			continue
+		}
+		p.ejectAfterFailures, p.ejectionMs = int(start.Ejects), start.Shuns
+		for _, class := range start.Repeats {
+			p.idempotentClasses[class] = true
+		}
+		for _, class := range s.settings.Classes {
+			if start.Format < 3 && !s.settings.Limits.NonIdempotentClasses[class.Name] {
+				p.idempotentClasses[class.Name] = true
+			}
+		}
+	}
+}
+
+func (p *simulatedProxy) resetStats() {
+	p.stats = controller.ProxyStats{Sender: "replay", Hosts: map[string]controller.HostStats{}, Demand: map[string]controller.ClassDemand{}}
+}
+
+// ask polls the proxy's steward.
+func (p *simulatedProxy) sendPoll(rate float64) {
+	c := p.controller
+	c.simulation.lastPollID++
+	p.pollID = c.simulation.lastPollID
+	c.polls[p.pollID] = p
+	request := controller.PollRequest{Proxy: p.name, Zone: p.zone, RequestRate: rate, WaitMs: 60000, AcceptDelta: true}
+	if p.tag != "" {
+		request.Tags = []string{p.tag}
+	}
+	if err := c.controller.Poll(c.simulation.nowMs, p.pollID, request, c); err != nil {
+		delete(c.polls, p.pollID)
+		p.pollID = 0
+	}
+}
+
+// part breaks the proxy's way to its steward; it goes on with what it holds.
+func (p *simulatedProxy) disconnect() {
+	if p.controller == nil {
+		return
+	}
+	if p.pollID != 0 {
+		delete(p.controller.polls, p.pollID)
+		p.controller.controller.CancelPoll(p.controller.simulation.nowMs, p.name, p.pollID)
+		p.pollID = 0
+	}
+	p.controller.simulation.eventLog.LogPollResponse(p.controller.simulation.nowMs, p.name, p.controller.name, 0, "", "", "", nil)
+	p.controller = nil
+}
+
+// report gives the steward what the proxy met since its last report.
+func (p *simulatedProxy) sendStats() {
+	s, stats := p.controller.simulation, p.stats
+	windowMs := math.Max(s.nowMs-p.statsSinceMs, 1)
+	p.sequence++
+	stats.Sequence = p.sequence
+	for host, hostStats := range stats.Hosts {
+		if succeeded := hostStats.Attempts - hostStats.Failed; succeeded > 0 {
+			hostStats.MeanLatencyMs /= float64(succeeded)
+		}
+		hostStats.WindowMs = windowMs
+		stats.Hosts[host] = hostStats
+	}
+	for class, demand := range stats.Demand {
+		demand.WindowMs = windowMs
+		stats.Demand[class] = demand
+	}
+	p.resetStats()
+	p.statsSinceMs = s.nowMs
+	p.controller.controller.ObserveProxyStats(s.nowMs, p.name, stats) // one that names a host no longer listed is refused, as in service
+}
+
+func (c *simulatedController) setEndpoints(list *recordpb.Listed) {
+	entries, listed := record.Endpoints(list), map[string]rules.Listed{}
+	c.simulation.endpoints = map[string]endpoint{}
+	for _, entry := range entries {
+		ready := entry.State == routing.Ready
+		c.simulation.endpoints[entry.Host], listed[entry.Host] = endpoint{entry.Zone, ready}, rules.Listed{Ready: ready, Started: entry.StartedMs}
+		parameters := c.simulation.analysis.model.Parameters(entry.Host)
+		c.simulation.eventLog.LogCapacity(entry.Host, float64(parameters.Cores)/parameters.ServiceTimeFactor)
+	}
+	c.simulation.eventLog.LogEndpoints(c.simulation.nowMs, listed)
+	c.controller.SetEndpoints(c.simulation.nowMs, entries)
+}
+
+// settle lets the steward do what is due, and notes when it is next.
+func (c *simulatedController) advance() {
+	if c.stopped {
+		return
+	}
+	if c.controller.NextMs() <= c.simulation.nowMs {
+		c.controller.Advance(c.simulation.nowMs, c)
+	}
+	next := math.Max(c.controller.NextMs(), c.simulation.nowMs+0.2)
+	if next < c.wakeupMs && !math.IsInf(next, 1) {
+		c.wakeupMs = next
+		c.simulation.timers.Schedule(next, func() {
+			c.wakeupMs = math.Inf(1)
+			c.advance()
+		})
+	}
+}
+
+// end is that of the steward's record: its proxies go on alone.
+func (c *simulatedController) stop() {
+	c.stopped = true
+	for _, p := range c.connectedProxies() {
+		p.disconnect()
+	}
+}
+
+func (c *simulatedController) connectedProxies() []*simulatedProxy {
+	var proxies []*simulatedProxy
+	for _, p := range c.simulation.proxies {
+		if p.controller == c {
+			proxies = append(proxies, p)
+		}
+	}
+	sort.Slice(proxies, func(i, j int) bool { return proxies[i].name < proxies[j].name })
+	return proxies
+}
+
+// The steward.Out of a life.
+
+func (c *simulatedController) Respond(pollID int64, response controller.Response) {
+	p := c.polls[pollID]
+	delete(c.polls, pollID)
+	if p == nil || p.pollID != pollID {
+		return
+	}
+	if response.Kind != controller.NotModified {
+		c.simulation.outcome.Messages++
+	}
+	c.simulation.after(math.Max(c.simulation.analysis.pollDelayMs, 0.5), func() {
+		if p.controller == c && p.pollID == pollID && !c.stopped {
+			p.receive(response)
+			c.advance()
+		}
+	})
+}
+
+func (c *simulatedController) CheckHealth(host string) {
+	alive, reachable := c.simulation.analysis.model.Liveness(host, c.simulation.nowMs)
+	delayMs, result := 1.0, routing.Healthy
+	if !alive && reachable {
+		delayMs, result = c.simulation.settings.HealthCheckTimeoutMs, routing.TimedOut
+	} else if !alive {
+		result = routing.Unreachable
+	}
+	c.simulation.after(delayMs, func() {
+		if !c.stopped {
+			c.controller.ObserveHealthCheck(c.simulation.nowMs, host, result, routing.UnknownLoad)
+			c.advance()
+		}
+	})
+}
+
+func (c *simulatedController) WatchEndpoints() {}
+
+func (c *simulatedController) Log(text string) {
+	if len(c.simulation.outcome.Events) < maxEvents {
+		c.simulation.outcome.Events = append(c.simulation.outcome.Events, Event{c.simulation.nowMs, c.name + ": " + text})
+	}
+}
+
+// take lets the proxy go by an answer, and poll again.
+func (p *simulatedProxy) receive(response controller.Response) {
+	status := 304
+	switch response.Kind {
+	case controller.Snapshot:
+		status = 200
+	case controller.Delta:
+		status = 226
+	}
+	p.controller.simulation.eventLog.LogPollResponse(p.controller.simulation.nowMs, p.name, p.controller.name, status, response.Tag, response.BaseTag, p.tag, response.Body())
+	if response.Kind != controller.NotModified {
+		for _, table := range response.Tables() {
+			if old, ok := p.tables[table.Class]; ok && !table.Assigned {
+				table.Hosts, table.Weights, table.Assigned = old.Hosts, old.Weights, old.Assigned
+			}
+			p.tables[table.Class] = table
+		}
+	}
+	p.tag = response.Tag
+	p.sendPoll(0)
+}
+
+// foldEvery ms the rules are reckoned over what the journal holds, so that it stays as small as a minute of the day.
+const compactIntervalMs = 60000.0
+
+func (s *simulation) compactEventLog() {
+	s.eventLog.Compact(s.settings.Limits, s.nowMs)
+	s.after(compactIntervalMs, s.compactEventLog)
+}
+
+func (s *simulation) finish() {
+	s.outcome.Attempts, s.outcome.ExtrapolatedAttempts = s.hosts.Attempts, s.hosts.Extrapolated
+	s.outcome.Verdicts = s.eventLog.Check(s.settings.Limits, s.nowMs)
+	s.outcome.Verdicts[1] = s.idempotenceVerdict() // the journal is lean, and holds a part only
+}
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -48,129 +48,129 @@
 
 // bounds of what a summary keeps, so that it does not grow with the day: spans are widened, moments left out.
 const (
-	spansKept   = 120
-	momentsKept = 500
-	firstSpan   = 1000.0
+	maxIntervals      = 120
+	maxEvents         = 500
+	initialIntervalMs = 1000.0
 )
 
 // Summarize tells what happened in a day. It is replayed, since changes of mode are not recorded but follow.
-func Summarize(next NextFunc, build ControllerFactory) (*Summary, error) {
-	z := &summarizer{Summary: &Summary{}, width: firstSpan, joined: map[string]bool{}, out: &replayer{}}
-	z.out.lines = func(text string) { z.moment(text) }
+func Summarize(next NextFunc, newController ControllerFactory) (*Summary, error) {
+	s := &summarizer{Summary: &Summary{}, intervalMs: initialIntervalMs, joined: map[string]bool{}, outputs: &outputCollector{}}
+	s.outputs.log = func(text string) { s.addEvent(text) }
 	for {
-		r, err := next()
+		entry, err := next()
 		if errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
-			z.ReadErr = err
+			s.ReadErr = err
 			break
 		}
-		if start := r.GetStart(); start != nil {
-			if z.steward, err = build(start); err != nil {
+		if start := entry.GetStart(); start != nil {
+			if s.controller, err = newController(start); err != nil {
 				return nil, err
 			}
-			z.Start, z.FromMs = start, r.At
+			s.Start, s.FromMs = start, entry.At
 		}
-		if z.steward == nil {
+		if s.controller == nil {
 			return nil, errNoStart
 		}
-		z.take(r)
-		if err := record.Apply(z.steward, r, z.out); err != nil {
+		s.count(entry)
+		if err := record.Apply(s.controller, entry, s.outputs); err != nil {
 			return nil, err
 		}
-		z.out.waiting = z.out.waiting[:0]
+		s.outputs.responses = s.outputs.responses[:0]
 	}
-	if z.steward == nil {
+	if s.controller == nil {
 		return nil, errNoStart
 	}
-	return z.Summary, nil
+	return s.Summary, nil
 }
 
 type summarizer struct {
 	*Summary
-	steward *controller.Controller
-	out     *replayer
-	width   float64
-	joined  map[string]bool
-	now     float64
+	controller *controller.Controller
+	outputs    *outputCollector
+	intervalMs float64
+	joined     map[string]bool
+	nowMs      float64
 }
 
-func (z *summarizer) moment(text string) {
-	if len(z.Events) < momentsKept {
-		z.Events = append(z.Events, Event{z.now, text})
+func (s *summarizer) addEvent(text string) {
+	if len(s.Events) < maxEvents {
+		s.Events = append(s.Events, Event{s.nowMs, text})
 	} else {
-		z.OmittedEvents++
+		s.OmittedEvents++
 	}
 }
 
 // span gives the span of the present time; when there are too many, two become one.
-func (z *summarizer) span() *Interval {
-	for i := int((z.now - z.FromMs) / z.width); ; i = int((z.now - z.FromMs) / z.width) {
-		if i >= spansKept {
-			z.widen()
+func (s *summarizer) currentInterval() *Interval {
+	for i := int((s.nowMs - s.FromMs) / s.intervalMs); ; i = int((s.nowMs - s.FromMs) / s.intervalMs) {
+		if i >= maxIntervals {
+			s.mergeIntervals()
 			continue
 		}
-		for len(z.Intervals) <= i {
-			z.Intervals = append(z.Intervals, Interval{FromMs: z.FromMs + float64(len(z.Intervals))*z.width})
+		for len(s.Intervals) <= i {
+			s.Intervals = append(s.Intervals, Interval{FromMs: s.FromMs + float64(len(s.Intervals))*s.intervalMs})
 		}
-		return &z.Intervals[max(i, 0)]
+		return &s.Intervals[max(i, 0)]
 	}
 }
 
-func (z *summarizer) widen() {
-	z.width *= 2
-	half := z.Intervals[:0:0]
-	for i, s := range z.Intervals {
+func (s *summarizer) mergeIntervals() {
+	s.intervalMs *= 2
+	merged := s.Intervals[:0:0]
+	for i, interval := range s.Intervals {
 		if i%2 == 0 {
-			half = append(half, s)
+			merged = append(merged, interval)
 			continue
 		}
-		h := &half[len(half)-1]
-		h.Arrivals, h.NoResponse, h.Attempts, h.Failed = h.Arrivals+s.Arrivals, h.NoResponse+s.NoResponse, h.Attempts+s.Attempts, h.Failed+s.Failed
-		h.Messages, h.Joined, h.Left = h.Messages+s.Messages, h.Joined+s.Joined, h.Left+s.Left
-		h.HealthyChecks, h.UnhealthyChecks = h.HealthyChecks+s.HealthyChecks, h.UnhealthyChecks+s.UnhealthyChecks
+		last := &merged[len(merged)-1]
+		last.Arrivals, last.NoResponse, last.Attempts, last.Failed = last.Arrivals+interval.Arrivals, last.NoResponse+interval.NoResponse, last.Attempts+interval.Attempts, last.Failed+interval.Failed
+		last.Messages, last.Joined, last.Left = last.Messages+interval.Messages, last.Joined+interval.Joined, last.Left+interval.Left
+		last.HealthyChecks, last.UnhealthyChecks = last.HealthyChecks+interval.HealthyChecks, last.UnhealthyChecks+interval.UnhealthyChecks
 	}
-	z.Intervals = half
+	s.Intervals = merged
 }
 
-func (z *summarizer) take(r *recordpb.Record) {
-	z.now, z.ToMs = r.At, r.At
-	z.Records++
-	s := z.span()
-	switch x := r.What.(type) {
+func (s *summarizer) count(entry *recordpb.Record) {
+	s.nowMs, s.ToMs = entry.At, entry.At
+	s.Records++
+	interval := s.currentInterval()
+	switch what := entry.What.(type) {
 	case *recordpb.Record_Listed:
-		z.MaxHosts = max(z.MaxHosts, len(x.Listed.Hosts))
-		_, text, _ := strings.Cut(Describe(r), "  ")
-		z.moment(text)
+		s.MaxHosts = max(s.MaxHosts, len(what.Listed.Hosts))
+		_, text, _ := strings.Cut(DescribeRecord(entry), "  ")
+		s.addEvent(text)
 	case *recordpb.Record_ListFailed:
-		z.moment("the list could not be had")
+		s.addEvent("the list could not be had")
 	case *recordpb.Record_Poll:
-		if !z.joined[x.Poll.Proxy] {
-			z.joined[x.Poll.Proxy] = true
-			s.Joined++
-			z.MaxProxies = max(z.MaxProxies, len(z.joined))
+		if !s.joined[what.Poll.Proxy] {
+			s.joined[what.Poll.Proxy] = true
+			interval.Joined++
+			s.MaxProxies = max(s.MaxProxies, len(s.joined))
 		}
 	case *recordpb.Record_Leave:
-		if z.joined[x.Leave] {
-			delete(z.joined, x.Leave)
-			s.Left++
+		if s.joined[what.Leave] {
+			delete(s.joined, what.Leave)
+			interval.Left++
 		}
 	case *recordpb.Record_Sums:
-		for _, h := range x.Sums.Hosts {
-			s.Attempts, s.Failed = s.Attempts+h.Tries, s.Failed+h.Failed
+		for _, host := range what.Sums.Hosts {
+			interval.Attempts, interval.Failed = interval.Attempts+host.Tries, interval.Failed+host.Failed
 		}
-		for _, u := range x.Sums.Usage {
-			s.Arrivals, s.NoResponse = s.Arrivals+u.Came, s.NoResponse+u.Unanswered
+		for _, usage := range what.Sums.Usage {
+			interval.Arrivals, interval.NoResponse = interval.Arrivals+usage.Came, interval.NoResponse+usage.Unanswered
 		}
 	case *recordpb.Record_Probed:
-		if routing.HealthCheckResult(x.Probed.Outcome) == routing.Healthy {
-			s.HealthyChecks++
+		if routing.HealthCheckResult(what.Probed.Outcome) == routing.Healthy {
+			interval.HealthyChecks++
 		} else {
-			s.UnhealthyChecks++
+			interval.UnhealthyChecks++
 		}
 	case *recordpb.Record_Published:
-		if controller.ResponseKind(x.Published.Kind) != controller.NotModified {
-			s.Messages++
+		if controller.ResponseKind(what.Published.Kind) != controller.NotModified {
+			interval.Messages++
 		}
 	}
 }
@@ -178,111 +178,111 @@
 // Cut gives a part of a day as a day of its own: the list and the proxies that were joined when it begins, then
 // its inputs, with the answers that the library now gives. What was learned before the part is not in it, so its
 // answers may differ from the day's; replayed again they come out the same.
-func Cut(next NextFunc, build ControllerFactory, from, to float64, emit func(*recordpb.Record) error) error {
-	c := &cutter{proxies: map[string]*recordpb.Record{}, out: &replayer{}, emit: emit, build: build, from: from}
+func Cut(next NextFunc, newController ControllerFactory, fromMs, toMs float64, emit func(*recordpb.Record) error) error {
+	c := &cutter{lastPolls: map[string]*recordpb.Record{}, outputs: &outputCollector{}, emit: emit, newController: newController, fromMs: fromMs}
 	for {
-		r, err := next()
-		if errors.Is(err, io.EOF) || err == nil && r.At > to {
+		entry, err := next()
+		if errors.Is(err, io.EOF) || err == nil && entry.At > toMs {
 			break
-		} else if err != nil && c.steward == nil {
+		} else if err != nil && c.controller == nil {
 			return err
 		} else if err != nil {
 			break // a torn end: what is there is used
 		}
-		if err := c.take(r); err != nil {
+		if err := c.process(entry); err != nil {
 			return err
 		}
 	}
-	if c.steward == nil {
+	if c.controller == nil {
 		return errors.New("the day has nothing from that time on")
 	}
 	return nil
 }
 
 type cutter struct {
-	start, list *recordpb.Record
-	proxies     map[string]*recordpb.Record // the last poll of each joined proxy
-	steward     *controller.Controller
-	out         *replayer
-	emit        func(*recordpb.Record) error
-	build       ControllerFactory
-	from        float64
+	start, endpoints *recordpb.Record
+	lastPolls        map[string]*recordpb.Record // the last poll of each joined proxy
+	controller       *controller.Controller
+	outputs          *outputCollector
+	emit             func(*recordpb.Record) error
+	newController    ControllerFactory
+	fromMs           float64
 }
 
-func (c *cutter) take(r *recordpb.Record) error {
-	if r.GetPublished() != nil {
+func (c *cutter) process(entry *recordpb.Record) error {
+	if entry.GetPublished() != nil {
 		return nil // made anew
 	}
-	if c.steward == nil && r.At < c.from {
-		switch x := r.What.(type) {
+	if c.controller == nil && entry.At < c.fromMs {
+		switch what := entry.What.(type) {
 		case *recordpb.Record_Start:
-			c.start = r
+			c.start = entry
 		case *recordpb.Record_Listed:
-			c.list = r
+			c.endpoints = entry
 		case *recordpb.Record_Poll:
-			c.proxies[x.Poll.Proxy] = r
+			c.lastPolls[what.Poll.Proxy] = entry
 		case *recordpb.Record_Leave:
-			delete(c.proxies, x.Leave)
+			delete(c.lastPolls, what.Leave)
 		}
 		return nil
 	}
-	if c.steward == nil {
-		if err := c.begin(r); err != nil {
+	if c.controller == nil {
+		if err := c.startController(entry); err != nil {
 			return err
 		}
 	}
-	if r.GetStart() != nil {
+	if entry.GetStart() != nil {
 		return nil
 	}
-	return c.feed(r)
+	return c.apply(entry)
 }
 
 // begin makes the steward as it stands when the part begins.
-func (c *cutter) begin(r *recordpb.Record) (err error) {
-	if r.GetStart() != nil {
-		c.start = r
+func (c *cutter) startController(first *recordpb.Record) (err error) {
+	if first.GetStart() != nil {
+		c.start = first
 	}
 	if c.start == nil {
 		return errNoStart
 	}
-	if c.steward, err = c.build(c.start.GetStart()); err != nil {
+	if c.controller, err = c.newController(c.start.GetStart()); err != nil {
 		return err
 	}
-	at := r.At
-	if err := c.emit(&recordpb.Record{At: at, What: c.start.What}); err != nil {
+	atMs := first.At
+	if err := c.emit(&recordpb.Record{At: atMs, What: c.start.What}); err != nil {
 		return err
 	}
-	if c.list != nil {
-		if err := c.feed(&recordpb.Record{At: at, What: c.list.What}); err != nil {
+	if c.endpoints != nil {
+		if err := c.apply(&recordpb.Record{At: atMs, What: c.endpoints.What}); err != nil {
 			return err
 		}
 	}
 	var names []string
-	for name := range c.proxies {
+	for name := range c.lastPolls {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		if err := c.feed(&recordpb.Record{At: at, What: c.proxies[name].What}); err != nil {
+		if err := c.apply(&recordpb.Record{At: atMs, What: c.lastPolls[name].What}); err != nil {
 			return err
 		}
 	}
-	return c.feed(record.Advance(at))
+	return c.apply(record.Advance(atMs))
 }
 
 // feed gives an input to the steward, and passes it and what is answered on.
-func (c *cutter) feed(r *recordpb.Record) error {
-	if err := record.Apply(c.steward, r, c.out); err != nil {
+func (c *cutter) apply(entry *recordpb.Record) error {
+	if err := record.Apply(c.controller, entry, c.outputs); err != nil {
 		return err
 	}
-	if err := c.emit(r); err != nil {
+	if err := c.emit(entry); err != nil {
 		return err
 	}
-	for _, a := range c.out.waiting {
-		if err := c.emit(record.Response(r.At, a.poll, a.Response)); err != nil {
+	for _, response := range c.outputs.responses {
+		if err := c.emit(record.Response(entry.At, response.pollID, response.Response)); err != nil {
 			return err
 		}
 	}
-	c.out.waiting = c.out.waiting[:0]
+	c.outputs.responses = c.outputs.responses[:0]
 	return nil
 }
