--- a/replay/analyze.go
+++ b/replay/analyze.go
@@ -18,24 +18,25 @@
 	"barleysail/replay/response"
 )
 
-// Source is one recording of a day: a steward's life, or a proxy's.
+// Source is one recording of a day: that of a controller's process, or that of a proxy.
 type Source struct {
 	Name string
 	Next NextFunc
 }
 
-// Open gives all recordings of a day from their beginnings. It is called once for each pass over the day.
+// OpenFunc opens all recordings of a day at their beginnings. It is called once for each pass over the day.
 type OpenFunc func() ([]Source, error)
 
-// Offset is how far a proxy's clock is behind its stewards', and how sure that is, in ms. A clock that was set anew
-// during the day has more than one, each from the version named on.
+// ClockOffset is the difference that is added to the times of a proxy's clock to get those of the controllers' clock.
+// A clock that was adjusted during the day has several offsets, each valid from a table version on.
 type ClockOffset struct {
 	FromVersion string  `json:"Version"`
 	OffsetMs    float64 `json:"By"`
 	ErrorMs     float64 `json:"Within"`
 }
 
-// shifter puts a proxy's records onto the stewards' clock, in the order in which they were written.
+// clockCorrector converts the times of a proxy's records to the controllers' clock, in the order in which the records
+// were written.
 type clockCorrector struct {
 	offsets []ClockOffset
 	current int
@@ -45,7 +46,8 @@
 	if len(c.offsets) == 0 {
 		return
 	}
-	if tag := record.GetApplied(); tag != "" && c.current+1 < len(c.offsets) && tag == c.offsets[c.current+1].FromVersion {
+	if tag := record.GetApplied(); tag != "" && c.current+1 < len(c.offsets) &&
+		tag == c.offsets[c.current+1].FromVersion {
 		c.current++
 	}
 	offsetMs := c.offsets[c.current].OffsetMs
@@ -58,19 +60,19 @@
 	}
 }
 
-// scan is what the first passes over a day find out.
+// analysis is the result of the first passes over a day.
 type analysis struct {
 	starts       map[string]*recordpb.Start // by source
 	proxyStarts  map[string]*recordpb.ProxyStart
 	fromMs       float64
-	endMs        map[string]float64       // of each source's records
-	clockOffsets map[string][]ClockOffset // by proxy
-	pollDelayMs  float64                  // from an answer to the next poll with its tag
+	endMs        map[string]float64       // time of the last record, by source
+	clockOffsets map[string][]ClockOffset // by source, of proxies
+	pollDelayMs  float64                  // mean delay between a response and the next poll with its tag
 	model        *response.Model
-	reportsLoad  bool // hosts report their load
+	reportsLoad  bool // whether hosts reported their load
 }
 
-// each goes over all records of a day, one recording after the other.
+// forEachRecord visits all records of a day, one recording after the other.
 func forEachRecord(open OpenFunc, visit func(name string, record *recordpb.Record) error) error {
 	sources, err := open()
 	if err != nil {
@@ -80,7 +82,7 @@
 		for {
 			record, err := source.Next()
 			if err != nil {
-				break // a torn end: what is there is used
+				break // a truncated end: the records before it are used
 			}
 			if err := visit(source.Name, record); err != nil {
 				return fmt.Errorf("%s: %w", source.Name, err)
@@ -90,10 +92,16 @@
 	return nil
 }
 
-// read makes the first pass: the clocks, what the list states of the hosts, and the classes' usual times.
+// analyze makes the first pass: it estimates the clock offsets, and collects the listed capacities of the hosts and
+// the latencies of the request classes.
 func analyze(open OpenFunc) (*analysis, error) {
-	a := &analysis{starts: map[string]*recordpb.Start{}, proxyStarts: map[string]*recordpb.ProxyStart{}, fromMs: math.Inf(1),
-		endMs: map[string]float64{}, clockOffsets: map[string][]ClockOffset{}}
+	a := &analysis{
+		starts:       map[string]*recordpb.Start{},
+		proxyStarts:  map[string]*recordpb.ProxyStart{},
+		fromMs:       math.Inf(1),
+		endMs:        map[string]float64{},
+		clockOffsets: map[string][]ClockOffset{},
+	}
 	model := response.New(0)
 	times := newVersionTimes(maxVersionTimes)
 	err := forEachRecord(open, func(name string, record *recordpb.Record) error {
@@ -104,7 +112,8 @@
 		case *recordpb.Record_ProxyStart:
 			a.proxyStarts[name], times.applied[name] = what.ProxyStart, map[string]float64{}
 		case *recordpb.Record_Published:
-			times.addFirst(times.published, what.Published.Tag, record.At) // again when a poll ends with nothing new
+			// The first time counts: a response without changes repeats the tag.
+			times.addFirst(times.published, what.Published.Tag, record.At)
 		case *recordpb.Record_Poll:
 			for _, tag := range what.Poll.Tags {
 				times.addFirst(times.polled, tag, record.At)
@@ -147,16 +156,17 @@
 	return a, nil
 }
 
-// versions are when tables were published, applied and polled with, by tag. Of a long day every second one is kept, of
-// a longer one every fourth, and so on, the same ones of all three.
+// versionTimes are the times at which table versions were published, applied and polled with, by tag. When the limit
+// is exceeded only every second version is kept, then every fourth, and so on; the selection by a hash of the tag
+// keeps the same versions in all three.
 type versionTimes struct {
 	published, polled map[string]float64
-	applied           map[string]map[string]float64 // by proxy's recording
+	applied           map[string]map[string]float64 // by source and tag
 	keepOneIn         uint32
 	count, limit      int
 }
 
-// versionsMost times are kept at once.
+// maxVersionTimes is the largest number of times that are kept.
 const maxVersionTimes = 1 << 20
 
 func newVersionTimes(limit int) *versionTimes {
@@ -184,16 +194,19 @@
 	}
 }
 
-// clocks estimates each proxy's offset. A version is published, then applied, then polled with: the steward's time
-// of the poll is never before the proxy's time of applying, nor that of publishing after it, so each version bounds
-// the offset from both sides. The middle is taken. Where a version's bounds leave nothing of those before it the
-// clock was set anew between them.
+// estimateClockOffsets estimates the clock offset of each proxy. A version is published, then applied, then polled
+// with. The controller's time of the poll is never before the proxy's time of applying, which is never before the
+// controller's time of publishing, so each version bounds the offset from both sides. The estimate is the middle of
+// the interval that all versions allow. Where a version's bounds exclude those of the versions before, the clock was
+// adjusted between them.
 func (a *analysis) estimateClockOffsets(published, polled map[string]float64, applied map[string]map[string]float64) {
 	pollDelayMs, versions := 0.0, 0
 	for _, proxy := range slices.Sorted(maps.Keys(applied)) {
 		appliedMs := applied[proxy]
 		ordered := slices.Sorted(maps.Keys(appliedMs))
-		slices.SortStableFunc(ordered, func(first, second string) int { return cmp.Compare(published[first], published[second]) })
+		slices.SortStableFunc(ordered, func(first, second string) int {
+			return cmp.Compare(published[first], published[second])
+		})
 		var bounds offsetBounds
 		for _, tag := range ordered {
 			polledMs, wasPolled := polled[tag]
@@ -220,17 +233,18 @@
 	}
 }
 
-// offsetBounds are what versions leave of a clock's offset.
+// offsetBounds is the interval of a clock's offset that the versions so far allow.
 type offsetBounds struct {
 	version      string
 	minMs, maxMs float64
 	versions     int
 }
 
-// slack of a clock's bounds: times are noted a moment after what they are of.
+// clockSlackMs is the tolerance of the bounds: an event is recorded shortly after it happens.
 const clockSlackMs = 2.0
 
-// narrow takes in a version's bounds, unless nothing would be left.
+// narrow intersects the bounds with those of another version. It returns false, without a change, if the
+// intersection is empty.
 func (b *offsetBounds) narrow(minMs, maxMs float64) bool {
 	if b.versions > 0 && (minMs > b.maxMs+clockSlackMs || maxMs < b.minMs-clockSlackMs) {
 		return false
@@ -247,7 +261,8 @@
 	return ClockOffset{b.version, (b.minMs + b.maxMs) / 2, math.Abs(b.maxMs-b.minMs) / 2}
 }
 
-// fit makes the two passes that fit the model of the hosts: their cores and states, then their work.
+// fitModel makes the two passes that fit the response-time model: the first fits the cores and states of the hosts,
+// the second their service times.
 func (a *analysis) fitModel(open OpenFunc, reorderMs float64) error {
 	for _, pass := range []struct {
 		queues bool
@@ -265,20 +280,20 @@
 	return nil
 }
 
-// merged gives the records of all sources in order of time, on the stewards' clock. Transactions come by the time
-// at which they came, which is before the time of their record: they wait in a buffer as long as a client's
-// patience lasts.
+// recordMerger merges the records of all sources in order of time, on the controllers' clock. The record of a request
+// is written when the request ends but is ordered by its arrival, so records are held in a buffer until no earlier one
+// can follow.
 type recordMerger struct {
 	sources         []Source
 	correctors      []clockCorrector
-	nextRecords     deadlinequeue.Queue[sourceRecord] // the next record of each source
-	recentChecksums map[uint32]float64                // sums of transactions that came lately, and their times
-	duplicates      int                               // transactions that were recorded twice, and are played once
+	nextRecords     deadlinequeue.Queue[sourceRecord] // next record of each source
+	recentChecksums map[uint32]float64                // times of recent requests, by the checksum of their record
+	duplicates      int                               // requests that were recorded twice, and are replayed once
 	reorderBuffer   deadlinequeue.Queue[timedRecord]
 	reorderMs       float64
 }
 
-// item of a day: a record, of a source, at its time.
+// timedRecord is a record with its source, at the time by which it is ordered.
 type timedRecord struct {
 	atMs   float64
 	source string
@@ -290,7 +305,12 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &recordMerger{sources: sources, correctors: make([]clockCorrector, len(sources)), recentChecksums: map[uint32]float64{}, reorderMs: reorderMs}
+	m := &recordMerger{
+		sources:         sources,
+		correctors:      make([]clockCorrector, len(sources)),
+		recentChecksums: map[uint32]float64{},
+		reorderMs:       reorderMs,
+	}
 	for i := range sources {
 		m.correctors[i].offsets = offsets[sources[i].Name]
 		m.readNext(i)
@@ -298,7 +318,7 @@
 	return m, nil
 }
 
-// head is the next record of a source.
+// sourceRecord is the next record of a source.
 type sourceRecord struct {
 	source int
 	record *recordpb.Record
@@ -313,7 +333,7 @@
 	m.nextRecords.Schedule(record.At, sourceRecord{source, record})
 }
 
-// next gives the next item, and io.EOF after the last.
+// next returns the next record, and io.EOF after the last.
 func (m *recordMerger) next() (timedRecord, error) {
 	for {
 		firstMs := m.nextRecords.Next()
@@ -336,7 +356,7 @@
 	}
 }
 
-// again tells whether a transaction was recorded before, lately.
+// isDuplicate reports whether the same request was recorded before, within the reorder time.
 func (m *recordMerger) isDuplicate(timed timedRecord) bool {
 	if timed.record.GetTransaction() == nil {
 		return false
@@ -361,5 +381,5 @@
 	return false
 }
 
-// seenMost transactions are remembered before old ones are forgotten.
+// maxRecentChecksums is the number of checksums above which old ones are removed.
 const maxRecentChecksums = 50000
--- a/replay/coupling.go
+++ b/replay/coupling.go
@@ -9,23 +9,24 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// A replayed proxy draws hosts and lets transactions in as the recorded one did, as far as its table allows: of a draw
-// by the old table that fell on a host, the part that the new table gives the host too stays there, and the rest is
-// drawn by what the new table has more (the maximal coupling of two distributions; Lindvall, "Lectures on the Coupling
-// Method", 1992). So each day's draws are as by its own table, and what differs between two days is what the tables
-// make of it, not chance.
-
-// going is what a proxy went by in the record: weights by class and host, and the shares let in.
+// A replayed proxy admits requests and draws hosts as the recorded proxy did, as far as its table allows. A recorded
+// draw that chose a host by the recorded table keeps that host with the probability that both tables have in common;
+// otherwise the host is drawn by the weight that the new table has in excess of the recorded one. This is the maximal
+// coupling of two distributions (Lindvall, "Lectures on the Coupling Method", 1992). Each replay's draws are
+// distributed by its own tables, and two replays use common random numbers: they differ by their tables, not by chance.
+
+// recordedTables are the tables that a proxy used when the day was recorded: weights by class and host, and admission
+// ratios.
 type recordedTables struct {
-	known   bool // since a whole document
+	known   bool // false until the first snapshot
 	classes map[string]*controller.Table
-	pending []*recordpb.Published // documents on their way
+	pending []*recordpb.Published // responses that were published but not yet applied
 }
 
-// goingMost documents may be on their way to a proxy; before that it has taken one.
+// maxPendingResponses is the number of responses that may be on their way to a proxy.
 const maxPendingResponses = 64
 
-// published notes a document on its way.
+// addResponse adds a response that was published to the proxy.
 func (r *recordedTables) addResponse(response *recordpb.Published) {
 	if controller.ResponseKind(response.Kind) == controller.NotModified {
 		return
@@ -35,8 +36,8 @@
 	}
 }
 
-// applied takes the documents in up to a version. One that is not known leaves the proxy's tables unknown until the
-// next whole one.
+// apply applies the pending responses up to a version. After an unknown version the proxy's tables are unknown until
+// the next snapshot.
 func (r *recordedTables) apply(tag string) {
 	for i, response := range r.pending {
 		if response.Tag != tag {
@@ -55,7 +56,7 @@
 	var document tablesDocument
 	isSnapshot := controller.ResponseKind(response.Kind) == controller.Snapshot
 	if err := json.Unmarshal(response.Body, &document); err != nil {
-		r.known = false // format 1 has no documents
+		r.known = false // recordings of format 1 hold no documents
 		return
 	}
 	r.known = r.known || isSnapshot
@@ -77,7 +78,7 @@
 	}
 }
 
-// setWeight puts a line into a table, or with nil takes it out; the hosts stay in order.
+// setWeight sets a host's weight in a table, or removes the host if the weight is nil. The hosts stay sorted.
 func setWeight(table *controller.Table, host string, weight *float64) {
 	i, found := slices.BinarySearch(table.Hosts, host)
 	switch {
@@ -90,7 +91,7 @@
 	}
 }
 
-// weight of a host in a table, 0 where it has none.
+// weight returns the weight of a host in a table, 0 if the table does not have it.
 func weight(table *controller.Table, host string) float64 {
 	if i, found := slices.BinarySearch(table.Hosts, host); found {
 		return table.Weights[i]
@@ -98,7 +99,7 @@
 	return 0
 }
 
-// total weight of a table's hosts that are not out.
+// totalWeight returns the total weight of a table's hosts that are not excluded.
 func totalWeight(table *controller.Table, excluded func(host string) bool) (sum float64) {
 	for i, host := range table.Hosts {
 		if !excluded(host) {
@@ -108,7 +109,7 @@
 	return sum
 }
 
-// by gives what the proxy went by for a class, nil where that is not known.
+// table returns the proxy's recorded table of a class, nil if it is not known.
 func (r *recordedTables) table(class string) *controller.Table {
 	if !r.known {
 		return nil
@@ -116,7 +117,7 @@
 	return r.classes[class]
 }
 
-// letIn tells whether a transaction is let in, by what became of it in the record.
+// admit decides whether a request is admitted, coupled with the recorded decision.
 func (s *simulation) admit(ratio float64, recorded *controller.Table, wasAdmitted bool) bool {
 	draw, capped := s.random(), math.Min(ratio, 1)
 	if recorded == nil {
@@ -129,8 +130,11 @@
 	return capped > recordedRatio && draw*(1-recordedRatio) < capped-recordedRatio
 }
 
-// draw draws a host by weight, none that is out, by the host that the recorded draw fell on; "": it is not known.
-func (s *simulation) drawCoupled(table, recorded *controller.Table, recordedHost string, excluded func(host string) bool) (string, bool) {
+// drawCoupled draws a host that is not excluded by weight, coupled with the host of the recorded draw; that is empty
+// if it is not known.
+func (s *simulation) drawCoupled(
+	table, recorded *controller.Table, recordedHost string, excluded func(host string) bool,
+) (string, bool) {
 	if recorded == nil || recordedHost == "" || !(weight(recorded, recordedHost) > 0) || excluded(recordedHost) {
 		return s.drawByWeight(table, excluded)
 	}
@@ -141,7 +145,7 @@
 	if s.random()*weight(recorded, recordedHost)/recordedTotal < weight(table, recordedHost)/newTotal {
 		return recordedHost, true
 	}
-	host, ok := s.weightedChoice(table.Hosts, func(i int) float64 { // what the new table has over the old one of a host
+	host, ok := s.weightedChoice(table.Hosts, func(i int) float64 { // the excess of the new probability
 		if excluded(table.Hosts[i]) {
 			return 0
 		}
@@ -153,7 +157,7 @@
 	return host, true
 }
 
-// pick draws a host by weight, none that is out.
+// drawByWeight draws a host that is not excluded by weight.
 func (s *simulation) drawByWeight(table *controller.Table, excluded func(host string) bool) (string, bool) {
 	return s.weightedChoice(table.Hosts, func(i int) float64 {
 		if excluded(table.Hosts[i]) {
@@ -163,7 +167,7 @@
 	})
 }
 
-// choose draws a host by weights above 0; false where none is.
+// weightedChoice draws a host by weight; ok is false if no weight is above 0.
 func (s *simulation) weightedChoice(hosts []string, weight func(i int) float64) (chosen string, ok bool) {
 	total := 0.0
 	for i := range hosts {
--- a/replay/describe.go
+++ b/replay/describe.go
@@ -12,7 +12,7 @@
 	"barleysail/routing"
 )
 
-// Describe words an input in a line.
+// DescribeRecord returns a line of text that describes a record.
 func DescribeRecord(record *recordpb.Record) string {
 	time := fmt.Sprintf("%.3f s  ", record.At/1000)
 	switch what := record.What.(type) {
@@ -56,7 +56,7 @@
 	return time + "an output"
 }
 
-// tables are a document's, or a delta's, with null for a host that leaves.
+// tablesDocument is a document of tables, or a delta, in which null removes a host.
 type tablesDocument struct {
 	Tables map[string]struct {
 		Hosts          map[string]*float64 `json:"hosts"`
@@ -74,7 +74,7 @@
 	return fmt.Sprint(*value)
 }
 
-// firstValue names the first value in which two documents differ: by class and host, in order of their names.
+// firstDifference describes the first value in which two documents of tables differ, ordered by class and host.
 func firstDifference(recordedBody, replayedBody []byte) string {
 	var recorded, replayed tablesDocument
 	if len(recordedBody) == 0 {
@@ -108,7 +108,8 @@
 			name      string
 			want, got *float64
 		}{{"share", want.AdmissionRatio, got.AdmissionRatio}, {"tries", want.RetryPolicy, got.RetryPolicy}} {
-			if wantText, gotText := formatValue(field.want, field.want != nil), formatValue(field.got, field.got != nil); wantText != gotText {
+			wantText, gotText := formatValue(field.want, field.want != nil), formatValue(field.got, field.got != nil)
+			if wantText != gotText {
 				return fmt.Sprintf("%s of %s: recorded %s, now %s", field.name, class, wantText, gotText)
 			}
 		}
--- a/replay/lookahead.go
+++ b/replay/lookahead.go
@@ -10,30 +10,31 @@
 	"barleysail/replay/response"
 )
 
-// ahead follows a merged day a little ahead of what it gives: the model sees what it reads, the hosts' lines are put
-// together, and each item comes with what its tries worked, once the model knows the day for a while beyond it.
+// lookahead reads merged records ahead of those that it returns. It passes what it reads to the response-time model,
+// reconstructs the queues of the hosts, and returns each record with the service times of its attempts, once the model
+// has the records of some time after it.
 type lookahead struct {
 	records     *recordMerger
 	model       *response.Model
-	queues      *response.QueueReconstruction // nil: they are not wanted
-	lookaheadMs float64                       // ms that it reads ahead
+	queues      *response.QueueReconstruction // nil: service times are not wanted
+	lookaheadMs float64                       // how far it reads ahead
 	output      []*analyzedRecord
 	pending     deadlinequeue.Queue[func()]
-	readMs      float64 // of what was read last
-	closedMs    float64 // the model has taken in what was read up to then
+	readMs      float64 // time of the last record that was read
+	closedMs    float64 // the model's windows before this time are closed
 	ended       bool
 }
 
-// workedItem is an item, with each try's work in the order of the tries.
+// analyzedRecord is a record with the service times of its attempts, in their order.
 type analyzedRecord struct {
 	timedRecord
 	services []attemptService
 }
 
-// tryWork tells when a try's work began and how long it went on.
+// attemptService is when the service of an attempt began, after its wait in the queue, and how long it took.
 type attemptService struct{ startMs, serviceMs float64 }
 
-// aheadMore is how much further than a client's patience the model knows the day.
+// extraLookaheadMs is how far the lookahead extends beyond the reorder time.
 const extraLookaheadMs = 3000.0
 
 func (a *analysis) newLookahead(open OpenFunc, reorderMs float64, queues bool) (*lookahead, error) {
@@ -78,12 +79,14 @@
 	return first, nil
 }
 
-// settleEvery ms of the day the model takes in what was read, and drops what lies behind what is given.
+// closeIntervalMs is the interval at which the model's windows are closed, and those before the returned records are
+// discarded.
 const closeIntervalMs = 250.0
 
 const infiniteMs = 1e18
 
-// reckon takes the tries that began before a time into their hosts' lines: none can come before it any more.
+// addAttemptsUntil adds the attempts that began before a time to the queues of their hosts: no earlier attempt can
+// follow.
 func (l *lookahead) addAttemptsUntil(atMs float64) {
 	for {
 		addAttempt, ok := l.pending.Pop(atMs)
@@ -94,7 +97,7 @@
 	}
 }
 
-// add lets the model see an item.
+// add passes a record to the model.
 func (l *lookahead) add(record timedRecord) {
 	analyzed := &analyzedRecord{timedRecord: record}
 	l.output = append(l.output, analyzed)
@@ -126,7 +129,7 @@
 	l.model.ObserveServiceTime(class, attempt.Host, attempt.At, attempt.Took, startMs, serviceMs, result)
 }
 
-// all reads the day to its end.
+// readAll reads all records, for their effect on the model.
 func (l *lookahead) readAll() error {
 	for {
 		if _, err := l.next(); errors.Is(err, io.EOF) {
--- a/replay/optimality_gap.go
+++ b/replay/optimality_gap.go
@@ -8,10 +8,10 @@
 	"barleysail/solver"
 )
 
-// demand of a window, by class and zone of the proxies.
+// demand is the number of arrivals in a window, by request class and by the zone of the proxy.
 type demand map[string]map[string]float64
 
-// came counts a transaction for the demand of the present window.
+// countArrival counts a request for the demand of the current window.
 func (s *simulation) countArrival(class, zone string) {
 	if s.demand == nil {
 		s.demand = demand{}
@@ -22,8 +22,9 @@
 	s.demand[class][zone]++
 }
 
-// sample measures, at the end of each window, how far the proxies' tables are from the best for the hosts as the
-// model has them then: one that hangs or is dead has no cores, a slow one a part of its speed.
+// measureGap measures, at the end of each window, how much the proxies' tables fall short of the optimal ones for the
+// hosts in the model's current state. A host that is unresponsive or down has no cores, and a slowed host has a
+// reduced speed.
 func (s *simulation) measureGap() {
 	s.gapMeasuredMs += windowMs
 	s.timers.Schedule(s.gapMeasuredMs+windowMs, s.measureGap)
@@ -43,8 +44,13 @@
 		entry := s.endpoints[name]
 		parameters := s.analysis.model.Parameters(name)
 		alive, _ := s.analysis.model.Liveness(name, s.nowMs)
-		host := solver.Host{Name: name, Zone: entry.zone, Speed: 1 / math.Max(s.analysis.model.SlowdownFactor(name, s.nowMs)*parameters.ServiceTimeFactor, 1e-6), Warm: 1,
-			Draining: !entry.ready}
+		host := solver.Host{
+			Name:     name,
+			Zone:     entry.zone,
+			Speed:    1 / math.Max(s.analysis.model.SlowdownFactor(name, s.nowMs)*parameters.ServiceTimeFactor, 1e-6),
+			Warm:     1,
+			Draining: !entry.ready,
+		}
 		if alive {
 			host.Cores = float64(parameters.Cores)
 		}
@@ -57,7 +63,12 @@
 	problem.Zones = slices.Sorted(maps.Keys(zones))
 	for _, class := range s.settings.Classes {
 		if rates := arrivals[class.Name]; len(rates) > 0 {
-			problem.Classes = append(problem.Classes, solver.Class{Name: class.Name, Earnings: class.PriorityWeight, Work: s.analysis.model.BaseServiceTime(class.Name), Local: class.ZoneLocal})
+			problem.Classes = append(problem.Classes, solver.Class{
+				Name:     class.Name,
+				Earnings: class.PriorityWeight,
+				Work:     s.analysis.model.BaseServiceTime(class.Name),
+				Local:    class.ZoneLocal,
+			})
 		}
 	}
 	if measured, err := problem.Measure(s.currentTables()); err == nil {
@@ -65,7 +76,7 @@
 	}
 }
 
-// standing are the proxies' tables, put together by zone.
+// currentTables returns the proxies' tables, pooled by zone.
 func (s *simulation) currentTables() solver.Tables {
 	pool := solver.NewPool()
 	for _, name := range slices.Sorted(maps.Keys(s.proxies)) {
@@ -83,7 +94,7 @@
 	return pool.Tables()
 }
 
-// MeanGap of a day's windows.
+// MeanOptimalityGap returns the mean optimality gap of the windows that had requests.
 func (o *Outcome) MeanOptimalityGap() float64 {
 	if len(o.OptimalityGaps) == 0 {
 		return 0
--- a/replay/requests.go
+++ b/replay/requests.go
@@ -10,7 +10,7 @@
 	"barleysail/routing"
 )
 
-// carried is a transaction on its way.
+// simulatedRequest is a request in progress.
 type simulatedRequest struct {
 	class            string
 	classIndex       int
@@ -20,13 +20,13 @@
 	objectiveMs      float64
 	id               string
 	triedHosts       []string
-	recordedTable    *controller.Table // what the proxy went by in the record, nil: not known
-	recordedAttempts []*recordpb.Try   // the tries of the record
+	recordedTable    *controller.Table // nil: not known
+	recordedAttempts []*recordpb.Try
 	retryPolicy      int
-	executions       int // tries that ran, or may have
+	executions       int // attempts that were executed, or may have been
 }
 
-// transaction plays one at the time at which it came.
+// startRequest starts a request at the time of its recorded arrival.
 func (s *simulation) startRequest(proxyName, zone string, recorded *recordpb.Transaction, services []attemptService) {
 	index, ok := s.classIndex[recorded.Class]
 	if !ok {
@@ -37,7 +37,9 @@
 	window := s.window(recorded.Came)
 	window.Offered[index] += class.PriorityWeight
 	served := 0.0
-	if last := len(recorded.Tries) - 1; recorded.Fulfilled && recorded.Tries[last].At+recorded.Tries[last].Took-recorded.Came <= class.LatencyObjectiveMs {
+	last := len(recorded.Tries) - 1
+	if recorded.Fulfilled &&
+		recorded.Tries[last].At+recorded.Tries[last].Took-recorded.Came <= class.LatencyObjectiveMs {
 		served = class.PriorityWeight
 	}
 	window.Recorded[index] += served
@@ -45,10 +47,17 @@
 	demand.Arrivals++
 	proxy.stats.Demand[recorded.Class] = demand
 	s.counter++
-	request := &simulatedRequest{class: recorded.Class, classIndex: index, arrivalMs: s.nowMs, deadlineMs: class.DeadlineMs, objectiveMs: class.LatencyObjectiveMs, relativeWork: s.relativeWork(recorded, services),
-		id: fmt.Sprintf("%s-%d", proxyName, s.counter)}
+	request := &simulatedRequest{
+		class:        recorded.Class,
+		classIndex:   index,
+		arrivalMs:    s.nowMs,
+		deadlineMs:   class.DeadlineMs,
+		objectiveMs:  class.LatencyObjectiveMs,
+		relativeWork: s.relativeWork(recorded, services),
+		id:           fmt.Sprintf("%s-%d", proxyName, s.counter),
+	}
 	table := proxy.tables[recorded.Class]
-	if !table.Assigned { // it went by hosts of its own, which no steward ordered
+	if !table.Assigned { // the proxy used its own hosts, not those of a controller
 		s.outcome.UnroutedRequests++
 		window.Replayed[index] += served
 		return
@@ -61,7 +70,8 @@
 	s.startAttempt(proxy, request)
 }
 
-// was gives the host of the next try in the record, as long as the tries before it were the same; "": there is none.
+// recordedHost returns the host of the next attempt in the recording if all attempts so far went to the recorded
+// hosts, and "" otherwise.
 func (r *simulatedRequest) recordedHost() string {
 	n := len(r.triedHosts)
 	if n >= len(r.recordedAttempts) {
@@ -75,7 +85,7 @@
 	return r.recordedAttempts[n].Host
 }
 
-// work is what a transaction took against its class's usual time, as far as its record tells.
+// relativeWork returns the work of a recorded request relative to the mean of its class, 1 if it is not known.
 func (s *simulation) relativeWork(request *recordpb.Transaction, services []attemptService) float64 {
 	for i, attempt := range request.Tries {
 		if response.Result(attempt.Result) == response.Fulfilled {
@@ -85,20 +95,26 @@
 	return 1
 }
 
-// window gives the window of a time.
+// window returns the window of a time.
 func (s *simulation) window(atMs float64) *Window {
 	i := max(int((atMs-s.outcome.FromMs)/windowMs), 0)
 	classes := len(s.outcome.Classes)
 	for len(s.outcome.Windows) <= i {
-		s.outcome.Windows = append(s.outcome.Windows, Window{make([]float64, classes), make([]float64, classes), make([]float64, classes)})
+		s.outcome.Windows = append(s.outcome.Windows, Window{
+			Offered:  make([]float64, classes),
+			Recorded: make([]float64, classes),
+			Replayed: make([]float64, classes),
+		})
 	}
 	return &s.outcome.Windows[i]
 }
 
-// try makes a try by the proxy's present table, at a host that was not tried.
+// startAttempt sends the request to a host that was not tried before, by the proxy's current table.
 func (s *simulation) startAttempt(proxy *simulatedProxy, request *simulatedRequest) {
-	table, wasTried := proxy.tables[request.class], func(host string) bool { return slices.Contains(request.triedHosts, host) }
-	host, ok := s.drawCoupled(&table, request.recordedTable, request.recordedHost(), func(host string) bool { return wasTried(host) || s.nowMs < proxy.ejections[host].untilMs })
+	table := proxy.tables[request.class]
+	wasTried := func(host string) bool { return slices.Contains(request.triedHosts, host) }
+	excluded := func(host string) bool { return wasTried(host) || s.nowMs < proxy.ejections[host].untilMs }
+	host, ok := s.drawCoupled(&table, request.recordedTable, request.recordedHost(), excluded)
 	if !ok {
 		host, ok = s.drawByWeight(&table, wasTried)
 	}
@@ -107,9 +123,12 @@
 		return
 	}
 	startMs := s.nowMs
-	endMs, result := s.hosts.Respond(request.class, host, s.nowMs, request.relativeWork, request.arrivalMs+request.deadlineMs-s.nowMs)
+	patienceMs := request.arrivalMs + request.deadlineMs - s.nowMs
+	endMs, result := s.hosts.Respond(request.class, host, s.nowMs, request.relativeWork, patienceMs)
 	parameters := s.analysis.model.Parameters(host)
-	s.eventLog.LogAttempt(s.nowMs, host, proxy.name, request.class, request.id, s.analysis.model.ServiceTime(request.class, host, s.nowMs)/parameters.ServiceTimeFactor*request.relativeWork, result != response.NeverRan)
+	workMs := s.analysis.model.ServiceTime(request.class, host, s.nowMs) / parameters.ServiceTimeFactor *
+		request.relativeWork
+	s.eventLog.LogAttempt(s.nowMs, host, proxy.name, request.class, request.id, workMs, result != response.NeverRan)
 	request.triedHosts = append(request.triedHosts, host)
 	if result != response.NeverRan {
 		request.executions++
@@ -123,16 +142,19 @@
 	s.timers.Schedule(endMs, func() { s.endAttempt(proxy, request, host, startMs, result) })
 }
 
-func (s *simulation) endAttempt(proxy *simulatedProxy, request *simulatedRequest, host string, startMs float64, result response.Result) {
+func (s *simulation) endAttempt(
+	proxy *simulatedProxy, request *simulatedRequest, host string, startMs float64, result response.Result,
+) {
 	stats, known := proxy.stats.Hosts[host]
 	if !known {
 		stats.Load = routing.UnknownLoad
 	}
 	if stats.Attempts++; result == response.Fulfilled {
-		stats.MeanLatencyMs += s.nowMs - startMs // a sum until it is reported
+		stats.MeanLatencyMs += s.nowMs - startMs // a sum until the stats are sent
 		if s.analysis.reportsLoad {
 			utilization, queueLength := s.hosts.Load(host, s.nowMs)
-			stats.Load = routing.HostLoad{Utilization: utilization, RequestRate: -1, QueueLength: queueLength} // the newest is reported
+			// The latest load is reported.
+			stats.Load = routing.HostLoad{Utilization: utilization, RequestRate: -1, QueueLength: queueLength}
 		}
 	} else {
 		stats.Failed++
@@ -144,14 +166,15 @@
 		if s.nowMs-request.arrivalMs <= request.objectiveMs {
 			s.window(request.arrivalMs).Replayed[request.classIndex] += s.settings.Classes[request.classIndex].PriorityWeight
 		}
-	case s.nowMs < request.arrivalMs+request.deadlineMs && shouldRetry(request.retryPolicy, len(request.triedHosts), result, proxy.idempotentClasses[request.class]):
+	case s.nowMs < request.arrivalMs+request.deadlineMs &&
+		shouldRetry(request.retryPolicy, len(request.triedHosts), result, proxy.idempotentClasses[request.class]):
 		s.startAttempt(proxy, request)
 	default:
 		s.countNoResponse(proxy, request)
 	}
 }
 
-// met has a proxy shun a host that failed it so many times in a row, as package client does.
+// noteResult ejects a host after the configured number of failures in a row, as package client does.
 func (p *simulatedProxy) noteResult(host string, result response.Result, nowMs float64) {
 	if p.ejectAfterFailures == 0 {
 		return
@@ -167,13 +190,13 @@
 	p.ejections[host] = state
 }
 
-// shun is what a proxy remembers of a host that failed it.
+// ejection is what a proxy remembers of a host that failed.
 type ejection struct {
 	failures int // in a row
 	untilMs  float64
 }
 
-// again tells whether a proxy tries again after so many tries: as its table says.
+// shouldRetry reports whether a proxy retries by its table's retry policy after a number of attempts.
 func shouldRetry(retryPolicy, attempts int, last response.Result, idempotent bool) bool {
 	maxAttempts := retryPolicy
 	if retryPolicy > 1 {
--- a/replay/simulate.go
+++ b/replay/simulate.go
@@ -18,41 +18,51 @@
 	"barleysail/routing"
 )
 
-// Setting is what a day is replayed with.
+// Settings are the settings of a counterfactual replay.
 type Settings struct {
-	NewController        ControllerFactory // of a steward, by the start of its life
+	NewController        ControllerFactory // creates a controller from the start record of its recording
 	Classes              []controller.RequestClass
 	Limits               rules.Limits
-	HealthCheckTimeoutMs float64 // ms until a probe without an answer is given up
+	HealthCheckTimeoutMs float64 // timeout of a health check
 }
 
-// Window is a span of a day in earnings by class, for transactions that came in it.
+// Window holds the priority weight of the requests that arrived in a window, by class: all, those that were served
+// within the latency objective when recorded, and those in the replay.
 type Window struct {
 	Offered  []float64 `json:"Asked"`
 	Recorded []float64 `json:"Recorded"`
 	Replayed []float64 `json:"Replayed"`
 }
 
-// Outcome of a day, as it was recorded and as it was replayed.
+// Outcome is the service of a day as it was recorded and as it was replayed.
 type Outcome struct {
 	FromMs               float64                  `json:"From"`
 	Classes              []string                 `json:"Classes"`
-	Windows              []Window                 `json:"Windows"` // of windowLength each
+	Windows              []Window                 `json:"Windows"` // each of windowMs
 	Verdicts             []rules.Verdict          `json:"Verdicts"`
-	Messages             int                      `json:"Messages"` // wholes and deltas sent
+	Messages             int                      `json:"Messages"` // snapshots and deltas sent
 	Events               []Event                  `json:"Moments"`
 	Attempts             int                      `json:"Tries"`
-	ExtrapolatedAttempts int                      `json:"Beyond"`  // answers of hosts that are extrapolated
-	UnroutedRequests     int                      `json:"AsSeen"`  // transactions of proxies without tables, taken as recorded
-	OptimalityGaps       []float64                `json:"Gaps"`    // of the tables to the best, by window in which there was traffic
-	ClockOffsets         map[string][]ClockOffset `json:"Offsets"` // of the proxies' clocks
-	DuplicateRequests    int                      `json:"Doubled"` // transactions recorded twice, played once
+	ExtrapolatedAttempts int                      `json:"Beyond"`  // nothing was recorded of the host then
+	UnroutedRequests     int                      `json:"AsSeen"`  // of proxies without tables; they count as recorded
+	OptimalityGaps       []float64                `json:"Gaps"`    // by window that had requests
+	ClockOffsets         map[string][]ClockOffset `json:"Offsets"` // by proxy
+	DuplicateRequests    int                      `json:"Doubled"` // recorded twice, replayed once
 }
 
-const windowMs = 5000.0
+const (
+	windowMs             = 5000.0
+	reorderMarginMs      = 5000.0 // of the records of requests, beyond the longest deadline
+	pollWaitMs           = 60000  // wait of a long poll
+	minPollDelayMs       = 0.5    // from a response to its receipt by the proxy
+	healthCheckMs        = 1.0    // duration of a health check that does not time out
+	minAdvanceIntervalMs = 0.2
+	stopDelayMs          = 0.001 // a controller stops after the last record of its recording
+)
 
-// Replay plays a day's arrivals against the tables that its stewards now decide with a setting. List, joins, leaves,
-// broken polls and the times of sums are as recorded; what hosts answer comes from a model fitted from the record.
+// Simulate replays a day's arrivals with the tables that its controllers publish with other settings. Endpoint lists,
+// connects, disconnects, canceled polls and the times of the stats are as recorded; the responses of the hosts come
+// from a response-time model that is fitted to the recording.
 func Simulate(open OpenFunc, settings Settings) (*Outcome, error) {
 	a, err := analyze(open)
 	if err != nil {
@@ -62,16 +72,23 @@
 	for _, class := range settings.Classes {
 		maxDeadlineMs = math.Max(maxDeadlineMs, class.DeadlineMs)
 	}
-	if err := a.fitModel(open, maxDeadlineMs+5000); err != nil {
+	if err := a.fitModel(open, maxDeadlineMs+reorderMarginMs); err != nil {
 		return nil, err
 	}
-	records, err := a.newLookahead(open, maxDeadlineMs+5000, true)
+	records, err := a.newLookahead(open, maxDeadlineMs+reorderMarginMs, true)
 	if err != nil {
 		return nil, err
 	}
-	s := &simulation{settings: settings, analysis: a, hosts: response.NewSimulatedHosts(a.model), eventLog: rules.NewEventLog(),
-		controllers: map[string]*simulatedController{}, proxies: map[string]*simulatedProxy{}, classIndex: map[string]int{},
-		outcome: &Outcome{FromMs: a.fromMs, ClockOffsets: map[string][]ClockOffset{}}}
+	s := &simulation{
+		settings:    settings,
+		analysis:    a,
+		hosts:       response.NewSimulatedHosts(a.model),
+		eventLog:    rules.NewEventLog(),
+		controllers: map[string]*simulatedController{},
+		proxies:     map[string]*simulatedProxy{},
+		classIndex:  map[string]int{},
+		outcome:     &Outcome{FromMs: a.fromMs, ClockOffsets: map[string][]ClockOffset{}},
+	}
 	s.eventLog.Lean()
 	s.gapMeasuredMs = a.fromMs
 	s.timers.Schedule(a.fromMs+windowMs, s.measureGap)
@@ -102,7 +119,7 @@
 	return s.outcome, nil
 }
 
-// engine plays the day.
+// simulation is the state of a counterfactual replay.
 type simulation struct {
 	settings Settings
 	analysis *analysis
@@ -116,59 +133,61 @@
 	proxies     map[string]*simulatedProxy
 	classIndex  map[string]int
 	lastPollID  int64
-	counter     uint64
+	counter     uint64 // of random draws and requests: seeds the draws, and numbers the requests
 
-	endpoints     map[string]endpoint // by the newest list of any steward
+	endpoints     map[string]endpoint // of the newest list of any controller
 	demand        demand
 	gapMeasuredMs float64
 
-	nonIdempotentRequests, executedTwice int // transactions that must not run twice, and those that did
+	nonIdempotentRequests int // requests that must not be executed twice
+	executedTwice         int // such requests that were executed twice
 }
 
-// twice is the verdict on transactions that must not run twice. A transaction is followed to its end, so it is
-// known then how often it ran.
+// idempotenceVerdict is the verdict on requests that must not be executed twice. All attempts of a request are
+// simulated, so the number of its executions is known exactly.
 func (s *simulation) idempotenceVerdict() rules.Verdict {
-	verdict := rules.Verdict{Rule: "no effect twice", Kept: s.executedTwice == 0, Margin: 1 - 2*float64(s.executedTwice)}
+	verdict := rules.Verdict{Rule: "no effect twice", Kept: s.executedTwice == 0,
+		Margin: 1 - 2*float64(s.executedTwice)}
 	verdict.Seen = fmt.Sprintf("%d of %d ran twice", s.executedTwice, s.nonIdempotentRequests)
 	return verdict
 }
 
-// listedHost is what the list says of a host.
+// endpoint is a host in the endpoint list.
 type endpoint struct {
 	zone  string
 	ready bool
 }
 
-// life is a steward's, from its start to its end.
+// simulatedController is a controller, from the start to the end of its recording.
 type simulatedController struct {
 	simulation *simulation
 	name       string
 	controller *controller.Controller
 	polls      map[int64]*simulatedProxy
-	wakeupMs   float64 // the time for which a wake is noted
+	wakeupMs   float64 // time of the scheduled advance; infinite: none
 	stopped    bool
 }
 
-// proxy as it is replayed.
+// simulatedProxy is a proxy in the replay.
 type simulatedProxy struct {
 	name, zone   string
 	controller   *simulatedController
-	pollID       int64 // 0: none is out
+	pollID       int64 // 0: no poll is open
 	tag          string
 	tables       map[string]controller.Table
 	stats        controller.ProxyStats
 	statsSinceMs float64
 	sequence     int64
 
-	recorded recordedTables // in the record
+	recorded recordedTables
 
-	ejectAfterFailures int     // failures in a row after which it shuns a host
-	ejectionMs         float64 // ms
+	ejectAfterFailures int // failures in a row after which a host is ejected; 0: never
+	ejectionMs         float64
 	ejections          map[string]ejection
-	idempotentClasses  map[string]bool // classes that may run twice
+	idempotentClasses  map[string]bool
 }
 
-// until does all that is due by a time.
+// runTimersUntil runs all timers that are due by a time.
 func (s *simulation) runTimersUntil(atMs float64) {
 	for s.timers.Next() <= atMs {
 		s.nowMs = math.Max(s.nowMs, s.timers.Next())
@@ -180,6 +199,7 @@
 
 func (s *simulation) after(delayMs float64, timer func()) { s.timers.Schedule(s.nowMs+delayMs, timer) }
 
+// random returns a number from 0 up to 1, determined by the counter.
 func (s *simulation) random() float64 {
 	s.counter++
 	var bytes [8]byte
@@ -187,7 +207,7 @@
 	return float64(crc32.ChecksumIEEE(bytes[:])) / (1 << 32)
 }
 
-// take plays a recorded item.
+// play replays a record.
 func (s *simulation) play(entry *analyzedRecord) error {
 	c := s.controllers[entry.source]
 	switch what := entry.record.What.(type) {
@@ -196,11 +216,18 @@
 		if err != nil {
 			return err
 		}
-		c = &simulatedController{simulation: s, name: entry.source, controller: instance, polls: map[int64]*simulatedProxy{}, wakeupMs: math.Inf(1)}
+		c = &simulatedController{
+			simulation: s,
+			name:       entry.source,
+			controller: instance,
+			polls:      map[int64]*simulatedProxy{},
+			wakeupMs:   math.Inf(1),
+		}
 		s.controllers[entry.source] = c
-		s.timers.Schedule(s.analysis.endMs[entry.source]+0.001, c.stop)
+		s.timers.Schedule(s.analysis.endMs[entry.source]+stopDelayMs, c.stop)
 	case *recordpb.Record_Transaction:
-		s.startRequest(s.analysis.proxyStarts[entry.source].Proxy, s.analysis.proxyStarts[entry.source].Zone, what.Transaction, entry.services)
+		start := s.analysis.proxyStarts[entry.source]
+		s.startRequest(start.Proxy, start.Zone, what.Transaction, entry.services)
 		return nil
 	case *recordpb.Record_Applied:
 		start := s.analysis.proxyStarts[entry.source]
@@ -221,7 +248,8 @@
 	case *recordpb.Record_ListFailed:
 		c.controller.ObserveWatchFailure(s.nowMs)
 	case *recordpb.Record_Operate:
-		c.controller.ApplyOverrides(s.nowMs, record.Commands(what.Operate), c) // one that is now refused is refused
+		// A command that is rejected now has no effect.
+		c.controller.ApplyOverrides(s.nowMs, record.Commands(what.Operate), c)
 	case *recordpb.Record_Poll:
 		p := s.proxy(what.Poll.Proxy, what.Poll.Zone)
 		if p.controller != c {
@@ -252,8 +280,15 @@
 func (s *simulation) proxy(name, zone string) *simulatedProxy {
 	p := s.proxies[name]
 	if p == nil {
-		p = &simulatedProxy{name: name, zone: zone, tables: map[string]controller.Table{}, statsSinceMs: s.nowMs, ejections: map[string]ejection{},
-			idempotentClasses: map[string]bool{}, recorded: recordedTables{classes: map[string]*controller.Table{}}}
+		p = &simulatedProxy{
+			name:              name,
+			zone:              zone,
+			tables:            map[string]controller.Table{},
+			statsSinceMs:      s.nowMs,
+			ejections:         map[string]ejection{},
+			idempotentClasses: map[string]bool{},
+			recorded:          recordedTables{classes: map[string]*controller.Table{}},
+		}
 		p.resetStats()
 		s.applyRecordedOptions(p)
 		s.proxies[name] = p
@@ -261,8 +296,8 @@
 	return p
 }
 
-// ways are how a proxy shuns and repeats, by its own recording. Before format 3 that was not told: classes may run
-// twice then unless the setting says otherwise.
+// applyRecordedOptions sets a proxy's options for ejection and retries from its recording. Recordings before format 3
+// do not have them: their classes are idempotent unless the settings say otherwise.
 func (s *simulation) applyRecordedOptions(p *simulatedProxy) {
 	for _, start := range s.analysis.proxyStarts {
 		if start.Proxy != p.name {
@@ -281,16 +316,21 @@
 }
 
 func (p *simulatedProxy) resetStats() {
-	p.stats = controller.ProxyStats{Sender: "replay", Hosts: map[string]controller.HostStats{}, Demand: map[string]controller.ClassDemand{}}
+	p.stats = controller.ProxyStats{
+		Sender: "replay",
+		Hosts:  map[string]controller.HostStats{},
+		Demand: map[string]controller.ClassDemand{},
+	}
 }
 
-// ask polls the proxy's steward.
+// sendPoll polls the proxy's controller.
 func (p *simulatedProxy) sendPoll(rate float64) {
 	c := p.controller
 	c.simulation.lastPollID++
 	p.pollID = c.simulation.lastPollID
 	c.polls[p.pollID] = p
-	request := controller.PollRequest{Proxy: p.name, Zone: p.zone, RequestRate: rate, WaitMs: 60000, AcceptDelta: true}
+	request := controller.PollRequest{Proxy: p.name, Zone: p.zone, RequestRate: rate, WaitMs: pollWaitMs,
+		AcceptDelta: true}
 	if p.tag != "" {
 		request.Tags = []string{p.tag}
 	}
@@ -300,7 +340,7 @@
 	}
 }
 
-// part breaks the proxy's way to its steward; it goes on with what it holds.
+// disconnect ends the proxy's connection to its controller. The proxy keeps its tables.
 func (p *simulatedProxy) disconnect() {
 	if p.controller == nil {
 		return
@@ -310,11 +350,12 @@
 		p.controller.controller.CancelPoll(p.controller.simulation.nowMs, p.name, p.pollID)
 		p.pollID = 0
 	}
-	p.controller.simulation.eventLog.LogPollResponse(p.controller.simulation.nowMs, p.name, p.controller.name, 0, "", "", "", nil)
+	s := p.controller.simulation
+	s.eventLog.LogPollResponse(s.nowMs, p.name, p.controller.name, 0, "", "", "", nil)
 	p.controller = nil
 }
 
-// report gives the steward what the proxy met since its last report.
+// sendStats reports the proxy's stats since the last report to its controller.
 func (p *simulatedProxy) sendStats() {
 	s, stats := p.controller.simulation, p.stats
 	windowMs := math.Max(s.nowMs-p.statsSinceMs, 1)
@@ -333,7 +374,8 @@
 	}
 	p.resetStats()
 	p.statsSinceMs = s.nowMs
-	p.controller.controller.ObserveProxyStats(s.nowMs, p.name, stats) // one that names a host no longer listed is refused, as in service
+	// As in production, the controller rejects stats of a host that is no longer listed.
+	p.controller.controller.ObserveProxyStats(s.nowMs, p.name, stats)
 }
 
 func (c *simulatedController) setEndpoints(list *recordpb.Listed) {
@@ -341,7 +383,8 @@
 	c.simulation.endpoints = map[string]endpoint{}
 	for _, entry := range entries {
 		ready := entry.State == routing.Ready
-		c.simulation.endpoints[entry.Host], listed[entry.Host] = endpoint{entry.Zone, ready}, rules.Listed{Ready: ready, Started: entry.StartedMs}
+		c.simulation.endpoints[entry.Host] = endpoint{entry.Zone, ready}
+		listed[entry.Host] = rules.Listed{Ready: ready, Started: entry.StartedMs}
 		parameters := c.simulation.analysis.model.Parameters(entry.Host)
 		c.simulation.eventLog.LogCapacity(entry.Host, float64(parameters.Cores)/parameters.ServiceTimeFactor)
 	}
@@ -349,7 +392,7 @@
 	c.controller.SetEndpoints(c.simulation.nowMs, entries)
 }
 
-// settle lets the steward do what is due, and notes when it is next.
+// advance runs what is due in the controller, and schedules the next call.
 func (c *simulatedController) advance() {
 	if c.stopped {
 		return
@@ -357,7 +400,7 @@
 	if c.controller.NextMs() <= c.simulation.nowMs {
 		c.controller.Advance(c.simulation.nowMs, c)
 	}
-	next := math.Max(c.controller.NextMs(), c.simulation.nowMs+0.2)
+	next := math.Max(c.controller.NextMs(), c.simulation.nowMs+minAdvanceIntervalMs)
 	if next < c.wakeupMs && !math.IsInf(next, 1) {
 		c.wakeupMs = next
 		c.simulation.timers.Schedule(next, func() {
@@ -367,7 +410,7 @@
 	}
 }
 
-// end is that of the steward's record: its proxies go on alone.
+// stop ends the controller at the end of its recording. Its proxies continue with the tables that they have.
 func (c *simulatedController) stop() {
 	c.stopped = true
 	for _, p := range c.connectedProxies() {
@@ -386,8 +429,7 @@
 	return proxies
 }
 
-// The steward.Out of a life.
-
+// Respond implements controller.Effects: the proxy receives the response after the mean recorded delay.
 func (c *simulatedController) Respond(pollID int64, response controller.Response) {
 	p := c.polls[pollID]
 	delete(c.polls, pollID)
@@ -397,7 +439,7 @@
 	if response.Kind != controller.NotModified {
 		c.simulation.outcome.Messages++
 	}
-	c.simulation.after(math.Max(c.simulation.analysis.pollDelayMs, 0.5), func() {
+	c.simulation.after(math.Max(c.simulation.analysis.pollDelayMs, minPollDelayMs), func() {
 		if p.controller == c && p.pollID == pollID && !c.stopped {
 			p.receive(response)
 			c.advance()
@@ -405,9 +447,10 @@
 	})
 }
 
+// CheckHealth implements controller.Effects, with the host's state in the model.
 func (c *simulatedController) CheckHealth(host string) {
 	alive, reachable := c.simulation.analysis.model.Liveness(host, c.simulation.nowMs)
-	delayMs, result := 1.0, routing.Healthy
+	delayMs, result := healthCheckMs, routing.Healthy
 	if !alive && reachable {
 		delayMs, result = c.simulation.settings.HealthCheckTimeoutMs, routing.TimedOut
 	} else if !alive {
@@ -421,15 +464,18 @@
 	})
 }
 
+// WatchEndpoints implements controller.Effects; endpoint lists are replayed as recorded.
 func (c *simulatedController) WatchEndpoints() {}
 
+// Log implements controller.Effects.
 func (c *simulatedController) Log(text string) {
 	if len(c.simulation.outcome.Events) < maxEvents {
-		c.simulation.outcome.Events = append(c.simulation.outcome.Events, Event{c.simulation.nowMs, c.name + ": " + text})
+		event := Event{c.simulation.nowMs, c.name + ": " + text}
+		c.simulation.outcome.Events = append(c.simulation.outcome.Events, event)
 	}
 }
 
-// take lets the proxy go by an answer, and poll again.
+// receive applies a response to the proxy's tables, and polls again.
 func (p *simulatedProxy) receive(response controller.Response) {
 	status := 304
 	switch response.Kind {
@@ -438,7 +484,9 @@
 	case controller.Delta:
 		status = 226
 	}
-	p.controller.simulation.eventLog.LogPollResponse(p.controller.simulation.nowMs, p.name, p.controller.name, status, response.Tag, response.BaseTag, p.tag, response.Body())
+	s := p.controller.simulation
+	s.eventLog.LogPollResponse(s.nowMs, p.name, p.controller.name, status, response.Tag, response.BaseTag, p.tag,
+		response.Body())
 	if response.Kind != controller.NotModified {
 		for _, table := range response.Tables() {
 			if old, ok := p.tables[table.Class]; ok && !table.Assigned {
@@ -451,7 +499,8 @@
 	p.sendPoll(0)
 }
 
-// foldEvery ms the rules are reckoned over what the journal holds, so that it stays as small as a minute of the day.
+// compactIntervalMs is the interval at which the invariants are checked and the event log is compacted, so that its
+// size does not grow with the day.
 const compactIntervalMs = 60000.0
 
 func (s *simulation) compactEventLog() {
@@ -462,5 +511,5 @@
 func (s *simulation) finish() {
 	s.outcome.Attempts, s.outcome.ExtrapolatedAttempts = s.hosts.Attempts, s.hosts.Extrapolated
 	s.outcome.Verdicts = s.eventLog.Check(s.settings.Limits, s.nowMs)
-	s.outcome.Verdicts[1] = s.idempotenceVerdict() // the journal is lean, and holds a part only
+	s.outcome.Verdicts[1] = s.idempotenceVerdict() // the lean event log does not have all attempts
 }
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -12,50 +12,55 @@
 	"barleysail/routing"
 )
 
-// Moment of a day that is worth telling: a change of mode, a list, a join or a leave of many.
+// Event is a notable event of a day: a change of mode, of the endpoint list, or of the number of proxies.
 type Event struct {
 	AtMs float64 `json:"At"`
 	Text string  `json:"Text"`
 }
 
-// Span is a stretch of a day in figures.
+// Interval holds the counts of an interval of a day.
 type Interval struct {
 	FromMs          float64 `json:"From"`
-	Arrivals        int64   `json:"Came"`       // as proxies told
-	NoResponse      int64   `json:"Unanswered"` // as proxies told
+	Arrivals        int64   `json:"Came"`       // as reported by the proxies
+	NoResponse      int64   `json:"Unanswered"` // as reported by the proxies
 	Attempts        int64   `json:"Tries"`
 	Failed          int64   `json:"Failed"`
-	Messages        int     `json:"Messages"` // wholes and deltas that left
+	Messages        int     `json:"Messages"` // snapshots and deltas sent
 	Joined          int     `json:"Joined"`
 	Left            int     `json:"Left"`
 	HealthyChecks   int     `json:"ProbesFine"`
 	UnhealthyChecks int     `json:"ProbesOther"`
 }
 
-// Summary of a day.
+// Summary is a summary of a day.
 type Summary struct {
 	Start         *recordpb.Start `json:"Start"`
 	FromMs        float64         `json:"From"`
 	ToMs          float64         `json:"To"`
 	Records       int             `json:"Records"`
-	MaxProxies    int             `json:"Proxies"` // the most that were joined at once
-	MaxHosts      int             `json:"Hosts"`   // the most that were listed at once
+	MaxProxies    int             `json:"Proxies"` // largest number of connected proxies
+	MaxHosts      int             `json:"Hosts"`   // largest number of listed hosts
 	Intervals     []Interval      `json:"Spans"`
 	Events        []Event         `json:"Moments"`
-	OmittedEvents int             `json:"Lost"` // moments that were not kept
-	ReadErr       error           `json:"End"`  // nil at a clean end
+	OmittedEvents int             `json:"Lost"` // beyond the limit
+	ReadErr       error           `json:"End"`  // nil: the recording ended cleanly
 }
 
-// bounds of what a summary keeps, so that it does not grow with the day: spans are widened, moments left out.
+// Limits of a summary's size: intervals are merged, and further events are only counted.
 const (
 	maxIntervals      = 120
 	maxEvents         = 500
 	initialIntervalMs = 1000.0
 )
 
-// Summarize tells what happened in a day. It is replayed, since changes of mode are not recorded but follow.
+// Summarize summarizes a recording. It replays the recording, since changes of mode are not recorded.
 func Summarize(next NextFunc, newController ControllerFactory) (*Summary, error) {
-	s := &summarizer{Summary: &Summary{}, intervalMs: initialIntervalMs, joined: map[string]bool{}, outputs: &outputCollector{}}
+	s := &summarizer{
+		Summary:    &Summary{},
+		intervalMs: initialIntervalMs,
+		joined:     map[string]bool{},
+		outputs:    &outputCollector{},
+	}
 	s.outputs.log = func(text string) { s.addEvent(text) }
 	for {
 		entry, err := next()
@@ -103,7 +108,7 @@
 	}
 }
 
-// span gives the span of the present time; when there are too many, two become one.
+// currentInterval returns the interval of the current time, and merges intervals when there are too many.
 func (s *summarizer) currentInterval() *Interval {
 	for i := int((s.nowMs - s.FromMs) / s.intervalMs); ; i = int((s.nowMs - s.FromMs) / s.intervalMs) {
 		if i >= maxIntervals {
@@ -126,9 +131,15 @@
 			continue
 		}
 		last := &merged[len(merged)-1]
-		last.Arrivals, last.NoResponse, last.Attempts, last.Failed = last.Arrivals+interval.Arrivals, last.NoResponse+interval.NoResponse, last.Attempts+interval.Attempts, last.Failed+interval.Failed
-		last.Messages, last.Joined, last.Left = last.Messages+interval.Messages, last.Joined+interval.Joined, last.Left+interval.Left
-		last.HealthyChecks, last.UnhealthyChecks = last.HealthyChecks+interval.HealthyChecks, last.UnhealthyChecks+interval.UnhealthyChecks
+		last.Arrivals += interval.Arrivals
+		last.NoResponse += interval.NoResponse
+		last.Attempts += interval.Attempts
+		last.Failed += interval.Failed
+		last.Messages += interval.Messages
+		last.Joined += interval.Joined
+		last.Left += interval.Left
+		last.HealthyChecks += interval.HealthyChecks
+		last.UnhealthyChecks += interval.UnhealthyChecks
 	}
 	s.Intervals = merged
 }
@@ -175,11 +186,17 @@
 	}
 }
 
-// Cut gives a part of a day as a day of its own: the list and the proxies that were joined when it begins, then
-// its inputs, with the answers that the library now gives. What was learned before the part is not in it, so its
-// answers may differ from the day's; replayed again they come out the same.
+// Cut extracts a part of a recording as a recording of its own: the endpoint list and the connected proxies at its
+// beginning, then its inputs, with the responses that the controller now gives. The new recording lacks what the
+// controller learned before that time, so its responses may differ from the original ones. Its own replay is identical.
 func Cut(next NextFunc, newController ControllerFactory, fromMs, toMs float64, emit func(*recordpb.Record) error) error {
-	c := &cutter{lastPolls: map[string]*recordpb.Record{}, outputs: &outputCollector{}, emit: emit, newController: newController, fromMs: fromMs}
+	c := &cutter{
+		lastPolls:     map[string]*recordpb.Record{},
+		outputs:       &outputCollector{},
+		emit:          emit,
+		newController: newController,
+		fromMs:        fromMs,
+	}
 	for {
 		entry, err := next()
 		if errors.Is(err, io.EOF) || err == nil && entry.At > toMs {
@@ -187,7 +204,7 @@
 		} else if err != nil && c.controller == nil {
 			return err
 		} else if err != nil {
-			break // a torn end: what is there is used
+			break // a truncated end: the records before it are used
 		}
 		if err := c.process(entry); err != nil {
 			return err
@@ -201,7 +218,7 @@
 
 type cutter struct {
 	start, endpoints *recordpb.Record
-	lastPolls        map[string]*recordpb.Record // the last poll of each joined proxy
+	lastPolls        map[string]*recordpb.Record // last poll of each connected proxy
 	controller       *controller.Controller
 	outputs          *outputCollector
 	emit             func(*recordpb.Record) error
@@ -211,7 +228,7 @@
 
 func (c *cutter) process(entry *recordpb.Record) error {
 	if entry.GetPublished() != nil {
-		return nil // made anew
+		return nil // published again by the new controller
 	}
 	if c.controller == nil && entry.At < c.fromMs {
 		switch what := entry.What.(type) {
@@ -237,7 +254,7 @@
 	return c.apply(entry)
 }
 
-// begin makes the steward as it stands when the part begins.
+// startController starts the controller, with the endpoint list and the proxies at the beginning of the part.
 func (c *cutter) startController(first *recordpb.Record) (err error) {
 	if first.GetStart() != nil {
 		c.start = first
@@ -270,7 +287,7 @@
 	return c.apply(record.Advance(atMs))
 }
 
-// feed gives an input to the steward, and passes it and what is answered on.
+// apply passes an input to the controller, and emits it and the responses.
 func (c *cutter) apply(entry *recordpb.Record) error {
 	if err := record.Apply(c.controller, entry, c.outputs); err != nil {
 		return err
--- a/replay/verify.go
+++ b/replay/verify.go
@@ -1,6 +1,7 @@
-// Package replay gives a steward's recorded day to the library again: with the same setting, to show that the
-// decisions come out as recorded or where they first part and why; and to tell what happened in the day. It does
-// no I/O: records come from a function, and nothing is kept that grows with the length of the day.
+// Package replay replays recordings of controllers. With the recorded settings it verifies that the responses are the
+// recorded ones, and reports where they first differ. With other settings it simulates the day with a model of the
+// hosts' response times. It also summarizes recordings and extracts parts of them. It does no I/O: records come from a
+// function, and no state grows with the length of the day.
 package replay
 
 import (
@@ -13,24 +14,25 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// Next gives the records of a day one by one, and io.EOF at its end.
+// NextFunc returns the next record of a recording, and io.EOF at its end.
 type NextFunc func() (*recordpb.Record, error)
 
-// Make makes the steward that a recording's start describes.
+// ControllerFactory creates a controller from the start record of its recording.
 type ControllerFactory func(*recordpb.Start) (*controller.Controller, error)
 
-// Difference is where a replay first parts from the record.
+// Difference is the first difference between a replay and its recording.
 type Difference struct {
-	AtMs            float64 // ms
+	AtMs            float64
 	Proxy           string
-	Description     string // which host of which class, with both values
+	Description     string // the host and class, with both values
 	LastAgreementMs float64
-	Inputs          []string // since the last answer that agreed, the newest last
-	OmittedInputs   int      // so many more inputs before those
+	Inputs          []string // since the last response that agreed, the last ones in order of time
+	OmittedInputs   int      // number of inputs before those
 }
 
 func (d *Difference) String() string {
-	text := fmt.Sprintf("at %.3f s, proxy %s: %s\nthe last answer that agreed is from %.3f s; inputs since then", d.AtMs/1000, d.Proxy,
+	text := fmt.Sprintf("at %.3f s, proxy %s: %s\nthe last answer that agreed is from %.3f s; inputs since then",
+		d.AtMs/1000, d.Proxy,
 		d.Description, d.LastAgreementMs/1000)
 	if d.OmittedInputs > 0 {
 		text += fmt.Sprintf(" (%d more before these)", d.OmittedInputs)
@@ -41,28 +43,28 @@
 	return text
 }
 
-// Same is what a replay with the same setting came to.
+// Verification is the result of a replay with the recorded settings.
 type Verification struct {
 	Inputs, Responses int
 	FromMs, ToMs      float64
-	FirstDifference   *Difference // nil: all came out as recorded
-	ReadErr           error       // why the recording ended, nil at a clean end
+	FirstDifference   *Difference // nil: all responses are the recorded ones
+	ReadErr           error       // the error that ended reading; nil: a clean end
 }
 
-// inputsKept of those since the last agreement are told.
+// maxInputs is the number of inputs that a Difference holds.
 const maxInputs = 12
 
-// errNoStart is of a recording whose first part is gone: without its settings nothing can be replayed.
+// errNoStart is the error for a recording whose beginning is missing: without its settings it cannot be replayed.
 var errNoStart = errors.New("the recording has no start: its settings are not known")
 
-// answer of the replay, not yet compared.
+// pendingResponse is a response of the replay that was not yet compared.
 type pendingResponse struct {
 	pollID int64
 	controller.Response
 }
 
-// replayer is the steward.Out of a replay. Watches and probes were carried out when the day was recorded; what
-// came of them is among the inputs.
+// outputCollector implements controller.Effects. It performs no health checks and watches no endpoints, as their
+// recorded results are among the inputs.
 type outputCollector struct {
 	responses []pendingResponse
 	log       func(text string)
@@ -79,7 +81,7 @@
 	}
 }
 
-// Again feeds a day to the library with the setting it was recorded with, up to the first difference.
+// Verify replays a recording with its own settings, up to the first difference.
 func Verify(next NextFunc, newController ControllerFactory) (*Verification, error) {
 	v := &verifier{result: &Verification{}, outputs: &outputCollector{}, newController: newController}
 	for v.result.FirstDifference == nil {
@@ -100,7 +102,7 @@
 	return v.result, nil
 }
 
-// comparison holds a replay beside its record.
+// verifier replays a recording and compares the responses with the recorded ones.
 type verifier struct {
 	result          *Verification
 	outputs         *outputCollector
@@ -125,10 +127,11 @@
 		v.compareResponse(entry.At, published)
 		return nil
 	}
-	// What the replay answered to the input before must have been recorded before this one.
+	// The responses to the previous input must have been recorded before this input.
 	if len(v.outputs.responses) > 0 {
 		response := v.outputs.responses[0]
-		v.setDifference(entry.At, response.Proxy, fmt.Sprintf("now published, not recorded: %s", describeResponse(response.Kind, response.Tag, response.BaseTag)))
+		description := describeResponse(response.Kind, response.Tag, response.BaseTag)
+		v.setDifference(entry.At, response.Proxy, fmt.Sprintf("now published, not recorded: %s", description))
 		return nil
 	}
 	v.noteInput(entry)
@@ -145,27 +148,40 @@
 }
 
 func (v *verifier) setDifference(atMs float64, proxy, description string) {
-	v.result.FirstDifference = &Difference{AtMs: atMs, Proxy: proxy, Description: description, LastAgreementMs: v.lastAgreementMs, Inputs: v.inputs, OmittedInputs: v.omittedInputs}
+	v.result.FirstDifference = &Difference{
+		AtMs:            atMs,
+		Proxy:           proxy,
+		Description:     description,
+		LastAgreementMs: v.lastAgreementMs,
+		Inputs:          v.inputs,
+		OmittedInputs:   v.omittedInputs,
+	}
 }
 
 func (v *verifier) compareResponse(atMs float64, recorded *recordpb.Published) {
 	if len(v.outputs.responses) == 0 {
-		v.setDifference(atMs, recorded.Proxy, fmt.Sprintf("recorded, now not published: %s", describeResponse(controller.ResponseKind(recorded.Kind), recorded.Tag, recorded.Base)))
+		description := describeResponse(controller.ResponseKind(recorded.Kind), recorded.Tag, recorded.Base)
+		v.setDifference(atMs, recorded.Proxy, fmt.Sprintf("recorded, now not published: %s", description))
 		return
 	}
 	response := v.outputs.responses[0]
 	v.outputs.responses = v.outputs.responses[1:]
 	body := response.Body()
-	if response.pollID == recorded.Poll && response.Proxy == recorded.Proxy && response.Kind == controller.ResponseKind(recorded.Kind) && response.Tag == recorded.Tag && response.BaseTag == recorded.Base &&
+	if response.pollID == recorded.Poll && response.Proxy == recorded.Proxy &&
+		response.Kind == controller.ResponseKind(recorded.Kind) && response.Tag == recorded.Tag &&
+		response.BaseTag == recorded.Base &&
 		record.Checksum(body) == recorded.Sum {
 		v.result.Responses++
 		v.lastAgreementMs, v.inputs, v.omittedInputs = atMs, v.inputs[:0], 0
 		return
 	}
-	want, got := describeResponse(controller.ResponseKind(recorded.Kind), recorded.Tag, recorded.Base), describeResponse(response.Kind, response.Tag, response.BaseTag)
+	want := describeResponse(controller.ResponseKind(recorded.Kind), recorded.Tag, recorded.Base)
+	got := describeResponse(response.Kind, response.Tag, response.BaseTag)
 	switch {
 	case response.Proxy != recorded.Proxy || response.pollID != recorded.Poll:
-		v.setDifference(atMs, recorded.Proxy, fmt.Sprintf("recorded %s, now an answer to %s: %s", want, response.Proxy, got))
+		v.setDifference(atMs, recorded.Proxy,
+			fmt.Sprintf("recorded %s, now an answer to %s: %s", want, response.Proxy, got))
+
 	case want != got:
 		v.setDifference(atMs, recorded.Proxy, fmt.Sprintf("recorded %s, now %s", want, got))
 	default:
