--- a/replay/analyze.go
+++ b/replay/analyze.go
@@ -148,7 +148,7 @@
 		return nil, errNoStart
 	}
 	if len(a.proxyStarts) == 0 {
-		return nil, errors.New("no proxy's recording is among them: what came, and when, is not known")
+		return nil, errors.New("there is no recording of a proxy, so the requests are unknown")
 	}
 	a.estimateClockOffsets(times.published, times.polled, times.applied)
 	model.SetStart(a.fromMs)
--- a/replay/describe.go
+++ b/replay/describe.go
@@ -23,37 +23,37 @@
 				draining++
 			}
 		}
-		return time + fmt.Sprintf("the list: %d hosts, %d draining", len(what.Listed.Hosts), draining)
+		return time + fmt.Sprintf("endpoint list: %d hosts, %d draining", len(what.Listed.Hosts), draining)
 	case *recordpb.Record_ListFailed:
-		return time + "the list could not be had"
+		return time + "endpoint list not available"
 	case *recordpb.Record_Poll:
-		return time + fmt.Sprintf("%s polls with %s", what.Poll.Proxy, strings.Join(what.Poll.Tags, ", "))
+		return time + fmt.Sprintf("%s polls with tags [%s]", what.Poll.Proxy, strings.Join(what.Poll.Tags, ", "))
 	case *recordpb.Record_PollGone:
-		return time + fmt.Sprintf("the caller of a poll of %s is gone", what.PollGone.Proxy)
+		return time + fmt.Sprintf("%s canceled a poll", what.PollGone.Proxy)
 	case *recordpb.Record_Leave:
-		return time + what.Leave + " leaves"
+		return time + what.Leave + " disconnects"
 	case *recordpb.Record_Sums:
 		attempts, failed := int64(0), int64(0)
 		for _, host := range what.Sums.Hosts {
 			attempts, failed = attempts+host.Tries, failed+host.Failed
 		}
-		return time + fmt.Sprintf("sums %d of %s: %d tries at %d hosts, %d failed", what.Sums.Number, what.Sums.Proxy, attempts,
-			len(what.Sums.Hosts), failed)
+		return time + fmt.Sprintf("stats %d of %s: %d attempts at %d hosts, %d failed",
+			what.Sums.Number, what.Sums.Proxy, attempts, len(what.Sums.Hosts), failed)
 	case *recordpb.Record_Probed:
-		outcomes := [...]string{"answered", "refused", "was silent", "was not there"}
-		return time + fmt.Sprintf("%s %s to a probe", what.Probed.Host, outcomes[min(max(int(what.Probed.Outcome), 0), 3)])
+		outcomes := [...]string{"healthy", "rejected", "timed out", "unreachable"}
+		return time + fmt.Sprintf("health check of %s: %s", what.Probed.Host, outcomes[min(max(int(what.Probed.Outcome), 0), 3)])
 	case *recordpb.Record_Operate:
 		var commands []string
 		for _, order := range what.Operate.Orders {
 			commands = append(commands, order.Host+" "+operator.State(order.State).String())
 		}
-		return time + "operators order " + strings.Join(commands, ", ")
+		return time + "operator commands: " + strings.Join(commands, ", ")
 	case *recordpb.Record_Release:
-		return time + "the steward ends: held polls are answered"
+		return time + "the controller stops and answers the open polls"
 	case *recordpb.Record_Advance:
-		return time + "time passed"
+		return time + "time advanced"
 	}
-	return time + "an output"
+	return time + "another record"
 }
 
 // tablesDocument is a document of tables, or a delta, in which null removes a host.
@@ -67,9 +67,9 @@
 
 func formatValue(value *float64, exists bool) string {
 	if !exists {
-		return "nothing"
+		return "no value"
 	} else if value == nil {
-		return "its removal"
+		return "a removal"
 	}
 	return fmt.Sprint(*value)
 }
@@ -78,10 +78,10 @@
 func firstDifference(recordedBody, replayedBody []byte) string {
 	var recorded, replayed tablesDocument
 	if len(recordedBody) == 0 {
-		return "the documents differ; the record, of an older format, does not hold its own"
+		return "the documents differ; the recording has an old format without documents"
 	}
 	if json.Unmarshal(recordedBody, &recorded) != nil || json.Unmarshal(replayedBody, &replayed) != nil {
-		return "the documents differ, and one is no JSON"
+		return "the documents differ, and one is not valid JSON"
 	}
 	classes := maps.Clone(recorded.Tables)
 	if classes == nil {
@@ -101,7 +101,7 @@
 			wantWeight, inWant := want.Hosts[host]
 			gotWeight, inGot := got.Hosts[host]
 			if wantText, gotText := formatValue(wantWeight, inWant), formatValue(gotWeight, inGot); wantText != gotText {
-				return fmt.Sprintf("host %s of %s: recorded %s, now %s", host, class, wantText, gotText)
+				return fmt.Sprintf("host %s of class %s: recorded %s, replayed %s", host, class, wantText, gotText)
 			}
 		}
 		for _, field := range []struct {
@@ -110,9 +110,9 @@
 		}{{"share", want.AdmissionRatio, got.AdmissionRatio}, {"tries", want.RetryPolicy, got.RetryPolicy}} {
 			wantText, gotText := formatValue(field.want, field.want != nil), formatValue(field.got, field.got != nil)
 			if wantText != gotText {
-				return fmt.Sprintf("%s of %s: recorded %s, now %s", field.name, class, wantText, gotText)
+				return fmt.Sprintf("%s of class %s: recorded %s, replayed %s", field.name, class, wantText, gotText)
 			}
 		}
 	}
-	return "the documents differ in their form alone"
+	return "the documents differ only in their formatting"
 }
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -146,12 +146,12 @@
 			fmt.Fprintf(&output, "%s: error %v\n", name, err)
 			return
 		}
-		fmt.Fprintf(&output, "%s: %d inputs, %d answers, %.0f to %.0f ms\n", name, result.Inputs, result.Responses, result.FromMs, result.ToMs)
+		fmt.Fprintf(&output, "%s: %d inputs, %d responses, %.0f to %.0f ms\n", name, result.Inputs, result.Responses, result.FromMs, result.ToMs)
 		if result.FirstDifference != nil {
 			fmt.Fprintf(&output, "%v\n", result.FirstDifference)
 		}
 	}
-	verify("as it was", recording)
+	verify("unchanged", recording)
 	changed := func(matches func(*recordpb.Record) bool, change func(*recordpb.Record)) []*recordpb.Record {
 		records := append([]*recordpb.Record(nil), recording...)
 		for i, entry := range records {
@@ -163,14 +163,14 @@
 		}
 		return records
 	}
-	verify("a published weight was another", changed(func(entry *recordpb.Record) bool {
+	verify("a changed weight", changed(func(entry *recordpb.Record) bool {
 		return entry.GetPublished() != nil && strings.Contains(string(entry.GetPublished().Body), "null") && entry.At > 9000
 	}, func(entry *recordpb.Record) {
 		published := entry.GetPublished()
 		published.Body = []byte(strings.ReplaceAll(string(published.Body), "null", "0.25"))
 		published.Sum = record.Checksum(published.Body)
 	}))
-	verify("sums told of slow answers", changed(func(entry *recordpb.Record) bool { return entry.GetSums() != nil && entry.At > 3000 },
+	verify("stats with failed attempts", changed(func(entry *recordpb.Record) bool { return entry.GetSums() != nil && entry.At > 3000 },
 		func(entry *recordpb.Record) {
 			for _, host := range entry.GetSums().Hosts {
 				host.Failed = host.Tries
@@ -180,9 +180,9 @@
 	for entry := recording[i]; entry.GetPublished() == nil; entry = recording[i] {
 		i++
 	}
-	verify("an answer was not recorded", append(append([]*recordpb.Record(nil), recording[:i]...), recording[i+1:]...))
-	verify("an answer was recorded twice", append(append([]*recordpb.Record(nil), recording[:i+1]...), recording[i:]...))
-	verify("the start is gone", recording[1:])
+	verify("a missing response", append(append([]*recordpb.Record(nil), recording[:i]...), recording[i+1:]...))
+	verify("a duplicate response", append(append([]*recordpb.Record(nil), recording[:i+1]...), recording[i:]...))
+	verify("no start record", recording[1:])
 	golden.Trace(t, output.String())
 }
 
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -154,7 +154,7 @@
 		_, text, _ := strings.Cut(DescribeRecord(entry), "  ")
 		s.addEvent(text)
 	case *recordpb.Record_ListFailed:
-		s.addEvent("the list could not be had")
+		s.addEvent("endpoint list not available")
 	case *recordpb.Record_Poll:
 		if !s.joined[what.Poll.Proxy] {
 			s.joined[what.Poll.Proxy] = true
@@ -211,7 +211,7 @@
 		}
 	}
 	if c.controller == nil {
-		return errors.New("the day has nothing from that time on")
+		return errors.New("the recording ends before that time")
 	}
 	return nil
 }
--- a/replay/verify.go
+++ b/replay/verify.go
@@ -31,11 +31,11 @@
 }
 
 func (d *Difference) String() string {
-	text := fmt.Sprintf("at %.3f s, proxy %s: %s\nthe last answer that agreed is from %.3f s; inputs since then",
+	text := fmt.Sprintf("at %.3f s, proxy %s: %s\nthe last identical response is from %.3f s; inputs since then",
 		d.AtMs/1000, d.Proxy,
 		d.Description, d.LastAgreementMs/1000)
 	if d.OmittedInputs > 0 {
-		text += fmt.Sprintf(" (%d more before these)", d.OmittedInputs)
+		text += fmt.Sprintf(" (%d earlier ones omitted)", d.OmittedInputs)
 	}
 	for _, input := range d.Inputs {
 		text += "\n  " + input
@@ -55,7 +55,7 @@
 const maxInputs = 12
 
 // errNoStart is the error for a recording whose beginning is missing: without its settings it cannot be replayed.
-var errNoStart = errors.New("the recording has no start: its settings are not known")
+var errNoStart = errors.New("the recording has no start record, so its settings are unknown")
 
 // pendingResponse is a response of the replay that was not yet compared.
 type pendingResponse struct {
@@ -131,7 +131,7 @@
 	if len(v.outputs.responses) > 0 {
 		response := v.outputs.responses[0]
 		description := describeResponse(response.Kind, response.Tag, response.BaseTag)
-		v.setDifference(entry.At, response.Proxy, fmt.Sprintf("now published, not recorded: %s", description))
+		v.setDifference(entry.At, response.Proxy, fmt.Sprintf("published in the replay but not recorded: %s", description))
 		return nil
 	}
 	v.noteInput(entry)
@@ -161,7 +161,7 @@
 func (v *verifier) compareResponse(atMs float64, recorded *recordpb.Published) {
 	if len(v.outputs.responses) == 0 {
 		description := describeResponse(controller.ResponseKind(recorded.Kind), recorded.Tag, recorded.Base)
-		v.setDifference(atMs, recorded.Proxy, fmt.Sprintf("recorded, now not published: %s", description))
+		v.setDifference(atMs, recorded.Proxy, fmt.Sprintf("recorded but not published in the replay: %s", description))
 		return
 	}
 	response := v.outputs.responses[0]
@@ -180,10 +180,10 @@
 	switch {
 	case response.Proxy != recorded.Proxy || response.pollID != recorded.Poll:
 		v.setDifference(atMs, recorded.Proxy,
-			fmt.Sprintf("recorded %s, now an answer to %s: %s", want, response.Proxy, got))
+			fmt.Sprintf("recorded %s, replayed a response to %s: %s", want, response.Proxy, got))
 
 	case want != got:
-		v.setDifference(atMs, recorded.Proxy, fmt.Sprintf("recorded %s, now %s", want, got))
+		v.setDifference(atMs, recorded.Proxy, fmt.Sprintf("recorded %s, replayed %s", want, got))
 	default:
 		v.setDifference(atMs, recorded.Proxy, firstDifference(recorded.Body, body))
 	}
@@ -192,9 +192,9 @@
 func describeResponse(kind controller.ResponseKind, tag, baseTag string) string {
 	switch kind {
 	case controller.Delta:
-		return fmt.Sprintf("a delta from %s to %s", baseTag, tag)
+		return fmt.Sprintf("delta from %s to %s", baseTag, tag)
 	case controller.NotModified:
-		return "nothing new, " + tag
+		return "not modified, tag " + tag
 	}
-	return "the whole, " + tag
+	return "snapshot, tag " + tag
 }
