--- a/replay/compare_test.go
+++ b/replay/compare_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// outcome is a day of so many windows whose service is drawn about a mean.
+// randomOutcome returns an outcome with a random service in each window.
 func randomOutcome(windows int, meanShare, deviation float64, seed uint64) *Outcome {
 	random, outcome := rand.New(rand.NewPCG(seed, 2)), &Outcome{Classes: []string{"sheet", "finish"}}
 	for range windows {
@@ -20,27 +20,39 @@
 	return outcome
 }
 
-// A difference within its interval is called none, one beyond it is not; a day too short says nothing.
+// A difference within its confidence interval is not significant, a larger one is. Too few windows show nothing.
 func TestCompare(t *testing.T) {
 	baseline := randomOutcome(60, 0.9, 0.02, 1)
-	if comparison := Compare(baseline, randomOutcome(60, 0.9, 0.02, 5), 1); comparison.Overall.Difference.Significant() {
-		t.Errorf("two draws of one day: %+v", comparison.Overall)
+	comparison := Compare(baseline, randomOutcome(60, 0.9, 0.02, 5), 1)
+	if comparison.Overall.Difference.Significant() {
+		t.Errorf("equal mean service: got a significant difference %+v", comparison.Overall)
 	}
-	comparison := Compare(baseline, randomOutcome(60, 0.8, 0.02, 2), 1)
-	if difference := comparison.Overall.Difference; !difference.Significant() || difference.Value > -0.08 || difference.Low > difference.Value || difference.High < difference.Value || len(comparison.Classes) != 2 || len(comparison.DifferingWindows) < 50 {
-		t.Errorf("a tenth less: %+v, %d parted", difference, len(comparison.DifferingWindows))
+	comparison = Compare(baseline, randomOutcome(60, 0.8, 0.02, 2), 1)
+	difference := comparison.Overall.Difference
+	if !difference.Significant() || difference.Value > -0.08 || difference.Low > difference.Value ||
+		difference.High < difference.Value {
+		t.Errorf("service that is lower by 0.1: got the difference %+v, want a significant one below -0.08", difference)
 	}
-	if comparison := Compare(randomOutcome(4, 0.9, 0, 1), randomOutcome(4, 0.5, 0, 1), 1); comparison.Overall.Difference.Significant() {
-		t.Errorf("a day of 20 s: %+v", comparison.Overall.Difference)
+	if len(comparison.Classes) != 2 || len(comparison.DifferingWindows) < 50 {
+		t.Errorf("got %d classes and %d differing windows, want 2 and at least 50",
+			len(comparison.Classes), len(comparison.DifferingWindows))
 	}
-	// Of a hundred pairs without a difference about five are called one.
+	comparison = Compare(randomOutcome(4, 0.9, 0, 1), randomOutcome(4, 0.5, 0, 1), 1)
+	if comparison.Overall.Difference.Significant() {
+		t.Errorf("four windows: got a significant difference %+v", comparison.Overall.Difference)
+	}
+	// About five of a hundred pairs of equal mean service are expected to differ significantly.
 	falsePositives := 0
 	for i := range 100 {
-		if Compare(randomOutcome(60, 0.9, 0.02, uint64(100+i)), randomOutcome(60, 0.9, 0.02, uint64(900+i)), 1).Overall.Difference.Significant() {
+		first := randomOutcome(60, 0.9, 0.02, uint64(100+i))
+		second := randomOutcome(60, 0.9, 0.02, uint64(900+i))
+		if Compare(first, second, 1).Overall.Difference.Significant() {
 			falsePositives++
 		}
 	}
 	if falsePositives > 15 {
-		t.Errorf("%d of 100 pairs of draws are called different", falsePositives)
+		t.Errorf("got %d of 100 pairs of equal mean service with a significant difference, want at most 15",
+			falsePositives)
+
 	}
 }
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -31,7 +31,7 @@
 	return config.NewController(parsed, start.Life, start.Seed), nil
 }
 
-// recorder plays a day on a scripted clock, and passes on what a daemon would record.
+// dayRecorder runs a controller on a scripted clock, and emits the records that a daemon would write.
 type dayRecorder struct {
 	controller *controller.Controller
 	nowMs      float64
@@ -40,17 +40,26 @@
 	lastPollID int64
 }
 
+// Respond implements controller.Effects.
 func (r *dayRecorder) Respond(pollID int64, response controller.Response) {
 	r.emit(record.Response(r.nowMs, pollID, response))
 	r.tags[response.Proxy] = response.Tag
 }
+
+// CheckHealth implements controller.Effects.
 func (r *dayRecorder) CheckHealth(string) {}
-func (r *dayRecorder) WatchEndpoints()    {}
-func (r *dayRecorder) Log(string)         {}
+
+// WatchEndpoints implements controller.Effects.
+func (r *dayRecorder) WatchEndpoints() {}
+
+// Log implements controller.Effects.
+func (r *dayRecorder) Log(string) {}
 
 func (r *dayRecorder) feed(input *recordpb.Record) {
 	r.emit(proto.Clone(input).(*recordpb.Record))
-	record.Apply(r.controller, input, r)
+	if err := record.Apply(r.controller, input, r); err != nil {
+		panic(err)
+	}
 	r.advance()
 }
 
@@ -61,10 +70,16 @@
 	}
 }
 
-// play makes a day: hosts of which one in five is slow for a while, proxies that poll and send sums each second,
-// one host draining, one gone and back.
+// generateRecording emits the records of a day: proxies poll and send stats each second, one in five hosts is slow for
+// a while, one host drains, and one is removed and added again.
 func generateRecording(seconds, hosts, proxies int, emit func(*recordpb.Record)) {
-	start := &recordpb.Start{Format: record.Format, Program: "test", Config: testConfig + fmt.Sprintf("fleet { proxies: %d }", proxies), Life: "L", Seed: 3}
+	start := &recordpb.Start{
+		Format:  record.Format,
+		Program: "test",
+		Config:  testConfig + fmt.Sprintf("fleet { proxies: %d }", proxies),
+		Life:    "L",
+		Seed:    3,
+	}
 	instance, err := newTestController(start)
 	if err != nil {
 		panic(err)
@@ -73,7 +88,12 @@
 	emit(&recordpb.Record{At: r.nowMs, What: &recordpb.Record_Start{Start: start}})
 	var endpoints []controller.Endpoint
 	for i := range hosts {
-		endpoints = append(endpoints, controller.Endpoint{Host: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: []string{"a", "b"}[i%2], State: routing.Ready, Weight: 1})
+		endpoints = append(endpoints, controller.Endpoint{
+			Host:   fmt.Sprintf("10.0.%d.%d:80", i/250, i%250),
+			Zone:   []string{"a", "b"}[i%2],
+			State:  routing.Ready,
+			Weight: 1,
+		})
 	}
 	r.feed(record.EndpointList(r.nowMs, endpoints))
 	for second := range seconds {
@@ -95,14 +115,23 @@
 				request.Tags = []string{tag}
 			}
 			r.feed(record.Poll(r.nowMs, r.lastPollID, request))
-			stats := controller.ProxyStats{Sequence: int64(second + 1), Hosts: map[string]controller.HostStats{}, Demand: map[string]controller.ClassDemand{"sheet": {Arrivals: 9, WindowMs: 1000}}}
+			stats := controller.ProxyStats{
+				Sequence: int64(second + 1),
+				Hosts:    map[string]controller.HostStats{},
+				Demand:   map[string]controller.ClassDemand{"sheet": {Arrivals: 9, WindowMs: 1000}},
+			}
 			for j := range min(10, hosts-1) {
 				endpoint := endpoints[1+(proxy*7+j*3+second)%(hosts-1)]
 				meanLatencyMs := 40.0
 				if i := 1 + (proxy*7+j*3+second)%(hosts-1); i%5 == 0 && second > 5 && second < 25 {
 					meanLatencyMs = 400
 				}
-				stats.Hosts[endpoint.Host] = controller.HostStats{Attempts: 20, MeanLatencyMs: meanLatencyMs, WindowMs: 1000, Load: routing.UnknownLoad}
+				stats.Hosts[endpoint.Host] = controller.HostStats{
+					Attempts:      20,
+					MeanLatencyMs: meanLatencyMs,
+					WindowMs:      1000,
+					Load:          routing.UnknownLoad,
+				}
 			}
 			r.feed(record.ProxyStats(r.nowMs, name, stats))
 		}
@@ -135,8 +164,8 @@
 	return records
 }
 
-// A day replayed with its own setting comes out as recorded; where the record was changed the first difference is
-// told, with its cause.
+// A recording that is replayed with its own settings leads to the recorded responses. If the recording was changed, the
+// first difference is reported with the inputs before it.
 func TestVerify(t *testing.T) {
 	var output strings.Builder
 	recording := testRecording()
@@ -146,7 +175,8 @@
 			fmt.Fprintf(&output, "%s: error %v\n", name, err)
 			return
 		}
-		fmt.Fprintf(&output, "%s: %d inputs, %d responses, %.0f to %.0f ms\n", name, result.Inputs, result.Responses, result.FromMs, result.ToMs)
+		fmt.Fprintf(&output, "%s: %d inputs, %d responses, %.0f to %.0f ms\n",
+			name, result.Inputs, result.Responses, result.FromMs, result.ToMs)
 		if result.FirstDifference != nil {
 			fmt.Fprintf(&output, "%v\n", result.FirstDifference)
 		}
@@ -170,12 +200,13 @@
 		published.Body = []byte(strings.ReplaceAll(string(published.Body), "null", "0.25"))
 		published.Sum = record.Checksum(published.Body)
 	}))
-	verify("stats with failed attempts", changed(func(entry *recordpb.Record) bool { return entry.GetSums() != nil && entry.At > 3000 },
-		func(entry *recordpb.Record) {
-			for _, host := range entry.GetSums().Hosts {
-				host.Failed = host.Tries
-			}
-		}))
+	verify("stats with failed attempts", changed(func(entry *recordpb.Record) bool {
+		return entry.GetSums() != nil && entry.At > 3000
+	}, func(entry *recordpb.Record) {
+		for _, host := range entry.GetSums().Hosts {
+			host.Failed = host.Tries
+		}
+	}))
 	i := 0
 	for entry := recording[i]; entry.GetPublished() == nil; entry = recording[i] {
 		i++
@@ -186,7 +217,7 @@
 	golden.Trace(t, output.String())
 }
 
-// A part that is cut out replays by itself.
+// A part that was cut out of a recording can be replayed by itself.
 func TestCut(t *testing.T) {
 	recording := testRecording()
 	for _, part := range [][2]float64{{0, 5000}, {8000, 14000}, {15500, 26000}} {
@@ -198,16 +229,22 @@
 			t.Fatal(err)
 		}
 		result, err := Verify(readerOf(cut), newTestController)
-		if err != nil || result.FirstDifference != nil || result.Responses == 0 || len(cut) >= len(recording) || result.ToMs > part[1] {
-			t.Errorf("%v: %d records, %+v, %v", part, len(cut), result, err)
+		if err != nil || result.FirstDifference != nil || result.Responses == 0 || result.ToMs > part[1] {
+			t.Errorf("replay of the part %v: got %+v and the error %v, want responses as recorded up to its end",
+				part, result, err)
+		}
+		if len(cut) >= len(recording) {
+			t.Errorf("part %v: got %d records, want fewer than the %d of the whole recording",
+				part, len(cut), len(recording))
 		}
 	}
-	if err := Cut(readerOf(recording), newTestController, 1e9, 2e9, func(*recordpb.Record) error { return nil }); err == nil {
-		t.Error("a part after the end")
+	discard := func(*recordpb.Record) error { return nil }
+	if err := Cut(readerOf(recording), newTestController, 1e9, 2e9, discard); err == nil {
+		t.Error("part after the end of the recording: got no error, want one")
 	}
 }
 
-// A summary tells the day in figures, and stays bounded however long the day is.
+// The size of a summary is bounded however long the recording is, and its intervals lose no counts.
 func TestSummary(t *testing.T) {
 	var output strings.Builder
 	summary, err := Summarize(readerOf(testRecording()), newTestController)
@@ -218,8 +255,9 @@
 	for i, interval := range summary.Intervals {
 		if i%5 == 0 {
 			fmt.Fprintf(&output, "%.0f: {From:%g Came:%d Unanswered:%d Tries:%d Failed:%d Messages:%d Joined:%d Left:%d "+
-				"ProbesFine:%d ProbesOther:%d}\n", interval.FromMs, interval.FromMs, interval.Arrivals, interval.NoResponse, interval.Attempts, interval.Failed, interval.Messages,
-				interval.Joined, interval.Left, interval.HealthyChecks, interval.UnhealthyChecks)
+				"ProbesFine:%d ProbesOther:%d}\n", interval.FromMs, interval.FromMs, interval.Arrivals,
+				interval.NoResponse, interval.Attempts, interval.Failed, interval.Messages, interval.Joined,
+				interval.Left, interval.HealthyChecks, interval.UnhealthyChecks)
 		}
 	}
 	for _, event := range summary.Events {
@@ -237,14 +275,15 @@
 		gotArrivals += interval.Arrivals
 	}
 	if len(counter.Intervals) > maxIntervals || gotArrivals != wantArrivals {
-		t.Errorf("%d spans hold %d of %d", len(counter.Intervals), gotArrivals, wantArrivals)
+		t.Errorf("got %d intervals with %d arrivals, want at most %d intervals with %d arrivals",
+			len(counter.Intervals), gotArrivals, maxIntervals, wantArrivals)
 	}
-	if _, err := Summarize(func() (*recordpb.Record, error) { return nil, io.EOF }, newTestController); !errors.Is(err, errNoStart) {
-		t.Error(err)
+	if _, err := Summarize(readerOf(nil), newTestController); !errors.Is(err, errNoStart) {
+		t.Errorf("summary of an empty recording: got the error %v, want %v", err, errNoStart)
 	}
 }
 
-// BenchmarkAgain replays a minute of 150 hosts and 400 proxies.
+// BenchmarkVerify verifies a recording of a minute with 150 hosts and 400 proxies.
 func BenchmarkVerify(b *testing.B) {
 	var recording []*recordpb.Record
 	generateRecording(60, 150, 400, func(entry *recordpb.Record) { recording = append(recording, entry) })
@@ -257,19 +296,24 @@
 	b.ReportMetric(float64(b.Elapsed().Seconds())/float64(b.N)*60, "s/hour-of-day")
 }
 
-// traffic is a day of a steward and its proxies: each proxy's transactions, and the versions that it applied. The
-// record of a transaction may be changed, or left out by nil, or given more than once.
-func addProxyRecordings(seconds, hosts, proxies, rate int, recording []*recordpb.Record, offset func(proxy int, atMs float64) float64,
-	change func(proxy, requests int, entry *recordpb.Record) []*recordpb.Record) OpenFunc {
+// addProxyRecordings opens a controller's recording together with generated recordings of its proxies, which hold
+// requests and the versions that were applied. The clock of each proxy is shifted by offset. The record of a request is
+// replaced by those that change returns.
+func addProxyRecordings(
+	seconds, hosts, proxies, rate int, recording []*recordpb.Record, offset func(proxy int, atMs float64) float64,
+	change func(proxy, requests int, entry *recordpb.Record) []*recordpb.Record,
+) OpenFunc {
 	applied := map[string][]*recordpb.Record{}
 	for _, entry := range recording {
-		if proxy := entry.GetPublished(); proxy != nil && controller.ResponseKind(proxy.Kind) != controller.NotModified {
-			applied[proxy.Proxy] = append(applied[proxy.Proxy], &recordpb.Record{At: entry.At, What: &recordpb.Record_Applied{Applied: proxy.Tag}})
+		published := entry.GetPublished()
+		if published != nil && controller.ResponseKind(published.Kind) != controller.NotModified {
+			applied[published.Proxy] = append(applied[published.Proxy],
+				&recordpb.Record{At: entry.At, What: &recordpb.Record_Applied{Applied: published.Tag}})
 		}
 	}
 	return func() ([]Source, error) {
 		next := readerOf(recording)
-		sources := []Source{{"steward", func() (*recordpb.Record, error) {
+		sources := []Source{{"controller", func() (*recordpb.Record, error) {
 			entry, err := next()
 			if err == nil {
 				entry = proto.Clone(entry).(*recordpb.Record)
@@ -278,7 +322,8 @@
 		}}}
 		for proxy := range proxies {
 			name, requests := fmt.Sprint("p", proxy), 0
-			queued := []*recordpb.Record{{At: 1000, What: &recordpb.Record_ProxyStart{ProxyStart: &recordpb.ProxyStart{Proxy: name, Zone: []string{"a", "b"}[proxy%2]}}}}
+			start := &recordpb.ProxyStart{Proxy: name, Zone: []string{"a", "b"}[proxy%2]}
+			queued := []*recordpb.Record{{At: 1000, What: &recordpb.Record_ProxyStart{ProxyStart: start}}}
 			versions := applied[name]
 			sources = append(sources, Source{fmt.Sprint("proxy", proxy), func() (*recordpb.Record, error) {
 				for len(queued) == 0 {
@@ -292,9 +337,18 @@
 						break
 					}
 					requests++
-					queued = change(proxy, requests, &recordpb.Record{At: atMs + latencyMs, What: &recordpb.Record_Transaction{Transaction: &recordpb.Transaction{
-						Class: "sheet", Came: atMs, LetIn: true, Fulfilled: true,
-						Tries: []*recordpb.Try{{At: atMs, Host: fmt.Sprintf("10.0.0.%d:80", (requests*7+proxy)%hosts), Took: latencyMs}}}}})
+					host := fmt.Sprintf("10.0.0.%d:80", (requests*7+proxy)%hosts)
+					request := &recordpb.Transaction{
+						Class:     "sheet",
+						Came:      atMs,
+						LetIn:     true,
+						Fulfilled: true,
+						Tries:     []*recordpb.Try{{At: atMs, Host: host, Took: latencyMs}},
+					}
+					queued = change(proxy, requests, &recordpb.Record{
+						At:   atMs + latencyMs,
+						What: &recordpb.Record_Transaction{Transaction: request},
+					})
 				}
 				entry := queued[0]
 				queued = queued[1:]
@@ -314,7 +368,7 @@
 	}
 }
 
-// forgotten leaves out what the proxies tell of the versions that they go by: each draw is then by the new tables alone.
+// dropAppliedRecords removes the records of applied versions, so that the draws are not coupled with the recorded ones.
 func dropAppliedRecords(open OpenFunc) OpenFunc {
 	return func() ([]Source, error) {
 		sources, err := open()
@@ -335,17 +389,37 @@
 func unchanged(_, _ int, entry *recordpb.Record) []*recordpb.Record { return []*recordpb.Record{entry} }
 
 func testSettings() Settings {
-	settings := Settings{NewController: newTestController, HealthCheckTimeoutMs: 250, Classes: []controller.RequestClass{{Name: "sheet", RequestClass: routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 2500, PriorityWeight: 3}},
-		{Name: "finish", RequestClass: routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1200, PriorityWeight: 9}}}}
+	settings := Settings{
+		NewController:        newTestController,
+		HealthCheckTimeoutMs: 250,
+		Classes: []controller.RequestClass{
+			{
+				Name:         "sheet",
+				RequestClass: routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 2500, PriorityWeight: 3},
+			},
+			{
+				Name:         "finish",
+				RequestClass: routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1200, PriorityWeight: 9},
+			},
+		},
+	}
 	limits := &settings.Limits
-	limits.EmptyTableMs, limits.DrainGraceMs, limits.SlowStartMs, limits.CollapseMultiple, limits.CollapseMs, limits.EntriesPerSecond, limits.MaxBacklog = 5000, 3000, 18000, 4, 3000, 1e6, 1e6
+	limits.EmptyTableMs = 5000
+	limits.DrainGraceMs = 3000
+	limits.SlowStartMs = 18000
+	limits.CollapseMultiple = 4
+	limits.CollapseMs = 3000
+	limits.EntriesPerSecond = 1e6
+	limits.MaxBacklog = 1e6
 	return settings
 }
 
-// Odd records: a day is played whatever is wrong with a part of it, and what was wrong is told.
+// Recordings with duplicate, reordered, missing and early records, and with proxies whose clocks are off, are simulated
+// nevertheless, and the outcome tells of duplicates, clock offsets and extrapolated attempts.
 func TestOddRecords(t *testing.T) {
 	recording := testRecording()
-	simulate := func(offset func(int, float64) float64, change func(p, n int, entry *recordpb.Record) []*recordpb.Record) *Outcome {
+	type changeFunc func(p, n int, entry *recordpb.Record) []*recordpb.Record
+	simulate := func(offset func(int, float64) float64, change changeFunc) *Outcome {
 		t.Helper()
 		outcome, err := Simulate(addProxyRecordings(30, 12, 4, 100, recording, offset, change), testSettings())
 		if err != nil {
@@ -361,10 +435,12 @@
 	}
 	plain := simulate(noClockOffset, unchanged)
 	if n := requestCount(plain); n < 2890 || n > 2910 || Compare(plain, plain, 1).Overall.Baseline < 0.97 {
-		t.Fatalf("%.0f transactions, %+v", n, Compare(plain, plain, 1).Overall)
+		t.Fatalf("unchanged recording: got %.0f requests and the service %+v, want about 2900 requests and at least 0.97",
+			n, Compare(plain, plain, 1).Overall)
 	}
 	if len(plain.OptimalityGaps) < 5 || plain.MeanOptimalityGap() < -1e-9 || plain.MeanOptimalityGap() > 0.2 {
-		t.Errorf("gaps %v", plain.OptimalityGaps)
+		t.Errorf("unchanged recording: got optimality gaps %v, want at least 5 with a mean from 0 to 0.2",
+			plain.OptimalityGaps)
 	}
 	duplicated := simulate(noClockOffset, func(_, n int, entry *recordpb.Record) []*recordpb.Record {
 		if n%10 == 0 {
@@ -372,13 +448,16 @@
 		}
 		return []*recordpb.Record{entry}
 	})
-	if requestCount(duplicated) != requestCount(plain) || duplicated.DuplicateRequests < 280 || Compare(plain, duplicated, 1).Overall.Difference.Value != 0 {
-		t.Errorf("doubled: %.0f transactions, %d told", requestCount(duplicated), duplicated.DuplicateRequests)
+	if requestCount(duplicated) != requestCount(plain) || duplicated.DuplicateRequests < 280 ||
+		Compare(plain, duplicated, 1).Overall.Difference.Value != 0 {
+		t.Errorf("duplicate records: got %.0f requests, %d duplicates and the difference %+v, want %.0f requests, "+
+			"at least 280 duplicates and no difference", requestCount(duplicated), duplicated.DuplicateRequests,
+			Compare(plain, duplicated, 1).Overall.Difference, requestCount(plain))
 	}
 	held := map[int][]*recordpb.Record{}
 	shuffled := simulate(noClockOffset, func(p, n int, entry *recordpb.Record) []*recordpb.Record {
 		if n == 1 {
-			delete(held, p) // another pass over the day
+			delete(held, p) // begins another pass over the day
 		}
 		waiting := append(held[p], entry)
 		if held[p] = waiting; len(waiting) < 5 {
@@ -387,8 +466,10 @@
 		delete(held, p)
 		return []*recordpb.Record{waiting[3], waiting[0], waiting[4], waiting[1], waiting[2]}
 	})
-	if n := requestCount(shuffled); n < requestCount(plain)-80 || Compare(shuffled, shuffled, 1).Overall.Baseline < 0.97 {
-		t.Errorf("out of order: %.0f transactions", n)
+	n := requestCount(shuffled)
+	if n < requestCount(plain)-80 || Compare(shuffled, shuffled, 1).Overall.Baseline < 0.97 {
+		t.Errorf("reordered records: got %.0f requests and the service %+v, want at least %.0f requests and 0.97",
+			n, Compare(shuffled, shuffled, 1).Overall, requestCount(plain)-80)
 	}
 	missing := simulate(noClockOffset, func(_, _ int, entry *recordpb.Record) []*recordpb.Record {
 		if entry.At > 10000 && entry.At < 20000 {
@@ -397,7 +478,7 @@
 		return []*recordpb.Record{entry}
 	})
 	if n := requestCount(missing); n < 1850 || n > 1960 {
-		t.Errorf("ten seconds missing: %.0f transactions", n)
+		t.Errorf("without the records of ten seconds: got %.0f requests, want 1850 to 1960", n)
 	}
 	clockStep := simulate(func(p int, atMs float64) float64 {
 		if p == 1 && atMs > 15000 {
@@ -405,26 +486,31 @@
 		}
 		return 300 * float64(p)
 	}, unchanged)
-	// The proxies of this day poll once a second, so their clocks are known to half of that.
-	if offsets := clockStep.ClockOffsets["p1"]; len(offsets) != 2 || math.Abs(offsets[0].OffsetMs+300) > offsets[0].ErrorMs+5 || math.Abs(offsets[1].OffsetMs-4000) > offsets[1].ErrorMs+5 {
-		t.Errorf("a clock that was set back: %+v", offsets)
+	// The proxies of this recording poll once a second, so their clock offsets are known to half a second.
+	if offsets := clockStep.ClockOffsets["p1"]; len(offsets) != 2 ||
+		math.Abs(offsets[0].OffsetMs+300) > offsets[0].ErrorMs+5 ||
+		math.Abs(offsets[1].OffsetMs-4000) > offsets[1].ErrorMs+5 {
+		t.Errorf("clock that was set back: got offsets %+v, want -300 and 4000 ms", offsets)
 	}
-	if offsets := clockStep.ClockOffsets["p3"]; len(offsets) != 1 || math.Abs(offsets[0].OffsetMs+900) > offsets[0].ErrorMs+5 || offsets[0].ErrorMs > 500 {
-		t.Errorf("a clock that is off: %+v", offsets)
+	if offsets := clockStep.ClockOffsets["p3"]; len(offsets) != 1 ||
+		math.Abs(offsets[0].OffsetMs+900) > offsets[0].ErrorMs+5 || offsets[0].ErrorMs > 500 {
+		t.Errorf("clock with a constant offset: got offsets %+v, want -900 ms, known to 500 ms", offsets)
 	}
 	earlyAttempt := simulate(noClockOffset, func(_, n int, entry *recordpb.Record) []*recordpb.Record {
-		if n == 1 { // a transaction whose first try lies before the beginning
-			t := entry.GetTransaction()
-			t.Came, t.Tries[0].At = -500, -500
-			t.Tries = append([]*recordpb.Try{{At: -2000, Host: "10.0.0.1:80", Took: 1400, Result: 1}}, t.Tries...)
+		if n == 1 { // a request whose first attempt lies before the first record
+			request := entry.GetTransaction()
+			request.Came, request.Tries[0].At = -500, -500
+			failed := &recordpb.Try{At: -2000, Host: "10.0.0.1:80", Took: 1400, Result: 1}
+			request.Tries = append([]*recordpb.Try{failed}, request.Tries...)
 		}
 		return []*recordpb.Record{entry}
 	})
 	if requestCount(earlyAttempt) != requestCount(plain) {
-		t.Errorf("first tries before the beginning: %.0f transactions", requestCount(earlyAttempt))
+		t.Errorf("attempt before the first record: got %.0f requests, want %.0f",
+			requestCount(earlyAttempt), requestCount(plain))
 	}
 	cancelled := simulate(noClockOffset, func(_, n int, entry *recordpb.Record) []*recordpb.Record {
-		if n%3 == 0 { // given up while the answer was on its way
+		if n%3 == 0 { // the client gave up before the response
 			request := entry.GetTransaction()
 			request.Fulfilled, request.Tries[0].Result, request.Tries[0].Took = false, 1, 2500
 			entry.At = request.Came + 2500
@@ -432,21 +518,24 @@
 		return []*recordpb.Record{entry}
 	})
 	if result := Compare(cancelled, cancelled, 1).Overall; result.Recorded > 0.7 || result.Recorded < 0.6 {
-		t.Errorf("cancelled: %+v", result)
+		t.Errorf("canceled requests: got the service %+v, want a recorded share of 0.6 to 0.7", result)
 	}
-	extrapolated, err := Simulate(dropAppliedRecords(addProxyRecordings(30, 12, 4, 100, recording, noClockOffset, func(_, n int, entry *recordpb.Record) []*recordpb.Record {
-		entry.GetTransaction().Tries[0].Host = "10.0.0.3:80" // all others were never tried in the record
+	oneHost := func(_, n int, entry *recordpb.Record) []*recordpb.Record {
+		entry.GetTransaction().Tries[0].Host = "10.0.0.3:80" // the recording has no attempts at other hosts
 		return []*recordpb.Record{entry}
-	})), testSettings())
+	}
+	open := addProxyRecordings(30, 12, 4, 100, recording, noClockOffset, oneHost)
+	extrapolated, err := Simulate(dropAppliedRecords(open), testSettings())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if float64(extrapolated.ExtrapolatedAttempts) < 0.8*float64(extrapolated.Attempts) {
-		t.Errorf("%d of %d answers extrapolated", extrapolated.ExtrapolatedAttempts, extrapolated.Attempts)
+		t.Errorf("attempts at one host only: got %d of %d attempts extrapolated, want at least 80%%",
+			extrapolated.ExtrapolatedAttempts, extrapolated.Attempts)
 	}
 }
 
-// Whatever is changed in a record, a replay ends, and tells a difference where the answers are not the record's.
+// However a recording is changed, a replay ends, and reports a difference if the responses are not the recorded ones.
 func TestChangedRecords(t *testing.T) {
 	recording := testRecording()
 	rapid.Check(t, func(r *rapid.T) {
@@ -477,7 +566,8 @@
 			}
 		}
 		if result.FirstDifference == nil && result.Responses != recorded {
-			r.Fatalf("%d answers agreed of %d recorded, and no difference is told", result.Responses, recorded)
+			r.Fatalf("got %d identical responses and no difference, want %d responses or a difference",
+				result.Responses, recorded)
 		}
 		if _, err := Summarize(readerOf(changed), newTestController); err != nil {
 			r.Fatal(err)
@@ -485,7 +575,7 @@
 	})
 }
 
-// BenchmarkReplay plays a minute of 150 hosts, 400 proxies and 580 transactions a second against a setting.
+// BenchmarkSimulate simulates a minute of 150 hosts, 400 proxies and 580 requests per second.
 func BenchmarkSimulate(b *testing.B) {
 	const seconds, hosts, proxies, rate = 60, 150, 400, 580
 	var recording []*recordpb.Record
--- a/replay/requests_test.go
+++ b/replay/requests_test.go
@@ -11,14 +11,17 @@
 	"barleysail/replay/response"
 )
 
-// A replayed proxy shuns a host that failed it as often in a row as its recording says, for as long, and goes to a
-// shunned host where no other is left.
+// A simulated proxy ejects a host after the recorded number of failures in a row and for the recorded time, and uses an
+// ejected host if no other is left.
 func TestEjection(t *testing.T) {
-	s := &simulation{analysis: &analysis{proxyStarts: map[string]*recordpb.ProxyStart{"p.day": {Format: 3, Proxy: "p", Ejects: 2, Shuns: 1000,
-		Repeats: []string{"sheet"}}}}, proxies: map[string]*simulatedProxy{}}
+	start := &recordpb.ProxyStart{Format: 3, Proxy: "p", Ejects: 2, Shuns: 1000, Repeats: []string{"sheet"}}
+	s := &simulation{
+		analysis: &analysis{proxyStarts: map[string]*recordpb.ProxyStart{"p.day": start}},
+		proxies:  map[string]*simulatedProxy{},
+	}
 	proxy := s.proxy("p", "a")
 	if !proxy.idempotentClasses["sheet"] || proxy.idempotentClasses["finish"] {
-		t.Errorf("repeats %v", proxy.idempotentClasses)
+		t.Errorf("got idempotent classes %v, want sheet only", proxy.idempotentClasses)
 	}
 	table := &controller.Table{Hosts: []string{"x", "y"}, Weights: []float64{1, 1}}
 	ejectedAt := func(nowMs float64) func(string) bool {
@@ -28,31 +31,36 @@
 	proxy.noteResult("x", response.Fulfilled, 10)
 	proxy.noteResult("x", response.Failed, 20)
 	if proxy.ejections["x"].untilMs > 0 {
-		t.Error("shunned after failures that were not in a row")
+		t.Error("host x is ejected after failures that were not in a row")
 	}
 	proxy.noteResult("x", response.NeverRan, 30)
 	for range 50 {
 		if host, _ := s.drawByWeight(table, ejectedAt(1029)); host != "y" {
-			t.Fatalf("%s picked while x is shunned", host)
+			t.Fatalf("got host %s while x is ejected, want y", host)
 		}
 	}
-	if _, ok := s.drawByWeight(&controller.Table{Hosts: []string{"x"}, Weights: []float64{1}}, ejectedAt(1029)); ok {
-		t.Error("picked where only a shunned host is left, before the second draw")
+	onlyX := &controller.Table{Hosts: []string{"x"}, Weights: []float64{1}}
+	if host, ok := s.drawByWeight(onlyX, ejectedAt(1029)); ok {
+		t.Errorf("got host %s from a table whose only host is ejected, want none", host)
 	}
-	if host, _ := s.drawByWeight(&controller.Table{Hosts: []string{"x"}, Weights: []float64{1}}, ejectedAt(1031)); host != "x" {
-		t.Error("still shunned")
+	if host, _ := s.drawByWeight(onlyX, ejectedAt(1031)); host != "x" {
+		t.Errorf("got host %q after the ejection, want x", host)
 	}
 }
 
-// Draws go by the new table whatever the old one was, and stay where they fell as far as both allow.
+// Coupled draws are distributed by the new table, and keep the recorded host as often as both tables allow.
 func TestCoupling(t *testing.T) {
 	s := &simulation{}
 	recorded := &controller.Table{Hosts: []string{"x", "y", "z"}, Weights: []float64{3, 1, 1}, AdmissionRatio: 0.5}
 	for _, test := range []struct {
 		hosts    []string
 		weights  []float64
-		wantKept float64 // 1 less half the distance of the two
-	}{{[]string{"x", "y", "z"}, []float64{6, 2, 2}, 1}, {[]string{"x", "y"}, []float64{1, 4}, 0.4}, {[]string{"v", "z"}, []float64{1, 1}, 0.2}} {
+		wantKept float64 // 1 minus half the distance of the two distributions
+	}{
+		{[]string{"x", "y", "z"}, []float64{6, 2, 2}, 1},
+		{[]string{"x", "y"}, []float64{1, 4}, 0.4},
+		{[]string{"v", "z"}, []float64{1, 1}, 0.2},
+	} {
 		table, total := &controller.Table{Hosts: test.hosts, Weights: test.weights}, 0.0
 		for _, weight := range test.weights {
 			total += weight
@@ -62,7 +70,7 @@
 			recordedHost := []string{"x", "x", "x", "y", "z"}[i%5]
 			host, ok := s.drawCoupled(table, recorded, recordedHost, func(string) bool { return false })
 			if !ok {
-				t.Fatal("nothing drawn")
+				t.Fatalf("weights %v: got no host for the recorded host %s", test.weights, recordedHost)
 			}
 			if counts[host]++; host == recordedHost {
 				kept++
@@ -70,11 +78,12 @@
 		}
 		for i, host := range test.hosts {
 			if got, want := counts[host]/draws, test.weights[i]/total; math.Abs(got-want) > 0.015 {
-				t.Errorf("%v: %.3f of the draws to %s, want %.3f", test.weights, got, host, want)
+				t.Errorf("weights %v: got %.3f of the draws for host %s, want %.3f", test.weights, got, host, want)
 			}
 		}
 		if math.Abs(kept/draws-test.wantKept) > 0.015 {
-			t.Errorf("%v: %.3f stay, want %.3f", test.weights, kept/draws, test.wantKept)
+			t.Errorf("weights %v: got %.3f of the recorded hosts kept, want %.3f",
+				test.weights, kept/draws, test.wantKept)
 		}
 	}
 	for _, ratio := range []float64{0.2, 0.5, 0.9, 1} {
@@ -85,12 +94,13 @@
 			}
 		}
 		if math.Abs(admitted/float64(draws)-ratio) > 0.015 {
-			t.Errorf("share %g: %.3f let in", ratio, admitted/float64(draws))
+			t.Errorf("got %.3f of the requests admitted, want the admission ratio %g", admitted/float64(draws), ratio)
 		}
 	}
 }
 
-// Documents are taken in when the proxy tells so, deltas onto what it holds; an unknown version leaves all unknown.
+// Responses are applied when the proxy reports their version, deltas to the tables that it has. After an unknown
+// version all tables are unknown.
 func TestRecordedTables(t *testing.T) {
 	tables := recordedTables{classes: map[string]*controller.Table{}}
 	addResponse := func(kind controller.ResponseKind, tag, body string) {
@@ -99,46 +109,60 @@
 	addResponse(controller.Snapshot, "1", `{"tables":{"sheet":{"hosts":{"x":1,"y":2},"share":1}}}`)
 	addResponse(controller.Delta, "2", `{"tables":{"sheet":{"hosts":{"x":null,"z":0.5},"share":0.3}}}`)
 	if tables.table("sheet") != nil {
-		t.Error("known before it was applied")
+		t.Error("got a table before its version was applied, want none")
 	}
 	tables.apply("1")
 	if table := tables.table("sheet"); table == nil || weight(table, "x") != 1 || table.AdmissionRatio != 1 {
-		t.Errorf("%+v", table)
+		t.Errorf("after version 1: got %+v, want weight 1 of host x and the admission ratio 1", table)
 	}
 	tables.apply("2")
-	if table := tables.table("sheet"); len(table.Hosts) != 2 || weight(table, "z") != 0.5 || table.AdmissionRatio != 0.3 {
-		t.Errorf("%+v", table)
+	table := tables.table("sheet")
+	if len(table.Hosts) != 2 || weight(table, "z") != 0.5 || table.AdmissionRatio != 0.3 {
+		t.Errorf("after version 2: got %+v, want 2 hosts, weight 0.5 of host z and the admission ratio 0.3", table)
 	}
 	if tables.apply("9"); tables.table("sheet") != nil {
-		t.Error("known after an unknown version")
+		t.Error("got a table after an unknown version, want none")
 	}
 }
 
-// Work is told of a transaction whose try waited at its host behind another's, and items keep their order.
+// The service time of an attempt that waited in its host's queue excludes the wait, and records keep their order.
 func TestLookahead(t *testing.T) {
 	model := response.New(0)
 	model.ObserveLatency("sheet", 100)
 	model.ObserveAttempt("sheet", "x", 0, 100, response.Fulfilled)
 	model.FitCores() // one core
 	requestRecord := func(arrivalMs, startMs, latencyMs float64) *recordpb.Record {
-		return &recordpb.Record{At: startMs + latencyMs, What: &recordpb.Record_Transaction{Transaction: &recordpb.Transaction{Class: "sheet", Came: arrivalMs,
-			Fulfilled: true, Tries: []*recordpb.Try{{At: startMs, Host: "x", Took: latencyMs}}}}}
+		request := &recordpb.Transaction{
+			Class:     "sheet",
+			Came:      arrivalMs,
+			Fulfilled: true,
+			Tries:     []*recordpb.Try{{At: startMs, Host: "x", Took: latencyMs}},
+		}
+		return &recordpb.Record{
+			At:   startMs + latencyMs,
+			What: &recordpb.Record_Transaction{Transaction: request},
+		}
 	}
 	var buffer deadlinequeue.Queue[timedRecord]
 	records := []*recordpb.Record{requestRecord(0, 0, 100), requestRecord(10, 400, 120), requestRecord(20, 20, 180)}
 	for _, entry := range records {
 		buffer.Schedule(entry.GetTransaction().Came, timedRecord{entry.GetTransaction().Came, "p", entry})
 	}
-	l := &lookahead{records: &recordMerger{reorderBuffer: buffer, recentChecksums: map[uint32]float64{}}, model: model, queues: response.NewQueueReconstruction(model), lookaheadMs: 3000}
+	l := &lookahead{
+		records:     &recordMerger{reorderBuffer: buffer, recentChecksums: map[uint32]float64{}},
+		model:       model,
+		queues:      response.NewQueueReconstruction(model),
+		lookaheadMs: 3000,
+	}
 	for i, want := range []attemptService{{0, 100}, {400, 120}, {100, 100}} {
 		got, err := l.next()
 		if err != nil || got.record != records[i] || got.services[0] != want {
-			t.Fatalf("item %d: %v, %+v, want %v", i, err, got, want)
+			t.Fatalf("record %d: got %+v and the error %v, want the service %+v", i, got, err, want)
 		}
 	}
 }
 
-// Of a long day some versions are kept, the same of all three kinds.
+// The number of version times is bounded, and the same versions are kept in all three maps.
 func TestVersionTimesAreThinned(t *testing.T) {
 	const limit = 4096
 	times := newVersionTimes(limit)
@@ -153,7 +177,9 @@
 		times.addFirst(times.polled, tag, float64(n))
 		times.thin()
 	}
-	if times.count > limit || len(times.published) < limit/8 || len(times.applied["p"]) != len(times.published) || len(times.polled) != len(times.published) {
-		t.Errorf("%d, %d and %d are kept", len(times.published), len(times.applied["p"]), len(times.polled))
+	published, applied, polled := len(times.published), len(times.applied["p"]), len(times.polled)
+	if times.count > limit || published < limit/8 || applied != published || polled != published {
+		t.Errorf("got %d times: %d published, %d applied and %d polled versions, want equal numbers, at most %d times",
+			times.count, published, applied, polled, limit)
 	}
 }
