--- a/replay/describe.go
+++ b/replay/describe.go
@@ -41,7 +41,8 @@
 			what.Sums.Number, what.Sums.Proxy, attempts, len(what.Sums.Hosts), failed)
 	case *recordpb.Record_Probed:
 		outcomes := [...]string{"healthy", "rejected", "timed out", "unreachable"}
-		return time + fmt.Sprintf("health check of %s: %s", what.Probed.Host, outcomes[min(max(int(what.Probed.Outcome), 0), 3)])
+		outcome := min(max(int(what.Probed.Outcome), 0), len(outcomes)-1)
+		return time + fmt.Sprintf("health check of %s: %s", what.Probed.Host, outcomes[outcome])
 	case *recordpb.Record_Operate:
 		var commands []string
 		for _, order := range what.Operate.Orders {
--- a/replay/simulate.go
+++ b/replay/simulate.go
@@ -249,7 +249,7 @@
 		c.controller.ObserveWatchFailure(s.nowMs)
 	case *recordpb.Record_Operate:
 		// A command that is rejected now has no effect.
-		c.controller.ApplyOverrides(s.nowMs, record.Commands(what.Operate), c)
+		_, _ = c.controller.ApplyOverrides(s.nowMs, record.Commands(what.Operate), c)
 	case *recordpb.Record_Poll:
 		p := s.proxy(what.Poll.Proxy, what.Poll.Zone)
 		if p.controller != c {
@@ -375,7 +375,7 @@
 	p.resetStats()
 	p.statsSinceMs = s.nowMs
 	// As in production, the controller rejects stats of a host that is no longer listed.
-	p.controller.controller.ObserveProxyStats(s.nowMs, p.name, stats)
+	_, _ = p.controller.controller.ObserveProxyStats(s.nowMs, p.name, stats)
 }
 
 func (c *simulatedController) setEndpoints(list *recordpb.Listed) {
@@ -389,7 +389,7 @@
 		c.simulation.eventLog.LogCapacity(entry.Host, float64(parameters.Cores)/parameters.ServiceTimeFactor)
 	}
 	c.simulation.eventLog.LogEndpoints(c.simulation.nowMs, listed)
-	c.controller.SetEndpoints(c.simulation.nowMs, entries)
+	_ = c.controller.SetEndpoints(c.simulation.nowMs, entries) // a list that is rejected now has no effect
 }
 
 // advance runs what is due in the controller, and schedules the next call.
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -189,7 +189,9 @@
 // Cut extracts a part of a recording as a recording of its own: the endpoint list and the connected proxies at its
 // beginning, then its inputs, with the responses that the controller now gives. The new recording lacks what the
 // controller learned before that time, so its responses may differ from the original ones. Its own replay is identical.
-func Cut(next NextFunc, newController ControllerFactory, fromMs, toMs float64, emit func(*recordpb.Record) error) error {
+func Cut(
+	next NextFunc, newController ControllerFactory, fromMs, toMs float64, emit func(*recordpb.Record) error,
+) error {
 	c := &cutter{
 		lastPolls:     map[string]*recordpb.Record{},
 		outputs:       &outputCollector{},
