--- a/replay/compare_test.go
+++ b/replay/compare_test.go
@@ -53,6 +53,5 @@
 	if falsePositives > 15 {
 		t.Errorf("got %d of 100 pairs of equal mean service with a significant difference, want at most 15",
 			falsePositives)
-
 	}
 }
--- a/replay/lookahead.go
+++ b/replay/lookahead.go
@@ -8,6 +8,7 @@
 	"barleysail/internal/deadlinequeue"
 	"barleysail/internal/record/recordpb"
 	"barleysail/replay/response"
+	"barleysail/routing"
 )
 
 // lookahead reads merged records ahead of those that it returns. It passes what it reads to the response-time model,
@@ -83,7 +84,7 @@
 // discarded.
 const closeIntervalMs = 250.0
 
-const infiniteMs = 1e18
+const infiniteMs = 1e18 // later than any record
 
 // addAttemptsUntil adds the attempts that began before a time to the queues of their hosts: no earlier attempt can
 // follow.
@@ -112,7 +113,9 @@
 			}
 		}
 	case *recordpb.Record_Probed:
-		l.model.ObserveHealthCheck(what.Probed.Host, record.atMs, what.Probed.Outcome == 0, what.Probed.Outcome == 3)
+		outcome := routing.HealthCheckResult(what.Probed.Outcome)
+		l.model.ObserveHealthCheck(what.Probed.Host, record.atMs, outcome == routing.Healthy,
+			outcome == routing.Unreachable)
 	case *recordpb.Record_Sums:
 		for _, host := range what.Sums.Hosts {
 			if host.Load != nil {
--- a/replay/verify.go
+++ b/replay/verify.go
@@ -45,10 +45,11 @@
 
 // Verification is the result of a replay with the recorded settings.
 type Verification struct {
-	Inputs, Responses int
-	FromMs, ToMs      float64
-	FirstDifference   *Difference // nil: all responses are the recorded ones
-	ReadErr           error       // the error that ended reading; nil: a clean end
+	Inputs          int
+	Responses       int // identical ones
+	FromMs, ToMs    float64
+	FirstDifference *Difference // nil: all responses are the recorded ones
+	ReadErr         error       // the error that ended reading; nil: a clean end
 }
 
 // maxInputs is the number of inputs that a Difference holds.
@@ -181,7 +182,6 @@
 	case response.Proxy != recorded.Proxy || response.pollID != recorded.Poll:
 		v.setDifference(atMs, recorded.Proxy,
 			fmt.Sprintf("recorded %s, replayed a response to %s: %s", want, response.Proxy, got))
-
 	case want != got:
 		v.setDifference(atMs, recorded.Proxy, fmt.Sprintf("recorded %s, replayed %s", want, got))
 	default:
