--- a/replay/response/fit.go
+++ b/replay/response/fit.go
@@ -6,64 +6,64 @@
 )
 
 // summary is what a pass leaves of a host's windows.
-type summary struct {
-	ratios   sample         // of the windows, in the first pass; of what did not wait, in the second
-	quiet    thinned[quiet] // windows with a report of the busy part
-	busiest  float64        // work of a window
-	straight int            // tries that did not wait
-	full     sample         // how many waited when a living host refused a try
+type hostSummary struct {
+	ratios                  sample                       // of the windows, in the first pass; of what did not wait, in the second
+	lowLoad                 boundedSample[lowLoadWindow] // windows with a report of the busy part
+	maxLoad                 float64                      // work of a window
+	unqueuedAttempts        int                          // tries that did not wait
+	queueLengthsAtRejection sample                       // how many waited when a living host refused a try
 }
 
 // quiet is a window's mean time against the usual, its tries in hand, and the busy part reported.
-type quiet struct{ ratio, inHand, busy float64 }
+type lowLoadWindow struct{ latencyRatio, concurrency, utilization float64 }
 
 // thinned keeps a bounded, evenly thinned part of a stream: every k-th item, k doubling when it is full.
-type thinned[T any] struct {
-	all         []T
-	every, seen int
+type boundedSample[T any] struct {
+	values         []T
+	interval, seen int
 }
 
-const thinnedMost = 4096
+const maxSampleSize = 4096
 
-func (s *thinned[T]) add(x T) {
-	if s.every == 0 {
-		s.every = 1
+func (s *boundedSample[T]) add(value T) {
+	if s.interval == 0 {
+		s.interval = 1
 	}
-	if s.seen++; s.seen%s.every != 0 {
+	if s.seen++; s.seen%s.interval != 0 {
 		return
 	}
-	if s.all = append(s.all, x); len(s.all) == thinnedMost {
-		half := s.all[:0]
-		for i := 1; i < thinnedMost; i += 2 {
-			half = append(half, s.all[i])
+	if s.values = append(s.values, value); len(s.values) == maxSampleSize {
+		half := s.values[:0]
+		for i := 1; i < maxSampleSize; i += 2 {
+			half = append(half, s.values[i])
 		}
-		s.all, s.every = half, 2*s.every
+		s.values, s.interval = half, 2*s.interval
 	}
 }
 
 // sample of figures.
-type sample struct{ thinned[float64] }
+type sample struct{ boundedSample[float64] }
 
 // part gives the figure under which so much of the sample lies.
-func (s *sample) part(p float64) float64 {
-	if len(s.all) == 0 {
+func (s *sample) quantile(p float64) float64 {
+	if len(s.values) == 0 {
 		return 0
 	}
-	sorted := append([]float64(nil), s.all...)
+	sorted := append([]float64(nil), s.values...)
 	sort.Float64s(sorted)
 	return sorted[min(int(p*float64(len(sorted))), len(sorted)-1)]
 }
 
 // fit takes a window in that is settled, in the pass before Fit.
-func (x *summary) fit(c *cell) {
-	x.busiest = math.Max(x.busiest, c.work/window)
-	if c.good == 0 {
+func (s *hostSummary) addWindowForCores(window *windowStats) {
+	s.maxLoad = math.Max(s.maxLoad, window.baseTimeSum/windowMs)
+	if window.succeeded == 0 {
 		return
 	}
-	ratio := c.ratios / float64(c.good)
-	x.ratios.add(ratio)
-	if c.failed == 0 && c.util >= 0 {
-		x.quiet.add(quiet{ratio, c.took / window, c.util})
+	ratio := window.latencyRatioSum / float64(window.succeeded)
+	s.ratios.add(ratio)
+	if window.failed == 0 && window.utilization >= 0 {
+		s.lowLoad.add(lowLoadWindow{ratio, window.latencySum / windowMs, window.utilization})
 	}
 }
 
@@ -72,83 +72,83 @@
 // where few waited; without such as many as its busiest window needs. It is as fast as its tries are on average in its
 // quicker windows, where few wait, until FitWork knows better.
 func (m *Model) FitCores() {
-	m.next(fittingWork)
-	for host, x := range m.sums {
-		h := HostParameters{ServiceTimeFactor: 1, Cores: 1}
-		if len(x.ratios.all) > 0 {
-			h.Observed, h.ServiceTimeFactor = true, math.Max(x.ratios.part(0.25), 0.05)
+	m.endPass(serviceTimesPass)
+	for host, summary := range m.summaries {
+		parameters := HostParameters{ServiceTimeFactor: 1, Cores: 1}
+		if len(summary.ratios.values) > 0 {
+			parameters.Observed, parameters.ServiceTimeFactor = true, math.Max(summary.ratios.quantile(0.25), 0.05)
 		}
-		cores := x.busiest * h.ServiceTimeFactor
-		if inHand, busy := x.inQuiet(h.ServiceTimeFactor); busy > 0 {
-			cores = inHand / busy
+		cores := summary.maxLoad * parameters.ServiceTimeFactor
+		if concurrency, utilization := summary.lowLoadSums(parameters.ServiceTimeFactor); utilization > 0 {
+			cores = concurrency / utilization
 		}
-		if stated, ok := m.stated[host]; ok {
-			cores = stated.cores
+		if capacity, ok := m.listed[host]; ok {
+			cores = capacity.cores
 		}
-		h.Cores = min(max(int(math.Round(cores)), 1), 1024)
-		m.hosts[host] = h
+		parameters.Cores = min(max(int(math.Round(cores)), 1), 1024)
+		m.parameters[host] = parameters
 	}
-	m.quickened()
-	m.sums = map[string]*summary{}
+	m.correctCongestedHosts()
+	m.summaries = map[string]*hostSummary{}
 }
 
 // inQuiet sums tries in hand and the busy part of the cores over windows where tries took about as long as usual.
 // They are chosen by that and not by the busy part: it is a noisy figure, and the low ones of it would be chosen.
-func (x *summary) inQuiet(speed float64) (inHand, busy float64) {
-	for _, q := range x.quiet.all {
-		if q.ratio < quietMost*speed {
-			inHand, busy = inHand+q.inHand, busy+q.busy
+func (s *hostSummary) lowLoadSums(serviceTimeFactor float64) (concurrency, utilization float64) {
+	for _, window := range s.lowLoad.values {
+		if window.latencyRatio < maxLowLoadLatencyRatio*serviceTimeFactor {
+			concurrency, utilization = concurrency+window.concurrency, utilization+window.utilization
 		}
 	}
-	return inHand, busy
+	return concurrency, utilization
 }
 
 // quietMost is how many times as long as usual tries take in a quiet window at most.
-const quietMost = 1.25
+const maxLowLoadLatencyRatio = 1.25
 
 // quickened takes hosts at which tries wait even in the quicker windows to be as fast as the others are for what the
 // list states of them.
-func (m *Model) quickened() {
-	told := m.statedTime(0.25, nil) // waiting makes it longer only
-	for host, x := range m.stated {
-		if h := m.hosts[host]; h.Observed && told > 0 {
-			h.ServiceTimeFactor = math.Min(h.ServiceTimeFactor, told/x.speed)
-			m.hosts[host] = h
+func (m *Model) correctCongestedHosts() {
+	listedMs := m.listedServiceTime(0.25, nil) // waiting makes it longer only
+	for host, capacity := range m.listed {
+		if parameters := m.parameters[host]; parameters.Observed && listedMs > 0 {
+			parameters.ServiceTimeFactor = math.Min(parameters.ServiceTimeFactor, listedMs/capacity.speed)
+			m.parameters[host] = parameters
 		}
 	}
 }
 
 // statedTime gives the time that a class's usual try takes at a stated speed of 1, under which a part of the hosts lie
 // that are not left out; 0: none tells.
-func (m *Model) statedTime(part float64, out map[string]bool) float64 {
-	var all []float64
-	for host, x := range m.stated {
-		if h := m.hosts[host]; h.Observed && !out[host] {
-			all = append(all, h.ServiceTimeFactor*x.speed)
+func (m *Model) listedServiceTime(quantile float64, excluded map[string]bool) float64 {
+	var times []float64
+	for host, capacity := range m.listed {
+		if parameters := m.parameters[host]; parameters.Observed && !excluded[host] {
+			times = append(times, parameters.ServiceTimeFactor*capacity.speed)
 		}
 	}
-	if sort.Float64s(all); len(all) > 0 {
-		return all[int(part*float64(len(all)))]
+	if sort.Float64s(times); len(times) > 0 {
+		return times[int(quantile*float64(len(times)))]
 	}
 	return 0
 }
 
 // refused notes how many waited when a host refused a try.
-func (m *Model) refused(host string, at float64, waited int) {
-	if m.pass != fittingWork || waited <= 0 {
+func (m *Model) observeRejection(host string, atMs float64, queueLength int) {
+	if m.pass != serviceTimesPass || queueLength <= 0 {
 		return
 	}
-	if s, _, _ := m.at(host, at); s != alive {
+	if state, _, _ := m.stateAt(host, atMs); state != healthy {
 		return
 	}
-	m.sum(host).full.add(float64(waited))
+	m.summary(host).queueLengthsAtRejection.add(float64(queueLength))
 }
 
 // fitWork takes a window in that is settled, in the pass before FitWork.
-func (x *summary) fitWork(c *cell) {
-	if c.straight.done >= slowLeast && c.state() == alive {
-		x.ratios.add(c.straight.ratio())
-		x.straight += c.straight.done
+func (s *hostSummary) addWindowForServiceTimes(window *windowStats) {
+	if window.unqueued.completed >= minSlowdownAttempts && window.state() == healthy {
+		s.ratios.add(window.unqueued.meanRatio())
+		s.unqueuedAttempts += window.unqueued.completed
 	}
 }
 
@@ -158,29 +158,29 @@
 // (the estimate of a rate under censoring). The speed is that of the middle window. Hosts that were never at work, or
 // where tries waited all day, are taken to be as the others are for what the list states.
 func (m *Model) FitServiceTimes() {
-	m.next(asking)
-	unsure := map[string]bool{}
-	for host, h := range m.hosts {
-		x := m.sum(host)
-		h.QueueLimit = int(x.full.part(0.5))
-		if unsure[host] = x.straight < speedLeast; !unsure[host] {
-			h.ServiceTimeFactor = math.Max(x.ratios.part(0.5), 0.05)
+	m.endPass(queryPass)
+	uncertain := map[string]bool{}
+	for host, parameters := range m.parameters {
+		summary := m.summary(host)
+		parameters.QueueLimit = int(summary.queueLengthsAtRejection.quantile(0.5))
+		if uncertain[host] = summary.unqueuedAttempts < minServiceTimeAttempts; !uncertain[host] {
+			parameters.ServiceTimeFactor = math.Max(summary.ratios.quantile(0.5), 0.05)
 		}
-		m.hosts[host] = h
+		m.parameters[host] = parameters
 	}
-	told := m.statedTime(0.5, unsure)
-	for host, x := range m.stated {
-		if h := m.hosts[host]; (!h.Observed || unsure[host]) && told > 0 {
-			h.ServiceTimeFactor, h.Cores = told/x.speed, max(int(math.Round(x.cores)), 1)
-			m.hosts[host] = h
+	listedMs := m.listedServiceTime(0.5, uncertain)
+	for host, capacity := range m.listed {
+		if parameters := m.parameters[host]; (!parameters.Observed || uncertain[host]) && listedMs > 0 {
+			parameters.ServiceTimeFactor, parameters.Cores = listedMs/capacity.speed, max(int(math.Round(capacity.cores)), 1)
+			m.parameters[host] = parameters
 		}
 	}
-	m.sums = map[string]*summary{}
+	m.summaries = map[string]*hostSummary{}
 }
 
 // So many tries that did not wait tell how slow a host is in a window, and how fast it is at all.
 const (
-	slowLeast  = 2
-	speedLeast = 20
-	unsureAs   = 8 // what was last seen counts as so many that waited
+	minSlowdownAttempts    = 2
+	minServiceTimeAttempts = 20
+	lastSlowdownWeight     = 8 // what was last seen counts as so many that waited
 )
--- a/replay/response/hosts.go
+++ b/replay/response/hosts.go
@@ -5,82 +5,82 @@
 // Hosts answers tries by a fitted model, with queues of their own. It is asked in order of time.
 type SimulatedHosts struct {
 	model        *Model
-	free         map[string][]float64 // when each core is free
-	begins       map[string][]float64 // of the tries that may wait yet, in order
+	coreFreeMs   map[string][]float64 // when each core is free
+	startTimes   map[string][]float64 // of the tries that may wait yet, in order
 	Attempts     int
 	Extrapolated int // tries whose answer is extrapolated: nothing was seen of the host in that window
 }
 
 // NewHosts makes hosts with empty queues.
-func NewSimulatedHosts(m *Model) *SimulatedHosts {
-	return &SimulatedHosts{model: m, free: map[string][]float64{}, begins: map[string][]float64{}}
+func NewSimulatedHosts(model *Model) *SimulatedHosts {
+	return &SimulatedHosts{model: model, coreFreeMs: map[string][]float64{}, startTimes: map[string][]float64{}}
 }
 
 // Answer tells when a try that reaches a host at a time is answered, and how. work is what the transaction takes
 // against its class's usual time; patience is when its client gives up. A dead host refuses at once; a hung one
 // never answers; work that has begun is not stopped.
-func (h *SimulatedHosts) Respond(class, host string, at, work, patience float64) (done float64, how Result) {
+func (h *SimulatedHosts) Respond(class, host string, atMs, relativeWork, patienceMs float64) (endMs float64, result Result) {
 	h.Attempts++
-	s, slow, seen := h.model.at(host, at)
-	if !seen {
+	state, slowdown, observed := h.model.stateAt(host, atMs)
+	if !observed {
 		h.Extrapolated++
 	}
-	switch s {
-	case dead:
-		return at + 1, NeverRan
-	case hung:
-		return at + patience, Failed
+	switch state {
+	case down:
+		return atMs + 1, NeverRan
+	case unresponsive:
+		return atMs + patienceMs, Failed
 	}
-	fit := h.model.Parameters(host)
-	free := h.free[host]
-	if len(free) == 0 {
-		free = make([]float64, fit.Cores)
-		h.free[host] = free
+	parameters := h.model.Parameters(host)
+	freeMs := h.coreFreeMs[host]
+	if len(freeMs) == 0 {
+		freeMs = make([]float64, parameters.Cores)
+		h.coreFreeMs[host] = freeMs
 	}
 	core := 0
-	for i := range free {
-		if free[i] < free[core] {
+	for i := range freeMs {
+		if freeMs[i] < freeMs[core] {
 			core = i
 		}
 	}
-	begin := math.Max(at, free[core])
-	if _, then, _ := h.model.at(host, begin); begin > at {
-		slow = then
+	startMs := math.Max(atMs, freeMs[core])
+	if _, startSlowdown, _ := h.model.stateAt(host, startMs); startMs > atMs {
+		slowdown = startSlowdown
 	}
-	waiting := h.waiting(host, at)
-	if fit.QueueLimit > 0 && len(waiting) >= fit.QueueLimit {
-		return at + 1, NeverRan
+	queued := h.queued(host, atMs)
+	if parameters.QueueLimit > 0 && len(queued) >= parameters.QueueLimit {
+		return atMs + 1, NeverRan
 	}
-	takes := h.model.BaseServiceTime(class) * fit.ServiceTimeFactor * slow * work
-	done = begin + takes
-	free[core] = done
-	h.begins[host] = append(waiting, begin)
-	if end, _, _ := h.model.at(host, done); end == dead || end == hung {
-		done, how = at+patience, Failed
+	serviceMs := h.model.BaseServiceTime(class) * parameters.ServiceTimeFactor * slowdown * relativeWork
+	endMs = startMs + serviceMs
+	freeMs[core] = endMs
+	h.startTimes[host] = append(queued, startMs)
+	if endState, _, _ := h.model.stateAt(host, endMs); endState == down || endState == unresponsive {
+		endMs, result = atMs+patienceMs, Failed
 	}
-	if done > at+patience {
-		return at + patience, Failed
+	if endMs > atMs+patienceMs {
+		return atMs + patienceMs, Failed
 	}
-	return done, how
+	return endMs, result
 }
 
 // Load is what a host would report at a time: the busy part of its cores, and how many tries wait.
-func (h *SimulatedHosts) Load(host string, at float64) (util, queue float64) {
-	fit := h.model.Parameters(host)
-	for _, f := range h.free[host] {
-		if f > at {
-			util += 1 / float64(fit.Cores)
+func (h *SimulatedHosts) Load(host string, atMs float64) (utilization, queueLength float64) {
+	parameters := h.model.Parameters(host)
+	for _, freeMs := range h.coreFreeMs[host] {
+		if freeMs > atMs {
+			utilization += 1 / float64(parameters.Cores)
 		}
 	}
-	h.begins[host] = h.waiting(host, at)
-	return util, float64(len(h.begins[host]))
+	h.startTimes[host] = h.queued(host, atMs)
+	return utilization, float64(len(h.startTimes[host]))
 }
 
 // waiting gives when those begin that wait at a time: with first come, first served in the order in which they came.
-func (h *SimulatedHosts) waiting(host string, at float64) []float64 {
-	all := h.begins[host]
-	for len(all) > 0 && all[0] <= at {
-		all = all[1:]
+func (h *SimulatedHosts) queued(host string, atMs float64) []float64 {
+	startTimes := h.startTimes[host]
+	for len(startTimes) > 0 && startTimes[0] <= atMs {
+		startTimes = startTimes[1:]
 	}
-	return all
+	return startTimes
 }
--- a/replay/response/model.go
+++ b/replay/response/model.go
@@ -29,122 +29,122 @@
 // third, and FitWork at its end; the same once more while it is asked, a little behind. In each pass Settle tells how far
 // the day is known, and Drop what is not asked for any more.
 type Model struct {
-	rows    map[string]*row
-	start   float64
-	pass    pass
-	samples map[string]*sample // usual times by class
-	usual   map[string]float64
-	hosts   map[string]HostParameters
-	stated  map[string]capacity
-	sums    map[string]*summary // of the pass, by host
+	windows       map[string]*hostWindows
+	startMs       float64
+	pass          pass
+	latencies     map[string]*sample // usual times by class
+	baseServiceMs map[string]float64
+	parameters    map[string]HostParameters
+	listed        map[string]listedCapacity
+	summaries     map[string]*hostSummary // of the pass, by host
 }
 
 // pass over the day that is being made.
 type pass int
 
 const (
-	fitting pass = iota
-	fittingWork
-	asking
+	coresPass pass = iota
+	serviceTimesPass
+	queryPass
 )
 
 // New makes a model of a day that begins at a time.
-func New(start float64) *Model {
-	return &Model{rows: map[string]*row{}, start: start, samples: map[string]*sample{}, usual: map[string]float64{},
-		hosts: map[string]HostParameters{}, stated: map[string]capacity{}, sums: map[string]*summary{}}
+func New(startMs float64) *Model {
+	return &Model{windows: map[string]*hostWindows{}, startMs: startMs, latencies: map[string]*sample{}, baseServiceMs: map[string]float64{},
+		parameters: map[string]HostParameters{}, listed: map[string]listedCapacity{}, summaries: map[string]*hostSummary{}}
 }
 
 // Begin sets the time at which the day begins, before anything is seen.
-func (m *Model) SetStart(start float64) { m.start = start }
+func (m *Model) SetStart(startMs float64) { m.startMs = startMs }
 
-func (m *Model) sum(host string) *summary {
-	x := m.sums[host]
-	if x == nil {
-		x = &summary{}
-		m.sums[host] = x
+func (m *Model) summary(host string) *hostSummary {
+	summary := m.summaries[host]
+	if summary == nil {
+		summary = &hostSummary{}
+		m.summaries[host] = summary
 	}
-	return x
+	return summary
 }
 
 // next ends a pass.
-func (m *Model) next(p pass) {
-	m.settle(math.MaxInt)
-	m.pass, m.rows = p, map[string]*row{}
+func (m *Model) endPass(next pass) {
+	m.closeWindows(math.MaxInt)
+	m.pass, m.windows = next, map[string]*hostWindows{}
 }
 
 // Usual notes a good try's time for its class's usual time. All tries go through it before any goes to Saw.
-func (m *Model) ObserveLatency(class string, took float64) {
-	s := m.samples[class]
-	if s == nil {
-		s = &sample{}
-		m.samples[class] = s
+func (m *Model) ObserveLatency(class string, latencyMs float64) {
+	latencies := m.latencies[class]
+	if latencies == nil {
+		latencies = &sample{}
+		m.latencies[class] = latencies
 	}
-	s.add(took)
+	latencies.add(latencyMs)
 }
 
 // usualPart of the good tries of a class lie under its usual time: most of those were not held up by others.
-const usualPart = 0.35
+const baseServiceQuantile = 0.35
 
 // UsualTime is that of a class: what a try takes that is not held up.
 func (m *Model) BaseServiceTime(class string) float64 {
-	t, ok := m.usual[class]
+	baseMs, ok := m.baseServiceMs[class]
 	if !ok {
-		if s := m.samples[class]; s != nil {
-			t = s.part(usualPart)
+		if latencies := m.latencies[class]; latencies != nil {
+			baseMs = latencies.quantile(baseServiceQuantile)
 		}
-		t = math.Max(t, 0.1)
-		m.usual[class] = t
+		baseMs = math.Max(baseMs, 0.1)
+		m.baseServiceMs[class] = baseMs
 	}
-	return t
+	return baseMs
 }
 
 // Saw notes a try as it was recorded.
-func (m *Model) ObserveAttempt(class, host string, at, took float64, how Result) {
-	switch how {
+func (m *Model) ObserveAttempt(class, host string, atMs, latencyMs float64, result Result) {
+	switch result {
 	case Fulfilled:
-		c := m.cell(host, at+took) // it was alive when it answered
-		c.good++
-		if c.firstGood < 0 || at < c.firstGood {
-			c.firstGood = at
+		window := m.window(host, atMs+latencyMs) // it was alive when it answered
+		window.succeeded++
+		if window.firstSuccessMs < 0 || atMs < window.firstSuccessMs {
+			window.firstSuccessMs = atMs
 		}
-		usual := m.BaseServiceTime(class)
-		c.work, c.took = c.work+usual, c.took+took
-		c.ratios += took / usual
+		baseMs := m.BaseServiceTime(class)
+		window.baseTimeSum, window.latencySum = window.baseTimeSum+baseMs, window.latencySum+latencyMs
+		window.latencyRatioSum += latencyMs / baseMs
 	default:
-		c := m.cell(host, at)
-		if how == Failed {
-			c.failed++
+		window := m.window(host, atMs)
+		if result == Failed {
+			window.failed++
 		} else {
-			c.refused++
+			window.rejected++
 		}
-		if c.firstBad < 0 || at < c.firstBad {
-			c.firstBad = at
+		if window.firstFailureMs < 0 || atMs < window.firstFailureMs {
+			window.firstFailureMs = atMs
 		}
 	}
 }
 
 // Probed notes a probe: fine, or without an answer, or with nothing found there.
-func (m *Model) ObserveHealthCheck(host string, at float64, fine, absent bool) {
-	c := m.cell(host, at)
+func (m *Model) ObserveHealthCheck(host string, atMs float64, isHealthy, unreachable bool) {
+	window := m.window(host, atMs)
 	switch {
-	case fine:
-		c.probeFine++
-	case absent:
-		c.probeAbsent++
+	case isHealthy:
+		window.healthyChecks++
+	case unreachable:
+		window.unreachableChecks++
 	default:
-		c.probeOther++
+		window.timedOutChecks++
 	}
 }
 
 // Loaded notes the busy part of a host's cores, as it reported it.
-func (m *Model) ObserveUtilization(host string, at, util float64) {
-	if util >= 0 {
-		m.cell(host, at).util = math.Min(util, 1)
+func (m *Model) ObserveUtilization(host string, atMs, utilization float64) {
+	if utilization >= 0 {
+		m.window(host, atMs).utilization = math.Min(utilization, 1)
 	}
 }
 
 // capacity of a host, as the list states it.
-type capacity struct{ cores, speed float64 }
+type listedCapacity struct{ cores, speed float64 }
 
 // Stated notes a host's cores and the speed of each, against others, as the list tells them; cores 0: not told.
 func (m *Model) SetListedCapacity(host string, cores, speed float64) {
@@ -152,86 +152,86 @@
 		if speed <= 0 {
 			speed = 1
 		}
-		m.stated[host] = capacity{cores, speed}
+		m.listed[host] = listedCapacity{cores, speed}
 	}
 }
 
 // Worked notes what Lines tells of a try: when its work began, and how long it went on.
-func (m *Model) ObserveServiceTime(class, host string, at, took, begin, service float64, how Result) {
-	switch how {
+func (m *Model) ObserveServiceTime(class, host string, atMs, latencyMs, startMs, serviceMs float64, result Result) {
+	switch result {
 	case NeverRan:
 		return
 	case Failed:
-		if s, _, _ := m.at(host, at+took); s != alive {
+		if state, _, _ := m.stateAt(host, atMs+latencyMs); state != healthy {
 			return // it was no longer at work
 		}
 	}
-	if service == 0 {
+	if serviceMs == 0 {
 		return
 	}
-	c := m.cell(host, begin)
-	for _, w := range []*worked{&c.all, &c.straight} {
-		if w == &c.straight && begin > at {
+	window := m.window(host, startMs)
+	for _, stats := range []*serviceStats{&window.all, &window.unqueued} {
+		if stats == &window.unqueued && startMs > atMs {
 			continue
 		}
-		if w.service += service / m.BaseServiceTime(class); how == Fulfilled {
-			w.done++
+		if stats.serviceRatioSum += serviceMs / m.BaseServiceTime(class); result == Fulfilled {
+			stats.completed++
 		}
 	}
 }
 
 // Host gives what the fit found.
 func (m *Model) Parameters(host string) HostParameters {
-	h, ok := m.hosts[host]
+	parameters, ok := m.parameters[host]
 	if !ok {
 		return HostParameters{ServiceTimeFactor: 1, Cores: 1}
 	}
-	return h
+	return parameters
 }
 
 // at gives a host's state at a time and how many times slower than usual it was. Where nothing was seen in the
 // window the last one before that showed anything holds, up to a bound, and after it the host is taken as alive.
-func (m *Model) at(host string, t float64) (s state, slow float64, seen bool) {
-	if t < m.start {
-		return alive, 1, false
+func (m *Model) stateAt(host string, atMs float64) (state state, slowdown float64, observed bool) {
+	if atMs < m.startMs {
+		return healthy, 1, false
 	}
-	r, i := m.rows[host], m.window(t)
-	for k := i; k > i-reach; k-- {
-		c := r.at(k)
-		if c == nil || c.state() == unseen {
+	windows, i := m.windows[host], m.windowIndex(atMs)
+	for k := i; k > i-maxStateAgeWindows; k-- {
+		window := windows.window(k)
+		if window == nil || window.state() == unobserved {
 			continue
 		}
-		s, slow = c.state(), slowness(c.slow)
-		if k == i && s == alive {
-			s = r.turning(i, t)
+		state, slowdown = window.state(), significantSlowdown(window.slowdown)
+		if k == i && state == healthy {
+			state = windows.stateWithin(i, atMs)
 		}
-		if m.pass == asking && k >= r.settled && r.last > 0 && i-r.seen < reach { // not settled: as it last was
-			slow = slowness(r.last)
+		if m.pass == queryPass && k >= windows.closed && windows.lastSlowdown > 0 && i-windows.lastObserved < maxStateAgeWindows { // not settled: as it last was
+			slowdown = significantSlowdown(windows.lastSlowdown)
 		}
-		return s, slow, k == i
+		return state, slowdown, k == i
 	}
-	return alive, 1, false
+	return healthy, 1, false
 }
 
 // Alive tells whether a probe at a time would be answered, and if not whether anything is there at all.
-func (m *Model) Liveness(host string, t float64) (answers, there bool) {
-	s, _, _ := m.at(host, t)
-	return s == alive, s != dead
+func (m *Model) Liveness(host string, atMs float64) (alive, reachable bool) {
+	state, _, _ := m.stateAt(host, atMs)
+	return state == healthy, state != down
 }
 
 // Takes is how long an unhurried try of usual work takes at a host at a time.
-func (m *Model) ServiceTime(class, host string, t float64) float64 {
-	_, slow, _ := m.at(host, t)
-	return m.BaseServiceTime(class) * m.Parameters(host).ServiceTimeFactor * slow
+func (m *Model) ServiceTime(class, host string, atMs float64) float64 {
+	_, slowdown, _ := m.stateAt(host, atMs)
+	return m.BaseServiceTime(class) * m.Parameters(host).ServiceTimeFactor * slowdown
 }
 
 // Work is what a transaction was against its class's usual, by what Lines tells of a good try of it.
-func (m *Model) RelativeWork(class, host string, begin, service float64) float64 {
-	return service / m.ServiceTime(class, host, begin)
+func (m *Model) RelativeWork(class, host string, startMs, serviceMs float64) float64 {
+	return serviceMs / m.ServiceTime(class, host, startMs)
 }
 
 // Slowness is how many times slower than usual a host is at a time.
-func (m *Model) SlowdownFactor(host string, t float64) float64 {
-	_, slow, _ := m.at(host, t)
-	return slow
+func (m *Model) SlowdownFactor(host string, atMs float64) float64 {
+	_, slowdown, _ := m.stateAt(host, atMs)
+	return slowdown
 }
--- a/replay/response/response_test.go
+++ b/replay/response/response_test.go
@@ -108,7 +108,7 @@
 			t.Errorf("%+v: %v %v", x, answers, there)
 		}
 	}
-	if _, slow, _ := m.at("h1", 26500); slow < 3 || slow > 9 {
+	if _, slow, _ := m.stateAt("h1", 26500); slow < 3 || slow > 9 {
 		t.Errorf("a host six times slower is taken as %.1f times", slow)
 	}
 	again, was, now := NewSimulatedHosts(m), [6]float64{}, [6]float64{}
@@ -248,7 +248,7 @@
 			}
 			m.CloseWindows(at)
 			m.DiscardBefore(at - 5000)
-			if n := len(m.rows["x"].cells); n > 100 {
+			if n := len(m.windows["x"].windows); n > 100 {
 				t.Fatalf("%d windows are kept", n)
 			}
 		}
