--- a/replay/response/fit.go
+++ b/replay/response/fit.go
@@ -5,19 +5,20 @@
 	"sort"
 )
 
-// summary is what a pass leaves of a host's windows.
+// hostSummary is what a pass collects from the windows of a host.
 type hostSummary struct {
-	ratios                  sample                       // of the windows, in the first pass; of what did not wait, in the second
-	lowLoad                 boundedSample[lowLoadWindow] // windows with a report of the busy part
-	maxLoad                 float64                      // work of a window
-	unqueuedAttempts        int                          // tries that did not wait
-	queueLengthsAtRejection sample                       // how many waited when a living host refused a try
+	ratios                  sample                       // latency, or service time if unqueued, to base time
+	lowLoad                 boundedSample[lowLoadWindow] // windows with reported utilization
+	maxLoad                 float64                      // largest base time of a window's attempts per time
+	unqueuedAttempts        int                          // attempts that did not wait
+	queueLengthsAtRejection sample                       // queue lengths when the host, while healthy, rejected an attempt
 }
 
-// quiet is a window's mean time against the usual, its tries in hand, and the busy part reported.
+// lowLoadWindow is a window's mean latency relative to the base time, the mean number of attempts in progress, and the
+// reported utilization.
 type lowLoadWindow struct{ latencyRatio, concurrency, utilization float64 }
 
-// thinned keeps a bounded, evenly thinned part of a stream: every k-th item, k doubling when it is full.
+// boundedSample keeps a bounded part of a stream: every nth value, where n doubles whenever the sample is full.
 type boundedSample[T any] struct {
 	values         []T
 	interval, seen int
@@ -41,10 +42,10 @@
 	}
 }
 
-// sample of figures.
+// sample is a bounded sample of numbers.
 type sample struct{ boundedSample[float64] }
 
-// part gives the figure under which so much of the sample lies.
+// quantile returns a quantile of the sample, 0 if it is empty.
 func (s *sample) quantile(p float64) float64 {
 	if len(s.values) == 0 {
 		return 0
@@ -54,7 +55,7 @@
 	return sorted[min(int(p*float64(len(sorted))), len(sorted)-1)]
 }
 
-// fit takes a window in that is settled, in the pass before Fit.
+// addWindowForCores adds a closed window, in the pass before FitCores.
 func (s *hostSummary) addWindowForCores(window *windowStats) {
 	s.maxLoad = math.Max(s.maxLoad, window.baseTimeSum/windowMs)
 	if window.succeeded == 0 {
@@ -67,16 +68,17 @@
 	}
 }
 
-// Fit works out each host's cores, and roughly its speed. Its cores are as the list states them; where nothing is
-// stated, the tries in hand, by their times (Little's law), over the part of them that it reported as busy, in windows
-// where few waited; without such as many as its busiest window needs. It is as fast as its tries are on average in its
-// quicker windows, where few wait, until FitWork knows better.
+// FitCores fits each host's cores, and roughly its service time factor. The cores are the listed ones. For a host
+// without, they are the mean number of attempts in progress (Little's law) over the reported utilization, in windows
+// with little waiting; without such windows, as many as the window with the largest load needs. The service time factor
+// is the latency of the faster windows, which have little waiting, until FitServiceTimes improves it.
 func (m *Model) FitCores() {
 	m.endPass(serviceTimesPass)
 	for host, summary := range m.summaries {
 		parameters := HostParameters{ServiceTimeFactor: 1, Cores: 1}
 		if len(summary.ratios.values) > 0 {
-			parameters.Observed, parameters.ServiceTimeFactor = true, math.Max(summary.ratios.quantile(0.25), 0.05)
+			parameters.Observed = true
+			parameters.ServiceTimeFactor = math.Max(summary.ratios.quantile(0.25), minServiceTimeFactor)
 		}
 		cores := summary.maxLoad * parameters.ServiceTimeFactor
 		if concurrency, utilization := summary.lowLoadSums(parameters.ServiceTimeFactor); utilization > 0 {
@@ -85,15 +87,16 @@
 		if capacity, ok := m.listed[host]; ok {
 			cores = capacity.cores
 		}
-		parameters.Cores = min(max(int(math.Round(cores)), 1), 1024)
+		parameters.Cores = min(max(int(math.Round(cores)), 1), maxCores)
 		m.parameters[host] = parameters
 	}
 	m.correctCongestedHosts()
 	m.summaries = map[string]*hostSummary{}
 }
 
-// inQuiet sums tries in hand and the busy part of the cores over windows where tries took about as long as usual.
-// They are chosen by that and not by the busy part: it is a noisy figure, and the low ones of it would be chosen.
+// lowLoadSums sums the attempts in progress and the utilization over windows in which attempts took about the base
+// time. The windows are selected by latency rather than by utilization: the reported utilization is noisy, and a
+// selection of low values would bias the sum.
 func (s *hostSummary) lowLoadSums(serviceTimeFactor float64) (concurrency, utilization float64) {
 	for _, window := range s.lowLoad.values {
 		if window.latencyRatio < maxLowLoadLatencyRatio*serviceTimeFactor {
@@ -103,13 +106,13 @@
 	return concurrency, utilization
 }
 
-// quietMost is how many times as long as usual tries take in a quiet window at most.
+// maxLowLoadLatencyRatio is the largest latency of a window with little waiting, relative to the unqueued one.
 const maxLowLoadLatencyRatio = 1.25
 
-// quickened takes hosts at which tries wait even in the quicker windows to be as fast as the others are for what the
-// list states of them.
+// correctCongestedHosts lowers the service time factor of hosts whose attempts wait even in the faster windows to that
+// of the other hosts, scaled by the listed speeds.
 func (m *Model) correctCongestedHosts() {
-	listedMs := m.listedServiceTime(0.25, nil) // waiting makes it longer only
+	listedMs := m.listedServiceTime(0.25, nil) // a low quantile, as waiting only makes latencies longer
 	for host, capacity := range m.listed {
 		if parameters := m.parameters[host]; parameters.Observed && listedMs > 0 {
 			parameters.ServiceTimeFactor = math.Min(parameters.ServiceTimeFactor, listedMs/capacity.speed)
@@ -118,8 +121,8 @@
 	}
 }
 
-// statedTime gives the time that a class's usual try takes at a stated speed of 1, under which a part of the hosts lie
-// that are not left out; 0: none tells.
+// listedServiceTime returns a quantile, over the hosts that are not excluded, of the service time factor scaled to a
+// listed speed of 1; 0 if no host has one.
 func (m *Model) listedServiceTime(quantile float64, excluded map[string]bool) float64 {
 	var times []float64
 	for host, capacity := range m.listed {
@@ -133,7 +136,7 @@
 	return 0
 }
 
-// refused notes how many waited when a host refused a try.
+// observeRejection adds the queue length of a host that rejected an attempt.
 func (m *Model) observeRejection(host string, atMs float64, queueLength int) {
 	if m.pass != serviceTimesPass || queueLength <= 0 {
 		return
@@ -144,7 +147,7 @@
 	m.summary(host).queueLengthsAtRejection.add(float64(queueLength))
 }
 
-// fitWork takes a window in that is settled, in the pass before FitWork.
+// addWindowForServiceTimes adds a closed window, in the pass before FitServiceTimes.
 func (s *hostSummary) addWindowForServiceTimes(window *windowStats) {
 	if window.unqueued.completed >= minSlowdownAttempts && window.state() == healthy {
 		s.ratios.add(window.unqueued.meanRatio())
@@ -152,11 +155,12 @@
 	}
 }
 
-// FitWork works out each host's speed, and by how much it was slower in each window, from what its tries worked; from
-// those that did not wait, where there are any, since of them it is sure. A try that was given up counts by the time
-// it had worked, and not as one that was done: so the mean is right where the slow ones are those that are cut off
-// (the estimate of a rate under censoring). The speed is that of the middle window. Hosts that were never at work, or
-// where tries waited all day, are taken to be as the others are for what the list states.
+// FitServiceTimes fits each host's service time factor, and its slowdown in each window, to the service times of its
+// attempts: those of attempts that did not wait, where there are any, since they are certain. An attempt that was given
+// up adds the time for which it was served but does not count as completed, so the mean is unbiased if slow attempts
+// are cut off (the estimate of a rate from censored observations). The service time factor is the median of the
+// windows. Hosts without attempts, or whose attempts always waited, are assumed to be like the others, scaled by the
+// listed speed.
 func (m *Model) FitServiceTimes() {
 	m.endPass(queryPass)
 	uncertain := map[string]bool{}
@@ -164,23 +168,25 @@
 		summary := m.summary(host)
 		parameters.QueueLimit = int(summary.queueLengthsAtRejection.quantile(0.5))
 		if uncertain[host] = summary.unqueuedAttempts < minServiceTimeAttempts; !uncertain[host] {
-			parameters.ServiceTimeFactor = math.Max(summary.ratios.quantile(0.5), 0.05)
+			parameters.ServiceTimeFactor = math.Max(summary.ratios.quantile(0.5), minServiceTimeFactor)
 		}
 		m.parameters[host] = parameters
 	}
 	listedMs := m.listedServiceTime(0.5, uncertain)
 	for host, capacity := range m.listed {
 		if parameters := m.parameters[host]; (!parameters.Observed || uncertain[host]) && listedMs > 0 {
-			parameters.ServiceTimeFactor, parameters.Cores = listedMs/capacity.speed, max(int(math.Round(capacity.cores)), 1)
+			parameters.ServiceTimeFactor = listedMs / capacity.speed
+			parameters.Cores = max(int(math.Round(capacity.cores)), 1)
 			m.parameters[host] = parameters
 		}
 	}
 	m.summaries = map[string]*hostSummary{}
 }
 
-// So many tries that did not wait tell how slow a host is in a window, and how fast it is at all.
 const (
-	minSlowdownAttempts    = 2
-	minServiceTimeAttempts = 20
-	lastSlowdownWeight     = 8 // what was last seen counts as so many that waited
+	minSlowdownAttempts    = 2  // unqueued attempts from which the slowdown of a window is known
+	minServiceTimeAttempts = 20 // unqueued attempts from which the service time factor of a host is known
+	lastSlowdownWeight     = 8  // of the last known slowdown, as a number of attempts that waited
+	minServiceTimeFactor   = 0.05
+	maxCores               = 1024
 )
--- a/replay/response/hosts.go
+++ b/replay/response/hosts.go
@@ -2,24 +2,30 @@
 
 import "math"
 
-// Hosts answers tries by a fitted model, with queues of their own. It is asked in order of time.
+// rejectionMs is the time after which a host rejects an attempt.
+const rejectionMs = 1
+
+// SimulatedHosts simulates the hosts of a fitted model, with their own queues. Its methods must be called in the order
+// of time.
 type SimulatedHosts struct {
 	model        *Model
-	coreFreeMs   map[string][]float64 // when each core is free
-	startTimes   map[string][]float64 // of the tries that may wait yet, in order
+	coreFreeMs   map[string][]float64 // when each core becomes free
+	startTimes   map[string][]float64 // of attempts that may still wait, in order
 	Attempts     int
-	Extrapolated int // tries whose answer is extrapolated: nothing was seen of the host in that window
+	Extrapolated int // attempts for which nothing was observed of the host in that window
 }
 
-// NewHosts makes hosts with empty queues.
+// NewSimulatedHosts returns hosts with empty queues.
 func NewSimulatedHosts(model *Model) *SimulatedHosts {
 	return &SimulatedHosts{model: model, coreFreeMs: map[string][]float64{}, startTimes: map[string][]float64{}}
 }
 
-// Answer tells when a try that reaches a host at a time is answered, and how. work is what the transaction takes
-// against its class's usual time; patience is when its client gives up. A dead host refuses at once; a hung one
-// never answers; work that has begun is not stopped.
-func (h *SimulatedHosts) Respond(class, host string, atMs, relativeWork, patienceMs float64) (endMs float64, result Result) {
+// Respond returns when an attempt that reaches a host at a time ends, and its result. relativeWork is the work of the
+// request relative to the mean of its class; the client gives up after patienceMs. A host that is down rejects the
+// attempt at once, and an unresponsive host never responds. Service that has begun is not stopped.
+func (h *SimulatedHosts) Respond(
+	class, host string, atMs, relativeWork, patienceMs float64,
+) (endMs float64, result Result) {
 	h.Attempts++
 	state, slowdown, observed := h.model.stateAt(host, atMs)
 	if !observed {
@@ -27,7 +33,7 @@
 	}
 	switch state {
 	case down:
-		return atMs + 1, NeverRan
+		return atMs + rejectionMs, NeverRan
 	case unresponsive:
 		return atMs + patienceMs, Failed
 	}
@@ -49,7 +55,7 @@
 	}
 	queued := h.queued(host, atMs)
 	if parameters.QueueLimit > 0 && len(queued) >= parameters.QueueLimit {
-		return atMs + 1, NeverRan
+		return atMs + rejectionMs, NeverRan
 	}
 	serviceMs := h.model.BaseServiceTime(class) * parameters.ServiceTimeFactor * slowdown * relativeWork
 	endMs = startMs + serviceMs
@@ -64,7 +70,7 @@
 	return endMs, result
 }
 
-// Load is what a host would report at a time: the busy part of its cores, and how many tries wait.
+// Load returns what a host would report at a time: the utilization of its cores and its queue length.
 func (h *SimulatedHosts) Load(host string, atMs float64) (utilization, queueLength float64) {
 	parameters := h.model.Parameters(host)
 	for _, freeMs := range h.coreFreeMs[host] {
@@ -76,7 +82,7 @@
 	return utilization, float64(len(h.startTimes[host]))
 }
 
-// waiting gives when those begin that wait at a time: with first come, first served in the order in which they came.
+// queued returns the start times of the attempts that wait at a time, with first come, first served.
 func (h *SimulatedHosts) queued(host string, atMs float64) []float64 {
 	startTimes := h.startTimes[host]
 	for len(startTimes) > 0 && startTimes[0] <= atMs {
--- a/replay/response/model.go
+++ b/replay/response/model.go
@@ -1,45 +1,51 @@
-// Package response tells what a host would have answered to a try that it did not get, from the tries that it did
-// get. It is fitted from a record and knows nothing that the record does not hold: a host's speed, when it was
-// slow, hung or dead, and how many cores it works with. Queueing is first come, first served over the cores. What
-// lies where nothing was seen is extrapolated, and counted as such. It does no I/O; times are ms.
+// Package response models the response times of hosts, to estimate the response to attempts that were not made when a
+// day was recorded. The model is fitted to the recorded attempts: the service times and cores of each host, and when it
+// was slow, unresponsive or down. Queueing is first come, first served over the cores. Responses at times without
+// observations are extrapolated, and counted as such. The package does no I/O; times are in ms.
 package response
 
 import "math"
 
-// Outcome of a try.
+// Result is the result of an attempt.
 type Result int
 
-// As in package client.
+// The results of attempts have the values of those of package client.
 const (
-	Fulfilled Result = iota
+	Fulfilled Result = iota // a good answer
 	Failed
-	NeverRan
+	NeverRan // the attempt was not executed
 )
 
-// Host is what the fit found of one.
+// HostParameters are the fitted parameters of a host.
 type HostParameters struct {
-	ServiceTimeFactor float64 // times a class's usual time that an unhurried try takes here
+	ServiceTimeFactor float64 // service time relative to the base time of the class
 	Cores             int
-	QueueLimit        int  // so many may wait, further tries are refused; 0: never seen
-	Observed          bool // from its own tries
+	QueueLimit        int  // queue length from which attempts are rejected; 0: not observed
+	Observed          bool // whether there are attempts that succeeded
 }
 
-// Model is fitted in passes over a day, each in the order of time, and keeps of a day only what lies about the present:
-// Usual and Stated in the first; Saw, Probed and Loaded in the second, and Fit at its end; the same with Worked in the
-// third, and FitWork at its end; the same once more while it is asked, a little behind. In each pass Settle tells how far
-// the day is known, and Drop what is not asked for any more.
+// Model is a response-time model of hosts. It is fitted in passes over a day, each in the order of time, and keeps only
+// windows about the current time:
+//
+//   - the first pass calls ObserveLatency and SetListedCapacity,
+//   - the second calls ObserveAttempt, ObserveHealthCheck and ObserveUtilization, and FitCores at its end,
+//   - the third calls the same and ObserveServiceTime, and FitServiceTimes at its end,
+//   - the last calls the same as the third, and queries the model for times that lie somewhat before its observations.
+//
+// In each pass but the first CloseWindows tells up to which time all observations were made, and DiscardBefore which
+// windows are not queried any more.
 type Model struct {
 	windows       map[string]*hostWindows
 	startMs       float64
 	pass          pass
-	latencies     map[string]*sample // usual times by class
+	latencies     map[string]*sample // by class
 	baseServiceMs map[string]float64
 	parameters    map[string]HostParameters
 	listed        map[string]listedCapacity
-	summaries     map[string]*hostSummary // of the pass, by host
+	summaries     map[string]*hostSummary // of the current pass, by host
 }
 
-// pass over the day that is being made.
+// pass is a pass over the day.
 type pass int
 
 const (
@@ -48,13 +54,20 @@
 	queryPass
 )
 
-// New makes a model of a day that begins at a time.
+// New returns an empty model of a day that begins at a time.
 func New(startMs float64) *Model {
-	return &Model{windows: map[string]*hostWindows{}, startMs: startMs, latencies: map[string]*sample{}, baseServiceMs: map[string]float64{},
-		parameters: map[string]HostParameters{}, listed: map[string]listedCapacity{}, summaries: map[string]*hostSummary{}}
+	return &Model{
+		windows:       map[string]*hostWindows{},
+		startMs:       startMs,
+		latencies:     map[string]*sample{},
+		baseServiceMs: map[string]float64{},
+		parameters:    map[string]HostParameters{},
+		listed:        map[string]listedCapacity{},
+		summaries:     map[string]*hostSummary{},
+	}
 }
 
-// Begin sets the time at which the day begins, before anything is seen.
+// SetStart sets the time at which the day begins. It must be called before the observations of windows.
 func (m *Model) SetStart(startMs float64) { m.startMs = startMs }
 
 func (m *Model) summary(host string) *hostSummary {
@@ -66,13 +79,13 @@
 	return summary
 }
 
-// next ends a pass.
+// endPass ends the current pass and begins the next one.
 func (m *Model) endPass(next pass) {
 	m.closeWindows(math.MaxInt)
 	m.pass, m.windows = next, map[string]*hostWindows{}
 }
 
-// Usual notes a good try's time for its class's usual time. All tries go through it before any goes to Saw.
+// ObserveLatency adds the latency of an attempt that succeeded, for the base time of its class.
 func (m *Model) ObserveLatency(class string, latencyMs float64) {
 	latencies := m.latencies[class]
 	if latencies == nil {
@@ -82,27 +95,30 @@
 	latencies.add(latencyMs)
 }
 
-// usualPart of the good tries of a class lie under its usual time: most of those were not held up by others.
+// baseServiceQuantile is the quantile of the latencies of a class that is its base time: most attempts below it did not
+// wait.
 const baseServiceQuantile = 0.35
 
-// UsualTime is that of a class: what a try takes that is not held up.
+const minBaseServiceMs = 0.1
+
+// BaseServiceTime returns the base time of a class: the usual service time of an attempt.
 func (m *Model) BaseServiceTime(class string) float64 {
 	baseMs, ok := m.baseServiceMs[class]
 	if !ok {
 		if latencies := m.latencies[class]; latencies != nil {
 			baseMs = latencies.quantile(baseServiceQuantile)
 		}
-		baseMs = math.Max(baseMs, 0.1)
+		baseMs = math.Max(baseMs, minBaseServiceMs)
 		m.baseServiceMs[class] = baseMs
 	}
 	return baseMs
 }
 
-// Saw notes a try as it was recorded.
+// ObserveAttempt adds a recorded attempt.
 func (m *Model) ObserveAttempt(class, host string, atMs, latencyMs float64, result Result) {
 	switch result {
 	case Fulfilled:
-		window := m.window(host, atMs+latencyMs) // it was alive when it answered
+		window := m.window(host, atMs+latencyMs) // the host was healthy when it responded
 		window.succeeded++
 		if window.firstSuccessMs < 0 || atMs < window.firstSuccessMs {
 			window.firstSuccessMs = atMs
@@ -123,7 +139,7 @@
 	}
 }
 
-// Probed notes a probe: fine, or without an answer, or with nothing found there.
+// ObserveHealthCheck adds a health check: healthy, unreachable, or failed in another way.
 func (m *Model) ObserveHealthCheck(host string, atMs float64, isHealthy, unreachable bool) {
 	window := m.window(host, atMs)
 	switch {
@@ -132,21 +148,22 @@
 	case unreachable:
 		window.unreachableChecks++
 	default:
-		window.timedOutChecks++
+		window.failedChecks++
 	}
 }
 
-// Loaded notes the busy part of a host's cores, as it reported it.
+// ObserveUtilization adds the utilization that a host reported; below 0: not known.
 func (m *Model) ObserveUtilization(host string, atMs, utilization float64) {
 	if utilization >= 0 {
 		m.window(host, atMs).utilization = math.Min(utilization, 1)
 	}
 }
 
-// capacity of a host, as the list states it.
+// listedCapacity is the capacity of a host in the endpoint list.
 type listedCapacity struct{ cores, speed float64 }
 
-// Stated notes a host's cores and the speed of each, against others, as the list tells them; cores 0: not told.
+// SetListedCapacity sets a host's listed number of cores, and the speed of each relative to other hosts; 0 cores: not
+// listed.
 func (m *Model) SetListedCapacity(host string, cores, speed float64) {
 	if cores > 0 {
 		if speed <= 0 {
@@ -156,14 +173,14 @@
 	}
 }
 
-// Worked notes what Lines tells of a try: when its work began, and how long it went on.
+// ObserveServiceTime adds the service time of an attempt, as returned by QueueReconstruction.AddAttempt.
 func (m *Model) ObserveServiceTime(class, host string, atMs, latencyMs, startMs, serviceMs float64, result Result) {
 	switch result {
 	case NeverRan:
 		return
 	case Failed:
 		if state, _, _ := m.stateAt(host, atMs+latencyMs); state != healthy {
-			return // it was no longer at work
+			return // it was no longer served
 		}
 	}
 	if serviceMs == 0 {
@@ -180,7 +197,7 @@
 	}
 }
 
-// Host gives what the fit found.
+// Parameters returns the fitted parameters of a host.
 func (m *Model) Parameters(host string) HostParameters {
 	parameters, ok := m.parameters[host]
 	if !ok {
@@ -189,48 +206,52 @@
 	return parameters
 }
 
-// at gives a host's state at a time and how many times slower than usual it was. Where nothing was seen in the
-// window the last one before that showed anything holds, up to a bound, and after it the host is taken as alive.
+// stateAt returns the state and the slowdown of a host at a time. Where nothing was observed in the window, the last
+// earlier observation holds for up to maxStateAgeWindows; otherwise the host is assumed to be healthy. observed reports
+// whether there was an observation in the window itself.
 func (m *Model) stateAt(host string, atMs float64) (state state, slowdown float64, observed bool) {
 	if atMs < m.startMs {
 		return healthy, 1, false
 	}
 	windows, i := m.windows[host], m.windowIndex(atMs)
-	for k := i; k > i-maxStateAgeWindows; k-- {
-		window := windows.window(k)
+	for j := i; j > i-maxStateAgeWindows; j-- {
+		window := windows.window(j)
 		if window == nil || window.state() == unobserved {
 			continue
 		}
 		state, slowdown = window.state(), significantSlowdown(window.slowdown)
-		if k == i && state == healthy {
+		if j == i && state == healthy {
 			state = windows.stateWithin(i, atMs)
 		}
-		if m.pass == queryPass && k >= windows.closed && windows.lastSlowdown > 0 && i-windows.lastObserved < maxStateAgeWindows { // not settled: as it last was
+		isClosed := j < windows.closed
+		if m.pass == queryPass && !isClosed && windows.lastSlowdown > 0 &&
+			i-windows.lastSlowdownIndex < maxStateAgeWindows {
 			slowdown = significantSlowdown(windows.lastSlowdown)
 		}
-		return state, slowdown, k == i
+		return state, slowdown, j == i
 	}
 	return healthy, 1, false
 }
 
-// Alive tells whether a probe at a time would be answered, and if not whether anything is there at all.
+// Liveness returns whether a host would pass a health check at a time, and if not whether it is reachable at all.
 func (m *Model) Liveness(host string, atMs float64) (alive, reachable bool) {
 	state, _, _ := m.stateAt(host, atMs)
 	return state == healthy, state != down
 }
 
-// Takes is how long an unhurried try of usual work takes at a host at a time.
+// ServiceTime returns the service time of an attempt of average work at a host at a time.
 func (m *Model) ServiceTime(class, host string, atMs float64) float64 {
 	_, slowdown, _ := m.stateAt(host, atMs)
 	return m.BaseServiceTime(class) * m.Parameters(host).ServiceTimeFactor * slowdown
 }
 
-// Work is what a transaction was against its class's usual, by what Lines tells of a good try of it.
+// RelativeWork returns the work of a request relative to the mean of its class, from the service time of an attempt
+// that succeeded.
 func (m *Model) RelativeWork(class, host string, startMs, serviceMs float64) float64 {
 	return serviceMs / m.ServiceTime(class, host, startMs)
 }
 
-// Slowness is how many times slower than usual a host is at a time.
+// SlowdownFactor returns the factor by which service times at a host are longer than usual at a time.
 func (m *Model) SlowdownFactor(host string, atMs float64) float64 {
 	_, slowdown, _ := m.stateAt(host, atMs)
 	return slowdown
--- a/replay/response/queue.go
+++ b/replay/response/queue.go
@@ -7,43 +7,47 @@
 	"sort"
 )
 
-// Line puts together a host's queue from the tries that it got, in the order in which they came: with first come,
-// first served over known cores a try begins when all but one fewer than the cores of those ahead of it are done
-// (Kiefer and Wolfowitz's recursion, read backwards), so what it waited and what it worked come apart.
+// ReconstructedQueue reconstructs the queue of a host from its attempts, in the order of their arrival. With first
+// come, first served and c cores, the service of an attempt begins when all but c-1 of the attempts before it have
+// completed (the recursion of Kiefer and Wolfowitz, applied to recorded completions). This separates waiting from
+// service.
 type ReconstructedQueue struct {
 	cores        int
-	completions  []completion // when those that are still in it are done, in order
-	waitUnknown  bool         // a try was given up, and none since was done so soon that nobody can have waited before it
-	serviceRatio float64      // of what tries lately worked to their class's usual time
+	completions  []completion // of the attempts that are not completed yet, in order of time
+	waitUnknown  bool         // since an attempt was given up: no later one was fast enough to show an empty queue
+	serviceRatio float64      // moving average of the service times relative to the base time of the class
 }
 
-// end of a try; one that is a guess is of a try that was given up.
+// completion is the end of an attempt's service. It is estimated for an attempt that was given up.
 type completion struct {
 	atMs      float64
 	estimated bool
 }
 
-// NewLine makes an empty one.
+// NewReconstructedQueue returns an empty queue of a host with a number of cores.
 func NewReconstructedQueue(cores int) *ReconstructedQueue {
 	return &ReconstructedQueue{cores: max(cores, 1), serviceRatio: 1}
 }
 
-// Begins tells when a try that comes at a time begins. Times must not fall.
+// StartTime returns the time at which the service of an attempt that arrives at a time begins. The times must not
+// decrease.
 func (q *ReconstructedQueue) StartTime(atMs float64) float64 {
-	q.completions = q.completions[sort.Search(len(q.completions), func(i int) bool { return q.completions[i].atMs > atMs }):]
+	next := sort.Search(len(q.completions), func(i int) bool { return q.completions[i].atMs > atMs })
+	q.completions = q.completions[next:]
 	if n := len(q.completions); n >= q.cores {
 		return q.completions[n-q.cores].atMs
 	}
 	return atMs
 }
 
-// Done notes when the try that came last is done, and whether that is a guess.
+// AddCompletion adds the completion of the attempt that arrived last.
 func (q *ReconstructedQueue) AddCompletion(atMs float64, estimated bool) {
 	i := sort.Search(len(q.completions), func(i int) bool { return q.completions[i].atMs >= atMs })
 	q.completions = slices.Insert(q.completions, i, completion{atMs, estimated})
 }
 
-// Sooner moves the guesses by so much: a try was done before they would have let it begin.
+// AdvanceEstimates moves the estimated completions to an earlier time, after an attempt completed before its service
+// could have begun by the estimates.
 func (q *ReconstructedQueue) AdvanceEstimates(byMs float64) {
 	for i := range q.completions {
 		if q.completions[i].estimated {
@@ -53,20 +57,23 @@
 	slices.SortStableFunc(q.completions, func(a, b completion) int { return cmp.Compare(a.atMs, b.atMs) })
 }
 
-// Lines are those of a model's hosts.
+// QueueReconstruction reconstructs the queues of a model's hosts.
 type QueueReconstruction struct {
 	model  *Model
 	queues map[string]*ReconstructedQueue
 }
 
-// NewLines makes empty lines, over the cores that the model has found.
+// NewQueueReconstruction returns empty queues for hosts with the cores that the model has fitted.
 func NewQueueReconstruction(model *Model) *QueueReconstruction {
 	return &QueueReconstruction{model, map[string]*ReconstructedQueue{}}
 }
 
-// Took tells, of a try as it was recorded, when its work began and how long that took; for one that failed how long
-// it had worked when it was given up, which may be nothing. Tries of a host must come in the order of their times.
-func (r *QueueReconstruction) AddAttempt(class, host string, atMs, latencyMs float64, result Result) (startMs, serviceMs float64) {
+// AddAttempt returns when the service of a recorded attempt began and how long it took. For an attempt that was given
+// up it returns how long it had been served by then, which may be 0. The attempts of a host must be added in the order
+// of their arrival.
+func (r *QueueReconstruction) AddAttempt(
+	class, host string, atMs, latencyMs float64, result Result,
+) (startMs, serviceMs float64) {
 	queue := r.queues[host]
 	if queue == nil {
 		parameters := r.model.Parameters(host)
@@ -88,7 +95,7 @@
 			queue.AdvanceEstimates(startMs - estimatedStartMs)
 			startMs = estimatedStartMs
 		} else if queue.waitUnknown && endMs-startMs > maxUnqueuedRatio*baseMs*queue.serviceRatio {
-			startMs = estimatedStartMs // it waited longer than the guesses have it, rather than that it was slow
+			startMs = estimatedStartMs // it rather waited longer than estimated than took unusually long
 		}
 	} else {
 		queue.waitUnknown = true
@@ -97,18 +104,19 @@
 	if result == Fulfilled {
 		serviceMs = math.Max(serviceMs, minServiceRatio*baseMs)
 		queue.serviceRatio += (serviceMs/baseMs - queue.serviceRatio) * serviceRatioSmoothing
-	} else { // it was given up and not stopped: it is taken to work as long as those lately done
+	} else { // an attempt that was given up is not stopped: its service is assumed to take as long as recent ones
 		endMs = startMs + baseMs*queue.serviceRatio
 	}
 	queue.AddCompletion(endMs, result != Fulfilled)
 	return startMs, serviceMs
 }
 
-// soonDone times what its like took: a try that took less did not wait.
+// maxUnqueuedRatio is the latency relative to recent service times below which an attempt did not wait.
 const maxUnqueuedRatio = 1.5
 
-// newRatio is the weight of a try's work in what tries lately worked.
+// serviceRatioSmoothing is the weight of the latest attempt in the moving average of the service times.
 const serviceRatioSmoothing = 0.2
 
-// leastWork of a try against its class's usual time: one that overtook others in the line seems to have done less.
+// minServiceRatio is the smallest service time relative to the base time of the class. Attempts that overtook others in
+// the queue appear to have taken less.
 const minServiceRatio = 0.05
--- a/replay/response/windows.go
+++ b/replay/response/windows.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// window is the stretch over which a host is taken to be in one state.
+// windowMs is the length of the windows. A host is assumed to be in one state during a window.
 const windowMs = 1000.0
 
-// state of a host in a window.
+// state is the state of a host in a window.
 type state int
 
 const (
@@ -15,20 +15,23 @@
 	down
 )
 
-// cell is what was seen of a host in a window.
+// windowStats is what was observed of a host in a window.
 type windowStats struct {
-	succeeded, failed, rejected    int
-	firstSuccessMs, firstFailureMs float64 // when the first good try began and the first of the others, -1: none
-	latencyRatioSum                float64 // sum of the good tries' times over their classes' usual times
-	baseTimeSum, latencySum        float64 // sums of the usual times of the good tries, and of their own
-	healthyChecks, timedOutChecks  int
-	unreachableChecks              int
-	utilization                    float64      // as reported, below 0: not
-	all, unqueued                  serviceStats // of the tries whose work began in it, and of those of them that did not wait
-	slowdown                       float64      // times slower than usual that it was; 0: not known
+	succeeded, failed, rejected int
+	firstSuccessMs              float64 // start of the first attempt that succeeded; -1: none
+	firstFailureMs              float64 // start of the first attempt that did not succeed; -1: none
+	latencyRatioSum             float64 // of the latency to the base time of the class, of attempts that succeeded
+	baseTimeSum, latencySum     float64 // of attempts that succeeded
+	healthyChecks, failedChecks int
+	unreachableChecks           int
+	utilization                 float64      // the reported one; below 0: none
+	all                         serviceStats // of attempts whose service began in the window
+	unqueued                    serviceStats // of those that did not wait
+	slowdown                    float64      // service time relative to the usual one of the host; 0: not known
 }
 
-// worked sums what tries worked, over their classes' usual times, and counts those that were done.
+// serviceStats sums the service times of attempts, relative to the base time of their class, and counts the completed
+// ones.
 type serviceStats struct {
 	completed       int
 	serviceRatioSum float64
@@ -36,21 +39,21 @@
 
 func (s serviceStats) meanRatio() float64 { return s.serviceRatioSum / float64(max(s.completed, 1)) }
 
-// row is a host's windows, from a number on.
+// hostWindows are the windows of a host from an index on.
 type hostWindows struct {
-	first        int
-	windows      []windowStats
-	closed       int     // windows before this one are
-	lastSlowdown float64 // how slow it last was, in window seen
-	lastObserved int
+	firstIndex        int
+	windows           []windowStats
+	closed            int     // index of the first window that is not closed
+	lastSlowdown      float64 // last known slowdown, that of the window lastSlowdownIndex
+	lastSlowdownIndex int
 }
 
-// at gives a window of the row, nil where it is not kept.
+// window returns the window with an index, nil if it is not kept.
 func (h *hostWindows) window(i int) *windowStats {
-	if h == nil || i < h.first || i >= h.first+len(h.windows) {
+	if h == nil || i < h.firstIndex || i >= h.firstIndex+len(h.windows) {
 		return nil
 	}
-	return &h.windows[i-h.first]
+	return &h.windows[i-h.firstIndex]
 }
 
 func (m *Model) windowIndex(atMs float64) int { return max(int((atMs-m.startMs)/windowMs), 0) }
@@ -58,22 +61,22 @@
 func (m *Model) window(host string, atMs float64) *windowStats {
 	windows, i := m.windows[host], m.windowIndex(atMs)
 	if windows == nil {
-		windows = &hostWindows{first: i, closed: i}
+		windows = &hostWindows{firstIndex: i, closed: i}
 		m.windows[host] = windows
 	}
-	i = max(i, windows.first) // one that comes too late counts where the row begins
-	for windows.first+len(windows.windows) <= i {
+	i = max(i, windows.firstIndex) // an observation of an earlier time counts for the first window
+	for windows.firstIndex+len(windows.windows) <= i {
 		windows.windows = append(windows.windows, windowStats{utilization: -1, firstSuccessMs: -1, firstFailureMs: -1})
 	}
 	return windows.window(i)
 }
 
-// Settle takes in what was seen up to a time: nothing more is told of a window that ends before it.
+// CloseWindows processes the windows that end before a time. No more observations of these windows may follow.
 func (m *Model) CloseWindows(beforeMs float64) { m.closeWindows(m.windowIndex(beforeMs)) }
 
 func (m *Model) closeWindows(end int) {
 	for host, windows := range m.windows {
-		for ; windows.closed < min(end, windows.first+len(windows.windows)); windows.closed++ {
+		for ; windows.closed < min(end, windows.firstIndex+len(windows.windows)); windows.closed++ {
 			window := windows.window(windows.closed)
 			if window == nil {
 				continue
@@ -90,22 +93,22 @@
 	}
 }
 
-// Drop forgets what is not asked for from a time on, but what holds on from before it.
+// DiscardBefore discards the windows before a time that are not needed for later states.
 func (m *Model) DiscardBefore(beforeMs float64) {
 	firstKept := m.windowIndex(beforeMs) - maxStateAgeWindows - 1
 	for _, windows := range m.windows {
-		if discarded := min(firstKept, windows.closed) - windows.first; discarded >= minDiscardedWindows {
+		if discarded := min(firstKept, windows.closed) - windows.firstIndex; discarded >= minDiscardedWindows {
 			windows.windows = append(windows.windows[:0], windows.windows[min(discarded, len(windows.windows)):]...)
-			windows.first += discarded
+			windows.firstIndex += discarded
 		}
 	}
 }
 
-// dropLeast windows are dropped at once.
+// minDiscardedWindows is the least number of windows that are discarded at once.
 const minDiscardedWindows = 32
 
-// slow works out by how much a host was slower in a window that is settled.
-func (w *hostWindows) setSlowdown(i int, window *windowStats, parameters HostParameters) {
+// setSlowdown sets the slowdown of a closed window.
+func (h *hostWindows) setSlowdown(i int, window *windowStats, parameters HostParameters) {
 	if window.state() != healthy {
 		return
 	}
@@ -113,22 +116,24 @@
 	case window.unqueued.completed >= minSlowdownAttempts:
 		window.slowdown = window.unqueued.meanRatio() / parameters.ServiceTimeFactor
 	case window.all.completed >= minSlowdownAttempts:
-		window.slowdown = math.Min(window.all.meanRatio()/parameters.ServiceTimeFactor, math.Max(1, float64(parameters.Cores)*windowMs/(window.baseTimeSum*parameters.ServiceTimeFactor)))
-		if w.lastSlowdown > 0 { // when these began is not sure, so what was last seen counts too
+		byCores := float64(parameters.Cores) * windowMs / (window.baseTimeSum * parameters.ServiceTimeFactor)
+		window.slowdown = math.Min(window.all.meanRatio()/parameters.ServiceTimeFactor, math.Max(1, byCores))
+		if h.lastSlowdown > 0 { // the waits are uncertain, so the last known slowdown counts too
 			completed := float64(window.all.completed)
-			window.slowdown = (completed*window.slowdown + lastSlowdownWeight*w.lastSlowdown) / (completed + lastSlowdownWeight)
+			window.slowdown = (completed*window.slowdown + lastSlowdownWeight*h.lastSlowdown) /
+				(completed + lastSlowdownWeight)
 		}
-	case w.lastSlowdown > 0 && i-w.lastObserved < maxStateAgeWindows:
-		window.slowdown = w.lastSlowdown // nothing got done there that would tell otherwise
+	case h.lastSlowdown > 0 && i-h.lastSlowdownIndex < maxStateAgeWindows:
+		window.slowdown = h.lastSlowdown // nothing was completed that would show otherwise
 		return
 	default:
 		return
 	}
-	w.lastSlowdown, w.lastObserved = window.slowdown, i
+	h.lastSlowdown, h.lastSlowdownIndex = window.slowdown, i
 }
 
-// turning gives the state within a window in which a host was alive for a part only: it hangs or is dead from the
-// first try that shows it, if the next window does, and until the first good one, if the window before did.
+// stateWithin returns the state at a time of a window in which the host was healthy only for a part: the state of the
+// next window from the first failed attempt on, and that of the window before until the first success.
 func (h *hostWindows) stateWithin(i int, atMs float64) state {
 	window := h.window(i)
 	if next := h.window(i + 1); next != nil && window.firstFailureMs >= 0 && atMs >= window.firstFailureMs {
@@ -144,23 +149,23 @@
 	return healthy
 }
 
-// reach is for how many windows what was last seen of a host holds on.
+// maxStateAgeWindows is the number of windows for which the last observation of a host holds.
 const maxStateAgeWindows = 20
 
 func (w *windowStats) state() state {
 	switch {
-	case w.succeeded > 0, w.healthyChecks > 0: // one that is full refuses tries, and answers probes
+	case w.succeeded > 0, w.healthyChecks > 0: // a host with a full queue rejects attempts but is healthy
 		return healthy
 	case w.rejected > 0 && w.rejected >= w.failed || w.unreachableChecks > 0 && w.failed == 0:
 		return down
-	case w.failed > 0 || w.timedOutChecks > 0:
+	case w.failed > 0 || w.failedChecks > 0:
 		return unresponsive
 	}
 	return unobserved
 }
 
-// slowness is how many times longer than usual for the host its work took. Between slowTaken and its inverse it is
-// taken for chance: the transactions' own work differs, and each has what is known of its.
+// significantSlowdown returns the factor by which service times were longer than usual for the host. Factors close to 1
+// are taken for chance, since the work of requests differs, and each request has its own known work.
 func significantSlowdown(slowdown float64) float64 {
 	if slowdown == 0 || slowdown < minSlowdown && slowdown > 1/minSlowdown {
 		return 1
@@ -168,4 +173,5 @@
 	return slowdown
 }
 
+// minSlowdown is the least slowdown that is not taken for chance.
 const minSlowdown = 1.4
