--- a/replay/response/response_test.go
+++ b/replay/response/response_test.go
@@ -8,13 +8,18 @@
 	"testing"
 )
 
-// record makes a day's tries at hosts whose truth is known: some cores, a speed, and what ails them by time.
-func generateAttempts(model *Model, addAttempt func(class, host string, atMs, latencyMs float64, result Result), addHealthCheck func(host string, atMs float64, isHealthy, unreachable bool)) {
+// generateAttempts generates the attempts and health checks of a day at the test hosts.
+func generateAttempts(
+	model *Model,
+	addAttempt func(class, host string, atMs, latencyMs float64, result Result),
+	addHealthCheck func(host string, atMs float64, isHealthy, unreachable bool),
+) {
 	for index, host := range testHosts {
 		random := rand.New(rand.NewPCG(uint64(index), 7))
 		freeMs := make([]float64, host.cores)
 		for atMs := 0.0; atMs < 60000; atMs += random.ExpFloat64() / host.requestsPerSecond * 1000 {
-			name, serviceMs, result := fmt.Sprint("h", index), 100*host.serviceTimeFactor*(0.5+random.Float64()), Fulfilled
+			name, result := fmt.Sprint("h", index), Fulfilled
+			serviceMs := 100 * host.serviceTimeFactor * (0.5 + random.Float64())
 			hasFault := host.fault != "" && atMs >= 20000 && atMs < 32000
 			if hasFault && host.fault == "slow" {
 				serviceMs *= 6
@@ -38,9 +43,11 @@
 		}
 		for atMs := 0.0; addHealthCheck != nil && atMs < 60000; atMs += 700 {
 			hasFault := atMs >= 20000 && atMs < 32000
-			addHealthCheck(fmt.Sprint("h", index), atMs, !(hasFault && (host.fault == "down" || host.fault == "unresponsive")), hasFault && host.fault == "down")
+			isDown := hasFault && host.fault == "down"
+			isHealthy := !isDown && (!hasFault || host.fault != "unresponsive")
+			addHealthCheck(fmt.Sprint("h", index), atMs, isHealthy, isDown)
 			utilization := host.requestsPerSecond * 0.1 * host.serviceTimeFactor / float64(host.cores)
-			if host.fault == "slow" && atMs >= 20000 && atMs < 46000 { // until what waited is done
+			if host.fault == "slow" && atMs >= 20000 && atMs < 46000 { // until the queue is empty again
 				utilization = 1
 			}
 			model.ObserveUtilization(fmt.Sprint("h", index), atMs, math.Min(1, utilization))
@@ -48,13 +55,21 @@
 	}
 }
 
+// testHosts are the hosts of generateAttempts, with a fault from 20 to 32 s.
 var testHosts = []struct {
 	cores                                int
 	serviceTimeFactor, requestsPerSecond float64
 	fault                                string
-}{{4, 1, 12, ""}, {2, 1, 6, "slow"}, {4, 1.5, 10, "unresponsive"}, {4, 1, 12, "down"}, {8, 0.8, 30, ""}, {2, 1, 26, ""}} // the last cannot keep up all day
+}{
+	{4, 1, 12, ""},
+	{2, 1, 6, "slow"},
+	{4, 1.5, 10, "unresponsive"},
+	{4, 1, 12, "down"},
+	{8, 0.8, 30, ""},
+	{2, 1, 26, ""}, // overloaded
+}
 
-// passed makes a pass over the day, with the lines where they are wanted.
+// observeDay makes a pass over the day, and adds service times if withQueues is set.
 func observeDay(model *Model, withQueues bool) {
 	generateAttempts(model, model.ObserveAttempt, model.ObserveHealthCheck)
 	if !withQueues {
@@ -67,7 +82,7 @@
 	}, nil)
 }
 
-// fitted makes all passes up to where the model is asked.
+// fit makes all passes, up to the queries of the last one.
 func fit(model *Model) {
 	generateAttempts(model, func(class, _ string, _, latencyMs float64, result Result) {
 		if result == Fulfilled {
@@ -82,34 +97,44 @@
 	model.CloseWindows(70000)
 }
 
-// The fit finds cores and speeds, and when a host was slow, hung or dead; asked again it answers about as the
-// record does.
+// The model finds the cores, the service times and the faults of the hosts, and the simulated hosts respond about as
+// the recorded ones.
 func TestFit(t *testing.T) {
 	model := New(0)
 	fit(model)
 	for index, want := range testHosts {
 		got, baseFactor := model.Parameters(fmt.Sprint("h", index)), model.BaseServiceTime("sheet")/100
-		if index == 5 { // of one that cannot keep up, and of which no list tells the cores, little can be told
+		if index == 5 { // the cores of an overloaded host that does not list them are known only roughly
 			if capacity := float64(got.Cores) / got.ServiceTimeFactor / baseFactor; capacity < 1.2 || capacity > 2.6 {
-				t.Errorf("host 5 is taken to do %.2f of 2 cores' work: %+v", capacity, got)
+				t.Errorf("overloaded host: got the capacity of %.2f cores from %+v, want 1.2 to 2.6", capacity, got)
 			}
 			continue
 		}
-		if math.Abs(float64(got.Cores-want.cores)) > 1 || math.Abs(got.ServiceTimeFactor*baseFactor/want.serviceTimeFactor-1) > 0.25 {
-			t.Errorf("host %d: %+v of %+v, usual %.0f", index, got, want, model.BaseServiceTime("sheet"))
+		factor := got.ServiceTimeFactor * baseFactor
+		if math.Abs(float64(got.Cores-want.cores)) > 1 || math.Abs(factor/want.serviceTimeFactor-1) > 0.25 {
+			t.Errorf("host %d: got %d cores and the service time factor %.2f, want about %d and %.2f",
+				index, got.Cores, factor, want.cores, want.serviceTimeFactor)
 		}
 	}
 	for _, test := range []struct {
 		host             string
 		atMs             float64
 		alive, reachable bool
-	}{{"h0", 25000, true, true}, {"h2", 26000, false, true}, {"h3", 26000, false, false}, {"h3", 40000, true, true}, {"h2", 10000, true, true}} {
-		if alive, reachable := model.Liveness(test.host, test.atMs); alive != test.alive || reachable != test.reachable {
-			t.Errorf("%+v: %v %v", test, alive, reachable)
+	}{
+		{"h0", 25000, true, true},
+		{"h2", 26000, false, true},
+		{"h3", 26000, false, false},
+		{"h3", 40000, true, true},
+		{"h2", 10000, true, true},
+	} {
+		alive, reachable := model.Liveness(test.host, test.atMs)
+		if alive != test.alive || reachable != test.reachable {
+			t.Errorf("host %s at %.0f ms: got alive %v and reachable %v, want %v and %v",
+				test.host, test.atMs, alive, reachable, test.alive, test.reachable)
 		}
 	}
 	if _, slowdown, _ := model.stateAt("h1", 26500); slowdown < 3 || slowdown > 9 {
-		t.Errorf("a host six times slower is taken as %.1f times", slowdown)
+		t.Errorf("host that was slower by a factor of 6: got the slowdown %.1f, want 3 to 9", slowdown)
 	}
 	simulated, recordedFast, simulatedFast := NewSimulatedHosts(model), [6]float64{}, [6]float64{}
 	queues := NewQueueReconstruction(model)
@@ -121,19 +146,21 @@
 		if startMs, serviceMs := queues.AddAttempt(class, host, atMs, latencyMs, result); result == Fulfilled {
 			relativeWork = model.RelativeWork(class, host, startMs, serviceMs)
 		}
-		if endMs, result := simulated.Respond(class, host, atMs, relativeWork, 2500); result == Fulfilled && endMs-atMs <= 500 {
+		endMs, result := simulated.Respond(class, host, atMs, relativeWork, 2500)
+		if result == Fulfilled && endMs-atMs <= 500 {
 			simulatedFast[host[1]-'0']++
 		}
 	}, nil)
 	for index := range recordedFast {
 		if math.Abs(recordedFast[index]-simulatedFast[index]) > 0.15*recordedFast[index]+15 {
-			t.Errorf("host %d: %.0f tries within half a second, recorded %.0f", index, simulatedFast[index], recordedFast[index])
+			t.Errorf("host %d: got %.0f simulated attempts within 500 ms, want about the %.0f recorded ones",
+				index, simulatedFast[index], recordedFast[index])
 		}
 	}
 }
 
-// Where the list states cores and speeds, a host that cannot keep up all day is known as well as the others, and one
-// that was never at work is as fast as the list says.
+// With listed cores and speeds the parameters of an overloaded host are known as well as those of the others, and those
+// of a host without attempts follow from the list.
 func TestListedCapacity(t *testing.T) {
 	model := New(0)
 	for index, want := range testHosts {
@@ -143,16 +170,20 @@
 	fit(model)
 	baseFactor := model.BaseServiceTime("sheet") / 100
 	for index, want := range testHosts {
-		if got := model.Parameters(fmt.Sprint("h", index)); got.Cores != want.cores || math.Abs(got.ServiceTimeFactor*baseFactor/want.serviceTimeFactor-1) > 0.1 {
-			t.Errorf("host %d: %+v of %+v, usual %.2f", index, got, want, baseFactor)
+		got := model.Parameters(fmt.Sprint("h", index))
+		factor := got.ServiceTimeFactor * baseFactor
+		if got.Cores != want.cores || math.Abs(factor/want.serviceTimeFactor-1) > 0.1 {
+			t.Errorf("host %d: got %d cores and the service time factor %.2f, want %d and about %.2f",
+				index, got.Cores, factor, want.cores, want.serviceTimeFactor)
 		}
 	}
 	if got := model.Parameters("idle"); got.Cores != 6 || math.Abs(got.ServiceTimeFactor*baseFactor/2-1) > 0.1 {
-		t.Errorf("one that was never at work: %+v", got)
+		t.Errorf("host without attempts: got %d cores and the service time factor %.2f, want 6 and about 2",
+			got.Cores, got.ServiceTimeFactor*baseFactor)
 	}
 }
 
-// A try begins when a core is free for it: what it waited is told from what it worked.
+// The service of an attempt begins when a core is free for it.
 func TestReconstructedQueue(t *testing.T) {
 	queue := NewReconstructedQueue(2)
 	var got []float64
@@ -161,29 +192,33 @@
 		queue.AddCompletion(attempt[1], attempt[1] == 180)
 	}
 	if want := []float64{0, 10, 50, 90, 200}; !slices.Equal(got, want) {
-		t.Errorf("tries begin at %v, should at %v", got, want)
+		t.Errorf("got start times %v, want %v", got, want)
 	}
 	queue.AddCompletion(500, true)
 	queue.AddCompletion(600, true)
-	if queue.StartTime(300) != 500 {
-		t.Errorf("behind two guesses: %v", queue.StartTime(300))
+	if startMs := queue.StartTime(300); startMs != 500 {
+		t.Errorf("after two estimated completions: got the start time %v, want 500", startMs)
 	}
-	if queue.AdvanceEstimates(150); queue.StartTime(300) != 350 {
-		t.Errorf("with the guesses moved: %v", queue.StartTime(300))
+	queue.AdvanceEstimates(150)
+	if startMs := queue.StartTime(300); startMs != 350 {
+		t.Errorf("with estimates 150 ms earlier: got the start time %v, want 350", startMs)
 	}
 }
 
-// A host that was never tried is answered for, and counted as extrapolated; more load than its cores can do waits.
+// Attempts at a host that is not in the recording are counted as extrapolated. Attempts beyond the capacity of a host
+// wait, and those beyond its queue limit are rejected.
 func TestSimulatedHosts(t *testing.T) {
 	model := New(0)
 	model.ObserveLatency("sheet", 100)
 	model.FitCores()
 	hosts := NewSimulatedHosts(model)
-	if endMs, result := hosts.Respond("sheet", "new", 0, 1, 2500); endMs != 100 || result != Fulfilled || hosts.Extrapolated != 1 {
-		t.Errorf("%.0f %d, %d beyond", endMs, result, hosts.Extrapolated)
+	endMs, result := hosts.Respond("sheet", "new", 0, 1, 2500)
+	if endMs != 100 || result != Fulfilled || hosts.Extrapolated != 1 {
+		t.Errorf("first attempt: got the end %.0f, the result %d and %d extrapolated, want 100, %d and 1",
+			endMs, result, hosts.Extrapolated, Fulfilled)
 	}
 	if endMs, _ := hosts.Respond("sheet", "new", 0, 1, 2500); endMs != 200 {
-		t.Errorf("one core was free at %.0f", endMs)
+		t.Errorf("second attempt on one core: got the end %.0f, want 200", endMs)
 	}
 	for range 40 {
 		hosts.Respond("sheet", "new", 1, 1, 2500)
@@ -199,7 +234,7 @@
 	for i := range 30 {
 		attempts = append(attempts, attempt{float64(i) * 200, 100, Fulfilled})
 	}
-	for i := range 4 { // one works, three wait, and two more are refused
+	for i := range 4 { // one is served, three wait, and two more are rejected
 		attempts = append(attempts, attempt{8000, 100 + 100*float64(i), Fulfilled})
 	}
 	attempts = append(attempts, attempt{8001, 1, NeverRan}, attempt{8002, 1, NeverRan})
@@ -210,8 +245,10 @@
 		}
 		for _, attempt := range attempts {
 			if pass > 0 {
-				startMs, serviceMs := queues.AddAttempt("sheet", "full", attempt.atMs, attempt.latencyMs, attempt.result)
-				model.ObserveServiceTime("sheet", "full", attempt.atMs, attempt.latencyMs, startMs, serviceMs, attempt.result)
+				startMs, serviceMs := queues.AddAttempt("sheet", "full", attempt.atMs, attempt.latencyMs,
+					attempt.result)
+				model.ObserveServiceTime("sheet", "full", attempt.atMs, attempt.latencyMs, startMs, serviceMs,
+					attempt.result)
 			}
 		}
 		switch pass {
@@ -224,19 +261,24 @@
 	model.CloseWindows(9000)
 	limited := NewSimulatedHosts(model)
 	for i := range 4 {
-		if endMs, result := limited.Respond("sheet", "full", 8500, 1, 2500); result != Fulfilled || math.Abs(endMs-8600-100*float64(i)) > 1 {
-			t.Errorf("try %d: %.0f %d", i, endMs, result)
+		endMs, result := limited.Respond("sheet", "full", 8500, 1, 2500)
+		wantMs := 8600 + 100*float64(i)
+		if result != Fulfilled || math.Abs(endMs-wantMs) > 1 {
+			t.Errorf("attempt %d within the queue limit: got the end %.0f and the result %d, want %.0f and %d",
+				i, endMs, result, wantMs, Fulfilled)
 		}
 	}
 	if endMs, result := limited.Respond("sheet", "full", 8500, 1, 2500); result != NeverRan || endMs != 8501 {
-		t.Errorf("behind as many as a full host was seen to let wait: %.0f %d, %+v", endMs, result, model.Parameters("full"))
+		t.Errorf("attempt beyond the queue limit: got the end %.0f and the result %d, want 8501 and %d; parameters %+v",
+			endMs, result, NeverRan, model.Parameters("full"))
 	}
 	if endMs, result := hosts.Respond("sheet", "new", 1, 1, 2500); result != Failed || endMs != 2501 {
-		t.Errorf("behind forty others: %.0f %d", endMs, result)
+		t.Errorf("attempt behind forty others: got the end %.0f and the result %d, want 2501 and %d",
+			endMs, result, Failed)
 	}
 }
 
-// What the model keeps of a day does not grow with it, and what it knows does not change by what it drops.
+// The model keeps a bounded number of windows, and discarding the others does not change its parameters.
 func TestDiscardBefore(t *testing.T) {
 	model := New(0)
 	model.ObserveLatency("sheet", 100)
@@ -249,7 +291,7 @@
 			model.CloseWindows(atMs)
 			model.DiscardBefore(atMs - 5000)
 			if kept := len(model.windows["x"].windows); kept > 100 {
-				t.Fatalf("%d windows are kept", kept)
+				t.Fatalf("at %.0f ms: got %d windows, want at most 100", atMs, kept)
 			}
 		}
 		switch pass {
@@ -260,9 +302,10 @@
 		}
 	}
 	if parameters := model.Parameters("x"); math.Abs(parameters.ServiceTimeFactor-1) > 1e-9 {
-		t.Errorf("%+v", parameters)
+		t.Errorf("got the service time factor %v, want 1", parameters.ServiceTimeFactor)
 	}
 	if alive, _ := model.Liveness("x", 20e6-100); !alive {
-		t.Error("no longer alive")
+		t.Error("got the state of a host that does not respond at the end of the day, want a healthy host")
+
 	}
 }
