--- a/cmd/barleysail/recordings_show.go
+++ b/cmd/barleysail/recordings_show.go
@@ -71,7 +71,7 @@
 	columns.println("from s\tcame\tunanswered\ttries\tfailed\tmessages\tjoined\tleft\tprobes answered\tnot\t")
 	for _, span := range summary.Intervals {
 		columns.printf("%.0f\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", seconds(span.FromMs-summary.FromMs), span.Arrivals,
-			span.NoResponse, span.Attempts, span.Failed, span.Messages, span.Joined, span.Left, span.HealthyChecks,
+			span.NoResponse, span.Attempts, span.Failed, span.Messages, span.Connects, span.Disconnects, span.HealthyChecks,
 			span.UnhealthyChecks)
 	}
 	return columns.flush()
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -256,8 +256,8 @@
 		if i%5 == 0 {
 			fmt.Fprintf(&output, "%.0f: {From:%g Came:%d Unanswered:%d Tries:%d Failed:%d Messages:%d Joined:%d Left:%d "+
 				"ProbesFine:%d ProbesOther:%d}\n", interval.FromMs, interval.FromMs, interval.Arrivals,
-				interval.NoResponse, interval.Attempts, interval.Failed, interval.Messages, interval.Joined,
-				interval.Left, interval.HealthyChecks, interval.UnhealthyChecks)
+				interval.NoResponse, interval.Attempts, interval.Failed, interval.Messages, interval.Connects,
+				interval.Disconnects, interval.HealthyChecks, interval.UnhealthyChecks)
 		}
 	}
 	for _, event := range summary.Events {
--- a/replay/requests.go
+++ b/replay/requests.go
@@ -123,8 +123,8 @@
 		return
 	}
 	startMs := s.nowMs
-	patienceMs := request.arrivalMs + request.deadlineMs - s.nowMs
-	endMs, result := s.hosts.Respond(request.class, host, s.nowMs, request.relativeWork, patienceMs)
+	timeoutMs := request.arrivalMs + request.deadlineMs - s.nowMs
+	endMs, result := s.hosts.Respond(request.class, host, s.nowMs, request.relativeWork, timeoutMs)
 	parameters := s.analysis.model.Parameters(host)
 	workMs := s.analysis.model.ServiceTime(request.class, host, s.nowMs) / parameters.ServiceTimeFactor *
 		request.relativeWork
--- a/replay/response/hosts.go
+++ b/replay/response/hosts.go
@@ -21,10 +21,10 @@
 }
 
 // Respond returns when an attempt that reaches a host at a time ends, and its result. relativeWork is the work of the
-// request relative to the mean of its class; the client gives up after patienceMs. A host that is down rejects the
+// request relative to the mean of its class; the client gives up after timeoutMs. A host that is down rejects the
 // attempt at once, and an unresponsive host never responds. Service that has begun is not stopped.
 func (h *SimulatedHosts) Respond(
-	class, host string, atMs, relativeWork, patienceMs float64,
+	class, host string, atMs, relativeWork, timeoutMs float64,
 ) (endMs float64, result Result) {
 	h.Attempts++
 	state, slowdown, observed := h.model.stateAt(host, atMs)
@@ -35,7 +35,7 @@
 	case down:
 		return atMs + rejectionMs, NeverRan
 	case unresponsive:
-		return atMs + patienceMs, Failed
+		return atMs + timeoutMs, Failed
 	}
 	parameters := h.model.Parameters(host)
 	freeMs := h.coreFreeMs[host]
@@ -62,10 +62,10 @@
 	freeMs[core] = endMs
 	h.startTimes[host] = append(queued, startMs)
 	if endState, _, _ := h.model.stateAt(host, endMs); endState == down || endState == unresponsive {
-		endMs, result = atMs+patienceMs, Failed
+		endMs, result = atMs+timeoutMs, Failed
 	}
-	if endMs > atMs+patienceMs {
-		return atMs + patienceMs, Failed
+	if endMs > atMs+timeoutMs {
+		return atMs + timeoutMs, Failed
 	}
 	return endMs, result
 }
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -12,7 +12,7 @@
 	"barleysail/routing"
 )
 
-// Event is a notable event of a day: a change of mode, of the endpoint list, or of the number of proxies.
+// Event is a notable event of a day: a change of mode or of the endpoint list.
 type Event struct {
 	AtMs float64 `json:"At"`
 	Text string  `json:"Text"`
@@ -26,8 +26,8 @@
 	Attempts        int64   `json:"Tries"`
 	Failed          int64   `json:"Failed"`
 	Messages        int     `json:"Messages"` // snapshots and deltas sent
-	Joined          int     `json:"Joined"`
-	Left            int     `json:"Left"`
+	Connects        int     `json:"Joined"`
+	Disconnects     int     `json:"Left"`
 	HealthyChecks   int     `json:"ProbesFine"`
 	UnhealthyChecks int     `json:"ProbesOther"`
 }
@@ -58,7 +58,7 @@
 	s := &summarizer{
 		Summary:    &Summary{},
 		intervalMs: initialIntervalMs,
-		joined:     map[string]bool{},
+		connected:  map[string]bool{},
 		outputs:    &outputCollector{},
 	}
 	s.outputs.log = func(text string) { s.addEvent(text) }
@@ -96,7 +96,7 @@
 	controller *controller.Controller
 	outputs    *outputCollector
 	intervalMs float64
-	joined     map[string]bool
+	connected  map[string]bool
 	nowMs      float64
 }
 
@@ -136,8 +136,8 @@
 		last.Attempts += interval.Attempts
 		last.Failed += interval.Failed
 		last.Messages += interval.Messages
-		last.Joined += interval.Joined
-		last.Left += interval.Left
+		last.Connects += interval.Connects
+		last.Disconnects += interval.Disconnects
 		last.HealthyChecks += interval.HealthyChecks
 		last.UnhealthyChecks += interval.UnhealthyChecks
 	}
@@ -156,15 +156,15 @@
 	case *recordpb.Record_ListFailed:
 		s.addEvent("endpoint list not available")
 	case *recordpb.Record_Poll:
-		if !s.joined[what.Poll.Proxy] {
-			s.joined[what.Poll.Proxy] = true
-			interval.Joined++
-			s.MaxProxies = max(s.MaxProxies, len(s.joined))
+		if !s.connected[what.Poll.Proxy] {
+			s.connected[what.Poll.Proxy] = true
+			interval.Connects++
+			s.MaxProxies = max(s.MaxProxies, len(s.connected))
 		}
 	case *recordpb.Record_Leave:
-		if s.joined[what.Leave] {
-			delete(s.joined, what.Leave)
-			interval.Left++
+		if s.connected[what.Leave] {
+			delete(s.connected, what.Leave)
+			interval.Disconnects++
 		}
 	case *recordpb.Record_Sums:
 		for _, host := range what.Sums.Hosts {
