--- a/replay/response/fit.go
+++ b/replay/response/fit.go
@@ -5,9 +5,10 @@
 	"sort"
 )
 
-// hostSummary is what a pass collects from the windows of a host.
+// hostSummary is what a pass collects from the windows of a host. The ratios are those of the windows to the base time:
+// of the mean latency in the pass before FitCores, of the mean unqueued service time in that before FitServiceTimes.
 type hostSummary struct {
-	ratios                  sample                       // latency, or service time if unqueued, to base time
+	ratios                  sample
 	lowLoad                 boundedSample[lowLoadWindow] // windows with reported utilization
 	maxLoad                 float64                      // largest base time of a window's attempts per time
 	unqueuedAttempts        int                          // attempts that did not wait
@@ -112,26 +113,26 @@
 // correctCongestedHosts lowers the service time factor of hosts whose attempts wait even in the faster windows to that
 // of the other hosts, scaled by the listed speeds.
 func (m *Model) correctCongestedHosts() {
-	listedMs := m.listedServiceTime(0.25, nil) // a low quantile, as waiting only makes latencies longer
+	listedFactor := m.listedServiceTimeFactor(0.25, nil) // a low quantile, as waiting only makes latencies longer
 	for host, capacity := range m.listed {
-		if parameters := m.parameters[host]; parameters.Observed && listedMs > 0 {
-			parameters.ServiceTimeFactor = math.Min(parameters.ServiceTimeFactor, listedMs/capacity.speed)
+		if parameters := m.parameters[host]; parameters.Observed && listedFactor > 0 {
+			parameters.ServiceTimeFactor = math.Min(parameters.ServiceTimeFactor, listedFactor/capacity.speed)
 			m.parameters[host] = parameters
 		}
 	}
 }
 
-// listedServiceTime returns a quantile, over the hosts that are not excluded, of the service time factor scaled to a
+// listedServiceTimeFactor returns a quantile, over the hosts that are not excluded, of the service time factor scaled to a
 // listed speed of 1; 0 if no host has one.
-func (m *Model) listedServiceTime(quantile float64, excluded map[string]bool) float64 {
-	var times []float64
+func (m *Model) listedServiceTimeFactor(quantile float64, excluded map[string]bool) float64 {
+	var factors []float64
 	for host, capacity := range m.listed {
 		if parameters := m.parameters[host]; parameters.Observed && !excluded[host] {
-			times = append(times, parameters.ServiceTimeFactor*capacity.speed)
+			factors = append(factors, parameters.ServiceTimeFactor*capacity.speed)
 		}
 	}
-	if sort.Float64s(times); len(times) > 0 {
-		return times[int(quantile*float64(len(times)))]
+	if sort.Float64s(factors); len(factors) > 0 {
+		return factors[int(quantile*float64(len(factors)))]
 	}
 	return 0
 }
@@ -172,10 +173,10 @@
 		}
 		m.parameters[host] = parameters
 	}
-	listedMs := m.listedServiceTime(0.5, uncertain)
+	listedFactor := m.listedServiceTimeFactor(0.5, uncertain)
 	for host, capacity := range m.listed {
-		if parameters := m.parameters[host]; (!parameters.Observed || uncertain[host]) && listedMs > 0 {
-			parameters.ServiceTimeFactor = listedMs / capacity.speed
+		if parameters := m.parameters[host]; (!parameters.Observed || uncertain[host]) && listedFactor > 0 {
+			parameters.ServiceTimeFactor = listedFactor / capacity.speed
 			parameters.Cores = max(int(math.Round(capacity.cores)), 1)
 			m.parameters[host] = parameters
 		}
