--- a/internal/record/inputs.go
+++ b/internal/record/inputs.go
@@ -17,213 +17,213 @@
 )
 
 // Listed records a list.
-func EndpointList(at float64, entries []controller.Endpoint) *recordpb.Record {
-	l := &recordpb.Listed{}
-	for _, e := range entries {
-		l.Hosts = append(l.Hosts, &recordpb.Host{Address: e.Host, Zone: e.Zone, Phase: int32(e.State), Weight: e.Weight,
-			Started: e.StartedMs, Cores: e.Cores, Speed: e.Speed})
+func EndpointList(atMs float64, endpoints []controller.Endpoint) *recordpb.Record {
+	list := &recordpb.Listed{}
+	for _, endpoint := range endpoints {
+		list.Hosts = append(list.Hosts, &recordpb.Host{Address: endpoint.Host, Zone: endpoint.Zone, Phase: int32(endpoint.State), Weight: endpoint.Weight,
+			Started: endpoint.StartedMs, Cores: endpoint.Cores, Speed: endpoint.Speed})
 	}
-	return &recordpb.Record{At: at, What: &recordpb.Record_Listed{Listed: l}}
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Listed{Listed: list}}
 }
 
 // Entries gives a recorded list.
-func Endpoints(l *recordpb.Listed) []controller.Endpoint {
-	var entries []controller.Endpoint
-	for _, h := range l.Hosts {
-		entries = append(entries, controller.Endpoint{Host: h.Address, Zone: h.Zone, State: routing.HostState(h.Phase),
-			Weight: h.Weight, StartedMs: h.Started, Cores: h.Cores, Speed: h.Speed})
+func Endpoints(list *recordpb.Listed) []controller.Endpoint {
+	var endpoints []controller.Endpoint
+	for _, host := range list.Hosts {
+		endpoints = append(endpoints, controller.Endpoint{Host: host.Address, Zone: host.Zone, State: routing.HostState(host.Phase),
+			Weight: host.Weight, StartedMs: host.Started, Cores: host.Cores, Speed: host.Speed})
 	}
-	return entries
+	return endpoints
 }
 
 // ListFailed records that the list could not be had.
-func WatchFailure(at float64) *recordpb.Record {
-	return &recordpb.Record{At: at, What: &recordpb.Record_ListFailed{ListFailed: true}}
+func WatchFailure(atMs float64) *recordpb.Record {
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_ListFailed{ListFailed: true}}
 }
 
 // Poll records a poll.
-func Poll(at float64, id int64, q controller.PollRequest) *recordpb.Record {
-	p := &recordpb.Poll{Id: id, Proxy: q.Proxy, Zone: q.Zone, Rate: q.RequestRate, Tags: q.Tags, Any: q.AnyTag, Delta: q.AcceptDelta, Wait: q.WaitMs}
-	if o := q.Cached; o != nil {
-		p.Offer = o.Tag
-		for _, t := range o.Tables {
-			p.Offered = append(p.Offered, &recordpb.Offered{Class: t.Class, Ordered: t.Assigned, Hosts: t.Hosts, Weights: t.Weights, Share: t.AdmissionRatio, Tries: int32(t.RetryPolicy)})
+func Poll(atMs float64, id int64, request controller.PollRequest) *recordpb.Record {
+	poll := &recordpb.Poll{Id: id, Proxy: request.Proxy, Zone: request.Zone, Rate: request.RequestRate, Tags: request.Tags, Any: request.AnyTag, Delta: request.AcceptDelta, Wait: request.WaitMs}
+	if cached := request.Cached; cached != nil {
+		poll.Offer = cached.Tag
+		for _, table := range cached.Tables {
+			poll.Offered = append(poll.Offered, &recordpb.Offered{Class: table.Class, Ordered: table.Assigned, Hosts: table.Hosts, Weights: table.Weights, Share: table.AdmissionRatio, Tries: int32(table.RetryPolicy)})
 		}
 	}
-	return &recordpb.Record{At: at, What: &recordpb.Record_Poll{Poll: p}}
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Poll{Poll: poll}}
 }
 
 // query gives a recorded poll.
-func query(p *recordpb.Poll) controller.PollRequest {
-	q := controller.PollRequest{Proxy: p.Proxy, Zone: p.Zone, RequestRate: p.Rate, Tags: p.Tags, AnyTag: p.Any, AcceptDelta: p.Delta, WaitMs: p.Wait}
-	if p.Offer != "" {
-		q.Cached = &controller.CachedTables{Tag: p.Offer}
-		for _, t := range p.Offered {
-			q.Cached.Tables = append(q.Cached.Tables, controller.Table{Class: t.Class, Assigned: t.Ordered, Hosts: t.Hosts, Weights: t.Weights, AdmissionRatio: t.Share, RetryPolicy: int(t.Tries)})
+func pollRequest(poll *recordpb.Poll) controller.PollRequest {
+	request := controller.PollRequest{Proxy: poll.Proxy, Zone: poll.Zone, RequestRate: poll.Rate, Tags: poll.Tags, AnyTag: poll.Any, AcceptDelta: poll.Delta, WaitMs: poll.Wait}
+	if poll.Offer != "" {
+		request.Cached = &controller.CachedTables{Tag: poll.Offer}
+		for _, table := range poll.Offered {
+			request.Cached.Tables = append(request.Cached.Tables, controller.Table{Class: table.Class, Assigned: table.Ordered, Hosts: table.Hosts, Weights: table.Weights, AdmissionRatio: table.Share, RetryPolicy: int(table.Tries)})
 		}
 	}
-	return q
+	return request
 }
 
 // PollGone records that a poll's caller is gone.
-func CanceledPoll(at float64, proxy string, id int64) *recordpb.Record {
-	return &recordpb.Record{At: at, What: &recordpb.Record_PollGone{PollGone: &recordpb.PollGone{Id: id, Proxy: proxy}}}
+func CanceledPoll(atMs float64, proxy string, id int64) *recordpb.Record {
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_PollGone{PollGone: &recordpb.PollGone{Id: id, Proxy: proxy}}}
 }
 
 // Leave records that a proxy leaves.
-func Disconnect(at float64, proxy string) *recordpb.Record {
-	return &recordpb.Record{At: at, What: &recordpb.Record_Leave{Leave: proxy}}
+func Disconnect(atMs float64, proxy string) *recordpb.Record {
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Leave{Leave: proxy}}
 }
 
-func load(l routing.HostLoad) *recordpb.Load {
-	return &recordpb.Load{Util: l.Utilization, Rate: l.RequestRate, Queue: l.QueueLength}
+func recordedLoad(load routing.HostLoad) *recordpb.Load {
+	return &recordpb.Load{Util: load.Utilization, Rate: load.RequestRate, Queue: load.QueueLength}
 }
 
-func unload(l *recordpb.Load) routing.HostLoad {
-	if l == nil {
+func hostLoad(recorded *recordpb.Load) routing.HostLoad {
+	if recorded == nil {
 		return routing.UnknownLoad
 	}
-	return routing.HostLoad{Utilization: l.Util, RequestRate: l.Rate, QueueLength: l.Queue}
+	return routing.HostLoad{Utilization: recorded.Util, RequestRate: recorded.Rate, QueueLength: recorded.Queue}
 }
 
-func bars(times []intake.LatencyBucket) (all []*recordpb.Bar) {
-	for _, b := range times {
-		all = append(all, &recordpb.Bar{Ms: b.Ms, Count: b.Count})
+func recordedBuckets(buckets []intake.LatencyBucket) (recorded []*recordpb.Bar) {
+	for _, bucket := range buckets {
+		recorded = append(recorded, &recordpb.Bar{Ms: bucket.Ms, Count: bucket.Count})
 	}
-	return all
+	return recorded
 }
 
-func unbars(times []*recordpb.Bar) (all []intake.LatencyBucket) {
-	for _, b := range times {
-		all = append(all, intake.LatencyBucket{Ms: b.Ms, Count: b.Count})
+func latencyBuckets(recorded []*recordpb.Bar) (buckets []intake.LatencyBucket) {
+	for _, bucket := range recorded {
+		buckets = append(buckets, intake.LatencyBucket{Ms: bucket.Ms, Count: bucket.Count})
 	}
-	return all
+	return buckets
 }
 
 // Recall records what an earlier life knew, as it was kept, with the wall clock's time.
-func Restore(at float64, text []byte, now, cold float64) *recordpb.Record {
-	return &recordpb.Record{At: at, What: &recordpb.Record_Recall{Recall: &recordpb.Recall{State: text, Now: now, Cold: cold}}}
+func Restore(atMs float64, storedState []byte, wallClockMs, coldMs float64) *recordpb.Record {
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Recall{Recall: &recordpb.Recall{State: storedState, Now: wallClockMs, Cold: coldMs}}}
 }
 
 // HostLoad records a host's own load report.
-func LoadReport(at float64, host string, r controller.LoadReport) *recordpb.Record {
-	return &recordpb.Record{At: at, What: &recordpb.Record_HostReport{HostReport: &recordpb.HostReport{Host: host, Sender: r.Sender,
-		Number: r.Sequence, Stamp: r.SentAtMs, Load: load(r.Load)}}}
+func LoadReport(atMs float64, host string, report controller.LoadReport) *recordpb.Record {
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_HostReport{HostReport: &recordpb.HostReport{Host: host, Sender: report.Sender,
+		Number: report.Sequence, Stamp: report.SentAtMs, Load: recordedLoad(report.Load)}}}
 }
 
 // Sums records sums, hosts and classes in order.
-func ProxyStats(at float64, proxy string, u controller.ProxyStats) *recordpb.Record {
-	s := &recordpb.Sums{Proxy: proxy, Sender: u.Sender, Number: u.Sequence, Stamp: u.SentAtMs}
-	for _, host := range slices.Sorted(maps.Keys(u.Hosts)) {
-		v := u.Hosts[host]
-		s.Hosts = append(s.Hosts, &recordpb.HostSums{Host: host, Tries: int64(v.Attempts), Failed: int64(v.Failed),
-			Mean: v.MeanLatencyMs, Span: v.WindowMs, Load: load(v.Load), Times: bars(v.Latencies)})
+func ProxyStats(atMs float64, proxy string, stats controller.ProxyStats) *recordpb.Record {
+	recorded := &recordpb.Sums{Proxy: proxy, Sender: stats.Sender, Number: stats.Sequence, Stamp: stats.SentAtMs}
+	for _, host := range slices.Sorted(maps.Keys(stats.Hosts)) {
+		hostStats := stats.Hosts[host]
+		recorded.Hosts = append(recorded.Hosts, &recordpb.HostSums{Host: host, Tries: int64(hostStats.Attempts), Failed: int64(hostStats.Failed),
+			Mean: hostStats.MeanLatencyMs, Span: hostStats.WindowMs, Load: recordedLoad(hostStats.Load), Times: recordedBuckets(hostStats.Latencies)})
 	}
-	for _, class := range slices.Sorted(maps.Keys(u.Demand)) {
-		v := u.Demand[class]
-		s.Usage = append(s.Usage, &recordpb.Usage{Class: class, Came: int64(v.Arrivals), Unanswered: int64(v.NoResponse),
-			Span: v.WindowMs})
+	for _, class := range slices.Sorted(maps.Keys(stats.Demand)) {
+		demand := stats.Demand[class]
+		recorded.Usage = append(recorded.Usage, &recordpb.Usage{Class: class, Came: int64(demand.Arrivals), Unanswered: int64(demand.NoResponse),
+			Span: demand.WindowMs})
 	}
-	return &recordpb.Record{At: at, What: &recordpb.Record_Sums{Sums: s}}
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Sums{Sums: recorded}}
 }
 
 // Probed records a probe's end.
-func HealthCheck(at float64, host string, how routing.HealthCheckResult, l routing.HostLoad) *recordpb.Record {
-	return &recordpb.Record{At: at, What: &recordpb.Record_Probed{Probed: &recordpb.Probed{Host: host,
-		Outcome: int32(how), Load: load(l)}}}
+func HealthCheck(atMs float64, host string, result routing.HealthCheckResult, load routing.HostLoad) *recordpb.Record {
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Probed{Probed: &recordpb.Probed{Host: host,
+		Outcome: int32(result), Load: recordedLoad(load)}}}
 }
 
 // Advance records that what was due was done.
-func Advance(at float64) *recordpb.Record {
-	return &recordpb.Record{At: at, What: &recordpb.Record_Advance{Advance: true}}
+func Advance(atMs float64) *recordpb.Record {
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Advance{Advance: true}}
 }
 
 // Release records that all held polls are answered.
-func ReleasePolls(at float64) *recordpb.Record {
-	return &recordpb.Record{At: at, What: &recordpb.Record_Release{Release: true}}
+func ReleasePolls(atMs float64) *recordpb.Record {
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Release{Release: true}}
 }
 
 // Operate records operators' orders.
-func Overrides(at float64, orders []operator.Command) *recordpb.Record {
-	x := &recordpb.Operate{}
-	for _, o := range orders {
-		r := &recordpb.Order{Host: o.Host, State: int32(o.State), Weight: o.Weight, Clear: o.ClearWeight, Part: o.Relative, For: o.DurationMs,
-			Wait: o.Queue, By: o.Operator, Remove: o.Remove, Keep: o.KeepState}
-		if a := o.Add; a != nil {
-			r.Add = &recordpb.Host{Address: o.Host, Zone: a.Zone, Weight: a.Weight, Cores: a.Cores, Speed: a.Speed, Started: a.StartedMs}
+func Overrides(atMs float64, commands []operator.Command) *recordpb.Record {
+	recorded := &recordpb.Operate{}
+	for _, command := range commands {
+		order := &recordpb.Order{Host: command.Host, State: int32(command.State), Weight: command.Weight, Clear: command.ClearWeight, Part: command.Relative, For: command.DurationMs,
+			Wait: command.Queue, By: command.Operator, Remove: command.Remove, Keep: command.KeepState}
+		if added := command.Add; added != nil {
+			order.Add = &recordpb.Host{Address: command.Host, Zone: added.Zone, Weight: added.Weight, Cores: added.Cores, Speed: added.Speed, Started: added.StartedMs}
 		}
-		x.Orders = append(x.Orders, r)
+		recorded.Orders = append(recorded.Orders, order)
 	}
-	return &recordpb.Record{At: at, What: &recordpb.Record_Operate{Operate: x}}
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Operate{Operate: recorded}}
 }
 
 // Orders gives recorded orders.
-func Commands(x *recordpb.Operate) []operator.Command {
-	var all []operator.Command
-	for _, r := range x.Orders {
-		o := operator.Command{Host: r.Host, State: operator.State(r.State), Weight: r.Weight, ClearWeight: r.Clear, Relative: r.Part, DurationMs: r.For,
-			Queue: r.Wait, Operator: r.By, Remove: r.Remove, KeepState: r.Keep}
-		if a := r.Add; a != nil {
-			o.Add = &operator.AddedHost{Zone: a.Zone, Weight: a.Weight, Cores: a.Cores, Speed: a.Speed, StartedMs: a.Started}
+func Commands(recorded *recordpb.Operate) []operator.Command {
+	var commands []operator.Command
+	for _, order := range recorded.Orders {
+		command := operator.Command{Host: order.Host, State: operator.State(order.State), Weight: order.Weight, ClearWeight: order.Clear, Relative: order.Part, DurationMs: order.For,
+			Queue: order.Wait, Operator: order.By, Remove: order.Remove, KeepState: order.Keep}
+		if added := order.Add; added != nil {
+			command.Add = &operator.AddedHost{Zone: added.Zone, Weight: added.Weight, Cores: added.Cores, Speed: added.Speed, StartedMs: added.Started}
 		}
-		all = append(all, o)
+		commands = append(commands, command)
 	}
-	return all
+	return commands
 }
 
 // Published records an answer to a poll.
-func Response(at float64, poll int64, a controller.Response) *recordpb.Record {
-	body := a.Body()
-	return &recordpb.Record{At: at, What: &recordpb.Record_Published{Published: &recordpb.Published{Poll: poll,
-		Proxy: a.Proxy, Kind: int32(a.Kind), Tag: a.Tag, Base: a.BaseTag, Sum: Checksum(body), Body: body}}}
+func Response(atMs float64, pollID int64, response controller.Response) *recordpb.Record {
+	body := response.Body()
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Published{Published: &recordpb.Published{Poll: pollID,
+		Proxy: response.Proxy, Kind: int32(response.Kind), Tag: response.Tag, Base: response.BaseTag, Sum: Checksum(body), Body: body}}}
 }
 
 // Feed gives a recorded input to a steward; outputs and the start are passed over. An input that the steward
 // refused when it came is refused again, which is no error.
-func Apply(s *controller.Controller, r *recordpb.Record, out controller.Effects) error {
-	switch x := r.What.(type) {
+func Apply(c *controller.Controller, record *recordpb.Record, effects controller.Effects) error {
+	switch what := record.What.(type) {
 	case *recordpb.Record_Listed:
-		s.SetEndpoints(r.At, Endpoints(x.Listed))
+		c.SetEndpoints(record.At, Endpoints(what.Listed))
 	case *recordpb.Record_ListFailed:
-		s.ObserveWatchFailure(r.At)
+		c.ObserveWatchFailure(record.At)
 	case *recordpb.Record_Poll:
-		s.Poll(r.At, x.Poll.Id, query(x.Poll), out)
+		c.Poll(record.At, what.Poll.Id, pollRequest(what.Poll), effects)
 	case *recordpb.Record_PollGone:
-		s.CancelPoll(r.At, x.PollGone.Proxy, x.PollGone.Id)
+		c.CancelPoll(record.At, what.PollGone.Proxy, what.PollGone.Id)
 	case *recordpb.Record_Leave:
-		s.Disconnect(r.At, x.Leave, out)
+		c.Disconnect(record.At, what.Leave, effects)
 	case *recordpb.Record_Sums:
-		u := controller.ProxyStats{Sender: x.Sums.Sender, Sequence: x.Sums.Number, SentAtMs: x.Sums.Stamp, Hosts: map[string]controller.HostStats{},
+		stats := controller.ProxyStats{Sender: what.Sums.Sender, Sequence: what.Sums.Number, SentAtMs: what.Sums.Stamp, Hosts: map[string]controller.HostStats{},
 			Demand: map[string]controller.ClassDemand{}}
-		for _, h := range x.Sums.Hosts {
-			u.Hosts[h.Host] = controller.HostStats{Attempts: int(h.Tries), Failed: int(h.Failed), MeanLatencyMs: h.Mean, WindowMs: h.Span,
-				Load: unload(h.Load), Latencies: unbars(h.Times)}
+		for _, host := range what.Sums.Hosts {
+			stats.Hosts[host.Host] = controller.HostStats{Attempts: int(host.Tries), Failed: int(host.Failed), MeanLatencyMs: host.Mean, WindowMs: host.Span,
+				Load: hostLoad(host.Load), Latencies: latencyBuckets(host.Times)}
 		}
-		for _, c := range x.Sums.Usage {
-			u.Demand[c.Class] = controller.ClassDemand{Arrivals: int(c.Came), NoResponse: int(c.Unanswered), WindowMs: c.Span}
+		for _, usage := range what.Sums.Usage {
+			stats.Demand[usage.Class] = controller.ClassDemand{Arrivals: int(usage.Came), NoResponse: int(usage.Unanswered), WindowMs: usage.Span}
 		}
-		s.ObserveProxyStats(r.At, x.Sums.Proxy, u)
+		c.ObserveProxyStats(record.At, what.Sums.Proxy, stats)
 	case *recordpb.Record_Recall:
-		kept := &statepb.State{}
-		if err := proto.Unmarshal(x.Recall.State, kept); err != nil {
+		stored := &statepb.State{}
+		if err := proto.Unmarshal(what.Recall.State, stored); err != nil {
 			return fmt.Errorf("reading a recorded state: %w", err)
 		}
-		s.Restore(r.At, state.ApplyDecay(kept, x.Recall.Now, state.DefaultLimits(x.Recall.Cold)))
+		c.Restore(record.At, state.ApplyDecay(stored, what.Recall.Now, state.DefaultLimits(what.Recall.Cold)))
 	case *recordpb.Record_HostReport:
-		h := x.HostReport
-		s.ObserveLoadReport(r.At, h.Host, controller.LoadReport{Sender: h.Sender, Sequence: h.Number, SentAtMs: h.Stamp, Load: unload(h.Load)})
+		report := what.HostReport
+		c.ObserveLoadReport(record.At, report.Host, controller.LoadReport{Sender: report.Sender, Sequence: report.Number, SentAtMs: report.Stamp, Load: hostLoad(report.Load)})
 	case *recordpb.Record_Probed:
-		s.ObserveHealthCheck(r.At, x.Probed.Host, routing.HealthCheckResult(x.Probed.Outcome), unload(x.Probed.Load))
+		c.ObserveHealthCheck(record.At, what.Probed.Host, routing.HealthCheckResult(what.Probed.Outcome), hostLoad(what.Probed.Load))
 	case *recordpb.Record_Advance:
-		s.Advance(r.At, out)
+		c.Advance(record.At, effects)
 	case *recordpb.Record_Operate:
-		s.ApplyOverrides(r.At, Commands(x.Operate), out)
+		c.ApplyOverrides(record.At, Commands(what.Operate), effects)
 	case *recordpb.Record_Release:
-		s.ReleasePolls(r.At, out)
+		c.ReleasePolls(record.At, effects)
 	case *recordpb.Record_Published, *recordpb.Record_Start, *recordpb.Record_ProxyStart, *recordpb.Record_Transaction,
 		*recordpb.Record_Applied:
 	default:
-		return fmt.Errorf("a record of a kind that is not known, at %.3f ms", r.At)
+		return fmt.Errorf("a record of a kind that is not known, at %.3f ms", record.At)
 	}
 	return nil
 }
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -17,12 +17,12 @@
 // Reader reads a recording of either format, front to back; memory does not grow with its length.
 type Reader struct {
 	in            *bufio.Reader
-	at            int64
+	offset        int64
 	format        int
 	block         []byte
-	last          error
+	lastErr       error
 	DamagedRanges []DamagedRange // parts that were damaged and passed over, format 2
-	whole         bool
+	endedCleanly  bool
 }
 
 // Fault is a part of a recording that cannot be used.
@@ -32,8 +32,8 @@
 	Reason           string
 }
 
-func (f DamagedRange) String() string {
-	return fmt.Sprintf("bytes %d to %d, after %.3f s: %s", f.FromByte, f.ToByte, f.AfterMs/1000, f.Reason)
+func (d DamagedRange) String() string {
+	return fmt.Sprintf("bytes %d to %d, after %.3f s: %s", d.FromByte, d.ToByte, d.AfterMs/1000, d.Reason)
 }
 
 // NewReader reads from r.
@@ -43,93 +43,93 @@
 // damaged record is an error; in format 2 a damaged block is noted in Faults and passed over. After an error it
 // gives that again.
 func (r *Reader) Next() (*recordpb.Record, error) {
-	if r.last != nil {
-		return nil, r.last
+	if r.lastErr != nil {
+		return nil, r.lastErr
 	}
 	if r.format == 0 {
 		r.format = 1
-		if head, _ := r.in.Peek(len(magic)); string(head) == magic {
+		if header, _ := r.in.Peek(len(magic)); string(header) == magic {
 			r.format = 2
 			r.skip(len(magic))
 		}
 	}
-	var rec *recordpb.Record
+	var record *recordpb.Record
 	if r.format == 1 {
-		rec, r.last = r.old()
+		record, r.lastErr = r.nextFormat1()
 	} else {
-		rec, r.last = r.next()
+		record, r.lastErr = r.nextInBlocks()
 	}
-	return rec, r.last
+	return record, r.lastErr
 }
 
 // Clean tells whether the recording ended with its index.
-func (r *Reader) EndedCleanly() bool { return r.whole }
+func (r *Reader) EndedCleanly() bool { return r.endedCleanly }
 
-func (r *Reader) skip(n int) { k, _ := r.in.Discard(n); r.at += int64(k) }
+func (r *Reader) skip(n int) { discarded, _ := r.in.Discard(n); r.offset += int64(discarded) }
 
 // next gives records out of the block that is open, and opens the next.
-func (r *Reader) next() (*recordpb.Record, error) {
+func (r *Reader) nextInBlocks() (*recordpb.Record, error) {
 	for len(r.block) == 0 {
-		if err := r.open(); err != nil {
+		if err := r.openBlock(); err != nil {
 			return nil, err
 		}
 	}
 	size, n := binary.Uvarint(r.block)
 	if n <= 0 || size > uint64(len(r.block)-n) {
-		return nil, fmt.Errorf("a block before byte %d holds a record longer than itself", r.at)
+		return nil, fmt.Errorf("a block before byte %d holds a record longer than itself", r.offset)
 	}
 	body := r.block[n : n+int(size)]
 	r.block = r.block[n+int(size):]
-	rec := &recordpb.Record{}
-	if err := proto.Unmarshal(body, rec); err != nil {
-		return nil, fmt.Errorf("a record before byte %d: %w", r.at, err)
+	record := &recordpb.Record{}
+	if err := proto.Unmarshal(body, record); err != nil {
+		return nil, fmt.Errorf("a record before byte %d: %w", r.offset, err)
 	}
-	return rec, nil
+	return record, nil
 }
 
 // open reads the next block whose checksum fits.
-func (r *Reader) open() error {
-	after := 0.0
+func (r *Reader) openBlock() error {
+	afterMs := 0.0
 	for {
-		head, err := r.in.Peek(headBytes)
-		if len(head) == 0 {
+		header, err := r.in.Peek(blockHeaderBytes)
+		if len(header) == 0 {
 			return io.EOF
 		}
-		if err != nil && !r.whole {
-			return r.tail(after)
+		if err != nil && !r.endedCleanly {
+			return r.noteTruncatedHeader(afterMs)
 		}
-		size := int(binary.LittleEndian.Uint32(head[4:]))
-		if !bytes.Equal(head[:3], []byte{0xB5, 'B', 'L'}) || head[3] != 'R' && head[3] != 'I' || size > mostBytes {
-			if err := r.resync(after, "no block begins there"); err != nil {
+		size := int(binary.LittleEndian.Uint32(header[4:]))
+		if !bytes.Equal(header[:3], []byte{0xB5, 'B', 'L'}) || header[3] != 'R' && header[3] != 'I' || size > maxRecordBytes {
+			if err := r.skipToBlock(afterMs, "no block begins there"); err != nil {
 				return err
 			}
 			continue
 		}
-		kind, first := head[3], math.Float64frombits(binary.LittleEndian.Uint64(head[12:]))
-		want := binary.LittleEndian.Uint32(head[20:])
-		from := r.at
-		r.skip(headBytes)
-		packed := make([]byte, size)
-		n, err := io.ReadFull(r.in, packed)
-		r.at += int64(n)
+		kind, startMs := header[3], math.Float64frombits(binary.LittleEndian.Uint64(header[12:]))
+		wantChecksum := binary.LittleEndian.Uint32(header[20:])
+		from := r.offset
+		r.skip(blockHeaderBytes)
+		compressed := make([]byte, size)
+		n, err := io.ReadFull(r.in, compressed)
+		r.offset += int64(n)
 		if err != nil {
-			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, first, "the recording ends inside a block"})
+			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, startMs, "the recording ends inside a block"})
 			return ErrTruncated
 		}
-		if Checksum(packed) != want {
-			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, first, "the checksum of a block does not fit"})
+		if Checksum(compressed) != wantChecksum {
+			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, startMs, "the checksum of a block does not fit"})
 			continue
 		}
 		if kind == 'I' {
-			r.whole = true
+			r.endedCleanly = true
 			return io.EOF
 		}
-		z, err := unzip()
+		decoder, err := sharedDecoder()
 		if err != nil {
 			return fmt.Errorf("making a decoder: %w", err)
 		}
-		if r.block, err = z.DecodeAll(packed, nil); err != nil {
-			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, first, err.Error()})
+		if r.block, err = decoder.DecodeAll(compressed, nil); err != nil {
+			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, startMs, err.Error()})
 			r.block = nil
 			continue
 		}
@@ -138,59 +138,59 @@
 }
 
 // tail notes that the file ends inside a block's head.
-func (r *Reader) tail(after float64) error {
-	from := r.at
-	r.skip(headBytes)
-	r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, after, "the recording ends inside a block"})
+func (r *Reader) noteTruncatedHeader(afterMs float64) error {
+	from := r.offset
+	r.skip(blockHeaderBytes)
+	r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, afterMs, "the recording ends inside a block"})
 	return ErrTruncated
 }
 
 // resync passes over bytes until a block may begin.
-func (r *Reader) resync(after float64, why string) error {
-	from := r.at
+func (r *Reader) skipToBlock(afterMs float64, reason string) error {
+	from := r.offset
 	for {
 		r.skip(1)
-		head, err := r.in.Peek(4)
+		start, err := r.in.Peek(4)
 		if err != nil {
-			r.skip(len(head))
-			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, after, why})
+			r.skip(len(start))
+			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, afterMs, reason})
 			return ErrTruncated
 		}
-		if bytes.Equal(head[:3], []byte{0xB5, 'B', 'L'}) {
-			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.at, after, why})
+		if bytes.Equal(start[:3], []byte{0xB5, 'B', 'L'}) {
+			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, afterMs, reason})
 			return nil
 		}
 	}
 }
 
 // old reads a record of format 1.
-func (r *Reader) old() (*recordpb.Record, error) {
+func (r *Reader) nextFormat1() (*recordpb.Record, error) {
 	if _, err := r.in.Peek(1); err != nil {
 		return nil, err
 	}
 	size, err := binary.ReadUvarint(r.in)
 	if err != nil {
-		return nil, torn(err)
+		return nil, truncated(err)
 	}
-	if size > mostBytes {
-		return nil, fmt.Errorf("record at byte %d: a length of %d", r.at, size)
+	if size > maxRecordBytes {
+		return nil, fmt.Errorf("record at byte %d: a length of %d", r.offset, size)
 	}
 	body := make([]byte, 4+size)
 	if _, err := io.ReadFull(r.in, body); err != nil {
-		return nil, torn(err)
+		return nil, truncated(err)
 	}
 	if Checksum(body[4:]) != binary.LittleEndian.Uint32(body) {
-		return nil, fmt.Errorf("record at byte %d: its checksum does not fit", r.at)
+		return nil, fmt.Errorf("record at byte %d: its checksum does not fit", r.offset)
 	}
-	rec := &recordpb.Record{}
-	if err := proto.Unmarshal(body[4:], rec); err != nil {
-		return nil, fmt.Errorf("record at byte %d: %w", r.at, err)
+	record := &recordpb.Record{}
+	if err := proto.Unmarshal(body[4:], record); err != nil {
+		return nil, fmt.Errorf("record at byte %d: %w", r.offset, err)
 	}
-	r.at += int64(len(binary.AppendUvarint(nil, size))) + 4 + int64(size)
-	return rec, nil
+	r.offset += int64(len(binary.AppendUvarint(nil, size))) + 4 + int64(size)
+	return record, nil
 }
 
-func torn(err error) error {
+func truncated(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrTruncated
 	}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -34,67 +34,67 @@
 const Format = 4
 
 const (
-	magic     = "BSAIL\x00\x00\x02"
-	end       = "BSAILEND"
-	headBytes = 24
+	magic            = "BSAIL\x00\x00\x02"
+	endMagic         = "BSAILEND"
+	blockHeaderBytes = 24
 	// A block is closed when it holds so many bytes, or earlier by Flush.
-	blockBytes = 256 << 10
+	maxBlockBytes = 256 << 10
 	// A record or block that claims more is damage.
-	mostBytes = 64 << 20
+	maxRecordBytes = 64 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Sum is the checksum of a document.
-func Checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
+func Checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
 
 // Writer writes a recording. It keeps the first error and writes nothing after it.
 type Writer struct {
-	out     io.Writer
-	zip     *zstd.Encoder
-	err     error
-	at      int64
-	block   []byte
-	records int
-	first   float64
-	index   recordpb.Index
-	buf     []byte
+	out          io.Writer
+	encoder      *zstd.Encoder
+	err          error
+	offset       int64
+	block        []byte
+	records      int
+	blockStartMs float64
+	index        recordpb.Index
+	buffer       []byte
 }
 
 // NewWriter begins a recording on w.
-func NewWriter(w io.Writer) *Writer {
-	zip, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
-	x := &Writer{out: w, zip: zip, err: err}
-	x.put([]byte(magic))
-	return x
+func NewWriter(out io.Writer) *Writer {
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
+	w := &Writer{out: out, encoder: encoder, err: err}
+	w.writeBytes([]byte(magic))
+	return w
 }
 
-func (w *Writer) put(b []byte) {
+func (w *Writer) writeBytes(data []byte) {
 	if w.err != nil {
 		return
 	}
-	n, err := w.out.Write(b)
-	if w.at += int64(n); err != nil {
+	written, err := w.out.Write(data)
+	if w.offset += int64(written); err != nil {
 		w.err = fmt.Errorf("writing the recording: %w", err)
 	}
 }
 
 // Write adds a record.
-func (w *Writer) Write(r *recordpb.Record) error {
+func (w *Writer) Write(record *recordpb.Record) error {
 	if w.err != nil {
 		return w.err
 	}
-	body, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(w.buf[:0], r)
+	body, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(w.buffer[:0], record)
 	if err != nil {
 		w.err = fmt.Errorf("encoding a record: %w", err)
 		return w.err
 	}
-	w.buf = body
+	w.buffer = body
 	if w.records == 0 {
-		w.first = r.At
+		w.blockStartMs = record.At
 	}
 	w.block = append(binary.AppendUvarint(w.block, uint64(len(body))), body...)
-	if w.records++; len(w.block) >= blockBytes {
+	if w.records++; len(w.block) >= maxBlockBytes {
 		return w.Flush()
 	}
 	return nil
@@ -103,34 +103,34 @@
 // Flush writes the block that is open: what came before is then safe from the end of the process.
 func (w *Writer) Flush() error {
 	if w.records > 0 && w.err == nil {
-		w.index.Blocks = append(w.index.Blocks, &recordpb.Block{Offset: w.at, First: w.first, Records: int32(w.records)})
-		w.write('R', w.block, w.records, w.first)
+		w.index.Blocks = append(w.index.Blocks, &recordpb.Block{Offset: w.offset, First: w.blockStartMs, Records: int32(w.records)})
+		w.writeBlock('R', w.block, w.records, w.blockStartMs)
 		w.block, w.records = w.block[:0], 0
 	}
 	return w.err
 }
 
-func (w *Writer) write(kind byte, body []byte, records int, first float64) {
-	packed := w.zip.EncodeAll(body, nil)
-	head := make([]byte, 0, headBytes+len(packed))
-	head = append(head, 0xB5, 'B', 'L', kind)
-	head = binary.LittleEndian.AppendUint32(head, uint32(len(packed)))
-	head = binary.LittleEndian.AppendUint32(head, uint32(records))
-	head = binary.LittleEndian.AppendUint64(head, math.Float64bits(first))
-	head = binary.LittleEndian.AppendUint32(head, Checksum(packed))
-	w.put(append(head, packed...))
+func (w *Writer) writeBlock(kind byte, body []byte, records int, startMs float64) {
+	compressed := w.encoder.EncodeAll(body, nil)
+	block := make([]byte, 0, blockHeaderBytes+len(compressed))
+	block = append(block, 0xB5, 'B', 'L', kind)
+	block = binary.LittleEndian.AppendUint32(block, uint32(len(compressed)))
+	block = binary.LittleEndian.AppendUint32(block, uint32(records))
+	block = binary.LittleEndian.AppendUint64(block, math.Float64bits(startMs))
+	block = binary.LittleEndian.AppendUint32(block, Checksum(compressed))
+	w.writeBytes(append(block, compressed...))
 }
 
 // Close ends the recording with its index. It does not close what it writes to.
 func (w *Writer) Close() error {
 	w.Flush()
-	at := w.at
+	indexOffset := w.offset
 	body, err := proto.Marshal(&w.index)
 	if err != nil {
 		return fmt.Errorf("encoding the index: %w", err)
 	}
-	w.write('I', body, 0, 0)
-	w.put(append(binary.LittleEndian.AppendUint64(nil, uint64(at)), end...))
+	w.writeBlock('I', body, 0, 0)
+	w.writeBytes(append(binary.LittleEndian.AppendUint64(nil, uint64(indexOffset)), endMagic...))
 	return w.err
 }
 
@@ -138,6 +138,6 @@
 var ErrTruncated = errors.New("the recording ends inside a record")
 
 // unzip is shared: decoders are costly to make, and this one is safe for use from any goroutine.
-var unzip = sync.OnceValues(func() (*zstd.Decoder, error) {
-	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(mostBytes))
+var sharedDecoder = sync.OnceValues(func() (*zstd.Decoder, error) {
+	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxRecordBytes))
 })
