--- a/internal/record/inputs.go
+++ b/internal/record/inputs.go
@@ -16,61 +16,107 @@
 	"barleysail/state/statepb"
 )
 
-// Listed records a list.
+// EndpointList returns the record of an endpoint list.
 func EndpointList(atMs float64, endpoints []controller.Endpoint) *recordpb.Record {
 	list := &recordpb.Listed{}
 	for _, endpoint := range endpoints {
-		list.Hosts = append(list.Hosts, &recordpb.Host{Address: endpoint.Host, Zone: endpoint.Zone, Phase: int32(endpoint.State), Weight: endpoint.Weight,
-			Started: endpoint.StartedMs, Cores: endpoint.Cores, Speed: endpoint.Speed})
+		list.Hosts = append(list.Hosts, &recordpb.Host{
+			Address: endpoint.Host,
+			Zone:    endpoint.Zone,
+			Phase:   int32(endpoint.State),
+			Weight:  endpoint.Weight,
+			Started: endpoint.StartedMs,
+			Cores:   endpoint.Cores,
+			Speed:   endpoint.Speed,
+		})
 	}
 	return &recordpb.Record{At: atMs, What: &recordpb.Record_Listed{Listed: list}}
 }
 
-// Entries gives a recorded list.
+// Endpoints returns the endpoints of a recorded list.
 func Endpoints(list *recordpb.Listed) []controller.Endpoint {
 	var endpoints []controller.Endpoint
 	for _, host := range list.Hosts {
-		endpoints = append(endpoints, controller.Endpoint{Host: host.Address, Zone: host.Zone, State: routing.HostState(host.Phase),
-			Weight: host.Weight, StartedMs: host.Started, Cores: host.Cores, Speed: host.Speed})
+		endpoints = append(endpoints, controller.Endpoint{
+			Host:      host.Address,
+			Zone:      host.Zone,
+			State:     routing.HostState(host.Phase),
+			Weight:    host.Weight,
+			StartedMs: host.Started,
+			Cores:     host.Cores,
+			Speed:     host.Speed,
+		})
 	}
 	return endpoints
 }
 
-// ListFailed records that the list could not be had.
+// WatchFailure returns the record of a failure to read the endpoint list.
 func WatchFailure(atMs float64) *recordpb.Record {
 	return &recordpb.Record{At: atMs, What: &recordpb.Record_ListFailed{ListFailed: true}}
 }
 
-// Poll records a poll.
+// Poll returns the record of a poll.
 func Poll(atMs float64, id int64, request controller.PollRequest) *recordpb.Record {
-	poll := &recordpb.Poll{Id: id, Proxy: request.Proxy, Zone: request.Zone, Rate: request.RequestRate, Tags: request.Tags, Any: request.AnyTag, Delta: request.AcceptDelta, Wait: request.WaitMs}
+	poll := &recordpb.Poll{
+		Id:    id,
+		Proxy: request.Proxy,
+		Zone:  request.Zone,
+		Rate:  request.RequestRate,
+		Tags:  request.Tags,
+		Any:   request.AnyTag,
+		Delta: request.AcceptDelta,
+		Wait:  request.WaitMs,
+	}
 	if cached := request.Cached; cached != nil {
 		poll.Offer = cached.Tag
 		for _, table := range cached.Tables {
-			poll.Offered = append(poll.Offered, &recordpb.Offered{Class: table.Class, Ordered: table.Assigned, Hosts: table.Hosts, Weights: table.Weights, Share: table.AdmissionRatio, Tries: int32(table.RetryPolicy)})
+			poll.Offered = append(poll.Offered, &recordpb.Offered{
+				Class:   table.Class,
+				Ordered: table.Assigned,
+				Hosts:   table.Hosts,
+				Weights: table.Weights,
+				Share:   table.AdmissionRatio,
+				Tries:   int32(table.RetryPolicy),
+			})
 		}
 	}
 	return &recordpb.Record{At: atMs, What: &recordpb.Record_Poll{Poll: poll}}
 }
 
-// query gives a recorded poll.
+// pollRequest returns the request of a recorded poll.
 func pollRequest(poll *recordpb.Poll) controller.PollRequest {
-	request := controller.PollRequest{Proxy: poll.Proxy, Zone: poll.Zone, RequestRate: poll.Rate, Tags: poll.Tags, AnyTag: poll.Any, AcceptDelta: poll.Delta, WaitMs: poll.Wait}
+	request := controller.PollRequest{
+		Proxy:       poll.Proxy,
+		Zone:        poll.Zone,
+		RequestRate: poll.Rate,
+		Tags:        poll.Tags,
+		AnyTag:      poll.Any,
+		AcceptDelta: poll.Delta,
+		WaitMs:      poll.Wait,
+	}
 	if poll.Offer != "" {
 		request.Cached = &controller.CachedTables{Tag: poll.Offer}
 		for _, table := range poll.Offered {
-			request.Cached.Tables = append(request.Cached.Tables, controller.Table{Class: table.Class, Assigned: table.Ordered, Hosts: table.Hosts, Weights: table.Weights, AdmissionRatio: table.Share, RetryPolicy: int(table.Tries)})
+			request.Cached.Tables = append(request.Cached.Tables, controller.Table{
+				Class:          table.Class,
+				Assigned:       table.Ordered,
+				Hosts:          table.Hosts,
+				Weights:        table.Weights,
+				AdmissionRatio: table.Share,
+				RetryPolicy:    int(table.Tries),
+			})
 		}
 	}
 	return request
 }
 
-// PollGone records that a poll's caller is gone.
+// CanceledPoll returns the record of a poll that its proxy canceled.
 func CanceledPoll(atMs float64, proxy string, id int64) *recordpb.Record {
-	return &recordpb.Record{At: atMs, What: &recordpb.Record_PollGone{PollGone: &recordpb.PollGone{Id: id, Proxy: proxy}}}
+	poll := &recordpb.PollGone{Id: id, Proxy: proxy}
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_PollGone{PollGone: poll}}
 }
 
-// Leave records that a proxy leaves.
+// Disconnect returns the record of a proxy's disconnect.
 func Disconnect(atMs float64, proxy string) *recordpb.Record {
 	return &recordpb.Record{At: atMs, What: &recordpb.Record_Leave{Leave: proxy}}
 }
@@ -100,130 +146,207 @@
 	return buckets
 }
 
-// Recall records what an earlier life knew, as it was kept, with the wall clock's time.
+// Restore returns the record of the restored state of an earlier process, as it was stored, with the wall-clock time.
+// coldMs is the time until a host is warm.
 func Restore(atMs float64, storedState []byte, wallClockMs, coldMs float64) *recordpb.Record {
-	return &recordpb.Record{At: atMs, What: &recordpb.Record_Recall{Recall: &recordpb.Recall{State: storedState, Now: wallClockMs, Cold: coldMs}}}
+	restored := &recordpb.Recall{State: storedState, Now: wallClockMs, Cold: coldMs}
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Recall{Recall: restored}}
 }
 
-// HostLoad records a host's own load report.
+// LoadReport returns the record of a load report that a host sent itself.
 func LoadReport(atMs float64, host string, report controller.LoadReport) *recordpb.Record {
-	return &recordpb.Record{At: atMs, What: &recordpb.Record_HostReport{HostReport: &recordpb.HostReport{Host: host, Sender: report.Sender,
-		Number: report.Sequence, Stamp: report.SentAtMs, Load: recordedLoad(report.Load)}}}
+	recorded := &recordpb.HostReport{
+		Host:   host,
+		Sender: report.Sender,
+		Number: report.Sequence,
+		Stamp:  report.SentAtMs,
+		Load:   recordedLoad(report.Load),
+	}
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_HostReport{HostReport: recorded}}
 }
 
-// Sums records sums, hosts and classes in order.
+// ProxyStats returns the record of a proxy's stats, with hosts and classes sorted by name.
 func ProxyStats(atMs float64, proxy string, stats controller.ProxyStats) *recordpb.Record {
 	recorded := &recordpb.Sums{Proxy: proxy, Sender: stats.Sender, Number: stats.Sequence, Stamp: stats.SentAtMs}
 	for _, host := range slices.Sorted(maps.Keys(stats.Hosts)) {
 		hostStats := stats.Hosts[host]
-		recorded.Hosts = append(recorded.Hosts, &recordpb.HostSums{Host: host, Tries: int64(hostStats.Attempts), Failed: int64(hostStats.Failed),
-			Mean: hostStats.MeanLatencyMs, Span: hostStats.WindowMs, Load: recordedLoad(hostStats.Load), Times: recordedBuckets(hostStats.Latencies)})
+		recorded.Hosts = append(recorded.Hosts, &recordpb.HostSums{
+			Host:   host,
+			Tries:  int64(hostStats.Attempts),
+			Failed: int64(hostStats.Failed),
+			Mean:   hostStats.MeanLatencyMs,
+			Span:   hostStats.WindowMs,
+			Load:   recordedLoad(hostStats.Load),
+			Times:  recordedBuckets(hostStats.Latencies),
+		})
 	}
 	for _, class := range slices.Sorted(maps.Keys(stats.Demand)) {
 		demand := stats.Demand[class]
-		recorded.Usage = append(recorded.Usage, &recordpb.Usage{Class: class, Came: int64(demand.Arrivals), Unanswered: int64(demand.NoResponse),
-			Span: demand.WindowMs})
+		recorded.Usage = append(recorded.Usage, &recordpb.Usage{
+			Class:      class,
+			Came:       int64(demand.Arrivals),
+			Unanswered: int64(demand.NoResponse),
+			Span:       demand.WindowMs,
+		})
 	}
 	return &recordpb.Record{At: atMs, What: &recordpb.Record_Sums{Sums: recorded}}
 }
 
-// Probed records a probe's end.
-func HealthCheck(atMs float64, host string, result routing.HealthCheckResult, load routing.HostLoad) *recordpb.Record {
-	return &recordpb.Record{At: atMs, What: &recordpb.Record_Probed{Probed: &recordpb.Probed{Host: host,
-		Outcome: int32(result), Load: recordedLoad(load)}}}
+// HealthCheck returns the record of the result of a health check.
+func HealthCheck(
+	atMs float64, host string, result routing.HealthCheckResult, load routing.HostLoad,
+) *recordpb.Record {
+	recorded := &recordpb.Probed{Host: host, Outcome: int32(result), Load: recordedLoad(load)}
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Probed{Probed: recorded}}
 }
 
-// Advance records that what was due was done.
+// Advance returns the record of a call that ran what was due in the controller.
 func Advance(atMs float64) *recordpb.Record {
 	return &recordpb.Record{At: atMs, What: &recordpb.Record_Advance{Advance: true}}
 }
 
-// Release records that all held polls are answered.
+// ReleasePolls returns the record of the release of all open polls.
 func ReleasePolls(atMs float64) *recordpb.Record {
 	return &recordpb.Record{At: atMs, What: &recordpb.Record_Release{Release: true}}
 }
 
-// Operate records operators' orders.
+// Overrides returns the record of operators' commands.
 func Overrides(atMs float64, commands []operator.Command) *recordpb.Record {
 	recorded := &recordpb.Operate{}
 	for _, command := range commands {
-		order := &recordpb.Order{Host: command.Host, State: int32(command.State), Weight: command.Weight, Clear: command.ClearWeight, Part: command.Relative, For: command.DurationMs,
-			Wait: command.Queue, By: command.Operator, Remove: command.Remove, Keep: command.KeepState}
+		order := &recordpb.Order{
+			Host:   command.Host,
+			State:  int32(command.State),
+			Weight: command.Weight,
+			Clear:  command.ClearWeight,
+			Part:   command.Relative,
+			For:    command.DurationMs,
+			Wait:   command.Queue,
+			By:     command.Operator,
+			Remove: command.Remove,
+			Keep:   command.KeepState,
+		}
 		if added := command.Add; added != nil {
-			order.Add = &recordpb.Host{Address: command.Host, Zone: added.Zone, Weight: added.Weight, Cores: added.Cores, Speed: added.Speed, Started: added.StartedMs}
+			order.Add = &recordpb.Host{
+				Address: command.Host,
+				Zone:    added.Zone,
+				Weight:  added.Weight,
+				Cores:   added.Cores,
+				Speed:   added.Speed,
+				Started: added.StartedMs,
+			}
 		}
 		recorded.Orders = append(recorded.Orders, order)
 	}
 	return &recordpb.Record{At: atMs, What: &recordpb.Record_Operate{Operate: recorded}}
 }
 
-// Orders gives recorded orders.
+// Commands returns the recorded commands of operators.
 func Commands(recorded *recordpb.Operate) []operator.Command {
 	var commands []operator.Command
 	for _, order := range recorded.Orders {
-		command := operator.Command{Host: order.Host, State: operator.State(order.State), Weight: order.Weight, ClearWeight: order.Clear, Relative: order.Part, DurationMs: order.For,
-			Queue: order.Wait, Operator: order.By, Remove: order.Remove, KeepState: order.Keep}
+		command := operator.Command{
+			Host:        order.Host,
+			State:       operator.State(order.State),
+			Weight:      order.Weight,
+			ClearWeight: order.Clear,
+			Relative:    order.Part,
+			DurationMs:  order.For,
+			Queue:       order.Wait,
+			Operator:    order.By,
+			Remove:      order.Remove,
+			KeepState:   order.Keep,
+		}
 		if added := order.Add; added != nil {
-			command.Add = &operator.AddedHost{Zone: added.Zone, Weight: added.Weight, Cores: added.Cores, Speed: added.Speed, StartedMs: added.Started}
+			command.Add = &operator.AddedHost{
+				Zone:      added.Zone,
+				Weight:    added.Weight,
+				Cores:     added.Cores,
+				Speed:     added.Speed,
+				StartedMs: added.Started,
+			}
 		}
 		commands = append(commands, command)
 	}
 	return commands
 }
 
-// Published records an answer to a poll.
+// Response returns the record of the response to a poll.
 func Response(atMs float64, pollID int64, response controller.Response) *recordpb.Record {
 	body := response.Body()
-	return &recordpb.Record{At: atMs, What: &recordpb.Record_Published{Published: &recordpb.Published{Poll: pollID,
-		Proxy: response.Proxy, Kind: int32(response.Kind), Tag: response.Tag, Base: response.BaseTag, Sum: Checksum(body), Body: body}}}
+	recorded := &recordpb.Published{
+		Poll:  pollID,
+		Proxy: response.Proxy,
+		Kind:  int32(response.Kind),
+		Tag:   response.Tag,
+		Base:  response.BaseTag,
+		Sum:   Checksum(body),
+		Body:  body,
+	}
+	return &recordpb.Record{At: atMs, What: &recordpb.Record_Published{Published: recorded}}
 }
 
-// Feed gives a recorded input to a steward; outputs and the start are passed over. An input that the steward
-// refused when it came is refused again, which is no error.
+// Apply passes a recorded input to a controller. Start records, outputs and the records of proxies have no effect. An
+// input that the controller rejected when it was recorded is rejected again, which is not an error.
 func Apply(c *controller.Controller, record *recordpb.Record, effects controller.Effects) error {
 	switch what := record.What.(type) {
 	case *recordpb.Record_Listed:
-		c.SetEndpoints(record.At, Endpoints(what.Listed))
+		_ = c.SetEndpoints(record.At, Endpoints(what.Listed))
 	case *recordpb.Record_ListFailed:
 		c.ObserveWatchFailure(record.At)
 	case *recordpb.Record_Poll:
-		c.Poll(record.At, what.Poll.Id, pollRequest(what.Poll), effects)
+		_ = c.Poll(record.At, what.Poll.Id, pollRequest(what.Poll), effects)
 	case *recordpb.Record_PollGone:
 		c.CancelPoll(record.At, what.PollGone.Proxy, what.PollGone.Id)
 	case *recordpb.Record_Leave:
 		c.Disconnect(record.At, what.Leave, effects)
 	case *recordpb.Record_Sums:
-		stats := controller.ProxyStats{Sender: what.Sums.Sender, Sequence: what.Sums.Number, SentAtMs: what.Sums.Stamp, Hosts: map[string]controller.HostStats{},
-			Demand: map[string]controller.ClassDemand{}}
+		stats := controller.ProxyStats{
+			Sender:   what.Sums.Sender,
+			Sequence: what.Sums.Number,
+			SentAtMs: what.Sums.Stamp,
+			Hosts:    map[string]controller.HostStats{},
+			Demand:   map[string]controller.ClassDemand{},
+		}
 		for _, host := range what.Sums.Hosts {
-			stats.Hosts[host.Host] = controller.HostStats{Attempts: int(host.Tries), Failed: int(host.Failed), MeanLatencyMs: host.Mean, WindowMs: host.Span,
-				Load: hostLoad(host.Load), Latencies: latencyBuckets(host.Times)}
+			stats.Hosts[host.Host] = controller.HostStats{
+				Attempts: int(host.Tries), Failed: int(host.Failed), MeanLatencyMs: host.Mean, WindowMs: host.Span,
+				Load: hostLoad(host.Load), Latencies: latencyBuckets(host.Times),
+			}
 		}
 		for _, usage := range what.Sums.Usage {
-			stats.Demand[usage.Class] = controller.ClassDemand{Arrivals: int(usage.Came), NoResponse: int(usage.Unanswered), WindowMs: usage.Span}
+			stats.Demand[usage.Class] = controller.ClassDemand{
+				Arrivals: int(usage.Came), NoResponse: int(usage.Unanswered), WindowMs: usage.Span,
+			}
 		}
-		c.ObserveProxyStats(record.At, what.Sums.Proxy, stats)
+		_, _ = c.ObserveProxyStats(record.At, what.Sums.Proxy, stats)
 	case *recordpb.Record_Recall:
 		stored := &statepb.State{}
 		if err := proto.Unmarshal(what.Recall.State, stored); err != nil {
-			return fmt.Errorf("reading a recorded state: %w", err)
+			return fmt.Errorf("decoding a recorded state: %w", err)
 		}
 		c.Restore(record.At, state.ApplyDecay(stored, what.Recall.Now, state.DefaultLimits(what.Recall.Cold)))
 	case *recordpb.Record_HostReport:
 		report := what.HostReport
-		c.ObserveLoadReport(record.At, report.Host, controller.LoadReport{Sender: report.Sender, Sequence: report.Number, SentAtMs: report.Stamp, Load: hostLoad(report.Load)})
+		_, _ = c.ObserveLoadReport(record.At, report.Host, controller.LoadReport{
+			Sender:   report.Sender,
+			Sequence: report.Number,
+			SentAtMs: report.Stamp,
+			Load:     hostLoad(report.Load),
+		})
 	case *recordpb.Record_Probed:
-		c.ObserveHealthCheck(record.At, what.Probed.Host, routing.HealthCheckResult(what.Probed.Outcome), hostLoad(what.Probed.Load))
+		result := routing.HealthCheckResult(what.Probed.Outcome)
+		c.ObserveHealthCheck(record.At, what.Probed.Host, result, hostLoad(what.Probed.Load))
 	case *recordpb.Record_Advance:
 		c.Advance(record.At, effects)
 	case *recordpb.Record_Operate:
-		c.ApplyOverrides(record.At, Commands(what.Operate), effects)
+		_, _ = c.ApplyOverrides(record.At, Commands(what.Operate), effects)
 	case *recordpb.Record_Release:
 		c.ReleasePolls(record.At, effects)
-	case *recordpb.Record_Published, *recordpb.Record_Start, *recordpb.Record_ProxyStart, *recordpb.Record_Transaction,
-		*recordpb.Record_Applied:
+	case *recordpb.Record_Published, *recordpb.Record_Start, *recordpb.Record_ProxyStart,
+		*recordpb.Record_Transaction, *recordpb.Record_Applied:
 	default:
-		return fmt.Errorf("a record of a kind that is not known, at %.3f ms", record.At)
+		return fmt.Errorf("unknown type of the record at %.3f ms", record.At)
 	}
 	return nil
 }
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -14,20 +14,20 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// Reader reads a recording of either format, front to back; memory does not grow with its length.
+// Reader reads a recording of any format from front to back. Its memory does not grow with the recording.
 type Reader struct {
 	in            *bufio.Reader
 	offset        int64
 	format        int
 	block         []byte
 	lastErr       error
-	DamagedRanges []DamagedRange // parts that were damaged and passed over, format 2
+	DamagedRanges []DamagedRange // skipped parts, from format 2 on
 	endedCleanly  bool
 }
 
-// Fault is a part of a recording that cannot be used.
+// DamagedRange is a part of a recording that cannot be read.
 type DamagedRange struct {
-	FromByte, ToByte int64 // bytes
+	FromByte, ToByte int64
 	AfterMs          float64
 	Reason           string
 }
@@ -36,12 +36,12 @@
 	return fmt.Sprintf("bytes %d to %d, after %.3f s: %s", d.FromByte, d.ToByte, d.AfterMs/1000, d.Reason)
 }
 
-// NewReader reads from r.
+// NewReader returns a reader of a recording.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, 64<<10)} }
 
-// Next gives the next record, io.EOF at the end, ErrTorn where the file ends inside a record. In format 1 a
-// damaged record is an error; in format 2 a damaged block is noted in Faults and passed over. After an error it
-// gives that again.
+// Next returns the next record, io.EOF at the end, and ErrTruncated if the recording ends inside a record. In format 1
+// a damaged record is an error; from format 2 on a damaged block is added to DamagedRanges and skipped. After an error
+// Next returns that error again.
 func (r *Reader) Next() (*recordpb.Record, error) {
 	if r.lastErr != nil {
 		return nil, r.lastErr
@@ -62,12 +62,12 @@
 	return record, r.lastErr
 }
 
-// Clean tells whether the recording ended with its index.
+// EndedCleanly reports whether the recording ended with its index.
 func (r *Reader) EndedCleanly() bool { return r.endedCleanly }
 
 func (r *Reader) skip(n int) { discarded, _ := r.in.Discard(n); r.offset += int64(discarded) }
 
-// next gives records out of the block that is open, and opens the next.
+// nextInBlocks returns the next record of the open block, and opens the next block after the last.
 func (r *Reader) nextInBlocks() (*recordpb.Record, error) {
 	for len(r.block) == 0 {
 		if err := r.openBlock(); err != nil {
@@ -76,18 +76,18 @@
 	}
 	size, n := binary.Uvarint(r.block)
 	if n <= 0 || size > uint64(len(r.block)-n) {
-		return nil, fmt.Errorf("a block before byte %d holds a record longer than itself", r.offset)
+		return nil, fmt.Errorf("block before byte %d: the length of a record exceeds the block", r.offset)
 	}
 	body := r.block[n : n+int(size)]
 	r.block = r.block[n+int(size):]
 	record := &recordpb.Record{}
 	if err := proto.Unmarshal(body, record); err != nil {
-		return nil, fmt.Errorf("a record before byte %d: %w", r.offset, err)
+		return nil, fmt.Errorf("decoding a record before byte %d: %w", r.offset, err)
 	}
 	return record, nil
 }
 
-// open reads the next block whose checksum fits.
+// openBlock reads the next undamaged block.
 func (r *Reader) openBlock() error {
 	afterMs := 0.0
 	for {
@@ -99,13 +99,14 @@
 			return r.noteTruncatedHeader(afterMs)
 		}
 		size := int(binary.LittleEndian.Uint32(header[4:]))
-		if !bytes.Equal(header[:3], []byte{0xB5, 'B', 'L'}) || header[3] != 'R' && header[3] != 'I' || size > maxRecordBytes {
-			if err := r.skipToBlock(afterMs, "no block begins there"); err != nil {
+		if !bytes.Equal(header[:len(blockMagic)], []byte(blockMagic)) ||
+			header[len(blockMagic)] != recordsKind && header[len(blockMagic)] != indexKind || size > maxRecordBytes {
+			if err := r.skipToBlock(afterMs, "there is no block"); err != nil {
 				return err
 			}
 			continue
 		}
-		kind, startMs := header[3], math.Float64frombits(binary.LittleEndian.Uint64(header[12:]))
+		kind, startMs := header[len(blockMagic)], math.Float64frombits(binary.LittleEndian.Uint64(header[12:]))
 		wantChecksum := binary.LittleEndian.Uint32(header[20:])
 		from := r.offset
 		r.skip(blockHeaderBytes)
@@ -113,23 +114,23 @@
 		n, err := io.ReadFull(r.in, compressed)
 		r.offset += int64(n)
 		if err != nil {
-			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, startMs, "the recording ends inside a block"})
+			r.addDamagedRange(from, startMs, "the recording ends inside a block")
 			return ErrTruncated
 		}
 		if Checksum(compressed) != wantChecksum {
-			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, startMs, "the checksum of a block does not fit"})
+			r.addDamagedRange(from, startMs, "the checksum of the block does not match")
 			continue
 		}
-		if kind == 'I' {
+		if kind == indexKind {
 			r.endedCleanly = true
 			return io.EOF
 		}
 		decoder, err := sharedDecoder()
 		if err != nil {
-			return fmt.Errorf("making a decoder: %w", err)
+			return fmt.Errorf("creating a decoder: %w", err)
 		}
 		if r.block, err = decoder.DecodeAll(compressed, nil); err != nil {
-			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, startMs, err.Error()})
+			r.addDamagedRange(from, startMs, err.Error())
 			r.block = nil
 			continue
 		}
@@ -137,33 +138,38 @@
 	}
 }
 
-// tail notes that the file ends inside a block's head.
+// noteTruncatedHeader reports that the recording ends inside the header of a block.
 func (r *Reader) noteTruncatedHeader(afterMs float64) error {
 	from := r.offset
 	r.skip(blockHeaderBytes)
-	r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, afterMs, "the recording ends inside a block"})
+	r.addDamagedRange(from, afterMs, "the recording ends inside a block")
 	return ErrTruncated
 }
 
-// resync passes over bytes until a block may begin.
+// addDamagedRange adds the range from an offset to the current one.
+func (r *Reader) addDamagedRange(from int64, afterMs float64, reason string) {
+	r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, afterMs, reason})
+}
+
+// skipToBlock skips bytes until a block may begin.
 func (r *Reader) skipToBlock(afterMs float64, reason string) error {
 	from := r.offset
 	for {
 		r.skip(1)
-		start, err := r.in.Peek(4)
+		start, err := r.in.Peek(len(blockMagic) + 1)
 		if err != nil {
 			r.skip(len(start))
-			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, afterMs, reason})
+			r.addDamagedRange(from, afterMs, reason)
 			return ErrTruncated
 		}
-		if bytes.Equal(start[:3], []byte{0xB5, 'B', 'L'}) {
-			r.DamagedRanges = append(r.DamagedRanges, DamagedRange{from, r.offset, afterMs, reason})
+		if bytes.Equal(start[:len(blockMagic)], []byte(blockMagic)) {
+			r.addDamagedRange(from, afterMs, reason)
 			return nil
 		}
 	}
 }
 
-// old reads a record of format 1.
+// nextFormat1 returns the next record of a recording of format 1.
 func (r *Reader) nextFormat1() (*recordpb.Record, error) {
 	if _, err := r.in.Peek(1); err != nil {
 		return nil, err
@@ -173,23 +179,25 @@
 		return nil, truncated(err)
 	}
 	if size > maxRecordBytes {
-		return nil, fmt.Errorf("record at byte %d: a length of %d", r.offset, size)
+		return nil, fmt.Errorf("record at byte %d: the length %d exceeds the limit", r.offset, size)
 	}
 	body := make([]byte, 4+size)
 	if _, err := io.ReadFull(r.in, body); err != nil {
 		return nil, truncated(err)
 	}
 	if Checksum(body[4:]) != binary.LittleEndian.Uint32(body) {
-		return nil, fmt.Errorf("record at byte %d: its checksum does not fit", r.offset)
+		return nil, fmt.Errorf("record at byte %d: the checksum does not match", r.offset)
 	}
 	record := &recordpb.Record{}
 	if err := proto.Unmarshal(body[4:], record); err != nil {
-		return nil, fmt.Errorf("record at byte %d: %w", r.offset, err)
+		return nil, fmt.Errorf("decoding the record at byte %d: %w", r.offset, err)
+
 	}
 	r.offset += int64(len(binary.AppendUvarint(nil, size))) + 4 + int64(size)
 	return record, nil
 }
 
+// truncated returns ErrTruncated for an end of the input, and other errors as they are.
 func truncated(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrTruncated
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,18 +1,20 @@
-// Package record writes and reads recordings: every input of a steward with its time, and what it published.
+// Package record writes and reads recordings: the inputs of a controller with their times, and the responses that it
+// published; and the requests and applied table versions of a proxy.
 //
-// Format 2: the eight bytes "BSAIL\x00\x00\x02", then blocks. A block is the four bytes
-// 0xB5 'B' 'L' kind, the length of what follows after compression and its number of records (uint32 each), the
-// time of its first record (float64), the CRC-32C of the compressed bytes, and those: Zstandard over records, each
-// as its length (varint) and its protobuf bytes. All figures are little endian. A recording that was ended cleanly
-// closes with a block of kind 'I', a recordpb.Index, and the offset of that block (uint64) with "BSAILEND". What is
-// torn or damaged is a block, so a reader can name it and go on behind it.
+// Format 2 begins with the eight bytes "BSAIL\x00\x00\x02", followed by blocks. A block consists of the four bytes 0xB5
+// 'B' 'L' kind, the compressed length and the number of records (uint32 each), the time of the first record (float64),
+// the CRC-32C of the compressed bytes, and these: Zstandard-compressed records, each with its length (varint) before
+// its protobuf bytes. All numbers are little endian. A recording that was closed ends with a block of kind 'I', which
+// holds a recordpb.Index, the offset of that block (uint64) and "BSAILEND". If a block is damaged, the reader reports
+// it and continues after it.
 //
-// Format 3 has the same blocks; from it on a proxy's start tells when it shuns hosts and what it repeats.
+// Format 3 has the same blocks. The start record of a proxy tells its ejection settings and idempotent classes.
 //
-// In format 4 sums may carry their sender's stamp and how times spread, and hosts' own load reports are inputs. Stewards of
-// earlier formats took load reports as they came; their replays do so too.
+// In format 4 the stats of a proxy may have the sender's time and latency buckets, and the load reports of hosts are
+// inputs. Controllers of earlier formats applied load reports as they came, and so do their replays.
 //
-// Format 1, still read, has no first bytes and no blocks: each record is its length, its CRC-32C and its bytes.
+// Format 1 can still be read. It has no magic and no blocks: each record consists of its length, its CRC-32C and its
+// protobuf bytes.
 package record
 
 import (
@@ -30,25 +32,28 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// Format is the number of the format written, as recordings' starts tell it.
+// Format is the number of the format that is written. It is stored in start records.
 const Format = 4
 
 const (
 	magic            = "BSAIL\x00\x00\x02"
 	endMagic         = "BSAILEND"
+	blockMagic       = "\xB5BL"
+	recordsKind      = 'R' // kind of a block of records
+	indexKind        = 'I' // kind of the block with the index
 	blockHeaderBytes = 24
-	// A block is closed when it holds so many bytes, or earlier by Flush.
+	// maxBlockBytes is the size from which a block is written without a call of Flush.
 	maxBlockBytes = 256 << 10
-	// A record or block that claims more is damage.
+	// maxRecordBytes is the limit of a record's or block's size; a larger size is taken for damage.
 	maxRecordBytes = 64 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Sum is the checksum of a document.
+// Checksum returns the CRC-32C of a document.
 func Checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
 
-// Writer writes a recording. It keeps the first error and writes nothing after it.
+// Writer writes a recording. After the first error it writes nothing more and returns that error.
 type Writer struct {
 	out          io.Writer
 	encoder      *zstd.Encoder
@@ -61,7 +66,7 @@
 	buffer       []byte
 }
 
-// NewWriter begins a recording on w.
+// NewWriter starts a recording.
 func NewWriter(out io.Writer) *Writer {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	w := &Writer{out: out, encoder: encoder, err: err}
@@ -100,11 +105,12 @@
 	return nil
 }
 
-// Flush writes the block that is open: what came before is then safe from the end of the process.
+// Flush writes the open block, so that the records before it survive the end of the process.
 func (w *Writer) Flush() error {
 	if w.records > 0 && w.err == nil {
-		w.index.Blocks = append(w.index.Blocks, &recordpb.Block{Offset: w.offset, First: w.blockStartMs, Records: int32(w.records)})
-		w.writeBlock('R', w.block, w.records, w.blockStartMs)
+		block := &recordpb.Block{Offset: w.offset, First: w.blockStartMs, Records: int32(w.records)}
+		w.index.Blocks = append(w.index.Blocks, block)
+		w.writeBlock(recordsKind, w.block, w.records, w.blockStartMs)
 		w.block, w.records = w.block[:0], 0
 	}
 	return w.err
@@ -113,7 +119,8 @@
 func (w *Writer) writeBlock(kind byte, body []byte, records int, startMs float64) {
 	compressed := w.encoder.EncodeAll(body, nil)
 	block := make([]byte, 0, blockHeaderBytes+len(compressed))
-	block = append(block, 0xB5, 'B', 'L', kind)
+	block = append(block, blockMagic...)
+	block = append(block, kind)
 	block = binary.LittleEndian.AppendUint32(block, uint32(len(compressed)))
 	block = binary.LittleEndian.AppendUint32(block, uint32(records))
 	block = binary.LittleEndian.AppendUint64(block, math.Float64bits(startMs))
@@ -121,23 +128,23 @@
 	w.writeBytes(append(block, compressed...))
 }
 
-// Close ends the recording with its index. It does not close what it writes to.
+// Close writes the index. It does not close the underlying writer.
 func (w *Writer) Close() error {
-	w.Flush()
+	_ = w.Flush() // the error is kept in w.err
 	indexOffset := w.offset
 	body, err := proto.Marshal(&w.index)
 	if err != nil {
 		return fmt.Errorf("encoding the index: %w", err)
 	}
-	w.writeBlock('I', body, 0, 0)
+	w.writeBlock(indexKind, body, 0, 0)
 	w.writeBytes(append(binary.LittleEndian.AppendUint64(nil, uint64(indexOffset)), endMagic...))
 	return w.err
 }
 
-// ErrTorn ends a recording whose last part is not whole.
+// ErrTruncated is the error of a recording that ends inside a record or block.
 var ErrTruncated = errors.New("the recording ends inside a record")
 
-// unzip is shared: decoders are costly to make, and this one is safe for use from any goroutine.
+// sharedDecoder returns the decoder of all readers: decoders are expensive to create and safe for concurrent use.
 var sharedDecoder = sync.OnceValues(func() (*zstd.Decoder, error) {
 	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxRecordBytes))
 })
