--- a/internal/record/former_test.go
+++ b/internal/record/former_test.go
@@ -14,8 +14,8 @@
 	"barleysail/replay"
 )
 
-// formerRecording was written by a daemon of format 4 that restored a stored state and then ran overloaded for four
-// seconds, with two proxies and two overrides. It is never written again.
+// formerRecording was written by a former daemon, in format 4. The daemon restored a stored state, and then ran
+// overloaded for four seconds with two proxies and two overrides. The file is never written again.
 const formerRecording = "testdata/former-daemon.rec"
 
 func newController(start *recordpb.Start) (*controller.Controller, error) {
@@ -26,7 +26,7 @@
 	return config.NewController(config.Of(settings, start.Format), start.Life, start.Seed), nil
 }
 
-// A recording of the former daemon can be read to its clean end, and holds the restored state.
+// A recording of the former daemon can be read to its end, and has the restored state.
 func TestReadFormerRecording(t *testing.T) {
 	content, err := os.ReadFile(formerRecording)
 	if err != nil {
@@ -52,14 +52,16 @@
 		}
 	}
 	if !reader.EndedCleanly() || len(reader.DamagedRanges) > 0 {
-		t.Errorf("clean end %v, faults %v", reader.EndedCleanly(), reader.DamagedRanges)
+		t.Errorf("got a clean end %v and the damaged ranges %v, want a clean end and none",
+			reader.EndedCleanly(), reader.DamagedRanges)
 	}
 	if restores != 1 || statistics != 8 || published == 0 {
-		t.Errorf("%d restores, %d reports of proxies, %d published tables", restores, statistics, published)
+		t.Errorf("got %d restored states, %d stats and %d responses, want 1, 8 and at least 1",
+			restores, statistics, published)
 	}
 }
 
-// The controller of today publishes what the former one published, byte for byte.
+// The controller publishes the same responses as that of the former daemon, byte for byte.
 func TestReplayFormerRecording(t *testing.T) {
 	content, err := os.ReadFile(formerRecording)
 	if err != nil {
@@ -70,6 +72,8 @@
 		t.Fatal(err)
 	}
 	if result.FirstDifference != nil || result.Responses == 0 || result.ReadErr != nil {
-		t.Errorf("%d answers, first difference %v, end %v", result.Responses, result.FirstDifference, result.ReadErr)
+		t.Errorf("got %d identical responses, the first difference %v and the error %v, want identical responses only",
+			result.Responses, result.FirstDifference, result.ReadErr)
+
 	}
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -13,25 +13,32 @@
 	"barleysail/internal/record/recordpb"
 )
 
-func testRecording(records, blockRecords int, closed bool) []byte {
+// testRecording returns a recording of proxies' disconnects, with a number of records in each block.
+func testRecording(t testing.TB, records, blockRecords int, closed bool) []byte {
+	t.Helper()
 	var out bytes.Buffer
 	w := NewWriter(&out)
 	for i := range records {
-		w.Write(Disconnect(float64(i), fmt.Sprint("proxy-", i)))
-		if (i+1)%blockRecords == 0 {
-			w.Flush()
+		err := w.Write(Disconnect(float64(i), fmt.Sprint("proxy-", i)))
+		if err == nil && (i+1)%blockRecords == 0 {
+			err = w.Flush()
+		}
+		if err != nil {
+			t.Fatal(err)
 		}
 	}
+	finish := w.Flush
 	if closed {
-		w.Close()
-	} else {
-		w.Flush()
+		finish = w.Close
+	}
+	if err := finish(); err != nil {
+		t.Fatal(err)
 	}
 	return out.Bytes()
 }
 
-// read gives the times of the records that come.
-func readTimes(recording []byte) (times []float64, r *Reader, last error) {
+// readTimes returns the times of the records of a recording, the reader, and the error that ended reading.
+func readTimes(recording []byte) (times []float64, r *Reader, endErr error) {
 	r = NewReader(bytes.NewReader(recording))
 	for {
 		record, err := r.Next()
@@ -42,25 +49,27 @@
 	}
 }
 
-// A recording cut at any byte gives the whole blocks before the cut and says that it is torn; one with any byte
-// damaged gives all other blocks and names the damaged part.
+// A recording that is truncated at any byte has the complete blocks before that byte, and is reported as truncated. A
+// recording with a damaged byte has all other blocks, and the damaged range is reported.
 func TestTruncatedAndDamaged(t *testing.T) {
-	recording := testRecording(30, 10, true)
+	recording := testRecording(t, 30, 10, true)
 	all, r, err := readTimes(recording)
 	if len(all) != 30 || !errors.Is(err, io.EOF) || !r.EndedCleanly() || len(r.DamagedRanges) != 0 {
-		t.Fatalf("%d records, %v, clean %v", len(all), err, r.EndedCleanly())
+		t.Fatalf("got %d records, the error %v, clean end %v and damaged ranges %v, want 30, EOF, a clean end and none",
+			len(all), err, r.EndedCleanly(), r.DamagedRanges)
 	}
 	for cut := len(magic); cut < len(recording)-16; cut++ {
 		times, r, err := readTimes(recording[:cut])
 		if len(times)%10 != 0 || r.EndedCleanly() || err != io.EOF && err != ErrTruncated {
-			t.Fatalf("cut at %d: %d records, %v", cut, len(times), err)
+			t.Fatalf("truncated at byte %d: got %d records, the error %v and clean end %v, want complete blocks, "+
+				"EOF or %v, and no clean end", cut, len(times), err, r.EndedCleanly(), ErrTruncated)
 		}
 		if err == ErrTruncated && len(r.DamagedRanges) == 0 {
-			t.Fatalf("cut at %d: nothing named", cut)
+			t.Fatalf("truncated at byte %d: got no damaged range, want one", cut)
 		}
 	}
-	if n, _, _ := readTimes(recording[:len(recording)-17]); len(n) != 30 {
-		t.Errorf("%d records without the index", len(n))
+	if times, _, _ := readTimes(recording[:len(recording)-17]); len(times) != 30 {
+		t.Errorf("without the index: got %d records, want 30", len(times))
 	}
 	lost := 0
 	for offset := len(magic); offset < len(recording)-16; offset++ {
@@ -68,42 +77,47 @@
 		damaged[offset] ^= 0x10
 		times, r, _ := readTimes(damaged)
 		if len(times) < 20 && len(times) != 0 && len(times) != 10 {
-			t.Fatalf("byte %d: %d records", offset, len(times))
+			t.Fatalf("damage at byte %d: got %d records, want at least 20, or those of fewer complete blocks",
+				offset, len(times))
 		}
 		if len(times) < 30 {
 			if lost++; len(r.DamagedRanges) == 0 {
-				t.Fatalf("byte %d: %d records and no fault named", offset, len(times))
+				t.Fatalf("damage at byte %d: got %d records and no damaged range, want one", offset, len(times))
 			}
 		}
 	}
 	if lost == 0 {
-		t.Error("no damage was ever seen")
+		t.Error("got all records whatever byte was damaged, want some to be lost")
 	}
 }
 
-// Format 1 is still read.
+// Recordings of format 1 can still be read.
 func TestFormat1(t *testing.T) {
 	var recording []byte
 	for i := range 3 {
-		body, _ := proto.Marshal(&recordpb.Record{At: float64(i), What: &recordpb.Record_Leave{Leave: "p"}})
+		body, err := proto.Marshal(&recordpb.Record{At: float64(i), What: &recordpb.Record_Leave{Leave: "p"}})
+		if err != nil {
+			t.Fatal(err)
+		}
 		recording = binary.AppendUvarint(recording, uint64(len(body)))
 		recording = binary.LittleEndian.AppendUint32(recording, Checksum(body))
 		recording = append(recording, body...)
 	}
 	if times, _, err := readTimes(recording); len(times) != 3 || err != io.EOF {
-		t.Errorf("%v, %v", times, err)
+		t.Errorf("got %d records and the error %v, want 3 and EOF", len(times), err)
 	}
 	if times, _, err := readTimes(recording[:len(recording)-1]); len(times) != 2 || err != ErrTruncated {
-		t.Errorf("%v, %v", times, err)
+		t.Errorf("truncated: got %d records and the error %v, want 2 and %v", len(times), err, ErrTruncated)
 	}
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(testRecording(5, 2, true))
-	f.Add(testRecording(5, 2, false))
+	f.Add(testRecording(f, 5, 2, true))
+	f.Add(testRecording(f, 5, 2, false))
 	f.Fuzz(func(t *testing.T, recording []byte) {
 		if times, _, err := readTimes(recording); err == nil || len(times) > len(recording) {
-			t.Fatalf("%d records of %d bytes, %v", len(times), len(recording), err)
+			t.Fatalf("got %d records from %d bytes and the error %v, want an error and at most a record a byte",
+				len(times), len(recording), err)
 		}
 	})
 }
