--- a/replay/coupling.go
+++ b/replay/coupling.go
@@ -10,9 +10,9 @@
 )
 
 // A replayed proxy admits requests and draws hosts as the recorded proxy did, as far as its table allows. A recorded
-// draw that chose a host by the recorded table keeps that host with the probability that both tables have in common;
-// otherwise the host is drawn by the weight that the new table has in excess of the recorded one. This is the maximal
-// coupling of two distributions (Lindvall, "Lectures on the Coupling Method", 1992). Each replay's draws are
+// draw keeps its host with the ratio of the host's probability by the new table to that by the recorded one, at most 1.
+// Otherwise the host is drawn by the excess of the new probabilities over the recorded ones. This is the maximal
+// coupling of two distributions (Lindvall, "Lectures on the Coupling Method", 1992). The draws of each replay are
 // distributed by its own tables, and two replays use common random numbers: they differ by their tables, not by chance.
 
 // recordedTables are the tables that a proxy used when the day was recorded: weights by class and host, and admission
