--- a/cmd/barleysail/recordings_test.go
+++ b/cmd/barleysail/recordings_test.go
@@ -39,11 +39,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorder := record.NewProxy(file, "test", client.Options{Proxy: "p", Zone: "a"})
+	recorder := record.NewProxyRecorder(file, "test", client.Options{Proxy: "p", Zone: "a"})
 	poll()
 	for range 10 {
 		began := time.Now()
-		recorder.Ended(client.Request{Class: "sheet", ArrivedAt: began, Admitted: true, Fulfilled: true,
+		recorder.RecordRequest(client.Request{Class: "sheet", ArrivedAt: began, Admitted: true, Fulfilled: true,
 			Attempts: []client.Attempt{{Host: "10.0.0.1:80", StartedAt: began, Duration: time.Millisecond}}})
 	}
 	if err := recorder.Close(); err != nil {
@@ -72,7 +72,7 @@
 		{"check", []string{"recordings", "check", controller, proxy}, 0, []string{"controller.day: ", " records, whole"}},
 		{"check a torn one", []string{"recordings", "check", torn}, 1, []string{"1 of 1 recordings are damaged"}},
 		{"show", []string{"recordings", "show", controller}, 0,
-			[]string{"1 proxies joined and 2 hosts listed", "the list: 2 hosts"}},
+			[]string{"1 proxies joined and 2 hosts listed", "endpoint list: 2 hosts"}},
 		{"show as JSON", []string{"recordings", "show", controller, "--json"}, 0, []string{`"Hosts": 2`}},
 		{"show a missing one", []string{"recordings", "show", controller + "x"}, 1, []string{"no such file"}},
 		{"cut", append(cut, "-o", part), 0, []string{"part.day: ", " records\n"}},
--- a/internal/record/proxy.go
+++ b/internal/record/proxy.go
@@ -9,51 +9,66 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// Proxy records what a proxy did. Its methods may be called from any goroutine; Ended and Applied are made to be
-// a client's options.
-type Proxy struct {
-	mu sync.Mutex
-	w  *Writer
+// ProxyRecorder records the requests of a proxy and the table versions that it applies. Its methods may be called from
+// any goroutine; RecordRequest and RecordTables are callbacks for the options of a client.
+type ProxyRecorder struct {
+	mu     sync.Mutex
+	writer *Writer
 }
 
 func unixMs(t time.Time) float64 { return float64(t.UnixMicro()) / 1000 }
 
-// NewProxy begins a proxy's recording. The options are those of its client.
-func NewProxy(w io.Writer, program string, o client.Options) *Proxy {
-	p := &Proxy{w: NewWriter(w)}
-	if o.EjectionTime == 0 {
-		o.EjectionTime = client.DefaultEjectionTime
+// NewProxyRecorder starts the recording of a proxy with the options of its client.
+func NewProxyRecorder(w io.Writer, program string, options client.Options) *ProxyRecorder {
+	p := &ProxyRecorder{writer: NewWriter(w)}
+	if options.EjectionTime == 0 {
+		options.EjectionTime = client.DefaultEjectionTime
 	}
 	p.write(&recordpb.Record{At: unixMs(time.Now()), What: &recordpb.Record_ProxyStart{ProxyStart: &recordpb.ProxyStart{
-		Format: Format, Program: program, Proxy: o.Proxy, Zone: o.Zone, Ejects: int32(o.EjectAfterFailures),
-		Shuns: o.EjectionTime.Seconds() * 1000, Repeats: o.IdempotentClasses}}})
+		Format:  Format,
+		Program: program,
+		Proxy:   options.Proxy,
+		Zone:    options.Zone,
+		Ejects:  int32(options.EjectAfterFailures),
+		Shuns:   options.EjectionTime.Seconds() * 1000,
+		Repeats: options.IdempotentClasses,
+	}}})
 	return p
 }
 
-func (p *Proxy) write(r *recordpb.Record) {
+func (p *ProxyRecorder) write(record *recordpb.Record) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.w.Write(r)
+	_ = p.writer.Write(record) // Close returns the error
 }
 
-// Ended records a transaction.
-func (p *Proxy) Ended(x client.Request) {
-	t := &recordpb.Transaction{Class: x.Class, Came: unixMs(x.ArrivedAt), LetIn: x.Admitted, Fulfilled: x.Fulfilled}
-	for _, a := range x.Attempts {
-		t.Tries = append(t.Tries, &recordpb.Try{At: unixMs(a.StartedAt), Host: a.Host, Took: a.Duration.Seconds() * 1000,
-			Result: int32(a.Result)})
+// RecordRequest records a request that has ended.
+func (p *ProxyRecorder) RecordRequest(request client.Request) {
+	recorded := &recordpb.Transaction{
+		Class:     request.Class,
+		Came:      unixMs(request.ArrivedAt),
+		LetIn:     request.Admitted,
+		Fulfilled: request.Fulfilled,
 	}
-	p.write(&recordpb.Record{At: unixMs(time.Now()), What: &recordpb.Record_Transaction{Transaction: t}})
+	for _, attempt := range request.Attempts {
+		recorded.Tries = append(recorded.Tries, &recordpb.Try{
+			At:     unixMs(attempt.StartedAt),
+			Host:   attempt.Host,
+			Took:   attempt.Duration.Seconds() * 1000,
+			Result: int32(attempt.Result),
+		})
+	}
+	p.write(&recordpb.Record{At: unixMs(time.Now()), What: &recordpb.Record_Transaction{Transaction: recorded}})
 }
 
-// Applied records that the proxy goes by other tables.
-func (p *Proxy) Applied(tag string) {
+// RecordTables records the table version that the proxy uses from now on.
+func (p *ProxyRecorder) RecordTables(tag string) {
 	p.write(&recordpb.Record{At: unixMs(time.Now()), What: &recordpb.Record_Applied{Applied: tag}})
 }
 
-// Close ends the recording.
-func (p *Proxy) Close() error {
+// Close completes the recording.
+func (p *ProxyRecorder) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.w.Close()
+	return p.writer.Close()
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,18 +1,20 @@
-// Package record writes and reads recordings: every input of a steward with its time, and what it published.
+// Package record writes and reads recordings: the inputs of a controller with their times, and the responses that it
+// published; and the requests and applied table versions of a proxy.
 //
-// Format 2: the eight bytes "BSAIL\x00\x00\x02", then blocks. A block is the four bytes
-// 0xB5 'B' 'L' kind, the length of what follows after compression and its number of records (uint32 each), the
-// time of its first record (float64), the CRC-32C of the compressed bytes, and those: Zstandard over records, each
-// as its length (varint) and its protobuf bytes. All figures are little endian. A recording that was ended cleanly
-// closes with a block of kind 'I', a recordpb.Index, and the offset of that block (uint64) with "BSAILEND". What is
-// torn or damaged is a block, so a reader can name it and go on behind it.
+// Format 2 begins with the eight bytes "BSAIL\x00\x00\x02", followed by blocks. A block consists of the four bytes 0xB5
+// 'B' 'L' kind, the compressed length and the number of records (uint32 each), the time of the first record (float64),
+// the CRC-32C of the compressed bytes, and these: Zstandard-compressed records, each with its length (varint) before
+// its protobuf bytes. All numbers are little endian. A recording that was closed ends with a block of kind 'I', which
+// holds a recordpb.Index, the offset of that block (uint64) and "BSAILEND". If a block is damaged, the reader reports
+// it and continues after it.
 //
-// Format 3 has the same blocks; from it on a proxy's start tells when it shuns hosts and what it repeats.
+// Format 3 has the same blocks. The start record of a proxy tells its ejection settings and idempotent classes.
 //
-// In format 4 sums may carry their sender's stamp and how times spread, and hosts' own load reports are inputs. Stewards of
-// earlier formats took load reports as they came; their replays do so too.
+// In format 4 the stats of a proxy may have the sender's time and latency buckets, and the load reports of hosts are
+// inputs. Controllers of earlier formats applied load reports as they came, and so do their replays.
 //
-// Format 1, still read, has no first bytes and no blocks: each record is its length, its CRC-32C and its bytes.
+// Format 1 can still be read. It has no magic and no blocks: each record consists of its length, its CRC-32C and its
+// protobuf bytes.
 package record
 
 import (
@@ -30,114 +32,119 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// Format is the number of the format written, as recordings' starts tell it.
+// Format is the number of the format that is written. It is stored in start records.
 const Format = 4
 
 const (
-	magic     = "BSAIL\x00\x00\x02"
-	end       = "BSAILEND"
-	headBytes = 24
-	// A block is closed when it holds so many bytes, or earlier by Flush.
-	blockBytes = 256 << 10
-	// A record or block that claims more is damage.
-	mostBytes = 64 << 20
+	magic            = "BSAIL\x00\x00\x02"
+	endMagic         = "BSAILEND"
+	blockMagic       = "\xB5BL"
+	recordsKind      = 'R' // kind of a block of records
+	indexKind        = 'I' // kind of the block with the index
+	blockHeaderBytes = 24
+	// maxBlockBytes is the size from which a block is written without a call of Flush.
+	maxBlockBytes = 256 << 10
+	// maxRecordBytes is the limit of a record's or block's size; a larger size is taken for damage.
+	maxRecordBytes = 64 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Sum is the checksum of a document.
-func Sum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
+// Checksum returns the CRC-32C of a document.
+func Checksum(data []byte) uint32 { return crc32.Checksum(data, castagnoli) }
 
-// Writer writes a recording. It keeps the first error and writes nothing after it.
+// Writer writes a recording. After the first error it writes nothing more and returns that error.
 type Writer struct {
-	out     io.Writer
-	zip     *zstd.Encoder
-	err     error
-	at      int64
-	block   []byte
-	records int
-	first   float64
-	index   recordpb.Index
-	buf     []byte
+	out          io.Writer
+	encoder      *zstd.Encoder
+	err          error
+	offset       int64
+	block        []byte
+	records      int
+	blockStartMs float64
+	index        recordpb.Index
+	buffer       []byte
 }
 
-// NewWriter begins a recording on w.
-func NewWriter(w io.Writer) *Writer {
-	zip, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
-	x := &Writer{out: w, zip: zip, err: err}
-	x.put([]byte(magic))
-	return x
+// NewWriter starts a recording.
+func NewWriter(out io.Writer) *Writer {
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
+	w := &Writer{out: out, encoder: encoder, err: err}
+	w.writeBytes([]byte(magic))
+	return w
 }
 
-func (w *Writer) put(b []byte) {
+func (w *Writer) writeBytes(data []byte) {
 	if w.err != nil {
 		return
 	}
-	n, err := w.out.Write(b)
-	if w.at += int64(n); err != nil {
+	written, err := w.out.Write(data)
+	if w.offset += int64(written); err != nil {
 		w.err = fmt.Errorf("writing the recording: %w", err)
 	}
 }
 
 // Write adds a record.
-func (w *Writer) Write(r *recordpb.Record) error {
+func (w *Writer) Write(record *recordpb.Record) error {
 	if w.err != nil {
 		return w.err
 	}
-	body, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(w.buf[:0], r)
+	body, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(w.buffer[:0], record)
 	if err != nil {
 		w.err = fmt.Errorf("encoding a record: %w", err)
 		return w.err
 	}
-	w.buf = body
+	w.buffer = body
 	if w.records == 0 {
-		w.first = r.At
+		w.blockStartMs = record.At
 	}
 	w.block = append(binary.AppendUvarint(w.block, uint64(len(body))), body...)
-	if w.records++; len(w.block) >= blockBytes {
+	if w.records++; len(w.block) >= maxBlockBytes {
 		return w.Flush()
 	}
 	return nil
 }
 
-// Flush writes the block that is open: what came before is then safe from the end of the process.
+// Flush writes the open block, so that the records before it survive the end of the process.
 func (w *Writer) Flush() error {
 	if w.records > 0 && w.err == nil {
-		w.index.Blocks = append(w.index.Blocks, &recordpb.Block{Offset: w.at, First: w.first, Records: int32(w.records)})
-		w.write('R', w.block, w.records, w.first)
+		block := &recordpb.Block{Offset: w.offset, First: w.blockStartMs, Records: int32(w.records)}
+		w.index.Blocks = append(w.index.Blocks, block)
+		w.writeBlock(recordsKind, w.block, w.records, w.blockStartMs)
 		w.block, w.records = w.block[:0], 0
 	}
 	return w.err
 }
 
-func (w *Writer) write(kind byte, body []byte, records int, first float64) {
-	packed := w.zip.EncodeAll(body, nil)
-	head := make([]byte, 0, headBytes+len(packed))
-	head = append(head, 0xB5, 'B', 'L', kind)
-	head = binary.LittleEndian.AppendUint32(head, uint32(len(packed)))
-	head = binary.LittleEndian.AppendUint32(head, uint32(records))
-	head = binary.LittleEndian.AppendUint64(head, math.Float64bits(first))
-	head = binary.LittleEndian.AppendUint32(head, Sum(packed))
-	w.put(append(head, packed...))
+func (w *Writer) writeBlock(kind byte, body []byte, records int, startMs float64) {
+	compressed := w.encoder.EncodeAll(body, nil)
+	block := make([]byte, 0, blockHeaderBytes+len(compressed))
+	block = append(block, blockMagic...)
+	block = append(block, kind)
+	block = binary.LittleEndian.AppendUint32(block, uint32(len(compressed)))
+	block = binary.LittleEndian.AppendUint32(block, uint32(records))
+	block = binary.LittleEndian.AppendUint64(block, math.Float64bits(startMs))
+	block = binary.LittleEndian.AppendUint32(block, Checksum(compressed))
+	w.writeBytes(append(block, compressed...))
 }
 
-// Close ends the recording with its index. It does not close what it writes to.
+// Close writes the index. It does not close the underlying writer.
 func (w *Writer) Close() error {
-	w.Flush()
-	at := w.at
+	_ = w.Flush() // the error is kept in w.err
+	indexOffset := w.offset
 	body, err := proto.Marshal(&w.index)
 	if err != nil {
 		return fmt.Errorf("encoding the index: %w", err)
 	}
-	w.write('I', body, 0, 0)
-	w.put(append(binary.LittleEndian.AppendUint64(nil, uint64(at)), end...))
+	w.writeBlock(indexKind, body, 0, 0)
+	w.writeBytes(append(binary.LittleEndian.AppendUint64(nil, uint64(indexOffset)), endMagic...))
 	return w.err
 }
 
-// ErrTorn ends a recording whose last part is not whole.
-var ErrTorn = errors.New("the recording ends inside a record")
+// ErrTruncated is the error of a recording that ends inside a record or block.
+var ErrTruncated = errors.New("the recording ends inside a record")
 
-// unzip is shared: decoders are costly to make, and this one is safe for use from any goroutine.
-var unzip = sync.OnceValues(func() (*zstd.Decoder, error) {
-	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(mostBytes))
+// sharedDecoder returns the decoder of all readers: decoders are expensive to create and safe for concurrent use.
+var sharedDecoder = sync.OnceValues(func() (*zstd.Decoder, error) {
+	return zstd.NewReader(nil, zstd.WithDecoderConcurrency(0), zstd.WithDecoderMaxMemory(maxRecordBytes))
 })
--- a/replay/compare.go
+++ b/replay/compare.go
@@ -8,120 +8,154 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Estimate is a figure with the interval in which it lies in 95 of 100 days like this one.
-type Estimate struct{ Value, Low, High float64 }
+// Estimate is a value with its 95% confidence interval.
+type Estimate struct {
+	Value float64 `json:"Value"`
+	Low   float64 `json:"Low"`
+	High  float64 `json:"High"`
+}
 
-// Sure tells whether the figure differs from nothing.
-func (x Estimate) Sure() bool { return x.Low > 0 || x.High < 0 }
+// Significant reports whether the confidence interval excludes 0.
+func (e Estimate) Significant() bool { return e.Low > 0 || e.High < 0 }
 
-// ClassDifference is the service of a class in two replays of a day, as shares of the earnings asked for, and
-// what was recorded.
+// ClassDifference is the service of a request class as recorded and in two replays of a day: the share of the offered
+// priority weight that was served.
 type ClassDifference struct {
-	Class                string
-	Recorded, One, Other float64
-	Difference           Estimate // other less one
+	Class      string   `json:"Class"`
+	Recorded   float64  `json:"Recorded"`
+	Baseline   float64  `json:"One"`
+	Variant    float64  `json:"Other"`
+	Difference Estimate `json:"Difference"` // variant minus baseline
 }
 
-// Comparison of two replays of a day.
+// Comparison is the comparison of two replays of a day.
 type Comparison struct {
-	All      ClassDifference
-	Classes  []ClassDifference
-	Model    Estimate // the first replay less the record: how far the model is off
-	Parted   []Parting
-	Messages [2]int
+	Overall          ClassDifference   `json:"All"`
+	Classes          []ClassDifference `json:"Classes"`
+	ModelError       Estimate          `json:"Model"` // baseline minus recorded: the error of the response-time model
+	DifferingWindows []DifferingWindow `json:"Parted"`
+	Messages         [2]int            `json:"Messages"`
 }
 
-// Parting is a window in which two replays differ.
-type Parting struct{ From, One, Other float64 }
+// DifferingWindow is a window in which the service of two replays differs.
+type DifferingWindow struct {
+	FromMs   float64 `json:"From"`
+	Baseline float64 `json:"One"`
+	Variant  float64 `json:"Other"`
+}
 
-// Bootstrap: blocks of so many windows, since what happens in one lasts into the next, drawn so many times.
+// Parameters of the block bootstrap. A block spans several windows because load and faults last from one window into
+// the next.
 const (
-	blockWindows = 3
-	draws        = 2000
+	bootstrapBlockWindows = 3
+	bootstrapSamples      = 2000
 )
 
-// pairs are earnings of two replays and what was asked for, by window.
-type pairs struct{ asked, one, other []float64 }
+// windowSeries holds the offered priority weight and that served in two replays, by window.
+type windowSeries struct{ offered, baseline, variant []float64 }
 
-func (p *pairs) add(asked, one, other float64) {
-	p.asked, p.one, p.other = append(p.asked, asked), append(p.one, one), append(p.other, other)
+func (s *windowSeries) add(offered, baseline, variant float64) {
+	s.offered = append(s.offered, offered)
+	s.baseline = append(s.baseline, baseline)
+	s.variant = append(s.variant, variant)
 }
 
-func share(earned, asked []float64) float64 {
-	e, a := 0.0, 0.0
-	for i := range asked {
-		e, a = e+earned[i], a+asked[i]
+func servedShare(served, offered []float64) float64 {
+	servedSum, offeredSum := 0.0, 0.0
+	for i := range offered {
+		servedSum, offeredSum = servedSum+served[i], offeredSum+offered[i]
 	}
-	if a == 0 {
+	if offeredSum == 0 {
 		return 1
 	}
-	return e / a
+	return servedSum / offeredSum
 }
 
-// difference is other's service less one's, with an interval by a moving-block bootstrap (Kuensch 1989): blocks of
-// windows are drawn with repeats, the same for both, so that what befell both cancels.
-func (p *pairs) difference(seed uint64) Estimate {
-	n := len(p.asked)
-	e := Estimate{Value: share(p.other, p.asked) - share(p.one, p.asked)}
-	e.Low, e.High = math.Inf(-1), math.Inf(1)
-	if n < 2*blockWindows {
-		return e // too short a day to tell
+// difference returns the variant's service minus the baseline's, with a confidence interval by a moving-block
+// bootstrap (Kuensch 1989). Blocks of windows are drawn with replacement, and each sample takes the same blocks from
+// both replays, so that events which affect both equally cancel out.
+func (s *windowSeries) difference(seed uint64) Estimate {
+	windows := len(s.offered)
+	estimate := Estimate{Value: servedShare(s.variant, s.offered) - servedShare(s.baseline, s.offered)}
+	estimate.Low, estimate.High = math.Inf(-1), math.Inf(1)
+	if windows < 2*bootstrapBlockWindows {
+		return estimate // too few windows for an interval
 	}
-	random, all := rand.New(rand.NewPCG(seed, 1)), make([]float64, draws)
-	for d := range all {
-		asked, gain := 0.0, 0.0
-		for k := 0; k < n; k += blockWindows {
-			at := random.IntN(n - blockWindows + 1)
-			for i := at; i < at+min(blockWindows, n-k); i++ {
-				asked, gain = asked+p.asked[i], gain+p.other[i]-p.one[i]
+	random, differences := rand.New(rand.NewPCG(seed, 1)), make([]float64, bootstrapSamples)
+	for sample := range differences {
+		offered, gain := 0.0, 0.0
+		for drawn := 0; drawn < windows; drawn += bootstrapBlockWindows {
+			start := random.IntN(windows - bootstrapBlockWindows + 1)
+			for i := start; i < start+min(bootstrapBlockWindows, windows-drawn); i++ {
+				offered, gain = offered+s.offered[i], gain+s.variant[i]-s.baseline[i]
 			}
 		}
-		if asked > 0 {
-			all[d] = gain / asked
+		if offered > 0 {
+			differences[sample] = gain / offered
 		}
 	}
-	sort.Float64s(all)
-	e.Low, e.High = stat.Quantile(0.025, stat.Empirical, all, nil), stat.Quantile(0.975, stat.Empirical, all, nil)
-	return e
+	sort.Float64s(differences)
+	estimate.Low = stat.Quantile(0.025, stat.Empirical, differences, nil)
+	estimate.High = stat.Quantile(0.975, stat.Empirical, differences, nil)
+	return estimate
 }
 
-// Compare sets two replays of one day beside each other. They are told apart by seed alone where it matters.
-func Compare(one, other *Outcome, seed uint64) *Comparison {
-	c := &Comparison{Messages: [2]int{one.Messages, other.Messages}}
-	var all, model pairs
-	windows := min(len(one.Windows), len(other.Windows))
+// Compare compares two replays of one day. The seed determines the samples of the bootstrap, which is the only use of
+// random numbers.
+func Compare(baseline, variant *Outcome, seed uint64) *Comparison {
+	comparison := &Comparison{Messages: [2]int{baseline.Messages, variant.Messages}}
+	var overall, model windowSeries
+	windows := min(len(baseline.Windows), len(variant.Windows))
 	recorded := make([]float64, windows)
 	for i := range windows {
-		a, b := one.Windows[i], other.Windows[i]
-		asked, x, y := sum(a.Asked), sum(a.Replayed), sum(b.Replayed)
-		recorded[i] = sum(a.Recorded)
-		all.add(asked, x, y)
-		model.add(asked, recorded[i], x)
-		if asked > 0 && math.Abs(x-y) > partedLeast*asked {
-			c.Parted = append(c.Parted, Parting{one.From + float64(i)*windowLength, x / asked, y / asked})
+		baselineWindow, variantWindow := baseline.Windows[i], variant.Windows[i]
+		offered := sum(baselineWindow.Offered)
+		baselineServed, variantServed := sum(baselineWindow.Replayed), sum(variantWindow.Replayed)
+		recorded[i] = sum(baselineWindow.Recorded)
+		overall.add(offered, baselineServed, variantServed)
+		model.add(offered, recorded[i], baselineServed)
+		if offered > 0 && math.Abs(baselineServed-variantServed) > minReportedDifference*offered {
+			comparison.DifferingWindows = append(comparison.DifferingWindows, DifferingWindow{
+				FromMs:   baseline.FromMs + float64(i)*windowMs,
+				Baseline: baselineServed / offered,
+				Variant:  variantServed / offered,
+			})
 		}
 	}
-	c.All = ClassDifference{"all", share(recorded, all.asked), share(all.one, all.asked), share(all.other, all.asked), all.difference(seed)}
-	c.Model = model.difference(seed)
-	for k, name := range one.Classes {
-		var p pairs
-		was := make([]float64, windows)
+	comparison.Overall = ClassDifference{
+		Class:      "all",
+		Recorded:   servedShare(recorded, overall.offered),
+		Baseline:   servedShare(overall.baseline, overall.offered),
+		Variant:    servedShare(overall.variant, overall.offered),
+		Difference: overall.difference(seed),
+	}
+	comparison.ModelError = model.difference(seed)
+	for class, name := range baseline.Classes {
+		var series windowSeries
+		recordedByClass := make([]float64, windows)
 		for i := range windows {
-			p.add(one.Windows[i].Asked[k], one.Windows[i].Replayed[k], other.Windows[i].Replayed[k])
-			was[i] = one.Windows[i].Recorded[k]
+			series.add(baseline.Windows[i].Offered[class], baseline.Windows[i].Replayed[class],
+				variant.Windows[i].Replayed[class])
+			recordedByClass[i] = baseline.Windows[i].Recorded[class]
 		}
-		c.Classes = append(c.Classes, ClassDifference{name, share(was, p.asked), share(p.one, p.asked), share(p.other, p.asked), p.difference(seed)})
+		comparison.Classes = append(comparison.Classes, ClassDifference{
+			Class:      name,
+			Recorded:   servedShare(recordedByClass, series.offered),
+			Baseline:   servedShare(series.baseline, series.offered),
+			Variant:    servedShare(series.variant, series.offered),
+			Difference: series.difference(seed),
+		})
 	}
-	return c
+	return comparison
 }
 
-// partedLeast is a difference in a window's service that is worth telling.
-const partedLeast = 0.02
+// minReportedDifference is the least difference in a window's service that is reported.
+const minReportedDifference = 0.02
 
-func sum(all []float64) float64 {
-	s := 0.0
-	for _, x := range all {
-		s += x
+func sum(values []float64) float64 {
+	total := 0.0
+	for _, value := range values {
+		total += value
 	}
-	return s
+	return total
 }
--- a/replay/response/fit.go
+++ b/replay/response/fit.go
@@ -5,182 +5,189 @@
 	"sort"
 )
 
-// summary is what a pass leaves of a host's windows.
-type summary struct {
-	ratios   sample         // of the windows, in the first pass; of what did not wait, in the second
-	quiet    thinned[quiet] // windows with a report of the busy part
-	busiest  float64        // work of a window
-	straight int            // tries that did not wait
-	full     sample         // how many waited when a living host refused a try
+// hostSummary is what a pass collects from the windows of a host. The ratios are those of the windows to the base time:
+// of the mean latency in the pass before FitCores, of the mean unqueued service time in that before FitServiceTimes.
+type hostSummary struct {
+	ratios                  sample
+	lowLoad                 boundedSample[lowLoadWindow] // windows with reported utilization
+	maxLoad                 float64                      // largest base time of a window's attempts per time
+	unqueuedAttempts        int                          // attempts that did not wait
+	queueLengthsAtRejection sample                       // queue lengths when the host, while healthy, rejected an attempt
 }
 
-// quiet is a window's mean time against the usual, its tries in hand, and the busy part reported.
-type quiet struct{ ratio, inHand, busy float64 }
+// lowLoadWindow is a window's mean latency relative to the base time, the mean number of attempts in progress, and the
+// reported utilization.
+type lowLoadWindow struct{ latencyRatio, concurrency, utilization float64 }
 
-// thinned keeps a bounded, evenly thinned part of a stream: every k-th item, k doubling when it is full.
-type thinned[T any] struct {
-	all         []T
-	every, seen int
+// boundedSample keeps a bounded part of a stream: every nth value, where n doubles whenever the sample is full.
+type boundedSample[T any] struct {
+	values         []T
+	interval, seen int
 }
 
-const thinnedMost = 4096
+const maxSampleSize = 4096
 
-func (s *thinned[T]) add(x T) {
-	if s.every == 0 {
-		s.every = 1
+func (s *boundedSample[T]) add(value T) {
+	if s.interval == 0 {
+		s.interval = 1
 	}
-	if s.seen++; s.seen%s.every != 0 {
+	if s.seen++; s.seen%s.interval != 0 {
 		return
 	}
-	if s.all = append(s.all, x); len(s.all) == thinnedMost {
-		half := s.all[:0]
-		for i := 1; i < thinnedMost; i += 2 {
-			half = append(half, s.all[i])
+	if s.values = append(s.values, value); len(s.values) == maxSampleSize {
+		half := s.values[:0]
+		for i := 1; i < maxSampleSize; i += 2 {
+			half = append(half, s.values[i])
 		}
-		s.all, s.every = half, 2*s.every
+		s.values, s.interval = half, 2*s.interval
 	}
 }
 
-// sample of figures.
-type sample struct{ thinned[float64] }
+// sample is a bounded sample of numbers.
+type sample struct{ boundedSample[float64] }
 
-// part gives the figure under which so much of the sample lies.
-func (s *sample) part(p float64) float64 {
-	if len(s.all) == 0 {
+// quantile returns a quantile of the sample, 0 if it is empty.
+func (s *sample) quantile(p float64) float64 {
+	if len(s.values) == 0 {
 		return 0
 	}
-	sorted := append([]float64(nil), s.all...)
+	sorted := append([]float64(nil), s.values...)
 	sort.Float64s(sorted)
 	return sorted[min(int(p*float64(len(sorted))), len(sorted)-1)]
 }
 
-// fit takes a window in that is settled, in the pass before Fit.
-func (x *summary) fit(c *cell) {
-	x.busiest = math.Max(x.busiest, c.work/window)
-	if c.good == 0 {
+// addWindowForCores adds a closed window, in the pass before FitCores.
+func (s *hostSummary) addWindowForCores(window *windowStats) {
+	s.maxLoad = math.Max(s.maxLoad, window.baseTimeSum/windowMs)
+	if window.succeeded == 0 {
 		return
 	}
-	ratio := c.ratios / float64(c.good)
-	x.ratios.add(ratio)
-	if c.failed == 0 && c.util >= 0 {
-		x.quiet.add(quiet{ratio, c.took / window, c.util})
+	ratio := window.latencyRatioSum / float64(window.succeeded)
+	s.ratios.add(ratio)
+	if window.failed == 0 && window.utilization >= 0 {
+		s.lowLoad.add(lowLoadWindow{ratio, window.latencySum / windowMs, window.utilization})
 	}
 }
 
-// Fit works out each host's cores, and roughly its speed. Its cores are as the list states them; where nothing is
-// stated, the tries in hand, by their times (Little's law), over the part of them that it reported as busy, in windows
-// where few waited; without such as many as its busiest window needs. It is as fast as its tries are on average in its
-// quicker windows, where few wait, until FitWork knows better.
-func (m *Model) Fit() {
-	m.next(fittingWork)
-	for host, x := range m.sums {
-		h := Host{Speed: 1, Cores: 1}
-		if len(x.ratios.all) > 0 {
-			h.Learned, h.Speed = true, math.Max(x.ratios.part(0.25), 0.05)
+// FitCores fits each host's cores, and roughly its service time factor. The cores are the listed ones. For a host
+// without, they are the mean number of attempts in progress (Little's law) over the reported utilization, in windows
+// with little waiting; without such windows, as many as the window with the largest load needs. The service time factor
+// is the latency of the faster windows, which have little waiting, until FitServiceTimes improves it.
+func (m *Model) FitCores() {
+	m.endPass(serviceTimesPass)
+	for host, summary := range m.summaries {
+		parameters := HostParameters{ServiceTimeFactor: 1, Cores: 1}
+		if len(summary.ratios.values) > 0 {
+			parameters.Observed = true
+			parameters.ServiceTimeFactor = math.Max(summary.ratios.quantile(0.25), minServiceTimeFactor)
 		}
-		cores := x.busiest * h.Speed
-		if inHand, busy := x.inQuiet(h.Speed); busy > 0 {
-			cores = inHand / busy
+		cores := summary.maxLoad * parameters.ServiceTimeFactor
+		if concurrency, utilization := summary.lowLoadSums(parameters.ServiceTimeFactor); utilization > 0 {
+			cores = concurrency / utilization
 		}
-		if stated, ok := m.stated[host]; ok {
-			cores = stated.cores
+		if capacity, ok := m.listed[host]; ok {
+			cores = capacity.cores
 		}
-		h.Cores = min(max(int(math.Round(cores)), 1), 1024)
-		m.hosts[host] = h
+		parameters.Cores = min(max(int(math.Round(cores)), 1), maxCores)
+		m.parameters[host] = parameters
 	}
-	m.quickened()
-	m.sums = map[string]*summary{}
+	m.correctCongestedHosts()
+	m.summaries = map[string]*hostSummary{}
 }
 
-// inQuiet sums tries in hand and the busy part of the cores over windows where tries took about as long as usual.
-// They are chosen by that and not by the busy part: it is a noisy figure, and the low ones of it would be chosen.
-func (x *summary) inQuiet(speed float64) (inHand, busy float64) {
-	for _, q := range x.quiet.all {
-		if q.ratio < quietMost*speed {
-			inHand, busy = inHand+q.inHand, busy+q.busy
+// lowLoadSums sums the attempts in progress and the utilization over windows in which attempts took about the base
+// time. The windows are selected by latency rather than by utilization: the reported utilization is noisy, and a
+// selection of low values would bias the sum.
+func (s *hostSummary) lowLoadSums(serviceTimeFactor float64) (concurrency, utilization float64) {
+	for _, window := range s.lowLoad.values {
+		if window.latencyRatio < maxLowLoadLatencyRatio*serviceTimeFactor {
+			concurrency, utilization = concurrency+window.concurrency, utilization+window.utilization
 		}
 	}
-	return inHand, busy
+	return concurrency, utilization
 }
 
-// quietMost is how many times as long as usual tries take in a quiet window at most.
-const quietMost = 1.25
-
-// quickened takes hosts at which tries wait even in the quicker windows to be as fast as the others are for what the
-// list states of them.
-func (m *Model) quickened() {
-	told := m.statedTime(0.25, nil) // waiting makes it longer only
-	for host, x := range m.stated {
-		if h := m.hosts[host]; h.Learned && told > 0 {
-			h.Speed = math.Min(h.Speed, told/x.speed)
-			m.hosts[host] = h
+// maxLowLoadLatencyRatio is the largest latency of a window with little waiting, relative to the unqueued one.
+const maxLowLoadLatencyRatio = 1.25
+
+// correctCongestedHosts lowers the service time factor of hosts whose attempts wait even in the faster windows to that
+// of the other hosts, scaled by the listed speeds.
+func (m *Model) correctCongestedHosts() {
+	listedFactor := m.listedServiceTimeFactor(0.25, nil) // a low quantile, as waiting only makes latencies longer
+	for host, capacity := range m.listed {
+		if parameters := m.parameters[host]; parameters.Observed && listedFactor > 0 {
+			parameters.ServiceTimeFactor = math.Min(parameters.ServiceTimeFactor, listedFactor/capacity.speed)
+			m.parameters[host] = parameters
 		}
 	}
 }
 
-// statedTime gives the time that a class's usual try takes at a stated speed of 1, under which a part of the hosts lie
-// that are not left out; 0: none tells.
-func (m *Model) statedTime(part float64, out map[string]bool) float64 {
-	var all []float64
-	for host, x := range m.stated {
-		if h := m.hosts[host]; h.Learned && !out[host] {
-			all = append(all, h.Speed*x.speed)
+// listedServiceTimeFactor returns a quantile, over the hosts that are not excluded, of the service time factor scaled to a
+// listed speed of 1; 0 if no host has one.
+func (m *Model) listedServiceTimeFactor(quantile float64, excluded map[string]bool) float64 {
+	var factors []float64
+	for host, capacity := range m.listed {
+		if parameters := m.parameters[host]; parameters.Observed && !excluded[host] {
+			factors = append(factors, parameters.ServiceTimeFactor*capacity.speed)
 		}
 	}
-	if sort.Float64s(all); len(all) > 0 {
-		return all[int(part*float64(len(all)))]
+	if sort.Float64s(factors); len(factors) > 0 {
+		return factors[int(quantile*float64(len(factors)))]
 	}
 	return 0
 }
 
-// refused notes how many waited when a host refused a try.
-func (m *Model) refused(host string, at float64, waited int) {
-	if m.pass != fittingWork || waited <= 0 {
+// observeRejection adds the queue length of a host that rejected an attempt.
+func (m *Model) observeRejection(host string, atMs float64, queueLength int) {
+	if m.pass != serviceTimesPass || queueLength <= 0 {
 		return
 	}
-	if s, _, _ := m.at(host, at); s != alive {
+	if state, _, _ := m.stateAt(host, atMs); state != healthy {
 		return
 	}
-	m.sum(host).full.add(float64(waited))
+	m.summary(host).queueLengthsAtRejection.add(float64(queueLength))
 }
 
-// fitWork takes a window in that is settled, in the pass before FitWork.
-func (x *summary) fitWork(c *cell) {
-	if c.straight.done >= slowLeast && c.state() == alive {
-		x.ratios.add(c.straight.ratio())
-		x.straight += c.straight.done
+// addWindowForServiceTimes adds a closed window, in the pass before FitServiceTimes.
+func (s *hostSummary) addWindowForServiceTimes(window *windowStats) {
+	if window.unqueued.completed >= minSlowdownAttempts && window.state() == healthy {
+		s.ratios.add(window.unqueued.meanRatio())
+		s.unqueuedAttempts += window.unqueued.completed
 	}
 }
 
-// FitWork works out each host's speed, and by how much it was slower in each window, from what its tries worked; from
-// those that did not wait, where there are any, since of them it is sure. A try that was given up counts by the time
-// it had worked, and not as one that was done: so the mean is right where the slow ones are those that are cut off
-// (the estimate of a rate under censoring). The speed is that of the middle window. Hosts that were never at work, or
-// where tries waited all day, are taken to be as the others are for what the list states.
-func (m *Model) FitWork() {
-	m.next(asking)
-	unsure := map[string]bool{}
-	for host, h := range m.hosts {
-		x := m.sum(host)
-		h.Full = int(x.full.part(0.5))
-		if unsure[host] = x.straight < speedLeast; !unsure[host] {
-			h.Speed = math.Max(x.ratios.part(0.5), 0.05)
+// FitServiceTimes fits each host's service time factor, and its slowdown in each window, to the service times of its
+// attempts: those of attempts that did not wait, where there are any, since they are certain. An attempt that was given
+// up adds the time for which it was served but does not count as completed, so the mean is unbiased if slow attempts
+// are cut off (the estimate of a rate from censored observations). The service time factor is the median of the
+// windows. Hosts without attempts, or whose attempts always waited, are assumed to be like the others, scaled by the
+// listed speed.
+func (m *Model) FitServiceTimes() {
+	m.endPass(queryPass)
+	uncertain := map[string]bool{}
+	for host, parameters := range m.parameters {
+		summary := m.summary(host)
+		parameters.QueueLimit = int(summary.queueLengthsAtRejection.quantile(0.5))
+		if uncertain[host] = summary.unqueuedAttempts < minServiceTimeAttempts; !uncertain[host] {
+			parameters.ServiceTimeFactor = math.Max(summary.ratios.quantile(0.5), minServiceTimeFactor)
 		}
-		m.hosts[host] = h
-	}
-	told := m.statedTime(0.5, unsure)
-	for host, x := range m.stated {
-		if h := m.hosts[host]; (!h.Learned || unsure[host]) && told > 0 {
-			h.Speed, h.Cores = told/x.speed, max(int(math.Round(x.cores)), 1)
-			m.hosts[host] = h
+		m.parameters[host] = parameters
+	}
+	listedFactor := m.listedServiceTimeFactor(0.5, uncertain)
+	for host, capacity := range m.listed {
+		if parameters := m.parameters[host]; (!parameters.Observed || uncertain[host]) && listedFactor > 0 {
+			parameters.ServiceTimeFactor = listedFactor / capacity.speed
+			parameters.Cores = max(int(math.Round(capacity.cores)), 1)
+			m.parameters[host] = parameters
 		}
 	}
-	m.sums = map[string]*summary{}
+	m.summaries = map[string]*hostSummary{}
 }
 
-// So many tries that did not wait tell how slow a host is in a window, and how fast it is at all.
 const (
-	slowLeast  = 2
-	speedLeast = 20
-	unsureAs   = 8 // what was last seen counts as so many that waited
+	minSlowdownAttempts    = 2  // unqueued attempts from which the slowdown of a window is known
+	minServiceTimeAttempts = 20 // unqueued attempts from which the service time factor of a host is known
+	lastSlowdownWeight     = 8  // of the last known slowdown, as a number of attempts that waited
+	minServiceTimeFactor   = 0.05
+	maxCores               = 1024
 )
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -12,272 +12,296 @@
 	"barleysail/routing"
 )
 
-// Moment of a day that is worth telling: a change of mode, a list, a join or a leave of many.
-type Moment struct {
-	At   float64
-	Text string
+// Event is a notable event of a day: a change of mode or of the endpoint list.
+type Event struct {
+	AtMs float64 `json:"At"`
+	Text string  `json:"Text"`
 }
 
-// Span is a stretch of a day in figures.
-type Span struct {
-	From                    float64
-	Came, Unanswered        int64 // as proxies told
-	Tries, Failed           int64
-	Messages                int // wholes and deltas that left
-	Joined, Left            int
-	ProbesFine, ProbesOther int
+// Interval holds the counts of an interval of a day.
+type Interval struct {
+	FromMs          float64 `json:"From"`
+	Arrivals        int64   `json:"Came"`       // as reported by the proxies
+	NoResponse      int64   `json:"Unanswered"` // as reported by the proxies
+	Attempts        int64   `json:"Tries"`
+	Failed          int64   `json:"Failed"`
+	Messages        int     `json:"Messages"` // snapshots and deltas sent
+	Connects        int     `json:"Joined"`
+	Disconnects     int     `json:"Left"`
+	HealthyChecks   int     `json:"ProbesFine"`
+	UnhealthyChecks int     `json:"ProbesOther"`
 }
 
-// Summary of a day.
+// Summary is a summary of a day.
 type Summary struct {
-	Start    *recordpb.Start
-	From, To float64
-	Records  int
-	Proxies  int // the most that were joined at once
-	Hosts    int // the most that were listed at once
-	Spans    []Span
-	Moments  []Moment
-	Lost     int   // moments that were not kept
-	End      error // nil at a clean end
+	Start         *recordpb.Start `json:"Start"`
+	FromMs        float64         `json:"From"`
+	ToMs          float64         `json:"To"`
+	Records       int             `json:"Records"`
+	MaxProxies    int             `json:"Proxies"` // largest number of connected proxies
+	MaxHosts      int             `json:"Hosts"`   // largest number of listed hosts
+	Intervals     []Interval      `json:"Spans"`
+	Events        []Event         `json:"Moments"`
+	OmittedEvents int             `json:"Lost"` // beyond the limit
+	ReadErr       error           `json:"End"`  // nil: the recording ended cleanly
 }
 
-// bounds of what a summary keeps, so that it does not grow with the day: spans are widened, moments left out.
+// Limits of a summary's size: intervals are merged, and further events are only counted.
 const (
-	spansKept   = 120
-	momentsKept = 500
-	firstSpan   = 1000.0
+	maxIntervals      = 120
+	maxEvents         = 500
+	initialIntervalMs = 1000.0
 )
 
-// Summarize tells what happened in a day. It is replayed, since changes of mode are not recorded but follow.
-func Summarize(next Next, build Make) (*Summary, error) {
-	z := &summarizer{Summary: &Summary{}, width: firstSpan, joined: map[string]bool{}, out: &replayer{}}
-	z.out.lines = func(text string) { z.moment(text) }
+// Summarize summarizes a recording. It replays the recording, since changes of mode are not recorded.
+func Summarize(next NextFunc, newController ControllerFactory) (*Summary, error) {
+	s := &summarizer{
+		Summary:    &Summary{},
+		intervalMs: initialIntervalMs,
+		connected:  map[string]bool{},
+		outputs:    &outputCollector{},
+	}
+	s.outputs.log = func(text string) { s.addEvent(text) }
 	for {
-		r, err := next()
+		entry, err := next()
 		if errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
-			z.End = err
+			s.ReadErr = err
 			break
 		}
-		if start := r.GetStart(); start != nil {
-			if z.steward, err = build(start); err != nil {
+		if start := entry.GetStart(); start != nil {
+			if s.controller, err = newController(start); err != nil {
 				return nil, err
 			}
-			z.Start, z.From = start, r.At
+			s.Start, s.FromMs = start, entry.At
 		}
-		if z.steward == nil {
+		if s.controller == nil {
 			return nil, errNoStart
 		}
-		z.take(r)
-		if err := record.Feed(z.steward, r, z.out); err != nil {
+		s.count(entry)
+		if err := record.Apply(s.controller, entry, s.outputs); err != nil {
 			return nil, err
 		}
-		z.out.waiting = z.out.waiting[:0]
+		s.outputs.responses = s.outputs.responses[:0]
 	}
-	if z.steward == nil {
+	if s.controller == nil {
 		return nil, errNoStart
 	}
-	return z.Summary, nil
+	return s.Summary, nil
 }
 
 type summarizer struct {
 	*Summary
-	steward *controller.Controller
-	out     *replayer
-	width   float64
-	joined  map[string]bool
-	now     float64
+	controller *controller.Controller
+	outputs    *outputCollector
+	intervalMs float64
+	connected  map[string]bool
+	nowMs      float64
 }
 
-func (z *summarizer) moment(text string) {
-	if len(z.Moments) < momentsKept {
-		z.Moments = append(z.Moments, Moment{z.now, text})
+func (s *summarizer) addEvent(text string) {
+	if len(s.Events) < maxEvents {
+		s.Events = append(s.Events, Event{s.nowMs, text})
 	} else {
-		z.Lost++
+		s.OmittedEvents++
 	}
 }
 
-// span gives the span of the present time; when there are too many, two become one.
-func (z *summarizer) span() *Span {
-	for i := int((z.now - z.From) / z.width); ; i = int((z.now - z.From) / z.width) {
-		if i >= spansKept {
-			z.widen()
+// currentInterval returns the interval of the current time, and merges intervals when there are too many.
+func (s *summarizer) currentInterval() *Interval {
+	for i := int((s.nowMs - s.FromMs) / s.intervalMs); ; i = int((s.nowMs - s.FromMs) / s.intervalMs) {
+		if i >= maxIntervals {
+			s.mergeIntervals()
 			continue
 		}
-		for len(z.Spans) <= i {
-			z.Spans = append(z.Spans, Span{From: z.From + float64(len(z.Spans))*z.width})
+		for len(s.Intervals) <= i {
+			s.Intervals = append(s.Intervals, Interval{FromMs: s.FromMs + float64(len(s.Intervals))*s.intervalMs})
 		}
-		return &z.Spans[max(i, 0)]
+		return &s.Intervals[max(i, 0)]
 	}
 }
 
-func (z *summarizer) widen() {
-	z.width *= 2
-	half := z.Spans[:0:0]
-	for i, s := range z.Spans {
+func (s *summarizer) mergeIntervals() {
+	s.intervalMs *= 2
+	merged := s.Intervals[:0:0]
+	for i, interval := range s.Intervals {
 		if i%2 == 0 {
-			half = append(half, s)
+			merged = append(merged, interval)
 			continue
 		}
-		h := &half[len(half)-1]
-		h.Came, h.Unanswered, h.Tries, h.Failed = h.Came+s.Came, h.Unanswered+s.Unanswered, h.Tries+s.Tries, h.Failed+s.Failed
-		h.Messages, h.Joined, h.Left = h.Messages+s.Messages, h.Joined+s.Joined, h.Left+s.Left
-		h.ProbesFine, h.ProbesOther = h.ProbesFine+s.ProbesFine, h.ProbesOther+s.ProbesOther
+		last := &merged[len(merged)-1]
+		last.Arrivals += interval.Arrivals
+		last.NoResponse += interval.NoResponse
+		last.Attempts += interval.Attempts
+		last.Failed += interval.Failed
+		last.Messages += interval.Messages
+		last.Connects += interval.Connects
+		last.Disconnects += interval.Disconnects
+		last.HealthyChecks += interval.HealthyChecks
+		last.UnhealthyChecks += interval.UnhealthyChecks
 	}
-	z.Spans = half
+	s.Intervals = merged
 }
 
-func (z *summarizer) take(r *recordpb.Record) {
-	z.now, z.To = r.At, r.At
-	z.Records++
-	s := z.span()
-	switch x := r.What.(type) {
+func (s *summarizer) count(entry *recordpb.Record) {
+	s.nowMs, s.ToMs = entry.At, entry.At
+	s.Records++
+	interval := s.currentInterval()
+	switch what := entry.What.(type) {
 	case *recordpb.Record_Listed:
-		z.Hosts = max(z.Hosts, len(x.Listed.Hosts))
-		_, text, _ := strings.Cut(Describe(r), "  ")
-		z.moment(text)
+		s.MaxHosts = max(s.MaxHosts, len(what.Listed.Hosts))
+		_, text, _ := strings.Cut(DescribeRecord(entry), "  ")
+		s.addEvent(text)
 	case *recordpb.Record_ListFailed:
-		z.moment("the list could not be had")
+		s.addEvent("endpoint list not available")
 	case *recordpb.Record_Poll:
-		if !z.joined[x.Poll.Proxy] {
-			z.joined[x.Poll.Proxy] = true
-			s.Joined++
-			z.Proxies = max(z.Proxies, len(z.joined))
+		if !s.connected[what.Poll.Proxy] {
+			s.connected[what.Poll.Proxy] = true
+			interval.Connects++
+			s.MaxProxies = max(s.MaxProxies, len(s.connected))
 		}
 	case *recordpb.Record_Leave:
-		if z.joined[x.Leave] {
-			delete(z.joined, x.Leave)
-			s.Left++
+		if s.connected[what.Leave] {
+			delete(s.connected, what.Leave)
+			interval.Disconnects++
 		}
 	case *recordpb.Record_Sums:
-		for _, h := range x.Sums.Hosts {
-			s.Tries, s.Failed = s.Tries+h.Tries, s.Failed+h.Failed
+		for _, host := range what.Sums.Hosts {
+			interval.Attempts, interval.Failed = interval.Attempts+host.Tries, interval.Failed+host.Failed
 		}
-		for _, u := range x.Sums.Usage {
-			s.Came, s.Unanswered = s.Came+u.Came, s.Unanswered+u.Unanswered
+		for _, usage := range what.Sums.Usage {
+			interval.Arrivals, interval.NoResponse = interval.Arrivals+usage.Came, interval.NoResponse+usage.Unanswered
 		}
 	case *recordpb.Record_Probed:
-		if routing.HealthCheckResult(x.Probed.Outcome) == routing.Healthy {
-			s.ProbesFine++
+		if routing.HealthCheckResult(what.Probed.Outcome) == routing.Healthy {
+			interval.HealthyChecks++
 		} else {
-			s.ProbesOther++
+			interval.UnhealthyChecks++
 		}
 	case *recordpb.Record_Published:
-		if controller.ResponseKind(x.Published.Kind) != controller.NotModified {
-			s.Messages++
+		if controller.ResponseKind(what.Published.Kind) != controller.NotModified {
+			interval.Messages++
 		}
 	}
 }
 
-// Cut gives a part of a day as a day of its own: the list and the proxies that were joined when it begins, then
-// its inputs, with the answers that the library now gives. What was learned before the part is not in it, so its
-// answers may differ from the day's; replayed again they come out the same.
-func Cut(next Next, build Make, from, to float64, emit func(*recordpb.Record) error) error {
-	c := &cutter{proxies: map[string]*recordpb.Record{}, out: &replayer{}, emit: emit, build: build, from: from}
+// Cut extracts a part of a recording as a recording of its own: the endpoint list and the connected proxies at its
+// beginning, then its inputs, with the responses that the controller now gives. The new recording lacks what the
+// controller learned before that time, so its responses may differ from the original ones. Its own replay is identical.
+func Cut(
+	next NextFunc, newController ControllerFactory, fromMs, toMs float64, emit func(*recordpb.Record) error,
+) error {
+	c := &cutter{
+		lastPolls:     map[string]*recordpb.Record{},
+		outputs:       &outputCollector{},
+		emit:          emit,
+		newController: newController,
+		fromMs:        fromMs,
+	}
 	for {
-		r, err := next()
-		if errors.Is(err, io.EOF) || err == nil && r.At > to {
+		entry, err := next()
+		if errors.Is(err, io.EOF) || err == nil && entry.At > toMs {
 			break
-		} else if err != nil && c.steward == nil {
+		} else if err != nil && c.controller == nil {
 			return err
 		} else if err != nil {
-			break // a torn end: what is there is used
+			break // a truncated end: the records before it are used
 		}
-		if err := c.take(r); err != nil {
+		if err := c.process(entry); err != nil {
 			return err
 		}
 	}
-	if c.steward == nil {
-		return errors.New("the day has nothing from that time on")
+	if c.controller == nil {
+		return errors.New("the recording ends before that time")
 	}
 	return nil
 }
 
 type cutter struct {
-	start, list *recordpb.Record
-	proxies     map[string]*recordpb.Record // the last poll of each joined proxy
-	steward     *controller.Controller
-	out         *replayer
-	emit        func(*recordpb.Record) error
-	build       Make
-	from        float64
+	start, endpoints *recordpb.Record
+	lastPolls        map[string]*recordpb.Record // last poll of each connected proxy
+	controller       *controller.Controller
+	outputs          *outputCollector
+	emit             func(*recordpb.Record) error
+	newController    ControllerFactory
+	fromMs           float64
 }
 
-func (c *cutter) take(r *recordpb.Record) error {
-	if r.GetPublished() != nil {
-		return nil // made anew
+func (c *cutter) process(entry *recordpb.Record) error {
+	if entry.GetPublished() != nil {
+		return nil // published again by the new controller
 	}
-	if c.steward == nil && r.At < c.from {
-		switch x := r.What.(type) {
+	if c.controller == nil && entry.At < c.fromMs {
+		switch what := entry.What.(type) {
 		case *recordpb.Record_Start:
-			c.start = r
+			c.start = entry
 		case *recordpb.Record_Listed:
-			c.list = r
+			c.endpoints = entry
 		case *recordpb.Record_Poll:
-			c.proxies[x.Poll.Proxy] = r
+			c.lastPolls[what.Poll.Proxy] = entry
 		case *recordpb.Record_Leave:
-			delete(c.proxies, x.Leave)
+			delete(c.lastPolls, what.Leave)
 		}
 		return nil
 	}
-	if c.steward == nil {
-		if err := c.begin(r); err != nil {
+	if c.controller == nil {
+		if err := c.startController(entry); err != nil {
 			return err
 		}
 	}
-	if r.GetStart() != nil {
+	if entry.GetStart() != nil {
 		return nil
 	}
-	return c.feed(r)
+	return c.apply(entry)
 }
 
-// begin makes the steward as it stands when the part begins.
-func (c *cutter) begin(r *recordpb.Record) (err error) {
-	if r.GetStart() != nil {
-		c.start = r
+// startController starts the controller, with the endpoint list and the proxies at the beginning of the part.
+func (c *cutter) startController(first *recordpb.Record) (err error) {
+	if first.GetStart() != nil {
+		c.start = first
 	}
 	if c.start == nil {
 		return errNoStart
 	}
-	if c.steward, err = c.build(c.start.GetStart()); err != nil {
+	if c.controller, err = c.newController(c.start.GetStart()); err != nil {
 		return err
 	}
-	at := r.At
-	if err := c.emit(&recordpb.Record{At: at, What: c.start.What}); err != nil {
+	atMs := first.At
+	if err := c.emit(&recordpb.Record{At: atMs, What: c.start.What}); err != nil {
 		return err
 	}
-	if c.list != nil {
-		if err := c.feed(&recordpb.Record{At: at, What: c.list.What}); err != nil {
+	if c.endpoints != nil {
+		if err := c.apply(&recordpb.Record{At: atMs, What: c.endpoints.What}); err != nil {
 			return err
 		}
 	}
 	var names []string
-	for name := range c.proxies {
+	for name := range c.lastPolls {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		if err := c.feed(&recordpb.Record{At: at, What: c.proxies[name].What}); err != nil {
+		if err := c.apply(&recordpb.Record{At: atMs, What: c.lastPolls[name].What}); err != nil {
 			return err
 		}
 	}
-	return c.feed(record.Advance(at))
+	return c.apply(record.Advance(atMs))
 }
 
-// feed gives an input to the steward, and passes it and what is answered on.
-func (c *cutter) feed(r *recordpb.Record) error {
-	if err := record.Feed(c.steward, r, c.out); err != nil {
+// apply passes an input to the controller, and emits it and the responses.
+func (c *cutter) apply(entry *recordpb.Record) error {
+	if err := record.Apply(c.controller, entry, c.outputs); err != nil {
 		return err
 	}
-	if err := c.emit(r); err != nil {
+	if err := c.emit(entry); err != nil {
 		return err
 	}
-	for _, a := range c.out.waiting {
-		if err := c.emit(record.Published(r.At, a.poll, a.Response)); err != nil {
+	for _, response := range c.outputs.responses {
+		if err := c.emit(record.Response(entry.At, response.pollID, response.Response)); err != nil {
 			return err
 		}
 	}
-	c.out.waiting = c.out.waiting[:0]
+	c.outputs.responses = c.outputs.responses[:0]
 	return nil
 }
