--- a/cmd/barleysail/recordings_test.go
+++ b/cmd/barleysail/recordings_test.go
@@ -72,7 +72,7 @@
 		{"check", []string{"recordings", "check", controller, proxy}, 0, []string{"controller.day: ", " records, whole"}},
 		{"check a torn one", []string{"recordings", "check", torn}, 1, []string{"1 of 1 recordings are damaged"}},
 		{"show", []string{"recordings", "show", controller}, 0,
-			[]string{"1 proxies joined and 2 hosts listed", "endpoint list: 2 hosts"}},
+			[]string{"1 proxies joined and 2 hosts listed", "the list: 2 hosts"}},
 		{"show as JSON", []string{"recordings", "show", controller, "--json"}, 0, []string{`"Hosts": 2`}},
 		{"show a missing one", []string{"recordings", "show", controller + "x"}, 1, []string{"no such file"}},
 		{"cut", append(cut, "-o", part), 0, []string{"part.day: ", " records\n"}},
--- a/replay/describe.go
+++ b/replay/describe.go
@@ -23,9 +23,9 @@
 				draining++
 			}
 		}
-		return time + fmt.Sprintf("endpoint list: %d hosts, %d draining", len(what.Listed.Hosts), draining)
+		return time + fmt.Sprintf("the list: %d hosts, %d draining", len(what.Listed.Hosts), draining)
 	case *recordpb.Record_ListFailed:
-		return time + "endpoint list not available"
+		return time + "the list could not be had"
 	case *recordpb.Record_Poll:
 		return time + fmt.Sprintf("%s polls with tags [%s]", what.Poll.Proxy, strings.Join(what.Poll.Tags, ", "))
 	case *recordpb.Record_PollGone:
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -154,7 +154,7 @@
 		_, text, _ := strings.Cut(DescribeRecord(entry), "  ")
 		s.addEvent(text)
 	case *recordpb.Record_ListFailed:
-		s.addEvent("endpoint list not available")
+		s.addEvent("the list could not be had")
 	case *recordpb.Record_Poll:
 		if !s.connected[what.Poll.Proxy] {
 			s.connected[what.Poll.Proxy] = true
