--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -13,7 +13,7 @@
 	earliestMs := float64(before.UnixMicro()) / 1000
 	latestMs := float64(after.UnixMicro())/1000 + 1 // the wall clock may be adjusted in between
 	if nowMs < earliestMs-1 || nowMs > latestMs {
-		t.Errorf("%f is not within %f and %f", nowMs, earliestMs, latestMs)
+		t.Errorf("Now() = %f, want from %f to %f", nowMs, earliestMs-1, latestMs)
 	}
 }
 
@@ -25,13 +25,13 @@
 	for range 1000 {
 		nowMs := clock.Now()
 		if nowMs < previousMs {
-			t.Fatalf("went back from %f to %f", previousMs, nowMs)
+			t.Fatalf("Now() = %f, want at least the previous %f", nowMs, previousMs)
 		}
 		previousMs = nowMs
 	}
 	const sleep = 2 * time.Millisecond
 	time.Sleep(sleep)
 	if elapsedMs := clock.Now() - firstMs; elapsedMs < float64(sleep.Milliseconds())-0.01 {
-		t.Errorf("%f ms passed during a sleep of %v", elapsedMs, sleep)
+		t.Errorf("Now() advanced by %f ms during a sleep of %v, want at least that", elapsedMs, sleep)
 	}
 }
