--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -34,7 +34,7 @@
 // checkTrace compares the trace with the golden file of the test.
 func (h *harness) checkTrace() {
 	h.t.Helper()
-	golden.Trace(h.t, h.trace.String())
+	golden.CompareForTest(h.t, h.trace.String())
 }
 
 // Respond implements Effects.
--- a/internal/daemon/api_test.go
+++ b/internal/daemon/api_test.go
@@ -52,7 +52,7 @@
 	if json.Unmarshal([]byte(result.body), &status) != nil || status.Hosts != 2 || status.ConnectedProxies != 1 {
 		t.Errorf("status %s", result.body)
 	}
-	golden.Trace(t, tr.text.String())
+	golden.CompareForTest(t, tr.text.String())
 }
 
 // addPolls adds a proxy's polls, one of them pending until the endpoint list changes.
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Trace compares a text with the golden file of the test's name, without its prefix "Test".
-func Trace(t testing.TB, got string) {
+// CompareForTest compares a text with the golden file that is named after the test, without the prefix "Test".
+func CompareForTest(t testing.TB, got string) {
 	t.Helper()
 	Compare(t, strings.TrimPrefix(t.Name(), "Test"), got)
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -72,10 +72,10 @@
 	}
 }
 
-func TestTraceTakesNameOfTest(t *testing.T) {
+func TestCompareForTest(t *testing.T) {
 	inFolderWithGolden(t, "text")
 	recorder := &failureRecorder{TB: t, name: "Testsample"}
-	recorder.run(func() { Trace(recorder, "text") })
+	recorder.run(func() { CompareForTest(recorder, "text") })
 	if recorder.errors != 0 || recorder.fatals != 0 {
 		t.Errorf("%d errors, %d fatal ones", recorder.errors, recorder.fatals)
 	}
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -72,7 +72,7 @@
 		}
 		fmt.Fprintf(&trace, "%s for %s: %s\n", change.replacement, change.old, outcome)
 	}
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
 
 // startWith creates a balancer from a configuration.
--- a/internal/platform/health_check_test.go
+++ b/internal/platform/health_check_test.go
@@ -92,5 +92,5 @@
 		fmt.Fprintf(&trace, "%q: outcome %d, util %.2f, qps %.0f, fine %v\n",
 			script, result, load.Utilization, load.RequestRate, err == nil)
 	}
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
--- a/internal/platform/message_decoder_test.go
+++ b/internal/platform/message_decoder_test.go
@@ -57,7 +57,7 @@
 		}
 		fmt.Fprintf(&trace, "%s\n    %s\n", words, spelled)
 	}
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
 
 // spellMessage decodes a message and spells it as the golden file has it, whatever the names in the code.
--- a/internal/platform/rate_limited_log_test.go
+++ b/internal/platform/rate_limited_log_test.go
@@ -21,5 +21,5 @@
 		warnings.warn(droppedMessageText("WHATEVER"), nil)
 		now = now.Add(10 * time.Millisecond)
 	}
-	golden.Trace(t, output.String())
+	golden.CompareForTest(t, output.String())
 }
--- a/internal/platform/update_encoder_test.go
+++ b/internal/platform/update_encoder_test.go
@@ -51,5 +51,5 @@
 	encoder.AssignTable(2, 9, allClasses)
 	encoder.SetWeight(0, 1, 4)
 	flush("one goes to a table of its own")
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
--- a/internal/platform/watch_event_test.go
+++ b/internal/platform/watch_event_test.go
@@ -30,7 +30,7 @@
 		}
 		fmt.Fprintf(&trace, "%s for %s: %v\n", change.replacement, change.old, err)
 	}
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
 
 // A host that was removed long ago is forgotten and its index used again, however many come and go.
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -30,7 +30,7 @@
 			fmt.Fprintf(&trace, "%q:%s\n", input, readAll(NewReader(source)))
 		}
 	}
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
 
 // readAll spells the messages that come and the error that ends them.
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -183,7 +183,7 @@
 	say("an answer was not recorded", append(append([]*recordpb.Record(nil), day[:i]...), day[i+1:]...))
 	say("an answer was recorded twice", append(append([]*recordpb.Record(nil), day[:i+1]...), day[i:]...))
 	say("the start is gone", day[1:])
-	golden.Trace(t, now.String())
+	golden.CompareForTest(t, now.String())
 }
 
 // A part that is cut out replays by itself.
@@ -223,7 +223,7 @@
 	for _, m := range s.Moments {
 		fmt.Fprintf(&now, "%.0f %s\n", m.At, m.Text)
 	}
-	golden.Trace(t, now.String())
+	golden.CompareForTest(t, now.String())
 	z := &summarizer{Summary: &Summary{From: 0}, width: firstSpan}
 	came := int64(0)
 	for z.now = 0; z.now < 3e6; z.now += 700 {
