--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// failureRecorder is a test whose failures are recorded instead of reported.
+// failureRecorder is a testing.TB that counts failures instead of reporting them.
 type failureRecorder struct {
 	testing.TB
 	name   string
@@ -24,7 +24,7 @@
 	runtime.Goexit()
 }
 
-// run waits for a function that may end its goroutine by Fatal.
+// run calls a function in a goroutine that Fatal may end, and waits for it.
 func (r *failureRecorder) run(function func()) {
 	done := make(chan struct{})
 	go func() {
@@ -34,7 +34,7 @@
 	<-done
 }
 
-// inFolderWithGolden changes to a new folder with the golden file testdata/sample.txt.
+// inFolderWithGolden changes the working directory to a new folder with the golden file testdata/sample.txt.
 func inFolderWithGolden(t *testing.T, text string) {
 	t.Helper()
 	t.Setenv(updateVariable, "")
@@ -66,7 +66,8 @@
 			recorder := &failureRecorder{TB: t}
 			recorder.run(func() { Compare(recorder, test.golden, test.got) })
 			if recorder.errors != test.errors || recorder.fatals != test.fatals {
-				t.Errorf("%d errors and %d fatal ones, want %d and %d", recorder.errors, recorder.fatals, test.errors, test.fatals)
+				t.Errorf("Compare reported %d errors and %d fatal errors, want %d and %d",
+					recorder.errors, recorder.fatals, test.errors, test.fatals)
 			}
 		})
 	}
@@ -77,19 +78,20 @@
 	recorder := &failureRecorder{TB: t, name: "Testsample"}
 	recorder.run(func() { CompareForTest(recorder, "text") })
 	if recorder.errors != 0 || recorder.fatals != 0 {
-		t.Errorf("%d errors, %d fatal ones", recorder.errors, recorder.fatals)
+		t.Errorf("CompareForTest reported %d errors and %d fatal errors, want none", recorder.errors, recorder.fatals)
 	}
 }
 
 func TestUpdate(t *testing.T) {
 	t.Chdir(t.TempDir())
 	t.Setenv(updateVariable, "1")
-	Compare(t, "new", "text")
+	const want = "text"
+	Compare(t, "new", want)
 	content, err := os.ReadFile(filepath.Join(folder, "new.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(content) != "text" {
-		t.Errorf("wrote %q", content)
+	if string(content) != want {
+		t.Errorf("golden file holds %q, want %q", content, want)
 	}
 }
