--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
 // Package golden compares the output of tests with golden files: text files in testdata that people read and review.
-// It is for tests only, and never writes a file unless it is asked to by the environment.
+// It is for tests only, and writes files only if the environment variable KEEP is set.
 package golden
 
 import (
@@ -12,8 +12,8 @@
 )
 
 const (
-	// updateVariable is the environment variable that, when not empty, makes Compare write the golden files again. Their
-	// differences are to be reviewed before they are committed.
+	// updateVariable is the environment variable that, when not empty, makes Compare overwrite the golden files. Review
+	// their diff before committing it.
 	updateVariable = "KEEP"
 
 	folder     = "testdata"
