--- a/internal/daemon/controller_state.go
+++ b/internal/daemon/controller_state.go
@@ -18,7 +18,7 @@
 func (l *controllerLoop) restore(saved *statepb.State, coldMs float64) (*state.Restored, error) {
 	text, err := proto.Marshal(saved)
 	if err != nil {
-		return nil, fmt.Errorf("recalling a state: %w", err)
+		return nil, fmt.Errorf("encoding the state to restore: %w", err)
 	}
 	wallMs := wallClockMs()
 	restored := state.ApplyDecay(saved, wallMs, state.DefaultLimits(coldMs))
--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -47,7 +47,7 @@
 // logCredentials logs the credentials in use. sameKey says that the renewed credentials have the same key as before.
 func (d *Daemon) logCredentials(sameKey bool) {
 	if sameKey {
-		d.log.Warn().Msg("the issuer handed out the same key again: whoever has copied it can prove this identity too")
+		d.log.Warn().Msg("renewed credentials have the same key as before: anyone with a copy of the key can use them")
 	}
 	id, expiry, err := d.credentials.Own()
 	if err != nil {
--- a/internal/daemon/credentials_test.go
+++ b/internal/daemon/credentials_test.go
@@ -88,18 +88,18 @@
 	}
 }
 
-// An issuer that hands out the same key twice is logged, and its certificate is used all the same.
+// A renewed certificate with the same key as before is logged, and is used nevertheless.
 func TestReissuedKeyIsLogged(t *testing.T) {
 	d := startWithIdentities(t, "", "")
 	svid := d.sign(controllerID, time.Hour)
 	logged := func(text string) int { return strings.Count(d.log.String(), text) }
 	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
 	eventually(t, "a new key", func() bool { return logged("credentials loaded") >= 2 })
-	if logged("the same key again") != 0 {
-		t.Error("a new key was taken for the same")
+	if logged("the same key as before") != 0 {
+		t.Error("a new key was logged as the same key")
 	}
 	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
-	eventually(t, "the log line", func() bool { return logged("the same key again") > 0 })
+	eventually(t, "the log line", func() bool { return logged("the same key as before") > 0 })
 	if result := d.getAs(d.clientWithID(operatorID), "/v1/hosts"); result.status != 200 {
 		t.Errorf("%d", result.status)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -90,7 +90,7 @@
 func newIncarnation(configuredSeed uint64) (incarnation string, seed uint64, err error) {
 	var random [2 * seedBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return "", 0, fmt.Errorf("drawing the name of the incarnation: %w", err)
+		return "", 0, fmt.Errorf("generating a random incarnation name: %w", err)
 	}
 	incarnation = hex.EncodeToString(random[:incarnationBytes])
 	if configuredSeed != 0 {
--- a/internal/daemon/endpoint_file.go
+++ b/internal/daemon/endpoint_file.go
@@ -39,7 +39,7 @@
 func (f *endpointFile) reload() error {
 	text, err := os.ReadFile(f.path)
 	if err != nil {
-		return fmt.Errorf("reading the host list: %w", err)
+		return fmt.Errorf("reading the endpoint list: %w", err)
 	}
 	if f.lastText != nil && bytes.Equal(text, f.lastText) {
 		return nil
--- a/internal/daemon/endpoint_service.go
+++ b/internal/daemon/endpoint_service.go
@@ -165,11 +165,12 @@
 	return header
 }
 
-// applyDelta returns the document after a delta. The error says that the delta is not based on the current document.
+// applyDelta returns the document after a delta. It returns an error if the delta is no merge patch, is not based on the
+// cached document or cannot be applied.
 func (s *endpointService) applyDelta(response *http1.Response) ([]byte, error) {
 	baseTag := response.Header.Get("Delta-Base")
 	if s.tag == "" || baseTag != s.tag || !strings.EqualFold(response.Header.Get("Im"), mergePatch) {
-		return nil, fmt.Errorf("a delta onto %s came, not onto the cached version", baseTag)
+		return nil, fmt.Errorf("the delta is no merge patch of the cached version; its base is %s", baseTag)
 	}
 	document, err := jsonpatch.MergePatch(s.document, response.Body)
 	if err != nil {
--- a/internal/daemon/http_client.go
+++ b/internal/daemon/http_client.go
@@ -29,7 +29,7 @@
 	}
 	service, err = url.Parse(text)
 	if err != nil || service.Scheme != scheme || service.Host == "" {
-		return nil, "", fmt.Errorf("%s: %q is no %s URL", setting, text, scheme)
+		return nil, "", fmt.Errorf("%s: %q is not an %s URL", setting, text, scheme)
 	}
 	address = service.Host
 	if service.Port() == "" {
--- a/internal/daemon/runtime_sockets.go
+++ b/internal/daemon/runtime_sockets.go
@@ -71,7 +71,7 @@
 // file that is not a socket is not removed: listening on its path then fails.
 func removeStaleSocket(path string) error {
 	if conn, err := net.Dial("unix", path); err == nil {
-		inUse := fmt.Errorf("%s: another program listens there", path)
+		inUse := fmt.Errorf("%s: another program is listening on the socket", path)
 		return errors.Join(inUse, conn.Close())
 	}
 	info, err := os.Stat(path)
