--- a/internal/daemon/persister.go
+++ b/internal/daemon/persister.go
@@ -119,11 +119,11 @@
 	}
 	snapshot.Program = p.program
 	err := p.store.Save(snapshot)
-	p.noteSave(snapshot, err, time.Since(began), locked)
+	p.recordSave(snapshot, err, time.Since(began), locked)
 }
 
-// noteSave records the result of a save in the report, and logs when saves begin to fail or to succeed again.
-func (p *persister) noteSave(snapshot *statepb.State, err error, took, locked time.Duration) {
+// recordSave records the result of a save in the report, and logs when saves begin to fail or to succeed again.
+func (p *persister) recordSave(snapshot *statepb.State, err error, took, locked time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	failed := ""
--- a/internal/daemon/recorder.go
+++ b/internal/daemon/recorder.go
@@ -22,7 +22,7 @@
 }
 
 // write appends a record.
-func (r *recorder) write(entry *recordpb.Record) { r.note(r.writer.Write(entry)) }
+func (r *recorder) write(entry *recordpb.Record) { r.logFirstError(r.writer.Write(entry)) }
 
 // flushIfDue flushes the recording at most once per recordingFlushMs.
 func (r *recorder) flushIfDue(nowMs float64) {
@@ -30,7 +30,7 @@
 		return
 	}
 	r.nextFlushMs = nowMs + recordingFlushMs
-	r.note(r.writer.Flush())
+	r.logFirstError(r.writer.Flush())
 }
 
 // close marks the end of the recording and flushes it. The file stays open.
@@ -38,11 +38,11 @@
 	if r == nil {
 		return
 	}
-	r.note(r.writer.Close())
+	r.logFirstError(r.writer.Close())
 }
 
-// note logs the first error. The writer returns the same error from each later call.
-func (r *recorder) note(err error) {
+// logFirstError logs the first error. The writer returns the same error from each later call.
+func (r *recorder) logFirstError(err error) {
 	if err == nil || r.failed {
 		return
 	}
--- a/internal/daemon/standby.go
+++ b/internal/daemon/standby.go
@@ -92,7 +92,7 @@
 func (s *standbyReplica) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := s.pollLeader(ctx)
-		s.noteResult(err)
+		s.recordPollResult(err)
 		if err == nil {
 			continue
 		}
@@ -103,8 +103,8 @@
 	}
 }
 
-// noteResult records the result of a poll for the report, and logs when polls begin to fail or to succeed again.
-func (s *standbyReplica) noteResult(err error) {
+// recordPollResult records the result of a poll for the report, and logs when polls begin to fail or to succeed again.
+func (s *standbyReplica) recordPollResult(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	failedBefore := s.lastError != ""
