--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -87,9 +87,9 @@
 
 // IdentityReport is the part of the status document on the daemon's own credentials.
 type IdentityReport struct {
-	ID     string  `json:"id"`
-	LeftMs float64 `json:"left_ms"` // until they expire
-	Failed string  `json:"failed"`  // why there are none
+	ID          string  `json:"id"`
+	RemainingMs float64 `json:"left_ms"` // until they expire
+	Error       string  `json:"failed"`  // why there are none
 }
 
 // identityReport returns the report, or nil if the daemon has no credentials.
@@ -99,7 +99,7 @@
 	}
 	id, expiry, err := credentials.Own()
 	if err != nil {
-		return &IdentityReport{Failed: err.Error()}
+		return &IdentityReport{Error: err.Error()}
 	}
-	return &IdentityReport{ID: id.String(), LeftMs: math.Round(time.Until(expiry).Seconds() * msPerSecond)}
+	return &IdentityReport{ID: id.String(), RemainingMs: math.Round(time.Until(expiry).Seconds() * msPerSecond)}
 }
--- a/internal/daemon/persister.go
+++ b/internal/daemon/persister.go
@@ -41,13 +41,13 @@
 
 // PersisterReport is the persister's part of the status document.
 type PersisterReport struct {
-	Failed   string  `json:"failed"`     // why the last save failed; empty: it succeeded
-	SavedMs  float64 `json:"saved_ms"`   // time of the last save that succeeded, ms since 1970; 0: none did
-	Saves    int64   `json:"saves"`      // number of saves that succeeded
-	TookMs   float64 `json:"took_ms"`    // duration of the last save, including its sync to the disk
-	LockedMs float64 `json:"locked_ms"`  // part of it that took the snapshot, including the wait for the loop's mutex
-	Dropped  int     `json:"dropped"`    // entries that did not fit into the size limit
-	Notes    string  `json:"found_note"` // warnings about the state that was found at the start
+	LastError   string  `json:"failed"`     // why the last save failed; empty: it succeeded
+	SavedAtMs   float64 `json:"saved_ms"`   // time of the last save that succeeded, ms since 1970; 0: none did
+	Saves       int64   `json:"saves"`      // number of saves that succeeded
+	DurationMs  float64 `json:"took_ms"`    // duration of the last save, including its sync to the disk
+	LockedMs    float64 `json:"locked_ms"`  // time to take its snapshot, including the wait for the loop's mutex
+	ShrinkSteps int     `json:"dropped"`    // how often entries were dropped to meet the size limit
+	Warnings    string  `json:"found_note"` // warnings about the state that was found at the start
 }
 
 // openPersister opens the folder and restores the state in it. It locks the folder until close, and returns an error if
@@ -72,7 +72,7 @@
 	}
 	for _, warning := range found.Warnings {
 		p.log.Warn().Str("note", warning).Msg("part of the state was dropped")
-		p.report.Notes += warning + "; "
+		p.report.Warnings += warning + "; "
 	}
 	p.store = statefile.NewStore(p.folder, found, cfg.maxBytes)
 	if found.State == nil {
@@ -130,19 +130,19 @@
 	if err != nil {
 		failed = err.Error()
 	} else {
-		p.report.SavedMs = snapshot.At
+		p.report.SavedAtMs = snapshot.At
 		p.report.Saves++
 	}
-	if failed != p.report.Failed {
+	if failed != p.report.LastError {
 		if err != nil {
 			p.log.Error().Err(err).Msg("saving the state failed")
 		} else {
 			p.log.Info().Msg("saving the state succeeded again")
 		}
 	}
-	p.report.Failed = failed
-	p.report.Dropped = p.store.ShrinkSteps
-	p.report.TookMs = wholeMicroseconds(took)
+	p.report.LastError = failed
+	p.report.ShrinkSteps = p.store.ShrinkSteps
+	p.report.DurationMs = wholeMicroseconds(took)
 	p.report.LockedMs = wholeMicroseconds(locked)
 }
 
--- a/internal/daemon/persister_test.go
+++ b/internal/daemon/persister_test.go
@@ -104,7 +104,7 @@
 	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" }`)
 	eventually(t, "a first save", func() bool { return d.persister.status().Saves > 0 })
 	d.removeStateFolder(folder)
-	eventually(t, "the failure to be reported", func() bool { return d.persister.status().Failed != "" })
+	eventually(t, "the failure to be reported", func() bool { return d.persister.status().LastError != "" })
 	result := d.get(tablesPath, "Prefer", "wait=1")
 	if result.status != 200 || !strings.Contains(result.body, "10.0.0.1:80") {
 		t.Errorf("%+v", result)
@@ -112,7 +112,7 @@
 	if err := os.Rename(folder+"-away", folder); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a save that succeeds", func() bool { return d.persister.status().Failed == "" })
+	eventually(t, "a save that succeeds", func() bool { return d.persister.status().LastError == "" })
 }
 
 // removeStateFolder renames the folder between two saves, and closes the store so that the next save has to create a
--- a/internal/daemon/standby.go
+++ b/internal/daemon/standby.go
@@ -64,12 +64,12 @@
 
 // StandbyReport is the standby's part of the status document.
 type StandbyReport struct {
-	Live    bool    `json:"live"`         // it is active
-	Fresh   bool    `json:"fresh"`        // the leader's lease is valid
-	Proxies int     `json:"proxies"`      // proxies in the replicated state
-	Sent    int64   `json:"sent_back"`    // polls rejected because the leader serves the proxy
-	Failed  string  `json:"failed"`       // why the last poll of the leader failed; empty: it succeeded
-	TookMs  float64 `json:"took_over_ms"` // duration of the takeover; 0: there was none
+	Active        bool    `json:"live"`         // it is active
+	LeaseValid    bool    `json:"fresh"`        // the leader's lease is valid
+	Proxies       int     `json:"proxies"`      // proxies in the replicated state
+	RejectedPolls int64   `json:"sent_back"`    // polls rejected because the leader serves the proxy
+	LastError     string  `json:"failed"`       // why the last poll of the leader failed; empty: it succeeded
+	TakeoverMs    float64 `json:"took_over_ms"` // duration of the takeover; 0: there was none
 }
 
 func newStandbyReplica(cfg standbyConfig, loop *controllerLoop, log zerolog.Logger) (*standbyReplica, error) {
@@ -220,11 +220,11 @@
 	defer s.mu.Unlock()
 	active, _ := s.lease.Active()
 	report := &StandbyReport{
-		Live:   active,
-		Fresh:  s.lease.LeaseValid(s.loop.clock.Now()),
-		Sent:   s.lease.RejectedPolls(),
-		Failed: s.lastError,
-		TookMs: s.takeoverMs,
+		Active:        active,
+		LeaseValid:    s.lease.LeaseValid(s.loop.clock.Now()),
+		RejectedPolls: s.lease.RejectedPolls(),
+		LastError:     s.lastError,
+		TakeoverMs:    s.takeoverMs,
 	}
 	if s.replica.state != nil {
 		report.Proxies = len(s.replica.state.Proxies)
--- a/internal/daemon/standby_test.go
+++ b/internal/daemon/standby_test.go
@@ -27,7 +27,7 @@
 	if rejected.status != http.StatusServiceUnavailable || rejected.header.Get("Retry-After") == "" {
 		t.Errorf("the standby serves a proxy that the leader serves: %+v", rejected)
 	}
-	if report := replica.standby.report(); report.Live || report.Sent != 1 {
+	if report := replica.standby.report(); report.Active || report.RejectedPolls != 1 {
 		t.Errorf("%+v", report)
 	}
 
@@ -63,7 +63,7 @@
 	d.standby.mu.Lock()
 	defer d.standby.mu.Unlock()
 	replicated := d.standby.replica.state
-	return report.Fresh && replicated != nil && len(replicated.Settings) == 1 && len(replicated.Proxies) == 1 &&
+	return report.LeaseValid && replicated != nil && len(replicated.Settings) == 1 && len(replicated.Proxies) == 1 &&
 		replicated.Proxies[0].Tag == strings.Trim(tag, `"`)
 }
 
--- a/internal/daemon/status_api.go
+++ b/internal/daemon/status_api.go
@@ -13,32 +13,32 @@
 type statusBody struct {
 	Version string `json:"version"`
 	controller.Status
-	Door     intake.RateLimiterReport `json:"door"`
-	Kept     *PersisterReport         `json:"kept,omitempty"`
-	Standby  *StandbyReport           `json:"standby,omitempty"`
-	Identity *IdentityReport          `json:"identity,omitempty"`
-	Gap      *solver.Gap              `json:"gap,omitempty"` // to the optimal tables; only if hosts state their cores
+	RateLimiter intake.RateLimiterReport `json:"door"`
+	Persister   *PersisterReport         `json:"kept,omitempty"`
+	Standby     *StandbyReport           `json:"standby,omitempty"`
+	Identity    *IdentityReport          `json:"identity,omitempty"`
+	Gap         *solver.Gap              `json:"gap,omitempty"` // to the optimal tables; only if hosts state their cores
 }
 
 func (a *api) getStatus(*http1.Request) http1.Reply {
 	return jsonReply(statusBody{
-		Version:  a.version,
-		Status:   a.loop.status(),
-		Door:     a.loop.rateLimiter.Report(),
-		Kept:     a.persister.status(),
-		Standby:  a.standby.report(),
-		Identity: identityReport(a.credentials),
-		Gap:      a.loop.optimalityGap(),
+		Version:     a.version,
+		Status:      a.loop.status(),
+		RateLimiter: a.loop.rateLimiter.Report(),
+		Persister:   a.persister.status(),
+		Standby:     a.standby.report(),
+		Identity:    identityReport(a.credentials),
+		Gap:         a.loop.optimalityGap(),
 	})
 }
 
 // IngestReport is the document on the ingest of reports and the memory in use.
 type IngestReport struct {
 	controller.IngestReport
-	Door         intake.RateLimiterReport `json:"door"`
-	HeapBytes    uint64                   `json:"heap_bytes"`
-	LinesMost    float64                  `json:"lines_waiting_most"` // peak backlog of the control channel, in entries
-	GuardRefused int                      `json:"guard_refused"`      // times that the validator began to repair
+	RateLimiter intake.RateLimiterReport `json:"door"`
+	HeapBytes   uint64                   `json:"heap_bytes"`
+	PeakBacklog float64                  `json:"lines_waiting_most"` // peak backlog of the control channel, in entries
+	Repairs     int                      `json:"guard_refused"`      // times that the validator began to repair
 }
 
 func (a *api) getIngestReport(*http1.Request) http1.Reply {
@@ -47,10 +47,10 @@
 	status := a.loop.status()
 	return jsonReply(IngestReport{
 		IngestReport: status.Ingest,
-		Door:         a.loop.rateLimiter.Report(),
+		RateLimiter:  a.loop.rateLimiter.Report(),
 		HeapBytes:    memory.HeapAlloc,
-		LinesMost:    status.PeakBacklog,
-		GuardRefused: status.Repairs,
+		PeakBacklog:  status.PeakBacklog,
+		Repairs:      status.Repairs,
 	})
 }
 
--- a/internal/rehearse/intake.go
+++ b/internal/rehearse/intake.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		t.level, t.late, t.wait = max(t.level, x.SheddingLevel), math.Max(t.late, x.LatenessMs), math.Max(t.wait, x.WaitP99Ms)
-		d.journal.LogMaxBacklog(address, x.LinesMost)
+		d.journal.LogMaxBacklog(address, x.PeakBacklog)
 		if i == 0 {
 			t.samples = append(t.samples, x)
 		}
--- a/internal/rehearse/reports_test.go
+++ b/internal/rehearse/reports_test.go
@@ -52,7 +52,7 @@
 	if !r.Kept || r.Service < 0.5 {
 		t.Error(out)
 	}
-	if d.taken.refused.Load() == 0 || last.Door.Rejected == 0 {
+	if d.taken.refused.Load() == 0 || last.RateLimiter.Rejected == 0 {
 		t.Errorf("the flood was let in: %+v", last)
 	}
 	if last.Silent < 1 || last.Processed < 3000 || last.Queued > 5000 {
@@ -76,7 +76,7 @@
 	if !r.Kept || r.Service < 0.5 {
 		t.Error(out)
 	}
-	if last := d.taken.samples[len(d.taken.samples)-1]; last.GuardRefused == 0 {
+	if last := d.taken.samples[len(d.taken.samples)-1]; last.Repairs == 0 {
 		t.Errorf("nothing was refused:\n%s", out)
 	}
 }
