--- a/internal/daemon/load_reports.go
+++ b/internal/daemon/load_reports.go
@@ -15,51 +15,51 @@
 // called before the body is decoded.
 const statsEntryBytes = 100
 
-// proxyStatsBody is a proxy's report of its request stats. Times are in ms.
+// proxyStatsBody is a proxy's report of its request stats.
 type proxyStatsBody struct {
-	Sender string                     `json:"sender"`
-	Number int64                      `json:"number"`
-	At     float64                    `json:"at"`
-	Hosts  map[string]hostStatsBody   `json:"hosts"` // by address:port
-	Usage  map[string]classDemandBody `json:"usage"` // by request class
+	Sender   string                     `json:"sender"`
+	Sequence int64                      `json:"number"`
+	SentAtMs float64                    `json:"at"`
+	Hosts    map[string]hostStatsBody   `json:"hosts"` // by address:port
+	Demand   map[string]classDemandBody `json:"usage"` // by request class
 }
 
 // hostStatsBody holds the request stats of a proxy for one host.
 type hostStatsBody struct {
-	Tries  int           `json:"tries"` // attempts
-	Failed int           `json:"failed"`
-	Mean   float64       `json:"mean"` // mean latency of the attempts that did not fail
-	Span   float64       `json:"span"` // length of the window observed
-	Load   *hostLoadBody `json:"load"`
-	Times  [][2]float64  `json:"times"` // latency histogram: pairs of a latency and a count
+	Attempts      int           `json:"tries"`
+	Failed        int           `json:"failed"`
+	MeanLatencyMs float64       `json:"mean"` // of the attempts that did not fail
+	WindowMs      float64       `json:"span"` // length of the window observed
+	Load          *hostLoadBody `json:"load"`
+	Latencies     [][2]float64  `json:"times"` // histogram: pairs of a latency in ms and a count
 }
 
 // classDemandBody is the demand of one request class at a proxy.
 type classDemandBody struct {
-	Came       int     `json:"came"` // arrivals
-	Unanswered int     `json:"unanswered"`
-	Span       float64 `json:"span"` // length of the window observed
+	Arrivals   int     `json:"came"`
+	NoResponse int     `json:"unanswered"`
+	WindowMs   float64 `json:"span"` // length of the window observed
 }
 
 // loadReportBody is a host's report of its own load.
 type loadReportBody struct {
-	Sender string        `json:"sender"`
-	Number int64         `json:"number"`
-	At     float64       `json:"at"` // ms
-	Load   *hostLoadBody `json:"load"`
+	Sender   string        `json:"sender"`
+	Sequence int64         `json:"number"`
+	SentAtMs float64       `json:"at"`
+	Load     *hostLoadBody `json:"load"`
 }
 
 // hostLoadBody is the load of a host; an absent field is unknown.
 type hostLoadBody struct {
-	Util  *float64 `json:"util"`  // utilization as a ratio
-	Rate  *float64 `json:"rate"`  // requests per second
-	Queue *float64 `json:"queue"` // requests that wait
+	Utilization *float64 `json:"util"`  // as a ratio
+	RequestRate *float64 `json:"rate"`  // requests per second
+	QueueLength *float64 `json:"queue"` // number of queued requests
 }
 
 // receiptBody acknowledges a report.
 type receiptBody struct {
-	Counted bool  `json:"counted"` // false: a report with this number was counted before
-	Number  int64 `json:"number"`  // the report's
+	Counted  bool  `json:"counted"` // false: the report is repeated, or older than one that was counted
+	Sequence int64 `json:"number"`  // of the report
 }
 
 // postProxyStats handles a proxy's report.
@@ -76,7 +76,7 @@
 	if err != nil {
 		return errorReply(err)
 	}
-	return jsonReply(receiptBody{Counted: counted, Number: body.Number})
+	return jsonReply(receiptBody{Counted: counted, Sequence: body.Sequence})
 }
 
 // postLoadReport handles a host's report.
@@ -92,14 +92,14 @@
 	}
 	counted, err := a.loop.observeLoadReport(host, controller.LoadReport{
 		Sender:   body.Sender,
-		Sequence: body.Number,
-		SentAtMs: body.At,
+		Sequence: body.Sequence,
+		SentAtMs: body.SentAtMs,
 		Load:     body.Load.load(),
 	})
 	if err != nil {
 		return errorReply(err)
 	}
-	return jsonReply(receiptBody{Counted: counted, Number: body.Number})
+	return jsonReply(receiptBody{Counted: counted, Sequence: body.Sequence})
 }
 
 // admitReport asks the rate limiter whether to admit a report. It returns nil if so, and the reply with status 429 and
@@ -117,30 +117,30 @@
 func (b *proxyStatsBody) stats() controller.ProxyStats {
 	stats := controller.ProxyStats{
 		Sender:   b.Sender,
-		Sequence: b.Number,
-		SentAtMs: b.At,
+		Sequence: b.Sequence,
+		SentAtMs: b.SentAtMs,
 		Hosts:    make(map[string]controller.HostStats, len(b.Hosts)),
-		Demand:   make(map[string]controller.ClassDemand, len(b.Usage)),
+		Demand:   make(map[string]controller.ClassDemand, len(b.Demand)),
 	}
 	for host, body := range b.Hosts {
 		stats.Hosts[host] = body.stats()
 	}
-	for class, body := range b.Usage {
+	for class, body := range b.Demand {
 		stats.Demand[class] = controller.ClassDemand{
-			Arrivals: body.Came, NoResponse: body.Unanswered, WindowMs: body.Span}
+			Arrivals: body.Arrivals, NoResponse: body.NoResponse, WindowMs: body.WindowMs}
 	}
 	return stats
 }
 
 func (b hostStatsBody) stats() controller.HostStats {
 	stats := controller.HostStats{
-		Attempts:      b.Tries,
+		Attempts:      b.Attempts,
 		Failed:        b.Failed,
-		MeanLatencyMs: b.Mean,
-		WindowMs:      b.Span,
+		MeanLatencyMs: b.MeanLatencyMs,
+		WindowMs:      b.WindowMs,
 		Load:          b.Load.load(),
 	}
-	for _, pair := range b.Times {
+	for _, pair := range b.Latencies {
 		stats.Latencies = append(stats.Latencies, intake.LatencyBucket{Ms: pair[0], Count: int64(pair[1])})
 	}
 	return stats
@@ -152,9 +152,9 @@
 	if b == nil {
 		return load
 	}
-	setReported(&load.Utilization, b.Util)
-	setReported(&load.RequestRate, b.Rate)
-	setReported(&load.QueueLength, b.Queue)
+	setReported(&load.Utilization, b.Utilization)
+	setReported(&load.RequestRate, b.RequestRate)
+	setReported(&load.QueueLength, b.QueueLength)
 	return load
 }
 
--- a/internal/daemon/operator_api.go
+++ b/internal/daemon/operator_api.go
@@ -64,7 +64,7 @@
 	}
 	weights := make(map[string]map[string]float64, len(body.Tables))
 	for class, table := range body.Tables {
-		weights[class] = table.Hosts
+		weights[class] = table.Weights
 	}
 	var result *controller.ValidationResult
 	err := errStopping
@@ -80,15 +80,15 @@
 
 // commandBody is an operator's command for a host, or for each host of a zone.
 type commandBody struct {
-	State  string         `json:"state"`  // ready, drain or maint; empty: unchanged
-	Weight *float64       `json:"weight"` // in place of the endpoint list's weight
-	Part   *float64       `json:"part"`   // ratio to the endpoint list's weight
-	Clear  bool           `json:"clear"`  // use the endpoint list's weight again
-	ForMs  float64        `json:"for_ms"` // ms until the override expires; 0: it does not
-	Wait   bool           `json:"wait"`   // queue the command where it cannot be applied now
-	By     string         `json:"by"`     // name of the operator
-	Add    *addedHostBody `json:"add"`    // add the host
-	Remove bool           `json:"remove"` // remove a host that was added
+	State          string         `json:"state"`  // ready, drain or maint; empty: unchanged
+	Weight         *float64       `json:"weight"` // in place of the endpoint list's weight
+	RelativeWeight *float64       `json:"part"`   // ratio to the endpoint list's weight
+	ClearWeight    bool           `json:"clear"`  // use the endpoint list's weight again
+	DurationMs     float64        `json:"for_ms"` // ms until the override expires; 0: it does not
+	Queue          bool           `json:"wait"`   // queue the command where it cannot be applied now
+	Operator       string         `json:"by"`     // name of the operator
+	Add            *addedHostBody `json:"add"`    // add the host
+	Remove         bool           `json:"remove"` // remove a host that was added
 }
 
 // addedHostBody describes a host that an operator adds.
@@ -111,17 +111,17 @@
 		State:       state,
 		KeepState:   b.State == "" && b.Add == nil,
 		Weight:      unchangedWeight,
-		ClearWeight: b.Clear,
-		DurationMs:  b.ForMs,
-		Queue:       b.Wait,
-		Operator:    b.By,
+		ClearWeight: b.ClearWeight,
+		DurationMs:  b.DurationMs,
+		Queue:       b.Queue,
+		Operator:    b.Operator,
 		Remove:      b.Remove,
 	}
 	switch {
 	case b.Weight != nil:
 		command.Weight = math.Max(*b.Weight, 0)
-	case b.Part != nil:
-		command.Weight = math.Max(*b.Part, 0)
+	case b.RelativeWeight != nil:
+		command.Weight = math.Max(*b.RelativeWeight, 0)
 		command.Relative = true
 	}
 	if b.Add != nil {
@@ -171,8 +171,8 @@
 
 // commandResultBody is the result of an operator's command.
 type commandResultBody struct {
-	Hosts int  `json:"hosts"` // number of hosts that the command is for
-	Waits bool `json:"waits"` // the command is queued for at least one of them
+	Hosts  int  `json:"hosts"` // number of hosts that the command is for
+	Queued bool `json:"waits"` // the command is queued for at least one of them
 }
 
 func (a *api) applyCommands(commands ...operator.Command) http1.Reply {
@@ -180,7 +180,7 @@
 	if err != nil {
 		return errorReply(err)
 	}
-	reply := jsonReply(commandResultBody{Hosts: len(commands), Waits: queued})
+	reply := jsonReply(commandResultBody{Hosts: len(commands), Queued: queued})
 	if queued {
 		reply.Status = http.StatusAccepted
 	}
--- a/internal/daemon/table_polls.go
+++ b/internal/daemon/table_polls.go
@@ -93,9 +93,9 @@
 
 // tableBody is the table of one request class, as in the documents that proxies get.
 type tableBody struct {
-	Hosts map[string]float64 `json:"hosts"` // weights
-	Share *float64           `json:"share"` // admission ratio; absent: 1
-	Tries *int               `json:"tries"` // maximum number of attempts; absent: 1
+	Weights        map[string]float64 `json:"hosts"` // by host
+	AdmissionRatio *float64           `json:"share"` // admission ratio; absent: 1
+	MaxAttempts    *int               `json:"tries"` // maximum number of attempts; absent: 1
 }
 
 // readCachedTables decodes a cachedTablesBody. It returns classes and hosts in the order of their names. The error is
@@ -113,16 +113,16 @@
 }
 
 func (b tableBody) table(class string) controller.Table {
-	table := controller.Table{Class: class, Assigned: b.Hosts != nil, AdmissionRatio: 1, RetryPolicy: 1}
-	for _, host := range slices.Sorted(maps.Keys(b.Hosts)) {
+	table := controller.Table{Class: class, Assigned: b.Weights != nil, AdmissionRatio: 1, RetryPolicy: 1}
+	for _, host := range slices.Sorted(maps.Keys(b.Weights)) {
 		table.Hosts = append(table.Hosts, host)
-		table.Weights = append(table.Weights, b.Hosts[host])
+		table.Weights = append(table.Weights, b.Weights[host])
 	}
-	if b.Share != nil {
-		table.AdmissionRatio = *b.Share
+	if b.AdmissionRatio != nil {
+		table.AdmissionRatio = *b.AdmissionRatio
 	}
-	if b.Tries != nil {
-		table.RetryPolicy = *b.Tries
+	if b.MaxAttempts != nil {
+		table.RetryPolicy = *b.MaxAttempts
 	}
 	return table
 }
