--- a/internal/daemon/api.go
+++ b/internal/daemon/api.go
@@ -43,7 +43,7 @@
 			MaxBody: maxBodyBytes,
 		})
 	}
-	const serverLimit = 0 // no bound of its own: the server's limit of bodies applies
+	const serverLimit = 0 // the server's default body limit applies
 
 	get("/v1/proxies/{proxy}/tables", auth.Poll, a.pollTables)
 	post("/v1/proxies/{proxy}/tables", auth.Poll, a.pollTables, serverLimit)
--- a/internal/daemon/authorization.go
+++ b/internal/daemon/authorization.go
@@ -72,18 +72,18 @@
 // policyRequest returns the input for the policy's decision. The zone that the request names counts only for a poll,
 // which may connect the proxy; for other requests it is the zone of the proxy's session.
 func (a *authorizer) policyRequest(action auth.Action, request *http1.Request) auth.Request {
-	asked := auth.Request{
+	input := auth.Request{
 		Action: action,
 		Proxy:  request.Params["proxy"],
 		Zone:   request.Query.Get("zone"),
 		Host:   request.Params["host"],
 	}
-	if asked.Proxy != "" && action != auth.Poll {
-		asked.Zone = query(a.loop, func(instance *controller.Controller) string {
-			return instance.ProxyZone(asked.Proxy)
+	if input.Proxy != "" && action != auth.Poll {
+		input.Zone = query(a.loop, func(instance *controller.Controller) string {
+			return instance.ProxyZone(input.Proxy)
 		})
 	}
-	return asked
+	return input
 }
 
 // authenticate returns the SPIFFE ID of a request's sender, by its connection's certificate or else by its bearer
--- a/internal/daemon/controller_state.go
+++ b/internal/daemon/controller_state.go
@@ -57,7 +57,8 @@
 	return status
 }
 
-// listedProblem returns the fleet as the solver's problem, or nil if a host states no cores or no demand is known.
+// listedProblem returns the problem that the solver solves for the fleet, or nil if a host on the list states no cores
+// or no demand is known.
 func (l *controllerLoop) listedProblem() *solver.Problem {
 	return query(l, (*controller.Controller).ListedProblem)
 }
--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -88,8 +88,8 @@
 // IdentityReport is the part of the status document on the daemon's own credentials.
 type IdentityReport struct {
 	ID          string  `json:"id"`
-	RemainingMs float64 `json:"left_ms"` // until they expire
-	Error       string  `json:"failed"`  // why there are none
+	RemainingMs float64 `json:"left_ms"` // until the credentials expire
+	Error       string  `json:"failed"`  // why there are no credentials; empty: there are
 }
 
 // identityReport returns the report, or nil if the daemon has no credentials.
--- a/internal/daemon/endpoint_service.go
+++ b/internal/daemon/endpoint_service.go
@@ -34,8 +34,8 @@
 // endpointService watches an endpoint list that an HTTP service serves. The protocol is the one by which proxies get
 // their tables: long polls with an entity tag, whose responses are snapshots or deltas. The controller starts the
 // watch. A failed poll or a rejected list ends it, and the controller starts it again with backoff; the last valid list
-// stays in force meanwhile. Whether a valid list is held back, since it loses too many hosts at once, is up to
-// controller.Controller.SetEndpoints.
+// stays in force meanwhile. controller.Controller.SetEndpoints decides whether to hold back a valid list that loses too
+// many hosts at once.
 //
 // It owns the goroutine of the watch, for which close waits.
 type endpointService struct {
@@ -165,8 +165,8 @@
 	return header
 }
 
-// applyDelta returns the document after a delta. It returns an error if the delta is no merge patch, is not based on the
-// cached document or cannot be applied.
+// applyDelta returns the cached document with a delta applied. It returns an error if the delta is not a merge patch,
+// is based on another version or cannot be applied.
 func (s *endpointService) applyDelta(response *http1.Response) ([]byte, error) {
 	baseTag := response.Header.Get("Delta-Base")
 	if s.tag == "" || baseTag != s.tag || !strings.EqualFold(response.Header.Get("Im"), mergePatch) {
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -42,10 +42,10 @@
 // Status returns the controller's status.
 func (o *Operators) Status() controller.Status { return o.loop.status() }
 
-// ApplyCommands applies commands of an operator, and reports whether any of them is queued and waits for its turn. The
+// ApplyCommands applies commands of an operator, and reports whether any of them is queued until it can be applied. The
 // error is an *operator.RejectedError for a command that would break a rule, or a *controller.FieldError for an invalid
 // host to be added; no command is applied then.
-func (o *Operators) ApplyCommands(commands ...operator.Command) (waits bool, err error) {
+func (o *Operators) ApplyCommands(commands ...operator.Command) (queued bool, err error) {
 	return o.loop.applyOverrides(commands)
 }
 
--- a/internal/daemon/socket_proxies.go
+++ b/internal/daemon/socket_proxies.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// localController is the controller in the same process, as the socket drivers poll it.
+// localController gives the socket drivers access to the controller in the same process.
 type localController struct{ loop *controllerLoop }
 
 var _ socketproxy.Controller = localController{}
--- a/internal/daemon/standby.go
+++ b/internal/daemon/standby.go
@@ -23,8 +23,8 @@
 	// leaderStateBytes is the largest response of the leader that is read.
 	leaderStateBytes = 256 << 20
 
-	// leaderPollWait is the preferred wait of a long poll of the leader's state, in seconds. It is short, since each
-	// response renews the leader's lease.
+	// leaderPollWait is the Prefer field of a long poll of the leader's state, with the wait in seconds. The wait is
+	// short, since each response renews the leader's lease.
 	leaderPollWait = "wait=1"
 
 	// leaderPollTimeout is the time after which a poll without a response fails.
--- a/internal/daemon/state_replica.go
+++ b/internal/daemon/state_replica.go
@@ -12,7 +12,7 @@
 	"barleysail/state/statepb"
 )
 
-// stateReplica is a standby's copy of the leader's state. The responses to the standby's polls update it.
+// stateReplica is a standby's copy of the leader's state. Each response to a poll of the leader updates it.
 type stateReplica struct {
 	tag   string         // entity tag of state, with quotes; empty: the next poll asks for a snapshot
 	state *statepb.State // nil: no state was received yet
--- a/internal/daemon/status_api.go
+++ b/internal/daemon/status_api.go
@@ -54,7 +54,7 @@
 	})
 }
 
-// getFleet returns the fleet as the solver's problem.
+// getFleet returns the problem that the solver solves for the fleet.
 func (a *api) getFleet(*http1.Request) http1.Reply {
 	problem := a.loop.listedProblem()
 	if problem == nil {
--- a/internal/daemon/table_signature.go
+++ b/internal/daemon/table_signature.go
@@ -8,8 +8,8 @@
 	"barleysail/internal/tablesig"
 )
 
-// signatureValidity is how long proxies accept new tables by a signature. A proxy may use tables that it has accepted
-// for longer.
+// signatureValidity is the time from the signing of tables in which proxies accept them. Proxies may use accepted
+// tables for longer.
 const signatureValidity = 5 * time.Minute
 
 // signTables adds to a reply the signature, by the daemon's credentials, of the tables that the proxy has once it has
