--- a/internal/daemon/authorization_test.go
+++ b/internal/daemon/authorization_test.go
@@ -176,23 +176,23 @@
 	d := startWithIdentities(t, "tokens: true", "")
 	own := tokenIssuer{t, d.authority}
 	other := tokenIssuer{t, newAuthority(t, "other.example")}
-	us := []string{controllerID}
-	both := []string{controllerID, trustDomain + "/steward/two"}
+	ownAudience := []string{controllerID}
+	twoAudiences := []string{controllerID, trustDomain + "/steward/two"}
 	withoutExpiry := func(claims map[string]any) { delete(claims, "exp") }
 	withoutSubject := func(claims map[string]any) { delete(claims, "sub") }
 	tests := []struct {
 		name, token string
 		want        int
 	}{
-		{"valid", own.token(operatorID, us, time.Minute, nil), 200},
-		{"for another controller", own.token(operatorID, both[1:], time.Minute, nil), 401},
-		{"for several", own.token(operatorID, both, time.Minute, nil), 401},
-		{"expired", own.token(operatorID, us, -2*time.Minute, nil), 401},
-		{"without an expiry", own.token(operatorID, us, time.Minute, withoutExpiry), 401},
-		{"without a subject", own.token(operatorID, us, time.Minute, withoutSubject), 401},
-		{"by another domain's key", other.token(operatorID, us, time.Minute, nil), 401},
-		{"of another domain", other.token("spiffe://other.example/operator/ann", us, time.Minute, nil), 401},
-		{"of a forwarder", own.token(forwarderID, us, time.Minute, nil), 403},
+		{"valid", own.token(operatorID, ownAudience, time.Minute, nil), 200},
+		{"for another controller", own.token(operatorID, twoAudiences[1:], time.Minute, nil), 401},
+		{"for several", own.token(operatorID, twoAudiences, time.Minute, nil), 401},
+		{"expired", own.token(operatorID, ownAudience, -2*time.Minute, nil), 401},
+		{"without an expiry", own.token(operatorID, ownAudience, time.Minute, withoutExpiry), 401},
+		{"without a subject", own.token(operatorID, ownAudience, time.Minute, withoutSubject), 401},
+		{"by another domain's key", other.token(operatorID, ownAudience, time.Minute, nil), 401},
+		{"of another domain", other.token("spiffe://other.example/operator/ann", ownAudience, time.Minute, nil), 401},
+		{"of a forwarder", own.token(forwarderID, ownAudience, time.Minute, nil), 403},
 		{"empty", "", 401},
 		{"no token", "x.y.z", 401},
 	}
@@ -204,18 +204,18 @@
 			}
 		})
 	}
-	valid := own.token(operatorID, us, time.Minute, nil)
+	valid := own.token(operatorID, ownAudience, time.Minute, nil)
 	t.Run("one connection only", func(t *testing.T) { checkTokenBoundToConnection(t, d, valid) })
 	t.Run("beside an invalid certificate", func(t *testing.T) {
 		client := clientAs(t, signBy(t, other.authority, operatorID, time.Hour, nil))
-		token := own.token(operatorID, us, time.Minute, nil)
+		token := own.token(operatorID, ownAudience, time.Minute, nil)
 		if result := d.getWithToken(client, "/v1/hosts", token); result.status != 0 {
 			t.Errorf("%d", result.status)
 		}
 	})
 	t.Run("expires during a poll", func(t *testing.T) {
 		issued := time.Now()
-		checkTokenBoundsPoll(t, d, own.token(forwarderID, us, 3*time.Second, nil), issued)
+		checkTokenBoundsPoll(t, d, own.token(forwarderID, ownAudience, 3*time.Second, nil), issued)
 	})
 	t.Run("a controller without tokens", func(t *testing.T) {
 		plain := startWithIdentities(t, "", "")
--- a/internal/daemon/operator_api_test.go
+++ b/internal/daemon/operator_api_test.go
@@ -24,11 +24,12 @@
 	return info
 }
 
-// eventsAfter polls for the events after a number, for so many seconds. It may be called from any goroutine.
-func (d *testDaemon) eventsAfter(number int64, waitSeconds int) []controller.Event {
+// eventsAfter polls for the events with a number greater than after, and waits for one for up to waitSeconds. It may be
+// called from any goroutine.
+func (d *testDaemon) eventsAfter(after int64, waitSeconds int) []controller.Event {
 	d.t.Helper()
 	var body eventsBody
-	result := d.get(fmt.Sprintf("/v1/events?after=%d", number), "Prefer", fmt.Sprintf("wait=%d", waitSeconds))
+	result := d.get(fmt.Sprintf("/v1/events?after=%d", after), "Prefer", fmt.Sprintf("wait=%d", waitSeconds))
 	if err := json.Unmarshal([]byte(result.body), &body); err != nil {
 		d.t.Errorf("events: %v in %+v", err, result)
 	}
