--- a/internal/daemon/api_test.go
+++ b/internal/daemon/api_test.go
@@ -40,7 +40,7 @@
 	`"hosts":{"10.0.0.1:80":{"tries":5,"failed":1,"mean":20.5,"span":1000,"load":{"util":0.4,"queue":2}}},` +
 	`"usage":{"sheet":{"came":5,"unanswered":1,"span":1000}}}`
 
-// The API as any HTTP client sees it.
+// The golden file shows the API's responses as any HTTP client gets them.
 func TestAPI(t *testing.T) {
 	d := startDaemon(t, "")
 	var tr transcript
@@ -145,8 +145,8 @@
 	}
 }
 
-// Where hosts state their cores and proxies their demand, the API gives the fleet as the solver's problem, and the
-// gap of the published tables to the best ones.
+// If hosts state their cores and proxies their demand, the API returns the solver's problem for the fleet, and the gap
+// between the published tables and the optimal ones.
 func TestFleetProblem(t *testing.T) {
 	d := startDaemon(t, "")
 	if result := d.get("/v1/fleet"); result.status != http.StatusNotFound {
@@ -184,8 +184,8 @@
 	return first, second, fromFirst
 }
 
-// A proxy that loses its controller offers the next one its cached tables, and gets a delta onto them; a malformed
-// offer is rejected with its field.
+// A proxy that loses its controller offers its cached tables to the next one, and gets a delta onto them. A malformed
+// offer is rejected with the name of the invalid field.
 func TestCachedTablesOffer(t *testing.T) {
 	first, second, fromFirst := startOfferPair(t)
 	offer := func(body string) httpResult {
@@ -210,7 +210,7 @@
 		t.Errorf("%+v", delta)
 	}
 
-	// The same by the client library: it uses the first controller's tables, then the second's.
+	// The client library does the same: it uses the first controller's tables, then the second's.
 	proxy, _ := runClient(t, client.Options{
 		Controllers: []string{first.url, second.url},
 		Proxy:       "q",
--- a/internal/daemon/authorization_test.go
+++ b/internal/daemon/authorization_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// A forwarder of a federated trust domain is authenticated by that domain's roots, and is allowed what a rule for it
-// says and no more.
+// A forwarder of a federated trust domain is authenticated by that domain's roots, and may do only what the rule for
+// its domain allows.
 func TestFederation(t *testing.T) {
 	t.Parallel()
 	d := startWithIdentities(t,
@@ -139,7 +139,7 @@
 	if report.status != 403 {
 		t.Errorf("a report of the club's forwarder: %d", report.status)
 	}
-	// The club signs for our domain: its roots count for its own names only.
+	// A federated root is trusted only for names of its own domain, not for those of the daemon's domain.
 	operator := clientAs(t, signBy(t, club, operatorID, time.Hour, nil))
 	if result := d.getAs(operator, "/v1/hosts"); result.status != 0 {
 		t.Errorf("our operator by the club's root: %d", result.status)
@@ -169,8 +169,8 @@
 	return d.getAs(client, path, append([]string{"Authorization", "Bearer " + token}, header...)...)
 }
 
-// Tokens stand in for a certificate where the daemon accepts them: for its own name, until they expire, and on one
-// connection only.
+// If the daemon accepts bearer tokens, a client without a certificate is authenticated by one that is issued for this
+// daemon alone, has not expired and was not used on another connection.
 func TestBearerTokens(t *testing.T) {
 	t.Parallel()
 	d := startWithIdentities(t, "tokens: true", "")
@@ -255,7 +255,7 @@
 // pending before is notified of a draining host in time.
 func TestHandshakeLimit(t *testing.T) {
 	const proxies = 300
-	const notificationLimit = 3 * time.Second // the grace in which a draining host still serves
+	const notificationLimit = 3 * time.Second // how long a draining host still serves
 	d := startWithIdentities(t, "handshakes: 4", "")
 	forwarder := d.clientWithID(forwarderID)
 	tag := d.pollAsUntilBothHosts(forwarder).tag()
--- a/internal/daemon/bench_helpers_test.go
+++ b/internal/daemon/bench_helpers_test.go
@@ -27,21 +27,21 @@
 	// benchHosts is the number of hosts on the endpoint list of most benchmarks.
 	benchHosts = 400
 
-	// pollReaderBytes is the buffer of a benchPoller, small since there are thousands.
+	// pollReaderBytes is the buffer size of a benchPoller. It is small, since there are thousands of them.
 	pollReaderBytes = 512
 
 	// drainedHost is the index of the host whose state the benchmarks change.
 	drainedHost = 7
 )
 
-// benchDaemon is a daemon whose endpoint list is set directly.
+// benchDaemon is a daemon whose endpoint list is set directly on the controller loop.
 type benchDaemon struct {
 	*Daemon
 	endpoints []controller.Endpoint
 }
 
-// startBenchDaemon starts a daemon with so many hosts, and limits that do not pace the updates. identities, where it
-// is not empty, takes the place of plain connections.
+// startBenchDaemon starts a daemon with a number of hosts, and with limits that do not delay updates. identities holds
+// the identity settings; if it is empty, connections are plain.
 func startBenchDaemon(b *testing.B, hosts int, identities string) *benchDaemon {
 	b.Helper()
 	text := strings.Replace(baseConfig, "channel {", "channel { messages_most: 0 ", 1)
@@ -87,7 +87,7 @@
 	}
 }
 
-// waitForPolls waits until at least so many long polls are pending.
+// waitForPolls waits until at least count long polls are pending.
 func (d *benchDaemon) waitForPolls(b *testing.B, count int) {
 	b.Helper()
 	eventually(b, fmt.Sprintf("%d pending polls", count), func() bool { return d.loop.status().PendingPolls >= count })
@@ -105,7 +105,7 @@
 	return &benchPoller{conn: conn, reader: bufio.NewReaderSize(conn, pollReaderBytes), name: name}
 }
 
-// send sends a poll with further header fields, each ended by CRLF.
+// send sends a poll; header holds additional header fields, each ended by CRLF.
 func (p *benchPoller) send(header string) error {
 	_, err := fmt.Fprintf(p.conn, "GET /v1/proxies/p%d/tables?zone=a HTTP/1.1\r\nHost: a\r\nIf-None-Match: %s\r\n%s\r\n",
 		p.name, p.tag, header)
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -23,9 +23,9 @@
 	"barleysail/routing"
 )
 
-// BenchmarkDeltaDelivery measures the time from a change of the endpoint list to its delta at each of the proxies with
-// a pending poll (ms-median, ms-p99), and the rate at which the proxies connect before (joins/s). The -signed variants
-// are with TLS identities and signed tables.
+// BenchmarkDeltaDelivery measures the time from a change of the endpoint list until each proxy with a pending poll has
+// received the delta (ms-median, ms-p99), and the rate at which the proxies connect before that (joins/s). The -signed
+// variants use TLS identities and signed tables.
 func BenchmarkDeltaDelivery(b *testing.B) {
 	for _, proxies := range []int{1000, 5000} {
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) { measureDeltaDelivery(b, proxies, nil, "") })
@@ -79,9 +79,9 @@
 
 func millisecondsSince(began time.Time) float64 { return time.Since(began).Seconds() * 1000 }
 
-// BenchmarkReconnect has 600 proxies without cached tables connect to four controllers at once. It measures the time
-// until all have tables (ms-all), and until a poll that was pending before is notified of a draining host (ms-drain),
-// by the limit of concurrent handshakes.
+// BenchmarkReconnect connects 600 proxies without cached tables to four controllers at once. For several limits of
+// concurrent handshakes it measures the time until all proxies have tables (ms-all), and until a poll that was pending
+// before is notified of a draining host (ms-drain).
 func BenchmarkReconnect(b *testing.B) {
 	for _, handshakes := range []int{4, 32, 10000} {
 		b.Run(fmt.Sprint(handshakes), func(b *testing.B) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// BenchmarkPendingPollMemory measures the memory of a pending poll, heap and stack, in bytes.
+// BenchmarkPendingPollMemory measures the heap and stack memory of a pending poll, in bytes.
 func BenchmarkPendingPollMemory(b *testing.B) {
 	for range b.N {
 		d := startBenchDaemon(b, benchHosts, "")
@@ -146,7 +146,7 @@
 // memoryInUse returns the bytes of heap and stack in use after a garbage collection.
 func memoryInUse() float64 {
 	runtime.GC()
-	runtime.GC() // frees what the finalizers of the first let go
+	runtime.GC() // frees the objects whose finalizers ran after the first collection
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	return float64(memory.HeapInuse + memory.StackInuse)
@@ -175,8 +175,8 @@
 	}
 }
 
-// BenchmarkNotModified measures a poll that gets 304 Not Modified at once: its time, and the allocations of HTTP
-// server and controller.
+// BenchmarkNotModified measures the time of a poll that gets 304 Not Modified at once, and the allocations of the HTTP
+// server and the controller.
 func BenchmarkNotModified(b *testing.B) {
 	d := startBenchDaemon(b, benchHosts, "")
 	poller := d.connectPollers(b, 1, nil)[0]
@@ -237,7 +237,7 @@
 	}
 }
 
-// socketConfig is the configuration of a daemon with drivers of sockets.
+// socketConfig returns the configuration of a daemon with socket drivers.
 func socketConfig(b *testing.B, drivers string) *configpb.Config {
 	b.Helper()
 	cfg, err := config.Parse("bench", []byte(baseConfig+`list { url: "http://127.0.0.1:1/" }`+drivers))
@@ -247,7 +247,7 @@
 	return cfg
 }
 
-// activeServers counts the servers of a proxy that are not in maintenance.
+// activeServers returns the number of a proxy's servers that are not in maintenance.
 func activeServers(proxy *fake.Forwarder) (count int) {
 	for _, server := range proxy.SocketState() {
 		if server.Admin&haproxy.ForcedMaint == 0 {
@@ -257,7 +257,7 @@
 	return count
 }
 
-// BenchmarkReconcile measures the time to bring 100 proxies with old servers to tables of 500 hosts.
+// BenchmarkReconcile measures the time to bring 100 proxies with outdated servers to tables of 500 hosts.
 func BenchmarkReconcile(b *testing.B) {
 	const proxies, hosts, requestClasses = 100, 500, 2
 	for range b.N {
@@ -278,8 +278,8 @@
 	}
 }
 
-// BenchmarkPollAndSocketDelivery measures, side by side, the time from a change of the endpoint list to the delta at a
-// proxy that polls (ms-by-poll), and to the change at one that is driven by its socket (ms-by-socket).
+// BenchmarkPollAndSocketDelivery compares the time from a change of the endpoint list to the delta at a proxy that
+// polls (ms-by-poll) with the time to the change at a proxy that is programmed by its runtime socket (ms-by-socket).
 func BenchmarkPollAndSocketDelivery(b *testing.B) {
 	const hosts, requestClasses = 50, 2
 	d := startBenchDaemon(b, hosts, "")
@@ -295,7 +295,7 @@
 		if err := pollers[0].send("A-IM: merge-patch\r\nPrefer: wait=20\r\n"); err != nil {
 			b.Fatal(err)
 		}
-		d.waitForPolls(b, 2) // the driver's too
+		d.waitForPolls(b, 2) // including that of the driver
 		d.toggleDraining(drainedHost)
 		wantDrained := 0
 		if d.endpoints[drainedHost].State == routing.Draining {
@@ -319,7 +319,7 @@
 	b.ReportMetric(bySocketMs/float64(b.N), "ms-by-socket")
 }
 
-// drainedServers counts the servers of a host that take no traffic at a proxy.
+// drainedServers returns the number of a host's servers at a proxy that get no traffic.
 func drainedServers(proxy *fake.Forwarder, host string) (count int) {
 	for _, server := range proxy.SocketState() {
 		if server.Server == host && server.Admin != 0 {
--- a/internal/daemon/credentials_test.go
+++ b/internal/daemon/credentials_test.go
@@ -21,8 +21,8 @@
 	"barleysail/internal/identity"
 )
 
-// A poll whose certificate expires while it is pending gets no tables after that: it ends in time, and the next one,
-// on a connection with the next certificate, gets what was missed as a delta.
+// A pending poll ends before its certificate expires, and gets no tables after that. The next poll, on a connection
+// with another certificate, gets the missed changes as a delta.
 func TestCertificateExpiresDuringPoll(t *testing.T) {
 	t.Parallel()
 	d := startWithIdentities(t, "", "")
@@ -36,7 +36,7 @@
 		t.Errorf("%d after %v", ended.status, took)
 	}
 	d.writeHosts(firstHostDraining)
-	// The certificate has to have expired. A longer wait does no harm.
+	// Wait until the certificate has expired. A longer wait does no harm.
 	time.Sleep(time.Until(issued.Add(validity + 100*time.Millisecond)))
 	expired := d.getAs(shortLived, forwarderPath, "If-None-Match", tag)
 	if expired.status == 200 || expired.status == 226 {
@@ -49,8 +49,8 @@
 	}
 }
 
-// A root that is removed from the trust bundle ends what it signed, and a new one is accepted, without a restart;
-// while both are in the bundle both serve.
+// Changes of the trust bundle apply without a restart: certificates of a new root are accepted, and those of a removed
+// root are rejected. While both roots are in the bundle, certificates of both are accepted.
 func TestTrustBundleRotation(t *testing.T) {
 	t.Parallel()
 	d := startWithIdentities(t, "", "")
@@ -74,7 +74,7 @@
 	}
 }
 
-// While the issuer is unavailable the last certificate stays in use, and the status tells when it expires.
+// While the issuer is unavailable the last certificate stays in use, and the status has the time until it expires.
 func TestIssuerUnavailable(t *testing.T) {
 	d := startWithIdentities(t, "", "")
 	d.ownEndpoint.Close()
@@ -105,7 +105,8 @@
 	}
 }
 
-// renewals is how many renewals TestCertificateRenewals makes, four a second: 16, or RENEWALS of the environment.
+// renewals returns the number of renewals in TestCertificateRenewals, four a second: 16, or the value of the
+// environment variable RENEWALS.
 func renewals() int {
 	if count, err := strconv.Atoi(os.Getenv("RENEWALS")); err == nil {
 		return count
@@ -113,14 +114,14 @@
 	return 16
 }
 
-// A client whose certificates are valid for a second or two, and which renews them again and again while it polls and
-// reports, never loses its controller: all tables come, and no request lacks a host.
+// A client that polls and reports while it renews its short-lived certificates four times a second never loses its
+// controller: it gets all tables, and always has a host for a request.
 func TestCertificateRenewals(t *testing.T) {
 	t.Parallel()
 	const renewalInterval = 250 * time.Millisecond
 	d := startWithIdentities(t, "", "")
 	endpoint := d.newEndpoint("f1")
-	renew := func() { // the times of a certificate are whole seconds, so it is valid for one to two
+	renew := func() { // valid for 1 s to 2 s, since the times in a certificate are whole seconds
 		endpoint.Give(d.sign(forwarderID, 2*time.Second), []*issuer.Authority{d.authority})
 	}
 	renew()
@@ -170,7 +171,7 @@
 	})
 }
 
-// sendRequestsUntil sends requests by the client library; each has to find a host.
+// sendRequestsUntil sends requests by the client library, and fails the test if one has no host.
 func sendRequestsUntil(t *testing.T, proxy *client.Client, end time.Time) {
 	t.Helper()
 	attempt := func(context.Context, string) client.Outcome { return client.Outcome{} }
@@ -194,8 +195,7 @@
 	})
 }
 
-// A list service authenticates to the daemon and the daemon to it; the list of a service with another name is
-// rejected.
+// The daemon and the list service authenticate each other. The list of a service with another SPIFFE ID is rejected.
 func TestEndpointServiceIdentity(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -215,7 +215,7 @@
 		id := request.TLS.PeerCertificates[0].URIs[0].String()
 		caller.Store(&id)
 		writer.Header().Set("ETag", `"1"`)
-		_, _ = io.WriteString(writer, `{"hosts":{"10.0.0.1:80":{"zone":"a"}}}`) // fails where the daemon hung up
+		_, _ = io.WriteString(writer, `{"hosts":{"10.0.0.1:80":{"zone":"a"}}}`) // fails if the daemon hung up
 	}
 	server := &http.Server{Handler: http.HandlerFunc(handler), ErrorLog: log.New(io.Discard, "", 0)}
 	serveUntilCleanup(t, server, tls.NewListener(listener, source.Server()))
--- a/internal/daemon/daemon_helpers_test.go
+++ b/internal/daemon/daemon_helpers_test.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// waitLimit bounds each wait for something that is sure to come.
+	// waitLimit bounds each wait for a condition that has to become true.
 	waitLimit = 20 * time.Second
 
 	// requestTimeout bounds a request, long polls of at most 30 s among them.
@@ -87,8 +87,8 @@
 	return b.buffer.String()
 }
 
-// startDaemon starts a daemon with baseConfig and more; its endpoint list is a file with twoHosts unless more names a
-// list. It is killed at the end of the test.
+// startDaemon starts a daemon with baseConfig and the additional configuration more. Its endpoint list is a file with
+// twoHosts unless more configures a list. It is killed at the end of the test.
 func startDaemon(t *testing.T, more string) *testDaemon {
 	t.Helper()
 	d := newTestDaemon(t, t.TempDir())
@@ -100,7 +100,7 @@
 	return d
 }
 
-// newTestDaemon makes a daemon that is neither configured nor started.
+// newTestDaemon returns a daemon that is neither configured nor started, with the endpoint list file in a folder.
 func newTestDaemon(t *testing.T, folder string) *testDaemon {
 	t.Helper()
 	transport := &http.Transport{}
@@ -123,7 +123,7 @@
 	}
 }
 
-// start starts the daemon, also again after Kill or Stop; then at the same address.
+// start starts the daemon. After Kill or Stop it starts the daemon again, at the same address.
 func (d *testDaemon) start() {
 	d.t.Helper()
 	var err error
@@ -152,7 +152,7 @@
 	}
 }
 
-// writeHosts replaces the endpoint list file in one step.
+// writeHosts replaces the endpoint list file atomically.
 func (d *testDaemon) writeHosts(text string) {
 	d.t.Helper()
 	next := d.hostsFile + ".next"
@@ -164,7 +164,7 @@
 	}
 }
 
-// waitForReads waits until the endpoint list file was read count times with success.
+// waitForReads waits until the endpoint list file was loaded count times.
 func (d *testDaemon) waitForReads(count int) {
 	d.t.Helper()
 	eventually(d.t, fmt.Sprintf("read %d of the endpoint list", count), func() bool {
@@ -172,13 +172,13 @@
 	})
 }
 
-// waitForPolls waits until so many long polls are pending.
+// waitForPolls waits until count long polls are pending.
 func (d *testDaemon) waitForPolls(count int) {
 	d.t.Helper()
 	eventually(d.t, fmt.Sprintf("%d pending polls", count), func() bool { return d.loop.status().PendingPolls == count })
 }
 
-// httpResult is a response, or the text of an error as body, with status 0, where none came.
+// httpResult is a response. If there was none, status is 0 and body is the text of the error.
 type httpResult struct {
 	status int
 	header http.Header
@@ -187,7 +187,8 @@
 
 func (r httpResult) tag() string { return r.header.Get("Etag") }
 
-// sendRequest sends a request with header fields as names and values in turn. It may be called from any goroutine.
+// sendRequest sends a request; header holds names and values of header fields in turn. It may be called from any
+// goroutine.
 func sendRequest(t testing.TB, client *http.Client, method, url, body string, header ...string) httpResult {
 	t.Helper()
 	request, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -226,7 +227,7 @@
 	return d.request(http.MethodPost, path, body, append([]string{"Content-Type", "application/json"}, header...)...)
 }
 
-// pollUntilBothHosts polls at path until the tables have the second host of twoHosts, which joins in a later round.
+// pollUntilBothHosts polls until the tables have the second host of twoHosts, which is added in a later round.
 func pollUntilBothHosts(t *testing.T, poll func(header ...string) httpResult) httpResult {
 	t.Helper()
 	const maxPolls = 100
@@ -241,13 +242,13 @@
 	return result
 }
 
-// pollUntilBothHosts is the same for the proxy p.
+// pollUntilBothHosts polls as the proxy p until the tables have both hosts.
 func (d *testDaemon) pollUntilBothHosts() httpResult {
 	d.t.Helper()
 	return pollUntilBothHosts(d.t, func(header ...string) httpResult { return d.get(tablesPath, header...) })
 }
 
-// eventually waits for something that is sure to come.
+// eventually waits until a condition is true, and fails the test after waitLimit.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitLimit)
@@ -259,7 +260,7 @@
 	}
 }
 
-// await receives from a channel, and fails the test where nothing comes within limit.
+// await receives a value from a channel, and fails the test if there is none within limit.
 func await[T any](t testing.TB, what string, limit time.Duration, channel <-chan T) (value T) {
 	t.Helper()
 	select {
@@ -270,7 +271,7 @@
 	return value
 }
 
-// awaitGroup waits for the goroutines of a group.
+// awaitGroup waits for the goroutines of a group, and fails the test if they do not end within limit.
 func awaitGroup(t testing.TB, what string, limit time.Duration, group *sync.WaitGroup) {
 	t.Helper()
 	done := make(chan struct{})
@@ -288,7 +289,7 @@
 	return result
 }
 
-// runClient runs the client library until stop, at the latest at the end of the test.
+// runClient runs the client library until stop is called or the test ends.
 func runClient(t *testing.T, options client.Options) (proxy *client.Client, stop func()) {
 	t.Helper()
 	proxy, err := client.New(options)
@@ -311,7 +312,7 @@
 	return proxy, stop
 }
 
-// hostWeight returns a host's weight in the client's tables of the request class sheet; 0: it has none.
+// hostWeight returns a host's weight in the client's table of the request class sheet, or 0 if it is not in the table.
 func hostWeight(proxy *client.Client, address string) float64 {
 	for _, host := range proxy.Tables()["sheet"].Hosts {
 		if host.Address == address {
@@ -321,7 +322,7 @@
 	return 0
 }
 
-// serveHTTP serves at an address, once its port is free, until the end of the test.
+// serveHTTP serves at an address until the end of the test, and returns the address. It waits until the port is free.
 func serveHTTP(t *testing.T, server *http.Server, address string) string {
 	t.Helper()
 	var listener net.Listener
@@ -349,7 +350,7 @@
 	})
 }
 
-// closeOrFail closes what a test opened.
+// closeOrFail closes a resource that may be closed already, and fails the test on another error.
 func closeOrFail(t testing.TB, resource io.Closer) {
 	t.Helper()
 	if err := resource.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -357,7 +358,7 @@
 	}
 }
 
-// writeOrFail writes to a connection.
+// writeOrFail writes to a connection, and ends the test on an error.
 func writeOrFail(t testing.TB, writer io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(writer, text); err != nil {
--- a/internal/daemon/endpoint_file_test.go
+++ b/internal/daemon/endpoint_file_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A list that is half written, empty or wrong leaves the last valid one in force, and the log says why.
+// If the list is incomplete, empty or invalid, the last valid one stays in force, and the log has the reason.
 func TestEndpointFileErrors(t *testing.T) {
 	d := startDaemon(t, "")
 	tests := []struct{ name, text, logged string }{
--- a/internal/daemon/endpoint_service_test.go
+++ b/internal/daemon/endpoint_service_test.go
@@ -16,7 +16,7 @@
 	changed   *sync.Cond
 	version   int
 	snapshots map[int]string
-	deltas    map[int]string // from the version before
+	deltas    map[int]string // by version; onto the previous version
 }
 
 func newFakeEndpointService() *fakeEndpointService {
@@ -25,7 +25,7 @@
 	return s
 }
 
-// publish makes the next version.
+// publish adds a version of the list.
 func (s *fakeEndpointService) publish(snapshot, delta string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,11 +52,11 @@
 		writer.WriteHeader(http.StatusIMUsed)
 		body = s.deltas[s.version]
 	}
-	_, _ = io.WriteString(writer, body) // fails where the poll was canceled meanwhile
+	_, _ = io.WriteString(writer, body) // fails if the poll was canceled meanwhile
 }
 
-// wakePolls lets pending polls look whether they were canceled. It takes the mutex, so that none is between its look
-// and its wait.
+// wakePolls makes pending polls check whether they were canceled. It takes the mutex, so that no poll is between its
+// check and its wait and misses the broadcast.
 func (s *fakeEndpointService) wakePolls() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,8 +65,8 @@
 
 func (s *fakeEndpointService) tag(version int) string { return fmt.Sprintf(`"%d"`, version) }
 
-// The list service is unavailable for a while: the last list stays in force, and its changes are applied when the
-// service is back.
+// While the list service is unavailable the last list stays in force. When the service is available again the changes
+// made meanwhile are applied.
 func TestEndpointServiceOutage(t *testing.T) {
 	service := newFakeEndpointService()
 	service.publish(`{"hosts":{"10.0.0.1:80":{"zone":"a"},`+
--- a/internal/daemon/health_checker_test.go
+++ b/internal/daemon/health_checker_test.go
@@ -19,7 +19,7 @@
 	load   routing.HostLoad
 }
 
-// startTestChecker makes a health checker whose reports come by the channel. end cancels its checks and waits for
+// startTestChecker returns a health checker that sends its reports to a channel. end cancels its checks and waits for
 // them; it may be called more than once.
 func startTestChecker(t *testing.T, timeout time.Duration) (checker *healthChecker, reports chan checkResult,
 	end func()) {
@@ -47,7 +47,7 @@
 	return checker, reports, end
 }
 
-// unusedAddress is an address at which nothing listens.
+// unusedAddress returns an address on which no program listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,7 +68,7 @@
 			}
 			writer.Header().Set("endpoint-load-metrics", "TEXT cpu_utilization=0.25")
 			writer.WriteHeader(code)
-			_, _ = io.WriteString(writer, "any body") // not sent with some of the codes
+			_, _ = io.WriteString(writer, "any body") // not sent with some of the statuses
 		}
 		return serveHTTP(t, &http.Server{Handler: http.HandlerFunc(handler)}, "127.0.0.1:0")
 	}
--- a/internal/daemon/identity_helpers_test.go
+++ b/internal/daemon/identity_helpers_test.go
@@ -27,16 +27,16 @@
 	forwarderPath = "/v1/proxies/f1/tables?zone=a"
 )
 
-// identityDaemon is a daemon with an identity, and the issuer of its trust domain.
+// identityDaemon is a daemon with a SPIFFE identity, and the issuer of its trust domain.
 type identityDaemon struct {
 	*testDaemon
 	folder      string // of the issuer's sockets
 	authority   *issuer.Authority
-	ownEndpoint *issuer.Endpoint // from which the daemon has its identity
+	ownEndpoint *issuer.Endpoint // Workload API from which the daemon gets its identity
 }
 
-// startWithIdentities starts a daemon with the identity controllerID. settings are further settings of its identity
-// message; endpointList, where it is not empty, takes the place of the endpoint list file.
+// startWithIdentities starts a daemon with the identity controllerID. settings are additional settings of its identity
+// message; endpointList replaces the setting of the endpoint list file unless it is empty.
 func startWithIdentities(t *testing.T, settings, endpointList string) *identityDaemon {
 	t.Helper()
 	folder, err := os.MkdirTemp("", "id") // not t.TempDir: the path of a socket has to be short
@@ -88,7 +88,7 @@
 	return endpoint
 }
 
-// openSource opens the identity that an endpoint hands out, until the end of the test.
+// openSource gets an identity from an endpoint. The source is closed at the end of the test.
 func openSource(t testing.TB, endpoint *issuer.Endpoint) *identity.Source {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
@@ -107,7 +107,7 @@
 	return signBy(d.t, d.authority, id, validity, nil)
 }
 
-// signBy issues an identity; change, where it is not nil, alters the certificate before it is signed.
+// signBy issues an identity; change alters the certificate before it is signed, unless it is nil.
 func signBy(t testing.TB, authority *issuer.Authority, id string, validity time.Duration,
 	change func(*x509.Certificate)) *issuer.SVID {
 	t.Helper()
@@ -118,7 +118,7 @@
 	return svid
 }
 
-// clientAs makes an HTTP client that presents a certificate, valid or not.
+// clientAs returns an HTTP client that presents a certificate, valid or not.
 func clientAs(t *testing.T, svid *issuer.SVID) *http.Client {
 	t.Helper()
 	key, err := x509.ParsePKCS8PrivateKey(svid.Key)
@@ -129,13 +129,13 @@
 	return newTLSClient(t, func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return certificate, nil })
 }
 
-// anonymousClient makes an HTTP client that presents no certificate.
+// anonymousClient returns an HTTP client that presents no certificate.
 func anonymousClient(t *testing.T) *http.Client {
 	t.Helper()
 	return newTLSClient(t, nil)
 }
 
-// newTLSClient makes an HTTP client that does not verify the server, which is not what these tests are about.
+// newTLSClient returns an HTTP client that does not verify the daemon's certificate, which these tests do not check.
 func newTLSClient(t *testing.T, certificate func(*tls.CertificateRequestInfo) (*tls.Certificate, error)) *http.Client {
 	t.Helper()
 	transport := &http.Transport{TLSClientConfig: &tls.Config{
@@ -147,13 +147,13 @@
 	return &http.Client{Transport: transport, Timeout: waitLimit}
 }
 
-// clientWithID makes an HTTP client that presents a valid certificate of the daemon's trust domain.
+// clientWithID returns an HTTP client that presents a valid certificate of the daemon's trust domain.
 func (d *identityDaemon) clientWithID(id string) *http.Client {
 	d.t.Helper()
 	return clientAs(d.t, d.sign(id, time.Hour))
 }
 
-// call sends a request; its status is 0 where the connection was rejected.
+// call sends a request; the status of the result is 0 if the connection was rejected.
 func (d *identityDaemon) call(client *http.Client, method, path, body string, header ...string) httpResult {
 	d.t.Helper()
 	return sendRequest(d.t, client, method, d.url+path, body, header...)
@@ -172,7 +172,7 @@
 	})
 }
 
-// expectID accepts one SPIFFE ID.
+// expectID returns a function that accepts only one SPIFFE ID.
 func expectID(want string) func(spiffeid.ID) error {
 	return func(id spiffeid.ID) error {
 		if id.String() != want {
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -20,8 +20,8 @@
 	"barleysail/client"
 )
 
-// A poll is pending across the controller's restart: the client reconnects, its old entity tag gets a snapshot, and
-// meanwhile it uses its last tables.
+// The controller restarts while a poll is pending: the client uses its last tables until it has reconnected, and its
+// old entity tag gets a snapshot.
 func TestRestartWithPendingPoll(t *testing.T) {
 	d := startDaemon(t, "")
 	proxy, stop := runClient(t, client.Options{
@@ -88,7 +88,7 @@
 	}
 }
 
-// The daemon is killed while it sends responses: each of them comes complete or not at all.
+// If the daemon is killed while it sends responses, each response is received completely or not at all.
 func TestKillLeavesNoTornResponse(t *testing.T) {
 	const rounds = 5
 	for round := range int64(rounds) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// killDuringResponses kills a daemon when more than so many of its responses have come.
+// killDuringResponses kills a daemon after more than this number of its responses were received.
 func killDuringResponses(t *testing.T, responses int64) {
 	const proxies, pollsOfEach, pendingPolls = 200, 3, 150
 	d := startDaemon(t, "fleet { proxies: 200 }")
@@ -128,8 +128,8 @@
 	awaitGroup(t, "the end of all polls", requestTimeout, &polling)
 }
 
-// A graceful shutdown responds to pending polls with the current tables and accepts no more; its recording replays to
-// the end.
+// A graceful shutdown responds to pending polls with the current tables and accepts no more connections. The recording
+// replays to its end.
 func TestStopAnswersPendingPolls(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.rec")
 	d := startDaemon(t, fmt.Sprintf("record: %q", file))
@@ -151,7 +151,8 @@
 	}
 }
 
-// A start that fails late leaves nothing running: its port, its state folder and its recording can be used again.
+// A start that fails at its last steps releases all resources: the port, the state folder and the recording can be used
+// again.
 func TestFailedStart(t *testing.T) {
 	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/daemon/operator_api_test.go
+++ b/internal/daemon/operator_api_test.go
@@ -10,7 +10,7 @@
 	"barleysail/internal/golden"
 )
 
-// waitForTables waits until the proxy p was sent its first tables.
+// waitForTables waits until the proxy p has been sent its first tables.
 func (d *testDaemon) waitForTables() {
 	d.t.Helper()
 	eventually(d.t, "the first tables", func() bool { return d.get("/v1/proxies/p/holds").status == 200 })
@@ -36,7 +36,8 @@
 	return body.Events
 }
 
-// Operators read and override over HTTP; a command that would break a rule is rejected with the reason.
+// Operators read the state and override hosts by the HTTP API. A command that would break a rule is rejected with the
+// reason.
 func TestOperatorAPI(t *testing.T) {
 	d := startDaemon(t, "")
 	firstHost := "/v1/hosts/" + url.PathEscape("10.0.0.1:80")
--- a/internal/daemon/persister_test.go
+++ b/internal/daemon/persister_test.go
@@ -17,9 +17,9 @@
 	"barleysail/replay"
 )
 
-// A daemon that is killed and started again on its state folder goes on from there: a proxy's entity tag of before
-// gets a delta, an operator's override stands, and the recording replays with what was restored. A second daemon on
-// the folder is rejected.
+// A daemon that is killed and started again continues from its state folder: a proxy's entity tag from before the
+// restart gets a delta, an operator's override stays, and the recording replays with the restored state. A second
+// daemon cannot open the folder.
 func TestStateAcrossRestart(t *testing.T) {
 	dir := t.TempDir()
 	folder := filepath.Join(dir, "state")
@@ -65,7 +65,7 @@
 	return len(state.Settings) == 1 && len(state.Proxies) == 1 && state.Proxies[0].Tag == strings.Trim(tag, `"`)
 }
 
-// verifyReplay replays a recording and fails the test for a difference.
+// verifyReplay replays a recording, and fails the test if a response differs.
 func verifyReplay(t *testing.T, path string) {
 	t.Helper()
 	file, err := os.Open(path)
@@ -79,7 +79,7 @@
 	}
 }
 
-// onAnotherPort is the same configuration with a free port.
+// onAnotherPort returns a copy of a configuration that listens on a free port.
 func onAnotherPort(cfg *configpb.Config) *configpb.Config {
 	cfg = proto.CloneOf(cfg)
 	cfg.Listen = "127.0.0.1:0"
@@ -96,8 +96,8 @@
 	return statefile.Load(folder)
 }
 
-// A folder that cannot be written costs the persisted state, and nothing else: the status says so, until saves
-// succeed again.
+// While the state folder cannot be written the daemon still serves proxies, and its status reports the error until
+// saves succeed again.
 func TestStateFolderUnwritable(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "state")
 	d := startDaemon(t, fmt.Sprintf("state { folder: %q every_ms: 20 }", folder))
--- a/internal/daemon/recording_test.go
+++ b/internal/daemon/recording_test.go
@@ -19,8 +19,8 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// What the daemon recorded, replayed by the library alone, leads to the same responses byte for byte; a torn tail is
-// noticed and left out.
+// A replay of the daemon's recording by a controller alone yields the same responses, byte for byte. The reader of a
+// recording that breaks off reports that.
 func TestRecordingReplaysIdentically(t *testing.T) {
 	const proxies = 8
 	file := filepath.Join(t.TempDir(), "day.rec")
@@ -72,8 +72,8 @@
 func (c *responseCollector) WatchEndpoints()    {}
 func (c *responseCollector) Log(string)         {}
 
-// replayRecording feeds the recorded inputs to a new controller. It returns the responses as they were recorded and as
-// the controller gives them now, and the error that ended the recording.
+// replayRecording feeds the recorded inputs to a new controller. It returns the recorded responses, those of the new
+// controller, and the error at the end of the recording.
 func replayRecording(t *testing.T, text []byte) (recorded, replayed []string, end error) {
 	t.Helper()
 	reader := record.NewReader(bytes.NewReader(text))
@@ -100,7 +100,7 @@
 	}
 }
 
-// recordedController makes the controller that a recording begins with.
+// recordedController returns the controller that the first record of a recording describes.
 func recordedController(start *recordpb.Start) (*controller.Controller, error) {
 	cfg, err := config.Parse("recorded", []byte(start.Config))
 	if err != nil {
--- a/internal/daemon/runtime_sockets_test.go
+++ b/internal/daemon/runtime_sockets_test.go
@@ -21,7 +21,7 @@
 )
 
 // startWithRuntime starts a daemon with a runtime socket for administrators and one for users, and waits until the
-// proxy p was sent its first tables.
+// proxy p has been sent its first tables.
 func startWithRuntime(t *testing.T) *testDaemon {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
@@ -32,7 +32,7 @@
 	return d
 }
 
-// dialRuntime connects to a runtime socket; the connection has a deadline and ends with the test.
+// dialRuntime connects to a runtime socket. The connection has a deadline, and is closed at the end of the test.
 func (d *testDaemon) dialRuntime(index int) net.Conn {
 	d.t.Helper()
 	address := d.RuntimeAddr(index)
@@ -51,7 +51,8 @@
 	return conn
 }
 
-// runtimeCommand sends a command, as socat would, and returns all that comes until the connection closes.
+// runtimeCommand sends a command on a new connection, as socat does, and returns the output until the connection is
+// closed.
 func (d *testDaemon) runtimeCommand(index int, command string) string {
 	d.t.Helper()
 	conn := d.dialRuntime(index)
@@ -64,7 +65,8 @@
 	return string(output)
 }
 
-// The commands, one after the other over the unix socket, with their output.
+// The golden file shows the output of the commands on the Unix socket. Commands that need the level admin are rejected
+// on the socket of level user.
 func TestRuntimeCommands(t *testing.T) {
 	d := startWithRuntime(t)
 	var transcript strings.Builder
@@ -100,7 +102,7 @@
 		"show errors",
 	} {
 		output := d.runtimeCommand(adminSocket, command+"\n")
-		if command == "show errors" { // its first line has the time
+		if command == "show errors" { // its first line contains the time
 			_, output, _ = strings.Cut(output, "\n")
 		}
 		fmt.Fprintf(&transcript, "$ %s\n%s", command, output)
@@ -115,7 +117,8 @@
 	}
 }
 
-// What monitoring tools read: show stat in its forms, show servers state, several commands on a line, and the prompt.
+// Commands that monitoring tools use: the forms of show stat, show servers state, several commands on a line, and the
+// interactive mode.
 func TestRuntimeMonitoringCommands(t *testing.T) {
 	d := startWithRuntime(t)
 	eventually(t, "the tables", func() bool {
@@ -151,7 +154,7 @@
 	}
 }
 
-// A command that is cut anywhere, comes byte by byte, or is far too long.
+// A command that is received byte by byte, is incomplete or is too long does not disturb later commands.
 func TestRuntimeFragmentedInput(t *testing.T) {
 	d := startWithRuntime(t)
 	const command = "show backend"
@@ -160,7 +163,7 @@
 		conn := d.dialRuntime(adminSocket)
 		for _, char := range command + "\n" {
 			writeOrFail(t, conn, string(char))
-			time.Sleep(time.Millisecond) // so that each byte comes as a packet of its own
+			time.Sleep(time.Millisecond) // so that each byte is sent as a packet of its own
 		}
 		if output, err := io.ReadAll(conn); err != nil || string(output) != want {
 			t.Errorf("%q, %v", output, err)
@@ -192,7 +195,7 @@
 	}
 }
 
-// show events -w goes on as events come, and ends with whatever is sent.
+// show events -w prints new events as they occur, and ends at any input.
 func TestRuntimeEvents(t *testing.T) {
 	d := startWithRuntime(t)
 	conn := d.dialRuntime(adminSocket)
@@ -207,7 +210,7 @@
 	}
 }
 
-// readUntil reads lines up to one that has the text. The deadline of the connection bounds it.
+// readUntil reads lines until one contains the text, or the deadline of the connection has passed.
 func readUntil(t *testing.T, reader *bufio.Reader, text string) {
 	t.Helper()
 	for {
--- a/internal/daemon/socket_proxies_test.go
+++ b/internal/daemon/socket_proxies_test.go
@@ -14,11 +14,11 @@
 	"barleysail/internal/fake"
 )
 
-// idleRate is a rate, in requests per second, at which a fake proxy sends none during a test.
+// idleRate is the rate of a fake proxy, in requests per second, that is low enough for no request during a test.
 const idleRate = 1e-6
 
-// startSocketProxies starts fake proxies that are configured by their runtime sockets and begin with an old server. It
-// gives the configuration of their drivers. The proxies end with the test.
+// startSocketProxies starts fake proxies that are configured by their runtime sockets and have an outdated server at
+// the start. It returns them with the configuration of their drivers. The proxies end with the test.
 func startSocketProxies(t testing.TB, count int) (proxies []*fake.Forwarder, drivers string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -45,11 +45,11 @@
 	return proxies, drivers
 }
 
-// defaultWeights are the weights of twoHosts as a proxy has them.
+// defaultWeights holds the weights of the hosts of twoHosts in a proxy's configuration.
 var defaultWeights = map[string]int{"10.0.0.1:80": 256, "10.0.0.2:80": 128}
 
-// hasWeights reports whether the servers of a proxy that take traffic are the ones wanted, with their weights, for both
-// request classes.
+// hasWeights reports whether a proxy's active servers are exactly the wanted ones, with their weights, for both request
+// classes.
 func hasWeights(proxy *fake.Forwarder, want map[string]int) bool {
 	count := 0
 	for _, server := range proxy.SocketState() {
@@ -74,8 +74,9 @@
 	return false
 }
 
-// A proxy that starts with an old server is brought to the published tables and acknowledges them; changed by somebody
-// else, slow, and restarted during a change it is brought back.
+// The driver brings a proxy that starts with an outdated server to the published tables, and the proxy acknowledges
+// them. The driver restores the tables after another program has changed them, and after the proxy has restarted during
+// a slow change.
 func TestSocketProxy(t *testing.T) {
 	proxies, drivers := startSocketProxies(t, 1)
 	d := startDaemon(t, drivers+" fleet { period_ms: 50 } guard { grace_ms: 300 }")
@@ -115,7 +116,7 @@
 	return false
 }
 
-// sendToProxy sends commands to a proxy's runtime socket and waits until they were carried out.
+// sendToProxy sends commands to a proxy's runtime socket and waits for their output.
 func sendToProxy(t *testing.T, proxy *fake.Forwarder, commands string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", proxy.SocketAddress())
@@ -132,14 +133,15 @@
 	}
 }
 
-// Of two controllers with a driver for a proxy one drives it; when that one is killed the other takes over.
+// If two controllers have a driver for the same proxy, only one of them programs it. When that one is killed the other
+// takes over.
 func TestSocketDriverFailover(t *testing.T) {
 	proxies, drivers := startSocketProxies(t, 1)
 	more := drivers + " fleet { period_ms: 50 stewards: 2 }"
 	first := startDaemon(t, more)
 	eventually(t, "the first to drive it", func() bool { return first.acknowledged("s0") })
 	second := startDaemon(t, more)
-	// Eight periods, in which the second must not start to drive it. A longer wait is not needed for a pass.
+	// Wait for eight periods, in which the second must not program the proxy.
 	time.Sleep(400 * time.Millisecond)
 	if sessions := second.Operators().Proxies(); len(sessions) != 0 || !first.acknowledged("s0") {
 		t.Errorf("both drive it: %+v", sessions)
@@ -177,7 +179,7 @@
 	return listener.Addr().String()
 }
 
-// A socket that takes commands and never responds delays no other proxy.
+// A proxy whose socket accepts commands and never responds does not delay other proxies.
 func TestUnresponsiveSocket(t *testing.T) {
 	address := acceptSilently(t)
 	proxies, drivers := startSocketProxies(t, 1)
@@ -194,7 +196,7 @@
 	}
 }
 
-// Many proxies whose sockets were lost reconnect at once, and all get their tables.
+// Many proxies restart and reconnect at once, and all get their tables.
 func TestManySocketsReconnect(t *testing.T) {
 	count := 500
 	if testing.Short() {
--- a/internal/daemon/standby_test.go
+++ b/internal/daemon/standby_test.go
@@ -13,8 +13,8 @@
 	"barleysail/state/statepb"
 )
 
-// A standby replicates the leader's state and rejects the proxies that the leader serves. Once the leader is killed it
-// goes on from the replicated state: the entity tag of before gets a delta, and an operator's override stands.
+// A standby replicates the leader's state and rejects the proxies that the leader serves. After the leader is killed it
+// continues from the replicated state: an entity tag of the leader gets a delta, and an operator's override stays.
 func TestStandbyTakeover(t *testing.T) {
 	t.Parallel()
 	leader := startDaemon(t, "")
@@ -78,7 +78,7 @@
 	}
 }
 
-// The state that a standby has after deltas is the one that a snapshot gives.
+// After deltas a standby has the same state as after a snapshot.
 func TestStateChangesMatchSnapshot(t *testing.T) {
 	t.Parallel()
 	const changes, minDeltas = 6, 3
--- a/internal/daemon/table_signature_test.go
+++ b/internal/daemon/table_signature_test.go
@@ -15,8 +15,8 @@
 	"barleysail/internal/tablesig"
 )
 
-// replayingCache is a cache between proxies and controller. It forwards requests, and can reply with the first
-// snapshot that it saw, or remove signatures.
+// replayingCache is an HTTP cache between proxies and a controller. It forwards requests, and can reply with the first
+// snapshot that it received, or remove signatures.
 type replayingCache struct {
 	next          http.RoundTripper
 	first         atomic.Pointer[cachedTables]
@@ -46,7 +46,7 @@
 	return c.cache(response)
 }
 
-// cache keeps the first snapshot with both hosts.
+// cache stores the first snapshot with both hosts.
 func (c *replayingCache) cache(response *http.Response) (*http.Response, error) {
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return response, nil
 }
 
-// signatureClient is a client behind a replayingCache that wants signed tables.
+// signatureClient is a client behind a replayingCache that requires signed tables.
 type signatureClient struct {
 	proxy    *client.Client
 	rejected atomic.Int64 // tables rejected as old or without a valid signature
@@ -97,11 +97,11 @@
 	return c
 }
 
-// weight returns the second host's weight; 0: there are no tables.
+// weight returns the second host's weight, or 0 if there are no tables.
 func (c *signatureClient) weight() float64 { return hostWeight(c.proxy, "10.0.0.2:80") }
 
-// A client that wants signed tables accepts those of its own controller, snapshots and deltas; it rejects unsigned
-// ones, those of another controller of the same trust domain, and old ones that are replayed from a cache.
+// A client that requires signed tables accepts snapshots and deltas of the expected controller. It rejects tables that
+// are unsigned, are signed by another controller of the same trust domain, or are old ones replayed from a cache.
 func TestSignedTables(t *testing.T) {
 	t.Parallel()
 	d := startWithIdentities(t, "", "")
