--- a/internal/daemon/api_test.go
+++ b/internal/daemon/api_test.go
@@ -50,7 +50,7 @@
 	var status controller.Status
 	result := d.get("/v1/status")
 	if json.Unmarshal([]byte(result.body), &status) != nil || status.Hosts != 2 || status.ConnectedProxies != 1 {
-		t.Errorf("status %s", result.body)
+		t.Errorf("GET /v1/status = %s, want 2 hosts and 1 connected proxy", result.body)
 	}
 	golden.CompareForTest(t, tr.text.String())
 }
@@ -69,7 +69,7 @@
 	d.writeHosts(secondHostDraining)
 	delta := tr.add("held until a host drains: a delta", await(d.t, "the delta", requestTimeout, pending))
 	if delta.status != http.StatusIMUsed {
-		d.t.Errorf("no delta came: %+v", delta)
+		d.t.Errorf("pending poll returned %+v, want a delta with status %d", delta, http.StatusIMUsed)
 	}
 	tr.add("the old tag without A-IM", d.get(tablesPath, "If-None-Match", tag))
 	tr.add("with A-IM of weight 0", d.get(tablesPath, "If-None-Match", tag, "A-IM", "merge-patch;q=0"))
@@ -121,11 +121,11 @@
 	first, second := startDaemon(t, ""), startDaemon(t, "")
 	fromFirst, fromSecond := first.get(tablesPath), second.get(tablesPath)
 	if fromFirst.status != 200 || fromSecond.status != 200 || fromFirst.tag() == fromSecond.tag() {
-		t.Fatalf("%+v %+v", fromFirst, fromSecond)
+		t.Fatalf("got %+v and %+v, want status 200 and different entity tags", fromFirst, fromSecond)
 	}
 	cross := second.get(tablesPath, "If-None-Match", fromFirst.tag(), "A-IM", "merge-patch", "Prefer", "wait=20")
 	if cross.status != 200 || cross.body != fromSecond.body {
-		t.Errorf("a tag of the other controller: %+v", cross)
+		t.Errorf("poll with the other controller's entity tag returned %+v, want the snapshot %+v", cross, fromSecond)
 	}
 }
 
@@ -141,7 +141,7 @@
 		return result.status == http.StatusConflict
 	})
 	if status := d.loop.status(); status.ConnectedProxies != 0 {
-		t.Errorf("%+v", status)
+		t.Errorf("got %d connected proxies, want 0: %+v", status.ConnectedProxies, status)
 	}
 }
 
@@ -150,7 +150,7 @@
 func TestFleetProblem(t *testing.T) {
 	d := startDaemon(t, "")
 	if result := d.get("/v1/fleet"); result.status != http.StatusNotFound {
-		t.Errorf("without cores: %+v", result)
+		t.Errorf("GET /v1/fleet without cores = %+v, want status %d", result, http.StatusNotFound)
 	}
 	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" cores: 8 }
 hosts { address: "10.0.0.2:80" zone: "b" cores: 2 speed: 0.5 }`)
@@ -161,14 +161,15 @@
 	var problem solver.Problem
 	result := d.get("/v1/fleet")
 	if result.status != 200 || json.Unmarshal([]byte(result.body), &problem) != nil {
-		t.Fatalf("%+v", result)
+		t.Fatalf("GET /v1/fleet = %+v, want a problem with status 200", result)
 	}
 	solution, err := problem.Solve()
 	if err != nil || len(problem.Hosts) != 2 || solution.Asked <= 0 || problem.Verify(solution) != nil {
-		t.Errorf("%+v, %v", solution, err)
+		t.Errorf("Solve() of %d hosts = %+v, %v, want a valid solution with demand for 2 hosts",
+			len(problem.Hosts), solution, err)
 	}
 	if result := d.get("/v1/status"); !strings.Contains(result.body, `"gap":{"result":`) {
-		t.Errorf("status %s", result.body)
+		t.Errorf("GET /v1/status = %s, want it to include the gap", result.body)
 	}
 }
 
@@ -199,7 +200,7 @@
 	} {
 		t.Run("rejected for "+field, func(t *testing.T) {
 			if result := offer(body); result.status != 422 || !strings.Contains(result.body, field) {
-				t.Errorf("%s: %+v", body, result)
+				t.Errorf("offer %s returned %+v, want status 422 that names %s", body, result, field)
 			}
 		})
 	}
@@ -207,7 +208,7 @@
 	delta := offer(strings.Replace(fromFirst.body, "{", `{"tag":"`+tag+`",`, 1))
 	if delta.status != http.StatusIMUsed || delta.header.Get("Delta-Base") != `"`+tag+`"` ||
 		!strings.Contains(delta.body, `"10.0.0.2:80":0.7`) || strings.Contains(delta.body, "10.0.0.1:80") {
-		t.Errorf("%+v", delta)
+		t.Errorf("offer returned %+v, want a delta onto %s that changes only the second host, to 0.7", delta, tag)
 	}
 
 	// The client library does the same: it uses the first controller's tables, then the second's.
@@ -224,6 +225,6 @@
 	eventually(t, "the second's", func() bool { return hostWeight(proxy, "10.0.0.2:80") == 0.7 })
 	sessions := second.Operators().Proxies()
 	if len(sessions) == 0 || sessions[len(sessions)-1].Proxy != "q" {
-		t.Errorf("connected to the second: %+v", sessions)
+		t.Errorf("sessions of the second controller = %+v, want q to be the last", sessions)
 	}
 }
--- a/internal/daemon/authorization_test.go
+++ b/internal/daemon/authorization_test.go
@@ -46,12 +46,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			result := d.call(test.client, test.method, test.path, test.body, "Content-Type", "application/json")
 			if result.status != test.want {
-				t.Errorf("%s %s: %d, not %d: %s", test.method, test.path, result.status, test.want, result.body)
+				t.Errorf("%s %s: status %d, want %d: %s", test.method, test.path, result.status, test.want, result.body)
 			}
 		})
 	}
 	if connected := d.loop.status().ConnectedProxies; connected != 1 {
-		t.Errorf("%d proxies are connected", connected)
+		t.Errorf("got %d connected proxies, want 1", connected)
 	}
 }
 
@@ -106,16 +106,16 @@
 			svid := signBy(t, test.authority, forwarderID, test.validity, test.change)
 			result := d.getAs(clientAs(t, svid), forwarderPath)
 			if result.status != test.want {
-				t.Errorf("%d, not %d: %s", result.status, test.want, result.body)
+				t.Errorf("status %d, want %d: %s", result.status, test.want, result.body)
 			}
 		})
 	}
 	plainURL := strings.Replace(d.url, "https:", "http:", 1)
 	if result := sendRequest(t, d.client, http.MethodGet, plainURL+"/v1/status", ""); result.status == 200 {
-		t.Error("a plain request was answered")
+		t.Error("plain HTTP request: status 200, want it to be rejected")
 	}
 	if connected := d.loop.status().ConnectedProxies; connected != 1 {
-		t.Errorf("%d proxies are connected", connected)
+		t.Errorf("got %d connected proxies, want 1", connected)
 	}
 }
 
@@ -129,23 +129,23 @@
 	forwarder := clientAs(t, signBy(t, club, "spiffe://club.example/forwarder/a/f9", time.Hour, nil))
 	poll := func() int { return d.getAs(forwarder, "/v1/proxies/f9/tables?zone=a").status }
 	if status := poll(); status != 0 {
-		t.Errorf("%d without its domain's roots", status)
+		t.Errorf("poll without the roots of its trust domain: status %d, want the connection to be rejected", status)
 	}
 	own := d.sign(controllerID, time.Hour)
 	d.ownEndpoint.Give(own, []*issuer.Authority{d.authority}, club)
-	eventually(t, "the club's roots", func() bool { return poll() == 200 })
+	eventually(t, "the federated roots", func() bool { return poll() == 200 })
 	report := d.call(forwarder, http.MethodPost, "/v1/proxies/f9/sums", `{"number":1}`,
 		"Content-Type", "application/json")
 	if report.status != 403 {
-		t.Errorf("a report of the club's forwarder: %d", report.status)
+		t.Errorf("report of the federated forwarder: status %d, want 403", report.status)
 	}
 	// A federated root is trusted only for names of its own domain, not for those of the daemon's domain.
 	operator := clientAs(t, signBy(t, club, operatorID, time.Hour, nil))
 	if result := d.getAs(operator, "/v1/hosts"); result.status != 0 {
-		t.Errorf("our operator by the club's root: %d", result.status)
+		t.Errorf("operator signed by the federated root: status %d, want the connection to be rejected", result.status)
 	}
 	d.ownEndpoint.Give(own, []*issuer.Authority{d.authority})
-	eventually(t, "the club's roots to be removed", func() bool { return poll() != 200 })
+	eventually(t, "the federated roots to be removed", func() bool { return poll() != 200 })
 }
 
 // tokenIssuer makes bearer tokens for TestBearerTokens.
@@ -200,7 +200,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			result := d.getWithToken(anonymousClient(t), "/v1/hosts", test.token)
 			if result.status != test.want {
-				t.Errorf("%d, not %d: %s", result.status, test.want, result.body)
+				t.Errorf("status %d, want %d: %s", result.status, test.want, result.body)
 			}
 		})
 	}
@@ -210,7 +210,7 @@
 		client := clientAs(t, signBy(t, other.authority, operatorID, time.Hour, nil))
 		token := own.token(operatorID, ownAudience, time.Minute, nil)
 		if result := d.getWithToken(client, "/v1/hosts", token); result.status != 0 {
-			t.Errorf("%d", result.status)
+			t.Errorf("status %d, want the connection to be rejected", result.status)
 		}
 	})
 	t.Run("expires during a poll", func(t *testing.T) {
@@ -220,7 +220,7 @@
 	t.Run("a controller without tokens", func(t *testing.T) {
 		plain := startWithIdentities(t, "", "")
 		if result := plain.getWithToken(anonymousClient(t), "/v1/hosts", valid); result.status != 0 {
-			t.Errorf("%d", result.status)
+			t.Errorf("status %d, want the connection to be rejected", result.status)
 		}
 	})
 }
@@ -235,7 +235,7 @@
 	}{{owner, 200}, {thief, 401}, {owner, 200}}
 	for i, use := range uses {
 		if result := d.getWithToken(use.client, "/v1/hosts", token); result.status != use.want {
-			t.Errorf("use %d: %d", i, result.status)
+			t.Errorf("use %d of the token: status %d, want %d", i, result.status, use.want)
 		}
 	}
 }
@@ -247,7 +247,7 @@
 	tag := d.pollAsUntilBothHosts(client, "Authorization", "Bearer "+token).tag()
 	result := d.getWithToken(client, forwarderPath, token, "If-None-Match", tag, "Prefer", "wait=10")
 	if took := time.Since(issued); result.status != 304 || took > 4*time.Second {
-		t.Errorf("%d after %v", result.status, took)
+		t.Errorf("poll ended with status %d %v after the token was issued, want 304 within 4 s", result.status, took)
 	}
 }
 
@@ -267,7 +267,7 @@
 	notified := inBackground(func() time.Duration {
 		result := d.getAs(forwarder, forwarderPath, "If-None-Match", tag, "Prefer", "wait=10", "A-IM", "merge-patch")
 		if result.status != 226 || !strings.Contains(result.body, `"10.0.0.1:80":null`) {
-			t.Errorf("the pending poll: %+v", result)
+			t.Errorf("pending poll returned %+v, want a delta without the first host", result)
 		}
 		return time.Since(began)
 	})
@@ -280,7 +280,7 @@
 	}
 	d.writeHosts(firstHostDraining)
 	if took := await(t, "the notification", waitLimit, notified); took > notificationLimit {
-		t.Errorf("the pending poll was notified after %v, and the grace is %v", took, notificationLimit)
+		t.Errorf("pending poll was notified after %v, want at most %v", took, notificationLimit)
 	}
 	count := 0
 	for range clients {
@@ -289,7 +289,7 @@
 		}
 	}
 	if count != proxies {
-		t.Errorf("%d of %d connected", count, proxies)
+		t.Errorf("got %d connected proxies, want %d", count, proxies)
 	}
 	t.Logf("%d connected in %v", count, time.Since(began))
 }
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -65,7 +65,7 @@
 		receiving.Go(func() {
 			status, _, err := poller.receive()
 			if err != nil || status != http.StatusIMUsed {
-				b.Errorf("status %d, %v", status, err)
+				b.Errorf("poll returned status %d, %v, want %d", status, err, http.StatusIMUsed)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -128,7 +128,7 @@
 	defer closeOrFail(b, conn)
 	status, _, err := newBenchPoller(conn, name).poll("Prefer: wait=5\r\n")
 	if status != http.StatusOK || err != nil {
-		b.Errorf("%d %v", status, err)
+		b.Errorf("poll returned status %d, %v, want %d", status, err, http.StatusOK)
 	}
 }
 
@@ -192,7 +192,7 @@
 		}
 		length, err := poller.conn.Read(response)
 		if err != nil || !bytes.HasPrefix(response[:length], notModified) {
-			b.Fatalf("%s %v", response[:length], err)
+			b.Fatalf("poll returned %q, %v, want status 304", response[:length], err)
 		}
 	}
 }
--- a/internal/daemon/credentials_test.go
+++ b/internal/daemon/credentials_test.go
@@ -33,19 +33,19 @@
 	shortLived := clientAs(t, d.sign(forwarderID, validity))
 	ended := d.getAs(shortLived, forwarderPath, "If-None-Match", tag, "Prefer", "wait=10", "A-IM", "merge-patch")
 	if took := time.Since(issued); ended.status != 304 || took > validity {
-		t.Errorf("%d after %v", ended.status, took)
+		t.Errorf("poll ended with status %d after %v, want 304 within %v", ended.status, took, validity)
 	}
 	d.writeHosts(firstHostDraining)
 	// Wait until the certificate has expired. A longer wait does no harm.
 	time.Sleep(time.Until(issued.Add(validity + 100*time.Millisecond)))
 	expired := d.getAs(shortLived, forwarderPath, "If-None-Match", tag)
 	if expired.status == 200 || expired.status == 226 {
-		t.Errorf("tables after the expiry: %d %s", expired.status, expired.body)
+		t.Errorf("poll after the expiry returned tables with status %d: %s", expired.status, expired.body)
 	}
 	delta := d.getAs(longLived, forwarderPath, "If-None-Match", tag, "Prefer", "wait=10", "A-IM", "merge-patch")
 	if delta.status != 226 || delta.header.Get("Delta-Base") != tag ||
 		!strings.Contains(delta.body, `"10.0.0.1:80":null`) {
-		t.Errorf("%+v", delta)
+		t.Errorf("poll returned %+v, want a delta onto %s without the first host", delta, tag)
 	}
 }
 
@@ -59,18 +59,18 @@
 	byNewRoot := clientAs(t, signBy(t, next, forwarderID, time.Hour, nil))
 	poll := func(client *http.Client) int { return d.getAs(client, forwarderPath).status }
 	if old, fresh := poll(byOldRoot), poll(byNewRoot); old != 200 || fresh != 0 {
-		t.Errorf("old %d, new %d", old, fresh)
+		t.Errorf("before the rotation: status %d by the old root and %d by the new one, want 200 and 0", old, fresh)
 	}
 	own := d.sign(controllerID, time.Hour)
 	d.ownEndpoint.Give(own, []*issuer.Authority{d.authority, next})
 	eventually(t, "the new root", func() bool { return poll(byNewRoot) == 200 })
 	if status := poll(byOldRoot); status != 200 {
-		t.Errorf("old %d while both are in the bundle", status)
+		t.Errorf("old root while both are in the bundle: status %d, want 200", status)
 	}
 	d.ownEndpoint.Give(own, []*issuer.Authority{next})
 	eventually(t, "the old root to be removed", func() bool { return poll(byOldRoot) != 200 })
 	if status := poll(byNewRoot); status != 200 {
-		t.Errorf("new %d", status)
+		t.Errorf("new root after the rotation: status %d, want 200", status)
 	}
 }
 
@@ -80,11 +80,11 @@
 	d.ownEndpoint.Close()
 	forwarder := d.clientWithID(forwarderID)
 	if result := d.getAs(forwarder, forwarderPath); result.status != 200 {
-		t.Errorf("%d", result.status)
+		t.Errorf("poll without the issuer: status %d, want 200", result.status)
 	}
 	status := d.getAs(d.clientWithID(operatorID), "/v1/status").body
 	if !strings.Contains(status, `"identity":{"id":"spiffe://race.example/steward/one","left_ms":3`) {
-		t.Errorf("%s", status)
+		t.Errorf("GET /v1/status = %s, want the identity and the time until it expires", status)
 	}
 }
 
@@ -101,7 +101,7 @@
 	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
 	eventually(t, "the log line", func() bool { return logged("the same key as before") > 0 })
 	if result := d.getAs(d.clientWithID(operatorID), "/v1/hosts"); result.status != 200 {
-		t.Errorf("%d", result.status)
+		t.Errorf("GET /v1/hosts with the reissued key: status %d, want 200", result.status)
 	}
 }
 
@@ -145,10 +145,10 @@
 		return hostWeight(proxy, "10.0.0.2:80") == 0
 	})
 	if status := d.loop.status(); status.ConnectedProxies != 1 || status.Ingest.Processed == 0 {
-		t.Errorf("%+v", status)
+		t.Errorf("status %+v, want 1 connected proxy and processed reports", status)
 	}
 	if count := lost.Load(); count > 0 {
-		t.Errorf("the controller was lost %d times", count)
+		t.Errorf("the client lost its controller %d times, want 0", count)
 	}
 	stop()
 }
@@ -223,11 +223,13 @@
 		return strings.Contains(d.log.String(), "not "+serviceID)
 	})
 	if hosts := d.loop.status().Hosts; hosts != 0 || caller.Load() != nil {
-		t.Errorf("%d hosts by the impostor", hosts)
+		t.Errorf("impostor: got %d hosts, called: %t; want 0 hosts and no call", hosts, caller.Load() != nil)
 	}
 	give(serviceID)
 	eventually(t, "the list", func() bool { return d.loop.status().Hosts == 1 })
-	if id := caller.Load(); id == nil || *id != controllerID {
-		t.Errorf("called by %v", id)
+	if id := caller.Load(); id == nil {
+		t.Error("the list service was not called")
+	} else if *id != controllerID {
+		t.Errorf("the list service was called by %s, want %s", *id, controllerID)
 	}
 }
--- a/internal/daemon/daemon_helpers_test.go
+++ b/internal/daemon/daemon_helpers_test.go
@@ -167,7 +167,7 @@
 // waitForReads waits until the endpoint list file was loaded count times.
 func (d *testDaemon) waitForReads(count int) {
 	d.t.Helper()
-	eventually(d.t, fmt.Sprintf("read %d of the endpoint list", count), func() bool {
+	eventually(d.t, fmt.Sprintf("load %d of the endpoint list", count), func() bool {
 		return strings.Count(d.log.String(), "endpoint list loaded") == count
 	})
 }
@@ -206,7 +206,7 @@
 	defer closeOrFail(t, response.Body)
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		t.Logf("%s %s: the body broke off: %v", method, url, err) // the caller judges what came
+		t.Logf("%s %s: reading the body: %v", method, url, err) // the caller checks the part that was read
 	}
 	return httpResult{response.StatusCode, response.Header, string(text)}
 }
@@ -254,7 +254,7 @@
 	deadline := time.Now().Add(waitLimit)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("did not come: %s", what)
+			t.Fatalf("timed out after %v waiting for: %s", waitLimit, what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -266,7 +266,7 @@
 	select {
 	case value = <-channel:
 	case <-time.After(limit):
-		t.Fatalf("did not come within %v: %s", limit, what)
+		t.Fatalf("timed out after %v waiting for: %s", limit, what)
 	}
 	return value
 }
@@ -300,7 +300,7 @@
 	var running sync.WaitGroup
 	running.Go(func() {
 		if err := proxy.Run(ctx); !errors.Is(err, context.Canceled) {
-			t.Errorf("the client ended: %v", err)
+			t.Errorf("Run() = %v, want %v", err, context.Canceled)
 		}
 	})
 	stop = func() {
@@ -341,7 +341,7 @@
 	var serving sync.WaitGroup
 	serving.Go(func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			t.Errorf("the server ended: %v", err)
+			t.Errorf("Serve() = %v, want %v", err, http.ErrServerClosed)
 		}
 	})
 	t.Cleanup(func() {
--- a/internal/daemon/endpoint_file_test.go
+++ b/internal/daemon/endpoint_file_test.go
@@ -25,7 +25,7 @@
 			d.writeHosts(test.text)
 			eventually(t, test.logged+" in the log", func() bool { return strings.Contains(d.log.String(), test.logged) })
 			if status := d.loop.status(); status.Hosts != 2 {
-				t.Errorf("%q: %d hosts", test.text, status.Hosts)
+				t.Errorf("got %d hosts after the list %q, want 2", status.Hosts, test.text)
 			}
 		})
 	}
--- a/internal/daemon/endpoint_service_test.go
+++ b/internal/daemon/endpoint_service_test.go
@@ -81,7 +81,7 @@
 	closeOrFail(t, server)
 	eventually(t, "the failure", func() bool { return d.loop.status().WatchFailed })
 	if result := d.get(tablesPath); result.status != 200 || !strings.Contains(result.body, `"10.0.0.1:80":1`) {
-		t.Errorf("without the service: %+v", result)
+		t.Errorf("poll without the service returned %+v, want status 200 and the first host", result)
 	}
 
 	service.publish(`{"hosts":{"10.0.0.1:80":{"zone":"a"},"10.0.0.3:80":{"zone":"a"},"10.0.0.4:80":{"zone":"b"}}}`,
--- a/internal/daemon/health_checker_test.go
+++ b/internal/daemon/health_checker_test.go
@@ -91,10 +91,10 @@
 			checker.start(test.host)
 			report := await(t, "the report", waitLimit, reports)
 			if report.host != test.host || report.result != test.want {
-				t.Errorf("%+v, not %v", report, test.want)
+				t.Errorf("report %+v, want host %s and result %v", report, test.host, test.want)
 			}
 			if test.want == routing.Healthy && report.load.Utilization != 0.25 {
-				t.Errorf("load %+v", report.load)
+				t.Errorf("reported load %+v, want a utilization of 0.25", report.load)
 			}
 		})
 	}
@@ -112,10 +112,10 @@
 	checker.start(host)
 	select {
 	case report := <-reports:
-		t.Errorf("%+v after the end", report)
+		t.Errorf("got report %+v after the end, want none", report)
 	default:
 	}
 	if len(checker.slots) != 0 {
-		t.Errorf("%d checks in progress", len(checker.slots))
+		t.Errorf("got %d checks in progress after the end, want 0", len(checker.slots))
 	}
 }
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -37,7 +37,7 @@
 	d.Kill()
 	eventually(t, "the loss", func() bool { return proxy.Controller() == "" })
 	if host, ok := proxy.Pick("finish"); !ok {
-		t.Errorf("no host without a controller, %q", host)
+		t.Errorf("Pick() without a controller = %q, %t, want a host of the last tables", host, ok)
 	}
 	d.writeHosts(`hosts { address: "10.0.0.3:80" zone: "a" }`)
 	d.start()
@@ -46,7 +46,7 @@
 		return len(hosts) == 1 && hosts[0].Address == "10.0.0.3:80"
 	})
 	if now := d.loop.status().Incarnation; now == incarnation {
-		t.Errorf("two incarnations have the name %s", now)
+		t.Errorf("both incarnations have the name %s, want two names", now)
 	}
 	stop()
 	eventually(t, "the end of the proxy's session", func() bool { return d.loop.status().ConnectedProxies == 0 })
@@ -79,7 +79,7 @@
 	for {
 		result := sendRequest(t, client, http.MethodGet, url, "", "Prefer", "wait=30", "If-None-Match", tag)
 		if result.status != 200 || !json.Valid([]byte(result.body)) {
-			return fmt.Errorf("%d %s", result.status, result.body)
+			return fmt.Errorf("poll returned status %d and %s, want 200 and valid JSON", result.status, result.body)
 		}
 		tag = result.tag()
 		if strings.Contains(result.body, "10.0.0.1:80") && !strings.Contains(result.body, "10.0.0.2:80") {
@@ -111,7 +111,7 @@
 			}
 			tag = result.tag()
 			if result.status == 200 && !strings.HasSuffix(result.body, "}}}\n") {
-				t.Errorf("a torn document: %s", result.body)
+				t.Errorf("got a truncated document: %s", result.body)
 			}
 			complete.Add(1)
 		}
@@ -140,14 +140,15 @@
 	d.waitForPolls(1)
 	d.stop()
 	if result := await(t, "the response", waitLimit, pending); result.status != 304 || result.tag() != tag {
-		t.Errorf("%+v", result)
+		t.Errorf("pending poll returned %+v, want status 304 with the tag %s", result, tag)
 	}
 	if result := d.get("/v1/status"); result.status != 0 {
-		t.Errorf("after the end: %+v", result)
+		t.Errorf("request after the shutdown returned %+v, want the connection to be rejected", result)
 	}
 	recorded, replayed, err := replayRecording(t, readFile(t, file))
 	if diff := cmp.Diff(recorded, replayed); diff != "" || !errors.Is(err, io.EOF) || len(recorded) != 2 {
-		t.Errorf("%d responses, then %v (-recorded +replayed):\n%s", len(recorded), err, diff)
+		t.Errorf("got %d responses, then %v, want 2 equal ones, then %v (-recorded +replayed):\n%s",
+			len(recorded), err, io.EOF, diff)
 	}
 }
 
@@ -168,14 +169,14 @@
 	failed, err := Start(d.config, "test", zerolog.New(d.log))
 	if err == nil {
 		failed.Kill()
-		t.Fatal("it started at a port in use")
+		t.Fatal("Start() with a runtime socket at a port in use succeeded, want an error")
 	}
 	if !strings.Contains(err.Error(), "opening the runtime socket") {
-		t.Errorf("%v", err)
+		t.Errorf("Start() = %v, want the error of the runtime socket", err)
 	}
 	d.configure(settings)
 	d.start()
 	if result := d.get(tablesPath); result.status != 200 {
-		t.Errorf("%+v", result)
+		t.Errorf("poll after the second start returned %+v, want status 200", result)
 	}
 }
--- a/internal/daemon/operator_api_test.go
+++ b/internal/daemon/operator_api_test.go
@@ -31,7 +31,7 @@
 	var body eventsBody
 	result := d.get(fmt.Sprintf("/v1/events?after=%d", after), "Prefer", fmt.Sprintf("wait=%d", waitSeconds))
 	if err := json.Unmarshal([]byte(result.body), &body); err != nil {
-		d.t.Errorf("events: %v in %+v", err, result)
+		d.t.Errorf("decoding the events in %+v: %v", result, err)
 	}
 	return body.Events
 }
@@ -59,7 +59,7 @@
 	eventually(t, "the drain to be published", func() bool { return d.hostInfo(firstHost).Weight == 0 })
 	info := d.hostInfo(firstHost)
 	if info.State != "draining" || info.Override == nil || info.Override.Operator != "x" {
-		t.Errorf("%+v", info)
+		t.Errorf("got host %+v, want it draining by an override of operator x", info)
 	}
 	t.Run("event subscriber", func(t *testing.T) { checkEventSubscriber(t, d, firstHost) })
 }
@@ -68,11 +68,11 @@
 func checkEventSubscriber(t *testing.T, d *testDaemon, host string) {
 	all := d.eventsAfter(0, 0)
 	if len(all) == 0 {
-		t.Fatal("there are no events")
+		t.Fatal("got no events, want at least one")
 	}
 	last := all[len(all)-1].Number
 	if none := d.eventsAfter(last, 0); len(none) != 0 {
-		t.Errorf("after the last: %+v", none)
+		t.Errorf("events after the last one: got %+v, want none", none)
 	}
 	pending := inBackground(func() []controller.Event { return d.eventsAfter(last, 30) })
 	eventually(t, "the subscription", func() bool {
@@ -83,6 +83,6 @@
 	d.post(host+"/operator", `{"state":"ready"}`)
 	events := await(t, "the event", waitLimit, pending)
 	if len(events) == 0 || events[0].Kind != "operator" {
-		t.Errorf("%+v", events)
+		t.Errorf("got events %+v, want one of kind operator first", events)
 	}
 }
--- a/internal/daemon/persister_test.go
+++ b/internal/daemon/persister_test.go
@@ -44,11 +44,11 @@
 	delta := d.get(tablesPath, "If-None-Match", tag, "Prefer", "wait=5", "A-IM", "merge-patch")
 	if delta.status != 226 || delta.header.Get("Delta-Base") != tag ||
 		!strings.Contains(delta.body, `"10.0.0.2:80":3`) || strings.Contains(delta.body, "10.0.0.1:80") {
-		t.Errorf("after the restart: %+v", delta)
+		t.Errorf("poll after the restart returned %+v, want a delta onto %s with weight 3 of the second host", delta, tag)
 	}
 	status := d.get("/v1/status").body
 	if !strings.Contains(status, `"versions":1`) || !strings.Contains(status, `"kept":{"failed":""`) {
-		t.Errorf("status %s", status)
+		t.Errorf("GET /v1/status = %s, want 1 version and no error of the last save", status)
 	}
 	d.stop()
 	verifyReplay(t, d.config.Record)
@@ -75,7 +75,7 @@
 	defer closeOrFail(t, file)
 	result, err := replay.Again(record.NewReader(file).Next, recordedController)
 	if err != nil || result.First != nil || result.Answers == 0 {
-		t.Errorf("replayed: %+v, %v", result, err)
+		t.Errorf("replay of %s = %+v, %v, want responses without a difference", path, result, err)
 	}
 }
 
@@ -107,7 +107,7 @@
 	eventually(t, "the failure to be reported", func() bool { return d.persister.status().LastError != "" })
 	result := d.get(tablesPath, "Prefer", "wait=1")
 	if result.status != 200 || !strings.Contains(result.body, "10.0.0.1:80") {
-		t.Errorf("%+v", result)
+		t.Errorf("poll without the state folder returned %+v, want status 200 with the host", result)
 	}
 	if err := os.Rename(folder+"-away", folder); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/recording_test.go
+++ b/internal/daemon/recording_test.go
@@ -34,13 +34,13 @@
 	text := readFile(t, file)
 	recorded, replayed, err := replayRecording(t, text)
 	if !errors.Is(err, io.EOF) || len(recorded) < 30 {
-		t.Fatalf("%d responses, then %v", len(recorded), err)
+		t.Fatalf("got %d responses, then %v, want at least 30, then %v", len(recorded), err, io.EOF)
 	}
 	if diff := cmp.Diff(recorded, replayed); diff != "" {
-		t.Errorf("(-recorded +replayed):\n%s", diff)
+		t.Errorf("the replayed responses differ (-recorded +replayed):\n%s", diff)
 	}
 	if _, _, err := replayRecording(t, text[:len(text)/2]); !errors.Is(err, record.ErrTorn) {
-		t.Errorf("a torn tail: %v", err)
+		t.Errorf("replay of half the recording ended with %v, want %v", err, record.ErrTorn)
 	}
 }
 
--- a/internal/daemon/request_headers_test.go
+++ b/internal/daemon/request_headers_test.go
@@ -29,7 +29,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			tags, matchAny := entityTags(textproto.MIMEHeader{"If-None-Match": test.lines})
 			if diff := cmp.Diff(test.tags, tags); diff != "" || matchAny != test.matchAny {
-				t.Errorf("any %t, tags (-want +got):\n%s", matchAny, diff)
+				t.Errorf("matchAny %t, want %t; tags (-want +got):\n%s", matchAny, test.matchAny, diff)
 			}
 		})
 	}
@@ -55,7 +55,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			seconds, ok := preferredWait(textproto.MIMEHeader{"Prefer": test.lines})
 			if seconds != test.seconds || ok != test.ok {
-				t.Errorf("%g, %t", seconds, ok)
+				t.Errorf("preferredWait(%q) = %g, %t, want %g, %t", test.lines, seconds, ok, test.seconds, test.ok)
 			}
 		})
 	}
@@ -79,7 +79,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := acceptsManipulation(textproto.MIMEHeader{"A-Im": test.lines}, mergePatch); got != test.want {
-				t.Errorf("%t", got)
+				t.Errorf("acceptsManipulation(%q) = %t, want %t", test.lines, got, test.want)
 			}
 		})
 	}
--- a/internal/daemon/runtime_sockets_test.go
+++ b/internal/daemon/runtime_sockets_test.go
@@ -60,7 +60,7 @@
 	writeOrFail(d.t, conn, command)
 	output, err := io.ReadAll(conn)
 	if err != nil {
-		d.t.Fatalf("%v after %q", err, output)
+		d.t.Fatalf("reading the output of %q: %v after %q", command, err, output)
 	}
 	return string(output)
 }
@@ -112,7 +112,7 @@
 		"set weight sheet/10.0.0.1:80 1", "show table", "disable server sheet/10.0.0.1:80",
 	} {
 		if output := d.runtimeCommand(userSocket, command+"\n"); output != "Permission denied\n\n" {
-			t.Errorf("by a user: %q", output)
+			t.Errorf("%q at level user = %q, want permission denied", command, output)
 		}
 	}
 }
@@ -131,25 +131,25 @@
 	})
 	rows, err := haproxy.ParseCSV(d.runtimeCommand(userSocket, "show stat finish 4 2\n"))
 	if err != nil || len(rows) != 1 || rows[0]["svname"] != "10.0.0.2:80" || rows[0]["iid"] != "3" {
-		t.Errorf("%v %v", rows, err)
+		t.Errorf("show stat of one server = %v, %v, want only the row of the second host", rows, err)
 	}
 	state, err := haproxy.ParseState(d.runtimeCommand(adminSocket, "show servers state sheet\n"))
 	if err != nil || len(state) != 2 || state[1].Address != "10.0.0.2:80" || state[1].Weight != 50 ||
 		state[1].Op != haproxy.Running {
-		t.Errorf("%v %+v", err, state)
+		t.Errorf("show servers state = %+v, %v, want 2 servers, the second running with weight 50", state, err)
 	}
 	twice := strings.Repeat("# name\nsheet\nfinish\n\n", 2)
 	if output := d.runtimeCommand(adminSocket, "show backend;show backend\n"); output != twice {
-		t.Errorf("%q", output)
+		t.Errorf("two commands on a line: got %q, want %q", output, twice)
 	}
 	interactive := "prompt\n\nshow backend\nget weight sheet/10.0.0.2:80 <<\n\nquit\n"
 	prompted := "\n> > # name\nsheet\nfinish\n\n> 50 (initial 50)\n\n> "
 	if output := d.runtimeCommand(adminSocket, interactive); output != prompted {
-		t.Errorf("%q", output)
+		t.Errorf("interactive mode: got %q, want %q", output, prompted)
 	}
 	for _, want := range []string{"Name: barleysail\n", "CurrConns: 1\n"} {
 		if output := d.runtimeCommand(userSocket, "show info\n"); !strings.Contains(output, want) {
-			t.Errorf("%q", output)
+			t.Errorf("show info = %q, want it to contain %q", output, want)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 			time.Sleep(time.Millisecond) // so that each byte is sent as a packet of its own
 		}
 		if output, err := io.ReadAll(conn); err != nil || string(output) != want {
-			t.Errorf("%q, %v", output, err)
+			t.Errorf("got %q, %v, want %q", output, err, want)
 		}
 	})
 	t.Run("cut", func(t *testing.T) {
@@ -187,11 +187,11 @@
 		// The server may close the connection before it has read everything: either end then gets an error.
 		t.Logf("read: %v, write: %v", readErr, writeErr)
 		if !strings.HasPrefix(string(output), "The command is too long.") && len(output) > 0 {
-			t.Errorf("%.60q", output)
+			t.Errorf("got %.60q, want the error for a command that is too long", output)
 		}
 	})
 	if output := d.runtimeCommand(adminSocket, command+"\n"); output != want {
-		t.Errorf("after all that: %q", output)
+		t.Errorf("a later command: got %q, want %q", output, want)
 	}
 }
 
@@ -206,7 +206,7 @@
 	readUntil(t, reader, "10.0.0.2:80 drain by socket: set")
 	writeOrFail(t, conn, "\n")
 	if _, err := io.ReadAll(reader); err != nil {
-		t.Errorf("it does not end: %v", err)
+		t.Errorf("show events -w did not end after an input: %v", err)
 	}
 }
 
@@ -216,7 +216,7 @@
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			t.Fatalf("%q did not come: %v", text, err)
+			t.Fatalf("reading until %q: %v", text, err)
 		}
 		if strings.Contains(line, text) {
 			return
--- a/internal/daemon/socket_proxies_test.go
+++ b/internal/daemon/socket_proxies_test.go
@@ -90,7 +90,7 @@
 	}
 	eventually(t, "the change to be undone", func() bool { return hasWeights(proxy, defaultWeights) })
 	if !strings.Contains(d.log.String(), "changed by someone else") {
-		t.Error("nothing is logged of it")
+		t.Error("the log does not mention the change by another program")
 	}
 
 	proxy.SocketSlow(20 * time.Millisecond)
@@ -129,7 +129,7 @@
 	}
 	writeOrFail(t, conn, commands)
 	if output, err := io.ReadAll(conn); err != nil {
-		t.Fatalf("%v after %q", err, output)
+		t.Fatalf("reading the output of %q: %v after %q", commands, err, output)
 	}
 }
 
@@ -139,12 +139,12 @@
 	proxies, drivers := startSocketProxies(t, 1)
 	more := drivers + " fleet { period_ms: 50 stewards: 2 }"
 	first := startDaemon(t, more)
-	eventually(t, "the first to drive it", func() bool { return first.acknowledged("s0") })
+	eventually(t, "the first to program the proxy", func() bool { return first.acknowledged("s0") })
 	second := startDaemon(t, more)
 	// Wait for eight periods, in which the second must not program the proxy.
 	time.Sleep(400 * time.Millisecond)
 	if sessions := second.Operators().Proxies(); len(sessions) != 0 || !first.acknowledged("s0") {
-		t.Errorf("both drive it: %+v", sessions)
+		t.Errorf("got sessions %+v at the second controller, want none, and the proxy connected to the first", sessions)
 	}
 	first.Kill()
 	eventually(t, "the second to take over", func() bool {
@@ -192,7 +192,7 @@
 		return strings.Contains(d.log.String(), `proxy mute: its socket is lost: waiting for the answer`)
 	})
 	if result := d.get("/v1/proxies"); strings.Contains(result.body, "mute") {
-		t.Errorf("it is connected: %s", result.body)
+		t.Errorf("got the unresponsive proxy among the connected ones: %s", result.body)
 	}
 }
 
--- a/internal/daemon/standby_test.go
+++ b/internal/daemon/standby_test.go
@@ -25,10 +25,10 @@
 	eventually(t, "the standby to have the state", func() bool { return replica.hasReplicated(tag) })
 	rejected := replica.get(tablesPath, "If-None-Match", tag)
 	if rejected.status != http.StatusServiceUnavailable || rejected.header.Get("Retry-After") == "" {
-		t.Errorf("the standby serves a proxy that the leader serves: %+v", rejected)
+		t.Errorf("poll of a proxy that the leader serves returned %+v, want status 503 with Retry-After", rejected)
 	}
 	if report := replica.standby.report(); report.Active || report.RejectedPolls != 1 {
-		t.Errorf("%+v", report)
+		t.Errorf("got report %+v, want an inactive standby with 1 rejected poll", report)
 	}
 
 	leader.Kill()
@@ -39,11 +39,11 @@
 	})
 	if delta.status != 226 || delta.header.Get("Delta-Base") != tag ||
 		!strings.Contains(delta.body, `"10.0.0.2:80":3`) || strings.Contains(delta.body, "10.0.0.1:80") {
-		t.Errorf("%+v", delta)
+		t.Errorf("poll returned %+v, want a delta onto %s with weight 3 of the second host only", delta, tag)
 	}
 	status := replica.get("/v1/status").body
 	if !strings.Contains(status, `"standby":{"live":true`) || !strings.Contains(status, `"versions":1`) {
-		t.Errorf("status %s", status)
+		t.Errorf("GET /v1/status = %s, want an active standby and 1 version", status)
 	}
 
 	replica.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" phase: DRAINING }
@@ -102,17 +102,17 @@
 			t.Fatal(err)
 		}
 		if change := state.Diff(replica.state, snapshot); change != nil || len(replica.state.Hosts) != len(snapshot.Hosts) {
-			t.Fatalf("it has %v, the snapshot is %v", replica.state, snapshot)
+			t.Fatalf("the replica has %v, want the snapshot %v", replica.state, snapshot)
 		}
 	}
 	if deltas < minDeltas {
-		t.Errorf("%d deltas", deltas)
+		t.Errorf("got %d deltas, want at least %d", deltas, minDeltas)
 	}
 	ontoAnotherBase := &http1.Response{
 		Status: http.StatusIMUsed,
 		Header: map[string][]string{"Delta-Base": {`"x"`}},
 	}
 	if _, err := replica.apply(ontoAnotherBase); err == nil || replica.tag != "" {
-		t.Errorf("a delta onto another base: %v", err)
+		t.Errorf("apply() of a delta onto another base = %v with tag %q after it, want an error and no tag", err, replica.tag)
 	}
 }
--- a/internal/daemon/table_signature_test.go
+++ b/internal/daemon/table_signature_test.go
@@ -123,7 +123,7 @@
 	cache.replay.Store(true)
 	eventually(t, "the old table to be rejected", func() bool { return c.rejected.Load() > 0 })
 	if weight := c.weight(); weight != 0.7 {
-		t.Errorf("the old table was accepted: %g", weight)
+		t.Errorf("got weight %g after a replay of old tables, want 0.7", weight)
 	}
 	cache.replay.Store(false)
 	setWeight(0.8)
@@ -134,15 +134,15 @@
 	setWeight(0.9)
 	eventually(t, "an unsigned table to be rejected", func() bool { return c.rejected.Load() > 0 })
 	if weight := c.weight(); weight != 0.8 {
-		t.Errorf("an unsigned table was accepted: %g", weight)
+		t.Errorf("got weight %g after unsigned tables, want 0.8", weight)
 	}
 	c.stop()
 	cache.strip.Store(false)
 
 	c = d.runSignatureClient(cache, source.Signed(expectID(trustDomain+"/steward/two")))
 	eventually(t, "another controller's table to be rejected", func() bool { return c.rejected.Load() > 0 })
-	if c.weight() != 0 {
-		t.Error("a table of another controller was accepted")
+	if weight := c.weight(); weight != 0 {
+		t.Errorf("got weight %g from tables of another controller, want none", weight)
 	}
 	c.stop()
 }
