--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// Clock returns times in milliseconds since 1970 that never decrease: the wall clock's time at the clock's creation plus
-// the monotonic time elapsed since then. The zero value is not usable.
+// Clock returns times in milliseconds since 1970 that never decrease: the wall clock's time at the clock's creation
+// plus the monotonic time elapsed since then. The zero value is not usable.
 type Clock struct {
 	startedAtMs float64 // by the wall clock
 	startedAt   time.Time
