--- a/internal/daemon/api_test.go
+++ b/internal/daemon/api_test.go
@@ -135,7 +135,7 @@
 	d := startDaemon(t, "polls { leave_after_ms: 60 }")
 	d.get(tablesPath)
 	sequence := 0
-	eventually(t, "the rejection", func() bool {
+	eventually(t, "a report to be rejected", func() bool {
 		sequence++
 		result := d.post("/v1/proxies/p/sums", fmt.Sprintf(`{"number":%d}`, sequence))
 		return result.status == http.StatusConflict
@@ -220,9 +220,9 @@
 		PollTimeout: time.Second,
 		MinBackoff:  5 * time.Millisecond,
 	})
-	eventually(t, "the first's tables", func() bool { return hostWeight(proxy, "10.0.0.2:80") == 0.5 })
+	eventually(t, "the tables of the first controller", func() bool { return hostWeight(proxy, "10.0.0.2:80") == 0.5 })
 	first.Kill()
-	eventually(t, "the second's", func() bool { return hostWeight(proxy, "10.0.0.2:80") == 0.7 })
+	eventually(t, "the tables of the second controller", func() bool { return hostWeight(proxy, "10.0.0.2:80") == 0.7 })
 	sessions := second.Operators().Proxies()
 	if len(sessions) == 0 || sessions[len(sessions)-1].Proxy != "q" {
 		t.Errorf("sessions of the second controller = %+v, want q to be the last", sessions)
--- a/internal/daemon/authorization_test.go
+++ b/internal/daemon/authorization_test.go
@@ -133,7 +133,7 @@
 	}
 	own := d.sign(controllerID, time.Hour)
 	d.ownEndpoint.Give(own, []*issuer.Authority{d.authority}, club)
-	eventually(t, "the federated roots", func() bool { return poll() == 200 })
+	eventually(t, "the federated roots to be accepted", func() bool { return poll() == 200 })
 	report := d.call(forwarder, http.MethodPost, "/v1/proxies/f9/sums", `{"number":1}`,
 		"Content-Type", "application/json")
 	if report.status != 403 {
--- a/internal/daemon/credentials_test.go
+++ b/internal/daemon/credentials_test.go
@@ -63,7 +63,7 @@
 	}
 	own := d.sign(controllerID, time.Hour)
 	d.ownEndpoint.Give(own, []*issuer.Authority{d.authority, next})
-	eventually(t, "the new root", func() bool { return poll(byNewRoot) == 200 })
+	eventually(t, "the new root to be accepted", func() bool { return poll(byNewRoot) == 200 })
 	if status := poll(byOldRoot); status != 200 {
 		t.Errorf("old root while both are in the bundle: status %d, want 200", status)
 	}
@@ -94,12 +94,12 @@
 	svid := d.sign(controllerID, time.Hour)
 	logged := func(text string) int { return strings.Count(d.log.String(), text) }
 	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
-	eventually(t, "a new key", func() bool { return logged("credentials loaded") >= 2 })
+	eventually(t, "the renewed credentials", func() bool { return logged("credentials loaded") >= 2 })
 	if logged("the same key as before") != 0 {
 		t.Error("a new key was logged as the same key")
 	}
 	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
-	eventually(t, "the log line", func() bool { return logged("the same key as before") > 0 })
+	eventually(t, "the reissued key to be logged", func() bool { return logged("the same key as before") > 0 })
 	if result := d.getAs(d.clientWithID(operatorID), "/v1/hosts"); result.status != 200 {
 		t.Errorf("GET /v1/hosts with the reissued key: status %d, want 200", result.status)
 	}
@@ -140,7 +140,7 @@
 		sendRequestsUntil(t, proxy, began.Add(time.Duration(i+1)*renewalInterval))
 	}
 	d.writeHosts(secondHostDraining)
-	eventually(t, "the last change", func() bool {
+	eventually(t, "the last change of the endpoint list", func() bool {
 		renew()
 		return hostWeight(proxy, "10.0.0.2:80") == 0
 	})
@@ -226,7 +226,7 @@
 		t.Errorf("impostor: got %d hosts, called: %t; want 0 hosts and no call", hosts, caller.Load() != nil)
 	}
 	give(serviceID)
-	eventually(t, "the list", func() bool { return d.loop.status().Hosts == 1 })
+	eventually(t, "the endpoint list", func() bool { return d.loop.status().Hosts == 1 })
 	if id := caller.Load(); id == nil {
 		t.Error("the list service was not called")
 	} else if *id != controllerID {
--- a/internal/daemon/daemon_helpers_test.go
+++ b/internal/daemon/daemon_helpers_test.go
@@ -326,7 +326,7 @@
 func serveHTTP(t *testing.T, server *http.Server, address string) string {
 	t.Helper()
 	var listener net.Listener
-	eventually(t, "the port", func() bool {
+	eventually(t, "the port to be free", func() bool {
 		var err error
 		listener, err = net.Listen("tcp", address)
 		return err == nil
--- a/internal/daemon/endpoint_service_test.go
+++ b/internal/daemon/endpoint_service_test.go
@@ -74,12 +74,12 @@
 	server := &http.Server{Handler: service}
 	address := serveHTTP(t, server, "127.0.0.1:0")
 	d := startDaemon(t, fmt.Sprintf(`list { url: "http://%s/hosts" wait_ms: 20000 }`, address))
-	eventually(t, "the list", func() bool { return d.loop.status().Hosts == 2 })
+	eventually(t, "the endpoint list", func() bool { return d.loop.status().Hosts == 2 })
 	service.publish(`{"hosts":{"10.0.0.1:80":{"zone":"a"}}}`, `{"hosts":{"10.0.0.2:80":null}}`)
 	eventually(t, "a delta", func() bool { return d.loop.status().Hosts == 1 })
 
 	closeOrFail(t, server)
-	eventually(t, "the failure", func() bool { return d.loop.status().WatchFailed })
+	eventually(t, "the watch to fail", func() bool { return d.loop.status().WatchFailed })
 	if result := d.get(tablesPath); result.status != 200 || !strings.Contains(result.body, `"10.0.0.1:80":1`) {
 		t.Errorf("poll without the service returned %+v, want status 200 and the first host", result)
 	}
@@ -87,7 +87,7 @@
 	service.publish(`{"hosts":{"10.0.0.1:80":{"zone":"a"},"10.0.0.3:80":{"zone":"a"},"10.0.0.4:80":{"zone":"b"}}}`,
 		`{"hosts":{"10.0.0.3:80":{"zone":"a"},"10.0.0.4:80":{"zone":"b"}}}`)
 	serveHTTP(t, &http.Server{Handler: service}, address)
-	eventually(t, "the list again", func() bool {
+	eventually(t, "the changed list", func() bool {
 		status := d.loop.status()
 		return status.Hosts == 3 && !status.WatchFailed
 	})
--- a/internal/daemon/lifecycle_test.go
+++ b/internal/daemon/lifecycle_test.go
@@ -35,7 +35,7 @@
 	d.waitForPolls(1)
 	incarnation := d.loop.status().Incarnation
 	d.Kill()
-	eventually(t, "the loss", func() bool { return proxy.Controller() == "" })
+	eventually(t, "the client to lose its controller", func() bool { return proxy.Controller() == "" })
 	if host, ok := proxy.Pick("finish"); !ok {
 		t.Errorf("Pick() without a controller = %q, %t, want a host of the last tables", host, ok)
 	}
--- a/internal/daemon/socket_proxies_test.go
+++ b/internal/daemon/socket_proxies_test.go
@@ -98,7 +98,7 @@
 hosts { address: "10.0.0.3:80" zone: "b" started_unix_ms: 1 }
 hosts { address: "10.0.0.4:80" zone: "b" started_unix_ms: 1 }
 hosts { address: "10.0.0.5:80" zone: "b" started_unix_ms: 1 }`)
-	eventually(t, "the change to be under way", func() bool { return len(proxy.SocketState()) > 6 })
+	eventually(t, "the change to begin", func() bool { return len(proxy.SocketState()) > 6 })
 	proxy.SocketRestart() // during the change
 	fiveHosts := map[string]int{
 		"10.0.0.1:80": 256, "10.0.0.2:80": 128, "10.0.0.3:80": 256, "10.0.0.4:80": 256, "10.0.0.5:80": 256}
@@ -188,7 +188,7 @@
 	eventually(t, "the other proxy's tables", func() bool {
 		return hasWeights(proxies[0], defaultWeights) && d.acknowledged("s0")
 	})
-	eventually(t, "the log line", func() bool {
+	eventually(t, "the timeout to be logged", func() bool {
 		return strings.Contains(d.log.String(), `proxy mute: its socket is lost: waiting for the answer`)
 	})
 	if result := d.get("/v1/proxies"); strings.Contains(result.body, "mute") {
@@ -212,11 +212,11 @@
 		}
 		return len(d.Operators().Proxies()) == count
 	}
-	eventually(t, "all to have their tables", ready)
+	eventually(t, "all proxies to have their tables", ready)
 	for _, proxy := range proxies {
 		proxy.Cut(600 * time.Millisecond)
 		proxy.SocketRestart()
 	}
-	eventually(t, "the loss", func() bool { return len(d.Operators().Proxies()) < count })
-	eventually(t, "all to be back", ready)
+	eventually(t, "a proxy to be disconnected", func() bool { return len(d.Operators().Proxies()) < count })
+	eventually(t, "all proxies to have their tables again", ready)
 }
