--- a/internal/daemon/api_test.go
+++ b/internal/daemon/api_test.go
@@ -77,7 +77,7 @@
 	tr.add("whatever there is", d.get(tablesPath, "If-None-Match", "*"))
 }
 
-// addReports adds reports of request statistics, before and after the proxy's session ends.
+// addReports adds reports of request stats, before and after the end of the proxy's session.
 func addReports(tr *transcript, d *testDaemon) {
 	const sumsPath = "/v1/proxies/p/sums"
 	tr.add("sums", d.post(sumsPath, proxyStatsJSON))
--- a/internal/daemon/operator_api.go
+++ b/internal/daemon/operator_api.go
@@ -85,7 +85,7 @@
 	RelativeWeight *float64       `json:"part"`   // ratio to the endpoint list's weight
 	ClearWeight    bool           `json:"clear"`  // use the endpoint list's weight again
 	DurationMs     float64        `json:"for_ms"` // ms until the override expires; 0: it does not
-	Queue          bool           `json:"wait"`   // queue the command where it cannot be applied now
+	Queue          bool           `json:"wait"`   // queue the command if it cannot be applied now
 	Operator       string         `json:"by"`     // name of the operator
 	Add            *addedHostBody `json:"add"`    // add the host
 	Remove         bool           `json:"remove"` // remove a host that was added
