--- a/internal/daemon/api_test.go
+++ b/internal/daemon/api_test.go
@@ -40,7 +40,7 @@
 	`"hosts":{"10.0.0.1:80":{"tries":5,"failed":1,"mean":20.5,"span":1000,"load":{"util":0.4,"queue":2}}},` +
 	`"usage":{"sheet":{"came":5,"unanswered":1,"span":1000}}}`
 
-// The API as any HTTP client sees it.
+// The golden file shows the API's responses as any HTTP client gets them.
 func TestAPI(t *testing.T) {
 	d := startDaemon(t, "")
 	var tr transcript
@@ -50,9 +50,9 @@
 	var status controller.Status
 	result := d.get("/v1/status")
 	if json.Unmarshal([]byte(result.body), &status) != nil || status.Hosts != 2 || status.ConnectedProxies != 1 {
-		t.Errorf("status %s", result.body)
+		t.Errorf("GET /v1/status = %s, want 2 hosts and 1 connected proxy", result.body)
 	}
-	golden.Trace(t, tr.text.String())
+	golden.CompareForTest(t, tr.text.String())
 }
 
 // addPolls adds a proxy's polls, one of them pending until the endpoint list changes.
@@ -69,7 +69,7 @@
 	d.writeHosts(secondHostDraining)
 	delta := tr.add("held until a host drains: a delta", await(d.t, "the delta", requestTimeout, pending))
 	if delta.status != http.StatusIMUsed {
-		d.t.Errorf("no delta came: %+v", delta)
+		d.t.Errorf("pending poll returned %+v, want a delta with status %d", delta, http.StatusIMUsed)
 	}
 	tr.add("the old tag without A-IM", d.get(tablesPath, "If-None-Match", tag))
 	tr.add("with A-IM of weight 0", d.get(tablesPath, "If-None-Match", tag, "A-IM", "merge-patch;q=0"))
@@ -77,7 +77,7 @@
 	tr.add("whatever there is", d.get(tablesPath, "If-None-Match", "*"))
 }
 
-// addReports adds reports of request statistics, before and after the proxy's session ends.
+// addReports adds reports of request stats, before and after the end of the proxy's session.
 func addReports(tr *transcript, d *testDaemon) {
 	const sumsPath = "/v1/proxies/p/sums"
 	tr.add("sums", d.post(sumsPath, proxyStatsJSON))
@@ -121,11 +121,11 @@
 	first, second := startDaemon(t, ""), startDaemon(t, "")
 	fromFirst, fromSecond := first.get(tablesPath), second.get(tablesPath)
 	if fromFirst.status != 200 || fromSecond.status != 200 || fromFirst.tag() == fromSecond.tag() {
-		t.Fatalf("%+v %+v", fromFirst, fromSecond)
+		t.Fatalf("got %+v and %+v, want status 200 and different entity tags", fromFirst, fromSecond)
 	}
 	cross := second.get(tablesPath, "If-None-Match", fromFirst.tag(), "A-IM", "merge-patch", "Prefer", "wait=20")
 	if cross.status != 200 || cross.body != fromSecond.body {
-		t.Errorf("a tag of the other controller: %+v", cross)
+		t.Errorf("poll with the other controller's entity tag returned %+v, want the snapshot %+v", cross, fromSecond)
 	}
 }
 
@@ -135,22 +135,22 @@
 	d := startDaemon(t, "polls { leave_after_ms: 60 }")
 	d.get(tablesPath)
 	sequence := 0
-	eventually(t, "the rejection", func() bool {
+	eventually(t, "a report to be rejected", func() bool {
 		sequence++
 		result := d.post("/v1/proxies/p/sums", fmt.Sprintf(`{"number":%d}`, sequence))
 		return result.status == http.StatusConflict
 	})
 	if status := d.loop.status(); status.ConnectedProxies != 0 {
-		t.Errorf("%+v", status)
+		t.Errorf("got %d connected proxies, want 0: %+v", status.ConnectedProxies, status)
 	}
 }
 
-// Where hosts state their cores and proxies their demand, the API gives the fleet as the solver's problem, and the
-// gap of the published tables to the best ones.
+// If hosts state their cores and proxies their demand, the API returns the solver's problem for the fleet, and the gap
+// between the published tables and the optimal ones.
 func TestFleetProblem(t *testing.T) {
 	d := startDaemon(t, "")
 	if result := d.get("/v1/fleet"); result.status != http.StatusNotFound {
-		t.Errorf("without cores: %+v", result)
+		t.Errorf("GET /v1/fleet without cores = %+v, want status %d", result, http.StatusNotFound)
 	}
 	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" cores: 8 }
 hosts { address: "10.0.0.2:80" zone: "b" cores: 2 speed: 0.5 }`)
@@ -161,14 +161,15 @@
 	var problem solver.Problem
 	result := d.get("/v1/fleet")
 	if result.status != 200 || json.Unmarshal([]byte(result.body), &problem) != nil {
-		t.Fatalf("%+v", result)
+		t.Fatalf("GET /v1/fleet = %+v, want a problem with status 200", result)
 	}
 	solution, err := problem.Solve()
 	if err != nil || len(problem.Hosts) != 2 || solution.DemandEarningsPerS <= 0 || problem.Verify(solution) != nil {
-		t.Errorf("%+v, %v", solution, err)
+		t.Errorf("Solve() of %d hosts = %+v, %v, want a valid solution with demand for 2 hosts",
+			len(problem.Hosts), solution, err)
 	}
 	if result := d.get("/v1/status"); !strings.Contains(result.body, `"gap":{"result":`) {
-		t.Errorf("status %s", result.body)
+		t.Errorf("GET /v1/status = %s, want it to include the gap", result.body)
 	}
 }
 
@@ -184,8 +185,8 @@
 	return first, second, fromFirst
 }
 
-// A proxy that loses its controller offers the next one its cached tables, and gets a delta onto them; a malformed
-// offer is rejected with its field.
+// A proxy that loses its controller offers its cached tables to the next one, and gets a delta onto them. A malformed
+// offer is rejected with the name of the invalid field.
 func TestCachedTablesOffer(t *testing.T) {
 	first, second, fromFirst := startOfferPair(t)
 	offer := func(body string) httpResult {
@@ -199,7 +200,7 @@
 	} {
 		t.Run("rejected for "+field, func(t *testing.T) {
 			if result := offer(body); result.status != 422 || !strings.Contains(result.body, field) {
-				t.Errorf("%s: %+v", body, result)
+				t.Errorf("offer %s returned %+v, want status 422 that names %s", body, result, field)
 			}
 		})
 	}
@@ -207,10 +208,10 @@
 	delta := offer(strings.Replace(fromFirst.body, "{", `{"tag":"`+tag+`",`, 1))
 	if delta.status != http.StatusIMUsed || delta.header.Get("Delta-Base") != `"`+tag+`"` ||
 		!strings.Contains(delta.body, `"10.0.0.2:80":0.7`) || strings.Contains(delta.body, "10.0.0.1:80") {
-		t.Errorf("%+v", delta)
+		t.Errorf("offer returned %+v, want a delta onto %s that changes only the second host, to 0.7", delta, tag)
 	}
 
-	// The same by the client library: it uses the first controller's tables, then the second's.
+	// The client library does the same: it uses the first controller's tables, then the second's.
 	proxy, _ := runClient(t, client.Options{
 		Controllers: []string{first.url, second.url},
 		Proxy:       "q",
@@ -219,11 +220,11 @@
 		PollTimeout: time.Second,
 		MinBackoff:  5 * time.Millisecond,
 	})
-	eventually(t, "the first's tables", func() bool { return hostWeight(proxy, "10.0.0.2:80") == 0.5 })
+	eventually(t, "the tables of the first controller", func() bool { return hostWeight(proxy, "10.0.0.2:80") == 0.5 })
 	first.Kill()
-	eventually(t, "the second's", func() bool { return hostWeight(proxy, "10.0.0.2:80") == 0.7 })
+	eventually(t, "the tables of the second controller", func() bool { return hostWeight(proxy, "10.0.0.2:80") == 0.7 })
 	sessions := second.Operators().Proxies()
 	if len(sessions) == 0 || sessions[len(sessions)-1].Proxy != "q" {
-		t.Errorf("connected to the second: %+v", sessions)
+		t.Errorf("sessions of the second controller = %+v, want q to be the last", sessions)
 	}
 }
--- a/internal/daemon/credentials_test.go
+++ b/internal/daemon/credentials_test.go
@@ -21,8 +21,8 @@
 	"barleysail/internal/identity"
 )
 
-// A poll whose certificate expires while it is pending gets no tables after that: it ends in time, and the next one,
-// on a connection with the next certificate, gets what was missed as a delta.
+// A pending poll ends before its certificate expires, and gets no tables after that. The next poll, on a connection
+// with another certificate, gets the missed changes as a delta.
 func TestCertificateExpiresDuringPoll(t *testing.T) {
 	t.Parallel()
 	d := startWithIdentities(t, "", "")
@@ -33,24 +33,24 @@
 	shortLived := clientAs(t, d.sign(forwarderID, validity))
 	ended := d.getAs(shortLived, forwarderPath, "If-None-Match", tag, "Prefer", "wait=10", "A-IM", "merge-patch")
 	if took := time.Since(issued); ended.status != 304 || took > validity {
-		t.Errorf("%d after %v", ended.status, took)
+		t.Errorf("poll ended with status %d after %v, want 304 within %v", ended.status, took, validity)
 	}
 	d.writeHosts(firstHostDraining)
-	// The certificate has to have expired. A longer wait does no harm.
+	// Wait until the certificate has expired. A longer wait does no harm.
 	time.Sleep(time.Until(issued.Add(validity + 100*time.Millisecond)))
 	expired := d.getAs(shortLived, forwarderPath, "If-None-Match", tag)
 	if expired.status == 200 || expired.status == 226 {
-		t.Errorf("tables after the expiry: %d %s", expired.status, expired.body)
+		t.Errorf("poll after the expiry returned tables with status %d: %s", expired.status, expired.body)
 	}
 	delta := d.getAs(longLived, forwarderPath, "If-None-Match", tag, "Prefer", "wait=10", "A-IM", "merge-patch")
 	if delta.status != 226 || delta.header.Get("Delta-Base") != tag ||
 		!strings.Contains(delta.body, `"10.0.0.1:80":null`) {
-		t.Errorf("%+v", delta)
+		t.Errorf("poll returned %+v, want a delta onto %s without the first host", delta, tag)
 	}
 }
 
-// A root that is removed from the trust bundle ends what it signed, and a new one is accepted, without a restart;
-// while both are in the bundle both serve.
+// Changes of the trust bundle apply without a restart: certificates of a new root are accepted, and those of a removed
+// root are rejected. While both roots are in the bundle, certificates of both are accepted.
 func TestTrustBundleRotation(t *testing.T) {
 	t.Parallel()
 	d := startWithIdentities(t, "", "")
@@ -59,53 +59,54 @@
 	byNewRoot := clientAs(t, signBy(t, next, forwarderID, time.Hour, nil))
 	poll := func(client *http.Client) int { return d.getAs(client, forwarderPath).status }
 	if old, fresh := poll(byOldRoot), poll(byNewRoot); old != 200 || fresh != 0 {
-		t.Errorf("old %d, new %d", old, fresh)
+		t.Errorf("before the rotation: status %d by the old root and %d by the new one, want 200 and 0", old, fresh)
 	}
 	own := d.sign(controllerID, time.Hour)
 	d.ownEndpoint.Give(own, []*issuer.Authority{d.authority, next})
-	eventually(t, "the new root", func() bool { return poll(byNewRoot) == 200 })
+	eventually(t, "the new root to be accepted", func() bool { return poll(byNewRoot) == 200 })
 	if status := poll(byOldRoot); status != 200 {
-		t.Errorf("old %d while both are in the bundle", status)
+		t.Errorf("old root while both are in the bundle: status %d, want 200", status)
 	}
 	d.ownEndpoint.Give(own, []*issuer.Authority{next})
 	eventually(t, "the old root to be removed", func() bool { return poll(byOldRoot) != 200 })
 	if status := poll(byNewRoot); status != 200 {
-		t.Errorf("new %d", status)
+		t.Errorf("new root after the rotation: status %d, want 200", status)
 	}
 }
 
-// While the issuer is unavailable the last certificate stays in use, and the status tells when it expires.
+// While the issuer is unavailable the last certificate stays in use, and the status has the time until it expires.
 func TestIssuerUnavailable(t *testing.T) {
 	d := startWithIdentities(t, "", "")
 	d.ownEndpoint.Close()
 	forwarder := d.clientWithID(forwarderID)
 	if result := d.getAs(forwarder, forwarderPath); result.status != 200 {
-		t.Errorf("%d", result.status)
+		t.Errorf("poll without the issuer: status %d, want 200", result.status)
 	}
 	status := d.getAs(d.clientWithID(operatorID), "/v1/status").body
 	if !strings.Contains(status, `"identity":{"id":"spiffe://race.example/steward/one","left_ms":3`) {
-		t.Errorf("%s", status)
+		t.Errorf("GET /v1/status = %s, want the identity and the time until it expires", status)
 	}
 }
 
-// An issuer that hands out the same key twice is logged, and its certificate is used all the same.
+// A renewed certificate with the same key as before is logged, and is used nevertheless.
 func TestReissuedKeyIsLogged(t *testing.T) {
 	d := startWithIdentities(t, "", "")
 	svid := d.sign(controllerID, time.Hour)
 	logged := func(text string) int { return strings.Count(d.log.String(), text) }
 	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
-	eventually(t, "a new key", func() bool { return logged("credentials loaded") >= 2 })
-	if logged("the same key again") != 0 {
-		t.Error("a new key was taken for the same")
+	eventually(t, "the renewed credentials", func() bool { return logged("credentials loaded") >= 2 })
+	if logged("the same key as before") != 0 {
+		t.Error("a new key was logged as the same key")
 	}
 	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
-	eventually(t, "the log line", func() bool { return logged("the same key again") > 0 })
+	eventually(t, "the reissued key to be logged", func() bool { return logged("the same key as before") > 0 })
 	if result := d.getAs(d.clientWithID(operatorID), "/v1/hosts"); result.status != 200 {
-		t.Errorf("%d", result.status)
+		t.Errorf("GET /v1/hosts with the reissued key: status %d, want 200", result.status)
 	}
 }
 
-// renewals is how many renewals TestCertificateRenewals makes, four a second: 16, or RENEWALS of the environment.
+// renewals returns the number of renewals in TestCertificateRenewals, four a second: 16, or the value of the
+// environment variable RENEWALS.
 func renewals() int {
 	if count, err := strconv.Atoi(os.Getenv("RENEWALS")); err == nil {
 		return count
@@ -113,14 +114,14 @@
 	return 16
 }
 
-// A client whose certificates are valid for a second or two, and which renews them again and again while it polls and
-// reports, never loses its controller: all tables come, and no request lacks a host.
+// A client that polls and reports while it renews its short-lived certificates four times a second never loses its
+// controller: it gets all tables, and always has a host for a request.
 func TestCertificateRenewals(t *testing.T) {
 	t.Parallel()
 	const renewalInterval = 250 * time.Millisecond
 	d := startWithIdentities(t, "", "")
 	endpoint := d.newEndpoint("f1")
-	renew := func() { // the times of a certificate are whole seconds, so it is valid for one to two
+	renew := func() { // valid for 1 s to 2 s, since the times in a certificate are whole seconds
 		endpoint.Give(d.sign(forwarderID, 2*time.Second), []*issuer.Authority{d.authority})
 	}
 	renew()
@@ -139,15 +140,15 @@
 		sendRequestsUntil(t, proxy, began.Add(time.Duration(i+1)*renewalInterval))
 	}
 	d.writeHosts(secondHostDraining)
-	eventually(t, "the last change", func() bool {
+	eventually(t, "the last change of the endpoint list", func() bool {
 		renew()
 		return hostWeight(proxy, "10.0.0.2:80") == 0
 	})
 	if status := d.loop.status(); status.ConnectedProxies != 1 || status.Ingest.Processed == 0 {
-		t.Errorf("%+v", status)
+		t.Errorf("status %+v, want 1 connected proxy and processed reports", status)
 	}
 	if count := lost.Load(); count > 0 {
-		t.Errorf("the controller was lost %d times", count)
+		t.Errorf("the client lost its controller %d times, want 0", count)
 	}
 	stop()
 }
@@ -170,7 +171,7 @@
 	})
 }
 
-// sendRequestsUntil sends requests by the client library; each has to find a host.
+// sendRequestsUntil sends requests by the client library, and fails the test if one has no host.
 func sendRequestsUntil(t *testing.T, proxy *client.Client, end time.Time) {
 	t.Helper()
 	attempt := func(context.Context, string) client.Outcome { return client.Outcome{} }
@@ -194,8 +195,7 @@
 	})
 }
 
-// A list service authenticates to the daemon and the daemon to it; the list of a service with another name is
-// rejected.
+// The daemon and the list service authenticate each other. The list of a service with another SPIFFE ID is rejected.
 func TestEndpointServiceIdentity(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -215,7 +215,7 @@
 		id := request.TLS.PeerCertificates[0].URIs[0].String()
 		caller.Store(&id)
 		writer.Header().Set("ETag", `"1"`)
-		_, _ = io.WriteString(writer, `{"hosts":{"10.0.0.1:80":{"zone":"a"}}}`) // fails where the daemon hung up
+		_, _ = io.WriteString(writer, `{"hosts":{"10.0.0.1:80":{"zone":"a"}}}`) // fails if the daemon hung up
 	}
 	server := &http.Server{Handler: http.HandlerFunc(handler), ErrorLog: log.New(io.Discard, "", 0)}
 	serveUntilCleanup(t, server, tls.NewListener(listener, source.Server()))
@@ -223,11 +223,13 @@
 		return strings.Contains(d.log.String(), "not "+serviceID)
 	})
 	if hosts := d.loop.status().Hosts; hosts != 0 || caller.Load() != nil {
-		t.Errorf("%d hosts by the impostor", hosts)
+		t.Errorf("impostor: got %d hosts, called: %t; want 0 hosts and no call", hosts, caller.Load() != nil)
 	}
 	give(serviceID)
-	eventually(t, "the list", func() bool { return d.loop.status().Hosts == 1 })
-	if id := caller.Load(); id == nil || *id != controllerID {
-		t.Errorf("called by %v", id)
+	eventually(t, "the endpoint list", func() bool { return d.loop.status().Hosts == 1 })
+	if id := caller.Load(); id == nil {
+		t.Error("the list service was not called")
+	} else if *id != controllerID {
+		t.Errorf("the list service was called by %s, want %s", *id, controllerID)
 	}
 }
--- a/internal/daemon/endpoint_file_test.go
+++ b/internal/daemon/endpoint_file_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A list that is half written, empty or wrong leaves the last valid one in force, and the log says why.
+// If the list is incomplete, empty or invalid, the last valid one stays in force, and the log has the reason.
 func TestEndpointFileErrors(t *testing.T) {
 	d := startDaemon(t, "")
 	tests := []struct{ name, text, logged string }{
@@ -25,7 +25,7 @@
 			d.writeHosts(test.text)
 			eventually(t, test.logged+" in the log", func() bool { return strings.Contains(d.log.String(), test.logged) })
 			if status := d.loop.status(); status.Hosts != 2 {
-				t.Errorf("%q: %d hosts", test.text, status.Hosts)
+				t.Errorf("got %d hosts after the list %q, want 2", status.Hosts, test.text)
 			}
 		})
 	}
--- a/internal/daemon/endpoint_service_test.go
+++ b/internal/daemon/endpoint_service_test.go
@@ -16,7 +16,7 @@
 	changed   *sync.Cond
 	version   int
 	snapshots map[int]string
-	deltas    map[int]string // from the version before
+	deltas    map[int]string // by version; onto the previous version
 }
 
 func newFakeEndpointService() *fakeEndpointService {
@@ -25,7 +25,7 @@
 	return s
 }
 
-// publish makes the next version.
+// publish adds a version of the list.
 func (s *fakeEndpointService) publish(snapshot, delta string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,11 +52,11 @@
 		writer.WriteHeader(http.StatusIMUsed)
 		body = s.deltas[s.version]
 	}
-	_, _ = io.WriteString(writer, body) // fails where the poll was canceled meanwhile
+	_, _ = io.WriteString(writer, body) // fails if the poll was canceled meanwhile
 }
 
-// wakePolls lets pending polls look whether they were canceled. It takes the mutex, so that none is between its look
-// and its wait.
+// wakePolls makes pending polls check whether they were canceled. It takes the mutex, so that no poll is between its
+// check and its wait and misses the broadcast.
 func (s *fakeEndpointService) wakePolls() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,8 +65,8 @@
 
 func (s *fakeEndpointService) tag(version int) string { return fmt.Sprintf(`"%d"`, version) }
 
-// The list service is unavailable for a while: the last list stays in force, and its changes are applied when the
-// service is back.
+// While the list service is unavailable the last list stays in force. When the service is available again the changes
+// made meanwhile are applied.
 func TestEndpointServiceOutage(t *testing.T) {
 	service := newFakeEndpointService()
 	service.publish(`{"hosts":{"10.0.0.1:80":{"zone":"a"},`+
@@ -74,20 +74,20 @@
 	server := &http.Server{Handler: service}
 	address := serveHTTP(t, server, "127.0.0.1:0")
 	d := startDaemon(t, fmt.Sprintf(`list { url: "http://%s/hosts" wait_ms: 20000 }`, address))
-	eventually(t, "the list", func() bool { return d.loop.status().Hosts == 2 })
+	eventually(t, "the endpoint list", func() bool { return d.loop.status().Hosts == 2 })
 	service.publish(`{"hosts":{"10.0.0.1:80":{"zone":"a"}}}`, `{"hosts":{"10.0.0.2:80":null}}`)
 	eventually(t, "a delta", func() bool { return d.loop.status().Hosts == 1 })
 
 	closeOrFail(t, server)
-	eventually(t, "the failure", func() bool { return d.loop.status().WatchFailed })
+	eventually(t, "the watch to fail", func() bool { return d.loop.status().WatchFailed })
 	if result := d.get(tablesPath); result.status != 200 || !strings.Contains(result.body, `"10.0.0.1:80":1`) {
-		t.Errorf("without the service: %+v", result)
+		t.Errorf("poll without the service returned %+v, want status 200 and the first host", result)
 	}
 
 	service.publish(`{"hosts":{"10.0.0.1:80":{"zone":"a"},"10.0.0.3:80":{"zone":"a"},"10.0.0.4:80":{"zone":"b"}}}`,
 		`{"hosts":{"10.0.0.3:80":{"zone":"a"},"10.0.0.4:80":{"zone":"b"}}}`)
 	serveHTTP(t, &http.Server{Handler: service}, address)
-	eventually(t, "the list again", func() bool {
+	eventually(t, "the changed list", func() bool {
 		status := d.loop.status()
 		return status.Hosts == 3 && !status.WatchFailed
 	})
--- a/internal/daemon/persister_test.go
+++ b/internal/daemon/persister_test.go
@@ -17,9 +17,9 @@
 	"barleysail/replay"
 )
 
-// A daemon that is killed and started again on its state folder goes on from there: a proxy's entity tag of before
-// gets a delta, an operator's override stands, and the recording replays with what was restored. A second daemon on
-// the folder is rejected.
+// A daemon that is killed and started again continues from its state folder: a proxy's entity tag from before the
+// restart gets a delta, an operator's override stays, and the recording replays with the restored state. A second
+// daemon cannot open the folder.
 func TestStateAcrossRestart(t *testing.T) {
 	dir := t.TempDir()
 	folder := filepath.Join(dir, "state")
@@ -44,11 +44,11 @@
 	delta := d.get(tablesPath, "If-None-Match", tag, "Prefer", "wait=5", "A-IM", "merge-patch")
 	if delta.status != 226 || delta.header.Get("Delta-Base") != tag ||
 		!strings.Contains(delta.body, `"10.0.0.2:80":3`) || strings.Contains(delta.body, "10.0.0.1:80") {
-		t.Errorf("after the restart: %+v", delta)
+		t.Errorf("poll after the restart returned %+v, want a delta onto %s with weight 3 of the second host", delta, tag)
 	}
 	status := d.get("/v1/status").body
 	if !strings.Contains(status, `"versions":1`) || !strings.Contains(status, `"kept":{"failed":""`) {
-		t.Errorf("status %s", status)
+		t.Errorf("GET /v1/status = %s, want 1 version and no error of the last save", status)
 	}
 	d.stop()
 	verifyReplay(t, d.config.Record)
@@ -65,7 +65,7 @@
 	return len(state.Settings) == 1 && len(state.Proxies) == 1 && state.Proxies[0].Tag == strings.Trim(tag, `"`)
 }
 
-// verifyReplay replays a recording and fails the test for a difference.
+// verifyReplay replays a recording, and fails the test if a response differs.
 func verifyReplay(t *testing.T, path string) {
 	t.Helper()
 	file, err := os.Open(path)
@@ -75,11 +75,11 @@
 	defer closeOrFail(t, file)
 	result, err := replay.Verify(record.NewReader(file).Next, recordedController)
 	if err != nil || result.FirstDifference != nil || result.Responses == 0 {
-		t.Errorf("replayed: %+v, %v", result, err)
+		t.Errorf("replay of %s = %+v, %v, want responses without a difference", path, result, err)
 	}
 }
 
-// onAnotherPort is the same configuration with a free port.
+// onAnotherPort returns a copy of a configuration that listens on a free port.
 func onAnotherPort(cfg *configpb.Config) *configpb.Config {
 	cfg = proto.CloneOf(cfg)
 	cfg.Listen = "127.0.0.1:0"
@@ -96,23 +96,23 @@
 	return statefile.Load(folder)
 }
 
-// A folder that cannot be written costs the persisted state, and nothing else: the status says so, until saves
-// succeed again.
+// While the state folder cannot be written the daemon still serves proxies, and its status reports the error until
+// saves succeed again.
 func TestStateFolderUnwritable(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "state")
 	d := startDaemon(t, fmt.Sprintf("state { folder: %q every_ms: 20 }", folder))
 	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" }`)
 	eventually(t, "a first save", func() bool { return d.persister.status().Saves > 0 })
 	d.removeStateFolder(folder)
-	eventually(t, "the failure to be reported", func() bool { return d.persister.status().Failed != "" })
+	eventually(t, "the failure to be reported", func() bool { return d.persister.status().LastError != "" })
 	result := d.get(tablesPath, "Prefer", "wait=1")
 	if result.status != 200 || !strings.Contains(result.body, "10.0.0.1:80") {
-		t.Errorf("%+v", result)
+		t.Errorf("poll without the state folder returned %+v, want status 200 with the host", result)
 	}
 	if err := os.Rename(folder+"-away", folder); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "a save that succeeds", func() bool { return d.persister.status().Failed == "" })
+	eventually(t, "a save that succeeds", func() bool { return d.persister.status().LastError == "" })
 }
 
 // removeStateFolder renames the folder between two saves, and closes the store so that the next save has to create a
--- a/internal/daemon/runtime_sockets_test.go
+++ b/internal/daemon/runtime_sockets_test.go
@@ -21,7 +21,7 @@
 )
 
 // startWithRuntime starts a daemon with a runtime socket for administrators and one for users, and waits until the
-// proxy p was sent its first tables.
+// proxy p has been sent its first tables.
 func startWithRuntime(t *testing.T) *testDaemon {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s")
@@ -32,7 +32,7 @@
 	return d
 }
 
-// dialRuntime connects to a runtime socket; the connection has a deadline and ends with the test.
+// dialRuntime connects to a runtime socket. The connection has a deadline, and is closed at the end of the test.
 func (d *testDaemon) dialRuntime(index int) net.Conn {
 	d.t.Helper()
 	address := d.RuntimeAddr(index)
@@ -51,7 +51,8 @@
 	return conn
 }
 
-// runtimeCommand sends a command, as socat would, and returns all that comes until the connection closes.
+// runtimeCommand sends a command on a new connection, as socat does, and returns the output until the connection is
+// closed.
 func (d *testDaemon) runtimeCommand(index int, command string) string {
 	d.t.Helper()
 	conn := d.dialRuntime(index)
@@ -59,12 +60,13 @@
 	writeOrFail(d.t, conn, command)
 	output, err := io.ReadAll(conn)
 	if err != nil {
-		d.t.Fatalf("%v after %q", err, output)
+		d.t.Fatalf("reading the output of %q: %v after %q", command, err, output)
 	}
 	return string(output)
 }
 
-// The commands, one after the other over the unix socket, with their output.
+// The golden file shows the output of the commands on the Unix socket. Commands that need the level admin are rejected
+// on the socket of level user.
 func TestRuntimeCommands(t *testing.T) {
 	d := startWithRuntime(t)
 	var transcript strings.Builder
@@ -100,7 +102,7 @@
 		"show errors",
 	} {
 		output := d.runtimeCommand(adminSocket, command+"\n")
-		if command == "show errors" { // its first line has the time
+		if command == "show errors" { // its first line contains the time
 			_, output, _ = strings.Cut(output, "\n")
 		}
 		fmt.Fprintf(&transcript, "$ %s\n%s", command, output)
@@ -110,12 +112,13 @@
 		"set weight sheet/10.0.0.1:80 1", "show table", "disable server sheet/10.0.0.1:80",
 	} {
 		if output := d.runtimeCommand(userSocket, command+"\n"); output != "Permission denied\n\n" {
-			t.Errorf("by a user: %q", output)
+			t.Errorf("%q at level user = %q, want permission denied", command, output)
 		}
 	}
 }
 
-// What monitoring tools read: show stat in its forms, show servers state, several commands on a line, and the prompt.
+// Commands that monitoring tools use: the forms of show stat, show servers state, several commands on a line, and the
+// interactive mode.
 func TestRuntimeMonitoringCommands(t *testing.T) {
 	d := startWithRuntime(t)
 	eventually(t, "the tables", func() bool {
@@ -128,30 +131,30 @@
 	})
 	rows, err := haproxy.ParseCSV(d.runtimeCommand(userSocket, "show stat finish 4 2\n"))
 	if err != nil || len(rows) != 1 || rows[0]["svname"] != "10.0.0.2:80" || rows[0]["iid"] != "3" {
-		t.Errorf("%v %v", rows, err)
+		t.Errorf("show stat of one server = %v, %v, want only the row of the second host", rows, err)
 	}
 	state, err := haproxy.ParseState(d.runtimeCommand(adminSocket, "show servers state sheet\n"))
 	if err != nil || len(state) != 2 || state[1].Address != "10.0.0.2:80" || state[1].Weight != 50 ||
 		state[1].Op != haproxy.Running {
-		t.Errorf("%v %+v", err, state)
+		t.Errorf("show servers state = %+v, %v, want 2 servers, the second running with weight 50", state, err)
 	}
 	twice := strings.Repeat("# name\nsheet\nfinish\n\n", 2)
 	if output := d.runtimeCommand(adminSocket, "show backend;show backend\n"); output != twice {
-		t.Errorf("%q", output)
+		t.Errorf("two commands on a line: got %q, want %q", output, twice)
 	}
 	interactive := "prompt\n\nshow backend\nget weight sheet/10.0.0.2:80 <<\n\nquit\n"
 	prompted := "\n> > # name\nsheet\nfinish\n\n> 50 (initial 50)\n\n> "
 	if output := d.runtimeCommand(adminSocket, interactive); output != prompted {
-		t.Errorf("%q", output)
+		t.Errorf("interactive mode: got %q, want %q", output, prompted)
 	}
 	for _, want := range []string{"Name: barleysail\n", "CurrConns: 1\n"} {
 		if output := d.runtimeCommand(userSocket, "show info\n"); !strings.Contains(output, want) {
-			t.Errorf("%q", output)
+			t.Errorf("show info = %q, want it to contain %q", output, want)
 		}
 	}
 }
 
-// A command that is cut anywhere, comes byte by byte, or is far too long.
+// A command that is received byte by byte, is incomplete or is too long does not disturb later commands.
 func TestRuntimeFragmentedInput(t *testing.T) {
 	d := startWithRuntime(t)
 	const command = "show backend"
@@ -160,10 +163,10 @@
 		conn := d.dialRuntime(adminSocket)
 		for _, char := range command + "\n" {
 			writeOrFail(t, conn, string(char))
-			time.Sleep(time.Millisecond) // so that each byte comes as a packet of its own
+			time.Sleep(time.Millisecond) // so that each byte is sent as a packet of its own
 		}
 		if output, err := io.ReadAll(conn); err != nil || string(output) != want {
-			t.Errorf("%q, %v", output, err)
+			t.Errorf("got %q, %v, want %q", output, err, want)
 		}
 	})
 	t.Run("cut", func(t *testing.T) {
@@ -184,15 +187,15 @@
 		// The server may close the connection before it has read everything: either end then gets an error.
 		t.Logf("read: %v, write: %v", readErr, writeErr)
 		if !strings.HasPrefix(string(output), "The command is too long.") && len(output) > 0 {
-			t.Errorf("%.60q", output)
+			t.Errorf("got %.60q, want the error for a command that is too long", output)
 		}
 	})
 	if output := d.runtimeCommand(adminSocket, command+"\n"); output != want {
-		t.Errorf("after all that: %q", output)
+		t.Errorf("a later command: got %q, want %q", output, want)
 	}
 }
 
-// show events -w goes on as events come, and ends with whatever is sent.
+// show events -w prints new events as they occur, and ends at any input.
 func TestRuntimeEvents(t *testing.T) {
 	d := startWithRuntime(t)
 	conn := d.dialRuntime(adminSocket)
@@ -203,17 +206,17 @@
 	readUntil(t, reader, "10.0.0.2:80 drain by socket: set")
 	writeOrFail(t, conn, "\n")
 	if _, err := io.ReadAll(reader); err != nil {
-		t.Errorf("it does not end: %v", err)
+		t.Errorf("show events -w did not end after an input: %v", err)
 	}
 }
 
-// readUntil reads lines up to one that has the text. The deadline of the connection bounds it.
+// readUntil reads lines until one contains the text, or the deadline of the connection has passed.
 func readUntil(t *testing.T, reader *bufio.Reader, text string) {
 	t.Helper()
 	for {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			t.Fatalf("%q did not come: %v", text, err)
+			t.Fatalf("reading until %q: %v", text, err)
 		}
 		if strings.Contains(line, text) {
 			return
--- a/internal/daemon/socket_proxies_test.go
+++ b/internal/daemon/socket_proxies_test.go
@@ -14,11 +14,11 @@
 	"barleysail/internal/fake"
 )
 
-// idleRate is a rate, in requests per second, at which a fake proxy sends none during a test.
+// idleRate is the rate of a fake proxy, in requests per second, that is low enough for no request during a test.
 const idleRate = 1e-6
 
-// startSocketProxies starts fake proxies that are configured by their runtime sockets and begin with an old server. It
-// gives the configuration of their drivers. The proxies end with the test.
+// startSocketProxies starts fake proxies that are configured by their runtime sockets and have an outdated server at
+// the start. It returns them with the configuration of their drivers. The proxies end with the test.
 func startSocketProxies(t testing.TB, count int) (proxies []*fake.Forwarder, drivers string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -45,11 +45,11 @@
 	return proxies, drivers
 }
 
-// defaultWeights are the weights of twoHosts as a proxy has them.
+// defaultWeights holds the weights of the hosts of twoHosts in a proxy's configuration.
 var defaultWeights = map[string]int{"10.0.0.1:80": 256, "10.0.0.2:80": 128}
 
-// hasWeights reports whether the servers of a proxy that take traffic are the ones wanted, with their weights, for both
-// request classes.
+// hasWeights reports whether a proxy's active servers are exactly the wanted ones, with their weights, for both request
+// classes.
 func hasWeights(proxy *fake.Forwarder, want map[string]int) bool {
 	count := 0
 	for _, server := range proxy.SocketState() {
@@ -74,8 +74,9 @@
 	return false
 }
 
-// A proxy that starts with an old server is brought to the published tables and acknowledges them; changed by somebody
-// else, slow, and restarted during a change it is brought back.
+// The driver brings a proxy that starts with an outdated server to the published tables, and the proxy acknowledges
+// them. The driver restores the tables after another program has changed them, and after the proxy has restarted during
+// a slow change.
 func TestSocketProxy(t *testing.T) {
 	proxies, drivers := startSocketProxies(t, 1)
 	d := startDaemon(t, drivers+" fleet { period_ms: 50 } guard { grace_ms: 300 }")
@@ -89,7 +90,7 @@
 	}
 	eventually(t, "the change to be undone", func() bool { return hasWeights(proxy, defaultWeights) })
 	if !strings.Contains(d.log.String(), "changed by someone else") {
-		t.Error("nothing is logged of it")
+		t.Error("the log does not mention the change by another program")
 	}
 
 	proxy.SocketSlow(20 * time.Millisecond)
@@ -97,7 +98,7 @@
 hosts { address: "10.0.0.3:80" zone: "b" started_unix_ms: 1 }
 hosts { address: "10.0.0.4:80" zone: "b" started_unix_ms: 1 }
 hosts { address: "10.0.0.5:80" zone: "b" started_unix_ms: 1 }`)
-	eventually(t, "the change to be under way", func() bool { return len(proxy.SocketState()) > 6 })
+	eventually(t, "the change to begin", func() bool { return len(proxy.SocketState()) > 6 })
 	proxy.SocketRestart() // during the change
 	fiveHosts := map[string]int{
 		"10.0.0.1:80": 256, "10.0.0.2:80": 128, "10.0.0.3:80": 256, "10.0.0.4:80": 256, "10.0.0.5:80": 256}
@@ -115,7 +116,7 @@
 	return false
 }
 
-// sendToProxy sends commands to a proxy's runtime socket and waits until they were carried out.
+// sendToProxy sends commands to a proxy's runtime socket and waits for their output.
 func sendToProxy(t *testing.T, proxy *fake.Forwarder, commands string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", proxy.SocketAddress())
@@ -128,21 +129,22 @@
 	}
 	writeOrFail(t, conn, commands)
 	if output, err := io.ReadAll(conn); err != nil {
-		t.Fatalf("%v after %q", err, output)
+		t.Fatalf("reading the output of %q: %v after %q", commands, err, output)
 	}
 }
 
-// Of two controllers with a driver for a proxy one drives it; when that one is killed the other takes over.
+// If two controllers have a driver for the same proxy, only one of them programs it. When that one is killed the other
+// takes over.
 func TestSocketDriverFailover(t *testing.T) {
 	proxies, drivers := startSocketProxies(t, 1)
 	more := drivers + " fleet { period_ms: 50 stewards: 2 }"
 	first := startDaemon(t, more)
-	eventually(t, "the first to drive it", func() bool { return first.acknowledged("s0") })
+	eventually(t, "the first to program the proxy", func() bool { return first.acknowledged("s0") })
 	second := startDaemon(t, more)
-	// Eight periods, in which the second must not start to drive it. A longer wait is not needed for a pass.
+	// Wait for eight periods, in which the second must not program the proxy.
 	time.Sleep(400 * time.Millisecond)
 	if sessions := second.Operators().Proxies(); len(sessions) != 0 || !first.acknowledged("s0") {
-		t.Errorf("both drive it: %+v", sessions)
+		t.Errorf("got sessions %+v at the second controller, want none, and the proxy connected to the first", sessions)
 	}
 	first.Kill()
 	eventually(t, "the second to take over", func() bool {
@@ -177,7 +179,7 @@
 	return listener.Addr().String()
 }
 
-// A socket that takes commands and never responds delays no other proxy.
+// A proxy whose socket accepts commands and never responds does not delay other proxies.
 func TestUnresponsiveSocket(t *testing.T) {
 	address := acceptSilently(t)
 	proxies, drivers := startSocketProxies(t, 1)
@@ -186,15 +188,15 @@
 	eventually(t, "the other proxy's tables", func() bool {
 		return hasWeights(proxies[0], defaultWeights) && d.acknowledged("s0")
 	})
-	eventually(t, "the log line", func() bool {
+	eventually(t, "the timeout to be logged", func() bool {
 		return strings.Contains(d.log.String(), `proxy mute: its socket is lost: waiting for the answer`)
 	})
 	if result := d.get("/v1/proxies"); strings.Contains(result.body, "mute") {
-		t.Errorf("it is connected: %s", result.body)
+		t.Errorf("got the unresponsive proxy among the connected ones: %s", result.body)
 	}
 }
 
-// Many proxies whose sockets were lost reconnect at once, and all get their tables.
+// Many proxies restart and reconnect at once, and all get their tables.
 func TestManySocketsReconnect(t *testing.T) {
 	count := 500
 	if testing.Short() {
@@ -210,11 +212,11 @@
 		}
 		return len(d.Operators().Proxies()) == count
 	}
-	eventually(t, "all to have their tables", ready)
+	eventually(t, "all proxies to have their tables", ready)
 	for _, proxy := range proxies {
 		proxy.Cut(600 * time.Millisecond)
 		proxy.SocketRestart()
 	}
-	eventually(t, "the loss", func() bool { return len(d.Operators().Proxies()) < count })
-	eventually(t, "all to be back", ready)
+	eventually(t, "a proxy to be disconnected", func() bool { return len(d.Operators().Proxies()) < count })
+	eventually(t, "all proxies to have their tables again", ready)
 }
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -73,7 +73,7 @@
 		}
 		fmt.Fprintf(&trace, "%s replaced by %s: %s\n", change.old, change.replacement, outcome)
 	}
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
 
 // startWith creates a balancer from a configuration.
--- a/internal/platform/health_check_test.go
+++ b/internal/platform/health_check_test.go
@@ -98,5 +98,5 @@
 		fmt.Fprintf(&trace, "%q: result %d, utilization %.2f, request rate %.0f, no error %v\n",
 			script, result, load.Utilization, load.RequestRate, err == nil)
 	}
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
--- a/internal/platform/message_decoder_test.go
+++ b/internal/platform/message_decoder_test.go
@@ -57,7 +57,7 @@
 		}
 		fmt.Fprintf(&trace, "%s\n    %s\n", words, formatted)
 	}
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
 
 // formatMessage decodes a message and formats it for the golden file.
--- a/internal/platform/update_encoder_test.go
+++ b/internal/platform/update_encoder_test.go
@@ -51,5 +51,5 @@
 	encoder.AssignTable(2, 9, allClasses)
 	encoder.SetWeight(0, 1, 4)
 	flush("table 9 is assigned to proxy 2, and a weight of table 0 changes")
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
--- a/internal/platform/watch_event_test.go
+++ b/internal/platform/watch_event_test.go
@@ -30,7 +30,7 @@
 		}
 		fmt.Fprintf(&trace, "%s replaced by %s: %v\n", change.old, change.replacement, err)
 	}
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
 
 // A removed host is kept for removedHostRetentionMs. Then it is forgotten, and its index is used for the next host.
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -31,7 +31,7 @@
 			fmt.Fprintf(&trace, "%q:%s\n", input, readAll(NewReader(source)))
 		}
 	}
-	golden.Trace(t, trace.String())
+	golden.CompareForTest(t, trace.String())
 }
 
 // readAll reads messages until an error, and formats the messages and the error.
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -214,7 +214,7 @@
 	verify("a missing response", append(append([]*recordpb.Record(nil), recording[:i]...), recording[i+1:]...))
 	verify("a duplicate response", append(append([]*recordpb.Record(nil), recording[:i+1]...), recording[i:]...))
 	verify("no start record", recording[1:])
-	golden.Trace(t, output.String())
+	golden.CompareForTest(t, output.String())
 }
 
 // A part that was cut out of a recording can be replayed by itself.
@@ -263,7 +263,7 @@
 	for _, event := range summary.Events {
 		fmt.Fprintf(&output, "%.0f %s\n", event.AtMs, event.Text)
 	}
-	golden.Trace(t, output.String())
+	golden.CompareForTest(t, output.String())
 	counter := &summarizer{Summary: &Summary{FromMs: 0}, intervalMs: initialIntervalMs}
 	wantArrivals := int64(0)
 	for counter.nowMs = 0; counter.nowMs < 3e6; counter.nowMs += 700 {
