--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -250,7 +250,7 @@
 // activeServers counts the servers of a proxy that are not in maintenance.
 func activeServers(proxy *fake.Forwarder) (count int) {
 	for _, server := range proxy.SocketState() {
-		if server.Admin&haproxy.ForcedMaint == 0 {
+		if server.AdminState&haproxy.ForcedMaint == 0 {
 			count++
 		}
 	}
@@ -322,7 +322,7 @@
 // drainedServers counts the servers of a host that take no traffic at a proxy.
 func drainedServers(proxy *fake.Forwarder, host string) (count int) {
 	for _, server := range proxy.SocketState() {
-		if server.Server == host && server.Admin != 0 {
+		if server.Server == host && server.AdminState != 0 {
 			count++
 		}
 	}
--- a/internal/daemon/runtime_sockets_test.go
+++ b/internal/daemon/runtime_sockets_test.go
@@ -132,7 +132,7 @@
 	}
 	state, err := haproxy.ParseState(d.runtimeCommand(adminSocket, "show servers state sheet\n"))
 	if err != nil || len(state) != 2 || state[1].Address != "10.0.0.2:80" || state[1].Weight != 50 ||
-		state[1].Op != haproxy.Running {
+		state[1].OperationalState != haproxy.Running {
 		t.Errorf("%v %+v", err, state)
 	}
 	twice := strings.Repeat("# name\nsheet\nfinish\n\n", 2)
--- a/internal/daemon/socket_proxies_test.go
+++ b/internal/daemon/socket_proxies_test.go
@@ -53,7 +53,7 @@
 func hasWeights(proxy *fake.Forwarder, want map[string]int) bool {
 	count := 0
 	for _, server := range proxy.SocketState() {
-		if server.Admin != 0 {
+		if server.AdminState != 0 {
 			continue
 		}
 		if want[server.Server] != server.Weight {
--- a/internal/fake/socket.go
+++ b/internal/fake/socket.go
@@ -299,11 +299,11 @@
 func (s *socket) run(w []string) (answer string, changed bool) {
 	command := strings.Join(w[:min(len(w), 2)], " ")
 	if command == "show servers" && len(w) > 2 && w[2] == "state" {
-		return haproxy.WriteState(s.state()), false
+		return haproxy.FormatState(s.state()), false
 	}
 	switch command {
 	case "show stat":
-		return haproxy.WriteCSV(s.stat()), false
+		return haproxy.FormatCSV(s.stat()), false
 	case "get var":
 		if v, ok := s.vars[w[2]]; ok {
 			return w[2] + ": type=str value=<" + v + ">\n", false
@@ -355,8 +355,8 @@
 func (s *socket) state() (all []haproxy.ServerState) {
 	for b, c := range s.classes {
 		for i, v := range s.servers[c] {
-			all = append(all, haproxy.ServerState{BackendID: b + 2, ServerID: i + 1, Backend: c, Server: v.address, Address: v.address, Op: haproxy.Running,
-				Admin: v.admin, Weight: v.weight, Initial: v.initial})
+			all = append(all, haproxy.ServerState{BackendID: b + 2, ServerID: i + 1, Backend: c, Server: v.address, Address: v.address, OperationalState: haproxy.Running,
+				AdminState: v.admin, Weight: v.weight, InitialWeight: v.initial})
 		}
 	}
 	return all
@@ -373,9 +373,9 @@
 	}
 	for _, c := range s.classes {
 		for i, v := range s.servers[c] {
-			rows = append(rows, row(c, v.address, haproxy.Server, i+1, v))
+			rows = append(rows, row(c, v.address, haproxy.TypeServer, i+1, v))
 		}
-		rows = append(rows, row(c, "BACKEND", haproxy.Backend, 0, s.backend[c]))
+		rows = append(rows, row(c, "BACKEND", haproxy.TypeBackend, 0, s.backend[c]))
 	}
 	return rows
 }
--- a/internal/haproxy/haproxy_test.go
+++ b/internal/haproxy/haproxy_test.go
@@ -13,12 +13,12 @@
 func TestStat(t *testing.T) {
 	rows := []Row{{"pxname": "sheet", "svname": "10.0.0.1:80", "status": "UP", "weight": "100", "type": "2", "iid": "2", "sid": "1", "stot": "5"},
 		{"pxname": "sheet", "svname": "BACKEND", "status": "UP", "type": "1", "iid": "2", "sid": "0", "check_desc": `a "b", c`}}
-	text := WriteCSV(rows)
+	text := FormatCSV(rows)
 	if !strings.HasPrefix(text, "# pxname,svname,qcur,qmax,scur,smax,slim,stot,bin,bout,dreq,dresp,ereq,econ,eresp,wretr,wredis,status,weight,act,bck,") ||
 		!strings.Contains(text, ",mode,algo,\n") || strings.Count(text, "\n") != 3 {
 		t.Errorf("%s", text)
 	}
-	if Fields()[17] != "status" || Fields()[18] != "weight" || Fields()[32] != "type" || Fields()[73] != "addr" {
+	if StatFields()[17] != "status" || StatFields()[18] != "weight" || StatFields()[32] != "type" || StatFields()[73] != "addr" {
 		t.Error("columns are not at their published positions")
 	}
 	back, err := ParseCSV(text)
@@ -36,7 +36,7 @@
 	if _, err := ParseCSV("Permission denied\n"); err == nil {
 		t.Error("an answer that is no table is read")
 	}
-	if typed := WriteTyped(rows[:1]); !strings.Contains(typed, "S.2.1.0.pxname.1:KNSP:str:sheet\n") || !strings.Contains(typed, "S.2.1.18.weight.1:CLSP:u32:100\n") {
+	if typed := FormatTyped(rows[:1]); !strings.Contains(typed, "S.2.1.0.pxname.1:KNSP:str:sheet\n") || !strings.Contains(typed, "S.2.1.18.weight.1:CLSP:u32:100\n") {
 		t.Errorf("%s", typed)
 	}
 	var objects [][]struct {
@@ -44,7 +44,7 @@
 		Field   struct{ Name string }
 		Value   struct{ Value any }
 	}
-	if err := json.Unmarshal([]byte(WriteJSON(rows)), &objects); err != nil || objects[0][0].ObjType != "Server" || objects[0][0].Field.Name != "pxname" ||
+	if err := json.Unmarshal([]byte(FormatJSON(rows)), &objects); err != nil || objects[0][0].ObjType != "Server" || objects[0][0].Field.Name != "pxname" ||
 		objects[1][0].ObjType != "Backend" {
 		t.Errorf("%v %+v", err, objects)
 	}
@@ -52,7 +52,7 @@
 
 func TestState(t *testing.T) {
 	all := []ServerState{{2, 1, "sheet", "s1", "10.0.0.1:80", Running, 0, 100, 50, 7}, {2, 2, "sheet", "s2", "[::1]:81", Stopped, ForcedMaint, 0, 100, 0}}
-	text := WriteState(all)
+	text := FormatState(all)
 	if !strings.HasPrefix(text, "1\n# be_id be_name srv_id srv_name srv_addr srv_op_state srv_admin_state srv_uweight srv_iweight ") {
 		t.Errorf("%s", text)
 	}
@@ -71,8 +71,8 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(WriteCSV([]Row{{"pxname": "a"}}))
-	f.Add(WriteState([]ServerState{{2, 1, "a", "b", "1.2.3.4:5", 2, 0, 1, 1, 0}}))
+	f.Add(FormatCSV([]Row{{"pxname": "a"}}))
+	f.Add(FormatState([]ServerState{{2, 1, "a", "b", "1.2.3.4:5", 2, 0, 1, 1, 0}}))
 	f.Fuzz(func(t *testing.T, text string) {
 		if rows, err := ParseCSV(text); err == nil {
 			for _, r := range rows {
--- a/internal/haproxy/stat.go
+++ b/internal/haproxy/stat.go
@@ -12,14 +12,14 @@
 )
 
 // Fields of show stat, by their published positions.
-var fields = strings.Split("pxname,svname,qcur,qmax,scur,smax,slim,stot,bin,bout,dreq,dresp,ereq,econ,eresp,wretr,wredis,status,weight,act,bck,"+
+var statFields = strings.Split("pxname,svname,qcur,qmax,scur,smax,slim,stot,bin,bout,dreq,dresp,ereq,econ,eresp,wretr,wredis,status,weight,act,bck,"+
 	"chkfail,chkdown,lastchg,downtime,qlimit,pid,iid,sid,throttle,lbtot,tracked,type,rate,rate_lim,rate_max,check_status,check_code,"+
 	"check_duration,hrsp_1xx,hrsp_2xx,hrsp_3xx,hrsp_4xx,hrsp_5xx,hrsp_other,hanafail,req_rate,req_rate_max,req_tot,cli_abrt,srv_abrt,"+
 	"comp_in,comp_out,comp_byp,comp_rsp,lastsess,last_chk,last_agt,qtime,ctime,rtime,ttime,agent_status,agent_code,agent_duration,"+
 	"check_desc,agent_desc,check_rise,check_fall,check_health,agent_rise,agent_fall,agent_health,addr,cookie,mode,algo", ",")
 
-// Fields gives the names of show stat's columns.
-func Fields() []string { return slices.Clone(fields) }
+// StatFields gives the names of show stat's columns.
+func StatFields() []string { return slices.Clone(statFields) }
 
 // texts are the fields that are strings; all others are figures.
 var texts = map[string]bool{"pxname": true, "svname": true, "status": true, "check_status": true, "last_chk": true, "last_agt": true,
@@ -27,20 +27,20 @@
 
 // Types of show stat's objects.
 const (
-	Frontend = 0
-	Backend  = 1
-	Server   = 2
+	TypeFrontend = 0
+	TypeBackend  = 1
+	TypeServer   = 2
 )
 
 // Row of show stat: values by field name; a field without one is empty.
 type Row map[string]string
 
-// WriteCSV writes show stat's usual form: a header after "# ", each line ended by a comma.
-func WriteCSV(rows []Row) string {
+// FormatCSV writes show stat's usual form: a header after "# ", each line ended by a comma.
+func FormatCSV(rows []Row) string {
 	var b strings.Builder
-	b.WriteString("# " + strings.Join(fields, ",") + ",\n")
+	b.WriteString("# " + strings.Join(statFields, ",") + ",\n")
 	for _, r := range rows {
-		for _, f := range fields {
+		for _, f := range statFields {
 			v := r[f]
 			if strings.ContainsAny(v, "\",\n") {
 				v = `"` + strings.ReplaceAll(v, `"`, `""`) + `"`
@@ -110,12 +110,12 @@
 	return "u32"
 }
 
-// WriteTyped writes show stat typed: a line for each field that has a value.
-func WriteTyped(rows []Row) string {
+// FormatTyped writes show stat typed: a line for each field that has a value.
+func FormatTyped(rows []Row) string {
 	var b strings.Builder
 	for _, r := range rows {
 		letter, _, iid, sid := r.object()
-		for pos, f := range fields {
+		for pos, f := range statFields {
 			if v, ok := r[f]; ok {
 				tag, _, _, _ := tags(f)
 				fmt.Fprintf(&b, "%s.%s.%s.%d.%s.1:%s:%s:%s\n", letter, iid, sid, pos, f, tag, valueType(f), v)
@@ -125,13 +125,13 @@
 	return b.String()
 }
 
-// WriteJSON writes show stat json: a list of objects, each a list of fields.
-func WriteJSON(rows []Row) string {
+// FormatJSON writes show stat json: a list of objects, each a list of fields.
+func FormatJSON(rows []Row) string {
 	all := [][]any{}
 	for _, r := range rows {
 		_, kind, iid, sid := r.object()
 		object := []any{}
-		for pos, f := range fields {
+		for pos, f := range statFields {
 			v, ok := r[f]
 			if !ok {
 				continue
--- a/internal/haproxy/state.go
+++ b/internal/haproxy/state.go
@@ -24,16 +24,16 @@
 
 // ServerState is a line of show servers state.
 type ServerState struct {
-	BackendID, ServerID int
-	Backend, Server     string
-	Address             string // with its port
-	Op, Admin           int
-	Weight, Initial     int
-	Since               int // seconds since its state changed last
+	BackendID, ServerID          int
+	Backend, Server              string
+	Address                      string // with its port
+	OperationalState, AdminState int
+	Weight, InitialWeight        int
+	SecondsSinceChange           int // seconds since its state changed last
 }
 
-// WriteState writes show servers state.
-func WriteState(all []ServerState) string {
+// FormatState writes show servers state.
+func FormatState(all []ServerState) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "1\n# %s\n", stateFields)
 	for _, s := range all {
@@ -41,8 +41,8 @@
 		if err != nil {
 			host, port = s.Address, "0"
 		}
-		fmt.Fprintf(&b, "%d %s %d %s %s %d %d %d %d %d 1 0 0 0 0 0 0 - %s - 0 0 - - 0\n", s.BackendID, s.Backend, s.ServerID, s.Server, host, s.Op,
-			s.Admin, s.Weight, s.Initial, s.Since, port)
+		fmt.Fprintf(&b, "%d %s %d %s %s %d %d %d %d %d 1 0 0 0 0 0 0 - %s - 0 0 - - 0\n", s.BackendID, s.Backend, s.ServerID, s.Server, host, s.OperationalState,
+			s.AdminState, s.Weight, s.InitialWeight, s.SecondsSinceChange, port)
 	}
 	return b.String()
 }
@@ -73,8 +73,8 @@
 		}
 		number := func(f string) int { n, _ := strconv.Atoi(v[at[f]]); return n }
 		all = append(all, ServerState{BackendID: number("be_id"), ServerID: number("srv_id"), Backend: v[at["be_name"]], Server: v[at["srv_name"]],
-			Address: net.JoinHostPort(v[at["srv_addr"]], v[at["srv_port"]]), Op: number("srv_op_state"), Admin: number("srv_admin_state"),
-			Weight: number("srv_uweight"), Initial: number("srv_iweight"), Since: number("srv_time_since_last_change")})
+			Address: net.JoinHostPort(v[at["srv_addr"]], v[at["srv_port"]]), OperationalState: number("srv_op_state"), AdminState: number("srv_admin_state"),
+			Weight: number("srv_uweight"), InitialWeight: number("srv_iweight"), SecondsSinceChange: number("srv_time_since_last_change")})
 	}
 	return all, nil
 }
--- a/internal/runtimeapi/commands_test.go
+++ b/internal/runtimeapi/commands_test.go
@@ -187,7 +187,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(states) != 1 || states[0].Op != haproxy.Running || states[0].Admin != 0 {
+	if len(states) != 1 || states[0].OperationalState != haproxy.Running || states[0].AdminState != 0 {
 		t.Errorf("show servers state: %+v", states)
 	}
 }
--- a/internal/runtimeapi/show.go
+++ b/internal/runtimeapi/show.go
@@ -118,19 +118,19 @@
 		for i, host := range hosts {
 			operational, administrative := serverStates(host)
 			states = append(states, haproxy.ServerState{
-				BackendID: backend.id,
-				ServerID:  serverID(i),
-				Backend:   backend.class,
-				Server:    host.Host,
-				Address:   host.Host,
-				Op:        operational,
-				Admin:     administrative,
-				Weight:    apiWeight(host.Weight),
-				Initial:   apiWeight(host.BaseWeight),
+				BackendID:        backend.id,
+				ServerID:         serverID(i),
+				Backend:          backend.class,
+				Server:           host.Host,
+				Address:          host.Host,
+				OperationalState: operational,
+				AdminState:       administrative,
+				Weight:           apiWeight(host.Weight),
+				InitialWeight:    apiWeight(host.BaseWeight),
 			})
 		}
 	}
-	return haproxy.WriteState(states), nil
+	return haproxy.FormatState(states), nil
 }
 
 // concurrency returns the mean number of requests at a host, by Little's law: arrival rate times mean latency.
--- a/internal/runtimeapi/stat.go
+++ b/internal/runtimeapi/stat.go
@@ -79,11 +79,11 @@
 	}
 	switch query.format {
 	case formatTyped:
-		return haproxy.WriteTyped(rows), nil
+		return haproxy.FormatTyped(rows), nil
 	case formatJSON:
-		return haproxy.WriteJSON(rows), nil
+		return haproxy.FormatJSON(rows), nil
 	default:
-		return haproxy.WriteCSV(rows), nil
+		return haproxy.FormatCSV(rows), nil
 	}
 }
 
@@ -105,7 +105,7 @@
 		"pid":          "1",
 		"iid":          strconv.Itoa(backend.id),
 		"sid":          strconv.Itoa(id),
-		"type":         strconv.Itoa(haproxy.Server),
+		"type":         strconv.Itoa(haproxy.TypeServer),
 		"rate":         roundedText(host.Explanation.ArrivalRate),
 		"rtime":        roundedText(host.Explanation.MeanLatencyMs),
 		"ttime":        roundedText(host.Explanation.MeanLatencyMs),
@@ -141,7 +141,7 @@
 		"pid":    "1",
 		"iid":    strconv.Itoa(backend.id),
 		"sid":    "0",
-		"type":   strconv.Itoa(haproxy.Backend),
+		"type":   strconv.Itoa(haproxy.TypeBackend),
 		"rate":   roundedText(arrivalRate),
 		"stot":   "0",
 		"mode":   "http",
--- a/publisher/counters.go
+++ b/publisher/counters.go
@@ -49,9 +49,9 @@
 			continue
 		}
 		switch row["type"] {
-		case strconv.Itoa(haproxy.Backend):
+		case strconv.Itoa(haproxy.TypeBackend):
 			interval.addBackend(row["pxname"], increase)
-		case strconv.Itoa(haproxy.Server):
+		case strconv.Itoa(haproxy.TypeServer):
 			if increase.attempts() > 0 && isKnownHost(row["svname"]) {
 				interval.addServer(row["svname"], increase, numericField(row, "ttime"))
 			}
--- a/publisher/fake_proxy_test.go
+++ b/publisher/fake_proxy_test.go
@@ -78,10 +78,10 @@
 	}
 	backend, name, _ := strings.Cut(key, "/")
 	p.servers[key] = haproxy.ServerState{
-		Backend: backend,
-		Server:  name,
-		Weight:  p.parseWeight(weight),
-		Admin:   haproxy.ForcedMaint,
+		Backend:    backend,
+		Server:     name,
+		Weight:     p.parseWeight(weight),
+		AdminState: haproxy.ForcedMaint,
 	}
 	return "New server registered.\n"
 }
@@ -91,7 +91,7 @@
 	if !ok {
 		return "No such server.\n"
 	}
-	if state.Admin&haproxy.ForcedMaint == 0 {
+	if state.AdminState&haproxy.ForcedMaint == 0 {
 		return "Only servers in maintenance mode can be deleted.\n"
 	}
 	delete(p.servers, key)
@@ -109,7 +109,7 @@
 		state.Weight = p.parseWeight(words[3])
 	} else {
 		adminStates := map[string]int{"ready": 0, "drain": haproxy.ForcedDrain, "maint": haproxy.ForcedMaint}
-		state.Admin = adminStates[words[4]]
+		state.AdminState = adminStates[words[4]]
 	}
 	p.servers[key] = state
 	return ""
@@ -127,7 +127,7 @@
 // hasReadyServer reports whether a backend has a server that takes traffic.
 func (p *fakeProxy) hasReadyServer(backend string) bool {
 	for _, state := range p.servers {
-		if state.Backend == backend && state.Admin == 0 && state.Weight > 0 {
+		if state.Backend == backend && state.AdminState == 0 && state.Weight > 0 {
 			return true
 		}
 	}
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -86,8 +86,8 @@
 }
 
 func newServer(nowMs float64, state *haproxy.ServerState) server {
-	inMaintenance := state.Admin&haproxy.ForcedMaint != 0
-	isDrained := state.Admin&haproxy.ForcedDrain != 0
+	inMaintenance := state.AdminState&haproxy.ForcedMaint != 0
+	isDrained := state.AdminState&haproxy.ForcedDrain != 0
 	return server{
 		weight:      state.Weight,
 		ready:       !inMaintenance && !isDrained,
--- a/publisher/publisher_test.go
+++ b/publisher/publisher_test.go
@@ -189,7 +189,7 @@
 	want, _ := quantizeWeights(u.target.Weights, u.updater.scales["sheet"])
 	got := map[string]int{}
 	for _, state := range u.proxy.states() {
-		if state.Admin == 0 {
+		if state.AdminState == 0 {
 			got[state.Server] = state.Weight
 		}
 	}
