--- a/internal/haproxy/stat.go
+++ b/internal/haproxy/stat.go
@@ -1,4 +1,4 @@
-// Package haproxy reads and writes the text formats of HAProxy's runtime socket as its management guide publishes them
+// Package haproxy formats and parses the text formats of HAProxy's runtime API, as the management guide defines them
 // (https://docs.haproxy.org/3.0/management.html, sections 9.1 and 9.3). It does no I/O.
 package haproxy
 
@@ -11,65 +11,72 @@
 	"strings"
 )
 
-// Fields of show stat, by their published positions.
-var statFields = strings.Split("pxname,svname,qcur,qmax,scur,smax,slim,stot,bin,bout,dreq,dresp,ereq,econ,eresp,wretr,wredis,status,weight,act,bck,"+
-	"chkfail,chkdown,lastchg,downtime,qlimit,pid,iid,sid,throttle,lbtot,tracked,type,rate,rate_lim,rate_max,check_status,check_code,"+
-	"check_duration,hrsp_1xx,hrsp_2xx,hrsp_3xx,hrsp_4xx,hrsp_5xx,hrsp_other,hanafail,req_rate,req_rate_max,req_tot,cli_abrt,srv_abrt,"+
-	"comp_in,comp_out,comp_byp,comp_rsp,lastsess,last_chk,last_agt,qtime,ctime,rtime,ttime,agent_status,agent_code,agent_duration,"+
-	"check_desc,agent_desc,check_rise,check_fall,check_health,agent_rise,agent_fall,agent_health,addr,cookie,mode,algo", ",")
+// statFields are the columns of "show stat" in the order of the management guide.
+var statFields = strings.Split("pxname,svname,qcur,qmax,scur,smax,slim,stot,bin,bout,dreq,dresp,ereq,econ,eresp,"+
+	"wretr,wredis,status,weight,act,bck,chkfail,chkdown,lastchg,downtime,qlimit,pid,iid,sid,throttle,lbtot,tracked,"+
+	"type,rate,rate_lim,rate_max,check_status,check_code,check_duration,hrsp_1xx,hrsp_2xx,hrsp_3xx,hrsp_4xx,hrsp_5xx,"+
+	"hrsp_other,hanafail,req_rate,req_rate_max,req_tot,cli_abrt,srv_abrt,comp_in,comp_out,comp_byp,comp_rsp,lastsess,"+
+	"last_chk,last_agt,qtime,ctime,rtime,ttime,agent_status,agent_code,agent_duration,check_desc,agent_desc,"+
+	"check_rise,check_fall,check_health,agent_rise,agent_fall,agent_health,addr,cookie,mode,algo", ",")
 
-// StatFields gives the names of show stat's columns.
+// StatFields returns the names of the columns of "show stat", in order.
 func StatFields() []string { return slices.Clone(statFields) }
 
-// texts are the fields that are strings; all others are figures.
-var texts = map[string]bool{"pxname": true, "svname": true, "status": true, "check_status": true, "last_chk": true, "last_agt": true,
-	"agent_status": true, "check_desc": true, "agent_desc": true, "addr": true, "cookie": true, "mode": true, "algo": true, "tracked": true}
+// stringFields are the columns whose values are strings. All others are numbers.
+var stringFields = map[string]bool{
+	"pxname": true, "svname": true, "status": true, "check_status": true, "last_chk": true, "last_agt": true,
+	"agent_status": true, "check_desc": true, "agent_desc": true, "addr": true, "cookie": true, "mode": true,
+	"algo": true, "tracked": true,
+}
 
-// Types of show stat's objects.
+// Values of the column "type".
 const (
 	TypeFrontend = 0
 	TypeBackend  = 1
 	TypeServer   = 2
 )
 
-// Row of show stat: values by field name; a field without one is empty.
+// Row is a row of "show stat": its values by column name. Columns without a value are missing.
 type Row map[string]string
 
-// FormatCSV writes show stat's usual form: a header after "# ", each line ended by a comma.
+// FormatCSV formats rows as the default form of "show stat": CSV with a header that begins with "# ". A comma ends
+// each line.
 func FormatCSV(rows []Row) string {
-	var b strings.Builder
-	b.WriteString("# " + strings.Join(statFields, ",") + ",\n")
-	for _, r := range rows {
-		for _, f := range statFields {
-			v := r[f]
-			if strings.ContainsAny(v, "\",\n") {
-				v = `"` + strings.ReplaceAll(v, `"`, `""`) + `"`
+	var text strings.Builder
+	text.WriteString("# " + strings.Join(statFields, ",") + ",\n")
+	for _, row := range rows {
+		for _, field := range statFields {
+			value := row[field]
+			if strings.ContainsAny(value, "\",\n") {
+				value = `"` + strings.ReplaceAll(value, `"`, `""`) + `"`
 			}
-			b.WriteString(v + ",")
+			text.WriteString(value + ",")
 		}
-		b.WriteByte('\n')
+		text.WriteByte('\n')
 	}
-	return b.String()
+	return text.String()
 }
 
-// ParseCSV reads show stat by its header, whatever its columns are.
+// ParseCSV parses the default form of "show stat". It takes the columns from the header, since they differ between
+// versions of HAProxy.
 func ParseCSV(text string) ([]Row, error) {
 	text, ok := strings.CutPrefix(strings.TrimSpace(text), "# ")
 	if !ok {
 		return nil, fmt.Errorf("show stat: no header, but %.60q", text)
 	}
-	r := csv.NewReader(strings.NewReader(text))
-	r.FieldsPerRecord = -1
-	all, err := r.ReadAll()
+	reader := csv.NewReader(strings.NewReader(text))
+	reader.FieldsPerRecord = -1
+	records, err := reader.ReadAll()
 	if err != nil {
 		return nil, fmt.Errorf("show stat: %w", err)
 	}
+	header := records[0]
 	var rows []Row
-	for _, line := range all[1:] {
+	for _, record := range records[1:] {
 		row := Row{}
-		for i, v := range line {
-			if i < len(all[0]) && all[0][i] != "" && v != "" {
-				row[all[0][i]] = v
+		for i, value := range record {
+			if i < len(header) && header[i] != "" && value != "" {
+				row[header[i]] = value
 			}
 		}
 		rows = append(rows, row)
@@ -77,79 +84,83 @@
 	return rows, nil
 }
 
-// object gives the letter and the ids of a row, for the typed form.
-func (r Row) object() (letter, kind string, iid, sid string) {
+// objectID returns what identifies the row's object in the typed and the JSON form: the letter and the name of its
+// type, the id of its proxy (frontend or backend), and the id of its server.
+func (r Row) objectID() (letter, typeName, proxyID, serverID string) {
 	switch r["type"] {
 	case "0":
-		letter, kind = "F", "Frontend"
+		letter, typeName = "F", "Frontend"
 	case "1":
-		letter, kind = "B", "Backend"
+		letter, typeName = "B", "Backend"
 	default:
-		letter, kind = "S", "Server"
+		letter, typeName = "S", "Server"
 	}
-	return letter, kind, r["iid"], r["sid"]
+	return letter, typeName, r["iid"], r["sid"]
 }
 
-// tags of a field's origin, nature and scope.
-func tags(field string) (short, origin, nature, scope string) {
+// fieldTags returns the origin, nature and scope of a field. letters is their form in "show stat typed": the first
+// letter of each, and P for process.
+func fieldTags(field string) (letters, origin, nature, scope string) {
 	switch {
 	case field == "pxname" || field == "svname" || field == "iid" || field == "sid" || field == "type" || field == "pid":
 		return "KNSP", "Key", "Name", "Service"
 	case field == "weight" || field == "slim" || field == "mode" || field == "algo" || field == "addr":
 		return "CLSP", "Config", "Limit", "Service"
-	case strings.HasSuffix(field, "tot") || strings.HasPrefix(field, "hrsp") || field == "econ" || field == "eresp" || field == "wretr":
+	case strings.HasSuffix(field, "tot") || strings.HasPrefix(field, "hrsp") || field == "econ" || field == "eresp" ||
+		field == "wretr":
 		return "MCSP", "Metric", "Counter", "Service"
 	}
 	return "MGSP", "Metric", "Gauge", "Service"
 }
 
 func valueType(field string) string {
-	if texts[field] {
+	if stringFields[field] {
 		return "str"
 	}
 	return "u32"
 }
 
-// FormatTyped writes show stat typed: a line for each field that has a value.
+// FormatTyped formats rows as "show stat typed": one line for each value.
 func FormatTyped(rows []Row) string {
-	var b strings.Builder
-	for _, r := range rows {
-		letter, _, iid, sid := r.object()
-		for pos, f := range statFields {
-			if v, ok := r[f]; ok {
-				tag, _, _, _ := tags(f)
-				fmt.Fprintf(&b, "%s.%s.%s.%d.%s.1:%s:%s:%s\n", letter, iid, sid, pos, f, tag, valueType(f), v)
+	var text strings.Builder
+	for _, row := range rows {
+		letter, _, proxyID, serverID := row.objectID()
+		for position, field := range statFields {
+			if value, ok := row[field]; ok {
+				tags, _, _, _ := fieldTags(field)
+				fmt.Fprintf(&text, "%s.%s.%s.%d.%s.1:%s:%s:%s\n", letter, proxyID, serverID, position, field, tags,
+					valueType(field), value)
 			}
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
-// FormatJSON writes show stat json: a list of objects, each a list of fields.
+// FormatJSON formats rows as "show stat json": a list with a list of fields for each row.
 func FormatJSON(rows []Row) string {
-	all := [][]any{}
-	for _, r := range rows {
-		_, kind, iid, sid := r.object()
+	objects := [][]any{}
+	for _, row := range rows {
+		_, typeName, proxyIDText, serverIDText := row.objectID()
 		object := []any{}
-		for pos, f := range statFields {
-			v, ok := r[f]
+		for position, field := range statFields {
+			text, ok := row[field]
 			if !ok {
 				continue
 			}
-			var value any = v
-			if n, err := strconv.ParseFloat(v, 64); err == nil && !texts[f] {
-				value = n
+			var value any = text
+			if number, err := strconv.ParseFloat(text, 64); err == nil && !stringFields[field] {
+				value = number
 			}
-			_, origin, nature, scope := tags(f)
-			proxy, _ := strconv.Atoi(iid)
-			id, _ := strconv.Atoi(sid)
-			object = append(object, map[string]any{"objType": kind, "proxyId": proxy, "id": id,
-				"field": map[string]any{"pos": pos, "name": f}, "processNum": 1,
+			_, origin, nature, scope := fieldTags(field)
+			proxyID, _ := strconv.Atoi(proxyIDText)
+			serverID, _ := strconv.Atoi(serverIDText)
+			object = append(object, map[string]any{"objType": typeName, "proxyId": proxyID, "id": serverID,
+				"field": map[string]any{"pos": position, "name": field}, "processNum": 1,
 				"tags":  map[string]string{"origin": origin, "nature": nature, "scope": scope},
-				"value": map[string]any{"type": valueType(f), "value": value}})
+				"value": map[string]any{"type": valueType(field), "value": value}})
 		}
-		all = append(all, object)
+		objects = append(objects, object)
 	}
-	text, _ := json.Marshal(all)
+	text, _ := json.Marshal(objects)
 	return string(text) + "\n"
 }
