--- a/internal/haproxy/stat.go
+++ b/internal/haproxy/stat.go
@@ -36,7 +36,7 @@
 	TypeServer   = 2
 )
 
-// Row is a row of "show stat": its values by column name. Columns without a value are missing.
+// Row is a row of "show stat": its values by column name. Columns without a value are left out.
 type Row map[string]string
 
 // FormatCSV formats rows as the default form of "show stat": CSV with a header that begins with "# ". A comma ends
@@ -62,7 +62,7 @@
 func ParseCSV(text string) ([]Row, error) {
 	text, ok := strings.CutPrefix(strings.TrimSpace(text), "# ")
 	if !ok {
-		return nil, fmt.Errorf("show stat: no header, but %.60q", text)
+		return nil, fmt.Errorf("show stat: expected a header line, got %.60q", text)
 	}
 	reader := csv.NewReader(strings.NewReader(text))
 	reader.FieldsPerRecord = -1
--- a/internal/haproxy/state.go
+++ b/internal/haproxy/state.go
@@ -56,7 +56,7 @@
 func ParseState(text string) ([]ServerState, error) {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	if len(lines) < 2 || strings.TrimSpace(lines[0]) != "1" || !strings.HasPrefix(lines[1], "# ") {
-		return nil, fmt.Errorf("show servers state: version 1 and a header are wanted, not %.60q", text)
+		return nil, fmt.Errorf("show servers state: expected format version 1 and a header line, got %.60q", text)
 	}
 	columns := map[string]int{} // index by name
 	for i, field := range strings.Fields(lines[1][2:]) {
@@ -64,7 +64,7 @@
 	}
 	for _, field := range []string{"be_name", "srv_name", "srv_addr", "srv_port", "srv_admin_state", "srv_uweight"} {
 		if _, ok := columns[field]; !ok {
-			return nil, fmt.Errorf("show servers state: the column %s is missing", field)
+			return nil, fmt.Errorf("show servers state: header has no column %s", field)
 		}
 	}
 	var servers []ServerState
@@ -74,7 +74,7 @@
 			continue
 		}
 		if len(values) < len(columns) {
-			return nil, fmt.Errorf("show servers state: a line of %d columns, %d are named: %.60q", len(values),
+			return nil, fmt.Errorf("show servers state: got %d values for %d columns in line %.60q", len(values),
 				len(columns), line)
 		}
 		number := func(field string) int { n, _ := strconv.Atoi(values[columns[field]]); return n }
