--- a/internal/daemon/runtime_sockets.go
+++ b/internal/daemon/runtime_sockets.go
@@ -50,7 +50,7 @@
 // listenRuntimeSocket listens on unix:PATH or address:port. It replaces the file of a socket on which no program
 // listens any more.
 func listenRuntimeSocket(address string) (net.Listener, error) {
-	network, path := socketproxy.Network(address)
+	network, path := socketproxy.ParseAddress(address)
 	if network == "tcp" {
 		return net.Listen(network, path)
 	}
--- a/internal/daemon/socket_proxies.go
+++ b/internal/daemon/socket_proxies.go
@@ -13,14 +13,14 @@
 func (d *Daemon) startSocketDrivers(ctx context.Context, cfg *configpb.Config) {
 	for _, proxy := range cfg.Sockets {
 		driver := socketproxy.New(localController{d.loop}, socketproxy.Config{
-			Proxy:   proxy.Proxy,
-			Zone:    proxy.Zone,
-			Address: proxy.Address,
-			Rate:    proxy.GetRate(),
-			Life:    d.incarnation,
-			Grace:   *cfg.Guard.GraceMs,
-			Period:  milliseconds(*cfg.Fleet.PeriodMs),
-			Log:     func(text string) { d.log.Info().Msg(text) },
+			Proxy:        proxy.Proxy,
+			Zone:         proxy.Zone,
+			Address:      proxy.Address,
+			RequestRate:  proxy.GetRate(),
+			Incarnation:  d.incarnation,
+			DrainGraceMs: *cfg.Guard.GraceMs,
+			CyclePeriod:  milliseconds(*cfg.Fleet.PeriodMs),
+			Log:          func(text string) { d.log.Info().Msg(text) },
 		})
 		d.socketDrivers.Go(func() { driver.Run(ctx) })
 	}
--- a/internal/socketproxy/socketproxy.go
+++ b/internal/socketproxy/socketproxy.go
@@ -30,14 +30,14 @@
 
 // Config of a driver.
 type Config struct {
-	Proxy, Zone string
-	Address     string // unix:PATH or address:port
-	Rate        float64
-	Life        string        // of the steward
-	Grace       float64       // ms until a drained server is taken off
-	Period      time.Duration // between readings of its counters
-	Timeout     time.Duration // of an answer
-	Log         func(text string)
+	Proxy, Zone  string
+	Address      string // unix:PATH or address:port
+	RequestRate  float64
+	Incarnation  string        // of the steward
+	DrainGraceMs float64       // ms until a drained server is taken off
+	CyclePeriod  time.Duration // between readings of its counters
+	Timeout      time.Duration // of an answer
+	Log          func(text string)
 }
 
 // readEvery cycles the servers' states are read too.
@@ -62,8 +62,8 @@
 	if set.Log == nil {
 		set.Log = func(string) {}
 	}
-	return &Driver{set: set, steward: s, proxy: publisher.NewProxyUpdater(set.Grace), counts: publisher.NewCounters(set.Life),
-		owner: publisher.NewSocketOwner(set.Life)}
+	return &Driver{set: set, steward: s, proxy: publisher.NewProxyUpdater(set.DrainGraceMs), counts: publisher.NewCounters(set.Incarnation),
+		owner: publisher.NewSocketOwner(set.Incarnation)}
 }
 
 // Run drives the proxy until the context ends. After a failure it connects again, after a wait that doubles up to four
@@ -88,8 +88,8 @@
 	}
 }
 
-// Network gives the network and the address of unix:PATH or address:port.
-func Network(address string) (network, at string) {
+// ParseAddress gives the network and the address of unix:PATH or address:port.
+func ParseAddress(address string) (network, at string) {
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
 		return "unix", path
 	}
@@ -116,7 +116,7 @@
 }
 
 func (d *Driver) session(ctx context.Context) error {
-	network, address := Network(d.set.Address)
+	network, address := ParseAddress(d.set.Address)
 	dialer := net.Dialer{Timeout: d.set.Timeout}
 	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
@@ -134,7 +134,7 @@
 	if _, err := s.ask("prompt"); err != nil {
 		return err
 	}
-	cycle := time.NewTicker(s.set.Period)
+	cycle := time.NewTicker(s.set.CyclePeriod)
 	defer cycle.Stop()
 	driving := false
 	for n := 0; ; n++ {
@@ -280,7 +280,7 @@
 
 // hear polls the steward for the proxy, with the tag of what it has.
 func (s *session) hear() {
-	q := controller.PollRequest{Proxy: s.set.Proxy, Zone: s.set.Zone, RequestRate: s.set.Rate, WaitMs: 60000}
+	q := controller.PollRequest{Proxy: s.set.Proxy, Zone: s.set.Zone, RequestRate: s.set.RequestRate, WaitMs: 60000}
 	if s.tag != "" {
 		q.Tags = []string{s.tag}
 	}
