--- a/internal/socketproxy/socketproxy.go
+++ b/internal/socketproxy/socketproxy.go
@@ -1,6 +1,7 @@
-// Package socketproxy drives proxies by their runtime sockets: it connects, reads their state, sends what package
-// publisher decides, and polls the steward for them, so that a proxy of this front joins, is paced and acknowledges as
-// any other does.
+// Package socketproxy controls proxies through their runtime sockets, for proxies that do not poll. For each proxy a
+// [Driver] connects to its socket, reads the state of its servers, sends the commands that package publisher decides
+// on, and polls the controller in the proxy's place. To the controller such a proxy is like any other: it has a
+// session, gets paced updates and acknowledges them.
 package socketproxy
 
 import (
@@ -19,105 +20,133 @@
 	"barleysail/publisher"
 )
 
-// Controller is what a driver needs of one.
+// Controller is the part of a controller that a driver uses. Its methods must be safe for concurrent use.
 type Controller interface {
-	Poll(q controller.PollRequest, to func(controller.Response)) (id int64, err error)
+	// Poll starts a long poll. deliver is called with its response.
+	Poll(request controller.PollRequest, deliver func(controller.Response)) (id int64, err error)
 	CancelPoll(proxy string, id int64)
-	ObserveProxyStats(proxy string, u controller.ProxyStats) (counted bool, err error)
+	ObserveProxyStats(proxy string, stats controller.ProxyStats) (counted bool, err error)
+	// HasEndpoint reports whether the host is on the endpoint list.
 	HasEndpoint(host string) bool
+	// NowMs returns the time of the controller's clock.
 	NowMs() float64
 }
 
-// Config of a driver.
+// Config configures a Driver.
 type Config struct {
 	Proxy, Zone  string
-	Address      string // unix:PATH or address:port
-	RequestRate  float64
-	Incarnation  string        // of the steward
-	DrainGraceMs float64       // ms until a drained server is taken off
-	CyclePeriod  time.Duration // between readings of its counters
-	Timeout      time.Duration // of an answer
+	Address      string        // of the runtime socket: unix:PATH or address:port
+	RequestRate  float64       // usual request rate of the proxy, in requests per second; 0: not given
+	Incarnation  string        // of the controller
+	DrainGraceMs float64       // time from the drain of a server to its removal
+	CyclePeriod  time.Duration // time between two readings of the proxy's counters
+	Timeout      time.Duration // for connecting, and for each response; default 2 s
 	Log          func(text string)
 }
 
-// readEvery cycles the servers' states are read too.
-const readEvery = 5
+const (
+	defaultTimeout = 2 * time.Second
 
-// Driver drives one proxy.
+	// The servers' states are read once in this number of cycles.
+	cyclesPerStateRead = 5
+
+	// The delay before a reconnection doubles with each failure in a row. A connection that lasted for
+	// stableConnectionTime resets it.
+	minReconnectDelay    = 100 * time.Millisecond
+	maxReconnectDelay    = 4 * time.Second
+	maxDelayDoublings    = 6
+	stableConnectionTime = 10 * time.Second
+
+	longPollWaitMs     = 60000
+	minPollInterval    = time.Second // between polls, while the proxy has not reached its target
+	maxQueuedResponses = 4
+
+	readBufferBytes  = 64 << 10
+	maxResponseBytes = 16 << 20 // of the proxy's response to a command
+)
+
+// Driver controls one proxy through its runtime socket.
 type Driver struct {
-	set     Config
-	steward Controller
-	proxy   *publisher.ProxyUpdater
-	counts  *publisher.Counters
-	owner   *publisher.SocketOwner
-	tag     string // of the version that the proxy has
-	last    string // line in the log
+	config         Config
+	controller     Controller
+	updater        *publisher.ProxyUpdater
+	counters       *publisher.Counters
+	owner          *publisher.SocketOwner
+	appliedTag     string // entity tag of the last tables that the proxy applied in full; polls acknowledge it
+	lastLogMessage string // of logUnlessRepeated
 }
 
-// New makes a driver; Run starts it.
-func New(s Controller, set Config) *Driver {
-	if set.Timeout == 0 {
-		set.Timeout = 2 * time.Second
+// New returns a driver that is started by Run.
+func New(target Controller, config Config) *Driver {
+	if config.Timeout == 0 {
+		config.Timeout = defaultTimeout
 	}
-	if set.Log == nil {
-		set.Log = func(string) {}
+	if config.Log == nil {
+		config.Log = func(string) {}
+	}
+	return &Driver{
+		config:     config,
+		controller: target,
+		updater:    publisher.NewProxyUpdater(config.DrainGraceMs),
+		counters:   publisher.NewCounters(config.Incarnation),
+		owner:      publisher.NewSocketOwner(config.Incarnation),
 	}
-	return &Driver{set: set, steward: s, proxy: publisher.NewProxyUpdater(set.DrainGraceMs), counts: publisher.NewCounters(set.Incarnation),
-		owner: publisher.NewSocketOwner(set.Incarnation)}
 }
 
-// Run drives the proxy until the context ends. After a failure it connects again, after a wait that doubles up to four
-// seconds, with some chance in it: many proxies may come back at once.
+// Run controls the proxy until the context ends. When the connection fails, it reconnects with exponential backoff.
+// The delays are randomized, since many proxies may lose their connections at once.
 func (d *Driver) Run(ctx context.Context) {
 	for failures := 0; ctx.Err() == nil; failures++ {
-		began := time.Now()
-		err := d.session(ctx)
-		d.proxy.ConnectionLost()
+		startTime := time.Now()
+		err := d.runSession(ctx)
+		d.updater.ConnectionLost()
 		if ctx.Err() != nil {
 			return
 		}
-		if time.Since(began) > 10*time.Second {
+		if time.Since(startTime) > stableConnectionTime {
 			failures = 0
 		}
-		d.say(fmt.Sprintf("proxy %s: its socket is lost: %v", d.set.Proxy, err))
-		wait := min(100*time.Millisecond<<min(failures, 6), 4*time.Second)
+		d.logUnlessRepeated(fmt.Sprintf("proxy %s: its socket is lost: %v", d.config.Proxy, err))
+		delay := min(minReconnectDelay<<min(failures, maxDelayDoublings), maxReconnectDelay)
 		select {
-		case <-time.After(time.Duration(float64(wait) * (0.5 + rand.Float64()))):
+		case <-time.After(time.Duration(float64(delay) * (0.5 + rand.Float64()))):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// ParseAddress gives the network and the address of unix:PATH or address:port.
-func ParseAddress(address string) (network, at string) {
+// ParseAddress splits unix:PATH or address:port into the network and the address that package net expects.
+func ParseAddress(address string) (network, networkAddress string) {
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
 		return "unix", path
 	}
 	return "tcp", address
 }
 
-// say logs a change, once.
-func (d *Driver) say(text string) {
-	if text != d.last {
-		d.last = text
-		d.set.Log(text)
+// logUnlessRepeated logs a message unless it equals the last one, so that a failure that repeats is logged once.
+func (d *Driver) logUnlessRepeated(text string) {
+	if text != d.lastLogMessage {
+		d.lastLogMessage = text
+		d.config.Log(text)
 	}
 }
 
-// session is a connection.
+// session is one connection to the proxy.
 type session struct {
 	*Driver
-	conn    net.Conn
-	in      *bufio.Reader
-	answers chan controller.Response
-	poll    int64 // held at the steward, 0: none
-	polled  time.Time
-	newest  string // tag of what is wanted
+	conn      net.Conn
+	input     *bufio.Reader
+	responses chan controller.Response // of the controller, to polls
+	pollID    int64                    // of the pending poll; 0: none
+	lastPoll  time.Time
+	targetTag string // entity tag of the tables in the controller's last response
 }
 
-func (d *Driver) session(ctx context.Context) error {
-	network, address := ParseAddress(d.set.Address)
-	dialer := net.Dialer{Timeout: d.set.Timeout}
+// runSession connects to the proxy and controls it until the connection fails or the context ends. Each cycle it
+// determines whether this controller owns the socket; only the owner controls the proxy.
+func (d *Driver) runSession(ctx context.Context) error {
+	network, address := ParseAddress(d.config.Address)
+	dialer := net.Dialer{Timeout: d.config.Timeout}
 	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return fmt.Errorf("connecting: %w", err)
@@ -125,214 +154,225 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	s := &session{Driver: d, conn: conn, in: bufio.NewReaderSize(conn, 64<<10), answers: make(chan controller.Response, 4)}
+	s := &session{
+		Driver:    d,
+		conn:      conn,
+		input:     bufio.NewReaderSize(conn, readBufferBytes),
+		responses: make(chan controller.Response, maxQueuedResponses),
+	}
 	defer func() {
-		if s.poll != 0 {
-			s.steward.CancelPoll(s.set.Proxy, s.poll)
+		if s.pollID != 0 {
+			s.controller.CancelPoll(s.config.Proxy, s.pollID)
 		}
 	}()
-	if _, err := s.ask("prompt"); err != nil {
+	if _, err := s.execute("prompt"); err != nil {
 		return err
 	}
-	cycle := time.NewTicker(s.set.CyclePeriod)
-	defer cycle.Stop()
-	driving := false
-	for n := 0; ; n++ {
-		mine, err := s.own()
+	ticker := time.NewTicker(s.config.CyclePeriod)
+	defer ticker.Stop()
+	wasOwner := false
+	for cycle := 0; ; cycle++ {
+		isOwner, err := s.checkOwnership()
 		if err != nil {
 			return err
 		}
-		if mine && !driving {
-			s.say(fmt.Sprintf("proxy %s: driven by its socket", s.set.Proxy))
-			if err := s.read(); err != nil {
+		if isOwner && !wasOwner {
+			s.logUnlessRepeated(fmt.Sprintf("proxy %s: driven by its socket", s.config.Proxy))
+			if err := s.readServers(); err != nil {
 				return err
 			}
-			s.hear()
-		} else if driving && !mine {
-			s.say(fmt.Sprintf("proxy %s: another steward drives it", s.set.Proxy))
-			if s.poll != 0 {
-				s.steward.CancelPoll(s.set.Proxy, s.poll)
-				s.poll = 0
+			s.pollController()
+		} else if wasOwner && !isOwner {
+			s.logUnlessRepeated(fmt.Sprintf("proxy %s: another steward drives it", s.config.Proxy))
+			if s.pollID != 0 {
+				s.controller.CancelPoll(s.config.Proxy, s.pollID)
+				s.pollID = 0
 			}
 		}
-		if driving = mine; driving {
-			if n%readEvery == readEvery-1 {
-				if err := s.read(); err != nil {
+		if wasOwner = isOwner; isOwner {
+			if cycle%cyclesPerStateRead == cyclesPerStateRead-1 {
+				if err := s.readServers(); err != nil {
 					return err
 				}
 			}
-			if err := s.stat(); err != nil {
+			if err := s.reportStats(); err != nil {
 				return err
 			}
-			if err := s.drive(); err != nil {
+			if err := s.updateProxy(); err != nil {
 				return err
 			}
 		}
-		if err := s.until(ctx, cycle.C, driving); err != nil {
+		if err := s.awaitCycle(ctx, ticker.C, isOwner); err != nil {
 			return err
 		}
 	}
 }
 
-// until takes answers of the steward in until the next cycle.
-func (s *session) until(ctx context.Context, cycle <-chan time.Time, driving bool) error {
+// awaitCycle waits for the next cycle. Until then it handles the controller's responses and, as the owner, sends the
+// commands that become due.
+func (s *session) awaitCycle(ctx context.Context, nextCycle <-chan time.Time, isOwner bool) error {
 	for {
-		due := time.NewTimer(time.Hour)
-		if wait := s.proxy.NextDeadlineMs() - s.steward.NowMs(); driving && !math.IsInf(wait, 1) {
-			due.Reset(time.Duration(math.Max(wait, 1) * float64(time.Millisecond)))
+		deadline := time.NewTimer(time.Hour)
+		if waitMs := s.updater.NextDeadlineMs() - s.controller.NowMs(); isOwner && !math.IsInf(waitMs, 1) {
+			deadline.Reset(time.Duration(math.Max(waitMs, 1) * float64(time.Millisecond)))
 		}
 		select {
-		case <-cycle:
-			due.Stop()
+		case <-nextCycle:
+			deadline.Stop()
 			return nil
-		case <-due.C:
-		case a := <-s.answers:
-			s.take(a)
+		case <-deadline.C:
+		case response := <-s.responses:
+			s.handleResponse(response)
 		case <-ctx.Done():
-			due.Stop()
+			deadline.Stop()
 			return ctx.Err()
 		}
-		due.Stop()
-		if driving {
-			if err := s.drive(); err != nil {
+		deadline.Stop()
+		if isOwner {
+			if err := s.updateProxy(); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// mostAnswer bounds an answer of the proxy.
-const mostAnswer = 16 << 20
-
-// ask sends a command and reads its answer, up to the prompt.
-func (s *session) ask(command string) (string, error) {
-	s.conn.SetDeadline(time.Now().Add(s.set.Timeout))
+// execute sends a command to the proxy and returns the response, which the next prompt ends.
+func (s *session) execute(command string) (string, error) {
+	s.conn.SetDeadline(time.Now().Add(s.config.Timeout))
 	if _, err := s.conn.Write([]byte(command + "\n")); err != nil {
 		return "", fmt.Errorf("sending %.60q: %w", command, err)
 	}
-	var all strings.Builder
+	var response strings.Builder
 	for {
-		part, err := s.in.ReadSlice('>')
-		all.Write(part)
+		part, err := s.input.ReadSlice('>')
+		response.Write(part)
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 			return "", fmt.Errorf("waiting for the answer to %.60q: %w", command, err)
 		}
-		if all.Len() > mostAnswer {
+		if response.Len() > maxResponseBytes {
 			return "", fmt.Errorf("the answer to %.60q has no end", command)
 		}
-		if text := all.String(); text == ">" || strings.HasSuffix(text, "\n>") {
-			s.in.Discard(1) // the space of the prompt
+		if text := response.String(); text == ">" || strings.HasSuffix(text, "\n>") {
+			s.input.Discard(1) // the space of the prompt
 			return strings.Trim(strings.TrimSuffix(text, ">"), "\n"), nil
 		}
 	}
 }
 
-// own settles who drives the proxy. One that keeps no variables is driven by whoever is told to.
-func (s *session) own() (mine bool, err error) {
-	text, err := s.ask("get var proc." + publisher.OwnerVariable)
+// checkOwnership determines whether this controller owns the proxy's socket, and renews or takes over the ownership
+// where it is due. A proxy that does not support variables is owned by each controller that is configured for it.
+func (s *session) checkOwnership() (isOwner bool, err error) {
+	response, err := s.execute("get var proc." + publisher.OwnerVariable)
 	if err != nil {
 		return false, err
 	}
-	mark := ""
-	if _, rest, ok := strings.Cut(text, "value=<"); ok {
-		mark, _, _ = strings.Cut(rest, ">")
-	} else if strings.Contains(strings.ToLower(text), "unknown command") {
+	value := ""
+	if _, rest, ok := strings.Cut(response, "value=<"); ok {
+		value, _, _ = strings.Cut(rest, ">")
+	} else if strings.Contains(strings.ToLower(response), "unknown command") {
 		return true, nil
 	}
-	mine, set := s.owner.Observe(mark)
-	if set != "" {
-		_, err = s.ask("set var proc." + publisher.OwnerVariable + " str(" + set + ")")
+	isOwner, newValue := s.owner.Observe(value)
+	if newValue != "" {
+		_, err = s.execute("set var proc." + publisher.OwnerVariable + " str(" + newValue + ")")
 	}
-	return mine, err
+	return isOwner, err
 }
 
-// read takes the servers' states in.
-func (s *session) read() error {
-	text, err := s.ask("show servers state")
+// readServers reads the state of the proxy's servers.
+func (s *session) readServers() error {
+	response, err := s.execute("show servers state")
 	if err != nil {
 		return err
 	}
-	all, err := haproxy.ParseState(text)
+	servers, err := haproxy.ParseState(response)
 	if err != nil {
 		return err
 	}
-	if n := s.proxy.ObserveServers(s.steward.NowMs(), all); n > 0 {
-		s.set.Log(fmt.Sprintf("proxy %s: %d servers were changed by someone else", s.set.Proxy, n))
+	if changes := s.updater.ObserveServers(s.controller.NowMs(), servers); changes > 0 {
+		s.config.Log(fmt.Sprintf("proxy %s: %d servers were changed by someone else", s.config.Proxy, changes))
 	}
 	return nil
 }
 
-// stat sends the steward the sums of the counters.
-func (s *session) stat() error {
-	text, err := s.ask("show stat")
+// reportStats reads the proxy's counters and reports the request stats since the last reading to the controller.
+func (s *session) reportStats() error {
+	response, err := s.execute("show stat")
 	if err != nil {
 		return err
 	}
-	rows, err := haproxy.ParseCSV(text)
+	rows, err := haproxy.ParseCSV(response)
 	if err != nil {
 		return err
 	}
-	if u, ok := s.counts.Read(s.steward.NowMs(), rows, s.steward.HasEndpoint); ok {
-		s.steward.ObserveProxyStats(s.set.Proxy, u) // one that has not joined yet sends the next
+	if stats, ok := s.counters.Read(s.controller.NowMs(), rows, s.controller.HasEndpoint); ok {
+		// The controller rejects reports until the proxy is connected. A rejected report is not repeated.
+		s.controller.ObserveProxyStats(s.config.Proxy, stats)
 	}
 	return nil
 }
 
-// hear polls the steward for the proxy, with the tag of what it has.
-func (s *session) hear() {
-	q := controller.PollRequest{Proxy: s.set.Proxy, Zone: s.set.Zone, RequestRate: s.set.RequestRate, WaitMs: 60000}
-	if s.tag != "" {
-		q.Tags = []string{s.tag}
+// pollController starts a poll in the proxy's place. It acknowledges the tables that the proxy has applied.
+func (s *session) pollController() {
+	request := controller.PollRequest{
+		Proxy:       s.config.Proxy,
+		Zone:        s.config.Zone,
+		RequestRate: s.config.RequestRate,
+		WaitMs:      longPollWaitMs,
+	}
+	if s.appliedTag != "" {
+		request.Tags = []string{s.appliedTag}
 	}
-	id, err := s.steward.Poll(q, func(a controller.Response) {
+	id, err := s.controller.Poll(request, func(response controller.Response) {
 		select {
-		case s.answers <- a:
-		default: // the next poll gets it
+		case s.responses <- response:
+		default: // the queue is full; the next poll gets the tables
 		}
 	})
 	if err != nil {
-		s.say(fmt.Sprintf("proxy %s: the steward refuses it: %v", s.set.Proxy, err))
+		s.logUnlessRepeated(fmt.Sprintf("proxy %s: the steward refuses it: %v", s.config.Proxy, err))
 		return
 	}
-	s.poll, s.polled = id, time.Now()
+	s.pollID, s.lastPoll = id, time.Now()
 }
 
-func (s *session) take(a controller.Response) {
-	s.poll, s.newest = 0, a.Tag
-	if a.Kind != controller.NotModified {
-		s.proxy.SetTarget(a.Tables())
+// handleResponse makes the tables in the controller's response the target of the proxy.
+func (s *session) handleResponse(response controller.Response) {
+	s.pollID, s.targetTag = 0, response.Tag
+	if response.Kind != controller.NotModified {
+		s.updater.SetTarget(response.Tables())
 	}
 }
 
-// drive sends what is due. When the proxy has what it should, that is the acknowledgement; until then the steward hears
-// of the proxy and gets none.
-func (s *session) drive() error {
+// updateProxy sends the commands that are due. Once the proxy has reached its target, the next poll acknowledges the
+// tables. Until then polls keep the proxy connected to the controller but acknowledge nothing new.
+func (s *session) updateProxy() error {
 	for {
 		select {
-		case a := <-s.answers:
-			s.take(a)
+		case response := <-s.responses:
+			s.handleResponse(response)
 		default:
 		}
-		command, ok := s.proxy.NextCommand(s.steward.NowMs())
+		command, ok := s.updater.NextCommand(s.controller.NowMs())
 		if !ok {
 			break
 		}
-		answer, err := s.ask(command)
+		response, err := s.execute(command)
 		if err != nil {
 			return err
 		}
-		if err := s.proxy.ObserveResponse(s.steward.NowMs(), answer); err != nil {
-			s.set.Log(fmt.Sprintf("proxy %s refuses: %v", s.set.Proxy, err))
+		if err := s.updater.ObserveResponse(s.controller.NowMs(), response); err != nil {
+			s.config.Log(fmt.Sprintf("proxy %s refuses: %v", s.config.Proxy, err))
 		}
-		if s.poll == 0 && time.Since(s.polled) > time.Second {
-			s.hear()
+		if s.pollID == 0 && time.Since(s.lastPoll) > minPollInterval {
+			s.pollController()
 		}
 	}
-	if s.newest != "" && s.proxy.Converged(s.steward.NowMs()) {
-		s.tag = s.newest
+	if s.targetTag != "" && s.updater.Converged(s.controller.NowMs()) {
+		s.appliedTag = s.targetTag
 	}
-	if s.poll == 0 && (s.tag == s.newest || time.Since(s.polled) > time.Second) {
-		s.hear()
+	if s.pollID == 0 && (s.appliedTag == s.targetTag || time.Since(s.lastPoll) > minPollInterval) {
+		s.pollController()
 	}
 	return nil
 }
