--- a/internal/socketproxy/socketproxy.go
+++ b/internal/socketproxy/socketproxy.go
@@ -151,8 +151,8 @@
 	if err != nil {
 		return fmt.Errorf("connecting: %w", err)
 	}
-	defer conn.Close()
-	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	defer closeConn(conn)
+	stop := context.AfterFunc(ctx, func() { closeConn(conn) })
 	defer stop()
 	s := &session{
 		Driver:    d,
@@ -208,6 +208,9 @@
 	}
 }
 
+// closeConn closes a connection. It ignores the error: the connection is not used again.
+func closeConn(conn net.Conn) { _ = conn.Close() }
+
 // awaitCycle waits for the next cycle. Until then it handles the controller's responses and, as the owner, sends the
 // commands that become due.
 func (s *session) awaitCycle(ctx context.Context, nextCycle <-chan time.Time, isOwner bool) error {
@@ -238,7 +241,8 @@
 
 // execute sends a command to the proxy and returns the response, which the next prompt ends.
 func (s *session) execute(command string) (string, error) {
-	s.conn.SetDeadline(time.Now().Add(s.config.Timeout))
+	// A connection that is closed fails in the write that follows.
+	_ = s.conn.SetDeadline(time.Now().Add(s.config.Timeout))
 	if _, err := s.conn.Write([]byte(command + "\n")); err != nil {
 		return "", fmt.Errorf("sending %.60q: %w", command, err)
 	}
@@ -253,7 +257,7 @@
 			return "", fmt.Errorf("the answer to %.60q has no end", command)
 		}
 		if text := response.String(); text == ">" || strings.HasSuffix(text, "\n>") {
-			s.input.Discard(1) // the space of the prompt
+			_, _ = s.input.Discard(1) // the space of the prompt; an error recurs in the next read
 			return strings.Trim(strings.TrimSuffix(text, ">"), "\n"), nil
 		}
 	}
@@ -307,7 +311,7 @@
 	}
 	if stats, ok := s.counters.Read(s.controller.NowMs(), rows, s.controller.HasEndpoint); ok {
 		// The controller rejects reports until the proxy is connected. A rejected report is not repeated.
-		s.controller.ObserveProxyStats(s.config.Proxy, stats)
+		_, _ = s.controller.ObserveProxyStats(s.config.Proxy, stats)
 	}
 	return nil
 }
