--- a/internal/daemon/socket_proxies_test.go
+++ b/internal/daemon/socket_proxies_test.go
@@ -88,7 +88,7 @@
 		t.Fatal("the fake proxy was not changed")
 	}
 	eventually(t, "the change to be undone", func() bool { return hasWeights(proxy, defaultWeights) })
-	if !strings.Contains(d.log.String(), "changed by someone else") {
+	if !strings.Contains(d.log.String(), "were changed by another client of the runtime socket") {
 		t.Error("nothing is logged of it")
 	}
 
@@ -187,7 +187,7 @@
 		return hasWeights(proxies[0], defaultWeights) && d.acknowledged("s0")
 	})
 	eventually(t, "the log line", func() bool {
-		return strings.Contains(d.log.String(), `proxy mute: its socket is lost: waiting for the answer`)
+		return strings.Contains(d.log.String(), `proxy mute: runtime socket failed, reconnecting: waiting for the response`)
 	})
 	if result := d.get("/v1/proxies"); strings.Contains(result.body, "mute") {
 		t.Errorf("it is connected: %s", result.body)
--- a/internal/socketproxy/socketproxy.go
+++ b/internal/socketproxy/socketproxy.go
@@ -106,7 +106,7 @@
 		if time.Since(startTime) > stableConnectionTime {
 			failures = 0
 		}
-		d.logUnlessRepeated(fmt.Sprintf("proxy %s: its socket is lost: %v", d.config.Proxy, err))
+		d.logUnlessRepeated(fmt.Sprintf("proxy %s: runtime socket failed, reconnecting: %v", d.config.Proxy, err))
 		delay := min(minReconnectDelay<<min(failures, maxDelayDoublings), maxReconnectDelay)
 		select {
 		case <-time.After(time.Duration(float64(delay) * (0.5 + rand.Float64()))):
@@ -177,13 +177,13 @@
 			return err
 		}
 		if isOwner && !wasOwner {
-			s.logUnlessRepeated(fmt.Sprintf("proxy %s: driven by its socket", s.config.Proxy))
+			s.logUnlessRepeated(fmt.Sprintf("proxy %s: now controlled through its runtime socket", s.config.Proxy))
 			if err := s.readServers(); err != nil {
 				return err
 			}
 			s.pollController()
 		} else if wasOwner && !isOwner {
-			s.logUnlessRepeated(fmt.Sprintf("proxy %s: another steward drives it", s.config.Proxy))
+			s.logUnlessRepeated(fmt.Sprintf("proxy %s: another controller has taken over its runtime socket", s.config.Proxy))
 			if s.pollID != 0 {
 				s.controller.CancelPoll(s.config.Proxy, s.pollID)
 				s.pollID = 0
@@ -251,10 +251,10 @@
 		part, err := s.input.ReadSlice('>')
 		response.Write(part)
 		if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
-			return "", fmt.Errorf("waiting for the answer to %.60q: %w", command, err)
+			return "", fmt.Errorf("waiting for the response to %.60q: %w", command, err)
 		}
 		if response.Len() > maxResponseBytes {
-			return "", fmt.Errorf("the answer to %.60q has no end", command)
+			return "", fmt.Errorf("response to %.60q exceeds %d bytes", command, maxResponseBytes)
 		}
 		if text := response.String(); text == ">" || strings.HasSuffix(text, "\n>") {
 			_, _ = s.input.Discard(1) // the space of the prompt; an error recurs in the next read
@@ -294,7 +294,8 @@
 		return err
 	}
 	if changes := s.updater.ObserveServers(s.controller.NowMs(), servers); changes > 0 {
-		s.config.Log(fmt.Sprintf("proxy %s: %d servers were changed by someone else", s.config.Proxy, changes))
+		s.config.Log(fmt.Sprintf("proxy %s: %d servers were changed by another client of the runtime socket",
+			s.config.Proxy, changes))
 	}
 	return nil
 }
@@ -334,7 +335,7 @@
 		}
 	})
 	if err != nil {
-		s.logUnlessRepeated(fmt.Sprintf("proxy %s: the steward refuses it: %v", s.config.Proxy, err))
+		s.logUnlessRepeated(fmt.Sprintf("proxy %s: poll rejected by the controller: %v", s.config.Proxy, err))
 		return
 	}
 	s.pollID, s.lastPoll = id, time.Now()
@@ -366,7 +367,7 @@
 			return err
 		}
 		if err := s.updater.ObserveResponse(s.controller.NowMs(), response); err != nil {
-			s.config.Log(fmt.Sprintf("proxy %s refuses: %v", s.config.Proxy, err))
+			s.config.Log(fmt.Sprintf("proxy %s: command rejected: %v", s.config.Proxy, err))
 		}
 		if s.pollID == 0 && time.Since(s.lastPoll) > minPollInterval {
 			s.pollController()
