--- a/internal/runtimeapi/change.go
+++ b/internal/runtimeapi/change.go
@@ -15,7 +15,7 @@
 // defaultOperator is the operator of a command where the socket does not name one.
 const defaultOperator = "socket"
 
-// keepWeight as the weight of a command keeps a host's weight unchanged.
+// keepWeight is the weight of a command that leaves a host's weight unchanged.
 const keepWeight = -1
 
 // msPerSecond converts the API's seconds to milliseconds.
@@ -62,7 +62,7 @@
 	if command.Operator == "" {
 		command.Operator = defaultOperator
 	}
-	waits, err := s.server.controller.ApplyCommands(command)
+	queued, err := s.server.controller.ApplyCommands(command)
 	var rejected *operator.RejectedError
 	if errors.As(err, &rejected) {
 		return "", commandError("Refused: " + rejected.Reason + ".")
@@ -70,7 +70,7 @@
 	if err != nil {
 		return "", err
 	}
-	if waits {
+	if queued {
 		return "Waits for its turn.\n", nil
 	}
 	return "", nil
@@ -87,8 +87,8 @@
 	}
 }
 
-// drainServer drains a server. The option wait queues the command where a rule forbids it now, and for ends the drain
-// after a number of seconds.
+// drainServer drains a server. With the option wait the command is queued if the controller cannot apply it yet. The
+// option for ends the drain after a number of seconds.
 func (s *session) drainServer(args []string) (string, error) {
 	host, err := s.findServer(args)
 	if err != nil {
@@ -113,7 +113,7 @@
 	return s.applyCommand(command)
 }
 
-// getWeight returns the published and the listed weight of a server.
+// getWeight returns the published weight and the base weight of a server.
 func (s *session) getWeight(args []string) (string, error) {
 	host, err := s.findServer(args)
 	if err != nil {
@@ -166,7 +166,7 @@
 	}
 }
 
-// addServer adds a host to the endpoint list, in maintenance and in the first zone if none is named.
+// addServer adds a host to the endpoint list. The host is in maintenance until a command enables it.
 func (s *session) addServer(args []string) (string, error) {
 	if len(args) < 2 {
 		return "", errAddArguments
@@ -192,7 +192,7 @@
 	return "New server registered.\n", nil
 }
 
-// parseAddedHost parses the options of add server.
+// parseAddedHost parses the options of add server. The default zone is the first of the configuration.
 func (s *session) parseAddedHost(args []string) (*operator.AddedHost, error) {
 	added := &operator.AddedHost{Weight: 1, Zone: s.server.controller.Status().Zones[0]}
 	for i := 0; i < len(args); i++ {
@@ -209,7 +209,7 @@
 			i++
 			added.Zone = args[i]
 		case args[i] == "check" || args[i] == "enabled":
-			// Tools send these keywords; all hosts are checked, and are enabled by a command.
+			// Accepted since tools send them, but ignored: every host is checked, and a command enables it.
 		default:
 			return nil, commandError(fmt.Sprintf("'server' : unknown keyword '%s'.", args[i]))
 		}
@@ -217,7 +217,7 @@
 	return added, nil
 }
 
-// deleteServer removes a host that was added by addServer from the endpoint list.
+// deleteServer removes a host that addServer added from the endpoint list.
 func (s *session) deleteServer(args []string) (string, error) {
 	host, err := s.findServer(args)
 	if err != nil {
--- a/internal/runtimeapi/commands.go
+++ b/internal/runtimeapi/commands.go
@@ -9,8 +9,8 @@
 	"barleysail/operator"
 )
 
-// commandError is the answer to a command that failed. The texts are those of the management guide where it defines
-// one, since tools compare them.
+// commandError is the answer to a command that failed. Where the management guide defines a text it is that one, since
+// tools compare the texts.
 type commandError string
 
 func (e commandError) Error() string { return string(e) }
@@ -19,7 +19,7 @@
 type command struct {
 	words string // the words that name the command
 	level Level  // the level that it requires
-	usage string // its line in the answer of help
+	usage string // line in the answer to help
 	run   func(s *session, args []string) (answer string, err error)
 }
 
@@ -87,7 +87,7 @@
 }
 
 // runCommand runs the command that the first words name, with the other words as its arguments, and writes the
-// answer.
+// answer. text is the command as the client sent it, for show errors.
 func (s *session) runCommand(words []string, text string) {
 	command, args := s.findCommand(words)
 	if command == nil {
@@ -109,6 +109,7 @@
 	}
 }
 
+// findCommand returns the command that the first words name and its arguments, or nil for an unknown command.
 func (s *session) findCommand(words []string) (found *command, args []string) {
 	for i := range s.server.commands {
 		command := &s.server.commands[i]
@@ -157,7 +158,7 @@
 // maxFailures is the number of failed commands that show errors lists.
 const maxFailures = 16
 
-// failureTimeLayout is the time format of the management guide.
+// failureTimeLayout is the time format of show errors in the management guide.
 const failureTimeLayout = "02/Jan/2006:15:04:05.000"
 
 func (s *Server) recordFailure(command, answer string) {
--- a/internal/runtimeapi/events.go
+++ b/internal/runtimeapi/events.go
@@ -62,7 +62,7 @@
 	return done
 }
 
-// awaitEvents returns the events after a number. If there are none, it waits for some, for a duration or until the
+// awaitEvents returns the events after a number. If there are none yet, it waits for one, up to wait or until the
 // client is done.
 func (s *session) awaitEvents(after int64, wait time.Duration, clientDone <-chan struct{}) []controller.Event {
 	received := make(chan []controller.Event, 1)
--- a/internal/runtimeapi/info.go
+++ b/internal/runtimeapi/info.go
@@ -11,7 +11,7 @@
 
 const errInfoArguments = commandError("'show info' only supports 'typed' and 'json'.")
 
-// infoField is a line of show info.
+// infoField is the name and the value of a line of show info.
 type infoField struct{ name, value string }
 
 // typeName returns the type of the value in the typed formats.
@@ -22,7 +22,7 @@
 	return "str"
 }
 
-// infoFields returns the lines of show info.
+// infoFields returns the lines of show info, in order.
 func (s *session) infoFields() []infoField {
 	status := s.server.controller.Status()
 	return []infoField{
--- a/internal/runtimeapi/server.go
+++ b/internal/runtimeapi/server.go
@@ -2,8 +2,8 @@
 // HAProxy's stats socket as its management guide describes it (https://docs.haproxy.org/3.0/management.html, section
 // 9.3). A request class is a backend of that API, and a host is a server of every backend.
 //
-// The package owns the connections, the syntax of commands and the texts of answers. It makes no decision: a command
-// that changes a host is passed to the controller, which may reject or queue it like one from any other API.
+// The package handles the connections, the syntax of commands and the texts of answers. A command that changes a host
+// is passed to the controller, which may apply, reject or queue it like a command from any other API.
 package runtimeapi
 
 import (
@@ -27,27 +27,27 @@
 	PublishedTables(proxy string) (controller.Response, bool)
 	Status() controller.Status
 
-	// Order applies commands, or reports that they are queued. The error of a rejection is an
+	// ApplyCommands applies commands, or reports that they are queued. The error of a rejection is an
 	// *operator.RejectedError.
-	ApplyCommands(commands ...operator.Command) (waits bool, err error)
+	ApplyCommands(commands ...operator.Command) (queued bool, err error)
 
-	// Events calls notify once with the events after a number, and waits up to wait for one if there is none yet.
+	// Events calls notify once, with the events after a number. If there are none yet, it waits up to wait for one.
 	Events(after int64, wait time.Duration, notify func([]controller.Event)) (cancel func())
 }
 
-// Level is the permission level of a socket, which decides the permitted commands.
+// Level is the permission level of a socket. It determines which commands are permitted.
 type Level int
 
 // The levels of the management guide. Each also permits what the levels before it permit.
 const (
-	User     Level = iota // reads what is not sensitive
+	User     Level = iota // read what is not sensitive
 	Operator              // read everything
-	Admin                 // change things
+	Admin                 // change servers
 )
 
 var levelNames = [...]string{User: "user", Operator: "operator", Admin: "admin"}
 
-// ParseLevel returns the level of a name in the settings. ok is false for an unknown name.
+// ParseLevel returns the level with a name of the configuration. ok is false for an unknown name.
 func ParseLevel(name string) (level Level, ok bool) {
 	for level, levelName := range levelNames {
 		if levelName == name {
@@ -72,7 +72,7 @@
 	MaxLineBytes   int           // of a command line, and of a payload; default 16384
 	IdleTimeout    time.Duration // until a connection without a command is closed; default 60 s
 	WriteTimeout   time.Duration // for an answer; default 10 s
-	MaxConnections int           // served at once, others wait; default 256
+	MaxConnections int           // served at once; further connections wait; default 256
 }
 
 // withDefaults returns the configuration with the defaults in place of zero values.
@@ -138,7 +138,7 @@
 	}
 }
 
-// register records a connection and reports whether it may be served: it may not once the server is closed.
+// register records a connection and reports whether it may be served. It returns false once the server is closed.
 func (s *Server) register(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/runtimeapi/stat.go
+++ b/internal/runtimeapi/stat.go
@@ -31,8 +31,8 @@
 	format   string // empty: CSV
 }
 
-// parseStatQuery reads the arguments [{<iid>|<proxy>} <type> <sid>] [typed|json]. With fewer than three of them all
-// is selected. A number that cannot be parsed counts as zero, which selects nothing.
+// parseStatQuery parses the arguments [{<iid>|<proxy>} <type> <sid>] [typed|json]. Unless backend, type and server
+// are all given, everything is selected. A number that cannot be parsed counts as zero, which selects nothing.
 func parseStatQuery(args []string) statQuery {
 	query := statQuery{types: statAll, serverID: statAll}
 	if last := len(args) - 1; last >= 0 && (args[last] == formatTyped || args[last] == formatJSON) {
@@ -58,7 +58,7 @@
 
 func (q statQuery) selectsBackends() bool { return q.types < 0 || q.types&statBackends != 0 }
 
-// showStat returns the figures of each server and backend, in the columns of the management guide.
+// showStat returns the statistics of each server and backend, in the columns of the management guide.
 func (s *session) showStat(args []string) (string, error) {
 	query := parseStatQuery(args)
 	backends, err := s.findBackends(query.backend)
@@ -87,7 +87,7 @@
 	}
 }
 
-// serverRow returns the columns of a server. Those that the controller does not measure are 0.
+// serverRow returns the statistics of a server. Counters that the controller does not have are 0.
 func serverRow(backend backend, id int, host controller.HostInfo) haproxy.Row {
 	return haproxy.Row{
 		"pxname":       backend.class,
@@ -115,7 +115,7 @@
 	}
 }
 
-// backendRow sums over all servers, including those that were not selected.
+// backendRow returns the statistics of a backend. They cover all of its servers, selected or not.
 func backendRow(backend backend, hosts []controller.HostInfo) haproxy.Row {
 	weight := 0
 	serversUp := 0
--- a/internal/runtimeapi/weight.go
+++ b/internal/runtimeapi/weight.go
@@ -9,7 +9,7 @@
 // Weights of the API are whole numbers, those of the controller are relative to 1.
 const (
 	weightScale = 100 // the API's weight of a host whose weight is 1
-	maxWeight   = 256 // of the API
+	maxWeight   = 256 // largest weight of the API
 	percent     = 100
 )
 
@@ -22,8 +22,8 @@
 	return int(math.Min(math.Max(scaled, 1), maxWeight))
 }
 
-// parseWeight parses a weight of the API, or one in percent of the listed weight, which is relative. The result is on
-// the controller's scale.
+// parseWeight parses a weight of the API. One in percent is relative to the base weight. The result is on the
+// controller's scale.
 func parseWeight(text string) (weight float64, relative, ok bool) {
 	number, relative := strings.CutSuffix(text, "%")
 	value, err := strconv.ParseFloat(number, 64)
