--- a/internal/runtimeapi/server.go
+++ b/internal/runtimeapi/server.go
@@ -127,7 +127,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("taking a connection: %w", err)
+			return fmt.Errorf("accepting a connection: %w", err)
 		}
 		if !s.register(conn) {
 			closeConn(conn)
