--- a/internal/runtimeapi/commands_test.go
+++ b/internal/runtimeapi/commands_test.go
@@ -14,6 +14,7 @@
 	"barleysail/operator"
 )
 
+// transcriptLines are the inputs of TestTranscript. An input may have several lines.
 var transcriptLines = []string{
 	"help", "help show", "help nonsense", "nonsense", "", "show", "show backend",
 	"show backend;get weight sheet/10.0.0.1:80",
@@ -51,11 +52,11 @@
 	"show errors",
 }
 
-// nodeFigures are those of show info that depend on the machine, in all of its forms.
-var nodeFigures = regexp.MustCompile(`((?:Pid|Nbthread)(?:: |\.1:MGP:u32:|".*?"value":\{"type":"u32","value":))\d+`)
+// machineValues matches the values of show info that depend on the machine, in each output format.
+var machineValues = regexp.MustCompile(`((?:Pid|Nbthread)(?:: |\.1:MGP:u32:|".*?"value":\{"type":"u32","value":))\d+`)
 
-// Each line is sent on a connection of its own; the answer stands below it, then the commands that the controller
-// got.
+// The transcript has each line, which is sent on its own connection, the answer to it, and the commands that the
+// controller received.
 func TestTranscript(t *testing.T) {
 	server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin, Version: "test"})
 	var transcript strings.Builder
@@ -63,21 +64,21 @@
 		answer := server.ask(t, line+"\n")
 		switch {
 		case line == "show errors":
-			answer = answer[strings.Index(answer, "] : "):] // without the date
+			answer = answer[strings.Index(answer, "] : "):] // omits the current time
 		case strings.HasPrefix(line, "show info"):
-			answer = withoutNodeFigures(answer)
+			answer = withoutMachineValues(answer)
 		}
 		fmt.Fprintf(&transcript, "$ %s\n%s%s", line, answer, server.controller.takeCommands())
 	}
 	golden.Compare(t, "transcript", transcript.String())
 }
 
-// withoutNodeFigures replaces the process id and the number of threads.
-func withoutNodeFigures(answer string) string {
-	return nodeFigures.ReplaceAllString(answer, "$1#")
+// withoutMachineValues replaces the process id and the number of threads by #.
+func withoutMachineValues(answer string) string {
+	return machineValues.ReplaceAllString(answer, "$1#")
 }
 
-// What becomes of a command is answered, and what was refused is listed by show errors.
+// The answer to a command reports whether it was applied, queued or rejected. show errors lists the failed ones.
 func TestCommandOutcomes(t *testing.T) {
 	rejected := &operator.RejectedError{Host: "10.0.0.1:80", Reason: "the last host"}
 	tests := []struct {
@@ -85,8 +86,8 @@
 		outcome commandOutcome
 		answer  string
 	}{
-		{"carried out", commandOutcome{}, "\n"},
-		{"waits", commandOutcome{waits: true}, "Waits for its turn.\n\n"},
+		{"applied", commandOutcome{}, "\n"},
+		{"queued", commandOutcome{queued: true}, "Waits for its turn.\n\n"},
 		{"rejected", commandOutcome{err: rejected}, "Refused: the last host.\n\n"},
 		{"failed", commandOutcome{err: errors.New("closed")}, "closed\n\n"},
 	}
@@ -95,25 +96,28 @@
 			server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin})
 			server.controller.outcomes = []commandOutcome{test.outcome, test.outcome, test.outcome}
 			if answer := server.ask(t, "disable server sheet/10.0.0.1:80\n"); answer != test.answer {
-				t.Errorf("answer %q, want %q", answer, test.answer)
+				t.Errorf("disable server: got %q, want %q", answer, test.answer)
 			}
 			added := server.ask(t, "add server sheet/10.0.0.9:80 10.0.0.9:80\n")
 			deleted := server.ask(t, "del server sheet/10.0.0.1:80\n")
 			if test.outcome.err != nil && (added != test.answer || deleted != test.answer) {
-				t.Errorf("add server answers %q, del server %q, want %q", added, deleted, test.answer)
+				t.Errorf("add server: got %q, del server: got %q, want %q for both", added, deleted, test.answer)
 			}
-			if test.outcome.err == nil && (added != "New server registered.\n\n" || deleted != "Server deleted.\n\n") {
-				t.Errorf("add server answers %q, del server %q", added, deleted)
+			if want := "New server registered.\n\n"; test.outcome.err == nil && added != want {
+				t.Errorf("add server: got %q, want %q", added, want)
+			}
+			if want := "Server deleted.\n\n"; test.outcome.err == nil && deleted != want {
+				t.Errorf("del server: got %q, want %q", deleted, want)
 			}
 			listed := strings.Contains(server.ask(t, "show errors\n"), "disable server sheet/10.0.0.1:80: ")
 			if failed := test.outcome.err != nil; listed != failed {
-				t.Errorf("listed by show errors: %v, want %v", listed, failed)
+				t.Errorf("listed by show errors: got %v, want %v", listed, failed)
 			}
 		})
 	}
 }
 
-// Only the last refusals are listed.
+// show errors lists the last 16 failed commands only.
 func TestShowErrorsIsBounded(t *testing.T) {
 	server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin})
 	for i := range 20 {
@@ -122,7 +126,7 @@
 	answer := server.ask(t, "show errors\n")
 	if !strings.Contains(answer, "] : 16\n") || strings.Contains(answer, "show table 3:") ||
 		!strings.Contains(answer, "show table 4:") || !strings.Contains(answer, "show table 19:") {
-		t.Errorf("answer %q", answer)
+		t.Errorf("show errors after 20 failed commands: got %q, want the 16 from show table 4 to show table 19", answer)
 	}
 }
 
@@ -143,7 +147,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			level, ok := runtimeapi.ParseLevel(test.name)
 			if !ok || level != test.level {
-				t.Errorf("parsed as %v, %v", level, ok)
+				t.Errorf("ParseLevel(%q): got %v, %v, want %v, true", test.name, level, ok, test.level)
 			}
 			server := serve(t, runtimeapi.Config{Level: level})
 			for _, line := range test.allowed {
@@ -152,13 +156,14 @@
 			for _, line := range test.denied {
 				server.checkDenied(t, line, true)
 			}
-			if got := server.controller.takeCommands(); (got != "") != (test.level == runtimeapi.Admin) {
-				t.Errorf("the controller got %q", got)
+			commands := server.controller.takeCommands()
+			if got, want := commands != "", test.level == runtimeapi.Admin; got != want {
+				t.Errorf("controller received commands: got %v (%q), want %v", got, commands, want)
 			}
 		})
 	}
 	if _, ok := runtimeapi.ParseLevel("root"); ok {
-		t.Error("an unknown level was parsed")
+		t.Error("ParseLevel(\"root\"): got ok, want an unknown level")
 	}
 }
 
@@ -166,11 +171,12 @@
 	t.Helper()
 	answer := s.ask(t, line+"\n")
 	if denied := answer == "Permission denied\n\n"; denied != want {
-		t.Errorf("%s: %q", line, answer)
+		t.Errorf("%s: got denied %v, want %v; answer %q", line, denied, want, answer)
 	}
 }
 
-// A backend without a server that is up is down; a host with an override to ready runs although the list drains it.
+// A backend is down if none of its servers is up. A host that the endpoint list drains but an operator overrides to
+// ready is listed as running.
 func TestServerStatuses(t *testing.T) {
 	server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin})
 	server.controller.hosts = []controller.HostInfo{
@@ -181,13 +187,13 @@
 		t.Fatal(err)
 	}
 	if len(stat) != 2 || stat[0]["status"] != "DRAIN" || stat[1]["svname"] != "BACKEND" || stat[1]["status"] != "DOWN" {
-		t.Errorf("show stat: %v", stat)
+		t.Errorf("show stat: got %v, want a server with status DRAIN and a BACKEND with status DOWN", stat)
 	}
 	states, err := haproxy.ParseState(server.ask(t, "show servers state sheet\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(states) != 1 || states[0].OperationalState != haproxy.Running || states[0].AdminState != 0 {
-		t.Errorf("show servers state: %+v", states)
+		t.Errorf("show servers state: got %+v, want one running server without an administrative state", states)
 	}
 }
--- a/internal/runtimeapi/fake_test.go
+++ b/internal/runtimeapi/fake_test.go
@@ -13,22 +13,23 @@
 	"barleysail/routing"
 )
 
-// fakeController has four hosts in different states, and records the commands that it gets.
+// fakeController has six hosts in different states, and records the commands that it receives.
 type fakeController struct {
 	hosts    []controller.HostInfo
 	response controller.Response
 
 	mu        sync.Mutex
 	commands  []operator.Command
-	outcomes  []commandOutcome // of the next commands; then all are carried out
+	outcomes  []commandOutcome // of the next calls of ApplyCommands; later calls succeed
 	events    []controller.Event
-	followers map[int]func([]controller.Event)
-	following int
+	followers map[int]func([]controller.Event) // pending calls of Events by id
+	lastID    int                              // of followers
 }
 
+// commandOutcome is what ApplyCommands returns.
 type commandOutcome struct {
-	waits bool
-	err   error
+	queued bool
+	err    error
 }
 
 func newFakeController(t *testing.T) *fakeController {
@@ -84,7 +85,7 @@
 	}
 }
 
-func (f *fakeController) ApplyCommands(commands ...operator.Command) (waits bool, err error) {
+func (f *fakeController) ApplyCommands(commands ...operator.Command) (queued bool, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.commands = append(f.commands, commands...)
@@ -93,7 +94,7 @@
 	}
 	outcome := f.outcomes[0]
 	f.outcomes = f.outcomes[1:]
-	return outcome.waits, outcome.err
+	return outcome.queued, outcome.err
 }
 
 // takeCommands returns the commands since the last call, as text.
@@ -116,7 +117,7 @@
 	return text.String()
 }
 
-// Events answers at once where there are events or no time to wait, and else when one is published.
+// Events calls notify at once if there are events or wait is 0, otherwise when the next event is published.
 func (f *fakeController) Events(after int64, wait time.Duration, notify func([]controller.Event)) (cancel func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -130,8 +131,8 @@
 		notify(newer)
 		return func() {}
 	}
-	f.following++
-	id := f.following
+	f.lastID++
+	id := f.lastID
 	f.followers[id] = notify
 	return func() {
 		f.mu.Lock()
@@ -164,7 +165,7 @@
 func (r *responseRecorder) WatchEndpoints()                               {}
 func (r *responseRecorder) Log(string)                                    {}
 
-// publishedTables is the answer of a controller to the first poll of a proxy.
+// publishedTables returns the first response of a controller that has tables with hosts for the polling proxy.
 func publishedTables(t *testing.T) controller.Response {
 	t.Helper()
 	settings, err := config.Parse("test", []byte(`zones: ["a"] list { file: "x" } probes { on: false } seed: 7
@@ -173,8 +174,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	publisher := config.NewController(settings, "L", 7)
-	if err := publisher.SetEndpoints(0, []controller.Endpoint{
+	instance := config.NewController(settings, "L", 7)
+	if err := instance.SetEndpoints(0, []controller.Endpoint{
 		{Host: "10.0.0.1:80", Zone: "a", State: routing.Ready, Weight: 1},
 		{Host: "10.0.0.2:80", Zone: "a", State: routing.Ready, Weight: 0.5},
 	}); err != nil {
@@ -185,15 +186,15 @@
 	for second := range 10 {
 		nowMs := float64(1000 * second)
 		request := controller.PollRequest{Proxy: "p", Zone: "a", RequestRate: 10, WaitMs: 500, Tags: tags}
-		if err := publisher.Poll(nowMs, int64(second), request, recorder); err != nil {
+		if err := instance.Poll(nowMs, int64(second), request, recorder); err != nil {
 			t.Fatal(err)
 		}
-		publisher.Advance(nowMs+500, recorder)
+		instance.Advance(nowMs+500, recorder)
 		if recorder.last.Tag != "" && recorder.last.Tables()[0].Assigned {
 			return recorder.last
 		}
 		tags = []string{recorder.last.Tag}
 	}
-	t.Fatal("no tables were published")
+	t.Fatal("got no tables with hosts within 10 polls, want some")
 	return controller.Response{}
 }
--- a/internal/runtimeapi/server_test.go
+++ b/internal/runtimeapi/server_test.go
@@ -14,9 +14,9 @@
 	"barleysail/internal/runtimeapi"
 )
 
-const testTimeout = 20 * time.Second // for anything that is sure to happen
+const testTimeout = 20 * time.Second // for each wait that ends in a correct program
 
-// testServer is a server on a loopback listener.
+// testServer is a server of a fakeController on a loopback listener.
 type testServer struct {
 	*runtimeapi.Server
 	controller *fakeController
@@ -39,7 +39,7 @@
 		}
 		server.Close()
 		if err := <-served; err != nil {
-			t.Errorf("serving ended with %v", err)
+			t.Errorf("Serve: got error %v, want none", err)
 		}
 	})
 	return &testServer{Server: server, controller: fake, address: listener.Addr().String()}
@@ -58,7 +58,7 @@
 	return conn
 }
 
-// ask sends text and returns all that comes until the server closes the connection.
+// ask sends text on a new connection and returns everything that the server sends until it closes the connection.
 func (s *testServer) ask(t *testing.T, text string) string {
 	t.Helper()
 	conn := s.dial(t)
@@ -77,7 +77,7 @@
 	t.Helper()
 	answer, err := io.ReadAll(reader)
 	if err != nil {
-		t.Fatalf("%v after %q", err, answer)
+		t.Fatalf("reading failed after %q: %v", answer, err)
 	}
 	return string(answer)
 }
@@ -86,7 +86,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("did not happen: %s", what)
+			t.Fatalf("timeout: want that %s", what)
 		}
 	}
 }
@@ -95,16 +95,16 @@
 func TestTooLong(t *testing.T) {
 	server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin, MaxLineBytes: 64})
 	line := strings.Repeat("a", 64)
-	if answer := server.ask(t, line); answer != "The command is too long.\n\n" {
-		t.Errorf("a long line: %q", answer)
+	if answer, want := server.ask(t, line), "The command is too long.\n\n"; answer != want {
+		t.Errorf("long line: got %q, want %q", answer, want)
 	}
 	payloadLine := strings.Repeat("b", 40) + "\n"
 	if answer := server.ask(t, "get weight <<\n"+payloadLine+payloadLine); answer != "" {
-		t.Errorf("a long payload: %q", answer)
+		t.Errorf("long payload: got %q, want no answer", answer)
 	}
 }
 
-// A payload that the client does not finish is dropped with its command.
+// A command is dropped if the client closes the connection before the end of its payload.
 func TestUnfinishedPayload(t *testing.T) {
 	server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin})
 	conn := server.dial(t)
@@ -113,19 +113,19 @@
 		t.Fatal(err)
 	}
 	if answer := readAll(t, conn); answer != "" {
-		t.Errorf("answer %q", answer)
+		t.Errorf("unfinished payload: got %q, want no answer", answer)
 	}
 }
 
-// A connection without commands is closed.
+// A connection without a command is closed after the idle timeout.
 func TestIdleTimeout(t *testing.T) {
 	server := serve(t, runtimeapi.Config{IdleTimeout: 20 * time.Millisecond})
 	if answer := server.ask(t, ""); answer != "" {
-		t.Errorf("answer %q", answer)
+		t.Errorf("idle connection: got %q, want no answer", answer)
 	}
 }
 
-// Connections beyond the limit wait until another ends.
+// Connections beyond the limit wait until another one ends.
 func TestMaxConnections(t *testing.T) {
 	server := serve(t, runtimeapi.Config{MaxConnections: 1})
 	first := server.dial(t)
@@ -138,8 +138,8 @@
 	send(t, second, "show backend\n")
 	send(t, first, "quit\n")
 	readAll(t, reader)
-	if answer := readAll(t, second); answer != "# name\nsheet\nfinish\n\n" {
-		t.Errorf("answer %q", answer)
+	if answer, want := readAll(t, second), "# name\nsheet\nfinish\n\n"; answer != want {
+		t.Errorf("second connection: got %q, want %q", answer, want)
 	}
 }
 
@@ -154,10 +154,10 @@
 	}
 	server.Close()
 	if rest := readAll(t, reader); rest != " " {
-		t.Errorf("after the prompt: %q", rest)
+		t.Errorf("after the prompt's >: got %q, want a space", rest)
 	}
 	if answer := server.ask(t, ""); answer != "" {
-		t.Errorf("a closed server answered %q", answer)
+		t.Errorf("closed server: got %q, want no answer", answer)
 	}
 }
 
@@ -166,7 +166,7 @@
 	server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin})
 	conn := server.dial(t)
 	send(t, conn, "show events -w\n")
-	waitFor(t, "the session follows", func() bool { return server.controller.followerCount() == 1 })
+	waitFor(t, "the session waits for events", func() bool { return server.controller.followerCount() == 1 })
 	server.controller.publish(controller.Event{Number: 3, AtMs: 2000, Kind: "left", Text: "p"})
 	reader := bufio.NewReader(conn)
 	for number := 1; number <= 3; number++ {
@@ -174,15 +174,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !strings.HasPrefix(line, "<"+strconv.Itoa(number)+"> 1970-01-01T00:00:0") {
-			t.Errorf("event %d: %q", number, line)
+		if want := "<" + strconv.Itoa(number) + "> 1970-01-01T00:00:0"; !strings.HasPrefix(line, want) {
+			t.Errorf("event %d: got %q, want a line that begins with %q", number, line, want)
 		}
 	}
 	send(t, conn, "\n")
 	if rest := readAll(t, reader); rest != "" {
-		t.Errorf("after the end: %q", rest)
+		t.Errorf("after the last event: got %q, want nothing", rest)
 	}
-	waitFor(t, "the session stops following", func() bool { return server.controller.followerCount() == 0 })
+	waitFor(t, "the session no longer waits for events", func() bool { return server.controller.followerCount() == 0 })
 }
 
 var errAccept = errors.New("too many open files")
@@ -195,16 +195,16 @@
 func TestServeReportsFailedAccept(t *testing.T) {
 	server := runtimeapi.New(newFakeController(t), runtimeapi.Config{})
 	if err := server.Serve(failingListener{}); !errors.Is(err, errAccept) {
-		t.Errorf("serving ended with %v", err)
+		t.Errorf("Serve: got error %v, want %v", err, errAccept)
 	}
 }
 
-// What follows << has to be one word for a payload.
+// << marks a payload only at the start of the last word of a line. The rest of that word is the terminator.
 func TestNoPayload(t *testing.T) {
 	server := serve(t, runtimeapi.Config{Level: runtimeapi.Admin})
 	for _, line := range []string{"show table a<<", "show table << a b"} {
-		if answer := server.ask(t, line+"\n"); answer != "No such table\n\n" {
-			t.Errorf("%s: %q", line, answer)
+		if answer, want := server.ask(t, line+"\n"), "No such table\n\n"; answer != want {
+			t.Errorf("%s: got %q, want %q", line, answer, want)
 		}
 	}
 }
