--- a/cmd/barleysail/auth.go
+++ b/cmd/barleysail/auth.go
@@ -46,8 +46,8 @@
 	return cmd
 }
 
-// explainAccess prints the result of each rule of a configuration for a request. It returns errDenied with the exit
-// code exitRefused for a denied request.
+// explainAccess prints what each rule of a configuration decides about a request. For a denied request it returns
+// errDenied with the exit code exitRefused.
 func explainAccess(out io.Writer, configFile string, id spiffeid.ID, request auth.Request) error {
 	settings, err := config.Load(configFile)
 	if err != nil {
--- a/cmd/barleysail/compare.go
+++ b/cmd/barleysail/compare.go
@@ -26,18 +26,19 @@
 
 var errOverrideForm = errors.New("wanted is a field as in guard.grace_ms=2000")
 
-// settingsComparison replays recordings with the recorded settings and with changed ones, and compares the outcomes.
+// settingsComparison replays recordings twice, with the recorded configuration and with a changed one, and compares the
+// outcomes.
 type settingsComparison struct {
-	overrides  []string // FIELD=VALUE, applied to the recorded or the other configuration
-	configFile string   // the other configuration; empty: the recorded one
+	overrides  []string // FIELD=VALUE, applied to the configuration of configFile or else to the recorded one
+	configFile string   // the changed configuration before the overrides; empty: the recorded one
 	plotFile   string   // empty: no plot
 	collapseMs float64  // overload after which a host in slow start counts as collapsed
 }
 
-// requested reports whether there are other settings to compare with.
+// requested reports whether a changed configuration is given.
 func (c *settingsComparison) requested() bool { return len(c.overrides) > 0 || c.configFile != "" }
 
-// run replays the recordings at the paths with both settings and prints the comparison.
+// run replays the recordings at the paths with both configurations and prints the comparison.
 func (c *settingsComparison) run(out io.Writer, paths []string, asJSON bool) error {
 	names, err := findRecordings(paths)
 	if err != nil {
@@ -66,7 +67,7 @@
 	return report.print(out)
 }
 
-// replayBoth replays with both settings concurrently; each replay opens the recordings itself.
+// replayBoth replays with both configurations concurrently. Each replay opens the recordings itself.
 func (c *settingsComparison) replayBoth(names []string, recorded, changed *configpb.Config) (*comparisonReport, error) {
 	type result struct {
 		outcome *replay.Outcome
@@ -117,7 +118,7 @@
 
 func unchanged(settings *configpb.Config) (*configpb.Config, error) { return settings, nil }
 
-// change returns the changed settings of a recorded configuration.
+// change returns the changed configuration for a recorded one.
 func (c *settingsComparison) change(recorded *configpb.Config) (*configpb.Config, error) {
 	settings := recorded
 	if c.configFile != "" {
@@ -163,8 +164,8 @@
 	return nil
 }
 
-// setting returns the settings of a replay by a configuration. change is applied to the configuration of each
-// controller's recording.
+// setting returns the parameters of a replay. settings is the configuration of the replay as a whole; change is applied
+// to the recorded configuration of each controller.
 func (c *settingsComparison) setting(settings *configpb.Config, change configChange) replay.Setting {
 	setting := replay.Setting{
 		Figures: config.Rules(settings, c.collapseMs),
--- a/cmd/barleysail/compare_output.go
+++ b/cmd/barleysail/compare_output.go
@@ -14,8 +14,8 @@
 // comparisonReport is the result of a settingsComparison, and its JSON form.
 type comparisonReport struct {
 	Comparison *replay.Comparison `json:"comparison"`
-	Changed    *replay.Outcome    `json:"other"` // with the other settings
-	Recorded   *replay.Outcome    `json:"same"`  // with the recorded settings
+	Changed    *replay.Outcome    `json:"other"` // with the changed configuration
+	Recorded   *replay.Outcome    `json:"same"`  // with the recorded configuration
 }
 
 func (r *comparisonReport) printJSON(out io.Writer) error {
@@ -36,8 +36,8 @@
 	}
 }
 
-// formatEstimate formats a value with its 95% confidence interval; "none" marks a value that does not differ
-// significantly from 0.
+// formatEstimate formats a value with its 95% confidence interval. It marks a value that does not differ significantly
+// from 0 by "none".
 func formatEstimate(estimate replay.Estimate) string {
 	mark := ""
 	if !estimate.Sure() {
@@ -62,7 +62,7 @@
 	return p.flush()
 }
 
-// printService prints the share of the priority weight that was served, in total and by request class.
+// printService prints the fraction of the requested priority weight that was served, in total and by request class.
 func (r *comparisonReport) printService(out io.Writer) error {
 	columns := newColumnPrinter(out)
 	columns.println("service\trecorded\treplayed\twith the other setting\tdifference (95 of 100)")
@@ -74,7 +74,7 @@
 	return columns.flush()
 }
 
-// printModel prints the figures that show the accuracy of the replay's model of the hosts.
+// printModel prints how accurate the replay's model of the hosts is.
 func (r *comparisonReport) printModel(p *printer) {
 	one := r.Recorded
 	other := r.Changed
@@ -101,6 +101,7 @@
 	return columns.flush()
 }
 
+// printDifferingWindows prints the windows in which the service of the two replays differs.
 func (r *comparisonReport) printDifferingWindows(p *printer) {
 	for _, window := range r.Comparison.Parted {
 		p.printf("parted at %.0f s: service %.3f, with the other %.3f\n", seconds(window.From-r.Recorded.From),
--- a/cmd/barleysail/compare_plot.go
+++ b/cmd/barleysail/compare_plot.go
@@ -125,7 +125,7 @@
 	return chart, nil
 }
 
-// points returns the share of the requested priority weight that was served, for each window that had requests.
+// points returns the fraction of the requested priority weight that was served, for each window with requests.
 func (l plotLine) points() plotter.XYs {
 	var points plotter.XYs
 	for i, window := range l.outcome.Windows {
--- a/cmd/barleysail/config.go
+++ b/cmd/barleysail/config.go
@@ -36,7 +36,8 @@
 	return cmd
 }
 
-// checkEndpointList validates the endpoint list file of a configuration, and describes the source of the list.
+// checkEndpointList validates the endpoint list file of a configuration. It returns a description of the list: the
+// number of hosts, or that a service provides it.
 func checkEndpointList(settings *configpb.Config) (string, error) {
 	file := settings.List.File
 	if file == "" {
--- a/cmd/barleysail/describe.go
+++ b/cmd/barleysail/describe.go
@@ -48,7 +48,7 @@
 	return p.flush()
 }
 
-// describeWeight prints the weight of a host and the figures of the capacity formula.
+// describeWeight prints the weight of a host and the terms of the capacity formula.
 func describeWeight(p *printer, host controller.HostInfo) {
 	why := host.Explanation
 	p.printf("weight        %s told to proxies, %s wanted; moves have put it at %s, listed is %s\n",
--- a/cmd/barleysail/diff.go
+++ b/cmd/barleysail/diff.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// hostPair is the weight and state of a host at two controllers; empty: unknown there.
+// hostPair is the weight and state of a host at each of two controllers; empty: the controller does not know the host.
 type hostPair struct{ one, other string }
 
 // printDifferences prints the hosts whose weight or state differs at two controllers, and returns their number.
--- a/cmd/barleysail/guard.go
+++ b/cmd/barleysail/guard.go
@@ -67,8 +67,8 @@
 	return document, nil
 }
 
-// printValidation prints the table validator's findings and the tables that it would publish instead. If there are
-// findings, it returns an error with the exit code exitRefused.
+// printValidation prints the findings of the table validator, the tables that it would publish instead, and the
+// findings that remain in those. If there are findings, it returns an error with the exit code exitRefused.
 func printValidation(out io.Writer, result *controller.ValidationResult) error {
 	p := newPrinter(out)
 	if len(result.Findings) == 0 {
--- a/cmd/barleysail/guard_replay.go
+++ b/cmd/barleysail/guard_replay.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// printGuardReplays prints a row for each controller's recording, and the sums by check.
+// printGuardReplays prints a row for each controller's recording, and the total number of findings of each check.
 func printGuardReplays(out io.Writer, paths []string) error {
 	names, err := findControllerRecordings(paths)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return result, &report, nil
 }
 
-// rebuildWithGuard creates the controller of a recording with its table validator enabled, but rejecting nothing.
+// rebuildWithGuard creates the controller of a recording with a table validator that reports but rejects nothing.
 func rebuildWithGuard(start *recordpb.Start) (*controller.Controller, error) {
 	settings, err := config.Parse(recordedConfig, []byte(start.Config))
 	if err != nil {
--- a/cmd/barleysail/host_state.go
+++ b/cmd/barleysail/host_state.go
@@ -2,15 +2,17 @@
 
 import "barleysail/controller"
 
-// Names of host states that are not on the endpoint list. Scripts parse them.
+// States that hostState adds to those of controller.HostInfo. Scripts parse them.
 const (
 	stateEjected   = "withdrawn"
 	stateSlowStart = "cold"
-	phaseReady     = "ready"
 )
 
-// hostState returns the state of a host as the commands print it: ejected, in slow start, or its state on the
-// endpoint list.
+// phaseReady is the state in controller.HostInfo of a host that is neither draining nor removed.
+const phaseReady = "ready"
+
+// hostState returns the state of a host as the commands print it: stateEjected, stateSlowStart, or the state in
+// controller.HostInfo.
 func hostState(host controller.HostInfo) string {
 	if host.Ejected {
 		return stateEjected
@@ -21,7 +23,7 @@
 	return host.State
 }
 
-// formatOverride describes the override that an operator set on a host; empty: none.
+// formatOverride describes the override that an operator set on a host, or returns "" for none.
 func formatOverride(override *controller.OverrideInfo) string {
 	if override == nil {
 		return ""
--- a/cmd/barleysail/override.go
+++ b/cmd/barleysail/override.go
@@ -27,12 +27,12 @@
 // of the controller's API.
 type overrideRequest struct {
 	By     string   `json:"by"`
-	Clear  bool     `json:"clear,omitempty"`  // return to the weight on the endpoint list
+	Clear  bool     `json:"clear,omitempty"`  // remove the override of the weight
 	ForMs  float64  `json:"for_ms"`           // ms after which the override expires; 0: never
-	Part   *float64 `json:"part,omitempty"`   // factor of the listed weight
+	Part   *float64 `json:"part,omitempty"`   // factor of the base weight
 	State  string   `json:"state,omitempty"`  // empty: unchanged
 	Wait   bool     `json:"wait"`             // queue the override where it cannot be applied at once
-	Weight *float64 `json:"weight,omitempty"` // replaces the listed weight
+	Weight *float64 `json:"weight,omitempty"` // replaces the base weight
 }
 
 // overrideResponse is the controller's response to an overrideRequest.
@@ -115,7 +115,7 @@
 	return cmd
 }
 
-// setWeight parses a weight, or with a percent sign a factor on the listed weight.
+// setWeight parses a weight. With a percent sign it is a factor of the base weight.
 func (r *overrideRequest) setWeight(text string) error {
 	digits, percent := strings.CutSuffix(text, "%")
 	number, err := strconv.ParseFloat(digits, 64)
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// postOverride sends an override for a host, or for a zone with zonePrefix, and prints whether it was applied or
-// queued.
+// postOverride sends an override of a host, or of the hosts of a zone that is given with zonePrefix, and prints whether
+// it was applied or queued.
 func postOverride(cmd *cobra.Command, target string, request overrideRequest) error {
 	client, err := clientFromFlag(cmd)
 	if err != nil {
--- a/cmd/barleysail/plan.go
+++ b/cmd/barleysail/plan.go
@@ -15,7 +15,7 @@
 
 const (
 	maxAddedHosts = 100_000 // limit of one --add flag, against typing errors
-	maxFullHosts  = 5       // limit of the printed hosts at capacity
+	maxFullHosts  = 5       // limit of the hosts at capacity that are printed
 )
 
 var errAddForm = errors.New("wanted is a host or kind of the file, a zone and a number, as in full:addis:5")
@@ -57,13 +57,13 @@
 	if len(parts) != 3 {
 		return nil, errAddForm
 	}
-	like := parts[0]
+	nameOrKind := parts[0]
 	zone := parts[1]
 	count, err := strconv.Atoi(parts[2])
 	if err != nil || count <= 0 || count > maxAddedHosts {
 		return nil, errAddForm
 	}
-	model, found := findHost(problem, like)
+	model, found := findHost(problem, nameOrKind)
 	if !found {
 		return nil, errAddForm
 	}
@@ -89,8 +89,8 @@
 	return solver.Host{}, false
 }
 
-// printPlan prints the result for a fleet before and after a change, its growth while hosts warm up, and the steps of
-// a drain.
+// printPlan prints the solution for a fleet before and after a change, how it improves while hosts warm up, and the
+// steps of a drain.
 func printPlan(out io.Writer, problem *solver.Problem, change solver.Change, pace solver.DrainPace) error {
 	changed, err := problem.With(change)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return columns.flush()
 }
 
-// printFullHosts prints the hosts at capacity, sorted by the gain of a further core.
+// printFullHosts prints the hosts at capacity, sorted by the gain of a further core, the largest first.
 func printFullHosts(out io.Writer, solution *solver.Solution) error {
 	p := newPrinter(out)
 	fullHosts := solution.BindingHosts()
--- a/cmd/barleysail/state.go
+++ b/cmd/barleysail/state.go
@@ -14,7 +14,7 @@
 
 var errNoState = errors.New("nothing is kept there")
 
-// unusableStateError is the error of a state folder without a state that this program can restore.
+// unusableStateError is the error of a state folder that contains no state which this program can read.
 type unusableStateError struct{ warnings []string }
 
 func (e *unusableStateError) Error() string {
--- a/cmd/barleysail/state_show.go
+++ b/cmd/barleysail/state_show.go
@@ -54,7 +54,7 @@
 	return errors.Join(p.flush(), columns.flush())
 }
 
-// printStateHead prints the origin, age and damage of a state, and the fleet's figures.
+// printStateHead prints the origin, age and damage of a state, and the values that concern the whole fleet.
 func printStateHead(p *printer, loaded *statefile.LoadResult, restored *state.Restored, nowMs float64) {
 	kept := loaded.State
 	p.printf("life %s of program %s, format %d.%d, generation %d and %d changes, %d bytes\n", kept.Life, kept.Program,
--- a/cmd/barleysail/top_model.go
+++ b/cmd/barleysail/top_model.go
@@ -28,7 +28,7 @@
 	height   int  // of the terminal, in lines
 }
 
-// refreshMsg is the message that the next query is due.
+// refreshMsg reports that the next query is due.
 type refreshMsg struct{}
 
 // Init queries the controller at once.
