--- a/cmd/barleysail/compare.go
+++ b/cmd/barleysail/compare.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	changedConfig    = "the other setting" // name of the changed configuration in error messages
-	maxOverrideDepth = 2                   // names in the path of a field: a message and its field
-	comparisonSeed   = 1                   // seed of the random draws of replay.Compare, for reproducible intervals
+	changedConfig    = "the changed configuration" // name of the changed configuration in error messages
+	maxOverrideDepth = 2                           // names in the path of a field: a message and its field
+	comparisonSeed   = 1                           // seed of the random draws of replay.Compare, so that results repeat
 )
 
-var errOverrideForm = errors.New("wanted is a field as in guard.grace_ms=2000")
+var errOverrideForm = errors.New("want FIELD=VALUE, as in guard.grace_ms=2000")
 
 // settingsComparison replays recordings twice, with the recorded configuration and with a changed one, and compares the
 // outcomes.
@@ -127,7 +127,7 @@
 			return nil, err
 		}
 		if !slices.Equal(other.Zones, recorded.Zones) || len(other.Classes) != len(recorded.Classes) {
-			return nil, fmt.Errorf("%s: zones and classes are not those of the recording", c.configFile)
+			return nil, fmt.Errorf("%s: zones and classes differ from those of the recording", c.configFile)
 		}
 		other.List = recorded.List
 		settings = other
@@ -140,7 +140,7 @@
 	}
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(settings)
 	if err != nil {
-		return nil, fmt.Errorf("encoding the other settings: %w", err)
+		return nil, fmt.Errorf("encoding the changed configuration: %w", err)
 	}
 	return config.Parse(changedConfig, text)
 }
--- a/cmd/barleysail/compare_plot.go
+++ b/cmd/barleysail/compare_plot.go
@@ -89,7 +89,7 @@
 	case ".png":
 		return vgimg.PngCanvas{Canvas: vgimg.New(plotWidth, plotHeight)}, nil
 	}
-	return nil, fmt.Errorf("the plot %s: .svg and .png are known", file)
+	return nil, fmt.Errorf("plot %s: unknown file format, want .svg or .png", file)
 }
 
 func writeCanvas(name string, canvas vg.CanvasWriterTo) (err error) {
--- a/cmd/barleysail/describe.go
+++ b/cmd/barleysail/describe.go
@@ -16,7 +16,7 @@
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if args[0] != "host" {
-				return fmt.Errorf("describe %s: hosts can be described", args[0])
+				return fmt.Errorf("describe %s: unknown resource, want host", args[0])
 			}
 			client, err := clientFromFlag(cmd)
 			if err != nil {
--- a/cmd/barleysail/get.go
+++ b/cmd/barleysail/get.go
@@ -60,7 +60,7 @@
 	case resourceStatus:
 		return getStatus(ctx, client)
 	}
-	return nil, fmt.Errorf("get %s: hosts, proxies, tables, events and status are known", resource)
+	return nil, fmt.Errorf("get %s: unknown resource, want hosts, proxies, tables, events or status", resource)
 }
 
 func getHosts(ctx context.Context, client *controllerClient) (*resultTable, error) {
--- a/cmd/barleysail/identity_transport.go
+++ b/cmd/barleysail/identity_transport.go
@@ -23,8 +23,8 @@
 	identityTimeout = 5 * time.Second // limit of the wait for the first identity from the Workload API
 )
 
-var errIdentityEnvironment = errors.New("for https, " + workloadAPIEnv + " has to name the Workload API's socket and " +
-	controllerIDEnv + " the controller's SPIFFE ID")
+var errIdentityEnvironment = errors.New("https requires " + workloadAPIEnv +
+	", the address of the Workload API's socket, and " + controllerIDEnv + ", the controller's SPIFFE ID")
 
 // identityDialer dials a controller over mutual TLS: it authenticates the operator, and verifies that the controller
 // has the SPIFFE ID that the environment names. The identity is fetched at the first connection and cached until the
@@ -65,7 +65,7 @@
 	}
 	return source.Client(func(id spiffeid.ID) error {
 		if id.String() != controllerID {
-			return fmt.Errorf("it is %s, not %s", id, controllerID)
+			return fmt.Errorf("the controller's SPIFFE ID is %s, not %s", id, controllerID)
 		}
 		return nil
 	}), nil
--- a/cmd/barleysail/node.go
+++ b/cmd/barleysail/node.go
@@ -23,7 +23,7 @@
 	reloadBackoff  = 50 * time.Millisecond // between two attempts
 )
 
-var errNoNodeConfig = errors.New(nodeConfigEnv + " is not set, and no --config given")
+var errNoNodeConfig = errors.New("no configuration file: neither --config nor " + nodeConfigEnv + " is set")
 
 func nodeCommand() *cobra.Command {
 	var configFile, logLevel string
--- a/cmd/barleysail/override.go
+++ b/cmd/barleysail/override.go
@@ -21,7 +21,7 @@
 
 const zonePrefix = "zone=" // prefix of a zone in place of a host, for all of its hosts
 
-var errWeightMissing = errors.New("a weight, a part in percent, or --clear is needed")
+var errWeightMissing = errors.New("want a weight, a percentage of the listed weight, or --clear")
 
 // overrideRequest sets or removes an operator's override of a host, or of all hosts of a zone. It is the request body
 // of the controller's API.
@@ -120,7 +120,7 @@
 	digits, percent := strings.CutSuffix(text, "%")
 	number, err := strconv.ParseFloat(digits, 64)
 	if err != nil {
-		return fmt.Errorf("%q is no weight: %w", text, err)
+		return fmt.Errorf("%q is not a weight: %w", text, err)
 	}
 	if percent {
 		factor := number / 100
--- a/cmd/barleysail/plan.go
+++ b/cmd/barleysail/plan.go
@@ -18,7 +18,7 @@
 	maxFullHosts  = 5       // limit of the hosts at capacity that are printed
 )
 
-var errAddForm = errors.New("wanted is a host or kind of the file, a zone and a number, as in full:addis:5")
+var errAddForm = errors.New("want HOST:ZONE:COUNT with a host or kind of host of the fleet, as in full:addis:5")
 
 func planCommand() *cobra.Command {
 	var change solver.Change
--- a/cmd/barleysail/recording_find.go
+++ b/cmd/barleysail/recording_find.go
@@ -12,7 +12,7 @@
 
 const recordingSuffix = ".day" // suffix of the file names of recordings
 
-var errNoControllerRecording = errors.New("no controller's recording is among them")
+var errNoControllerRecording = errors.New("none of the recordings is a controller's")
 
 // findRecordings returns the recordings at the paths, sorted by name. A path may be a file, or a folder of files with
 // the recordingSuffix.
--- a/cmd/barleysail/recording_rebuild.go
+++ b/cmd/barleysail/recording_rebuild.go
@@ -16,7 +16,7 @@
 type formatError struct{ format int32 }
 
 func (e *formatError) Error() string {
-	return fmt.Sprintf("the recording has format %d, %d is the newest known here", e.format, record.Format)
+	return fmt.Sprintf("the recording has format %d, the newest supported format is %d", e.format, record.Format)
 }
 
 // rebuildController creates the controller that the start record of a recording describes.
--- a/cmd/barleysail/recordings_cut.go
+++ b/cmd/barleysail/recordings_cut.go
@@ -13,7 +13,7 @@
 	"barleysail/replay"
 )
 
-var errCutFlags = errors.New("a part has --from and --to in seconds of the recording, " +
+var errCutFlags = errors.New("want --from and --to, in seconds since the start of the recording, " +
 	"and an --output that ends in " + recordingSuffix)
 
 // cutRange is a part of a recording, in seconds since its start.
@@ -40,8 +40,8 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.Float64Var(&part.fromSeconds, "from", 0, "beginning of the part, in seconds of the recording")
-	flags.Float64Var(&part.toSeconds, "to", 0, "end of the part, in seconds of the recording")
+	flags.Float64Var(&part.fromSeconds, "from", 0, "start of the part, in seconds since the start of the recording")
+	flags.Float64Var(&part.toSeconds, "to", 0, "end of the part, in seconds since the start of the recording")
 	flags.StringVarP(&output, "output", "o", "", "the file to write; it must not exist")
 	return cmd
 }
--- a/cmd/barleysail/result_table.go
+++ b/cmd/barleysail/result_table.go
@@ -37,7 +37,7 @@
 		}
 		return columns.flush()
 	}
-	return fmt.Errorf("-o %s: table, json and csv are known", format)
+	return fmt.Errorf("-o %s: unknown output format, want table, json or csv", format)
 }
 
 func (t *resultTable) printCSV(out io.Writer) error {
--- a/cmd/barleysail/result_table_test.go
+++ b/cmd/barleysail/result_table_test.go
@@ -16,7 +16,7 @@
 		{"table", "host  weight\na,b   1\nc     0.25\n", ""},
 		{"csv", "host,weight\n\"a,b\",1\nc,0.25\n", ""},
 		{"json", "{\n  \"hosts\": 2\n}\n", ""},
-		{"xml", "", "-o xml: table, json and csv are known"},
+		{"xml", "", "-o xml: unknown output format, want table, json or csv"},
 	} {
 		t.Run(c.format, func(t *testing.T) {
 			var out strings.Builder
--- a/cmd/barleysail/scenario.go
+++ b/cmd/barleysail/scenario.go
@@ -34,7 +34,7 @@
 		},
 	}
 	set := cmd.Flags()
-	set.BoolVarP(&flags.verbose, "verbose", "v", false, "log controllers and forwarders on standard error")
+	set.BoolVarP(&flags.verbose, "verbose", "v", false, "log controllers and proxies on standard error")
 	set.BoolVar(&flags.separateProcesses, "separate-processes", false, "run each controller in a process of its own")
 	set.StringVar(&flags.recordingsFolder, "record", "", "record each controller and proxy into this existing folder")
 	addOldFlagName(cmd, "separate-processes", "apart")
@@ -53,7 +53,7 @@
 	if flags.separateProcesses {
 		executable, err := os.Executable()
 		if err != nil {
-			return fmt.Errorf("looking for this program: %w", err)
+			return fmt.Errorf("finding this program's executable: %w", err)
 		}
 		program = executable
 	}
--- a/cmd/barleysail/state.go
+++ b/cmd/barleysail/state.go
@@ -12,13 +12,13 @@
 	"barleysail/internal/statefile"
 )
 
-var errNoState = errors.New("nothing is kept there")
+var errNoState = errors.New("the folder contains no usable state")
 
 // unusableStateError is the error of a state folder that contains no state which this program can read.
 type unusableStateError struct{ warnings []string }
 
 func (e *unusableStateError) Error() string {
-	return "no usable state is kept there: " + strings.Join(e.warnings, "; ")
+	return "the folder contains no usable state: " + strings.Join(e.warnings, "; ")
 }
 
 // incompleteStateError is the error of a state of which parts were damaged or ignored.
--- a/cmd/barleysail/state_forget.go
+++ b/cmd/barleysail/state_forget.go
@@ -93,7 +93,7 @@
 		return slices.Contains(f.hosts, host.Name)
 	})
 	if len(kept.Hosts) == before {
-		return fmt.Errorf("nothing is kept of %s", strings.Join(f.hosts, ", "))
+		return fmt.Errorf("the state contains none of these hosts: %s", strings.Join(f.hosts, ", "))
 	}
 	return nil
 }
