--- a/cmd/barleysail/compare_output.go
+++ b/cmd/barleysail/compare_output.go
@@ -120,10 +120,10 @@
 			maxErrorMs = math.Max(maxErrorMs, offset.Within)
 		}
 	}
-	p.printf("clocks of %d proxies set to the stewards', within %.1f ms; %d were set anew during the day\n",
+	p.printf("clocks of %d proxies aligned with the controllers', within %.1f ms; %d realignments during the recording\n",
 		len(r.Recorded.Offsets), maxErrorMs, adjustments)
 	if r.Recorded.Doubled > 0 {
-		p.printf("%d transactions were recorded twice, and are played once\n", r.Recorded.Doubled)
+		p.printf("%d requests were recorded twice and are replayed once\n", r.Recorded.Doubled)
 	}
 }
 
--- a/cmd/barleysail/describe.go
+++ b/cmd/barleysail/describe.go
@@ -51,7 +51,7 @@
 // describeWeight prints the weight of a host and the terms of the capacity formula.
 func describeWeight(p *printer, host controller.HostInfo) {
 	why := host.Explanation
-	p.printf("weight        %s told to proxies, %s wanted; moves have put it at %s, listed is %s\n",
+	p.printf("weight        %s published, target %s; rebalanced to %s, listed %s\n",
 		formatNumber(host.Weight), formatNumber(why.TargetWeight), formatNumber(why.Weight), formatNumber(host.BaseWeight))
 	p.printf("load          rate %s a second, R %s ms (median of all %s ms)\n",
 		formatNumber(why.ArrivalRate), formatNumber(why.MeanLatencyMs), formatNumber(why.MedianLatencyMs))
@@ -79,6 +79,6 @@
 		p.printf("on trial      %.0f%% of its weight\n", 100*why.RecoveryFactor)
 	}
 	if !why.Balanced {
-		p.println("it takes no part in moves now")
+		p.println("excluded from rebalancing now")
 	}
 }
--- a/cmd/barleysail/guard.go
+++ b/cmd/barleysail/guard.go
@@ -83,7 +83,7 @@
 		return err
 	}
 	for _, finding := range result.Remaining {
-		p.println("left:", finding)
+		p.println("remaining:", finding)
 	}
 	if err := p.flush(); err != nil {
 		return err
--- a/cmd/barleysail/node.go
+++ b/cmd/barleysail/node.go
@@ -89,5 +89,5 @@
 		lastErr = err
 		time.Sleep(reloadBackoff)
 	}
-	log.Error().Err(lastErr).Msg("the configuration cannot be read again: the old one holds")
+	log.Error().Err(lastErr).Msg("reloading the configuration failed; the current one is kept")
 }
--- a/cmd/barleysail/node_test.go
+++ b/cmd/barleysail/node_test.go
@@ -58,7 +58,7 @@
 	process.waitForListCall(t, secondList)
 	writeFile(t, configFile, []byte("{"))
 	process.signal(t, syscall.SIGHUP)
-	process.waitForLog(t, "cannot be read again")
+	process.waitForLog(t, "reloading the configuration failed")
 	expectPong(t, address)
 	process.signal(t, syscall.SIGTERM)
 	process.waitForLog(t, "stopped")
--- a/cmd/barleysail/override.go
+++ b/cmd/barleysail/override.go
@@ -150,5 +150,5 @@
 	if response.Waits {
 		outcome = "waits for its turn"
 	}
-	return printLine(cmd, "%d of host: %s", response.Hosts, outcome)
+	return printLine(cmd, "%d hosts: %s", response.Hosts, outcome)
 }
--- a/cmd/barleysail/plan.go
+++ b/cmd/barleysail/plan.go
@@ -169,7 +169,7 @@
 
 func printDrainSteps(out io.Writer, steps []solver.DrainStep) error {
 	p := newPrinter(out)
-	p.println("\nto drain them in order, each step once the one before is through the channel and its grace is over:")
+	p.println("\nto drain them in order, each step once the previous one is sent to the proxies and its grace has passed:")
 	for _, step := range steps {
 		p.printf("  after %6.1f s  %s; result %.4f, the fullest host at %.2f of its cap\n", seconds(step.AtMs),
 			strings.Join(step.Hosts, ", "), step.ObjectiveValue, step.PeakUtilization)
--- a/cmd/barleysail/recordings_show.go
+++ b/cmd/barleysail/recordings_show.go
@@ -48,7 +48,7 @@
 // printSummary prints the summary of a recording as text.
 func printSummary(out io.Writer, summary *replay.Summary) error {
 	p := newPrinter(out)
-	p.printf("from %s, %.1f s, steward %s of version %s\n%d records; at most %d proxies joined and %d hosts listed\n\n",
+	p.printf("from %s, %.1f s, controller %s of version %s\n%d records; at most %d proxies joined and %d hosts listed\n\n",
 		formatTime(summary.From), seconds(summary.To-summary.From), summary.Start.Life, summary.Start.Program,
 		summary.Records, summary.Proxies, summary.Hosts)
 	spansErr := printSpans(out, summary)
--- a/cmd/barleysail/replay.go
+++ b/cmd/barleysail/replay.go
@@ -81,7 +81,7 @@
 	}
 	elapsed := time.Since(began)
 	p := newPrinter(out)
-	p.printf("%s: %.1f s of the day in %.2f s: %d inputs, %d answers as recorded\n", name,
+	p.printf("%s: %.1f s of the recording in %.2f s: %d inputs, %d responses as recorded\n", name,
 		seconds(result.To-result.From), elapsed.Seconds(), result.Inputs, result.Answers)
 	recording.printFaults(p)
 	if isReadError(result.End) {
--- a/cmd/barleysail/run.go
+++ b/cmd/barleysail/run.go
@@ -83,7 +83,8 @@
 		return err
 	}
 	received := <-signals
-	log.Info().Str("signal", received.String()).Msg("stopping: polls are answered; a second signal ends at once")
+	log.Info().Str("signal", received.String()).
+		Msg("shutting down: pending polls are answered; a second signal exits at once")
 	go killOnSignal(signals, controller) // until the program ends
 	ctx, cancel := context.WithTimeout(cmd.Context(), shutdownTimeout)
 	defer cancel()
--- a/cmd/barleysail/state_show.go
+++ b/cmd/barleysail/state_show.go
@@ -57,18 +57,18 @@
 // printStateHead prints the origin, age and damage of a state, and the values that concern the whole fleet.
 func printStateHead(p *printer, loaded *statefile.LoadResult, restored *state.Restored, nowMs float64) {
 	kept := loaded.State
-	p.printf("life %s of program %s, format %d.%d, generation %d and %d changes, %d bytes\n", kept.Life, kept.Program,
-		kept.Major, kept.Minor, loaded.Generation, loaded.Changes, proto.Size(kept))
-	p.printf("true at %s, %.1f s ago\n", formatTime(kept.At), seconds(nowMs-kept.At))
+	p.printf("incarnation %s of program %s, format %d.%d, generation %d and %d changes, %d bytes\n", kept.Life,
+		kept.Program, kept.Major, kept.Minor, loaded.Generation, loaded.Changes, proto.Size(kept))
+	p.printf("stored at %s, %.1f s ago\n", formatTime(kept.At), seconds(nowMs-kept.At))
 	for _, warning := range loaded.Warnings {
-		p.println("left out:", warning)
+		p.println("ignored:", warning)
 	}
 	if restored.Reason != "" {
-		p.println("less than all is known:", restored.Reason)
+		p.println("not everything can be restored:", restored.Reason)
 	}
 	if fleet := kept.GetFleet(); fleet != nil {
-		p.printf("level %.2f, now %.2f; median of mean times %.1f ms\n", fleet.Level, restored.AdmissionRatio,
-			restored.MedianLatencyMs)
+		p.printf("admission ratio %.2f, now %.2f; median of the hosts' mean latencies %.1f ms\n", fleet.Level,
+			restored.AdmissionRatio, restored.MedianLatencyMs)
 	}
 }
 
--- a/cmd/barleysail/state_test.go
+++ b/cmd/barleysail/state_test.go
@@ -47,7 +47,7 @@
 	empty := t.TempDir()
 	runCases(t, "", []commandCase{
 		{"show", []string{"state", "show", path}, 0,
-			[]string{"life abc of program test", "10.0.0.2:80", "operator set 10.0.0.1:80", "1 proxies are known"}},
+			[]string{"incarnation abc of program test", "10.0.0.2:80", "operator set 10.0.0.1:80", "1 proxies are known"}},
 		{"check", []string{"state", "check", path}, 0, []string{"2 hosts, 1 proxies, 1 settings\nwhole\n"}},
 		{"export", []string{"state", "export", path}, 0, []string{`name: `, `"10.0.0.1:80"`}},
 		{"check an empty folder", []string{"state", "check", empty}, 1, []string{"contains no usable state"}},
