--- a/cmd/barleysail/controller_commands_test.go
+++ b/cmd/barleysail/controller_commands_test.go
@@ -25,7 +25,7 @@
 	return url
 }
 
-// waitForOutput runs a command line until it ends with an exit code and prints a text.
+// waitForOutput repeats a command line until it ends with an exit code and prints a text.
 func waitForOutput(t *testing.T, url string, code int, want string, args ...string) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
@@ -35,7 +35,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%v: exit code %d, want %d and %q:\n%s", args, got, code, want, out)
+			t.Fatalf("%v: got exit code %d, want %d and output with %q; output:\n%s", args, got, code, want, out)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -71,7 +71,7 @@
 	var hosts []map[string]any
 	out, _ := command(t, url, "get", "hosts", "-o", "json")
 	if err := json.Unmarshal([]byte(out), &hosts); err != nil || len(hosts) != 2 {
-		t.Errorf("%v %s", err, out)
+		t.Errorf("get hosts -o json: got %d hosts, error %v, want 2 hosts; output:\n%s", len(hosts), err, out)
 	}
 }
 
@@ -101,15 +101,15 @@
 	}))
 	defer other.Close()
 	if out, code := command(t, "", "diff", url, other.URL); code != exitDiffers || !strings.Contains(out, "10.0.0.1:80") {
-		t.Errorf("%d %s", code, out)
+		t.Errorf("diff: got exit code %d, want %d and output with 10.0.0.1:80; output:\n%s", code, exitDiffers, out)
 	}
 	other.Close()
 	if out, code := command(t, other.URL, "get", "hosts"); code != exitUnreachable {
-		t.Errorf("%d %s", code, out)
+		t.Errorf("get hosts of a closed server: got exit code %d, want %d; output:\n%s", code, exitUnreachable, out)
 	}
 }
 
-// An error response that is a problem document names the field; any other body is the detail itself.
+// The error of a problem document is its detail after the field, if it names one. Any other body is the error itself.
 func TestResponseError(t *testing.T) {
 	for _, c := range []struct {
 		name, body, want string
@@ -123,7 +123,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			err := responseError(c.status, []byte(c.body))
 			if err.Error() != c.want || exitCode(err) != c.code {
-				t.Errorf("%d %q, want %d %q", exitCode(err), err, c.code, c.want)
+				t.Errorf("got exit code %d and error %q, want %d and %q", exitCode(err), err, c.code, c.want)
 			}
 		})
 	}
--- a/cmd/barleysail/events_test.go
+++ b/cmd/barleysail/events_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Following asks for the events after the last one, waits for new ones, and ends when the controller fails.
+// followEvents requests the events after the last one that it printed, and returns the error of a failed request.
 func TestFollowEvents(t *testing.T) {
 	responses := []string{
 		`{"events":[{"number":1,"at":1000,"kind":"list","text":"one"},{"number":2,"at":2000,"kind":"mode","text":"two"}]}`,
@@ -33,7 +33,7 @@
 	var out strings.Builder
 	err := followEvents(context.Background(), &out, newControllerClient(server.URL))
 	if err == nil || err.Error() != "stopping" {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("followEvents: got error %v, want stopping", err)
 	}
 	want := "1970-01-01 00:00:01.000  list     one\n1970-01-01 00:00:02.000  mode     two\n" +
 		"1970-01-01 00:00:03.000  joined   three\n"
--- a/cmd/barleysail/helpers_test.go
+++ b/cmd/barleysail/helpers_test.go
@@ -16,8 +16,8 @@
 	"barleysail/internal/daemon"
 )
 
-// command runs a command line, against the controller at a URL unless that is empty, and returns what it printed with
-// its error, and its exit code.
+// command runs a command line, against the controller at a URL unless that is empty. It returns what the command
+// printed, followed by its error, and the exit code.
 func command(t *testing.T, url string, args ...string) (output string, code int) {
 	t.Helper()
 	root := newRootCommand()
@@ -33,7 +33,7 @@
 	return out.String(), 0
 }
 
-// commandCase is a command line with its expected exit code and parts of its output.
+// commandCase is a command line with its expected exit code and expected parts of its output.
 type commandCase struct {
 	name string
 	args []string
@@ -48,11 +48,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			out, code := command(t, url, c.args...)
 			if code != c.code {
-				t.Errorf("%v: exit code %d, want %d:\n%s", c.args, code, c.code, out)
+				t.Errorf("%v: got exit code %d, want %d; output:\n%s", c.args, code, c.code, out)
 			}
 			for _, part := range c.want {
 				if !strings.Contains(out, part) {
-					t.Errorf("%v: no %q in:\n%s", c.args, part, out)
+					t.Errorf("%v: got output\n%s\nwant %q in it", c.args, out, part)
 				}
 			}
 		})
--- a/cmd/barleysail/identity_transport_test.go
+++ b/cmd/barleysail/identity_transport_test.go
@@ -19,7 +19,7 @@
 
 func newIdentityIssuer(t *testing.T) *identityIssuer {
 	t.Helper()
-	folder, err := os.MkdirTemp("", "id") // a socket's path has to be short, which t.TempDir's is not
+	folder, err := os.MkdirTemp("", "id") // not t.TempDir, whose path is too long for a socket
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,8 +51,8 @@
 	return endpoint.Address
 }
 
-// The commands prove the operator's identity to the controller that is named, and to no other. Without an identity, or
-// with one that is denied, they end with the exit code that says so.
+// Commands over https authenticate the operator, and connect only to a controller with the SPIFFE ID that the
+// environment names. A denied request and a failed connection have different exit codes.
 func TestOperatorIdentity(t *testing.T) {
 	identities := newIdentityIssuer(t)
 	list := writeTextFile(t, filepath.Join(identities.folder, "hosts.textproto"),
@@ -72,8 +72,8 @@
 		workloadAPI, controllerID string
 		commandCase
 	}{
-		{operator, one, commandCase{"an operator sees", getHosts, 0, []string{"10.0.0.1:80"}}},
-		{operator, one, commandCase{"an operator sets", setWeight, 0, []string{"done"}}},
+		{operator, one, commandCase{"operator reads", getHosts, 0, []string{"10.0.0.1:80"}}},
+		{operator, one, commandCase{"operator changes a weight", setWeight, 0, []string{"done"}}},
 		{operator, two, commandCase{"another controller is named", getHosts, exitUnreachable, []string{"not " + two}}},
 		{host, one, commandCase{"a host's identity", getHosts, 1, []string{"may not see here"}}},
 		{"", "", commandCase{"no identity", getHosts, exitUnreachable, []string{"BARLEYSAIL_WORKLOAD_API"}}},
--- a/cmd/barleysail/main_test.go
+++ b/cmd/barleysail/main_test.go
@@ -23,23 +23,25 @@
 		t.Run(fmt.Sprint(c.old), func(t *testing.T) {
 			found, rest, err := newRootCommand().Find(c.old)
 			if err != nil || len(rest) > 0 || found.CommandPath() != c.want {
-				t.Errorf("found %q with %q left, %v; want %q", found.CommandPath(), rest, err, c.want)
+				t.Errorf("got command %q, arguments %q, error %v; want command %q", found.CommandPath(), rest, err, c.want)
 			}
 		})
 	}
 }
 
+// An old command name behaves as the present one.
 func TestOldCommandNamesRun(t *testing.T) {
-	for _, c := range []struct{ old, plain []string }{
+	for _, c := range []struct{ old, present []string }{
 		{[]string{"rehearse", "missing"}, []string{"scenario", "missing"}},
 		{[]string{"days", "show", "missing"}, []string{"recordings", "show", "missing"}},
 		{[]string{"guard", "days", "missing"}, []string{"guard", "replay", "missing"}},
 	} {
 		t.Run(fmt.Sprint(c.old), func(t *testing.T) {
 			oldOut, oldCode := command(t, "", c.old...)
-			plainOut, plainCode := command(t, "", c.plain...)
-			if oldOut != plainOut || oldCode != plainCode || oldCode != exitFailure {
-				t.Errorf("the old name: %d %s\nthe plain name: %d %s", oldCode, oldOut, plainCode, plainOut)
+			presentOut, presentCode := command(t, "", c.present...)
+			if oldOut != presentOut || oldCode != presentCode || oldCode != exitFailure {
+				t.Errorf("got exit code %d and output %q by the old name, want %d and the output by the present name, "+
+					"which is %d and %q", oldCode, oldOut, exitFailure, presentCode, presentOut)
 			}
 		})
 	}
@@ -70,7 +72,7 @@
 					t.Fatal(err)
 				}
 				if got := cmd.Flags().Lookup(c.name).Value.String(); got != c.setting {
-					t.Errorf("--%s is %q after --%s=%s", c.name, got, given, c.setting)
+					t.Errorf("--%s after --%s=%s: got %q, want %q", c.name, given, c.setting, got, c.setting)
 				}
 			})
 		}
@@ -91,10 +93,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := exitCode(c.err); got != c.want {
-				t.Errorf("exit code %d, want %d", got, c.want)
+				t.Errorf("got exit code %d, want %d", got, c.want)
 			}
 			if !errors.Is(c.err, plain) {
-				t.Errorf("%v does not wrap its cause", c.err)
+				t.Errorf("got error %v, want one that wraps %v", c.err, plain)
 			}
 		})
 	}
--- a/cmd/barleysail/node_process_test.go
+++ b/cmd/barleysail/node_process_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// eventTimeout bounds each wait for something that a sound program does within milliseconds.
+	// eventTimeout bounds each wait for something that a correct program does within milliseconds.
 	eventTimeout = 10 * time.Second
 	// buildTimeout bounds the compilation of the program, which may start from an empty build cache.
 	buildTimeout = 5 * time.Minute
@@ -33,13 +33,13 @@
 	return program
 }
 
-// nodeProcess is a running "barleysail node" that the test started and that ends with the test at the latest.
+// nodeProcess is a running "barleysail node" that a test started. It is killed at the end of the test.
 type nodeProcess struct {
 	command *exec.Cmd
 	log     processLog
 	exited  chan struct{} // closed when the process has ended and its log is read to the end
 	exitErr error         // what exec.Cmd.Wait returned; to be read after exited is closed
-	logRead int           // bytes of the log that waitForLog has passed
+	logRead int           // number of bytes of the log that waitForLog has consumed
 }
 
 // startNode starts the program with the configuration file.
@@ -73,7 +73,7 @@
 	}
 }
 
-// waitForLog waits for a line that contains the text, after the line found last, and returns it.
+// waitForLog waits for a log line that contains the text, after the lines already consumed, and returns it.
 func (p *nodeProcess) waitForLog(t *testing.T, text string) string {
 	t.Helper()
 	timeout := time.NewTimer(eventTimeout)
@@ -83,20 +83,20 @@
 			return line
 		}
 		if ended {
-			t.Fatalf("the program ended early, without a line that contains %q%s", text, p.diagnosis())
+			t.Fatalf("the program ended without a log line that contains %q%s", text, p.diagnosis())
 		}
 		select {
 		case <-p.log.grown:
-		case <-p.exited: // its last lines are looked at once more
+		case <-p.exited: // search the last lines once more
 			ended = true
 		case <-timeout.C:
-			t.Fatalf("no line with %q within %v%s", text, eventTimeout, p.diagnosis())
+			t.Fatalf("got no log line that contains %q within %v%s", text, eventTimeout, p.diagnosis())
 		}
 	}
 }
 
-// nextLine looks for a complete line that contains the text in what waitForLog has not passed yet.
-func (p *nodeProcess) nextLine(text string) (string, bool) {
+// nextLine consumes complete lines of the log up to one that contains the text. found is false if there is none yet.
+func (p *nodeProcess) nextLine(text string) (line string, found bool) {
 	for {
 		line, _, complete := strings.Cut(p.log.String()[p.logRead:], "\n")
 		if !complete {
@@ -109,8 +109,8 @@
 	}
 }
 
-// waitForListCall waits for a call of the program at a listener that no other process is told of, and closes its
-// connection unanswered.
+// waitForListCall waits for the program to connect to the listener, which stands for the endpoint list's server, and
+// closes the connection without a response. No other process knows the listener's address.
 func (p *nodeProcess) waitForListCall(t *testing.T, listener *net.TCPListener) {
 	t.Helper()
 	if err := listener.SetDeadline(time.Now().Add(eventTimeout)); err != nil {
@@ -127,10 +127,10 @@
 	select {
 	case err := <-accepted:
 		if err != nil {
-			t.Fatalf("no call for the endpoint list at %v: %v%s", listener.Addr(), err, p.diagnosis())
+			t.Fatalf("got no connection for the endpoint list at %v: %v%s", listener.Addr(), err, p.diagnosis())
 		}
 	case <-p.exited:
-		t.Fatalf("the program ended early, without a call for the endpoint list at %v%s", listener.Addr(), p.diagnosis())
+		t.Fatalf("the program ended without a connection for the endpoint list at %v%s", listener.Addr(), p.diagnosis())
 	}
 }
 
@@ -141,27 +141,27 @@
 	case <-p.exited:
 		return p.exitErr
 	case <-time.After(eventTimeout):
-		t.Fatalf("the program does not end within %v%s", eventTimeout, p.diagnosis())
+		t.Fatalf("the program runs for more than %v, want it to end%s", eventTimeout, p.diagnosis())
 		return nil
 	}
 }
 
-// diagnosis says for a failure message how the process stands and what it has logged.
+// diagnosis describes the state of the process and its log, for failure messages.
 func (p *nodeProcess) diagnosis() string {
-	status := "it still runs"
+	status := "still running"
 	select {
 	case <-p.exited:
-		status = fmt.Sprintf("it ended with %v", p.exitErr)
+		status = fmt.Sprintf("ended with error %v", p.exitErr)
 	default:
 	}
-	return fmt.Sprintf(" (%s); its log:\n%s", status, p.log.String())
+	return fmt.Sprintf(" (process %s); log:\n%s", status, p.log.String())
 }
 
 // processLog collects what a process writes to its standard error.
 type processLog struct {
 	mu    sync.Mutex
 	text  strings.Builder
-	grown chan struct{} // holds one element when there is text that the reader may not have seen
+	grown chan struct{} // holds one element if there may be text that the reader has not seen
 }
 
 func (l *processLog) Write(text []byte) (int, error) {
@@ -174,7 +174,7 @@
 	return l.text.Write(text)
 }
 
-// String is what was written so far.
+// String returns what was written so far.
 func (l *processLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/barleysail/node_test.go
+++ b/cmd/barleysail/node_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// shutdownLimit is how soon after SIGTERM the program must have ended: the platform sends SIGKILL then.
+// shutdownLimit is the time from SIGTERM within which the program must end, since the platform then sends SIGKILL.
 const shutdownLimit = 700 * time.Millisecond
 
 const nodeSettings = `{"Discovery":"automatic","FailureDomains":["a"],"Index":0,"Instances":1,
@@ -23,13 +23,13 @@
 	"DataPlaneSize":4},"Rules":{"ColdFrom":0.2,"ColdUs":9000000,"StopSendingWithinUs":2000000,"FallMultiple":3,
 	"FallUs":2000000},"Services":[{"Name":"read","AimUs":500000,"HardLimitUs":900000,"Value":1,"Effect":"idempotent"}]}`
 
-// nodeConfig is a configuration that follows the endpoint list at the listener.
+// nodeConfig returns a configuration whose endpoint list is served at the listener.
 func nodeConfig(list *net.TCPListener, settings string) []byte {
 	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":"%s","seed":"1f","settings":%s}`,
 		list.Addr(), settings)
 }
 
-// writeFile replaces the file.
+// writeFile replaces the contents of a file.
 func writeFile(t *testing.T, file string, text []byte) {
 	t.Helper()
 	if err := os.WriteFile(file, text, 0o600); err != nil {
@@ -37,8 +37,9 @@
 	}
 }
 
-// The program answers PING, follows the endpoint list at its new address on SIGHUP, keeps its configuration where the
-// new one cannot be read, ends with status 0 on SIGTERM, and names what is wrong with a configuration at its start.
+// The program names what is wrong with its configuration when it starts, and answers PING. On SIGHUP it connects to the
+// endpoint list's new address, or keeps its configuration if the new one cannot be read. On SIGTERM it ends with
+// status 0.
 func TestNode(t *testing.T) {
 	directory := t.TempDir()
 	program := buildProgram(t, directory)
@@ -63,11 +64,12 @@
 	process.signal(t, syscall.SIGTERM)
 	process.waitForLog(t, "stopped")
 	if err := process.waitForExit(t); err != nil {
-		t.Errorf("after SIGTERM: %v", err)
+		t.Errorf("after SIGTERM: got error %v, want exit code 0", err)
 	}
 }
 
-// expectConfigError runs the program with a wrong configuration: it must fail with one line that ends with the text.
+// expectConfigError runs the program with an invalid configuration. It must fail with one line of output that ends with
+// the text.
 func expectConfigError(t *testing.T, program, configFile, ending string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), eventTimeout)
@@ -76,11 +78,12 @@
 	command.Env = append(os.Environ(), "EDGE_CONFIG="+configFile)
 	output, err := command.CombinedOutput()
 	if err == nil || !strings.HasSuffix(string(output), ending) || strings.Count(string(output), "\n") != 1 {
-		t.Errorf("a wrong configuration: %v, %s", err, output)
+		t.Errorf("invalid configuration: got error %v and output %q, want an error and one line that ends with %q", err,
+			output, ending)
 	}
 }
 
-// listenAddress takes the address of the listening socket from the program's first log line.
+// listenAddress returns the address in the log line that the program writes once it listens.
 func listenAddress(t *testing.T, line string) string {
 	t.Helper()
 	var fields struct{ Listen string }
@@ -90,7 +93,7 @@
 	return fields.Listen
 }
 
-// expectPong sends PING on a connection of its own and wants PONG for an answer.
+// expectPong sends PING on a new connection and expects PONG.
 func expectPong(t *testing.T, address string) {
 	t.Helper()
 	connection, err := net.DialTimeout("tcp", address, eventTimeout)
@@ -105,15 +108,16 @@
 		t.Fatal(err)
 	}
 	answer := make([]byte, 14)
-	if _, err := io.ReadFull(connection, answer); err != nil || string(answer) != "*1\r\n$4\r\nPONG\r\n" {
-		t.Fatalf("%q, %v", answer, err)
+	want := "*1\r\n$4\r\nPONG\r\n"
+	if _, err := io.ReadFull(connection, answer); err != nil || string(answer) != want {
+		t.Fatalf("PING: got %q, error %v, want %q", answer, err, want)
 	}
 }
 
-// Signals that follow each other closely. SIGTERM that comes before the configuration has been read, or right after a
-// SIGHUP whose configuration cannot be read to its end, ends the program with status 0 within shutdownLimit; of two
-// SIGHUPs in a row the newest configuration counts. Each subtest has listeners of its own: a connection that the
-// program of another one has left in a listener's queue would be taken for a call of this one's program.
+// A signal may arrive before the previous one is handled. SIGTERM before the configuration is read, or during the
+// reload of an incomplete configuration, must end the program with status 0 within shutdownLimit. After two SIGHUPs in
+// a row the latest configuration applies. Each subtest has its own listeners: a connection that the program of another
+// subtest left in a listener's queue would be taken for one of this subtest's program.
 func TestNodeSignals(t *testing.T) {
 	program := buildProgram(t, t.TempDir())
 	t.Run("before the configuration", func(t *testing.T) {
@@ -122,7 +126,7 @@
 			t.Fatal(err)
 		}
 		process := startNode(t, program, pipe)
-		writer := openPipeForWriting(t, pipe, process) // opens once the program reads
+		writer := openPipeForWriting(t, pipe, process)
 		began := time.Now()
 		process.signal(t, syscall.SIGTERM)
 		if _, err := writer.Write(nodeConfig(listen(t), nodeSettings)); err != nil {
@@ -141,7 +145,7 @@
 		writeFile(t, configFile, nodeConfig(firstList, nodeSettings))
 		process := startNode(t, program, configFile)
 		process.waitForListCall(t, firstList)
-		writeFile(t, configFile, second[:50]) // half replaced
+		writeFile(t, configFile, second[:50]) // incomplete, as while the file is being replaced
 		process.signal(t, syscall.SIGHUP)
 		writeFile(t, configFile, second)
 		process.signal(t, syscall.SIGHUP)
@@ -158,7 +162,8 @@
 	})
 }
 
-// openPipeForWriting opens a named pipe once the process reads it. A process that ends or never reads fails the test.
+// openPipeForWriting opens a named pipe, which blocks until the process opens it for reading. The test fails if the
+// process ends or does not open it.
 func openPipeForWriting(t *testing.T, pipe string, process *nodeProcess) *os.File {
 	t.Helper()
 	type result struct {
@@ -179,21 +184,22 @@
 	case <-process.exited:
 	case <-time.After(eventTimeout):
 	}
-	// A reader of the test's own lets the goroutine above end.
+	// Opening the pipe for reading unblocks the goroutine above.
 	if reader, err := os.OpenFile(pipe, os.O_RDONLY|syscall.O_NONBLOCK, 0); err == nil {
 		defer reader.Close() //nolint:errcheck // nothing was written to it
 	}
-	t.Fatalf("the program does not read its configuration%s", process.diagnosis())
+	t.Fatalf("the program did not open its configuration%s", process.diagnosis())
 	return nil
 }
 
-// expectShutdown wants the process to end with status 0 soon after the SIGTERM that was sent at the time given.
+// expectShutdown waits for the process to end, which must be with status 0 and within shutdownLimit after terminatedAt,
+// the time of the SIGTERM.
 func expectShutdown(t *testing.T, process *nodeProcess, terminatedAt time.Time) {
 	t.Helper()
 	if err := process.waitForExit(t); err != nil {
-		t.Errorf("after SIGTERM: %v%s", err, process.diagnosis())
+		t.Errorf("after SIGTERM: got error %v, want exit code 0%s", err, process.diagnosis())
 	}
 	if took := time.Since(terminatedAt); took > shutdownLimit {
-		t.Errorf("it ends %v after SIGTERM", took)
+		t.Errorf("time from SIGTERM to the end: got %v, want at most %v", took, shutdownLimit)
 	}
 }
--- a/cmd/barleysail/recordings_test.go
+++ b/cmd/barleysail/recordings_test.go
@@ -12,8 +12,8 @@
 	"barleysail/internal/record"
 )
 
-// recordController records a controller on loopback that serves one proxy for a moment, and the proxy's own recording.
-// It returns the folder of both files.
+// recordController runs a controller on loopback that serves one poll of a proxy. It returns the folder with the
+// recordings of the controller and of the proxy, controller.day and proxy.day.
 func recordController(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -97,6 +97,6 @@
 			[]string{"none of the recordings is a controller's"}},
 	})
 	if drawing, err := os.ReadFile(plot); err != nil || !strings.Contains(string(drawing), "<svg") {
-		t.Errorf("the plot: %v %.80s", err, drawing)
+		t.Errorf("plot: got error %v and %.80q, want an SVG document", err, drawing)
 	}
 }
--- a/cmd/barleysail/result_table_test.go
+++ b/cmd/barleysail/result_table_test.go
@@ -25,7 +25,7 @@
 				message = err.Error()
 			}
 			if out.String() != c.want || message != c.err {
-				t.Errorf("printed %q with error %q, want %q with %q", out.String(), message, c.want, c.err)
+				t.Errorf("got output %q and error %q, want %q and %q", out.String(), message, c.want, c.err)
 			}
 		})
 	}
@@ -33,7 +33,7 @@
 
 var errDiskFull = errors.New("disk full")
 
-// limitedWriter fails once it has taken a number of bytes.
+// limitedWriter fails at a write that exceeds the bytes left.
 type limitedWriter struct{ left int }
 
 func (w *limitedWriter) Write(text []byte) (int, error) {
@@ -44,7 +44,7 @@
 	return len(text), nil
 }
 
-// A printer stops at the first error, which flush returns.
+// After a failed write a printer writes nothing more, and flush returns the error.
 func TestPrinterKeepsTheFirstError(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -59,10 +59,10 @@
 			p.println("long line")
 			p.printf("%d\n", 1)
 			if err := p.flush(); !errors.Is(err, errDiskFull) {
-				t.Errorf("%v, want %v", err, errDiskFull)
+				t.Errorf("flush: got error %v, want %v", err, errDiskFull)
 			}
 			if out.left != 5 {
-				t.Errorf("%d bytes are written after the error", 5-out.left)
+				t.Errorf("got %d bytes written after the error, want none", 5-out.left)
 			}
 		})
 	}
--- a/cmd/barleysail/solve_test.go
+++ b/cmd/barleysail/solve_test.go
@@ -9,7 +9,7 @@
 		{"solve", []string{"solve", exampleFleet}, 0,
 			[]string{"class   let in  of addis", "share of a host in the table of"}},
 		{"solve as JSON", []string{"solve", exampleFleet, "--json"}, 0, []string{`"Result": 0.`}},
-		{"solve with doubt", []string{"solve", exampleFleet, "--spread", "0.2", "--worst", "2"}, 0,
+		{"solve under uncertainty", []string{"solve", exampleFleet, "--spread", "0.2", "--worst", "2"}, 0,
 			[]string{"against 2 hosts with 20% less than stated: costs"}},
 		{"solve a missing file", []string{"solve", exampleFleet + "x"}, 1, []string{"no such file"}},
 		{"solve an unreachable controller", []string{"solve", "http://127.0.0.1:1"}, exitUnreachable,
--- a/cmd/barleysail/state_test.go
+++ b/cmd/barleysail/state_test.go
@@ -10,7 +10,7 @@
 	"barleysail/state/statepb"
 )
 
-// writeState writes a state folder as a controller does that stopped a second ago.
+// writeState writes a state folder as a controller leaves it that stopped a second ago, and returns its path.
 func writeState(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "state")
@@ -57,8 +57,8 @@
 		{"after forgetting a host", []string{"state", "check", path}, 0, []string{"1 hosts, 1 proxies, 1 settings"}},
 		{"forget", []string{"state", "forget", path}, 0, []string{"forgotten"}},
 		{"after forgetting", []string{"state", "check", path}, 0, []string{"0 hosts, 0 proxies, 1 settings"}},
-		{"forget settings", []string{"state", "forget", path, "--overrides"}, 0, []string{"forgotten"}},
-		{"after forgetting settings", []string{"state", "check", path}, 0, []string{"0 hosts, 0 proxies, 0 settings"}},
+		{"forget overrides", []string{"state", "forget", path, "--overrides"}, 0, []string{"forgotten"}},
+		{"after forgetting overrides", []string{"state", "check", path}, 0, []string{"0 hosts, 0 proxies, 0 settings"}},
 		{"forget in a missing folder", []string{"state", "forget", path + "x"}, 1, []string{"no such file"}},
 	})
 }
--- a/cmd/barleysail/top_test.go
+++ b/cmd/barleysail/top_test.go
@@ -48,7 +48,7 @@
 	return state
 }
 
-// keyMsg is the message that a key sends, by its name.
+// keyMsg returns the message for a key.
 func keyMsg(key string) tea.KeyMsg {
 	switch key {
 	case "tab":
@@ -61,7 +61,8 @@
 	return tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune(key)}
 }
 
-// The terminal view, driven by keys, in 80 columns: each frame is compared with the golden one.
+// The screens after each key and event are compared with a golden file. No line exceeds the terminal width of 80
+// columns.
 func TestTop(t *testing.T) {
 	state := exampleTopState()
 	queries := 0
@@ -77,7 +78,7 @@
 		fmt.Fprintf(&frames, "--- %s\n%s\n", name, view)
 		for _, line := range strings.Split(view, "\n") {
 			if columns := len([]rune(line)); columns > 80 {
-				t.Errorf("%s: a line of %d columns", name, columns)
+				t.Errorf("%s: got a line of %d columns, want at most 80", name, columns)
 			}
 		}
 	}
@@ -96,7 +97,7 @@
 	update(tea.WindowSizeMsg{Width: 40, Height: 8})
 	addFrame("a small terminal")
 	if _, quit := model.Update(keyMsg("q")); quit == nil || queries != 2 {
-		t.Errorf("q does not end it, or it made %d queries", queries)
+		t.Errorf("after q: got quit command %v and %d queries, want a quit command and 2 queries", quit != nil, queries)
 	}
 	golden.Compare(t, "top", frames.String())
 }
