--- a/cmd/barleysail/top_test.go
+++ b/cmd/barleysail/top_test.go
@@ -91,9 +91,9 @@
 		update(keyMsg(key))
 		addFrame(key)
 	}
-	state.err = errors.New("asking the steward: connection refused")
+	state.err = errors.New("calling the controller: connection refused")
 	update(model.(topModel).query()())
-	addFrame("the steward is gone")
+	addFrame("controller unreachable")
 	update(tea.WindowSizeMsg{Width: 40, Height: 8})
 	addFrame("a small terminal")
 	if _, quit := model.Update(keyMsg("q")); quit == nil || queries != 2 {
