--- a/cmd/barleysail/node.go
+++ b/cmd/barleysail/node.go
@@ -23,7 +23,7 @@
 	reloadBackoff  = 50 * time.Millisecond // between two attempts
 )
 
-var errNoNodeConfig = errors.New(nodeConfigEnv + " is not set, and no --config given")
+var errNoNodeConfig = errors.New("no configuration file: neither --config nor " + nodeConfigEnv + " is set")
 
 func nodeCommand() *cobra.Command {
 	var configFile, logLevel string
@@ -89,5 +89,5 @@
 		lastErr = err
 		time.Sleep(reloadBackoff)
 	}
-	log.Error().Err(lastErr).Msg("the configuration cannot be read again: the old one holds")
+	log.Error().Err(lastErr).Msg("reloading the configuration failed; the current one is kept")
 }
--- a/cmd/barleysail/recording_find.go
+++ b/cmd/barleysail/recording_find.go
@@ -12,7 +12,7 @@
 
 const recordingSuffix = ".day" // suffix of the file names of recordings
 
-var errNoControllerRecording = errors.New("no controller's recording is among them")
+var errNoControllerRecording = errors.New("none of the recordings is a controller's")
 
 // findRecordings returns the recordings at the paths, sorted by name. A path may be a file, or a folder of files with
 // the recordingSuffix.
@@ -76,7 +76,7 @@
 	return err == nil && first.GetProxyStart() != nil, nil
 }
 
-// recordingSet opens all recordings of a scenario or a deployment, once for each pass of a replay.
+// recordingSet opens all recordings of a replay, anew for each of its passes.
 type recordingSet struct {
 	names []string
 	open  []*recordingFile // opened for the current pass
