--- a/cmd/barleysail/compare_output.go
+++ b/cmd/barleysail/compare_output.go
@@ -80,7 +80,8 @@
 	other := r.Changed
 	p.printf("\nthe model, replayed less recorded: %s\n", formatEstimate(r.Comparison.ModelError))
 	p.printf("answers extrapolated, where nothing was seen of the host: %.1f%% and %.1f%%; taken as recorded: %d and %d\n",
-		percentage(one.ExtrapolatedAttempts, one.Attempts), percentage(other.ExtrapolatedAttempts, other.Attempts), one.UnroutedRequests, other.UnroutedRequests)
+		percentage(one.ExtrapolatedAttempts, one.Attempts), percentage(other.ExtrapolatedAttempts, other.Attempts),
+		one.UnroutedRequests, other.UnroutedRequests)
 	p.printf("messages to proxies: %d and %d; mean gap to the best tables: %.4f and %.4f\n\n",
 		r.Comparison.Messages[0], r.Comparison.Messages[1], one.MeanOptimalityGap(), other.MeanOptimalityGap())
 }
