--- a/internal/daemon/api.go
+++ b/internal/daemon/api.go
@@ -34,13 +34,13 @@
 func (a *api) routes() *http1.Mux {
 	mux := &http1.Mux{}
 	get := func(path string, action auth.Action, serve handler) {
-		mux.Handle(http.MethodGet, path, http1.Route{Serve: a.authorizer.authorize(action, serve)})
+		mux.Handle(http.MethodGet, path, http1.Route{Handler: a.authorizer.authorize(action, serve)})
 	}
 	post := func(path string, action auth.Action, serve handler, maxBodyBytes int64) {
 		mux.Handle(http.MethodPost, path, http1.Route{
-			Serve:   a.authorizer.authorize(action, serve),
-			Media:   []string{jsonMediaType},
-			MaxBody: maxBodyBytes,
+			Handler:   a.authorizer.authorize(action, serve),
+			MediaTypes:   []string{jsonMediaType},
+			MaxBodyBytes: maxBodyBytes,
 		})
 	}
 	const serverLimit = 0 // no bound of its own: the server's limit of bodies applies
@@ -48,7 +48,7 @@
 	get("/v1/proxies/{proxy}/tables", auth.Poll, a.pollTables)
 	post("/v1/proxies/{proxy}/tables", auth.Poll, a.pollTables, serverLimit)
 	mux.Handle(http.MethodDelete, "/v1/proxies/{proxy}",
-		http1.Route{Serve: a.authorizer.authorize(auth.Poll, a.disconnect)})
+		http1.Route{Handler: a.authorizer.authorize(auth.Poll, a.disconnect)})
 	post("/v1/proxies/{proxy}/sums", auth.Stats, a.postProxyStats, serverLimit)
 	post("/v1/hosts/{host}/load", auth.Report, a.postLoadReport, maxSmallBodyBytes)
 	get(statePath, auth.Follow, a.statePublisher.serve)
--- a/internal/daemon/authorization.go
+++ b/internal/daemon/authorization.go
@@ -117,9 +117,9 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.usedTokens.Use(wallClockMs(), token, float64(expiry.UnixMilli()), request.Conn) {
+	if !a.usedTokens.Use(wallClockMs(), token, float64(expiry.UnixMilli()), request.ConnectionID) {
 		return id, errTokenReused
 	}
-	request.Until = expiry
+	request.CredentialExpiresAt = expiry
 	return id, nil
 }
--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -21,7 +21,7 @@
 // openCredentials gets the daemon's own SPIFFE credentials from the configured Workload API and applies their renewals
 // until the context ends. It returns the authorization policy and the TLS settings of the HTTP API, which are both nil
 // if no Workload API is configured.
-func (d *Daemon) openCredentials(ctx context.Context) (*auth.Policy, *http1.Secure, error) {
+func (d *Daemon) openCredentials(ctx context.Context) (*auth.Policy, *http1.TLSOptions, error) {
 	policy, err := config.Policy(d.config)
 	settings := d.config.Identity
 	if err != nil || settings.WorkloadApi == "" {
@@ -41,7 +41,7 @@
 		}
 		serverTLS = d.credentials.ServerWithTokens()
 	}
-	return policy, &http1.Secure{TLS: serverTLS, AtOnce: int(*settings.Handshakes), Peer: d.authenticatePeer}, nil
+	return policy, &http1.TLSOptions{Config: serverTLS, MaxHandshakes: int(*settings.Handshakes), Authenticate: d.authenticatePeer}, nil
 }
 
 // logCredentials logs the credentials in use. sameKey says that the renewed credentials have the same key as before.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -210,16 +210,16 @@
 }
 
 // serveAPI serves the HTTP API on the listener.
-func (d *Daemon) serveAPI(policy *auth.Policy, secure *http1.Secure) {
+func (d *Daemon) serveAPI(policy *auth.Policy, secure *http1.TLSOptions) {
 	settings := d.config.Server
 	d.server = http1.NewServer(d.newAPI(policy).routes(), http1.Config{
-		Limits: http1.Limits{Body: int64(*settings.BodyBytes)},
-		Header: milliseconds(*settings.HeaderMs),
-		Body:   milliseconds(*settings.BodyMs),
-		Idle:   milliseconds(*settings.IdleMs),
-		Write:  milliseconds(*settings.WriteMs),
-		Conns:  int(*settings.Connections),
-		Secure: secure,
+		Limits: http1.Limits{BodyBytes: int64(*settings.BodyBytes)},
+		HeaderTimeout: milliseconds(*settings.HeaderMs),
+		BodyTimeout:   milliseconds(*settings.BodyMs),
+		IdleTimeout:   milliseconds(*settings.IdleMs),
+		WriteTimeout:  milliseconds(*settings.WriteMs),
+		MaxConns:  int(*settings.Connections),
+		TLS: secure,
 	})
 	d.servers.Go(func() {
 		if err := d.server.Serve(d.listener); err != nil {
@@ -283,7 +283,7 @@
 // on a second SIGTERM or SIGINT.
 func (d *Daemon) Kill() {
 	d.closeAndLog("listener", d.listener)
-	d.server.Cut()
+	d.server.Close()
 	d.loop.stop()
 	d.close()
 }
@@ -295,7 +295,7 @@
 func (d *Daemon) closeAll() {
 	d.cancel()
 	if d.server != nil {
-		d.server.Cut() // needed after a failed start: Stop and Kill have closed the connections before
+		d.server.Close() // needed after a failed start: Stop and Kill have closed the connections before
 	}
 	if d.loop != nil {
 		d.loop.stop()
--- a/internal/daemon/health_checker.go
+++ b/internal/daemon/health_checker.go
@@ -42,7 +42,7 @@
 	limits := clientLimits(healthCheckBodyBytes)
 	d.healthChecker = &healthChecker{
 		ctx:     ctx,
-		client:  &http1.Client{Limits: limits, Idle: healthCheckIdleConnections},
+		client:  &http1.Client{Limits: limits, MaxIdleConns: healthCheckIdleConnections},
 		path:    settings.Path,
 		timeout: milliseconds(*settings.TimeoutMs),
 		slots:   make(chan struct{}, *settings.AtOnce),
--- a/internal/daemon/http_client.go
+++ b/internal/daemon/http_client.go
@@ -14,7 +14,7 @@
 
 // clientLimits returns the bounds of the responses that an HTTP client of the daemon reads.
 func clientLimits(maxBodyBytes int64) http1.Limits {
-	return http1.Limits{Line: maxResponseLineBytes, Header: maxResponseHeaderBytes, Body: maxBodyBytes}
+	return http1.Limits{LineBytes: maxResponseLineBytes, HeaderBytes: maxResponseHeaderBytes, BodyBytes: maxBodyBytes}
 }
 
 // parseServiceURL parses the URL of a service that the daemon calls, and returns it with the address:port to dial. The
--- a/internal/daemon/request_headers.go
+++ b/internal/daemon/request_headers.go
@@ -81,7 +81,7 @@
 // boundWaitMs returns the wait of a long poll in ms, bounded by the time until the proxy's credentials expire and its
 // connection has to end. The proxy then polls again on a connection with its renewed credentials.
 func boundWaitMs(request *http1.Request, waitMs float64) float64 {
-	retiresAt, ok := request.Retires()
+	retiresAt, ok := request.ConnectionRetiresAt()
 	if !ok {
 		return waitMs
 	}
--- a/internal/daemon/state_publisher.go
+++ b/internal/daemon/state_publisher.go
@@ -144,7 +144,7 @@
 	tags        []string
 	acceptDelta bool
 	deadline    time.Time
-	held        *http1.Held
+	held        *http1.HeldRequest
 
 	mu       sync.Mutex
 	canceled bool
--- a/internal/daemon/table_polls.go
+++ b/internal/daemon/table_polls.go
@@ -51,7 +51,7 @@
 	held := request.Hold(func() { a.loop.cancelPoll(poll.Proxy, id) })
 	deliver := func(response controller.Response) {
 		// The connection's goroutine encodes the body, so that responses to many proxies do not delay the controller.
-		held.Answer(http1.Reply{Make: func() http1.Reply {
+		held.Answer(http1.Reply{Build: func() http1.Reply {
 			return a.signTables(response, tablesReply(response, seconds, preferred))
 		}})
 	}
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -24,7 +24,7 @@
 // Client calls servers, and keeps an idle connection to each. It follows no redirects.
 type Client struct {
 	Limits Limits      // 0: 8 KiB a line, 32 KiB of header, 4 MiB of body
-	Idle   int         // connections kept; 0: 256
+	MaxIdleConns   int         // connections kept; 0: 256
 	TLS    *tls.Config // nil: connections are plain
 
 	mu   sync.Mutex
@@ -71,7 +71,7 @@
 func (c *Client) keep(address string, k *called) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	most := c.Idle
+	most := c.MaxIdleConns
 	if most == 0 {
 		most = 256
 	}
@@ -127,7 +127,7 @@
 // response reads a response, passing over interim ones. It tells whether the connection can go on.
 func (r *reader) response(method string, l Limits) (*Response, bool, error) {
 	for {
-		line, err := r.line(l.Line, 400)
+		line, err := r.line(l.LineBytes, 400)
 		if err != nil {
 			return nil, false, fmt.Errorf("reading the status line: %w", err)
 		}
@@ -158,9 +158,9 @@
 		}
 		if length == 0 && h.Get("Content-Length") == "" { // until the end of the connection
 			again = false
-			a.Body, err = io.ReadAll(io.LimitReader(r.buf, l.Body+1))
-			if int64(len(a.Body)) > l.Body {
-				return nil, false, fmt.Errorf("the body is longer than %d bytes", l.Body)
+			a.Body, err = io.ReadAll(io.LimitReader(r.buf, l.BodyBytes+1))
+			if int64(len(a.Body)) > l.BodyBytes {
+				return nil, false, fmt.Errorf("the body is longer than %d bytes", l.BodyBytes)
 			}
 			return a, again, err
 		}
--- a/internal/http1/held.go
+++ b/internal/http1/held.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Held is a request whose reply comes later. While it waits, the connection has no buffers.
-type Held struct {
+// HeldRequest is a request whose reply comes later. While it waits, the connection has no buffers.
+type HeldRequest struct {
 	conn *conn
 	gone func()
 
@@ -20,12 +20,12 @@
 
 // Hold makes the request one whose reply comes later, by Answer. If the peer goes away before, gone is called
 // from the connection's goroutine.
-func (q *Request) Hold(gone func()) *Held {
-	return &Held{conn: q.conn, gone: gone, answered: make(chan struct{})}
+func (q *Request) Hold(gone func()) *HeldRequest {
+	return &HeldRequest{conn: q.conn, gone: gone, answered: make(chan struct{})}
 }
 
 // Answer gives the reply, from any goroutine, and does not wait for the peer. Only the first one counts.
-func (h *Held) Answer(r Reply) {
+func (h *HeldRequest) Answer(r Reply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.reply != nil {
@@ -40,7 +40,7 @@
 
 // await waits for the reply, and sees when the peer goes away. A byte of a further request is kept for later;
 // from then on the peer's going is not seen until the reply is written.
-func (c *conn) await(h *Held) (Reply, error) {
+func (c *conn) await(h *HeldRequest) (Reply, error) {
 	h.mu.Lock()
 	ready := h.reply != nil
 	if !ready {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -18,21 +18,21 @@
 )
 
 // serve starts a server of a few routes: an echo, a plain page and one that is held until released.
-func serve(t testing.TB, c Config) (addr string, s *Server, held chan *Held, gone chan struct{}) {
-	held, gone = make(chan *Held, 10000), make(chan struct{}, 10000)
+func serve(t testing.TB, c Config) (addr string, s *Server, held chan *HeldRequest, gone chan struct{}) {
+	held, gone = make(chan *HeldRequest, 10000), make(chan struct{}, 10000)
 	m := &Mux{}
-	m.Handle("GET", "/page", Route{Serve: func(*Request) Reply {
+	m.Handle("GET", "/page", Route{Handler: func(*Request) Reply {
 		return Reply{Status: 200, Header: Header("Content-Type", "text/plain"), Body: []byte("page\n")}
 	}})
-	m.Handle("POST", "/echo/{name}", Route{Media: []string{"text/plain"}, Serve: func(q *Request) Reply {
+	m.Handle("POST", "/echo/{name}", Route{MediaTypes: []string{"text/plain"}, Handler: func(q *Request) Reply {
 		return Reply{Status: 200, Body: []byte(q.Params["name"] + ":" + string(q.Body) + "\n")}
 	}})
-	m.Handle("GET", "/held", Route{Serve: func(q *Request) Reply {
+	m.Handle("GET", "/held", Route{Handler: func(q *Request) Reply {
 		h := q.Hold(func() { gone <- struct{}{} })
 		held <- h
 		return Reply{Held: h}
 	}})
-	m.Handle("GET", "/large", Route{Serve: func(*Request) Reply {
+	m.Handle("GET", "/large", Route{Handler: func(*Request) Reply {
 		return Reply{Status: 200, Body: bytes.Repeat([]byte("x"), 32<<20)}
 	}})
 	c.Now = func() time.Time { return time.Unix(0, 0) }
@@ -42,14 +42,14 @@
 		t.Fatal(err)
 	}
 	go s.Serve(l)
-	t.Cleanup(func() { l.Close(); s.Cut() })
+	t.Cleanup(func() { l.Close(); s.Close() })
 	return l.Addr().String(), s, held, gone
 }
 
 // Each line of the trace is a message as sent, with what came back on the socket until it was closed or, after
 // the last answer due, until the test ended it.
 func TestMessages(t *testing.T) {
-	addr, _, _, _ := serve(t, Config{Limits: Limits{Line: 100, Header: 300, Body: 40}})
+	addr, _, _, _ := serve(t, Config{Limits: Limits{LineBytes: 100, HeaderBytes: 300, BodyBytes: 40}})
 	get := "GET /page HTTP/1.1\r\nHost: a\r\n"
 	post := "POST /echo/x HTTP/1.1\r\nHost: a\r\nContent-Type: text/plain\r\n"
 	end := "Connection: close\r\n\r\n"
@@ -103,7 +103,7 @@
 
 // What comes too slowly is answered 408, an idle connection is closed, and one too many gets 503.
 func TestTimes(t *testing.T) {
-	addr, _, _, _ := serve(t, Config{Header: 30 * time.Millisecond, Body: 30 * time.Millisecond, Idle: 30 * time.Millisecond})
+	addr, _, _, _ := serve(t, Config{HeaderTimeout: 30 * time.Millisecond, BodyTimeout: 30 * time.Millisecond, IdleTimeout: 30 * time.Millisecond})
 	for in, want := range map[string]string{"": "^$", "GET /pa": "^HTTP/1.1 408 ", "POST /echo/x HTTP/1.1\r\nHost: a\r\nContent-Type: text/plain\r\nContent-Length: 5\r\n\r\nab": "^HTTP/1.1 408 "} {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -116,7 +116,7 @@
 		}
 		c.Close()
 	}
-	addr, s, held, _ := serve(t, Config{Conns: 2})
+	addr, s, held, _ := serve(t, Config{MaxConns: 2})
 	for range 2 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -132,8 +132,8 @@
 	if text := string(out); !strings.HasPrefix(text, "HTTP/1.1 503 ") || !strings.Contains(text, "Retry-After: 1\r\n") {
 		t.Errorf("a connection too many: %s", text)
 	}
-	if s.Open() != 2 {
-		t.Errorf("%d connections open", s.Open())
+	if s.OpenConnections() != 2 {
+		t.Errorf("%d connections open", s.OpenConnections())
 	}
 }
 
@@ -203,7 +203,7 @@
 
 // A peer that does not read holds up nobody else.
 func TestSlowReader(t *testing.T) {
-	addr, s, _, _ := serve(t, Config{Write: 50 * time.Millisecond})
+	addr, s, _, _ := serve(t, Config{WriteTimeout: 50 * time.Millisecond})
 	slow, _ := net.Dial("tcp", addr)
 	defer slow.Close()
 	io.WriteString(slow, "GET /large HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -214,7 +214,7 @@
 		t.Fatalf("%v, %v", r, err)
 	}
 	r.Body.Close()
-	for s.Open() > 0 { // until the write has timed out and the connection is ended
+	for s.OpenConnections() > 0 { // until the write has timed out and the connection is ended
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -230,8 +230,8 @@
 			t.Fatalf("%+v, %v", r, err)
 		}
 	}
-	if s.Open() != 1 {
-		t.Errorf("%d connections", s.Open())
+	if s.OpenConnections() != 1 {
+		t.Errorf("%d connections", s.OpenConnections())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { <-held; cancel() }()
@@ -258,7 +258,7 @@
 	f.Add([]byte("POST /e HTTP/1.0\r\nContent-Length: 2\r\nConnection: close, x\r\n\r\nhi"))
 	f.Add([]byte("OPTIONS * HTTP/1.1\nHost: a\nExpect: 100-continue\n\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		l := Limits{Line: 200, Header: 500, Body: 100}
+		l := Limits{LineBytes: 200, HeaderBytes: 500, BodyBytes: 100}
 		r := newReader(bytes.NewReader(in))
 		for range 100 {
 			q, err := r.request(l)
@@ -272,7 +272,7 @@
 			if q.Body, err = r.body(q.length, l); err != nil {
 				return
 			}
-			if int64(len(q.Body)) > l.Body {
+			if int64(len(q.Body)) > l.BodyBytes {
 				t.Fatalf("a body of %d bytes", len(q.Body))
 			}
 		}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -19,9 +19,9 @@
 
 // Limits bound what a peer may send.
 type Limits struct {
-	Line   int // bytes of a request or status line, and of a field line
-	Header int // bytes of all field lines
-	Body   int64
+	LineBytes   int // bytes of a request or status line, and of a field line
+	HeaderBytes int // bytes of all field lines
+	BodyBytes   int64
 }
 
 // Request that was read; the body has been read whole.
@@ -33,10 +33,10 @@
 	Minor   int // of HTTP/1
 	Header  textproto.MIMEHeader
 	Body    []byte
-	Remote  string
+	RemoteAddr  string
 	Peer    Peer              // who sent it; nil on a plain connection
-	Conn    int64             // the number of its connection
-	Until   time.Time         // when what proves its sender ends before the connection's own proof; zero: it does not
+	ConnectionID    int64             // the number of its connection
+	CredentialExpiresAt   time.Time         // when what proves its sender ends before the connection's own proof; zero: it does not
 	Params  map[string]string // of the route's path
 	conn    *conn
 	expects bool
@@ -49,9 +49,9 @@
 	Status int
 	Header textproto.MIMEHeader
 	Body   []byte
-	Held   *Held        // in place of all else: the reply comes later
+	Held   *HeldRequest        // in place of all else: the reply comes later
 	Close  bool         // end the connection after it
-	Make   func() Reply // in place of all else: called by the connection's own goroutine before it is written
+	Build   func() Reply // in place of all else: called by the connection's own goroutine before it is written
 }
 
 // Header makes a header from names and values in turn.
@@ -140,15 +140,15 @@
 func (r *reader) header(l Limits) (textproto.MIMEHeader, error) {
 	h, total := textproto.MIMEHeader{}, 0
 	for {
-		line, err := r.line(l.Line, 431)
+		line, err := r.line(l.LineBytes, 431)
 		if err != nil {
 			return nil, err
 		}
 		if line == "" {
 			return h, nil
 		}
-		if total += len(line) + 2; total > l.Header {
-			return nil, bad(431, "the header is longer than %d bytes", l.Header)
+		if total += len(line) + 2; total > l.HeaderBytes {
+			return nil, bad(431, "the header is longer than %d bytes", l.HeaderBytes)
 		}
 		if line[0] == ' ' || line[0] == '\t' {
 			return nil, bad(400, "obs-fold: a field line begins with white space")
@@ -224,8 +224,8 @@
 // body reads a body of a length, or of chunks, up to a limit.
 func (r *reader) body(length int64, l Limits) ([]byte, error) {
 	if length >= 0 {
-		if length > l.Body {
-			return nil, bad(413, "a body of %d bytes, %d at most", length, l.Body)
+		if length > l.BodyBytes {
+			return nil, bad(413, "a body of %d bytes, %d at most", length, l.BodyBytes)
 		}
 		body := make([]byte, length)
 		if _, err := io.ReadFull(r.buf, body); err != nil {
@@ -235,7 +235,7 @@
 	}
 	var body bytes.Buffer
 	for {
-		line, err := r.line(l.Line, 400)
+		line, err := r.line(l.LineBytes, 400)
 		if err != nil {
 			return nil, fmt.Errorf("reading a chunk's size: %w", err)
 		}
@@ -248,8 +248,8 @@
 		if size == 0 {
 			break
 		}
-		if int64(size) > l.Body-int64(body.Len()) {
-			return nil, bad(413, "a body of more than %d bytes", l.Body)
+		if int64(size) > l.BodyBytes-int64(body.Len()) {
+			return nil, bad(413, "a body of more than %d bytes", l.BodyBytes)
 		}
 		if _, err := io.CopyN(&body, r.buf, int64(size)); err != nil {
 			return nil, fmt.Errorf("reading a chunk: %w", err)
@@ -270,10 +270,10 @@
 
 // request reads a request up to its body.
 func (r *reader) request(l Limits) (*Request, error) {
-	line, err := r.line(l.Line, 414)
+	line, err := r.line(l.LineBytes, 414)
 	for range 3 { // empty lines before a request are passed over (RFC 9112, 2.2)
 		if err == nil && line == "" {
-			line, err = r.line(l.Line, 414)
+			line, err = r.line(l.LineBytes, 414)
 		}
 	}
 	if err != nil {
--- a/internal/http1/mux.go
+++ b/internal/http1/mux.go
@@ -10,9 +10,9 @@
 // Route is what serves a method at a path. Media lists the media types its body may have; none: no body is
 // looked at.
 type Route struct {
-	Serve   func(*Request) Reply
-	Media   []string
-	MaxBody int64 // 0: the server's limit
+	Handler   func(*Request) Reply
+	MediaTypes   []string
+	MaxBodyBytes int64 // 0: the server's limit
 }
 
 // Mux finds routes by path; a part in braces stands for any one part.
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -18,28 +18,28 @@
 // Config of a Server. A zero value takes the default that stands beside it.
 type Config struct {
 	Limits
-	Header time.Duration // for the rest of a header once it has begun: 10 s
-	Body   time.Duration // for a body: 20 s
-	Idle   time.Duration // between requests: 2 min
-	Write  time.Duration // for a reply: 10 s
-	Conns  int           // open at once: 20,000
-	Secure *Secure       // nil: connections are plain
-	Now    func() time.Time
+	HeaderTimeout time.Duration // for the rest of a header once it has begun: 10 s
+	BodyTimeout   time.Duration // for a body: 20 s
+	IdleTimeout   time.Duration // between requests: 2 min
+	WriteTimeout  time.Duration // for a reply: 10 s
+	MaxConns      int           // open at once: 20,000
+	TLS        *TLSOptions       // nil: connections are plain
+	Now           func() time.Time
 }
 
-// Secure has connections prove who they are before anything is read.
-type Secure struct {
-	TLS       *tls.Config
-	Peer      func(tls.ConnectionState) (Peer, error) // judges a connection whose handshake is done
-	AtOnce    int                                     // handshakes: 32
-	Handshake time.Duration                           // for a handshake, waiting for its turn aside: 5 s
+// TLSOptions has connections prove who they are before anything is read.
+type TLSOptions struct {
+	Config       *tls.Config
+	Authenticate      func(tls.ConnectionState) (Peer, error) // judges a connection whose handshake is done
+	MaxHandshakes    int                                     // handshakes: 32
+	HandshakeTimeout time.Duration                           // for a handshake, waiting for its turn aside: 5 s
 }
 
 // Peer is who stands at the other end. Each request is judged, not each connection: Still is asked before a request is
 // served and before a held reply is written, and an error ends the connection.
 type Peer interface {
-	Still() error
-	Ends() time.Time
+	Verify() error
+	Expiry() time.Time
 }
 
 func (c Config) filled() Config {
@@ -48,32 +48,32 @@
 			*d = to
 		}
 	}
-	set(&c.Header, 10*time.Second)
-	set(&c.Body, 20*time.Second)
-	set(&c.Idle, 2*time.Minute)
-	set(&c.Write, 10*time.Second)
-	if c.Conns == 0 {
-		c.Conns = 20000
+	set(&c.HeaderTimeout, 10*time.Second)
+	set(&c.BodyTimeout, 20*time.Second)
+	set(&c.IdleTimeout, 2*time.Minute)
+	set(&c.WriteTimeout, 10*time.Second)
+	if c.MaxConns == 0 {
+		c.MaxConns = 20000
 	}
-	if c.Limits.Line == 0 {
-		c.Limits.Line = 8 << 10
+	if c.Limits.LineBytes == 0 {
+		c.Limits.LineBytes = 8 << 10
 	}
-	if c.Limits.Header == 0 {
-		c.Limits.Header = 32 << 10
+	if c.Limits.HeaderBytes == 0 {
+		c.Limits.HeaderBytes = 32 << 10
 	}
-	if c.Limits.Body == 0 {
-		c.Limits.Body = 4 << 20
+	if c.Limits.BodyBytes == 0 {
+		c.Limits.BodyBytes = 4 << 20
 	}
 	if c.Now == nil {
 		c.Now = time.Now
 	}
-	if c.Secure != nil {
-		s := *c.Secure
-		set(&s.Handshake, 5*time.Second)
-		if s.AtOnce == 0 {
-			s.AtOnce = 32
+	if c.TLS != nil {
+		s := *c.TLS
+		set(&s.HandshakeTimeout, 5*time.Second)
+		if s.MaxHandshakes == 0 {
+			s.MaxHandshakes = 32
 		}
-		c.Secure = &s
+		c.TLS = &s
 	}
 	return c
 }
@@ -96,8 +96,8 @@
 // NewServer makes a server of a mux.
 func NewServer(m *Mux, c Config) *Server {
 	s := &Server{config: c.filled(), mux: m, conns: map[*conn]bool{}}
-	if x := s.config.Secure; x != nil {
-		s.handshakes = make(chan struct{}, x.AtOnce)
+	if x := s.config.TLS; x != nil {
+		s.handshakes = make(chan struct{}, x.MaxHandshakes)
 	}
 	s.readers.New = func() any { return newReader(nil) }
 	s.writers.New = func() any { return bufio.NewWriterSize(nil, 4096) }
@@ -136,7 +136,7 @@
 func (s *Server) admit(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closing || len(s.conns) >= s.config.Conns {
+	if s.closing || len(s.conns) >= s.config.MaxConns {
 		return false
 	}
 	s.conns[c] = true
@@ -147,7 +147,7 @@
 }
 
 func (s *Server) turnAway(c *conn) {
-	if s.config.Secure != nil { // it would take a handshake to say so
+	if s.config.TLS != nil { // it would take a handshake to say so
 		c.net.Close()
 		return
 	}
@@ -157,8 +157,8 @@
 	c.net.Close()
 }
 
-// Open counts the connections.
-func (s *Server) Open() int {
+// OpenConnections counts the connections.
+func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -179,14 +179,14 @@
 	case <-ended:
 		return nil
 	case <-ctx.Done():
-		s.Cut()
+		s.Close()
 		<-ended
 		return ctx.Err()
 	}
 }
 
-// Cut closes all connections at once, whatever they hold.
-func (s *Server) Cut() {
+// Close closes all connections at once, whatever they hold.
+func (s *Server) Close() {
 	s.mu.Lock()
 	s.closing = true
 	for c := range s.conns {
@@ -218,42 +218,42 @@
 // secure does the handshake of a connection, when its turn has come: so many at once, that those who hold polls are not
 // kept from their processor when all come back together.
 func (c *conn) secure() error {
-	x := c.server.config.Secure
+	x := c.server.config.TLS
 	c.server.handshakes <- struct{}{}
 	defer func() { <-c.server.handshakes }()
 	if c.server.isClosing() {
 		return net.ErrClosed
 	}
-	t := tls.Server(c.net, x.TLS)
-	ctx, cancel := context.WithTimeout(context.Background(), x.Handshake)
+	t := tls.Server(c.net, x.Config)
+	ctx, cancel := context.WithTimeout(context.Background(), x.HandshakeTimeout)
 	defer cancel()
 	if err := t.HandshakeContext(ctx); err != nil {
 		return err
 	}
-	peer, err := x.Peer(t.ConnectionState())
+	peer, err := x.Authenticate(t.ConnectionState())
 	if err != nil {
 		return err
 	}
 	c.server.mu.Lock()
 	c.net, c.peer = t, peer
-	c.retire = peer.Ends().Add(-time.Duration(lastPart * float64(time.Until(peer.Ends()))))
+	c.retire = peer.Expiry().Add(-time.Duration(lastPart * float64(time.Until(peer.Expiry()))))
 	c.server.mu.Unlock()
 	return nil
 }
 
-// Retires is when the connection that a request came by wants to end, and whether it does.
-func (q *Request) Retires() (at time.Time, ok bool) {
+// ConnectionRetiresAt is when the connection that a request came by wants to end, and whether it does.
+func (q *Request) ConnectionRetiresAt() (at time.Time, ok bool) {
 	if q.conn == nil || q.conn.peer == nil {
 		return time.Time{}, false
 	}
-	if at = q.conn.retire; !q.Until.IsZero() && q.Until.Before(at) {
-		at = q.Until
+	if at = q.conn.retire; !q.CredentialExpiresAt.IsZero() && q.CredentialExpiresAt.Before(at) {
+		at = q.CredentialExpiresAt
 	}
 	return at, true
 }
 
 // still tells whether the peer is still to be served.
-func (c *conn) still() bool { return c.peer == nil || c.peer.Still() == nil }
+func (c *conn) still() bool { return c.peer == nil || c.peer.Verify() == nil }
 
 // Read gives the connection's bytes to the reader.
 func (c *conn) Read(p []byte) (int, error) { return c.net.Read(p) }
@@ -268,7 +268,7 @@
 		s.mu.Unlock()
 		s.done.Done()
 	}()
-	if c.server.config.Secure != nil {
+	if c.server.config.TLS != nil {
 		if c.secure() != nil {
 			return
 		}
@@ -312,7 +312,7 @@
 
 // idle is how long the connection may wait for a request: not past the end of its identity.
 func (c *conn) idle() time.Duration {
-	idle := c.server.config.Idle
+	idle := c.server.config.IdleTimeout
 	if c.peer != nil {
 		idle = min(idle, time.Until(c.retire))
 	}
@@ -324,13 +324,13 @@
 // request serves one request. It tells whether the connection can go on.
 func (c *conn) request() bool {
 	cfg := &c.server.config
-	c.deadline(cfg.Header)
+	c.deadline(cfg.HeaderTimeout)
 	q, err := c.reader.request(cfg.Limits)
 	if err != nil {
 		c.complain(err)
 		return false
 	}
-	q.conn, q.Remote, q.Peer, q.Conn = c, c.net.RemoteAddr().String(), c.peer, c.number
+	q.conn, q.RemoteAddr, q.Peer, q.ConnectionID = c, c.net.RemoteAddr().String(), c.peer, c.number
 	if !c.still() {
 		r := Problem{Status: 401, Detail: "the identity is over, or no longer trusted"}.Reply()
 		r.Close = true
@@ -341,34 +341,34 @@
 		return c.refuse(q, *refusal)
 	}
 	limits := cfg.Limits
-	if route.MaxBody > 0 {
-		limits.Body = route.MaxBody
+	if route.MaxBodyBytes > 0 {
+		limits.BodyBytes = route.MaxBodyBytes
 	}
 	if q.length != 0 {
-		if q.length > limits.Body {
-			p := Problem{Status: 413, Detail: "the body may have " + strconv.FormatInt(limits.Body, 10) + " bytes"}
+		if q.length > limits.BodyBytes {
+			p := Problem{Status: 413, Detail: "the body may have " + strconv.FormatInt(limits.BodyBytes, 10) + " bytes"}
 			return c.refuse(q, p.Reply())
 		}
-		if len(route.Media) > 0 && !slices.Contains(route.Media, mediaOf(q.Header)) {
-			p := Problem{Status: 415, Detail: "the body may be " + strings.Join(route.Media, " or ")}
-			return c.refuse(q, p.Reply("Accept", strings.Join(route.Media, ", ")))
+		if len(route.MediaTypes) > 0 && !slices.Contains(route.MediaTypes, mediaOf(q.Header)) {
+			p := Problem{Status: 415, Detail: "the body may be " + strings.Join(route.MediaTypes, " or ")}
+			return c.refuse(q, p.Reply("Accept", strings.Join(route.MediaTypes, ", ")))
 		}
 		if coding := q.Header.Get("Content-Encoding"); coding != "" && coding != "identity" {
 			return c.refuse(q, Problem{Status: 415, Detail: "no content coding is known"}.Reply("Accept-Encoding", "identity"))
 		}
 		if q.expects {
-			c.net.SetWriteDeadline(time.Now().Add(cfg.Write))
+			c.net.SetWriteDeadline(time.Now().Add(cfg.WriteTimeout))
 			if _, err := io.WriteString(c.net, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 				return false
 			}
 		}
-		c.deadline(cfg.Body)
+		c.deadline(cfg.BodyTimeout)
 		if q.Body, err = c.reader.body(q.length, limits); err != nil {
 			c.complain(err)
 			return false
 		}
 	}
-	r := route.Serve(q)
+	r := route.Handler(q)
 	if r.Held != nil {
 		if r, err = c.await(r.Held); err != nil {
 			return false
@@ -377,8 +377,8 @@
 			return false
 		}
 	}
-	if r.Make != nil {
-		r = r.Make()
+	if r.Build != nil {
+		r = r.Build()
 	}
 	r.Close = r.Close || c.peer != nil && !time.Now().Before(c.retire)
 	return c.write(q, r) == nil && !q.close && !r.Close && !c.server.isClosing()
@@ -426,7 +426,7 @@
 	w := c.server.writers.Get().(*bufio.Writer)
 	w.Reset(c.net)
 	defer func() { w.Reset(nil); c.server.writers.Put(w) }()
-	c.net.SetWriteDeadline(time.Now().Add(c.server.config.Write))
+	c.net.SetWriteDeadline(time.Now().Add(c.server.config.WriteTimeout))
 	w.WriteString("HTTP/1.1 ")
 	w.WriteString(strconv.Itoa(r.Status))
 	w.WriteByte(' ')
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -185,7 +185,7 @@
 
 // Still tells whether the peer is still who it was: its identity is not over, nor its root taken away. It is cheap while
 // neither the roots nor our identity changed.
-func (p *Peer) Still() error {
+func (p *Peer) Verify() error {
 	if !p.source.now().Before(p.Until) {
 		return ErrEnded
 	}
@@ -196,4 +196,4 @@
 }
 
 // Ends is when the connection has to end.
-func (p *Peer) Ends() time.Time { return p.Until }
+func (p *Peer) Expiry() time.Time { return p.Until }
--- a/internal/platform/endpoint_watcher.go
+++ b/internal/platform/endpoint_watcher.go
@@ -62,7 +62,7 @@
 func newEndpointWatcher(log zerolog.Logger, warnings *rateLimitedLog, zoneIndex func(string) (int, bool),
 	deliver func(watchEvent)) *endpointWatcher {
 	return &endpointWatcher{
-		client:     &http1.Client{Idle: 1}, // calls follow each other on one connection
+		client:     &http1.Client{MaxIdleConns: 1}, // calls follow each other on one connection
 		log:        log,
 		warnings:   warnings,
 		zoneIndex:  zoneIndex,
--- a/internal/platform/health_check_test.go
+++ b/internal/platform/health_check_test.go
@@ -87,7 +87,7 @@
 		if script != "" {
 			address = startHost(t, script)
 		}
-		client := &http1.Client{Idle: -1}
+		client := &http1.Client{MaxIdleConns: -1}
 		result, load, err := healthCheck(context.Background(), client, address, 2*lateAnswer-lateAnswer/10)
 		fmt.Fprintf(&trace, "%q: outcome %d, util %.2f, qps %.0f, fine %v\n",
 			script, result, load.Utilization, load.RequestRate, err == nil)
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -130,7 +130,7 @@
 	t.Helper()
 	targets = make(chan string, 100)
 	mux := &http1.Mux{}
-	mux.Handle("GET", endpointListPath, http1.Route{Serve: func(request *http1.Request) http1.Reply {
+	mux.Handle("GET", endpointListPath, http1.Route{Handler: func(request *http1.Request) http1.Reply {
 		targets <- request.Target
 		if request.Query.Get("from") != "" {
 			return http1.Reply{Held: request.Hold(func() {})}
@@ -143,7 +143,7 @@
 	go func() { served <- server.Serve(listener) }()
 	t.Cleanup(func() {
 		mustClose(t, listener)
-		server.Cut()
+		server.Close()
 		if err := receive(t, served); err != nil && !errors.Is(err, net.ErrClosed) {
 			t.Error(err)
 		}
--- a/internal/platform/node.go
+++ b/internal/platform/node.go
@@ -74,7 +74,7 @@
 		clock:            clock.New(),
 		decoder:          newMessageDecoder(config.Settings, balancer),
 		connections:      newConnectionLimiter(config.Limits.connections(healthChecks)),
-		healthClient:     &http1.Client{Idle: noIdleConnections},
+		healthClient:     &http1.Client{MaxIdleConns: noIdleConnections},
 		healthCheckSlots: make(chan struct{}, healthChecks),
 		warnings:         newRateLimitedLog(log, time.Now),
 		events:           make(chan func(), maxQueuedEvents),
