--- a/internal/daemon/api.go
+++ b/internal/daemon/api.go
@@ -38,7 +38,7 @@
 	}
 	post := func(path string, action auth.Action, serve handler, maxBodyBytes int64) {
 		mux.Handle(http.MethodPost, path, http1.Route{
-			Handler:   a.authorizer.authorize(action, serve),
+			Handler:      a.authorizer.authorize(action, serve),
 			MediaTypes:   []string{jsonMediaType},
 			MaxBodyBytes: maxBodyBytes,
 		})
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -23,9 +23,9 @@
 
 // Client calls servers, and keeps an idle connection to each. It follows no redirects.
 type Client struct {
-	Limits Limits      // 0: 8 KiB a line, 32 KiB of header, 4 MiB of body
-	MaxIdleConns   int         // connections kept; 0: 256
-	TLS    *tls.Config // nil: connections are plain
+	Limits       Limits      // 0: 8 KiB a line, 32 KiB of header, 4 MiB of body
+	MaxIdleConns int         // connections kept; 0: 256
+	TLS          *tls.Config // nil: connections are plain
 
 	mu   sync.Mutex
 	idle map[string]*called
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -26,22 +26,22 @@
 
 // Request that was read; the body has been read whole.
 type Request struct {
-	Method  string
-	Target  string // as it was sent
-	Path    string // decoded
-	Query   url.Values
-	Minor   int // of HTTP/1
-	Header  textproto.MIMEHeader
-	Body    []byte
-	RemoteAddr  string
-	Peer    Peer              // who sent it; nil on a plain connection
-	ConnectionID    int64             // the number of its connection
-	CredentialExpiresAt   time.Time         // when what proves its sender ends before the connection's own proof; zero: it does not
-	Params  map[string]string // of the route's path
-	conn    *conn
-	expects bool
-	length  int64 // of the body; -1: chunked
-	close   bool
+	Method              string
+	Target              string // as it was sent
+	Path                string // decoded
+	Query               url.Values
+	Minor               int // of HTTP/1
+	Header              textproto.MIMEHeader
+	Body                []byte
+	RemoteAddr          string
+	Peer                Peer              // who sent it; nil on a plain connection
+	ConnectionID        int64             // the number of its connection
+	CredentialExpiresAt time.Time         // when what proves its sender ends before the connection's own proof; zero: it does not
+	Params              map[string]string // of the route's path
+	conn                *conn
+	expects             bool
+	length              int64 // of the body; -1: chunked
+	close               bool
 }
 
 // Reply to a request. Content-Length, Date and Connection are added as it is written.
@@ -49,9 +49,9 @@
 	Status int
 	Header textproto.MIMEHeader
 	Body   []byte
-	Held   *HeldRequest        // in place of all else: the reply comes later
+	Held   *HeldRequest // in place of all else: the reply comes later
 	Close  bool         // end the connection after it
-	Build   func() Reply // in place of all else: called by the connection's own goroutine before it is written
+	Build  func() Reply // in place of all else: called by the connection's own goroutine before it is written
 }
 
 // Header makes a header from names and values in turn.
--- a/internal/http1/mux.go
+++ b/internal/http1/mux.go
@@ -10,7 +10,7 @@
 // Route is what serves a method at a path. Media lists the media types its body may have; none: no body is
 // looked at.
 type Route struct {
-	Handler   func(*Request) Reply
+	Handler      func(*Request) Reply
 	MediaTypes   []string
 	MaxBodyBytes int64 // 0: the server's limit
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -23,14 +23,14 @@
 	IdleTimeout   time.Duration // between requests: 2 min
 	WriteTimeout  time.Duration // for a reply: 10 s
 	MaxConns      int           // open at once: 20,000
-	TLS        *TLSOptions       // nil: connections are plain
+	TLS           *TLSOptions   // nil: connections are plain
 	Now           func() time.Time
 }
 
 // TLSOptions has connections prove who they are before anything is read.
 type TLSOptions struct {
-	Config       *tls.Config
-	Authenticate      func(tls.ConnectionState) (Peer, error) // judges a connection whose handshake is done
+	Config           *tls.Config
+	Authenticate     func(tls.ConnectionState) (Peer, error) // judges a connection whose handshake is done
 	MaxHandshakes    int                                     // handshakes: 32
 	HandshakeTimeout time.Duration                           // for a handshake, waiting for its turn aside: 5 s
 }
