--- a/client/poll.go
+++ b/client/poll.go
@@ -182,7 +182,7 @@
 func (c *Client) applyTables(poll *pollRequest, response *http.Response, body []byte) error {
 	header := response.Header
 	tag := header.Get("ETag")
-	check := c.signatureCheck(tag, header.Get(tablesig.Field))
+	check := c.signatureCheck(tag, header.Get(tablesig.HeaderName))
 	if response.StatusCode == http.StatusOK {
 		return c.tables.setSnapshot(poll.controller, tag, body, check)
 	}
@@ -212,6 +212,6 @@
 		if sameIncarnation && !isNewer && version != c.newestTag {
 			return fmt.Errorf("the table %s is older than %s", version, c.newestTag)
 		}
-		return tablesig.Check(signature, c.options.Proxy, version, document, c.options.Now(), c.options.VerifySigner)
+		return tablesig.Verify(signature, c.options.Proxy, version, document, c.options.Now(), c.options.VerifySigner)
 	}
 }
--- a/cmd/barleysail/identity_transport.go
+++ b/cmd/barleysail/identity_transport.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return source.Client(func(id spiffeid.ID) error {
+	return source.ClientTLS(func(id spiffeid.ID) error {
 		if id.String() != controllerID {
 			return fmt.Errorf("it is %s, not %s", id, controllerID)
 		}
--- a/internal/daemon/authorization.go
+++ b/internal/daemon/authorization.go
@@ -27,16 +27,16 @@
 
 // authorizer authenticates the sender of each request, and authorizes the requested action by the policy.
 type authorizer struct {
-	policy      *auth.Policy     // nil: all requests are authorized
-	credentials *identity.Source // nil: connections are plain
-	tokens      *identity.Tokens // nil: bearer tokens are not accepted
+	policy      *auth.Policy            // nil: all requests are authorized
+	credentials *identity.Source        // nil: connections are plain
+	tokens      *identity.TokenVerifier // nil: bearer tokens are not accepted
 	loop        *controllerLoop
 
 	mu         sync.Mutex
 	usedTokens *auth.Tokens
 }
 
-func newAuthorizer(policy *auth.Policy, credentials *identity.Source, tokens *identity.Tokens,
+func newAuthorizer(policy *auth.Policy, credentials *identity.Source, tokens *identity.TokenVerifier,
 	loop *controllerLoop) *authorizer {
 	return &authorizer{
 		policy:      policy,
@@ -107,11 +107,11 @@
 	if a.tokens == nil || !strings.EqualFold(scheme, "Bearer") {
 		return spiffeid.ID{}, errNoCredentials
 	}
-	audience, _, err := a.credentials.Own()
+	audience, _, err := a.credentials.Identity()
 	if err != nil {
 		return spiffeid.ID{}, err
 	}
-	id, expiry, err := a.tokens.Judge(strings.TrimSpace(token), audience.String())
+	id, expiry, err := a.tokens.Verify(strings.TrimSpace(token), audience.String())
 	if err != nil {
 		return id, err
 	}
--- a/internal/daemon/bench_helpers_test.go
+++ b/internal/daemon/bench_helpers_test.go
@@ -203,6 +203,6 @@
 	own := newEndpoint("steward", controllerID)
 	proxy := newEndpoint("proxy", trustDomain+"/forwarder/any")
 	acceptAny := func(spiffeid.ID) error { return nil }
-	return openSource(b, proxy).Client(acceptAny),
+	return openSource(b, proxy).ClientTLS(acceptAny),
 		fmt.Sprintf(`workload_api: %q allow { id: "%s/forwarder/*" actions: "poll" }`, own.Address, trustDomain)
 }
--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -33,13 +33,13 @@
 		return nil, nil, err
 	}
 	d.logCredentials(false)
-	d.background.Go(func() { d.credentials.Follow(ctx, d.logCredentials) })
-	serverTLS := d.credentials.Server()
+	d.background.Go(func() { d.credentials.WatchUpdates(ctx, d.logCredentials) })
+	serverTLS := d.credentials.ServerTLS()
 	if settings.Tokens {
-		if d.tokens, err = identity.OpenTokens(firstCtx, settings.WorkloadApi); err != nil {
+		if d.tokens, err = identity.OpenTokenVerifier(firstCtx, settings.WorkloadApi); err != nil {
 			return nil, nil, err
 		}
-		serverTLS = d.credentials.ServerWithTokens()
+		serverTLS = d.credentials.ServerTLSWithTokens()
 	}
 	return policy, &http1.TLSOptions{Config: serverTLS, MaxHandshakes: int(*settings.Handshakes), Authenticate: d.authenticatePeer}, nil
 }
@@ -49,7 +49,7 @@
 	if sameKey {
 		d.log.Warn().Msg("the issuer handed out the same key again: whoever has copied it can prove this identity too")
 	}
-	id, expiry, err := d.credentials.Own()
+	id, expiry, err := d.credentials.Identity()
 	if err != nil {
 		d.log.Error().Err(err).Msg("reading the daemon's credentials failed")
 		return
@@ -61,9 +61,9 @@
 // anonymous: each of its requests has to carry a bearer token. A connection with an invalid certificate is rejected.
 func (d *Daemon) authenticatePeer(state tls.ConnectionState) (http1.Peer, error) {
 	if len(state.PeerCertificates) == 0 {
-		return d.credentials.Anonymous()
+		return d.credentials.AnonymousPeer()
 	}
-	peer, err := d.credentials.Peer(state)
+	peer, err := d.credentials.VerifyPeer(state)
 	if err != nil {
 		d.log.Warn().Err(err).Msg("connection rejected")
 		return nil, err // not peer, since an interface with a nil *identity.Peer is not nil
@@ -77,7 +77,7 @@
 	if d.credentials == nil {
 		return nil
 	}
-	return d.credentials.Client(func(id spiffeid.ID) error {
+	return d.credentials.ClientTLS(func(id spiffeid.ID) error {
 		if id.String() != expectedID {
 			return fmt.Errorf("it is %s, not %s", id, expectedID)
 		}
@@ -97,7 +97,7 @@
 	if credentials == nil {
 		return nil
 	}
-	id, expiry, err := credentials.Own()
+	id, expiry, err := credentials.Identity()
 	if err != nil {
 		return &IdentityReport{Failed: err.Error()}
 	}
--- a/internal/daemon/credentials_test.go
+++ b/internal/daemon/credentials_test.go
@@ -155,7 +155,7 @@
 // runClientAs runs the client library with the certificates of a source.
 func (d *identityDaemon) runClientAs(source *identity.Source, logLine func(string)) (*client.Client, func()) {
 	d.t.Helper()
-	transport := &http.Transport{TLSClientConfig: source.Client(expectID(controllerID))}
+	transport := &http.Transport{TLSClientConfig: source.ClientTLS(expectID(controllerID))}
 	d.t.Cleanup(transport.CloseIdleConnections)
 	return runClient(d.t, client.Options{
 		Controllers:    []string{d.url},
@@ -187,7 +187,7 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var following sync.WaitGroup
-	following.Go(func() { source.Follow(ctx, func(bool) {}) })
+	following.Go(func() { source.WatchUpdates(ctx, func(bool) {}) })
 	t.Cleanup(func() {
 		cancel()
 		awaitGroup(t, "the end of the renewals", waitLimit, &following)
@@ -218,7 +218,7 @@
 		_, _ = io.WriteString(writer, `{"hosts":{"10.0.0.1:80":{"zone":"a"}}}`) // fails where the daemon hung up
 	}
 	server := &http.Server{Handler: http.HandlerFunc(handler), ErrorLog: log.New(io.Discard, "", 0)}
-	serveUntilCleanup(t, server, tls.NewListener(listener, source.Server()))
+	serveUntilCleanup(t, server, tls.NewListener(listener, source.ServerTLS()))
 	eventually(t, "the impostor to be rejected", func() bool {
 		return strings.Contains(d.log.String(), "not "+serviceID)
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,11 +47,11 @@
 	httpClients    []*http1.Client
 	runtimeSockets []runtimeSocket
 	healthChecker  *healthChecker
-	endpoints      *endpointService // nil: the list is a file
-	persister      *persister       // nil: no state is persisted
-	standby        *standbyReplica  // nil: this is no standby
-	credentials    *identity.Source // nil: connections are plain
-	tokens         *identity.Tokens // nil: bearer tokens are not accepted
+	endpoints      *endpointService        // nil: the list is a file
+	persister      *persister              // nil: no state is persisted
+	standby        *standbyReplica         // nil: this is no standby
+	credentials    *identity.Source        // nil: connections are plain
+	tokens         *identity.TokenVerifier // nil: bearer tokens are not accepted
 
 	closeOnce     sync.Once
 	servers       sync.WaitGroup // goroutines that accept connections; closing their listeners ends them
@@ -213,13 +213,13 @@
 func (d *Daemon) serveAPI(policy *auth.Policy, secure *http1.TLSOptions) {
 	settings := d.config.Server
 	d.server = http1.NewServer(d.newAPI(policy).routes(), http1.Config{
-		Limits: http1.Limits{BodyBytes: int64(*settings.BodyBytes)},
+		Limits:        http1.Limits{BodyBytes: int64(*settings.BodyBytes)},
 		HeaderTimeout: milliseconds(*settings.HeaderMs),
 		BodyTimeout:   milliseconds(*settings.BodyMs),
 		IdleTimeout:   milliseconds(*settings.IdleMs),
 		WriteTimeout:  milliseconds(*settings.WriteMs),
-		MaxConns:  int(*settings.Connections),
-		TLS: secure,
+		MaxConns:      int(*settings.Connections),
+		TLS:           secure,
 	})
 	d.servers.Go(func() {
 		if err := d.server.Serve(d.listener); err != nil {
--- a/internal/daemon/health_checker.go
+++ b/internal/daemon/health_checker.go
@@ -81,7 +81,7 @@
 	}
 	load := routing.UnknownLoad
 	if err == nil {
-		load = orca.Parse(response.Header.Get(orca.Field))
+		load = orca.Parse(response.Header.Get(orca.HeaderName))
 	}
 	c.report(host, classifyResult(response, err, timedOut), load)
 }
--- a/internal/daemon/table_signature.go
+++ b/internal/daemon/table_signature.go
@@ -19,7 +19,7 @@
 	if a.credentials == nil || response.Kind == controller.NotModified {
 		return reply
 	}
-	signer, err := a.credentials.Signer()
+	signer, err := a.credentials.TableSigner()
 	if err != nil {
 		return errorReply(err)
 	}
@@ -31,6 +31,6 @@
 	if err != nil {
 		return errorReply(err)
 	}
-	reply.Header.Set(tablesig.Field, signature)
+	reply.Header.Set(tablesig.HeaderName, signature)
 	return reply
 }
--- a/internal/daemon/table_signature_test.go
+++ b/internal/daemon/table_signature_test.go
@@ -60,7 +60,7 @@
 		c.first.CompareAndSwap(nil, &cachedTables{response.Header.Clone(), string(body)})
 	}
 	if c.strip.Load() {
-		response.Header.Del(tablesig.Field)
+		response.Header.Del(tablesig.HeaderName)
 	}
 	return response, nil
 }
@@ -108,14 +108,14 @@
 	endpoint := d.newEndpoint("f1")
 	endpoint.Give(d.sign(forwarderID, time.Hour), []*issuer.Authority{d.authority})
 	source := openSource(t, endpoint)
-	transport := &http.Transport{TLSClientConfig: source.Client(expectID(controllerID))}
+	transport := &http.Transport{TLSClientConfig: source.ClientTLS(expectID(controllerID))}
 	t.Cleanup(transport.CloseIdleConnections)
 	cache := &replayingCache{next: transport}
 	setWeight := func(weight float64) {
 		d.writeHosts(fmt.Sprintf(`hosts { address: "10.0.0.1:80" zone: "a" }
 hosts { address: "10.0.0.2:80" zone: "b" weight: %g }`, weight))
 	}
-	c := d.runSignatureClient(cache, source.Signed(expectID(controllerID)))
+	c := d.runSignatureClient(cache, source.SignerVerifier(expectID(controllerID)))
 	eventually(t, "the tables", func() bool { return c.weight() == 0.5 })
 	setWeight(0.7)
 	eventually(t, "a delta", func() bool { return c.weight() == 0.7 })
@@ -139,7 +139,7 @@
 	c.stop()
 	cache.strip.Store(false)
 
-	c = d.runSignatureClient(cache, source.Signed(expectID(trustDomain+"/steward/two")))
+	c = d.runSignatureClient(cache, source.SignerVerifier(expectID(trustDomain+"/steward/two")))
 	eventually(t, "another controller's table to be rejected", func() bool { return c.rejected.Load() > 0 })
 	if c.weight() != 0 {
 		t.Error("a table of another controller was accepted")
--- a/internal/fake/forwarder.go
+++ b/internal/fake/forwarder.go
@@ -247,7 +247,7 @@
 	}
 	io.Copy(io.Discard, r.Body)
 	r.Body.Close()
-	a := client.Outcome{Metrics: r.Header.Get(orca.Field)}
+	a := client.Outcome{Metrics: r.Header.Get(orca.HeaderName)}
 	if r.StatusCode == http.StatusServiceUnavailable {
 		a.Result, a.Err = client.NeverRan, errors.New(r.Status)
 	} else if r.StatusCode != http.StatusOK {
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -213,7 +213,7 @@
 	load := h.told()
 	h.mu.Unlock()
 	if load != routing.UnknownLoad {
-		w.Header().Set(orca.Field, orca.Format(load))
+		w.Header().Set(orca.HeaderName, orca.Format(load))
 	}
 }
 
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -45,11 +45,11 @@
 	return s, nil
 }
 
-// Follow counts updates until the context ends, and calls changed after each.
+// WatchUpdates counts updates until the context ends, and calls changed after each.
 //
 // again tells that the key is the one of before: an issuer should make a fresh one for each identity, since a key that is
 // kept lets whoever has copied it prove the next identity too. The identity is taken all the same, and signs anew.
-func (s *Source) Follow(ctx context.Context, changed func(again bool)) {
+func (s *Source) WatchUpdates(ctx context.Context, changed func(again bool)) {
 	last := s.key()
 	for {
 		select {
@@ -78,8 +78,8 @@
 // Close gives the source up.
 func (s *Source) Close() error { return s.x.Close() }
 
-// Own is this program's identity, and when it ends.
-func (s *Source) Own() (spiffeid.ID, time.Time, error) {
+// Identity is this program's identity, and when it ends.
+func (s *Source) Identity() (spiffeid.ID, time.Time, error) {
 	v, err := s.x.GetX509SVID()
 	if err != nil {
 		return spiffeid.ID{}, time.Time{}, fmt.Errorf("reading the own identity: %w", err)
@@ -87,8 +87,8 @@
 	return v.ID, v.Certificates[0].NotAfter, nil
 }
 
-// Signer gives a signer of tables by our identity as it is now.
-func (s *Source) Signer() (*tablesig.Signer, error) {
+// TableSigner gives a signer of tables by our identity as it is now.
+func (s *Source) TableSigner() (*tablesig.Signer, error) {
 	rounds := s.rounds.Load()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,8 +106,8 @@
 	return s.signer, nil
 }
 
-// Signed judges the chain of a table's signature: it has to be by a root of ours, and of one whom expect accepts.
-func (s *Source) Signed(expect func(spiffeid.ID) error) func([]*x509.Certificate) error {
+// SignerVerifier judges the chain of a table's signature: it has to be by a root of ours, and of one whom expect accepts.
+func (s *Source) SignerVerifier(expect func(spiffeid.ID) error) func([]*x509.Certificate) error {
 	return func(chain []*x509.Certificate) error {
 		id, _, err := x509svid.Verify(chain, s.x, x509svid.WithTime(s.now()))
 		if err != nil {
@@ -117,8 +117,8 @@
 	}
 }
 
-// Certificate is our identity for a TLS connection, with its key.
-func (s *Source) Certificate() (*tls.Certificate, error) {
+// TLSCertificate is our identity for a TLS connection, with its key.
+func (s *Source) TLSCertificate() (*tls.Certificate, error) {
 	v, err := s.x.GetX509SVID()
 	if err != nil {
 		return nil, fmt.Errorf("reading the own identity: %w", err)
@@ -130,13 +130,13 @@
 	return c, nil
 }
 
-// Server gives the settings of the side that listens. Whom a request is from, Peer tells.
-func (s *Source) Server() *tls.Config {
+// ServerTLS gives the settings of the side that listens. Whom a request is from, Peer tells.
+func (s *Source) ServerTLS() *tls.Config {
 	return strict(tlsconfig.MTLSServerConfig(s.x, s.x, tlsconfig.AuthorizeAny()))
 }
 
-// Client gives the settings of the side that dials, for a server that has to be one of those expected.
-func (s *Source) Client(expect func(spiffeid.ID) error) *tls.Config {
+// ClientTLS gives the settings of the side that dials, for a server that has to be one of those expected.
+func (s *Source) ClientTLS(expect func(spiffeid.ID) error) *tls.Config {
 	return strict(tlsconfig.MTLSClientConfig(s.x, s.x, func(id spiffeid.ID, _ [][]*x509.Certificate) error { return expect(id) }))
 }
 
@@ -149,25 +149,25 @@
 
 // Peer is who stands at the other end of a connection.
 type Peer struct {
-	ID     spiffeid.ID
-	Until  time.Time // the earlier end of its identity and, for a proof of ours, of our own
-	certs  []*x509.Certificate
-	rounds int64 // of the source, when it was last judged
-	source *Source
+	ID        spiffeid.ID
+	ExpiresAt time.Time // the earlier end of its identity and, for a proof of ours, of our own
+	certs     []*x509.Certificate
+	rounds    int64 // of the source, when it was last judged
+	source    *Source
 }
 
-// ErrEnded says that an identity is over.
-var ErrEnded = errors.New("the identity is over")
+// ErrExpired says that an identity is over.
+var ErrExpired = errors.New("the identity is over")
 
-// Peer judges the other end of a connection whose handshake is done.
-func (s *Source) Peer(state tls.ConnectionState) (*Peer, error) {
+// VerifyPeer judges the other end of a connection whose handshake is done.
+func (s *Source) VerifyPeer(state tls.ConnectionState) (*Peer, error) {
 	p := &Peer{certs: state.PeerCertificates, source: s}
 	if err := p.judge(); err != nil {
 		return nil, err
 	}
-	p.Until = p.certs[0].NotAfter
-	if _, own, err := s.Own(); err == nil && own.Before(p.Until) {
-		p.Until = own
+	p.ExpiresAt = p.certs[0].NotAfter
+	if _, own, err := s.Identity(); err == nil && own.Before(p.ExpiresAt) {
+		p.ExpiresAt = own
 	}
 	return p, nil
 }
@@ -186,8 +186,8 @@
 // Still tells whether the peer is still who it was: its identity is not over, nor its root taken away. It is cheap while
 // neither the roots nor our identity changed.
 func (p *Peer) Verify() error {
-	if !p.source.now().Before(p.Until) {
-		return ErrEnded
+	if !p.source.now().Before(p.ExpiresAt) {
+		return ErrExpired
 	}
 	if len(p.certs) > 0 && p.rounds != p.source.rounds.Load() {
 		return p.judge()
@@ -196,4 +196,4 @@
 }
 
 // Ends is when the connection has to end.
-func (p *Peer) Expiry() time.Time { return p.Until }
+func (p *Peer) Expiry() time.Time { return p.ExpiresAt }
--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -15,8 +15,8 @@
 	"barleysail/routing"
 )
 
-// Field is the name of the header field.
-const Field = "endpoint-load-metrics"
+// HeaderName is the name of the header field.
+const HeaderName = "endpoint-load-metrics"
 
 // names of the metrics, as the field spells them.
 const (
--- a/internal/rehearse/day.go
+++ b/internal/rehearse/day.go
@@ -294,7 +294,7 @@
 				if err != nil {
 					return fmt.Errorf("giving a forwarder its identity: %w", err)
 				}
-				set.TLS, set.Signed = secure, source.Signed(aSteward)
+				set.TLS, set.Signed = secure, source.SignerVerifier(aSteward)
 			}
 			for _, t := range d.script.Traffic {
 				k := classes[t.Class]
--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return s, s.Client(aSteward), nil
+	return s, s.ClientTLS(aSteward), nil
 }
 
 // identify begins the day's identities.
@@ -198,7 +198,7 @@
 		c := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13,
 			InsecureSkipVerify: true, // an impostor does not mind whom he calls
 			GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-				s, _ := v.Certificate()
+				s, _ := v.TLSCertificate()
 				return s, nil
 			}}}}
 		go d.impostor(ctx, c, victim.Name(), victim.Zone())
--- a/internal/tablesig/tablesig.go
+++ b/internal/tablesig/tablesig.go
@@ -23,8 +23,8 @@
 	"github.com/gowebpki/jcs"
 )
 
-// Field is the header field that carries a signature: exp=SECONDS; jws=COMPACT, the second part of the JWS empty.
-const Field = "Table-Signature"
+// HeaderName is the header field that carries a signature: exp=SECONDS; jws=COMPACT, the second part of the JWS empty.
+const HeaderName = "Table-Signature"
 
 // algorithms that are taken.
 var algorithms = []jose.SignatureAlgorithm{jose.ES256, jose.ES384, jose.RS256}
@@ -113,9 +113,9 @@
 // ErrUnsigned says that a table has no signature.
 var ErrUnsigned = errors.New("the table is not signed")
 
-// Check tells what is wrong with a proxy's whole document under a tag, if anything. judge verifies the signer's chain and
+// Verify tells what is wrong with a proxy's whole document under a tag, if anything. judge verifies the signer's chain and
 // tells whether he is one's own steward.
-func Check(field, proxy, tag string, doc []byte, now time.Time, judge func(chain []*x509.Certificate) error) error {
+func Verify(field, proxy, tag string, doc []byte, now time.Time, judge func(chain []*x509.Certificate) error) error {
 	if field == "" {
 		return ErrUnsigned
 	}
--- a/internal/tablesig/tablesig_test.go
+++ b/internal/tablesig/tablesig_test.go
@@ -84,7 +84,7 @@
 			{"without an algorithm", "exp=1060; jws=eyJhbGciOiJub25lIn0..", "p", "L-7", doc, now, cert, "reading"},
 			{"no document", field, "p", "L-7", "{", now, cert, "reading"},
 		} {
-			err := Check(x.field, x.proxy, x.tag, []byte(x.doc), x.at, judge(x.by))
+			err := Verify(x.field, x.proxy, x.tag, []byte(x.doc), x.at, judge(x.by))
 			if (x.why == "") != (err == nil) || err != nil && !strings.Contains(err.Error(), x.why) {
 				t.Errorf("%s: %v", x.what, err)
 			}
@@ -111,7 +111,7 @@
 	f.Add("exp=2000; jws=eyJhbGciOiJFUzI1NiIsIng1YyI6WyJBQUFBIl19..AAAA", `{"proxy":"p","tables":{"sheet":{}}}`)
 	f.Add("exp=1; jws=..", `{}`)
 	f.Fuzz(func(t *testing.T, field, doc string) {
-		if Check(field, "p", "L-1", []byte(doc), time.Unix(1000, 0), func([]*x509.Certificate) error { return nil }) == nil {
+		if Verify(field, "p", "L-1", []byte(doc), time.Unix(1000, 0), func([]*x509.Certificate) error { return nil }) == nil {
 			t.Errorf("taken: %q %q", field, doc)
 		}
 	})
@@ -136,7 +136,7 @@
 	doc := append(append([]byte(`{"proxy":"p","tables":`), tables...), '}')
 	b.ResetTimer()
 	for range b.N {
-		if err := Check(field, "p", "L-1", doc, time.Unix(1000, 0), func([]*x509.Certificate) error { return nil }); err != nil {
+		if err := Verify(field, "p", "L-1", doc, time.Unix(1000, 0), func([]*x509.Certificate) error { return nil }); err != nil {
 			b.Fatal(err)
 		}
 	}
