--- a/cmd/barleysail/compare.go
+++ b/cmd/barleysail/compare.go
@@ -167,7 +167,7 @@
 // controller's recording.
 func (c *settingsComparison) setting(settings *configpb.Config, change configChange) replay.Setting {
 	setting := replay.Setting{
-		Figures: config.Rules(settings, c.collapseMs),
+		Figures: config.RuleLimits(settings, c.collapseMs),
 		Probes:  *settings.Probes.TimeoutMs,
 		Make: func(start *recordpb.Start) (*controller.Controller, error) {
 			recorded, err := config.Parse(recordedConfig, []byte(start.Config))
@@ -178,7 +178,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return config.NewController(config.Of(changed, start.Format), start.Life, start.Seed), nil
+			return config.NewController(config.ForRecordingFormat(changed, start.Format), start.Life, start.Seed), nil
 		},
 	}
 	for _, class := range settings.Classes {
--- a/cmd/barleysail/config.go
+++ b/cmd/barleysail/config.go
@@ -46,12 +46,12 @@
 	if err != nil {
 		return "", fmt.Errorf("reading the host list: %w", err)
 	}
-	endpoints, err := config.Hosts(file, text)
+	endpoints, err := config.ParseHosts(file, text)
 	if err != nil {
 		return "", err
 	}
 	if err := config.NewController(settings, "check", 1).SetEndpoints(1, endpoints); err != nil {
-		return "", config.Refused(file, text, err)
+		return "", config.LocateEndpointError(file, text, err)
 	}
 	return fmt.Sprintf("%d hosts", len(endpoints)), nil
 }
@@ -69,7 +69,7 @@
 		if err := p.flush(); err != nil {
 			return err
 		}
-		return config.MayStart(settings)
+		return config.CheckPlaintext(settings)
 	}
 	for _, rule := range policy.Rules() {
 		p.println(rule)
--- a/cmd/barleysail/recording_rebuild.go
+++ b/cmd/barleysail/recording_rebuild.go
@@ -28,5 +28,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return config.NewController(config.Of(settings, start.Format), start.Life, start.Seed), nil
+	return config.NewController(config.ForRecordingFormat(settings, start.Format), start.Life, start.Seed), nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -313,8 +313,8 @@
 	return auth.NewPolicy(rules...), nil
 }
 
-// MayStart refuses a steward that would speak plain without its configuration saying so, or beyond loopback.
-func MayStart(c *configpb.Config) error {
+// CheckPlaintext refuses a steward that would speak plain without its configuration saying so, or beyond loopback.
+func CheckPlaintext(c *configpb.Config) error {
 	if c.Identity.WorkloadApi != "" {
 		return nil
 	}
@@ -346,8 +346,8 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-// Hosts reads a list file's text. Zones are checked by the steward, which names the entry.
-func Hosts(file string, text []byte) ([]controller.Endpoint, error) {
+// ParseHosts reads a list file's text. Zones are checked by the steward, which names the entry.
+func ParseHosts(file string, text []byte) ([]controller.Endpoint, error) {
 	l := &configpb.HostList{}
 	if err := prototext.Unmarshal(text, l); err != nil {
 		return nil, wrong(file, err)
@@ -382,8 +382,8 @@
 	return entries, f.err
 }
 
-// Intake gives the limits of what comes in.
-func Intake(c *configpb.Config) intake.Limits {
+// IngestLimits gives the limits of what comes in.
+func IngestLimits(c *configpb.Config) intake.Limits {
 	l, n := intake.DefaultLimits(), c.Intake
 	l.MaxQueued, l.MaxPerRound, l.TrustAll = int(*n.Waiting), int(*n.RoundLines), !*n.Doubt
 	l.FullWeightMs, l.HalfLifeMs, l.MaxAgeMs = *n.FreshMs, *n.HalfLifeMs, *n.OldestMs
@@ -391,8 +391,8 @@
 	return l
 }
 
-// Of gives a configuration as stewards of a recording's format went by it: before format 4 they believed load reports.
-func Of(c *configpb.Config, format int32) *configpb.Config {
+// ForRecordingFormat gives a configuration as stewards of a recording's format went by it: before format 4 they believed load reports.
+func ForRecordingFormat(c *configpb.Config, format int32) *configpb.Config {
 	if format < 4 {
 		c.Intake.Doubt = proto.Bool(false)
 	}
@@ -419,7 +419,7 @@
 		routing.Objective{TotalWeight: *c.Goal.Whole, WorstClassWeight: *c.Goal.WorstClass, HealthCheckCost: *c.Goal.ProbePrice},
 		controller.Settings{MinRoundIntervalMs: *c.Polls.StepMs, MaxPollWaitMs: *c.Polls.WaitMostMs, MinFirstPollWaitMs: *c.Polls.FirstWaitMs,
 			SessionTimeoutMs: *c.Polls.LeaveAfterMs, RemovedHostRetentionMs: *c.Polls.ForgetAfterMs, VersionHistory: int(*c.Polls.History)})
-	s.SetIngestLimits(Intake(c))
+	s.SetIngestLimits(IngestLimits(c))
 	if c.Solved.On {
 		s.EnableSolver(*c.Solved.EveryMs, *c.Solved.LeastGain)
 	}
--- a/internal/config/locate.go
+++ b/internal/config/locate.go
@@ -86,8 +86,8 @@
 	return 1
 }
 
-// Refused words a steward's refusal of a list file's entry with file and line.
-func Refused(file string, text []byte, err error) error {
+// LocateEndpointError words a steward's refusal of a list file's entry with file and line.
+func LocateEndpointError(file string, text []byte, err error) error {
 	var field *controller.FieldError
 	if !errors.As(err, &field) {
 		return fmt.Errorf("%s: %w", file, err)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -63,7 +63,7 @@
 // version is reported in the status. The error is the first one of opening a file, a socket, the credentials or the
 // state folder, or of reading the endpoint list; nothing is left running then.
 func Start(cfg *configpb.Config, version string, log zerolog.Logger) (*Daemon, error) {
-	if err := config.MayStart(cfg); err != nil {
+	if err := config.CheckPlaintext(cfg); err != nil {
 		return nil, err
 	}
 	incarnation, seed, err := newIncarnation(cfg.Seed)
--- a/internal/daemon/endpoint_file.go
+++ b/internal/daemon/endpoint_file.go
@@ -45,7 +45,7 @@
 		return nil
 	}
 	f.lastText = text
-	endpoints, err := config.Hosts(f.path, text)
+	endpoints, err := config.ParseHosts(f.path, text)
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 		return fmt.Errorf("%s: no host is listed", f.path)
 	}
 	if err := f.publish(endpoints); err != nil {
-		return config.Refused(f.path, text, err)
+		return config.LocateEndpointError(f.path, text, err)
 	}
 	f.log.Info().Int("hosts", len(endpoints)).Msg("endpoint list loaded")
 	return nil
--- a/internal/record/former_test.go
+++ b/internal/record/former_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return config.NewController(config.Of(settings, start.Format), start.Life, start.Seed), nil
+	return config.NewController(config.ForRecordingFormat(settings, start.Format), start.Life, start.Seed), nil
 }
 
 // A recording of the former daemon can be read to its clean end, and holds the restored state.
--- a/internal/rehearse/day.go
+++ b/internal/rehearse/day.go
@@ -178,7 +178,7 @@
 
 // figures are the rules' figures by the configuration.
 func (d *day) figures() rules.Limits {
-	return config.Rules(d.config, d.script.FallMs)
+	return config.RuleLimits(d.config, d.script.FallMs)
 }
 
 func (d *day) begin() error {
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := replay.Setting{Make: build, Figures: config.Rules(c, 3000), Probes: 250, Classes: []controller.RequestClass{
+	set := replay.Setting{Make: build, Figures: config.RuleLimits(c, 3000), Probes: 250, Classes: []controller.RequestClass{
 		{Name: "sheet", RequestClass: routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 2500, PriorityWeight: 3}},
 		{Name: "finish", RequestClass: routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1200, PriorityWeight: 9}}}}
 	o, err := replay.Replay(open, set)
