--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -14,120 +14,131 @@
 	"time"
 )
 
-// Response to a request of a Client.
+// defaultMaxIdleConns is the limit of idle connections where Client.MaxIdleConns is 0.
+const defaultMaxIdleConns = 256
+
+// Response is the response to a request of a Client.
 type Response struct {
 	Status int
 	Header textproto.MIMEHeader
 	Body   []byte
 }
 
-// Client calls servers, and keeps an idle connection to each. It follows no redirects.
+// Client sends requests and keeps at most one idle connection to each address. It does not follow redirects. It is
+// safe for concurrent use.
 type Client struct {
-	Limits       Limits      // 0: 8 KiB a line, 32 KiB of header, 4 MiB of body
-	MaxIdleConns int         // connections kept; 0: 256
+	Limits       Limits      // of responses; 0: the defaults of Config
+	MaxIdleConns int         // idle connections that are kept, to all addresses; 0: 256, below 0: none
 	TLS          *tls.Config // nil: connections are plain
 
 	mu   sync.Mutex
-	idle map[string]*called
+	idle map[string]*clientConn // by address
 }
 
-type called struct {
-	net    net.Conn
-	reader *reader
+type clientConn struct {
+	netConn net.Conn
+	reader  *messageReader
 }
 
-// Call sends a request without a body to address, and reads the response; the context's deadline holds for
-// all of it. An idle connection that turns out to be closed is replaced once.
-func (c *Client) Call(ctx context.Context, method, address, target string, h textproto.MIMEHeader) (*Response, error) {
-	limits := Config{Limits: c.Limits}.filled().Limits
-	if k := c.take(address); k != nil {
-		r, err := c.exchange(ctx, k, method, address, target, h, limits)
+// Call sends a request without a body to address and reads the response, until the context ends. If the exchange fails
+// on an idle connection, which the server may have closed, it is repeated once on a new connection.
+func (c *Client) Call(
+	ctx context.Context, method, address, target string, header textproto.MIMEHeader,
+) (*Response, error) {
+	limits := Config{Limits: c.Limits}.withDefaults().Limits
+	if conn := c.takeIdle(address); conn != nil {
+		response, err := c.exchange(ctx, conn, method, address, target, header, limits)
 		if err == nil || ctx.Err() != nil {
-			return r, err
+			return response, err
 		}
 	}
-	var d net.Dialer
-	var nc net.Conn
+	var dialer net.Dialer
+	var netConn net.Conn
 	var err error
 	if c.TLS != nil {
-		nc, err = (&tls.Dialer{NetDialer: &d, Config: c.TLS}).DialContext(ctx, "tcp", address)
+		netConn, err = (&tls.Dialer{NetDialer: &dialer, Config: c.TLS}).DialContext(ctx, "tcp", address)
 	} else {
-		nc, err = d.DialContext(ctx, "tcp", address)
+		netConn, err = dialer.DialContext(ctx, "tcp", address)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return c.exchange(ctx, &called{nc, newReader(nc)}, method, address, target, h, limits)
+	return c.exchange(ctx, &clientConn{netConn, newMessageReader(netConn)}, method, address, target, header, limits)
 }
 
-func (c *Client) take(address string) *called {
+// takeIdle returns the idle connection to an address and removes it from the idle ones; nil if there is none.
+func (c *Client) takeIdle(address string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.idle[address]
+	conn := c.idle[address]
 	delete(c.idle, address)
-	return k
+	return conn
 }
 
-func (c *Client) keep(address string, k *called) {
+// putIdle keeps a connection for the next request, or closes it if there is one already or too many are idle.
+func (c *Client) putIdle(address string, conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	most := c.MaxIdleConns
-	if most == 0 {
-		most = 256
+	maxIdle := c.MaxIdleConns
+	if maxIdle == 0 {
+		maxIdle = defaultMaxIdleConns
 	}
 	if c.idle == nil {
-		c.idle = map[string]*called{}
+		c.idle = map[string]*clientConn{}
 	}
-	if _, other := c.idle[address]; other || len(c.idle) >= most {
-		k.net.Close()
+	if _, ok := c.idle[address]; ok || len(c.idle) >= maxIdle {
+		conn.netConn.Close()
 		return
 	}
-	c.idle[address] = k
+	c.idle[address] = conn
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.idle {
-		k.net.Close()
+	for _, conn := range c.idle {
+		conn.netConn.Close()
 	}
 	c.idle = nil
 }
 
-func (c *Client) exchange(ctx context.Context, k *called, method, address, target string, h textproto.MIMEHeader,
-	l Limits) (r *Response, err error) {
-	stop := context.AfterFunc(ctx, func() { k.net.SetDeadline(time.Unix(1, 0)) })
-	again := false
+// exchange sends a request on a connection and reads the response. Afterwards the connection is idle or closed.
+func (c *Client) exchange(ctx context.Context, conn *clientConn, method, address, target string,
+	header textproto.MIMEHeader, limits Limits) (response *Response, err error) {
+	stop := context.AfterFunc(ctx, func() { conn.netConn.SetDeadline(pastDeadline) })
+	reusable := false
 	defer func() {
 		if !stop() && err == nil {
-			again = false // the deadline passed just now
+			reusable = false // the context has just ended, so the connection's deadline is in the past
 		}
-		if err == nil && again && k.reader.buf.Buffered() == 0 { // what is left over would be taken for the next answer
-			c.keep(address, k)
+		// Bytes after the response would be read as the next response.
+		if err == nil && reusable && conn.reader.buf.Buffered() == 0 {
+			c.putIdle(address, conn)
 		} else {
-			k.net.Close()
+			conn.netConn.Close()
 		}
 	}()
-	w := bufio.NewWriter(k.net)
+	w := bufio.NewWriter(conn.netConn)
 	fmt.Fprintf(w, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, address)
-	for name, values := range h {
-		for _, v := range values {
-			fmt.Fprintf(w, "%s: %s\r\n", name, v)
+	for name, values := range header {
+		for _, value := range values {
+			fmt.Fprintf(w, "%s: %s\r\n", name, value)
 		}
 	}
 	io.WriteString(w, "\r\n")
 	if err := w.Flush(); err != nil {
 		return nil, fmt.Errorf("sending the request: %w", err)
 	}
-	r, again, err = k.reader.response(method, l)
-	return r, err
+	response, reusable, err = conn.reader.readResponse(method, limits)
+	return response, err
 }
 
-// response reads a response, passing over interim ones. It tells whether the connection can go on.
-func (r *reader) response(method string, l Limits) (*Response, bool, error) {
+// readResponse reads a response and skips interim ones (1xx). It also returns whether the connection can be used for
+// another request.
+func (r *messageReader) readResponse(method string, limits Limits) (*Response, bool, error) {
 	for {
-		line, err := r.line(l.LineBytes, 400)
+		line, err := r.readLine(limits.LineBytes, 400)
 		if err != nil {
 			return nil, false, fmt.Errorf("reading the status line: %w", err)
 		}
@@ -137,34 +148,37 @@
 		if err != nil || len(digits) != 3 || !strings.HasPrefix(version, "HTTP/1.") {
 			return nil, false, fmt.Errorf("%.60q is no status line", line)
 		}
-		h, err := r.header(l)
+		header, err := r.readHeader(limits)
 		if err != nil {
 			return nil, false, fmt.Errorf("reading the header: %w", err)
 		}
 		if status >= 100 && status < 200 {
 			continue
 		}
-		a := &Response{Status: status, Header: h}
-		again := version == "HTTP/1.1"
-		for _, o := range list(h, "Connection") {
-			again = again && o != "close"
+		response := &Response{Status: status, Header: header}
+		reusable := version == "HTTP/1.1"
+		for _, option := range listMembers(header, "Connection") {
+			reusable = reusable && option != "close"
 		}
 		if method == "HEAD" || status == 204 || status == 304 {
-			return a, again, nil
+			return response, reusable, nil
 		}
-		length, err := framing(h)
+		length, err := bodyLength(header)
 		if err != nil {
 			return nil, false, err
 		}
-		if length == 0 && h.Get("Content-Length") == "" { // until the end of the connection
-			again = false
-			a.Body, err = io.ReadAll(io.LimitReader(r.buf, l.BodyBytes+1))
-			if int64(len(a.Body)) > l.BodyBytes {
-				return nil, false, fmt.Errorf("the body is longer than %d bytes", l.BodyBytes)
+		if length == 0 && header.Get("Content-Length") == "" { // the body ends with the connection
+			reusable = false
+			response.Body, err = io.ReadAll(io.LimitReader(r.buf, limits.BodyBytes+1))
+			if int64(len(response.Body)) > limits.BodyBytes {
+				return nil, false, fmt.Errorf("the body is longer than %d bytes", limits.BodyBytes)
 			}
-			return a, again, err
+			return response, reusable, err
 		}
-		a.Body, err = r.body(length, l)
-		return a, again, err
+		response.Body, err = r.readBody(length, limits)
+		return response, reusable, err
 	}
 }
+
+// pastDeadline is a deadline in the past: as a connection's deadline it ends pending reads and writes.
+var pastDeadline = time.Unix(1, 0)
--- a/internal/http1/held.go
+++ b/internal/http1/held.go
@@ -7,55 +7,58 @@
 	"time"
 )
 
-// HeldRequest is a request whose reply comes later. While it waits, the connection has no buffers.
+// HeldRequest is a request, such as a long poll, whose reply comes later. While it waits, its connection has no
+// buffers.
 type HeldRequest struct {
-	conn *conn
-	gone func()
+	conn         *conn
+	onDisconnect func()
 
 	mu       sync.Mutex
-	reply    *Reply
-	awaited  bool
+	reply    *Reply // nil: none yet
+	awaited  bool   // the connection's goroutine waits in awaitReply
 	answered chan struct{}
 }
 
-// Hold makes the request one whose reply comes later, by Answer. If the peer goes away before, gone is called
-// from the connection's goroutine.
-func (q *Request) Hold(gone func()) *HeldRequest {
-	return &HeldRequest{conn: q.conn, gone: gone, answered: make(chan struct{})}
+// Hold defers the reply to the request until HeldRequest.Answer. If the peer disconnects before, the connection's
+// goroutine calls onDisconnect.
+func (r *Request) Hold(onDisconnect func()) *HeldRequest {
+	return &HeldRequest{conn: r.conn, onDisconnect: onDisconnect, answered: make(chan struct{})}
 }
 
-// Answer gives the reply, from any goroutine, and does not wait for the peer. Only the first one counts.
-func (h *HeldRequest) Answer(r Reply) {
+// Answer sets the reply. It may be called from any goroutine and does not wait until the reply is written. Only the
+// first call has an effect.
+func (h *HeldRequest) Answer(reply Reply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.reply != nil {
 		return
 	}
-	h.reply = &r
+	h.reply = &reply
 	close(h.answered)
 	if h.awaited {
-		h.conn.net.SetReadDeadline(time.Unix(1, 0)) // wakes the goroutine that waits for the peer
+		h.conn.netConn.SetReadDeadline(pastDeadline) // wakes awaitReply, which reads from the connection
 	}
 }
 
-// await waits for the reply, and sees when the peer goes away. A byte of a further request is kept for later;
-// from then on the peer's going is not seen until the reply is written.
-func (c *conn) await(h *HeldRequest) (Reply, error) {
+// awaitReply waits for the reply to a held request and detects in the meantime that the peer disconnects. If the peer
+// sends another request, its first byte is buffered, and from then on a disconnect is not detected until the reply is
+// written.
+func (c *conn) awaitReply(h *HeldRequest) (Reply, error) {
 	h.mu.Lock()
 	ready := h.reply != nil
 	if !ready {
 		h.awaited = true
-		c.net.SetReadDeadline(time.Time{})
+		c.netConn.SetReadDeadline(time.Time{})
 	}
 	h.mu.Unlock()
 	if !ready && c.reader.buf.Buffered() == 0 {
-		c.release()
-		var b [1]byte
-		n, err := c.net.Read(b[:])
+		c.releaseReader()
+		var firstByte [1]byte
+		n, err := c.netConn.Read(firstByte[:])
 		if n > 0 {
-			c.attach(b[0])
+			c.attachReader(firstByte[0])
 		} else if timeout := net.Error(nil); !errors.As(err, &timeout) || !timeout.Timeout() {
-			h.gone()
+			h.onDisconnect()
 			return Reply{}, err
 		}
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -259,17 +259,17 @@
 	f.Add([]byte("OPTIONS * HTTP/1.1\nHost: a\nExpect: 100-continue\n\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		l := Limits{LineBytes: 200, HeaderBytes: 500, BodyBytes: 100}
-		r := newReader(bytes.NewReader(in))
+		r := newMessageReader(bytes.NewReader(in))
 		for range 100 {
-			q, err := r.request(l)
+			q, err := r.readRequest(l)
 			if err != nil {
 				return
 			}
-			if !methods[q.Method] || q.Path == "" || len(q.Header.Values("Host")) > 1 {
+			if !knownMethods[q.Method] || q.Path == "" || len(q.Header.Values("Host")) > 1 {
 				t.Fatalf("taken: %+v", q)
 			}
 			(&Mux{}).find(q)
-			if q.Body, err = r.body(q.length, l); err != nil {
+			if q.Body, err = r.readBody(q.bodyLength, l); err != nil {
 				return
 			}
 			if int64(len(q.Body)) > l.BodyBytes {
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,6 +1,6 @@
-// Package http1 is an HTTP/1.1 server and client on net/textproto over net, by RFC 9110 (semantics) and RFC
-// 9112 (syntax and connections). It is made for many long polls: a held request costs a goroutine and no
-// buffers. It serves whole bodies, no streams, no trailers, no upgrades.
+// Package http1 is an HTTP/1.1 server and client that uses net and net/textproto, as in RFC 9110 (semantics) and RFC
+// 9112 (syntax and connections). It is made for many long polls: a held request costs a goroutine and no buffers. It
+// reads and writes whole bodies, and does not support streaming, trailers and protocol upgrades.
 package http1
 
 import (
@@ -17,44 +17,58 @@
 	"time"
 )
 
-// Limits bound what a peer may send.
+// bufferBytes is the size of a connection's read buffer and write buffer.
+const bufferBytes = 4096
+
+// chunkedBody is the length of a body that is sent in chunks.
+const chunkedBody = -1
+
+// maxLeadingEmptyLines is the number of empty lines that are skipped before a request (RFC 9112, section 2.2).
+const maxLeadingEmptyLines = 3
+
+// Limits are the maximum sizes of what a peer may send.
 type Limits struct {
-	LineBytes   int // bytes of a request or status line, and of a field line
-	HeaderBytes int // bytes of all field lines
+	LineBytes   int // of the request or status line, and of each field line
+	HeaderBytes int // of all field lines together
 	BodyBytes   int64
 }
 
-// Request that was read; the body has been read whole.
+// Request is a request that was received, with its whole body.
 type Request struct {
-	Method              string
-	Target              string // as it was sent
-	Path                string // decoded
-	Query               url.Values
-	Minor               int // of HTTP/1
-	Header              textproto.MIMEHeader
-	Body                []byte
-	RemoteAddr          string
-	Peer                Peer              // who sent it; nil on a plain connection
-	ConnectionID        int64             // the number of its connection
-	CredentialExpiresAt time.Time         // when what proves its sender ends before the connection's own proof; zero: it does not
-	Params              map[string]string // of the route's path
-	conn                *conn
-	expects             bool
-	length              int64 // of the body; -1: chunked
-	close               bool
+	Method       string
+	Target       string // as it was sent
+	Path         string // decoded
+	Query        url.Values
+	Minor        int // minor version of HTTP/1
+	Header       textproto.MIMEHeader
+	Body         []byte
+	RemoteAddr   string            // network address of the sender
+	Peer         Peer              // the authenticated sender; nil on a plain connection
+	ConnectionID int64             // unique in the server
+	Params       map[string]string // parameters of the route's path
+
+	// CredentialExpiresAt is set by a handler that authenticates the sender by a credential of the request, such as a
+	// token; zero: none. It can only bring the time of ConnectionRetiresAt forward.
+	CredentialExpiresAt time.Time
+
+	conn            *conn
+	expectsContinue bool  // the sender waits for 100 Continue before it sends the body
+	bodyLength      int64 // as in the function bodyLength
+	close           bool  // the connection ends after the reply
 }
 
-// Reply to a request. Content-Length, Date and Connection are added as it is written.
+// Reply is the reply to a request. The server adds Content-Length, Date and Connection.
 type Reply struct {
 	Status int
 	Header textproto.MIMEHeader
 	Body   []byte
-	Held   *HeldRequest // in place of all else: the reply comes later
-	Close  bool         // end the connection after it
-	Build  func() Reply // in place of all else: called by the connection's own goroutine before it is written
+	Close  bool // end the connection after the reply
+
+	Held  *HeldRequest // if not nil, the reply comes later, by HeldRequest.Answer; the other fields are ignored
+	Build func() Reply // if not nil, the connection's goroutine calls it for the reply; the other fields are ignored
 }
 
-// Header makes a header from names and values in turn.
+// Header returns a header with the given fields: names and values in turn.
 func Header(pairs ...string) textproto.MIMEHeader {
 	h := textproto.MIMEHeader{}
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -63,7 +77,7 @@
 	return h
 }
 
-// Problem is an error document by RFC 9457. Field, an extension member, names what was wrong.
+// Problem is a problem document (RFC 9457). Field is an extension member: the invalid field of the request's document.
 type Problem struct {
 	Status int    `json:"status"`
 	Title  string `json:"title"`
@@ -71,104 +85,106 @@
 	Field  string `json:"field,omitempty"`
 }
 
-// Reply makes the problem a reply; more header fields are given as names and values in turn.
-func (p Problem) Reply(header ...string) Reply {
+// Reply returns a reply with the problem document and further header fields, given as names and values in turn.
+func (p Problem) Reply(fields ...string) Reply {
 	if p.Title == "" {
-		p.Title = reasons[p.Status]
+		p.Title = reasonPhrases[p.Status]
 	}
 	body, _ := json.Marshal(p)
-	h := Header(header...)
-	h.Set("Content-Type", "application/problem+json")
-	return Reply{Status: p.Status, Header: h, Body: append(body, '\n')}
+	header := Header(fields...)
+	header.Set("Content-Type", "application/problem+json")
+	return Reply{Status: p.Status, Header: header, Body: append(body, '\n')}
 }
 
-// reasons are the reason phrases of the statuses in use.
-var reasons = map[int]string{100: "Continue", 200: "OK", 204: "No Content", 226: "IM Used", 304: "Not Modified",
+// reasonPhrases are the reason phrases of the status codes in use.
+var reasonPhrases = map[int]string{100: "Continue", 200: "OK", 204: "No Content", 226: "IM Used", 304: "Not Modified",
 	400: "Bad Request", 401: "Unauthorized", 403: "Forbidden", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 414: "URI Too Long",
 	415: "Unsupported Media Type", 417: "Expectation Failed", 422: "Unprocessable Content",
 	429: "Too Many Requests", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
 	501: "Not Implemented", 503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
-// fault is a malformed message, with the status that says so.
-type fault struct {
+// messageError is the error of a message that is malformed, too large or not supported, with the status code of the
+// reply. The text is sent to the peer.
+type messageError struct {
 	status int
 	text   string
 }
 
-func (f *fault) Error() string { return f.text }
+func (e *messageError) Error() string { return e.text }
 
-func bad(status int, format string, args ...any) error {
-	return &fault{status, fmt.Sprintf(format, args...)}
+func invalidMessage(status int, format string, args ...any) error {
+	return &messageError{status, fmt.Sprintf(format, args...)}
 }
 
-// reader reads messages off a connection by lines.
-type reader struct{ buf *bufio.Reader }
+// messageReader reads messages from a connection.
+type messageReader struct{ buf *bufio.Reader }
 
-func newReader(r io.Reader) *reader {
-	return &reader{bufio.NewReaderSize(r, 4096)}
+func newMessageReader(r io.Reader) *messageReader {
+	return &messageReader{bufio.NewReaderSize(r, bufferBytes)}
 }
 
-// line reads a line of at most so many bytes. A bare CR is a fault, a bare LF ends a line (RFC 9112, 2.2).
-func (r *reader) line(most, status int) (string, error) {
-	var long []byte
+// readLine reads a line of at most maxBytes. A longer one is an error with the status code tooLongStatus. A bare LF
+// ends a line and a bare CR is an error (RFC 9112, section 2.2).
+func (r *messageReader) readLine(maxBytes, tooLongStatus int) (string, error) {
+	var prefix []byte // of a line that is longer than the buffer
 	for {
 		part, err := r.buf.ReadSlice('\n')
-		if len(long)+len(part) > most+2 {
-			return "", bad(status, "a line is longer than %d bytes", most)
+		if len(prefix)+len(part) > maxBytes+2 {
+			return "", invalidMessage(tooLongStatus, "a line is longer than %d bytes", maxBytes)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
-			long = append(long, part...)
+			prefix = append(prefix, part...)
 			continue
 		}
 		if err != nil {
-			if len(long)+len(part) > 0 && errors.Is(err, io.EOF) {
+			if len(prefix)+len(part) > 0 && errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
 			return "", err
 		}
-		line := string(append(long, part...))
+		line := string(append(prefix, part...))
 		line = strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r")
 		if strings.ContainsAny(line, "\r\x00") {
-			return "", bad(400, "a line holds a bare CR or a NUL")
+			return "", invalidMessage(400, "a line holds a bare CR or a NUL")
 		}
 		return line, nil
 	}
 }
 
-// header reads field lines up to the empty line.
-func (r *reader) header(l Limits) (textproto.MIMEHeader, error) {
-	h, total := textproto.MIMEHeader{}, 0
+// readHeader reads field lines up to and including the empty line.
+func (r *messageReader) readHeader(limits Limits) (textproto.MIMEHeader, error) {
+	header, total := textproto.MIMEHeader{}, 0
 	for {
-		line, err := r.line(l.LineBytes, 431)
+		line, err := r.readLine(limits.LineBytes, 431)
 		if err != nil {
 			return nil, err
 		}
 		if line == "" {
-			return h, nil
+			return header, nil
 		}
-		if total += len(line) + 2; total > l.HeaderBytes {
-			return nil, bad(431, "the header is longer than %d bytes", l.HeaderBytes)
+		if total += len(line) + 2; total > limits.HeaderBytes {
+			return nil, invalidMessage(431, "the header is longer than %d bytes", limits.HeaderBytes)
 		}
 		if line[0] == ' ' || line[0] == '\t' {
-			return nil, bad(400, "obs-fold: a field line begins with white space")
+			return nil, invalidMessage(400, "obs-fold: a field line begins with white space")
 		}
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || !token(name) {
-			return nil, bad(400, "%.40q is no field line", line)
+		if !ok || !isToken(name) {
+			return nil, invalidMessage(400, "%.40q is no field line", line)
 		}
 		value = textproto.TrimString(value)
 		for i := 0; i < len(value); i++ {
 			if value[i] < ' ' && value[i] != '\t' || value[i] == 0x7f {
-				return nil, bad(400, "the field %s holds a control character", name)
+				return nil, invalidMessage(400, "the field %s holds a control character", name)
 			}
 		}
-		h.Add(textproto.CanonicalMIMEHeaderKey(name), value)
+		header.Add(textproto.CanonicalMIMEHeaderKey(name), value)
 	}
 }
 
-// token tells whether a text is a token by RFC 9110, 5.6.2.
-func token(s string) bool {
+// isToken reports whether a text is a token (RFC 9110, section 5.6.2).
+func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9') &&
@@ -179,41 +195,42 @@
 	return s != ""
 }
 
-// list gives the members of a comma-separated field in lower case.
-func list(h textproto.MIMEHeader, name string) []string {
-	var all []string
-	for _, v := range h.Values(name) {
-		for _, m := range strings.Split(v, ",") {
-			if m = strings.ToLower(textproto.TrimString(m)); m != "" {
-				all = append(all, m)
+// listMembers returns the members of a comma-separated field, in lower case.
+func listMembers(header textproto.MIMEHeader, name string) []string {
+	var members []string
+	for _, value := range header.Values(name) {
+		for _, member := range strings.Split(value, ",") {
+			if member = strings.ToLower(textproto.TrimString(member)); member != "" {
+				members = append(members, member)
 			}
 		}
 	}
-	return all
+	return members
 }
 
-// framing gives the length of a body by its header, -1 where it is chunked (RFC 9112, 6.3).
-func framing(h textproto.MIMEHeader) (int64, error) {
-	codings, lengths := list(h, "Transfer-Encoding"), h.Values("Content-Length")
+// bodyLength returns the length of a message's body by its header, chunkedBody for a chunked one (RFC 9112, section
+// 6.3).
+func bodyLength(header textproto.MIMEHeader) (int64, error) {
+	codings, lengths := listMembers(header, "Transfer-Encoding"), header.Values("Content-Length")
 	if len(codings) > 0 {
 		if len(lengths) > 0 {
-			return 0, bad(400, "both Content-Length and Transfer-Encoding")
+			return 0, invalidMessage(400, "both Content-Length and Transfer-Encoding")
 		}
 		if len(codings) != 1 || codings[0] != "chunked" {
-			return 0, bad(501, "a transfer coding other than chunked")
+			return 0, invalidMessage(501, "a transfer coding other than chunked")
 		}
-		return -1, nil
+		return chunkedBody, nil
 	}
 	length := int64(0)
-	for i, v := range lengths {
-		for j, part := range strings.Split(v, ",") {
+	for i, value := range lengths {
+		for j, part := range strings.Split(value, ",") {
 			part = textproto.TrimString(part)
 			n, err := strconv.ParseInt(part, 10, 64)
 			if err != nil || part == "" || part[0] < '0' || part[0] > '9' {
-				return 0, bad(400, "Content-Length: %.40q is no length", v)
+				return 0, invalidMessage(400, "Content-Length: %.40q is no length", value)
 			}
 			if i+j > 0 && n != length {
-				return 0, bad(400, "Content-Length is given twice, and differs")
+				return 0, invalidMessage(400, "Content-Length is given twice, and differs")
 			}
 			length = n
 		}
@@ -221,11 +238,11 @@
 	return length, nil
 }
 
-// body reads a body of a length, or of chunks, up to a limit.
-func (r *reader) body(length int64, l Limits) ([]byte, error) {
+// readBody reads a body of the given length, or a chunked one with its trailer section.
+func (r *messageReader) readBody(length int64, limits Limits) ([]byte, error) {
 	if length >= 0 {
-		if length > l.BodyBytes {
-			return nil, bad(413, "a body of %d bytes, %d at most", length, l.BodyBytes)
+		if length > limits.BodyBytes {
+			return nil, invalidMessage(413, "a body of %d bytes, %d at most", length, limits.BodyBytes)
 		}
 		body := make([]byte, length)
 		if _, err := io.ReadFull(r.buf, body); err != nil {
@@ -235,129 +252,130 @@
 	}
 	var body bytes.Buffer
 	for {
-		line, err := r.line(l.LineBytes, 400)
+		line, err := r.readLine(limits.LineBytes, 400)
 		if err != nil {
 			return nil, fmt.Errorf("reading a chunk's size: %w", err)
 		}
-		digits, _, _ := strings.Cut(line, ";")
+		digits, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
 		digits = strings.TrimRight(digits, " \t")
 		size, err := strconv.ParseUint(digits, 16, 63)
 		if err != nil {
-			return nil, bad(400, "%.40q is no chunk size", line)
+			return nil, invalidMessage(400, "%.40q is no chunk size", line)
 		}
 		if size == 0 {
 			break
 		}
-		if int64(size) > l.BodyBytes-int64(body.Len()) {
-			return nil, bad(413, "a body of more than %d bytes", l.BodyBytes)
+		if int64(size) > limits.BodyBytes-int64(body.Len()) {
+			return nil, invalidMessage(413, "a body of more than %d bytes", limits.BodyBytes)
 		}
 		if _, err := io.CopyN(&body, r.buf, int64(size)); err != nil {
 			return nil, fmt.Errorf("reading a chunk: %w", err)
 		}
-		if end, err := r.line(2, 400); err != nil || end != "" {
-			return nil, bad(400, "a chunk is longer than its size")
+		if end, err := r.readLine(2, 400); err != nil || end != "" {
+			return nil, invalidMessage(400, "a chunk is longer than its size")
 		}
 	}
-	if _, err := r.header(l); err != nil { // trailer, not used
+	if _, err := r.readHeader(limits); err != nil { // trailer fields are discarded
 		return nil, err
 	}
 	return body.Bytes(), nil
 }
 
-// methods that are known; others are not implemented (RFC 9110, 9.1).
-var methods = map[string]bool{"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true,
+// knownMethods are the standard knownMethods; others get 501 Not Implemented (RFC 9110, section 9.1).
+var knownMethods = map[string]bool{"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true,
 	"OPTIONS": true, "TRACE": true, "CONNECT": true}
 
-// request reads a request up to its body.
-func (r *reader) request(l Limits) (*Request, error) {
-	line, err := r.line(l.LineBytes, 414)
-	for range 3 { // empty lines before a request are passed over (RFC 9112, 2.2)
+// readRequest reads a request without its body.
+func (r *messageReader) readRequest(limits Limits) (*Request, error) {
+	line, err := r.readLine(limits.LineBytes, 414)
+	for range maxLeadingEmptyLines {
 		if err == nil && line == "" {
-			line, err = r.line(l.LineBytes, 414)
+			line, err = r.readLine(limits.LineBytes, 414)
 		}
 	}
 	if err != nil {
 		return nil, err
 	}
 	parts := strings.Split(line, " ")
-	if len(parts) != 3 || !token(parts[0]) {
-		return nil, bad(400, "%.60q is no request line", line)
+	if len(parts) != 3 || !isToken(parts[0]) {
+		return nil, invalidMessage(400, "%.60q is no request line", line)
 	}
-	q := &Request{Method: parts[0], Target: parts[1]}
+	request := &Request{Method: parts[0], Target: parts[1]}
 	version, ok := strings.CutPrefix(parts[2], "HTTP/")
-	if !ok || len(version) != 3 || version[1] != '.' || version[0] < '0' || version[0] > '9' || version[2] < '0' || version[2] > '9' {
-		return nil, bad(400, "%.20q is no HTTP version", parts[2])
+	if !ok || len(version) != 3 || version[1] != '.' ||
+		version[0] < '0' || version[0] > '9' || version[2] < '0' || version[2] > '9' {
+		return nil, invalidMessage(400, "%.20q is no HTTP version", parts[2])
 	}
 	if version[0] != '1' {
-		return nil, bad(505, "only HTTP/1.1 is spoken here")
+		return nil, invalidMessage(505, "only HTTP/1.1 is spoken here")
 	}
-	q.Minor = int(version[2] - '0')
-	if !methods[q.Method] {
-		return nil, bad(501, "the method %.20q is not known", q.Method)
+	request.Minor = int(version[2] - '0')
+	if !knownMethods[request.Method] {
+		return nil, invalidMessage(501, "the method %.20q is not known", request.Method)
 	}
-	if q.Header, err = r.header(l); err != nil {
+	if request.Header, err = r.readHeader(limits); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
 		return nil, err
 	}
-	if hosts := q.Header.Values("Host"); len(hosts) > 1 || len(hosts) == 0 && q.Minor > 0 {
-		return nil, bad(400, "a request has one Host field, not %d", len(hosts))
+	if hosts := request.Header.Values("Host"); len(hosts) > 1 || len(hosts) == 0 && request.Minor > 0 {
+		return nil, invalidMessage(400, "a request has one Host field, not %d", len(hosts))
 	} else if len(hosts) == 1 && strings.ContainsAny(hosts[0], " \t/@,") {
-		return nil, bad(400, "Host: %.40q is no host", hosts[0])
+		return nil, invalidMessage(400, "Host: %.40q is no host", hosts[0])
 	}
-	if err := q.locate(); err != nil {
+	if err := request.parseTarget(); err != nil {
 		return nil, err
 	}
-	if q.length, err = framing(q.Header); err != nil {
+	if request.bodyLength, err = bodyLength(request.Header); err != nil {
 		return nil, err
 	}
-	if q.length < 0 && q.Minor == 0 {
-		return nil, bad(400, "Transfer-Encoding in an HTTP/1.0 request")
+	if request.bodyLength < 0 && request.Minor == 0 {
+		return nil, invalidMessage(400, "Transfer-Encoding in an HTTP/1.0 request")
 	}
-	options := list(q.Header, "Connection")
-	q.close = q.Minor == 0
-	for _, o := range options {
-		q.close = o == "close" || q.close && o != "keep-alive"
-		if o == "close" {
+	options := listMembers(request.Header, "Connection")
+	request.close = request.Minor == 0
+	for _, option := range options {
+		request.close = option == "close" || request.close && option != "keep-alive"
+		if option == "close" {
 			break
 		}
 	}
-	for _, e := range list(q.Header, "Expect") {
-		if e != "100-continue" {
-			return nil, bad(417, "the expectation %.40q is not known", e)
+	for _, expectation := range listMembers(request.Header, "Expect") {
+		if expectation != "100-continue" {
+			return nil, invalidMessage(417, "the expectation %.40q is not known", expectation)
 		}
-		q.expects = q.Minor > 0
+		request.expectsContinue = request.Minor > 0
 	}
-	return q, nil
+	return request, nil
 }
 
-// locate takes the target apart: origin-form, absolute-form, or * for OPTIONS.
-func (q *Request) locate() error {
-	target := q.Target
-	if q.Method == "OPTIONS" && target == "*" {
-		q.Path = "*"
+// parseTarget sets the path and the query by the request target: in origin-form or absolute-form, or * for OPTIONS.
+func (r *Request) parseTarget() error {
+	target := r.Target
+	if r.Method == "OPTIONS" && target == "*" {
+		r.Path = "*"
 		return nil
 	}
 	if !strings.HasPrefix(target, "/") {
-		u, err := url.Parse(target)
-		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			return bad(400, "%.60q is no target of a request", target)
+		parsed, err := url.Parse(target)
+		if err != nil || parsed.Scheme != "http" && parsed.Scheme != "https" || parsed.Host == "" {
+			return invalidMessage(400, "%.60q is no target of a request", target)
 		}
-		target = u.RequestURI()
+		target = parsed.RequestURI()
 	}
 	for i := 0; i < len(target); i++ {
 		if target[i] <= ' ' || target[i] >= 0x7f {
-			return bad(400, "%.60q is no target of a request", target)
+			return invalidMessage(400, "%.60q is no target of a request", target)
 		}
 	}
 	path, query, _ := strings.Cut(target, "?")
 	var err error
-	if q.Path, err = url.PathUnescape(path); err != nil {
-		return bad(400, "%.60q is no path", path)
+	if r.Path, err = url.PathUnescape(path); err != nil {
+		return invalidMessage(400, "%.60q is no path", path)
 	}
-	if q.Query, err = url.ParseQuery(query); err != nil {
-		return bad(400, "%.60q is no query", query)
+	if r.Query, err = url.ParseQuery(query); err != nil {
+		return invalidMessage(400, "%.60q is no query", query)
 	}
 	return nil
 }
--- a/internal/http1/mux.go
+++ b/internal/http1/mux.go
@@ -7,73 +7,76 @@
 	"strings"
 )
 
-// Route is what serves a method at a path. Media lists the media types its body may have; none: no body is
-// looked at.
+// Route handles the requests of one method at one path.
 type Route struct {
 	Handler      func(*Request) Reply
-	MediaTypes   []string
-	MaxBodyBytes int64 // 0: the server's limit
+	MediaTypes   []string // media types that the body may have; none: not checked
+	MaxBodyBytes int64    // 0: the server's limit
 }
 
-// Mux finds routes by path; a part in braces stands for any one part.
-type Mux struct{ paths []path }
+// Mux finds the route of a request by its path and method.
+type Mux struct{ paths []pathRoutes }
 
-type path struct {
-	parts  []string
-	routes map[string]Route
+// pathRoutes are the routes at a path pattern, by method.
+type pathRoutes struct {
+	segments []string // of the pattern
+	byMethod map[string]Route
 }
 
-// Handle serves a method at a pattern such as /v1/proxies/{proxy}/tables. GET serves HEAD too.
-func (m *Mux) Handle(method, pattern string, r Route) {
-	parts := strings.Split(pattern, "/")
+// Handle adds the route of a method at a path pattern such as /v1/proxies/{proxy}/tables, where {proxy} matches any one
+// segment. A route for GET also handles HEAD.
+func (m *Mux) Handle(method, pattern string, route Route) {
+	segments := strings.Split(pattern, "/")
 	for i := range m.paths {
-		if strings.Join(m.paths[i].parts, "/") == pattern {
-			m.paths[i].routes[method] = r
+		if strings.Join(m.paths[i].segments, "/") == pattern {
+			m.paths[i].byMethod[method] = route
 			return
 		}
 	}
-	m.paths = append(m.paths, path{parts, map[string]Route{method: r}})
+	m.paths = append(m.paths, pathRoutes{segments, map[string]Route{method: route}})
 }
 
-// find gives the route of a request, or the reply that says why there is none.
-func (m *Mux) find(q *Request) (Route, *Reply) {
-	for _, p := range m.paths {
-		params, ok := p.match(q)
+// find returns the route of a request and sets the request's Params. Without a route it returns the reply: an error, or
+// the answer to OPTIONS.
+func (m *Mux) find(request *Request) (Route, *Reply) {
+	for _, path := range m.paths {
+		params, ok := path.match(request)
 		if !ok {
 			continue
 		}
-		method := q.Method
-		if _, own := p.routes[method]; method == "HEAD" && !own {
+		method := request.Method
+		if _, ok := path.byMethod[method]; method == "HEAD" && !ok {
 			method = "GET"
 		}
-		if r, ok := p.routes[method]; ok {
-			q.Params = params
-			return r, nil
+		if route, ok := path.byMethod[method]; ok {
+			request.Params = params
+			return route, nil
 		}
-		return Route{}, p.refuse(q.Method)
+		return Route{}, path.replyWithoutRoute(request.Method)
 	}
-	if q.Path == "*" {
+	if request.Path == "*" {
 		return Route{}, &Reply{Status: 204, Header: Header("Allow", "GET, HEAD, POST, DELETE, OPTIONS")}
 	}
-	r := Problem{Status: 404, Detail: "nothing is at this path"}.Reply()
-	return Route{}, &r
+	reply := Problem{Status: 404, Detail: "nothing is at this path"}.Reply()
+	return Route{}, &reply
 }
 
-func (p *path) match(q *Request) (map[string]string, bool) {
-	// The path is split before it is decoded, so that a slash in a name stays in the name.
-	raw, _, _ := strings.Cut(q.Target, "?")
-	if at := strings.Index(raw, "://"); at >= 0 {
-		if slash := strings.IndexByte(raw[at+3:], '/'); slash >= 0 {
-			raw = raw[at+3+slash:]
+// match returns the path parameters of a request. ok is false if its path does not match the pattern.
+func (p *pathRoutes) match(request *Request) (params map[string]string, ok bool) {
+	// The path is split before it is decoded, so that an encoded slash stays in its segment.
+	rawPath, _, _ := strings.Cut(request.Target, "?")
+	if scheme := strings.Index(rawPath, "://"); scheme >= 0 {
+		if slash := strings.IndexByte(rawPath[scheme+3:], '/'); slash >= 0 {
+			rawPath = rawPath[scheme+3+slash:]
 		}
 	}
-	parts := strings.Split(raw, "/")
-	if len(parts) != len(p.parts) {
+	segments := strings.Split(rawPath, "/")
+	if len(segments) != len(p.segments) {
 		return nil, false
 	}
-	params := map[string]string{}
-	for i, want := range p.parts {
-		got, err := url.PathUnescape(parts[i])
+	params = map[string]string{}
+	for i, want := range p.segments {
+		got, err := url.PathUnescape(segments[i])
 		if err != nil {
 			return nil, false
 		}
@@ -86,25 +89,27 @@
 	return params, true
 }
 
-func (p *path) refuse(method string) *Reply {
-	var allow []string
-	for m := range p.routes {
-		if allow = append(allow, m); m == "GET" {
-			allow = append(allow, "HEAD")
+// replyWithoutRoute returns the reply for a method that has no route at the path: the allowed methods for OPTIONS, and
+// 405 Method Not Allowed for others.
+func (p *pathRoutes) replyWithoutRoute(method string) *Reply {
+	var methods []string
+	for m := range p.byMethod {
+		if methods = append(methods, m); m == "GET" {
+			methods = append(methods, "HEAD")
 		}
 	}
-	allow = append(allow, "OPTIONS")
-	sort.Strings(allow)
-	fields := strings.Join(allow, ", ")
+	methods = append(methods, "OPTIONS")
+	sort.Strings(methods)
+	allow := strings.Join(methods, ", ")
 	if method == "OPTIONS" {
-		return &Reply{Status: 204, Header: Header("Allow", fields)}
+		return &Reply{Status: 204, Header: Header("Allow", allow)}
 	}
-	r := Problem{Status: 405, Detail: "the path does not serve " + method}.Reply("Allow", fields)
-	return &r
+	reply := Problem{Status: 405, Detail: "the path does not serve " + method}.Reply("Allow", allow)
+	return &reply
 }
 
-// mediaOf gives the media type of a body without its parameters.
-func mediaOf(h textproto.MIMEHeader) string {
-	media, _, _ := strings.Cut(h.Get("Content-Type"), ";")
+// mediaType returns the media type of a message's body, without its parameters.
+func mediaType(header textproto.MIMEHeader) string {
+	media, _, _ := strings.Cut(header.Get("Content-Type"), ";")
 	return strings.ToLower(textproto.TrimString(media))
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -15,182 +15,215 @@
 	"time"
 )
 
-// Config of a Server. A zero value takes the default that stands beside it.
+// Defaults of Config and TLSOptions.
+const (
+	defaultHeaderTimeout    = 10 * time.Second
+	defaultBodyTimeout      = 20 * time.Second
+	defaultIdleTimeout      = 2 * time.Minute
+	defaultWriteTimeout     = 10 * time.Second
+	defaultMaxConns         = 20000
+	defaultLineBytes        = 8 << 10
+	defaultHeaderBytes      = 32 << 10
+	defaultBodyBytes        = 4 << 20
+	defaultHandshakeTimeout = 5 * time.Second
+	defaultMaxHandshakes    = 32
+)
+
+const (
+	minAcceptBackoff = 5 * time.Millisecond // after a failed accept, doubled up to maxAcceptBackoff
+	maxAcceptBackoff = time.Second          // Serve gives up at this backoff
+
+	lingerTimeout = 500 * time.Millisecond // time for which a connection is read after an error reply
+	lingerBytes   = 256 << 10              // bytes that are read in that time at most
+
+	// retirementFraction is the last part of a connection's time until the peer's credentials expire, in which each
+	// reply ends the connection, so that the next request comes on a connection with newer credentials.
+	retirementFraction = 0.1
+)
+
+// Config configures a Server. Zero values take the defaults in the comments.
 type Config struct {
-	Limits
-	HeaderTimeout time.Duration // for the rest of a header once it has begun: 10 s
+	Limits                      // of requests: 8 KiB a line, 32 KiB of header, 4 MiB of body
+	HeaderTimeout time.Duration // from a request's first byte to the end of its header: 10 s
 	BodyTimeout   time.Duration // for a body: 20 s
 	IdleTimeout   time.Duration // between requests: 2 min
 	WriteTimeout  time.Duration // for a reply: 10 s
-	MaxConns      int           // open at once: 20,000
+	MaxConns      int           // open connections: 20,000
 	TLS           *TLSOptions   // nil: connections are plain
 	Now           func() time.Time
 }
 
-// TLSOptions has connections prove who they are before anything is read.
+// TLSOptions configure a server whose connections are encrypted and authenticated.
 type TLSOptions struct {
 	Config           *tls.Config
-	Authenticate     func(tls.ConnectionState) (Peer, error) // judges a connection whose handshake is done
-	MaxHandshakes    int                                     // handshakes: 32
-	HandshakeTimeout time.Duration                           // for a handshake, waiting for its turn aside: 5 s
+	Authenticate     func(tls.ConnectionState) (Peer, error) // called after the handshake; an error closes the connection
+	MaxHandshakes    int                                     // concurrent handshakes; 0: 32
+	HandshakeTimeout time.Duration                           // without the wait for a free slot; 0: 5 s
 }
 
-// Peer is who stands at the other end. Each request is judged, not each connection: Still is asked before a request is
-// served and before a held reply is written, and an error ends the connection.
+// Peer is the authenticated client of a connection.
 type Peer interface {
+	// Verify returns an error if the peer's credentials have expired or are no longer trusted. It is called before each
+	// request is handled and before a held request is answered; an error ends the connection.
 	Verify() error
+	// Expiry returns the time at which the credentials expire.
 	Expiry() time.Time
 }
 
-func (c Config) filled() Config {
-	set := func(d *time.Duration, to time.Duration) {
-		if *d == 0 {
-			*d = to
+func (c Config) withDefaults() Config {
+	setDefault := func(option *time.Duration, value time.Duration) {
+		if *option == 0 {
+			*option = value
 		}
 	}
-	set(&c.HeaderTimeout, 10*time.Second)
-	set(&c.BodyTimeout, 20*time.Second)
-	set(&c.IdleTimeout, 2*time.Minute)
-	set(&c.WriteTimeout, 10*time.Second)
+	setDefault(&c.HeaderTimeout, defaultHeaderTimeout)
+	setDefault(&c.BodyTimeout, defaultBodyTimeout)
+	setDefault(&c.IdleTimeout, defaultIdleTimeout)
+	setDefault(&c.WriteTimeout, defaultWriteTimeout)
 	if c.MaxConns == 0 {
-		c.MaxConns = 20000
+		c.MaxConns = defaultMaxConns
 	}
-	if c.Limits.LineBytes == 0 {
-		c.Limits.LineBytes = 8 << 10
+	if c.LineBytes == 0 {
+		c.LineBytes = defaultLineBytes
 	}
-	if c.Limits.HeaderBytes == 0 {
-		c.Limits.HeaderBytes = 32 << 10
+	if c.HeaderBytes == 0 {
+		c.HeaderBytes = defaultHeaderBytes
 	}
-	if c.Limits.BodyBytes == 0 {
-		c.Limits.BodyBytes = 4 << 20
+	if c.BodyBytes == 0 {
+		c.BodyBytes = defaultBodyBytes
 	}
 	if c.Now == nil {
 		c.Now = time.Now
 	}
 	if c.TLS != nil {
-		s := *c.TLS
-		set(&s.HandshakeTimeout, 5*time.Second)
-		if s.MaxHandshakes == 0 {
-			s.MaxHandshakes = 32
+		options := *c.TLS
+		setDefault(&options.HandshakeTimeout, defaultHandshakeTimeout)
+		if options.MaxHandshakes == 0 {
+			options.MaxHandshakes = defaultMaxHandshakes
 		}
-		c.TLS = &s
+		c.TLS = &options
 	}
 	return c
 }
 
-// Server answers requests on the connections it is given.
+// Server serves HTTP/1.1 requests by the routes of a Mux.
 type Server struct {
 	config Config
 	mux    *Mux
 
-	mu      sync.Mutex
-	conns   map[*conn]bool
-	opened  int64
-	closing bool
-	done    sync.WaitGroup
+	mu               sync.Mutex
+	conns            map[*conn]bool // open connections
+	lastConnectionID int64
+	closing          bool
+	connsDone        sync.WaitGroup // counts the open connections
 
-	readers, writers sync.Pool
-	handshakes       chan struct{} // held by those that go on
+	readers, writers sync.Pool     // *messageReader and *bufio.Writer
+	handshakeSlots   chan struct{} // holds an element for each handshake in progress
 }
 
-// NewServer makes a server of a mux.
-func NewServer(m *Mux, c Config) *Server {
-	s := &Server{config: c.filled(), mux: m, conns: map[*conn]bool{}}
-	if x := s.config.TLS; x != nil {
-		s.handshakes = make(chan struct{}, x.MaxHandshakes)
+// NewServer returns a server for the routes of a mux.
+func NewServer(mux *Mux, config Config) *Server {
+	s := &Server{config: config.withDefaults(), mux: mux, conns: map[*conn]bool{}}
+	if options := s.config.TLS; options != nil {
+		s.handshakeSlots = make(chan struct{}, options.MaxHandshakes)
 	}
-	s.readers.New = func() any { return newReader(nil) }
-	s.writers.New = func() any { return bufio.NewWriterSize(nil, 4096) }
+	s.readers.New = func() any { return newMessageReader(nil) }
+	s.writers.New = func() any { return bufio.NewWriterSize(nil, bufferBytes) }
 	return s
 }
 
-// Serve takes connections until the listener is closed.
-func (s *Server) Serve(l net.Listener) error {
-	pause := time.Duration(0)
+// Serve accepts connections until the listener is closed.
+func (s *Server) Serve(listener net.Listener) error {
+	backoff := time.Duration(0)
 	for {
-		nc, err := l.Accept()
+		netConn, err := listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			var again net.Error
-			if errors.As(err, &again) && again.Timeout() || errors.Is(err, os.ErrDeadlineExceeded) {
+			var netErr net.Error
+			if errors.As(err, &netErr) && netErr.Timeout() || errors.Is(err, os.ErrDeadlineExceeded) {
 				continue
 			}
-			if pause = min(max(2*pause, 5*time.Millisecond), time.Second); pause == time.Second {
+			if backoff = min(max(2*backoff, minAcceptBackoff), maxAcceptBackoff); backoff == maxAcceptBackoff {
 				return err
 			}
-			time.Sleep(pause) // out of descriptors, most likely: connections end meanwhile
+			time.Sleep(backoff) // most likely there are no file descriptors left until connections are closed
 			continue
 		}
-		pause = 0
-		c := &conn{net: nc, server: s}
-		if !s.admit(c) {
-			go s.turnAway(c)
+		backoff = 0
+		c := &conn{netConn: netConn, server: s}
+		if !s.addConn(c) {
+			go s.rejectConn(c)
 			continue
 		}
 		go c.serve()
 	}
 }
 
-func (s *Server) admit(c *conn) bool {
+// addConn adds an accepted connection to the open ones. It returns false if there are too many, or if the server is
+// closing.
+func (s *Server) addConn(c *conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closing || len(s.conns) >= s.config.MaxConns {
 		return false
 	}
 	s.conns[c] = true
-	s.opened++
-	c.number = s.opened
-	s.done.Add(1)
+	s.lastConnectionID++
+	c.id = s.lastConnectionID
+	s.connsDone.Add(1)
 	return true
 }
 
-func (s *Server) turnAway(c *conn) {
-	if s.config.TLS != nil { // it would take a handshake to say so
-		c.net.Close()
+// rejectConn replies 503 Service Unavailable and closes the connection. With TLS it sends no reply, which would need a
+// handshake first.
+func (s *Server) rejectConn(c *conn) {
+	if s.config.TLS != nil {
+		c.netConn.Close()
 		return
 	}
-	r := Problem{Status: 503, Detail: "too many connections"}.Reply("Retry-After", "1")
-	r.Close = true
-	c.write(nil, r)
-	c.net.Close()
+	reply := Problem{Status: 503, Detail: "too many connections"}.Reply("Retry-After", "1")
+	reply.Close = true
+	c.write(nil, reply)
+	c.netConn.Close()
 }
 
-// OpenConnections counts the connections.
+// OpenConnections returns the number of open connections.
 func (s *Server) OpenConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Shutdown ends idle connections and waits until the others have answered what they hold; the caller has
-// closed the listener and answers what is held. When the context ends first, all connections are cut.
+// Shutdown closes idle connections and waits until the other ones have answered their requests. The caller has closed
+// the listener before, and answers the held requests. If the context ends first, Shutdown closes all connections and
+// returns the context's error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	s.closing = true
 	for c := range s.conns {
-		c.net.SetReadDeadline(time.Unix(1, 0))
+		c.netConn.SetReadDeadline(pastDeadline)
 	}
 	s.mu.Unlock()
-	ended := make(chan struct{})
-	go func() { s.done.Wait(); close(ended) }()
+	done := make(chan struct{})
+	go func() { s.connsDone.Wait(); close(done) }()
 	select {
-	case <-ended:
+	case <-done:
 		return nil
 	case <-ctx.Done():
 		s.Close()
-		<-ended
+		<-done
 		return ctx.Err()
 	}
 }
 
-// Close closes all connections at once, whatever they hold.
+// Close closes all connections at once, also those with unanswered requests.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closing = true
 	for c := range s.conns {
-		c.net.Close()
+		c.netConn.Close()
 	}
 	s.mu.Unlock()
 }
@@ -201,108 +234,109 @@
 	return s.closing
 }
 
-// conn is a connection. Its goroutine reads requests and writes all replies, so replies keep their order.
+// conn is a server's connection. Its goroutine reads the requests and writes all replies, so the replies are in the
+// order of the requests.
 type conn struct {
-	net    net.Conn
-	server *Server
-	number int64
-	reader *reader // nil while nothing is buffered
-	writer *bufio.Writer
-	peer   Peer      // nil: plain
-	retire time.Time // from then on each reply ends the connection, so that the next request comes by a newer identity
+	netConn  net.Conn
+	server   *Server
+	id       int64
+	reader   *messageReader // nil while nothing is buffered
+	peer     Peer           // nil: plain connection
+	retireAt time.Time      // replies from then on end the connection; see retirementFraction
 }
 
-// lastPart of a connection's time is left for that.
-const lastPart = 0.1
-
-// secure does the handshake of a connection, when its turn has come: so many at once, that those who hold polls are not
-// kept from their processor when all come back together.
-func (c *conn) secure() error {
-	x := c.server.config.TLS
-	c.server.handshakes <- struct{}{}
-	defer func() { <-c.server.handshakes }()
+// handshake does the TLS handshake and authenticates the peer, once one of the slots is free: when all proxies
+// reconnect at the same time, their handshakes must not take the processor time that long polls on open connections
+// need.
+func (c *conn) handshake() error {
+	options := c.server.config.TLS
+	c.server.handshakeSlots <- struct{}{}
+	defer func() { <-c.server.handshakeSlots }()
 	if c.server.isClosing() {
 		return net.ErrClosed
 	}
-	t := tls.Server(c.net, x.Config)
-	ctx, cancel := context.WithTimeout(context.Background(), x.HandshakeTimeout)
+	tlsConn := tls.Server(c.netConn, options.Config)
+	ctx, cancel := context.WithTimeout(context.Background(), options.HandshakeTimeout)
 	defer cancel()
-	if err := t.HandshakeContext(ctx); err != nil {
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		return err
 	}
-	peer, err := x.Authenticate(t.ConnectionState())
+	peer, err := options.Authenticate(tlsConn.ConnectionState())
 	if err != nil {
 		return err
 	}
 	c.server.mu.Lock()
-	c.net, c.peer = t, peer
-	c.retire = peer.Expiry().Add(-time.Duration(lastPart * float64(time.Until(peer.Expiry()))))
+	c.netConn, c.peer = tlsConn, peer
+	c.retireAt = peer.Expiry().Add(-time.Duration(retirementFraction * float64(time.Until(peer.Expiry()))))
 	c.server.mu.Unlock()
 	return nil
 }
 
-// ConnectionRetiresAt is when the connection that a request came by wants to end, and whether it does.
-func (q *Request) ConnectionRetiresAt() (at time.Time, ok bool) {
-	if q.conn == nil || q.conn.peer == nil {
+// ConnectionRetiresAt returns the time from which replies end the request's connection, so that a request is not held
+// beyond it. ok is false for a connection that does not retire, since it is plain.
+func (r *Request) ConnectionRetiresAt() (at time.Time, ok bool) {
+	if r.conn == nil || r.conn.peer == nil {
 		return time.Time{}, false
 	}
-	if at = q.conn.retire; !q.CredentialExpiresAt.IsZero() && q.CredentialExpiresAt.Before(at) {
-		at = q.CredentialExpiresAt
+	if at = r.conn.retireAt; !r.CredentialExpiresAt.IsZero() && r.CredentialExpiresAt.Before(at) {
+		at = r.CredentialExpiresAt
 	}
 	return at, true
 }
 
-// still tells whether the peer is still to be served.
-func (c *conn) still() bool { return c.peer == nil || c.peer.Verify() == nil }
+// isTrusted reports whether the peer's credentials are still valid; it is true for a plain connection.
+func (c *conn) isTrusted() bool { return c.peer == nil || c.peer.Verify() == nil }
 
-// Read gives the connection's bytes to the reader.
-func (c *conn) Read(p []byte) (int, error) { return c.net.Read(p) }
+// Read implements io.Reader for the message reader.
+func (c *conn) Read(p []byte) (int, error) { return c.netConn.Read(p) }
 
+// serve serves the requests of a connection until it ends.
 func (c *conn) serve() {
 	defer func() {
-		c.net.Close()
-		c.release()
+		c.netConn.Close()
+		c.releaseReader()
 		s := c.server
 		s.mu.Lock()
 		delete(s.conns, c)
 		s.mu.Unlock()
-		s.done.Done()
+		s.connsDone.Done()
 	}()
 	if c.server.config.TLS != nil {
-		if c.secure() != nil {
+		if c.handshake() != nil {
 			return
 		}
 	}
-	first := [1]byte{}
+	firstByte := [1]byte{}
 	for {
 		if c.reader == nil {
-			c.deadline(c.idle())
+			c.setReadTimeout(c.idleTimeout())
 			if c.server.isClosing() {
 				return
 			}
-			if n, err := c.net.Read(first[:]); n == 0 || err != nil {
+			if n, err := c.netConn.Read(firstByte[:]); n == 0 || err != nil {
 				return
 			}
-			c.attach(first[0])
+			c.attachReader(firstByte[0])
 		}
-		if !c.request() {
+		if !c.serveRequest() {
 			return
 		}
 		if c.reader != nil && c.reader.buf.Buffered() == 0 {
-			c.release()
+			c.releaseReader()
 		}
 	}
 }
 
-// attach takes a reader from the pool and puts back the byte that was read without one.
-func (c *conn) attach(b byte) {
-	r := c.server.readers.Get().(*reader)
-	r.buf.Reset(io.MultiReader(strings.NewReader(string([]byte{b})), c))
-	r.buf.Peek(1) // into the buffer, so that it counts as buffered
-	c.reader = r
+// attachReader takes a reader from the pool. It returns firstByte, which was read from the connection without a reader,
+// before the connection's further bytes.
+func (c *conn) attachReader(firstByte byte) {
+	reader := c.server.readers.Get().(*messageReader)
+	reader.buf.Reset(io.MultiReader(strings.NewReader(string([]byte{firstByte})), c))
+	reader.buf.Peek(1) // fills the buffer, so that Buffered counts the byte
+	c.reader = reader
 }
 
-func (c *conn) release() {
+func (c *conn) releaseReader() {
 	if c.reader != nil {
 		c.reader.buf.Reset(nil)
 		c.server.readers.Put(c.reader)
@@ -310,157 +344,166 @@
 	}
 }
 
-// idle is how long the connection may wait for a request: not past the end of its identity.
-func (c *conn) idle() time.Duration {
-	idle := c.server.config.IdleTimeout
+// idleTimeout returns how long the connection may wait for a request: at most until it retires.
+func (c *conn) idleTimeout() time.Duration {
+	timeout := c.server.config.IdleTimeout
 	if c.peer != nil {
-		idle = min(idle, time.Until(c.retire))
+		timeout = min(timeout, time.Until(c.retireAt))
 	}
-	return idle
+	return timeout
 }
 
-func (c *conn) deadline(d time.Duration) { c.net.SetReadDeadline(time.Now().Add(d)) }
+func (c *conn) setReadTimeout(timeout time.Duration) {
+	c.netConn.SetReadDeadline(time.Now().Add(timeout))
+}
 
-// request serves one request. It tells whether the connection can go on.
-func (c *conn) request() bool {
-	cfg := &c.server.config
-	c.deadline(cfg.HeaderTimeout)
-	q, err := c.reader.request(cfg.Limits)
+// serveRequest reads and answers one request. It returns whether the connection can be used for another one.
+func (c *conn) serveRequest() bool {
+	config := &c.server.config
+	c.setReadTimeout(config.HeaderTimeout)
+	request, err := c.reader.readRequest(config.Limits)
 	if err != nil {
-		c.complain(err)
+		c.replyToReadError(err)
 		return false
 	}
-	q.conn, q.RemoteAddr, q.Peer, q.ConnectionID = c, c.net.RemoteAddr().String(), c.peer, c.number
-	if !c.still() {
-		r := Problem{Status: 401, Detail: "the identity is over, or no longer trusted"}.Reply()
-		r.Close = true
-		return c.refuse(q, r)
+	request.conn, request.RemoteAddr = c, c.netConn.RemoteAddr().String()
+	request.Peer, request.ConnectionID = c.peer, c.id
+	if !c.isTrusted() {
+		reply := Problem{Status: 401, Detail: "the identity is over, or no longer trusted"}.Reply()
+		reply.Close = true
+		return c.rejectRequest(request, reply)
 	}
-	route, refusal := c.server.mux.find(q)
-	if refusal != nil {
-		return c.refuse(q, *refusal)
+	route, rejection := c.server.mux.find(request)
+	if rejection != nil {
+		return c.rejectRequest(request, *rejection)
 	}
-	limits := cfg.Limits
+	limits := config.Limits
 	if route.MaxBodyBytes > 0 {
 		limits.BodyBytes = route.MaxBodyBytes
 	}
-	if q.length != 0 {
-		if q.length > limits.BodyBytes {
-			p := Problem{Status: 413, Detail: "the body may have " + strconv.FormatInt(limits.BodyBytes, 10) + " bytes"}
-			return c.refuse(q, p.Reply())
+	if request.bodyLength != 0 {
+		if request.bodyLength > limits.BodyBytes {
+			problem := Problem{
+				Status: 413,
+				Detail: "the body may have " + strconv.FormatInt(limits.BodyBytes, 10) + " bytes",
+			}
+			return c.rejectRequest(request, problem.Reply())
 		}
-		if len(route.MediaTypes) > 0 && !slices.Contains(route.MediaTypes, mediaOf(q.Header)) {
-			p := Problem{Status: 415, Detail: "the body may be " + strings.Join(route.MediaTypes, " or ")}
-			return c.refuse(q, p.Reply("Accept", strings.Join(route.MediaTypes, ", ")))
+		if len(route.MediaTypes) > 0 && !slices.Contains(route.MediaTypes, mediaType(request.Header)) {
+			problem := Problem{Status: 415, Detail: "the body may be " + strings.Join(route.MediaTypes, " or ")}
+			return c.rejectRequest(request, problem.Reply("Accept", strings.Join(route.MediaTypes, ", ")))
 		}
-		if coding := q.Header.Get("Content-Encoding"); coding != "" && coding != "identity" {
-			return c.refuse(q, Problem{Status: 415, Detail: "no content coding is known"}.Reply("Accept-Encoding", "identity"))
+		if coding := request.Header.Get("Content-Encoding"); coding != "" && coding != "identity" {
+			problem := Problem{Status: 415, Detail: "no content coding is known"}
+			return c.rejectRequest(request, problem.Reply("Accept-Encoding", "identity"))
 		}
-		if q.expects {
-			c.net.SetWriteDeadline(time.Now().Add(cfg.WriteTimeout))
-			if _, err := io.WriteString(c.net, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+		if request.expectsContinue {
+			c.netConn.SetWriteDeadline(time.Now().Add(config.WriteTimeout))
+			if _, err := io.WriteString(c.netConn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 				return false
 			}
 		}
-		c.deadline(cfg.BodyTimeout)
-		if q.Body, err = c.reader.body(q.length, limits); err != nil {
-			c.complain(err)
+		c.setReadTimeout(config.BodyTimeout)
+		if request.Body, err = c.reader.readBody(request.bodyLength, limits); err != nil {
+			c.replyToReadError(err)
 			return false
 		}
 	}
-	r := route.Handler(q)
-	if r.Held != nil {
-		if r, err = c.await(r.Held); err != nil {
+	reply := route.Handler(request)
+	if reply.Held != nil {
+		if reply, err = c.awaitReply(reply.Held); err != nil {
 			return false
 		}
-		if !c.still() { // what is held is not told past the end of an identity: it is asked for again
+		if !c.isTrusted() { // the peer gets no data after its credentials have expired, and has to repeat the request
 			return false
 		}
 	}
-	if r.Build != nil {
-		r = r.Build()
+	if reply.Build != nil {
+		reply = reply.Build()
 	}
-	r.Close = r.Close || c.peer != nil && !time.Now().Before(c.retire)
-	return c.write(q, r) == nil && !q.close && !r.Close && !c.server.isClosing()
+	reply.Close = reply.Close || c.peer != nil && !time.Now().Before(c.retireAt)
+	return c.write(request, reply) == nil && !request.close && !reply.Close && !c.server.isClosing()
 }
 
-// refuse answers a request whose body was not read; a body on its way ends the connection.
-func (c *conn) refuse(q *Request, r Reply) bool {
-	r.Close = r.Close || q.length != 0
-	ok := c.write(q, r) == nil && !r.Close && !q.close
-	if r.Close {
+// rejectRequest answers a request whose body was not read, and returns whether the connection can be used for another
+// one: not if the request has a body.
+func (c *conn) rejectRequest(request *Request, reply Reply) bool {
+	reply.Close = reply.Close || request.bodyLength != 0
+	reusable := c.write(request, reply) == nil && !reply.Close && !request.close
+	if reply.Close {
 		c.linger()
 	}
-	return ok
+	return reusable
 }
 
-// complain answers what could not be read, unless the peer said nothing or is gone.
-func (c *conn) complain(err error) {
-	var f *fault
-	var timeout net.Error
-	p := Problem{Status: 400}
+// replyToReadError answers a request that could not be read. It sends nothing if the peer sent nothing or disconnected.
+func (c *conn) replyToReadError(err error) {
+	var invalid *messageError
+	var netErr net.Error
+	problem := Problem{Status: 400}
 	switch {
-	case errors.As(err, &f):
-		p.Status, p.Detail = f.status, f.text
-	case errors.As(err, &timeout) && timeout.Timeout() && !c.server.isClosing():
-		p.Status, p.Detail = 408, "the request did not come in time"
+	case errors.As(err, &invalid):
+		problem.Status, problem.Detail = invalid.status, invalid.text
+	case errors.As(err, &netErr) && netErr.Timeout() && !c.server.isClosing():
+		problem.Status, problem.Detail = 408, "the request did not come in time"
 	default:
 		return
 	}
-	r := p.Reply()
-	r.Close = true
-	c.write(nil, r)
+	reply := problem.Reply()
+	reply.Close = true
+	c.write(nil, reply)
 	c.linger()
 }
 
-// linger reads on for a moment, so that the peer gets the reply before the connection is reset (RFC 9112, 9.6).
+// linger closes the connection for writing and reads on for a moment: if it were closed with unread bytes, the reset
+// could reach the peer before the reply does (RFC 9112, section 9.6).
 func (c *conn) linger() {
-	if half, ok := c.net.(interface{ CloseWrite() error }); ok && half.CloseWrite() == nil {
-		c.deadline(500 * time.Millisecond)
-		io.CopyN(io.Discard, c.net, 256<<10)
+	if writeCloser, ok := c.netConn.(interface{ CloseWrite() error }); ok && writeCloser.CloseWrite() == nil {
+		c.setReadTimeout(lingerTimeout)
+		io.CopyN(io.Discard, c.netConn, lingerBytes)
 	}
 }
 
-// write writes a reply; q is nil where the request could not be read.
-func (c *conn) write(q *Request, r Reply) error {
+// write writes a reply; request is nil if it could not be read.
+func (c *conn) write(request *Request, reply Reply) error {
 	w := c.server.writers.Get().(*bufio.Writer)
-	w.Reset(c.net)
+	w.Reset(c.netConn)
 	defer func() { w.Reset(nil); c.server.writers.Put(w) }()
-	c.net.SetWriteDeadline(time.Now().Add(c.server.config.WriteTimeout))
+	c.netConn.SetWriteDeadline(time.Now().Add(c.server.config.WriteTimeout))
 	w.WriteString("HTTP/1.1 ")
-	w.WriteString(strconv.Itoa(r.Status))
+	w.WriteString(strconv.Itoa(reply.Status))
 	w.WriteByte(' ')
-	w.WriteString(reasons[r.Status])
+	w.WriteString(reasonPhrases[reply.Status])
 	w.WriteString("\r\nDate: ")
 	w.WriteString(c.server.config.Now().UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT"))
 	w.WriteString("\r\n")
-	var some [8]string
-	names := some[:0]
-	for name := range r.Header {
+	var nameArray [8]string // usually spares an allocation
+	names := nameArray[:0]
+	for name := range reply.Header {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		for _, v := range r.Header[name] {
+		for _, value := range reply.Header[name] {
 			w.WriteString(name)
 			w.WriteString(": ")
-			w.WriteString(v)
+			w.WriteString(value)
 			w.WriteString("\r\n")
 		}
 	}
-	if r.Status != 204 && r.Status != 304 {
+	if reply.Status != 204 && reply.Status != 304 {
 		w.WriteString("Content-Length: ")
-		w.WriteString(strconv.Itoa(len(r.Body)))
+		w.WriteString(strconv.Itoa(len(reply.Body)))
 		w.WriteString("\r\n")
 	}
-	if q == nil || q.close || r.Close || c.server.isClosing() {
+	if request == nil || request.close || reply.Close || c.server.isClosing() {
 		w.WriteString("Connection: close\r\n")
-	} else if q.Minor == 0 {
+	} else if request.Minor == 0 {
 		w.WriteString("Connection: keep-alive\r\n")
 	}
 	w.WriteString("\r\n")
-	if q == nil || q.Method != "HEAD" {
-		w.Write(r.Body)
+	if request == nil || request.Method != "HEAD" {
+		w.Write(reply.Body)
 	}
 	return w.Flush()
 }
