--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,6 +1,7 @@
-// Package identity proves who this program is and judges who others are, by SPIFFE X.509-SVIDs from the Workload API
-// (SPIFFE Workload API; X.509-SVID, sections 3 to 5; SPIFFE-ID, section 2). Both sides of a connection prove themselves by
-// TLS 1.3. A connection is judged again for each request while the roots change, and never outlives either identity.
+// Package identity authenticates this program and its peers by SPIFFE X.509-SVIDs (X.509-SVID, sections 3 to 5;
+// SPIFFE-ID, section 2), which it gets from the SPIFFE Workload API. Connections use mutual TLS 1.3. After each change
+// of the trust bundle the peer of a connection is verified again before its next request, and a connection ends before
+// the certificate of either side expires.
 package identity
 
 import (
@@ -22,178 +23,184 @@
 	"barleysail/internal/tablesig"
 )
 
-// Source is where this program's identity and the roots of others come from. It keeps the last good ones while the Workload
-// API is away.
+// Source holds this program's X.509-SVID and the trust bundles, and updates them from the Workload API. While the
+// Workload API is unavailable it keeps the last ones.
 type Source struct {
-	x      *workloadapi.X509Source
-	rounds atomic.Int64 // counts the updates
-	now    func() time.Time
+	x509Source *workloadapi.X509Source
+	version    atomic.Int64 // incremented by each update
+	now        func() time.Time
 
-	mu     sync.Mutex
-	signer *tablesig.Signer
-	signed int64 // the round that it is of
+	mu            sync.Mutex
+	signer        *tablesig.Signer // nil: none made yet
+	signerVersion int64            // version of the source that the signer was made of
 }
 
-// Open waits for the first identity from the Workload API at an address such as unix:///run/issuer.sock.
+// Open connects to the Workload API at an address such as unix:///run/issuer.sock and waits for the first X.509-SVID.
 func Open(ctx context.Context, address string) (*Source, error) {
-	x, err := workloadapi.NewX509Source(ctx, workloadapi.WithClientOptions(workloadapi.WithAddr(address)))
+	x509Source, err := workloadapi.NewX509Source(ctx, workloadapi.WithClientOptions(workloadapi.WithAddr(address)))
 	if err != nil {
-		return nil, fmt.Errorf("waiting for an identity from %s: %w", address, err)
+		return nil, fmt.Errorf("waiting for an X.509-SVID from %s: %w", address, err)
 	}
-	s := &Source{x: x, now: time.Now}
-	s.rounds.Store(1)
+	s := &Source{x509Source: x509Source, now: time.Now}
+	s.version.Store(1)
 	return s, nil
 }
 
-// WatchUpdates counts updates until the context ends, and calls changed after each.
+// WatchUpdates waits for updates until the context ends, and calls onUpdate after each.
 //
-// again tells that the key is the one of before: an issuer should make a fresh one for each identity, since a key that is
-// kept lets whoever has copied it prove the next identity too. The identity is taken all the same, and signs anew.
-func (s *Source) WatchUpdates(ctx context.Context, changed func(again bool)) {
-	last := s.key()
+// keyReused reports that the new X.509-SVID has the key of the previous one. An issuer should create a new key for each
+// SVID, since whoever has copied a key that is reused can impersonate the next identity too. The SVID is used all the
+// same.
+func (s *Source) WatchUpdates(ctx context.Context, onUpdate func(keyReused bool)) {
+	lastKey := s.publicKey()
 	for {
 		select {
-		case <-s.x.Updated():
-			s.rounds.Add(1)
-			key := s.key()
-			again := key != nil && last != nil && key.Equal(last)
-			last = key
-			changed(again)
+		case <-s.x509Source.Updated():
+			s.version.Add(1)
+			key := s.publicKey()
+			keyReused := key != nil && lastKey != nil && key.Equal(lastKey)
+			lastKey = key
+			onUpdate(keyReused)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// key is the public key of our identity; nil where there is none.
-func (s *Source) key() interface{ Equal(crypto.PublicKey) bool } {
-	v, err := s.x.GetX509SVID()
+// publicKey returns the public key of this program's X.509-SVID, nil if there is none.
+func (s *Source) publicKey() interface{ Equal(crypto.PublicKey) bool } {
+	svid, err := s.x509Source.GetX509SVID()
 	if err != nil {
 		return nil
 	}
-	key, _ := v.PrivateKey.Public().(interface{ Equal(crypto.PublicKey) bool })
+	key, _ := svid.PrivateKey.Public().(interface{ Equal(crypto.PublicKey) bool })
 	return key
 }
 
-// Close gives the source up.
-func (s *Source) Close() error { return s.x.Close() }
+// Close ends the connection to the Workload API.
+func (s *Source) Close() error { return s.x509Source.Close() }
 
-// Identity is this program's identity, and when it ends.
-func (s *Source) Identity() (spiffeid.ID, time.Time, error) {
-	v, err := s.x.GetX509SVID()
+// Identity returns this program's SPIFFE ID and the time at which its X.509-SVID expires.
+func (s *Source) Identity() (id spiffeid.ID, expiry time.Time, err error) {
+	svid, err := s.x509Source.GetX509SVID()
 	if err != nil {
 		return spiffeid.ID{}, time.Time{}, fmt.Errorf("reading the own identity: %w", err)
 	}
-	return v.ID, v.Certificates[0].NotAfter, nil
+	return svid.ID, svid.Certificates[0].NotAfter, nil
 }
 
-// TableSigner gives a signer of tables by our identity as it is now.
+// TableSigner returns a signer of tables with this program's current X.509-SVID.
 func (s *Source) TableSigner() (*tablesig.Signer, error) {
-	rounds := s.rounds.Load()
+	version := s.version.Load()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.signer != nil && s.signed == rounds {
+	if s.signer != nil && s.signerVersion == version {
 		return s.signer, nil
 	}
-	v, err := s.x.GetX509SVID()
+	svid, err := s.x509Source.GetX509SVID()
 	if err != nil {
 		return nil, fmt.Errorf("reading the own identity: %w", err)
 	}
-	if s.signer, err = tablesig.NewSigner(v.PrivateKey, v.Certificates); err != nil {
+	if s.signer, err = tablesig.NewSigner(svid.PrivateKey, svid.Certificates); err != nil {
 		return nil, err
 	}
-	s.signed = rounds
+	s.signerVersion = version
 	return s.signer, nil
 }
 
-// SignerVerifier judges the chain of a table's signature: it has to be by a root of ours, and of one whom expect accepts.
-func (s *Source) SignerVerifier(expect func(spiffeid.ID) error) func([]*x509.Certificate) error {
+// SignerVerifier returns a function that verifies the certificate chain of a table's signature: the trust bundles have
+// to verify the chain, and authorize has to accept the signer's SPIFFE ID.
+func (s *Source) SignerVerifier(authorize func(spiffeid.ID) error) func(chain []*x509.Certificate) error {
 	return func(chain []*x509.Certificate) error {
-		id, _, err := x509svid.Verify(chain, s.x, x509svid.WithTime(s.now()))
+		id, _, err := x509svid.Verify(chain, s.x509Source, x509svid.WithTime(s.now()))
 		if err != nil {
 			return err
 		}
-		return expect(id)
+		return authorize(id)
 	}
 }
 
-// TLSCertificate is our identity for a TLS connection, with its key.
+// TLSCertificate returns this program's X.509-SVID, with its private key, as a TLS certificate.
 func (s *Source) TLSCertificate() (*tls.Certificate, error) {
-	v, err := s.x.GetX509SVID()
+	svid, err := s.x509Source.GetX509SVID()
 	if err != nil {
 		return nil, fmt.Errorf("reading the own identity: %w", err)
 	}
-	c := &tls.Certificate{PrivateKey: v.PrivateKey}
-	for _, x := range v.Certificates {
-		c.Certificate = append(c.Certificate, x.Raw)
+	certificate := &tls.Certificate{PrivateKey: svid.PrivateKey}
+	for _, c := range svid.Certificates {
+		certificate.Certificate = append(certificate.Certificate, c.Raw)
 	}
-	return c, nil
+	return certificate, nil
 }
 
-// ServerTLS gives the settings of the side that listens. Whom a request is from, Peer tells.
+// ServerTLS returns TLS settings for a server. Clients need a valid X.509-SVID of any SPIFFE ID; VerifyPeer returns the
+// ID.
 func (s *Source) ServerTLS() *tls.Config {
-	return strict(tlsconfig.MTLSServerConfig(s.x, s.x, tlsconfig.AuthorizeAny()))
+	return restrict(tlsconfig.MTLSServerConfig(s.x509Source, s.x509Source, tlsconfig.AuthorizeAny()))
 }
 
-// ClientTLS gives the settings of the side that dials, for a server that has to be one of those expected.
-func (s *Source) ClientTLS(expect func(spiffeid.ID) error) *tls.Config {
-	return strict(tlsconfig.MTLSClientConfig(s.x, s.x, func(id spiffeid.ID, _ [][]*x509.Certificate) error { return expect(id) }))
+// ClientTLS returns TLS settings for a client, which connects only to servers with a SPIFFE ID that authorize accepts.
+func (s *Source) ClientTLS(authorize func(spiffeid.ID) error) *tls.Config {
+	authorizer := func(id spiffeid.ID, _ [][]*x509.Certificate) error { return authorize(id) }
+	return restrict(tlsconfig.MTLSClientConfig(s.x509Source, s.x509Source, authorizer))
 }
 
-// strict allows TLS 1.3 only, and no resumption: a session resumed would prove what was so, not what is.
-func strict(c *tls.Config) *tls.Config {
-	c.MinVersion = tls.VersionTLS13
-	c.SessionTicketsDisabled = true
-	return c
+// restrict requires TLS 1.3 and disables session resumption: a resumed session would rely on the verification of an
+// earlier connection instead of the current trust bundle.
+func restrict(config *tls.Config) *tls.Config {
+	config.MinVersion = tls.VersionTLS13
+	config.SessionTicketsDisabled = true
+	return config
 }
 
-// Peer is who stands at the other end of a connection.
+// Peer is the authenticated peer of a connection.
 type Peer struct {
-	ID        spiffeid.ID
-	ExpiresAt time.Time // the earlier end of its identity and, for a proof of ours, of our own
-	certs     []*x509.Certificate
-	rounds    int64 // of the source, when it was last judged
-	source    *Source
+	ID        spiffeid.ID // zero for an anonymous peer
+	ExpiresAt time.Time   // the earlier expiry of the peer's and this program's X.509-SVID
+
+	certificates    []*x509.Certificate // empty for an anonymous peer
+	source          *Source
+	verifiedVersion int64 // version of the source at the last verification
 }
 
-// ErrExpired says that an identity is over.
-var ErrExpired = errors.New("the identity is over")
+// ErrExpired is the error of a peer whose X.509-SVID, or this program's own, has expired.
+var ErrExpired = errors.New("the X.509-SVID has expired")
 
-// VerifyPeer judges the other end of a connection whose handshake is done.
+// VerifyPeer verifies the peer's certificate chain of a connection after its handshake, and returns the peer.
 func (s *Source) VerifyPeer(state tls.ConnectionState) (*Peer, error) {
-	p := &Peer{certs: state.PeerCertificates, source: s}
-	if err := p.judge(); err != nil {
+	peer := &Peer{certificates: state.PeerCertificates, source: s}
+	if err := peer.verifyChain(); err != nil {
 		return nil, err
 	}
-	p.ExpiresAt = p.certs[0].NotAfter
-	if _, own, err := s.Identity(); err == nil && own.Before(p.ExpiresAt) {
-		p.ExpiresAt = own
+	peer.ExpiresAt = peer.certificates[0].NotAfter
+	if _, expiry, err := s.Identity(); err == nil && expiry.Before(peer.ExpiresAt) {
+		peer.ExpiresAt = expiry
 	}
-	return p, nil
+	return peer, nil
 }
 
-// judge verifies the chain by the roots as they stand.
-func (p *Peer) judge() error {
-	rounds := p.source.rounds.Load()
-	id, _, err := x509svid.Verify(p.certs, p.source.x, x509svid.WithTime(p.source.now()))
+// verifyChain verifies the certificate chain by the current trust bundles and sets the peer's ID.
+func (p *Peer) verifyChain() error {
+	version := p.source.version.Load()
+	id, _, err := x509svid.Verify(p.certificates, p.source.x509Source, x509svid.WithTime(p.source.now()))
 	if err != nil {
-		return fmt.Errorf("judging the peer: %w", err)
+		return fmt.Errorf("verifying the peer's X.509-SVID: %w", err)
 	}
-	p.ID, p.rounds = id, rounds
+	p.ID, p.verifiedVersion = id, version
 	return nil
 }
 
-// Still tells whether the peer is still who it was: its identity is not over, nor its root taken away. It is cheap while
-// neither the roots nor our identity changed.
+// Verify returns an error if the peer's X.509-SVID has expired or the trust bundles no longer verify it. It verifies
+// the certificate chain only if the source has been updated since the last time.
 func (p *Peer) Verify() error {
 	if !p.source.now().Before(p.ExpiresAt) {
 		return ErrExpired
 	}
-	if len(p.certs) > 0 && p.rounds != p.source.rounds.Load() {
-		return p.judge()
+	if len(p.certificates) > 0 && p.verifiedVersion != p.source.version.Load() {
+		return p.verifyChain()
 	}
 	return nil
 }
 
-// Ends is when the connection has to end.
+// Expiry returns the time by which the connection has to end.
 func (p *Peer) Expiry() time.Time { return p.ExpiresAt }
--- a/internal/identity/tokens.go
+++ b/internal/identity/tokens.go
@@ -12,53 +12,55 @@
 	"github.com/spiffe/go-spiffe/v2/workloadapi"
 )
 
-// TokenVerifier judges JWT-SVIDs (SPIFFE JWT-SVID, sections 2 to 5), for callers that cannot prove themselves by a certificate.
-type TokenVerifier struct{ j *workloadapi.JWTSource }
+// TokenVerifier verifies JWT-SVIDs (SPIFFE JWT-SVID, sections 2 to 5) of clients that have no certificate.
+type TokenVerifier struct{ bundles *workloadapi.JWTSource }
 
-// OpenTokenVerifier waits for the keys from the Workload API.
+// OpenTokenVerifier connects to the Workload API and waits for the first JWT bundles.
 func OpenTokenVerifier(ctx context.Context, address string) (*TokenVerifier, error) {
-	j, err := workloadapi.NewJWTSource(ctx, workloadapi.WithClientOptions(workloadapi.WithAddr(address)))
+	bundles, err := workloadapi.NewJWTSource(ctx, workloadapi.WithClientOptions(workloadapi.WithAddr(address)))
 	if err != nil {
-		return nil, fmt.Errorf("waiting for the keys of tokens from %s: %w", address, err)
+		return nil, fmt.Errorf("waiting for JWT bundles from %s: %w", address, err)
 	}
-	return &TokenVerifier{j}, nil
+	return &TokenVerifier{bundles}, nil
 }
 
-// Close gives them up.
-func (t *TokenVerifier) Close() error { return t.j.Close() }
+// Close ends the connection to the Workload API.
+func (v *TokenVerifier) Close() error { return v.bundles.Close() }
 
-// Verify tells whose token it is, and when it ends. It has to be for an audience alone.
-func (t *TokenVerifier) Verify(token, audience string) (spiffeid.ID, time.Time, error) {
-	v, err := jwtsvid.ParseAndValidate(token, t.j, []string{audience})
+// Verify verifies a token and returns the SPIFFE ID of its subject and the time at which it expires. The token has to
+// be for the given audience alone: any other audience that receives it could use it here.
+func (v *TokenVerifier) Verify(token, audience string) (id spiffeid.ID, expiry time.Time, err error) {
+	svid, err := jwtsvid.ParseAndValidate(token, v.bundles, []string{audience})
 	if err != nil {
 		return spiffeid.ID{}, time.Time{}, fmt.Errorf("judging a token: %w", err)
 	}
-	if len(v.Audience) != 1 {
-		return spiffeid.ID{}, time.Time{}, fmt.Errorf("judging a token: it is for %d audiences, and any of them could use it here", len(v.Audience))
+	if len(svid.Audience) != 1 {
+		return spiffeid.ID{}, time.Time{}, fmt.Errorf(
+			"judging a token: it is for %d audiences, and any of them could use it here", len(svid.Audience))
 	}
-	return v.ID, v.Expiry, nil
+	return svid.ID, svid.Expiry, nil
 }
 
-// ServerTLSWithTokens is Server for a side that also takes callers without a certificate. A certificate that is shown has to
-// be good all the same.
+// ServerTLSWithTokens is like ServerTLS, but also admits clients without a certificate, which authenticate their
+// requests by tokens. A certificate that a client does send has to be valid.
 func (s *Source) ServerTLSWithTokens() *tls.Config {
-	c := s.ServerTLS()
-	verify := c.VerifyPeerCertificate
-	c.ClientAuth = tls.RequestClientCert
-	c.VerifyPeerCertificate = func(raw [][]byte, chains [][]*x509.Certificate) error {
-		if len(raw) == 0 {
+	config := s.ServerTLS()
+	verify := config.VerifyPeerCertificate
+	config.ClientAuth = tls.RequestClientCert
+	config.VerifyPeerCertificate = func(rawCerts [][]byte, chains [][]*x509.Certificate) error {
+		if len(rawCerts) == 0 {
 			return nil
 		}
-		return verify(raw, chains)
+		return verify(rawCerts, chains)
 	}
-	return c
+	return config
 }
 
-// AnonymousPeer is the other end of a connection that showed no certificate.
+// AnonymousPeer returns the peer of a connection without a client certificate.
 func (s *Source) AnonymousPeer() (*Peer, error) {
-	_, own, err := s.Identity()
+	_, expiry, err := s.Identity()
 	if err != nil {
 		return nil, err
 	}
-	return &Peer{ExpiresAt: own, source: s}, nil
+	return &Peer{ExpiresAt: expiry, source: s}, nil
 }
