--- a/internal/orca/orca.go
+++ b/internal/orca/orca.go
@@ -1,9 +1,9 @@
-// Package orca reads and writes the load that a host reports in its answers: the text form of the field
+// Package orca reads and writes the load that a host reports in its responses: the text format of the header field
 // endpoint-load-metrics of ORCA (Open Request Cost Aggregation), as in
 //
 //	endpoint-load-metrics: TEXT cpu_utilization=0.31, rps_fractional=42.5, named_metrics.queue=3
 //
-// ORCA names the busy part of the cores and the rate; the queue is a named metric.
+// ORCA defines the CPU utilization and the request rate; the queue length is a named metric.
 package orca
 
 import (
@@ -18,50 +18,61 @@
 // HeaderName is the name of the header field.
 const HeaderName = "endpoint-load-metrics"
 
-// names of the metrics, as the field spells them.
+// textPrefix begins a value in the text format.
+const textPrefix = "TEXT "
+
+// significantDigits is the precision of a metric's value.
+const significantDigits = 6
+
+// Names of the metrics in the header field.
 const (
-	util  = "cpu_utilization"
-	rate  = "rps_fractional"
-	queue = "named_metrics.queue"
+	utilizationName = "cpu_utilization"
+	requestRateName = "rps_fractional"
+	queueLengthName = "named_metrics.queue"
 )
 
-// Parse reads a field's value. What is absent, unknown or no figure from 0 up is taken as not reported.
+// Parse parses the value of the header field. A metric that is missing, or whose value is not a finite number from 0
+// up, is not reported. Unknown metrics are ignored.
 func Parse(value string) routing.HostLoad {
 	load := routing.UnknownLoad
-	if rest, ok := strings.CutPrefix(value, "TEXT "); ok {
-		value = rest
+	if metrics, ok := strings.CutPrefix(value, textPrefix); ok {
+		value = metrics
 	}
-	for _, part := range strings.Split(value, ",") {
-		name, figure, ok := strings.Cut(textproto.TrimString(part), "=")
-		x, err := strconv.ParseFloat(textproto.TrimString(figure), 64)
-		if !ok || err != nil || !(x >= 0) || math.IsInf(x, 0) {
+	for _, metric := range strings.Split(value, ",") {
+		name, text, ok := strings.Cut(textproto.TrimString(metric), "=")
+		number, err := strconv.ParseFloat(textproto.TrimString(text), 64)
+		if !ok || err != nil || !(number >= 0) || math.IsInf(number, 0) {
 			continue
 		}
 		switch textproto.TrimString(name) {
-		case util:
-			load.Utilization = x
-		case rate:
-			load.RequestRate = x
-		case queue:
-			load.QueueLength = x
+		case utilizationName:
+			load.Utilization = number
+		case requestRateName:
+			load.RequestRate = number
+		case queueLengthName:
+			load.QueueLength = number
 		}
 	}
 	return load
 }
 
-// Format writes a field's value, empty where nothing is reported.
+// Format returns the value of the header field, "" if no metric is reported.
 func Format(load routing.HostLoad) string {
-	var parts []string
-	for _, f := range []struct {
-		name string
-		x    float64
-	}{{util, load.Utilization}, {rate, load.RequestRate}, {queue, load.QueueLength}} {
-		if f.x >= 0 {
-			parts = append(parts, f.name+"="+strconv.FormatFloat(f.x, 'g', 6, 64))
+	var metrics []string
+	for _, metric := range []struct {
+		name  string
+		value float64
+	}{
+		{utilizationName, load.Utilization},
+		{requestRateName, load.RequestRate},
+		{queueLengthName, load.QueueLength},
+	} {
+		if metric.value >= 0 {
+			metrics = append(metrics, metric.name+"="+strconv.FormatFloat(metric.value, 'g', significantDigits, 64))
 		}
 	}
-	if len(parts) == 0 {
+	if len(metrics) == 0 {
 		return ""
 	}
-	return "TEXT " + strings.Join(parts, ", ")
+	return textPrefix + strings.Join(metrics, ", ")
 }
