--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads a steward's configuration and host list, protobuf text format by configpb, and says of
-// each fault the file, the line and the field.
+// Package config reads the controller's configuration file, its endpoint list file and the solver's fleet file, in
+// protobuf text format (package configpb). Errors name the file, the line and the field.
 package config
 
 import (
@@ -27,33 +27,45 @@
 	"barleysail/routing"
 )
 
-// Defaults are the figures of all fields that may be left out; config.proto states them.
+const hourMs = 3600e3
+
+const (
+	maxZones           = 64
+	maxClasses         = 60
+	maxSocketPathBytes = 100 // Linux allows 107
+)
+
+// Defaults returns the defaults of all fields that may be left out. config.proto documents them.
 func Defaults() *configpb.Config {
-	p, i := proto.Float64, proto.Int32
-	return &configpb.Config{Listen: "127.0.0.1:7070",
-		Fleet: &configpb.Fleet{Stewards: i(1), Proxies: i(8), PeriodMs: p(1000), Ejects: i(0), UsualTries: i(1),
+	f64, i32 := proto.Float64, proto.Int32
+	return &configpb.Config{
+		Listen: "127.0.0.1:7070",
+		Fleet: &configpb.Fleet{Stewards: i32(1), Proxies: i32(8), PeriodMs: f64(1000), Ejects: i32(0), UsualTries: i32(1),
 			Admits: proto.Bool(true)},
-		Channel: &configpb.Channel{LinesPerS: p(7000), HeadLines: p(6), MostWaiting: p(7000), LateMs: p(20),
-			Price: p(0.02), MessagesMost: i(20), MessagesOverMs: p(10000)},
-		Guard: &configpb.Guard{BareMs: p(5000), GraceMs: p(3000), ColdFrom: p(0.15), ColdMs: p(18000), FallMultiple: p(4)},
-		Goal:  &configpb.Goal{Whole: p(0.75), WorstClass: p(0.1), ProbePrice: p(0.02)},
-		Polls: &configpb.Polls{StepMs: p(10), WaitMostMs: p(60000), FirstWaitMs: p(300), LeaveAfterMs: p(5000),
-			ForgetAfterMs: p(600000), History: i(32)},
-		TableGuard: &configpb.TableGuard{Over: p(1), Jump: p(0.5), ListHoldMs: p(hour)},
-		Intake: &configpb.Intake{SourceLinesPerS: p(5000), LinesPerS: p(50000), Waiting: i(50000), RoundLines: i(20000), FreshMs: p(2000),
-			HalfLifeMs: p(10000), OldestMs: p(60000), Doubt: proto.Bool(true), SilentMs: p(5000), UnsureMs: p(10000), Blind: p(0.85)},
-		Identity: &configpb.Identity{Handshakes: i(32)},
-		Standby:  &configpb.Standby{FreshMs: p(3000)},
-		State:    &configpb.State{EveryMs: p(1000), MostBytes: i(64 << 20)},
-		Solved:   &configpb.Solved{EveryMs: p(30000), LeastGain: p(0.005)},
-		List:     &configpb.List{WaitMs: p(30000)},
-		Probes:   &configpb.Probes{On: proto.Bool(true), Path: "/health", TimeoutMs: p(250), AtOnce: i(64)},
-		Server: &configpb.Server{Connections: i(20000), BodyBytes: i(4 << 20), IdleMs: p(120000), HeaderMs: p(10000),
-			BodyMs: p(20000), WriteMs: p(10000)},
+		Channel: &configpb.Channel{LinesPerS: f64(7000), HeadLines: f64(6), MostWaiting: f64(7000), LateMs: f64(20),
+			Price: f64(0.02), MessagesMost: i32(20), MessagesOverMs: f64(10000)},
+		Guard: &configpb.Guard{BareMs: f64(5000), GraceMs: f64(3000), ColdFrom: f64(0.15), ColdMs: f64(18000),
+			FallMultiple: f64(4)},
+		Goal: &configpb.Goal{Whole: f64(0.75), WorstClass: f64(0.1), ProbePrice: f64(0.02)},
+		Polls: &configpb.Polls{StepMs: f64(10), WaitMostMs: f64(60000), FirstWaitMs: f64(300), LeaveAfterMs: f64(5000),
+			ForgetAfterMs: f64(600000), History: i32(32)},
+		TableGuard: &configpb.TableGuard{Over: f64(1), Jump: f64(0.5), ListHoldMs: f64(hourMs)},
+		Intake: &configpb.Intake{SourceLinesPerS: f64(5000), LinesPerS: f64(50000), Waiting: i32(50000),
+			RoundLines: i32(20000), FreshMs: f64(2000), HalfLifeMs: f64(10000), OldestMs: f64(60000),
+			Doubt: proto.Bool(true), SilentMs: f64(5000), UnsureMs: f64(10000), Blind: f64(0.85)},
+		Identity: &configpb.Identity{Handshakes: i32(32)},
+		Standby:  &configpb.Standby{FreshMs: f64(3000)},
+		State:    &configpb.State{EveryMs: f64(1000), MostBytes: i32(64 << 20)},
+		Solved:   &configpb.Solved{EveryMs: f64(30000), LeastGain: f64(0.005)},
+		List:     &configpb.List{WaitMs: f64(30000)},
+		Probes:   &configpb.Probes{On: proto.Bool(true), Path: "/health", TimeoutMs: f64(250), AtOnce: i32(64)},
+		Server: &configpb.Server{Connections: i32(20000), BodyBytes: i32(4 << 20), IdleMs: f64(120000),
+			HeaderMs: f64(10000), BodyMs: f64(20000), WriteMs: f64(10000)},
 	}
 }
 
-// Load reads a configuration; a list file is named beside it.
+// Load reads and checks a configuration file. Relative paths of the endpoint list file and of the state folder are
+// relative to the configuration file's folder.
 func Load(file string) (*configpb.Config, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -69,363 +81,427 @@
 	return c, err
 }
 
-// Parse reads a configuration, fills in the defaults and checks it.
+// Parse parses a configuration, applies the defaults and checks it. The errors name the given file.
 func Parse(file string, text []byte) (*configpb.Config, error) {
-	set := &configpb.Config{}
-	if err := prototext.Unmarshal(text, set); err != nil {
-		return nil, wrong(file, err)
+	parsed := &configpb.Config{}
+	if err := prototext.Unmarshal(text, parsed); err != nil {
+		return nil, parseError(file, err)
 	}
 	c := Defaults()
-	proto.Merge(c, set)
-	f := fields{file: file, at: locate(text)}
-	f.check(c)
-	return c, f.err
+	proto.Merge(c, parsed)
+	v := validator{file: file, lines: fieldLines(text)}
+	v.checkConfig(c)
+	return c, v.err
 }
 
-var place = regexp.MustCompile(`^proto: (?:syntax error )?\(line (\d+):(\d+)\): (.*)$`)
+// parseErrorPattern matches the errors of prototext that name a line and a column.
+var parseErrorPattern = regexp.MustCompile(`^proto: (?:syntax error )?\(line (\d+):(\d+)\): (.*)$`)
 
-// wrong words a fault of the text format with file and line.
-func wrong(file string, err error) error {
-	text := strings.ReplaceAll(err.Error(), "\u00a0", " ") // the library puts either space, by chance
-	if m := place.FindStringSubmatch(text); m != nil {
-		return fmt.Errorf("%s:%s:%s: %s", file, m[1], m[2], m[3])
+// parseError returns the error of a text that cannot be parsed, with the file and, if it is known, the line and the
+// column.
+func parseError(file string, err error) error {
+	text := strings.ReplaceAll(err.Error(), "\u00a0", " ") // protobuf randomly uses a space or a no-break space
+	if match := parseErrorPattern.FindStringSubmatch(text); match != nil {
+		return fmt.Errorf("%s:%s:%s: %s", file, match[1], match[2], match[3])
 	}
 	return fmt.Errorf("%s: %s", file, text)
 }
 
-// fields notes the first fault.
-type fields struct {
-	file string
-	at   map[string]int
-	err  error
+// validator checks the fields of a file and keeps the first error.
+type validator struct {
+	file  string
+	lines map[string]int // line of each field, by path
+	err   error
 }
 
-func (f *fields) fail(field, format string, args ...any) {
-	if f.err == nil {
-		f.err = fmt.Errorf("%s:%d: %s: %s", f.file, lineOf(f.at, field), field, fmt.Sprintf(format, args...))
+// fail keeps the error of a field, unless there is an earlier one.
+func (v *validator) fail(field, format string, args ...any) {
+	if v.err == nil {
+		v.err = fmt.Errorf("%s:%d: %s: %s", v.file, lineOf(v.lines, field), field, fmt.Sprintf(format, args...))
 	}
 }
 
-func (f *fields) within(field string, x, least, most float64) {
-	if !(x >= least && x <= most) || math.IsInf(x, 0) {
-		f.fail(field, "%g is not from %g to %g", x, least, most)
+// checkRange checks that a number is finite and from low to high.
+func (v *validator) checkRange(field string, value, low, high float64) {
+	if !(value >= low && value <= high) || math.IsInf(value, 0) {
+		v.fail(field, "%g is not from %g to %g", value, low, high)
 	}
 }
 
-func (f *fields) whole(field string, x int32, least, most int32) {
-	f.within(field, float64(x), float64(least), float64(most))
+func (v *validator) checkIntRange(field string, value, low, high int32) {
+	v.checkRange(field, float64(value), float64(low), float64(high))
 }
 
-var word = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$`)
+// namePattern matches the names of zones, request classes and proxies.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$`)
 
-func (f *fields) names(field string, names []string, most int) {
-	if len(names) == 0 || len(names) > most {
-		f.fail(field, "%d are given, 1 to %d are needed", len(names), most)
-	}
-	for i, n := range names {
-		at := fmt.Sprintf("%s[%d]", field, i)
-		if !word.MatchString(n) {
-			f.fail(at, "%q is no name", n)
+// checkNames checks that there are 1 to maxCount names, valid and unique.
+func (v *validator) checkNames(field string, names []string, maxCount int) {
+	if len(names) == 0 || len(names) > maxCount {
+		v.fail(field, "%d are given, 1 to %d are needed", len(names), maxCount)
+	}
+	for i, name := range names {
+		path := fmt.Sprintf("%s[%d]", field, i)
+		if !namePattern.MatchString(name) {
+			v.fail(path, "%q is no name", name)
 		}
 		for _, other := range names[:i] {
-			if other == n {
-				f.fail(at, "%q stands there twice", n)
+			if other == name {
+				v.fail(path, "%q stands there twice", name)
 			}
 		}
 	}
 }
 
-const hour = 3600e3
-
-func (f *fields) check(c *configpb.Config) {
-	f.names("zones", c.Zones, 64)
-	if len(c.Classes) == 0 || len(c.Classes) > 60 {
-		f.fail("classes", "%d are given, 1 to 60 are needed", len(c.Classes))
-	}
-	for i, k := range c.Classes {
-		at := fmt.Sprintf("classes[%d]", i)
-		if !word.MatchString(k.Name) {
-			f.fail(at+".name", "%q is no name", k.Name)
+// checkConfig checks all fields, and sets the defaults of repeated messages, which Defaults cannot hold.
+func (v *validator) checkConfig(c *configpb.Config) {
+	v.checkNames("zones", c.Zones, maxZones)
+	if len(c.Classes) == 0 || len(c.Classes) > maxClasses {
+		v.fail("classes", "%d are given, 1 to %d are needed", len(c.Classes), maxClasses)
+	}
+	for i, class := range c.Classes {
+		path := fmt.Sprintf("classes[%d]", i)
+		if !namePattern.MatchString(class.Name) {
+			v.fail(path+".name", "%q is no name", class.Name)
 		}
 		for _, other := range c.Classes[:i] {
-			if other.Name == k.Name {
-				f.fail(at+".name", "%q stands there twice", k.Name)
+			if other.Name == class.Name {
+				v.fail(path+".name", "%q stands there twice", class.Name)
 			}
 		}
-		if k.DueMs == nil {
-			f.fail(at+".due_ms", "is missing")
+		if class.DueMs == nil {
+			v.fail(path+".due_ms", "is missing")
 		}
-		if k.PatienceMs == nil {
-			f.fail(at+".patience_ms", "is missing")
+		if class.PatienceMs == nil {
+			v.fail(path+".patience_ms", "is missing")
 		}
-		if k.Earnings == nil {
-			k.Earnings = proto.Float64(1)
+		if class.Earnings == nil {
+			class.Earnings = proto.Float64(1)
 		}
-		f.within(at+".due_ms", k.GetDueMs(), 1, hour)
-		f.within(at+".patience_ms", k.GetPatienceMs(), 1, hour)
-		f.within(at+".earnings", *k.Earnings, 0, 1e9)
-		if k.WorkMs == nil && c.Solved.On {
-			f.fail(at+".work_ms", "is missing, and solved weights need it")
+		v.checkRange(path+".due_ms", class.GetDueMs(), 1, hourMs)
+		v.checkRange(path+".patience_ms", class.GetPatienceMs(), 1, hourMs)
+		v.checkRange(path+".earnings", *class.Earnings, 0, 1e9)
+		if class.WorkMs == nil && c.Solved.On {
+			v.fail(path+".work_ms", "is missing, and solved weights need it")
 		}
-		f.within(at+".work_ms", k.GetWorkMs(), 0, hour)
-	}
-	f.whole("fleet.stewards", *c.Fleet.Stewards, 1, 10000)
-	f.whole("fleet.proxies", *c.Fleet.Proxies, 1, 1000000)
-	f.within("fleet.period_ms", *c.Fleet.PeriodMs, 10, hour)
-	f.whole("fleet.ejects", *c.Fleet.Ejects, 0, 1000)
-	f.whole("fleet.usual_tries", *c.Fleet.UsualTries, 0, 3)
-	f.within("channel.lines_per_s", *c.Channel.LinesPerS, 1, 1e9)
-	f.within("channel.head_lines", *c.Channel.HeadLines, 0, 1e6)
-	f.within("channel.most_waiting", *c.Channel.MostWaiting, 1, 1e9)
-	f.within("channel.late_ms", *c.Channel.LateMs, 0, hour)
-	f.within("channel.price", *c.Channel.Price, 0, 1)
-	f.whole("channel.messages_most", *c.Channel.MessagesMost, 0, 1e6)
-	f.within("channel.messages_over_ms", *c.Channel.MessagesOverMs, 1, hour)
-	f.within("guard.bare_ms", *c.Guard.BareMs, 1, hour)
-	f.within("guard.grace_ms", *c.Guard.GraceMs, 1, hour)
-	f.within("guard.cold_from", *c.Guard.ColdFrom, 0.001, 1)
-	f.within("guard.cold_ms", *c.Guard.ColdMs, 0, hour)
-	f.within("guard.fall_multiple", *c.Guard.FallMultiple, 0.1, 1000)
-	f.within("goal.whole", *c.Goal.Whole, 0, 1)
-	f.within("goal.worst_class", *c.Goal.WorstClass, 0, 1)
-	f.within("goal.probe_price", *c.Goal.ProbePrice, 0, 1)
-	f.within("polls.step_ms", *c.Polls.StepMs, 1, 1000)
-	f.within("polls.wait_most_ms", *c.Polls.WaitMostMs, 1, hour)
-	f.within("polls.first_wait_ms", *c.Polls.FirstWaitMs, 0, hour)
-	f.within("polls.leave_after_ms", *c.Polls.LeaveAfterMs, 1, hour)
-	f.within("polls.forget_after_ms", *c.Polls.ForgetAfterMs, 1, 1000*hour)
-	f.whole("polls.history", *c.Polls.History, 1, 1000)
+		v.checkRange(path+".work_ms", class.GetWorkMs(), 0, hourMs)
+	}
+	v.checkIntRange("fleet.stewards", *c.Fleet.Stewards, 1, 10000)
+	v.checkIntRange("fleet.proxies", *c.Fleet.Proxies, 1, 1000000)
+	v.checkRange("fleet.period_ms", *c.Fleet.PeriodMs, 10, hourMs)
+	v.checkIntRange("fleet.ejects", *c.Fleet.Ejects, 0, 1000)
+	v.checkIntRange("fleet.usual_tries", *c.Fleet.UsualTries, 0, 3)
+	v.checkRange("channel.lines_per_s", *c.Channel.LinesPerS, 1, 1e9)
+	v.checkRange("channel.head_lines", *c.Channel.HeadLines, 0, 1e6)
+	v.checkRange("channel.most_waiting", *c.Channel.MostWaiting, 1, 1e9)
+	v.checkRange("channel.late_ms", *c.Channel.LateMs, 0, hourMs)
+	v.checkRange("channel.price", *c.Channel.Price, 0, 1)
+	v.checkIntRange("channel.messages_most", *c.Channel.MessagesMost, 0, 1e6)
+	v.checkRange("channel.messages_over_ms", *c.Channel.MessagesOverMs, 1, hourMs)
+	v.checkRange("guard.bare_ms", *c.Guard.BareMs, 1, hourMs)
+	v.checkRange("guard.grace_ms", *c.Guard.GraceMs, 1, hourMs)
+	v.checkRange("guard.cold_from", *c.Guard.ColdFrom, 0.001, 1)
+	v.checkRange("guard.cold_ms", *c.Guard.ColdMs, 0, hourMs)
+	v.checkRange("guard.fall_multiple", *c.Guard.FallMultiple, 0.1, 1000)
+	v.checkRange("goal.whole", *c.Goal.Whole, 0, 1)
+	v.checkRange("goal.worst_class", *c.Goal.WorstClass, 0, 1)
+	v.checkRange("goal.probe_price", *c.Goal.ProbePrice, 0, 1)
+	v.checkRange("polls.step_ms", *c.Polls.StepMs, 1, 1000)
+	v.checkRange("polls.wait_most_ms", *c.Polls.WaitMostMs, 1, hourMs)
+	v.checkRange("polls.first_wait_ms", *c.Polls.FirstWaitMs, 0, hourMs)
+	v.checkRange("polls.leave_after_ms", *c.Polls.LeaveAfterMs, 1, hourMs)
+	v.checkRange("polls.forget_after_ms", *c.Polls.ForgetAfterMs, 1, 1000*hourMs)
+	v.checkIntRange("polls.history", *c.Polls.History, 1, 1000)
 	if (c.List.File == "") == (c.List.Url == "") {
-		f.fail("list", "a file or a url is needed, not both")
+		v.fail("list", "a file or a url is needed, not both")
 	}
-	for i, r := range c.Runtime {
-		at := fmt.Sprintf("runtime[%d]", i)
-		if r.Level == "" {
-			r.Level = "operator"
+	for i, socket := range c.Runtime {
+		path := fmt.Sprintf("runtime[%d]", i)
+		if socket.Level == "" {
+			socket.Level = "operator"
 		}
-		if _, ok := runtimeapi.ParseLevel(r.Level); !ok {
-			f.fail(at+".level", "%q: user, operator and admin are known", r.Level)
+		if _, ok := runtimeapi.ParseLevel(socket.Level); !ok {
+			v.fail(path+".level", "%q: user, operator and admin are known", socket.Level)
 		}
-		f.socket(at+".address", r.Address)
-		if host, _, err := net.SplitHostPort(r.Address); err == nil && !strings.HasPrefix(r.Address, "unix:") && !loopback(host) {
-			f.fail(at+".address", "%q is not on loopback, and the socket asks nobody who he is", r.Address)
+		v.checkAddress(path+".address", socket.Address)
+		host, _, err := net.SplitHostPort(socket.Address)
+		if err == nil && !strings.HasPrefix(socket.Address, "unix:") && !isLoopback(host) {
+			v.fail(path+".address", "%q is not on loopback, and the socket asks nobody who he is", socket.Address)
 		}
 	}
-	for i, p := range c.Sockets {
-		at := fmt.Sprintf("sockets[%d]", i)
-		if !word.MatchString(p.Proxy) {
-			f.fail(at+".proxy", "%q is no name", p.Proxy)
+	for i, proxy := range c.Sockets {
+		path := fmt.Sprintf("sockets[%d]", i)
+		if !namePattern.MatchString(proxy.Proxy) {
+			v.fail(path+".proxy", "%q is no name", proxy.Proxy)
 		}
-		if !slices.Contains(c.Zones, p.Zone) {
-			f.fail(at+".zone", "%q is not among the zones", p.Zone)
+		if !slices.Contains(c.Zones, proxy.Zone) {
+			v.fail(path+".zone", "%q is not among the zones", proxy.Zone)
 		}
-		f.socket(at+".address", p.Address)
-		f.within(at+".rate", p.GetRate(), 0, 1e9)
+		v.checkAddress(path+".address", proxy.Address)
+		v.checkRange(path+".rate", proxy.GetRate(), 0, 1e9)
 	}
-	f.within("table_guard.over", *c.TableGuard.Over, 0, 1000)
-	f.within("table_guard.jump", *c.TableGuard.Jump, 0, 1)
-	f.within("table_guard.list_lose", c.TableGuard.ListLose, 0, 1)
-	f.within("table_guard.list_hold_ms", *c.TableGuard.ListHoldMs, 0, hour)
+	v.checkRange("table_guard.over", *c.TableGuard.Over, 0, 1000)
+	v.checkRange("table_guard.jump", *c.TableGuard.Jump, 0, 1)
+	v.checkRange("table_guard.list_lose", c.TableGuard.ListLose, 0, 1)
+	v.checkRange("table_guard.list_hold_ms", *c.TableGuard.ListHoldMs, 0, hourMs)
 	if c.Standby.Of != "" && len(c.Sockets) > 0 {
-		f.fail("sockets", "a standby drives no sockets: it would take them from the steward that it stands by")
-	}
-	f.identity(c)
-	f.within("standby.fresh_ms", *c.Standby.FreshMs, 1500, hour)
-	f.within("state.every_ms", *c.State.EveryMs, 10, hour)
-	f.whole("state.most_bytes", *c.State.MostBytes, 4096, 1<<30)
-	n := c.Intake
-	f.within("intake.source_lines_per_s", *n.SourceLinesPerS, 1, 1e9)
-	f.within("intake.lines_per_s", *n.LinesPerS, 1, 1e9)
-	f.whole("intake.waiting", *n.Waiting, 1, 10000000)
-	f.whole("intake.round_lines", *n.RoundLines, 1, 10000000)
-	f.within("intake.fresh_ms", *n.FreshMs, 0, hour)
-	f.within("intake.half_life_ms", *n.HalfLifeMs, 1, hour)
-	f.within("intake.oldest_ms", *n.OldestMs, 1, hour)
-	f.within("intake.silent_ms", *n.SilentMs, 1, hour)
-	f.within("intake.unsure_ms", *n.UnsureMs, 1, hour)
-	f.within("intake.blind", *n.Blind, 0, 1)
-	f.within("solved.every_ms", *c.Solved.EveryMs, 100, 1000*hour)
-	f.within("solved.least_gain", *c.Solved.LeastGain, 0, 1)
-	f.within("list.wait_ms", *c.List.WaitMs, 100, hour)
+		v.fail("sockets", "a standby drives no sockets: it would take them from the steward that it stands by")
+	}
+	v.checkIdentity(c)
+	v.checkRange("standby.fresh_ms", *c.Standby.FreshMs, 1500, hourMs)
+	v.checkRange("state.every_ms", *c.State.EveryMs, 10, hourMs)
+	v.checkIntRange("state.most_bytes", *c.State.MostBytes, 4096, 1<<30)
+	ingest := c.Intake
+	v.checkRange("intake.source_lines_per_s", *ingest.SourceLinesPerS, 1, 1e9)
+	v.checkRange("intake.lines_per_s", *ingest.LinesPerS, 1, 1e9)
+	v.checkIntRange("intake.waiting", *ingest.Waiting, 1, 10000000)
+	v.checkIntRange("intake.round_lines", *ingest.RoundLines, 1, 10000000)
+	v.checkRange("intake.fresh_ms", *ingest.FreshMs, 0, hourMs)
+	v.checkRange("intake.half_life_ms", *ingest.HalfLifeMs, 1, hourMs)
+	v.checkRange("intake.oldest_ms", *ingest.OldestMs, 1, hourMs)
+	v.checkRange("intake.silent_ms", *ingest.SilentMs, 1, hourMs)
+	v.checkRange("intake.unsure_ms", *ingest.UnsureMs, 1, hourMs)
+	v.checkRange("intake.blind", *ingest.Blind, 0, 1)
+	v.checkRange("solved.every_ms", *c.Solved.EveryMs, 100, 1000*hourMs)
+	v.checkRange("solved.least_gain", *c.Solved.LeastGain, 0, 1)
+	v.checkRange("list.wait_ms", *c.List.WaitMs, 100, hourMs)
 	if c.Probes.Path[0] != '/' {
-		f.fail("probes.path", "%q does not begin with /", c.Probes.Path)
+		v.fail("probes.path", "%q does not begin with /", c.Probes.Path)
 	}
-	f.within("probes.timeout_ms", *c.Probes.TimeoutMs, 1, 60000)
-	f.whole("probes.at_once", *c.Probes.AtOnce, 1, 10000)
-	f.whole("server.connections", *c.Server.Connections, 1, 1000000)
-	f.whole("server.body_bytes", *c.Server.BodyBytes, 1024, 1<<30)
-	for name, x := range map[string]*float64{"idle_ms": c.Server.IdleMs, "header_ms": c.Server.HeaderMs,
+	v.checkRange("probes.timeout_ms", *c.Probes.TimeoutMs, 1, 60000)
+	v.checkIntRange("probes.at_once", *c.Probes.AtOnce, 1, 10000)
+	v.checkIntRange("server.connections", *c.Server.Connections, 1, 1000000)
+	v.checkIntRange("server.body_bytes", *c.Server.BodyBytes, 1024, 1<<30)
+	for name, timeoutMs := range map[string]*float64{"idle_ms": c.Server.IdleMs, "header_ms": c.Server.HeaderMs,
 		"body_ms": c.Server.BodyMs, "write_ms": c.Server.WriteMs} {
-		f.within("server."+name, *x, 1, hour)
+		v.checkRange("server."+name, *timeoutMs, 1, hourMs)
 	}
 }
 
-// identity checks who may do what.
-func (f *fields) identity(c *configpb.Config) {
-	n := c.Identity
-	f.whole("identity.handshakes", *n.Handshakes, 1, 10000)
+// checkIdentity checks the settings of authentication and authorization.
+func (v *validator) checkIdentity(c *configpb.Config) {
+	identity := c.Identity
+	v.checkIntRange("identity.handshakes", *identity.Handshakes, 1, 10000)
 	if _, err := Policy(c); err != nil {
-		f.fail("identity.allow", "%v", err)
+		v.fail("identity.allow", "%v", err)
 	}
-	if n.WorkloadApi == "" {
-		if len(n.Allow) > 0 {
-			f.fail("identity.workload_api", "is missing, and rules are given")
+	if identity.WorkloadApi == "" {
+		if len(identity.Allow) > 0 {
+			v.fail("identity.workload_api", "is missing, and rules are given")
 		}
 		return
 	}
-	if !strings.HasPrefix(n.WorkloadApi, "unix:///") {
-		f.fail("identity.workload_api", "%q does not begin with unix:///", n.WorkloadApi)
+	if !strings.HasPrefix(identity.WorkloadApi, "unix:///") {
+		v.fail("identity.workload_api", "%q does not begin with unix:///", identity.WorkloadApi)
 	}
-	if n.PlainLoopback {
-		f.fail("identity.plain_loopback", "and a workload_api are given")
+	if identity.PlainLoopback {
+		v.fail("identity.plain_loopback", "and a workload_api are given")
 	}
-	for field, x := range map[string][2]string{"standby.id": {c.Standby.Of, c.Standby.Id}, "list.id": {c.List.Url, c.List.Id}} {
-		if x[0] == "" {
+	for field, server := range map[string]struct{ url, id string }{
+		"standby.id": {c.Standby.Of, c.Standby.Id}, "list.id": {c.List.Url, c.List.Id},
+	} {
+		if server.url == "" {
 			continue
 		}
-		if _, err := spiffeid.FromString(x[1]); err != nil {
-			f.fail(field, "%q: %v", x[1], err)
+		if _, err := spiffeid.FromString(server.id); err != nil {
+			v.fail(field, "%q: %v", server.id, err)
 		}
 	}
 }
 
-// Policy reads who may do what; nil where identities are not used.
+// Policy returns the authorization policy of a configuration, nil if it has no identities.
 func Policy(c *configpb.Config) (*auth.Policy, error) {
 	if c.Identity.WorkloadApi == "" && len(c.Identity.Allow) == 0 {
 		return nil, nil
 	}
 	var rules []auth.Rule
-	for i, a := range c.Identity.Allow {
-		var allowed []auth.Action
-		for _, name := range a.Actions {
-			x, err := auth.ParseAction(name)
+	for i, allow := range c.Identity.Allow {
+		var actions []auth.Action
+		for _, name := range allow.Actions {
+			action, err := auth.ParseAction(name)
 			if err != nil {
 				return nil, fmt.Errorf("rule %d: %w", i, err)
 			}
-			allowed = append(allowed, x)
+			actions = append(actions, action)
 		}
-		r, err := auth.NewRule(a.Id, allowed)
+		rule, err := auth.NewRule(allow.Id, actions)
 		if err != nil {
 			return nil, fmt.Errorf("rule %d: %w", i, err)
 		}
-		rules = append(rules, r)
+		rules = append(rules, rule)
 	}
 	return auth.NewPolicy(rules...), nil
 }
 
-// CheckPlaintext refuses a steward that would speak plain without its configuration saying so, or beyond loopback.
+// CheckPlaintext returns an error for a configuration without identities, unless it says identity.plain_loopback and
+// listens on a loopback address.
 func CheckPlaintext(c *configpb.Config) error {
 	if c.Identity.WorkloadApi != "" {
 		return nil
 	}
 	if !c.Identity.PlainLoopback {
-		return errors.New("no identity.workload_api is given: say identity { plain_loopback: true } to speak plain HTTP on loopback")
+		return errors.New("no identity.workload_api is given: " +
+			"say identity { plain_loopback: true } to speak plain HTTP on loopback")
 	}
 	host, _, err := net.SplitHostPort(c.Listen)
-	if err != nil || !loopback(host) {
+	if err != nil || !isLoopback(host) {
 		return fmt.Errorf("listen: %q is not on loopback, and without identities anybody might do everything", c.Listen)
 	}
 	return nil
 }
 
-// socket checks unix:PATH or address:port.
-func (f *fields) socket(field, address string) {
+// checkAddress checks the address of a socket: unix:PATH or address:port.
+func (v *validator) checkAddress(field, address string) {
 	if path, ok := strings.CutPrefix(address, "unix:"); ok {
-		if path == "" || len(path) > 100 {
-			f.fail(field, "a path of 1 to 100 bytes is needed")
+		if path == "" || len(path) > maxSocketPathBytes {
+			v.fail(field, "a path of 1 to %d bytes is needed", maxSocketPathBytes)
 		}
 		return
 	}
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		f.fail(field, "%q is neither unix:PATH nor address:port", address)
+		v.fail(field, "%q is neither unix:PATH nor address:port", address)
 	}
 }
 
-func loopback(host string) bool {
+// isLoopback reports whether a host is localhost or a loopback IP address.
+func isLoopback(host string) bool {
 	ip := net.ParseIP(host)
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-// ParseHosts reads a list file's text. Zones are checked by the steward, which names the entry.
+// ParseHosts parses and checks an endpoint list file. It doesn't check the zones: the controller does.
 func ParseHosts(file string, text []byte) ([]controller.Endpoint, error) {
-	l := &configpb.HostList{}
-	if err := prototext.Unmarshal(text, l); err != nil {
-		return nil, wrong(file, err)
-	}
-	f := fields{file: file, at: locate(text)}
-	entries := make([]controller.Endpoint, 0, len(l.Hosts))
-	for i, h := range l.Hosts {
-		at := "hosts[" + strconv.Itoa(i) + "]"
-		if h.Address == "" {
-			f.fail(at+".address", "is missing")
-		} else if err := controller.CheckAddress(h.Address); err != nil {
-			f.fail(at+".address", "%v", err)
+	list := &configpb.HostList{}
+	if err := prototext.Unmarshal(text, list); err != nil {
+		return nil, parseError(file, err)
+	}
+	v := validator{file: file, lines: fieldLines(text)}
+	endpoints := make([]controller.Endpoint, 0, len(list.Hosts))
+	for i, host := range list.Hosts {
+		path := "hosts[" + strconv.Itoa(i) + "]"
+		if host.Address == "" {
+			v.fail(path+".address", "is missing")
+		} else if err := controller.CheckAddress(host.Address); err != nil {
+			v.fail(path+".address", "%v", err)
 		}
-		if h.Zone == "" {
-			f.fail(at+".zone", "is missing")
+		if host.Zone == "" {
+			v.fail(path+".zone", "is missing")
 		}
 		weight := 1.0
-		if h.Weight != nil {
-			weight = *h.Weight
+		if host.Weight != nil {
+			weight = *host.Weight
 		}
-		f.within(at+".weight", weight, 0, 1e6)
-		f.within(at+".cores", h.Cores, 0, 1e9)
-		f.within(at+".speed", or(h.Speed, 1), 0, 1e9)
-		f.within(at+".started_unix_ms", h.StartedUnixMs, 0, 1e15)
-		phase := routing.Ready
-		if h.Phase == configpb.Phase_DRAINING {
-			phase = routing.Draining
+		v.checkRange(path+".weight", weight, 0, 1e6)
+		v.checkRange(path+".cores", host.Cores, 0, 1e9)
+		v.checkRange(path+".speed", valueOr(host.Speed, 1), 0, 1e9)
+		v.checkRange(path+".started_unix_ms", host.StartedUnixMs, 0, 1e15)
+		state := routing.Ready
+		if host.Phase == configpb.Phase_DRAINING {
+			state = routing.Draining
 		}
-		entries = append(entries, controller.Endpoint{Host: h.Address, Zone: h.Zone, State: phase, Weight: weight,
-			StartedMs: h.StartedUnixMs, Cores: h.Cores, Speed: or(h.Speed, 1)})
+		endpoints = append(endpoints, controller.Endpoint{
+			Host: host.Address, Zone: host.Zone, State: state, Weight: weight,
+			StartedMs: host.StartedUnixMs, Cores: host.Cores, Speed: valueOr(host.Speed, 1),
+		})
 	}
-	return entries, f.err
+	return endpoints, v.err
 }
 
-// IngestLimits gives the limits of what comes in.
+// IngestLimits returns the limits of request stats and load reports.
 func IngestLimits(c *configpb.Config) intake.Limits {
-	l, n := intake.DefaultLimits(), c.Intake
-	l.MaxQueued, l.MaxPerRound, l.TrustAll = int(*n.Waiting), int(*n.RoundLines), !*n.Doubt
-	l.FullWeightMs, l.HalfLifeMs, l.MaxAgeMs = *n.FreshMs, *n.HalfLifeMs, *n.OldestMs
-	l.SilentAfterMs, l.UncertainAfterMs, l.UnknownUtilization = *n.SilentMs, *n.UnsureMs, *n.Blind
-	return l
+	limits, settings := intake.DefaultLimits(), c.Intake
+	limits.MaxQueued, limits.MaxPerRound = int(*settings.Waiting), int(*settings.RoundLines)
+	limits.TrustAll = !*settings.Doubt
+	limits.FullWeightMs, limits.HalfLifeMs, limits.MaxAgeMs = *settings.FreshMs, *settings.HalfLifeMs, *settings.OldestMs
+	limits.SilentAfterMs, limits.UncertainAfterMs = *settings.SilentMs, *settings.UnsureMs
+	limits.UnknownUtilization = *settings.Blind
+	return limits
 }
 
-// ForRecordingFormat gives a configuration as stewards of a recording's format went by it: before format 4 they believed load reports.
+// firstFormatWithDoubt is the first recording format whose controllers compared load reports with request stats.
+const firstFormatWithDoubt = 4
+
+// ForRecordingFormat changes a configuration so that a replay decides as the controller did that made a recording of
+// the given format, and returns it: before format 4 controllers trusted all load reports.
 func ForRecordingFormat(c *configpb.Config, format int32) *configpb.Config {
-	if format < 4 {
+	if format < firstFormatWithDoubt {
 		c.Intake.Doubt = proto.Bool(false)
 	}
 	return c
 }
 
-// NewController makes the controller that a checked configuration describes.
-func NewController(c *configpb.Config, life string, seed uint64) *controller.Controller {
+// NewController returns a controller with the settings of a checked configuration.
+func NewController(c *configpb.Config, incarnation string, seed uint64) *controller.Controller {
 	var classes []controller.RequestClass
-	for _, k := range c.Classes {
-		classes = append(classes, controller.RequestClass{Name: k.Name, RequestClass: routing.RequestClass{LatencyObjectiveMs: *k.DueMs, DeadlineMs: *k.PatienceMs,
-			PriorityWeight: *k.Earnings, ZoneLocal: k.Local}, MeanWorkMs: k.GetWorkMs()})
-	}
-	s := controller.New(
-		controller.Deployment{Incarnation: life, Seed: seed, Zones: c.Zones, Controllers: int(*c.Fleet.Stewards),
-			Proxies: int(*c.Fleet.Proxies), ReportIntervalMs: *c.Fleet.PeriodMs, ProxyEjectAfter: int(*c.Fleet.Ejects),
-			DefaultRetryPolicy: int(*c.Fleet.UsualTries), AdmissionControl: *c.Fleet.Admits, HealthChecks: *c.Probes.On, WatchesEndpoints: c.List.Url != ""},
+	for _, class := range c.Classes {
+		classes = append(classes, controller.RequestClass{
+			Name: class.Name,
+			RequestClass: routing.RequestClass{
+				LatencyObjectiveMs: *class.DueMs,
+				DeadlineMs:         *class.PatienceMs,
+				PriorityWeight:     *class.Earnings,
+				ZoneLocal:          class.Local,
+			},
+			MeanWorkMs: class.GetWorkMs(),
+		})
+	}
+	created := controller.New(
+		controller.Deployment{
+			Incarnation:        incarnation,
+			Seed:               seed,
+			Zones:              c.Zones,
+			Controllers:        int(*c.Fleet.Stewards),
+			Proxies:            int(*c.Fleet.Proxies),
+			ReportIntervalMs:   *c.Fleet.PeriodMs,
+			ProxyEjectAfter:    int(*c.Fleet.Ejects),
+			DefaultRetryPolicy: int(*c.Fleet.UsualTries),
+			AdmissionControl:   *c.Fleet.Admits,
+			HealthChecks:       *c.Probes.On,
+			WatchesEndpoints:   c.List.Url != "",
+		},
 		classes,
-		routing.ControlChannel{EntriesPerSecond: *c.Channel.LinesPerS, MessageOverhead: *c.Channel.HeadLines, MaxBacklog: *c.Channel.MostWaiting,
-			PropagationDelayMs: *c.Channel.LateMs, Cost: *c.Channel.Price, MaxMessages: int(*c.Channel.MessagesMost),
-			MessageWindowMs: *c.Channel.MessagesOverMs},
-		routing.SafetyLimits{EmptyTableMs: *c.Guard.BareMs, DrainGraceMs: *c.Guard.GraceMs, SlowStartInitialFactor: *c.Guard.ColdFrom, SlowStartMs: *c.Guard.ColdMs,
-			CollapseMultiple: *c.Guard.FallMultiple},
-		routing.Objective{TotalWeight: *c.Goal.Whole, WorstClassWeight: *c.Goal.WorstClass, HealthCheckCost: *c.Goal.ProbePrice},
-		controller.Settings{MinRoundIntervalMs: *c.Polls.StepMs, MaxPollWaitMs: *c.Polls.WaitMostMs, MinFirstPollWaitMs: *c.Polls.FirstWaitMs,
-			SessionTimeoutMs: *c.Polls.LeaveAfterMs, RemovedHostRetentionMs: *c.Polls.ForgetAfterMs, VersionHistory: int(*c.Polls.History)})
-	s.SetIngestLimits(IngestLimits(c))
+		routing.ControlChannel{
+			EntriesPerSecond:   *c.Channel.LinesPerS,
+			MessageOverhead:    *c.Channel.HeadLines,
+			MaxBacklog:         *c.Channel.MostWaiting,
+			PropagationDelayMs: *c.Channel.LateMs,
+			Cost:               *c.Channel.Price,
+			MaxMessages:        int(*c.Channel.MessagesMost),
+			MessageWindowMs:    *c.Channel.MessagesOverMs,
+		},
+		routing.SafetyLimits{
+			EmptyTableMs:           *c.Guard.BareMs,
+			DrainGraceMs:           *c.Guard.GraceMs,
+			SlowStartInitialFactor: *c.Guard.ColdFrom,
+			SlowStartMs:            *c.Guard.ColdMs,
+			CollapseMultiple:       *c.Guard.FallMultiple,
+		},
+		routing.Objective{
+			TotalWeight:      *c.Goal.Whole,
+			WorstClassWeight: *c.Goal.WorstClass,
+			HealthCheckCost:  *c.Goal.ProbePrice,
+		},
+		controller.Settings{
+			MinRoundIntervalMs:     *c.Polls.StepMs,
+			MaxPollWaitMs:          *c.Polls.WaitMostMs,
+			MinFirstPollWaitMs:     *c.Polls.FirstWaitMs,
+			SessionTimeoutMs:       *c.Polls.LeaveAfterMs,
+			RemovedHostRetentionMs: *c.Polls.ForgetAfterMs,
+			VersionHistory:         int(*c.Polls.History),
+		})
+	created.SetIngestLimits(IngestLimits(c))
 	if c.Solved.On {
-		s.EnableSolver(*c.Solved.EveryMs, *c.Solved.LeastGain)
-	}
-	if g := c.TableGuard; g.GetOn() {
-		s.EnableValidation(guard.Limits{CapacityMultiple: *g.Over, MaxTrafficShift: *g.Jump, SurviveZoneLoss: g.Spare},
-			controller.RepairSettings{Enabled: g.Refuse, SurviveZoneLoss: g.RefuseSpare}, guard.EndpointLossLimits{MaxLossRatio: g.ListLose, HoldMs: *g.ListHoldMs})
-	}
-	return s
+		created.EnableSolver(*c.Solved.EveryMs, *c.Solved.LeastGain)
+	}
+	if settings := c.TableGuard; settings.GetOn() {
+		created.EnableValidation(
+			guard.Limits{
+				CapacityMultiple: *settings.Over,
+				MaxTrafficShift:  *settings.Jump,
+				SurviveZoneLoss:  settings.Spare,
+			},
+			controller.RepairSettings{Enabled: settings.Refuse, SurviveZoneLoss: settings.RefuseSpare},
+			guard.EndpointLossLimits{MaxLossRatio: settings.ListLose, HoldMs: *settings.ListHoldMs})
+	}
+	return created
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,28 +8,47 @@
 	"barleysail/internal/golden"
 )
 
-const good = `zones: ["a", "b"]
+const validConfig = `zones: ["a", "b"]
 classes { name: "sheet" due_ms: 1000 patience_ms: 2500 }
 list { file: "hosts.textproto" }
 `
 
-// Each fault is told with file, line and field; what is left out has its default.
+// Each error names the file, the line and the field, and fields that are left out get their defaults. The golden file
+// has each text, without validConfig at its beginning, and the error.
 func TestFaults(t *testing.T) {
-	var now strings.Builder
+	var out strings.Builder
 	for _, text := range []string{
-		good, "", "zones: ", good + "colour: 3", good + "fleet { proxies: -1 }", good + "fleet {\n  # how many\n  proxies: 0\n}",
-		strings.Replace(good, "due_ms: 1000 ", "", 1), good + "classes {\n name: \"finish\"\n due_ms: 5\n}",
-		good + "classes { name: \"sheet\" due_ms: 5 patience_ms: 5 }", strings.Replace(good, `"b"`, `"a"`, 1),
-		good + "channel { lines_per_s: nan }", good + "guard { cold_from: 1.5 }", good + "polls { history: 0 }",
-		good + "list { url: \"http://x\" }", good + "probes { path: \"health\" }", good + "channel {\n\n price: \"x\" }",
-		good + "goal { whole: inf }", strings.Replace(good, `"sheet"`, `"a sheet"`, 1),
-		good + "classes { name: \"x{\" due_ms: 1 patience_ms: 1 }\nfleet { ejects: -3 }",
+		validConfig,
+		"",
+		"zones: ",
+		validConfig + "colour: 3",
+		validConfig + "fleet { proxies: -1 }",
+		validConfig + "fleet {\n  # how many\n  proxies: 0\n}",
+		strings.Replace(validConfig, "due_ms: 1000 ", "", 1),
+		validConfig + "classes {\n name: \"finish\"\n due_ms: 5\n}",
+		validConfig + "classes { name: \"sheet\" due_ms: 5 patience_ms: 5 }",
+		strings.Replace(validConfig, `"b"`, `"a"`, 1),
+		validConfig + "channel { lines_per_s: nan }",
+		validConfig + "guard { cold_from: 1.5 }",
+		validConfig + "polls { history: 0 }",
+		validConfig + "list { url: \"http://x\" }",
+		validConfig + "probes { path: \"health\" }",
+		validConfig + "channel {\n\n price: \"x\" }",
+		validConfig + "goal { whole: inf }",
+		strings.Replace(validConfig, `"sheet"`, `"a sheet"`, 1),
+		validConfig + "classes { name: \"x{\" due_ms: 1 patience_ms: 1 }\nfleet { ejects: -3 }",
 	} {
 		c, err := Parse("f", []byte(text))
-		fmt.Fprintf(&now, "%q\n    %v\n", strings.TrimPrefix(text, good), err)
-		if err == nil && (*c.Polls.WaitMostMs != 60000 || *c.Classes[0].Earnings != 1) {
-			t.Errorf("defaults: %v", c)
+		fmt.Fprintf(&out, "%q\n    %v\n", strings.TrimPrefix(text, validConfig), err)
+		if err != nil {
+			continue
+		}
+		if got := *c.Polls.WaitMostMs; got != 60000 {
+			t.Errorf("default of polls.wait_most_ms: got %g, want 60000", got)
+		}
+		if got := *c.Classes[0].Earnings; got != 1 {
+			t.Errorf("default of classes[0].earnings: got %g, want 1", got)
 		}
 	}
-	golden.Compare(t, "faults", now.String())
+	golden.Compare(t, "faults", out.String())
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -12,112 +12,140 @@
 	"barleysail/solver"
 )
 
-// LoadFleet reads a fleet file: the solver's problem, and the pace of changes.
+// LoadFleet reads and checks a fleet file: the solver's problem, and the limits of the changes that carry out a plan.
 func LoadFleet(file string) (*solver.Problem, solver.Pace, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, solver.Pace{}, fmt.Errorf("reading the fleet: %w", err)
 	}
-	set := &configpb.FleetFile{}
-	if err := prototext.Unmarshal(text, set); err != nil {
-		return nil, solver.Pace{}, wrong(file, err)
+	parsed := &configpb.FleetFile{}
+	if err := prototext.Unmarshal(text, parsed); err != nil {
+		return nil, solver.Pace{}, parseError(file, err)
 	}
-	p := proto.Float64
-	c := &configpb.FleetFile{Whole: p(0.75), WorstClass: p(0.1), CrossPrice: p(0.01), Deadline: p(3.2), Proxies: proto.Int32(8),
-		LinesPerS: p(7000), HeadLines: p(6), GraceMs: p(3000)}
-	proto.Merge(c, set)
-	f := fields{file: file, at: locate(text)}
-	f.within("whole", *c.Whole, 0, 1)
-	f.within("worst_class", *c.WorstClass, 0, 1)
-	f.within("cross_price", *c.CrossPrice, 0, 1000)
-	f.within("deadline", *c.Deadline, 0, 1000)
-	f.within("lines_per_s", *c.LinesPerS, 1, 1e9)
-	f.within("grace_ms", *c.GraceMs, 0, hour)
-	q := &solver.Problem{Zones: c.Zones, Deadline: *c.Deadline, Demand: map[string]map[string]float64{},
-		Goal: solver.Goal{Whole: *c.Whole, WorstClass: *c.WorstClass, Cross: *c.CrossPrice, Connect: c.ConnectPrice}, Proxies: map[string]int{}}
-	f.within("connect_price", c.ConnectPrice, 0, 1000)
-	f.whole("proxies", *c.Proxies, 0, 1e6)
+	c := fleetDefaults()
+	proto.Merge(c, parsed)
+	v := validator{file: file, lines: fieldLines(text)}
+	v.checkRange("whole", *c.Whole, 0, 1)
+	v.checkRange("worst_class", *c.WorstClass, 0, 1)
+	v.checkRange("cross_price", *c.CrossPrice, 0, 1000)
+	v.checkRange("deadline", *c.Deadline, 0, 1000)
+	v.checkRange("lines_per_s", *c.LinesPerS, 1, 1e9)
+	v.checkRange("grace_ms", *c.GraceMs, 0, hourMs)
+	problem := &solver.Problem{
+		Zones:    c.Zones,
+		Deadline: *c.Deadline,
+		Demand:   map[string]map[string]float64{},
+		Goal: solver.Goal{
+			Whole: *c.Whole, WorstClass: *c.WorstClass, Cross: *c.CrossPrice, Connect: c.ConnectPrice,
+		},
+		Proxies: map[string]int{},
+	}
+	v.checkRange("connect_price", c.ConnectPrice, 0, 1000)
+	v.checkIntRange("proxies", *c.Proxies, 0, 1e6)
 	proxies := int(*c.Proxies)
-	for i, z := range c.Zones {
-		q.Proxies[z] = proxies/len(c.Zones) + min(max(proxies%len(c.Zones)-i, 0), 1)
+	for i, zone := range c.Zones { // evenly, the remainder to the first zones
+		problem.Proxies[zone] = proxies/len(c.Zones) + min(max(proxies%len(c.Zones)-i, 0), 1)
 	}
 	if len(c.ProxiesOf) > 0 {
-		proxies, q.Proxies = 0, map[string]int{}
-		for z, n := range c.ProxiesOf {
-			q.Proxies[z] = int(n)
-			proxies += int(n)
+		proxies, problem.Proxies = 0, map[string]int{}
+		for zone, count := range c.ProxiesOf {
+			problem.Proxies[zone] = int(count)
+			proxies += int(count)
 		}
 	}
-	for i, k := range c.Classes {
-		if k.WorkMs == nil {
-			f.fail(fmt.Sprintf("classes[%d].work_ms", i), "is missing")
+	for i, class := range c.Classes {
+		if class.WorkMs == nil {
+			v.fail(fmt.Sprintf("classes[%d].work_ms", i), "is missing")
 		}
-		q.Classes = append(q.Classes, solver.Class{Name: k.Name, Earnings: or(k.Earnings, 1), Work: k.GetWorkMs(), Least: k.Least, Local: k.Local})
+		problem.Classes = append(problem.Classes, solver.Class{
+			Name: class.Name, Earnings: valueOr(class.Earnings, 1), Work: class.GetWorkMs(),
+			Least: class.Least, Local: class.Local,
+		})
 	}
-	for i, h := range c.Hosts {
-		f.hosts(q, i, h)
+	for i, hosts := range c.Hosts {
+		v.addHosts(problem, i, hosts)
 	}
-	for i, d := range c.Demand {
-		f.within(fmt.Sprintf("demand[%d].rate", i), d.Rate, 0, 1e12)
-		if q.Demand[d.Class] == nil {
-			q.Demand[d.Class] = map[string]float64{}
+	for i, demand := range c.Demand {
+		v.checkRange(fmt.Sprintf("demand[%d].rate", i), demand.Rate, 0, 1e12)
+		if problem.Demand[demand.Class] == nil {
+			problem.Demand[demand.Class] = map[string]float64{}
 		}
-		q.Demand[d.Class][d.Zone] += d.Rate
+		problem.Demand[demand.Class][demand.Zone] += demand.Rate
 	}
-	if f.err == nil {
-		f.refused(q)
+	if v.err == nil {
+		v.checkSolvable(problem)
 	}
-	return q, solver.Pace{Proxies: proxies, LinesPerS: *c.LinesPerS, Head: *c.HeadLines, Grace: *c.GraceMs}, f.err
+	pace := solver.Pace{Proxies: proxies, LinesPerS: *c.LinesPerS, Head: *c.HeadLines, Grace: *c.GraceMs}
+	return problem, pace, v.err
+}
+
+// fleetDefaults returns the defaults of the fields of a fleet file that may be left out. config.proto documents them.
+func fleetDefaults() *configpb.FleetFile {
+	f64 := proto.Float64
+	return &configpb.FleetFile{Whole: f64(0.75), WorstClass: f64(0.1), CrossPrice: f64(0.01), Deadline: f64(3.2),
+		Proxies: proto.Int32(8), LinesPerS: f64(7000), HeadLines: f64(6), GraceMs: f64(3000)}
 }
 
-// refused words what the solver refuses of a problem with file and line.
-func (f *fields) refused(q *solver.Problem) {
-	if _, err := q.Solve(); err != nil {
+// checkSolvable solves the problem, and adds the file and the line to the solver's error.
+func (v *validator) checkSolvable(problem *solver.Problem) {
+	if _, err := problem.Solve(); err != nil {
 		var fault *solver.Fault
 		if errors.As(err, &fault) {
-			f.fail(fault.Field, "%s", fault.Reason)
+			v.fail(fault.Field, "%s", fault.Reason)
 		} else {
-			f.err = fmt.Errorf("%s: %w", f.file, err)
+			v.err = fmt.Errorf("%s: %w", v.file, err)
 		}
 	}
 }
 
-// hosts adds the hosts of an entry.
-func (f *fields) hosts(q *solver.Problem, i int, h *configpb.FleetHosts) {
-	at := fmt.Sprintf("hosts[%d]", i)
-	n := int32(1)
-	if h.Count != nil {
-		n = *h.Count
+// Defaults of hosts in a fleet file.
+const (
+	defaultCores  = 4
+	defaultSpeed  = 1
+	defaultWarmth = 1 // fraction of the capacity that a host has now
+)
+
+// addHosts checks an entry of the fleet file and adds its hosts to the problem.
+func (v *validator) addHosts(problem *solver.Problem, index int, entry *configpb.FleetHosts) {
+	path := fmt.Sprintf("hosts[%d]", index)
+	count := int32(1)
+	if entry.Count != nil {
+		count = *entry.Count
 	}
-	f.whole(at+".count", n, 0, 100000)
-	f.within(at+".cores", or(h.Cores, 4), 0, 1e9)
-	f.within(at+".speed", or(h.Speed, 1), 0, 1e9)
-	f.within(at+".warm", or(h.Warm, 1), 0, 1)
-	f.within(at+".most", h.Most, 0, 1)
-	f.within(at+".warm_in_ms", h.WarmInMs, 0, hour)
-	if f.err != nil {
+	v.checkIntRange(path+".count", count, 0, 100000)
+	v.checkRange(path+".cores", valueOr(entry.Cores, defaultCores), 0, 1e9)
+	v.checkRange(path+".speed", valueOr(entry.Speed, defaultSpeed), 0, 1e9)
+	v.checkRange(path+".warm", valueOr(entry.Warm, defaultWarmth), 0, 1)
+	v.checkRange(path+".most", entry.Most, 0, 1)
+	v.checkRange(path+".warm_in_ms", entry.WarmInMs, 0, hourMs)
+	if v.err != nil {
 		return
 	}
-	name := h.Name
+	name := entry.Name
 	if name == "" {
-		name = h.Zone + "-" + h.Kind
+		name = entry.Zone + "-" + entry.Kind
 	}
-	for k := range n {
-		x := solver.Host{Name: name, Zone: h.Zone, Kind: h.Kind, Cores: or(h.Cores, 4), Speed: or(h.Speed, 1), Warm: or(h.Warm, 1),
-			Draining: h.Draining, Most: h.Most, WarmIn: h.WarmInMs, Factor: map[string]float64{}}
-		if n > 1 || h.Name == "" {
-			x.Name = fmt.Sprintf("%s-%d", name, k)
+	for number := range count {
+		host := solver.Host{
+			Name: name, Zone: entry.Zone, Kind: entry.Kind,
+			Cores: valueOr(entry.Cores, defaultCores), Speed: valueOr(entry.Speed, defaultSpeed),
+			Warm: valueOr(entry.Warm, defaultWarmth), Draining: entry.Draining, Most: entry.Most,
+			WarmIn: entry.WarmInMs, Factor: map[string]float64{},
+		}
+		if count > 1 || entry.Name == "" {
+			host.Name = fmt.Sprintf("%s-%d", name, number)
 		}
-		for _, v := range h.Factors {
-			x.Factor[v.Class] = v.Times
+		for _, factor := range entry.Factors {
+			host.Factor[factor.Class] = factor.Times
 		}
-		q.Hosts = append(q.Hosts, x)
+		problem.Hosts = append(problem.Hosts, host)
 	}
 }
 
-func or(x *float64, without float64) float64 {
-	if x == nil {
-		return without
+// valueOr returns the value of an optional field, or the default if it is not set.
+func valueOr(field *float64, defaultValue float64) float64 {
+	if field == nil {
+		return defaultValue
 	}
-	return *x
+	return *field
 }
--- a/internal/config/locate.go
+++ b/internal/config/locate.go
@@ -8,11 +8,12 @@
 	"barleysail/controller"
 )
 
-// locate gives the line of each field in a text that parses, by its path, as in classes[1].due_ms.
-func locate(text []byte) map[string]int {
-	at := map[string]int{}
-	stack := []block{{"", map[string]int{}}}
-	line, name, last := 1, "", ""
+// fieldLines returns the line of each field of a text in protobuf text format that is known to parse, by the field's
+// path, such as classes[1].due_ms. The first element of a repeated field has no index in its path.
+func fieldLines(text []byte) map[string]int {
+	lines := map[string]int{}
+	stack := []message{{"", map[string]int{}}} // the messages around the current position
+	line, name, lastPath := 1, "", ""
 	s := string(text)
 	for i := 0; i < len(s); i++ {
 		top := &stack[len(stack)-1]
@@ -32,10 +33,10 @@
 			name = ""
 		case c == '{' || c == '<':
 			if name != "" {
-				last = top.note(at, name, line)
+				lastPath = top.addField(lines, name, line)
 				name = ""
 			}
-			stack = append(stack, block{last + ".", map[string]int{}})
+			stack = append(stack, message{lastPath + ".", map[string]int{}})
 		case c == '}' || c == '>':
 			if len(stack) > 1 {
 				stack = stack[:len(stack)-1]
@@ -43,7 +44,7 @@
 			name = ""
 		case c == ':':
 			if name != "" {
-				last = top.note(at, name, line)
+				lastPath = top.addField(lines, name, line)
 				name = ""
 			}
 		case c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z':
@@ -54,43 +55,43 @@
 			name = s[start : i+1]
 		}
 	}
-	return at
+	return lines
 }
 
-// block is a message that is open, with the number of times each of its fields was met.
-type block struct {
-	prefix string
+// message is a message in the text, with the number of occurrences of each of its fields so far.
+type message struct {
+	prefix string // of the paths of its fields
 	counts map[string]int
 }
 
-// note keeps the line of a field under its path, and gives the path; the first of a name has no index in it.
-func (o *block) note(at map[string]int, name string, line int) string {
-	path := o.prefix + name
-	if o.counts[name] > 0 {
-		path += fmt.Sprintf("[%d]", o.counts[name])
+// addField adds the line of a field of the message, and returns the field's path.
+func (m *message) addField(lines map[string]int, name string, line int) string {
+	path := m.prefix + name
+	if m.counts[name] > 0 {
+		path += fmt.Sprintf("[%d]", m.counts[name])
 	}
-	at[path] = line
-	o.counts[name]++
+	lines[path] = line
+	m.counts[name]++
 	return path
 }
 
-// lineOf finds the line of a field, or of what it is missing in.
-func lineOf(at map[string]int, field string) int {
-	field = strings.ReplaceAll(field, "[0]", "")
-	for field != "" {
-		if line, ok := at[field]; ok {
+// lineOf returns the line of a field. For a missing field it returns that of the innermost message around it, or 1.
+func lineOf(lines map[string]int, path string) int {
+	path = strings.ReplaceAll(path, "[0]", "")
+	for path != "" {
+		if line, ok := lines[path]; ok {
 			return line
 		}
-		field = field[:max(strings.LastIndexByte(field, '.'), 0)]
+		path = path[:max(strings.LastIndexByte(path, '.'), 0)]
 	}
 	return 1
 }
 
-// LocateEndpointError words a steward's refusal of a list file's entry with file and line.
+// LocateEndpointError adds the file and the line to the controller's error of an endpoint in a list file.
 func LocateEndpointError(file string, text []byte, err error) error {
-	var field *controller.FieldError
-	if !errors.As(err, &field) {
+	var fieldErr *controller.FieldError
+	if !errors.As(err, &fieldErr) {
 		return fmt.Errorf("%s: %w", file, err)
 	}
-	return fmt.Errorf("%s:%d: %w", file, lineOf(locate(text), field.Field), err)
+	return fmt.Errorf("%s:%d: %w", file, lineOf(fieldLines(text), fieldErr.Field), err)
 }
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -5,15 +5,25 @@
 	"barleysail/internal/rules"
 )
 
-// RuleLimits gives the figures by which the rules are reckoned for a configuration; a cold host that is pushed for so
-// many ms falls over.
-func RuleLimits(c *configpb.Config, fall float64) rules.Limits {
-	f := rules.Limits{CollapseMs: fall, NonIdempotentClasses: map[string]bool{}, EmptyTableMs: *c.Guard.BareMs, DrainGraceMs: *c.Guard.GraceMs,
-		SlowStartInitialFactor: *c.Guard.ColdFrom, SlowStartMs: *c.Guard.ColdMs, CollapseMultiple: *c.Guard.FallMultiple,
-		EntriesPerSecond: *c.Channel.LinesPerS, MessageOverhead: *c.Channel.HeadLines, MaxBacklog: *c.Channel.MostWaiting,
-		MaxMessages: int(*c.Channel.MessagesMost), MessageWindowMs: *c.Channel.MessagesOverMs}
-	for _, k := range c.Classes {
-		f.NonIdempotentClasses[k.Name] = k.Once
+// RuleLimits returns the limits of the rules by which a recording is checked. collapseMs is the time after which a host
+// in slow start collapses under the load of guard.fall_multiple.
+func RuleLimits(c *configpb.Config, collapseMs float64) rules.Limits {
+	limits := rules.Limits{
+		CollapseMs:             collapseMs,
+		NonIdempotentClasses:   map[string]bool{},
+		EmptyTableMs:           *c.Guard.BareMs,
+		DrainGraceMs:           *c.Guard.GraceMs,
+		SlowStartInitialFactor: *c.Guard.ColdFrom,
+		SlowStartMs:            *c.Guard.ColdMs,
+		CollapseMultiple:       *c.Guard.FallMultiple,
+		EntriesPerSecond:       *c.Channel.LinesPerS,
+		MessageOverhead:        *c.Channel.HeadLines,
+		MaxBacklog:             *c.Channel.MostWaiting,
+		MaxMessages:            int(*c.Channel.MessagesMost),
+		MessageWindowMs:        *c.Channel.MessagesOverMs,
 	}
-	return f
+	for _, class := range c.Classes {
+		limits.NonIdempotentClasses[class.Name] = class.Once
+	}
+	return limits
 }
