--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -138,16 +138,16 @@
 // checkNames checks that there are 1 to maxCount names, valid and unique.
 func (v *validator) checkNames(field string, names []string, maxCount int) {
 	if len(names) == 0 || len(names) > maxCount {
-		v.fail(field, "%d are given, 1 to %d are needed", len(names), maxCount)
+		v.fail(field, "got %d entries, want 1 to %d", len(names), maxCount)
 	}
 	for i, name := range names {
 		path := fmt.Sprintf("%s[%d]", field, i)
 		if !namePattern.MatchString(name) {
-			v.fail(path, "%q is no name", name)
+			v.fail(path, "%q is not a valid name", name)
 		}
 		for _, other := range names[:i] {
 			if other == name {
-				v.fail(path, "%q stands there twice", name)
+				v.fail(path, "%q is a duplicate", name)
 			}
 		}
 	}
@@ -157,16 +157,16 @@
 func (v *validator) checkConfig(c *configpb.Config) {
 	v.checkNames("zones", c.Zones, maxZones)
 	if len(c.Classes) == 0 || len(c.Classes) > maxClasses {
-		v.fail("classes", "%d are given, 1 to %d are needed", len(c.Classes), maxClasses)
+		v.fail("classes", "got %d entries, want 1 to %d", len(c.Classes), maxClasses)
 	}
 	for i, class := range c.Classes {
 		path := fmt.Sprintf("classes[%d]", i)
 		if !namePattern.MatchString(class.Name) {
-			v.fail(path+".name", "%q is no name", class.Name)
+			v.fail(path+".name", "%q is not a valid name", class.Name)
 		}
 		for _, other := range c.Classes[:i] {
 			if other.Name == class.Name {
-				v.fail(path+".name", "%q stands there twice", class.Name)
+				v.fail(path+".name", "%q is a duplicate", class.Name)
 			}
 		}
 		if class.DueMs == nil {
@@ -182,7 +182,7 @@
 		v.checkRange(path+".patience_ms", class.GetPatienceMs(), 1, hourMs)
 		v.checkRange(path+".earnings", *class.Earnings, 0, 1e9)
 		if class.WorkMs == nil && c.Solved.On {
-			v.fail(path+".work_ms", "is missing, and solved weights need it")
+			v.fail(path+".work_ms", "is missing, but solved.on needs it")
 		}
 		v.checkRange(path+".work_ms", class.GetWorkMs(), 0, hourMs)
 	}
@@ -213,7 +213,7 @@
 	v.checkRange("polls.forget_after_ms", *c.Polls.ForgetAfterMs, 1, 1000*hourMs)
 	v.checkIntRange("polls.history", *c.Polls.History, 1, 1000)
 	if (c.List.File == "") == (c.List.Url == "") {
-		v.fail("list", "a file or a url is needed, not both")
+		v.fail("list", "either a file or a url is needed")
 	}
 	for i, socket := range c.Runtime {
 		path := fmt.Sprintf("runtime[%d]", i)
@@ -221,18 +221,19 @@
 			socket.Level = "operator"
 		}
 		if _, ok := runtimeapi.ParseLevel(socket.Level); !ok {
-			v.fail(path+".level", "%q: user, operator and admin are known", socket.Level)
+			v.fail(path+".level", "%q is not a level: user, operator or admin", socket.Level)
 		}
 		v.checkAddress(path+".address", socket.Address)
 		host, _, err := net.SplitHostPort(socket.Address)
 		if err == nil && !strings.HasPrefix(socket.Address, "unix:") && !isLoopback(host) {
-			v.fail(path+".address", "%q is not on loopback, and the socket asks nobody who he is", socket.Address)
+			v.fail(path+".address", "%q is not a loopback address, and the socket does not authenticate its clients",
+				socket.Address)
 		}
 	}
 	for i, proxy := range c.Sockets {
 		path := fmt.Sprintf("sockets[%d]", i)
 		if !namePattern.MatchString(proxy.Proxy) {
-			v.fail(path+".proxy", "%q is no name", proxy.Proxy)
+			v.fail(path+".proxy", "%q is not a valid name", proxy.Proxy)
 		}
 		if !slices.Contains(c.Zones, proxy.Zone) {
 			v.fail(path+".zone", "%q is not among the zones", proxy.Zone)
@@ -245,7 +246,7 @@
 	v.checkRange("table_guard.list_lose", c.TableGuard.ListLose, 0, 1)
 	v.checkRange("table_guard.list_hold_ms", *c.TableGuard.ListHoldMs, 0, hourMs)
 	if c.Standby.Of != "" && len(c.Sockets) > 0 {
-		v.fail("sockets", "a standby drives no sockets: it would take them from the steward that it stands by")
+		v.fail("sockets", "a standby cannot control sockets, since its leader controls them")
 	}
 	v.checkIdentity(c)
 	v.checkRange("standby.fresh_ms", *c.Standby.FreshMs, 1500, hourMs)
@@ -287,7 +288,7 @@
 	}
 	if identity.WorkloadApi == "" {
 		if len(identity.Allow) > 0 {
-			v.fail("identity.workload_api", "is missing, and rules are given")
+			v.fail("identity.workload_api", "is missing, but identity.allow has rules")
 		}
 		return
 	}
@@ -295,7 +296,7 @@
 		v.fail("identity.workload_api", "%q does not begin with unix:///", identity.WorkloadApi)
 	}
 	if identity.PlainLoopback {
-		v.fail("identity.plain_loopback", "and a workload_api are given")
+		v.fail("identity.plain_loopback", "cannot be set together with identity.workload_api")
 	}
 	for field, server := range map[string]struct{ url, id string }{
 		"standby.id": {c.Standby.Of, c.Standby.Id}, "list.id": {c.List.Url, c.List.Id},
@@ -340,12 +341,12 @@
 		return nil
 	}
 	if !c.Identity.PlainLoopback {
-		return errors.New("no identity.workload_api is given: " +
-			"say identity { plain_loopback: true } to speak plain HTTP on loopback")
+		return errors.New("identity.workload_api is missing: " +
+			"set identity { plain_loopback: true } to serve plain HTTP on a loopback address")
 	}
 	host, _, err := net.SplitHostPort(c.Listen)
 	if err != nil || !isLoopback(host) {
-		return fmt.Errorf("listen: %q is not on loopback, and without identities anybody might do everything", c.Listen)
+		return fmt.Errorf("listen: %q is not a loopback address, which is needed without identity.workload_api", c.Listen)
 	}
 	return nil
 }
