--- a/client/client.go
+++ b/client/client.go
@@ -33,11 +33,11 @@
 	RequestRate   float64  // requests per second that the proxy usually receives; 0: unknown
 	FallbackHosts []string // hosts to use until the first tables arrive
 
-	// Offer sends the tables that this proxy has to a controller that takes over, so that it can continue with
+	// OfferTables sends the tables that this proxy has to a controller that takes over, so that it can continue with
 	// deltas.
 	OfferTables bool
-	// Signed verifies the certificate chain that signed a table. If it is not nil, only tables with a signature that
-	// it accepts are applied, and none that is older than the last one.
+	// VerifySigner verifies the certificate chain of the signer of tables. If it is not nil, only signed tables whose
+	// signer it accepts are applied, and none that are older than the last ones.
 	VerifySigner func(chain []*x509.Certificate) error
 
 	HTTP           *http.Client  // nil: one of the client's own
@@ -53,8 +53,10 @@
 	OnRequestEnd    func(Request)    // called at the end of each request; nil: not called
 	OnTablesApplied func(tag string) // called with the tag of each version of the tables that is applied; nil: not called
 
-	Log func(text string) // called with a line for each change of the connection; nil: not called
-	Now func() time.Time  // nil: time.Now
+	// Log is called with a line when a controller is joined or lost, and when request stats are rejected or dropped;
+	// nil: not called.
+	Log func(text string)
+	Now func() time.Time // nil: time.Now
 }
 
 // DefaultEjectionTime is the time for which an ejected host is not picked where Options.EjectionTime is 0.
@@ -62,16 +64,16 @@
 
 // Defaults of Options.
 const (
-	defaultWait        = 30 * time.Second
-	defaultPeriod      = time.Second
-	defaultMinBackoff  = 100 * time.Millisecond
-	defaultMaxBackoff  = 4 * time.Second
-	maxIdleConnections = 2 // of the client's own HTTP client: one for polls, one for request stats
+	defaultPollTimeout    = 30 * time.Second
+	defaultReportInterval = time.Second
+	defaultMinBackoff     = 100 * time.Millisecond
+	defaultMaxBackoff     = 4 * time.Second
+	maxIdleConnections    = 2 // of the client's own HTTP client: one for polls, one for request stats
 )
 
 const (
-	senderBytes = 6 // random bytes of the sender's name in request stats
-	seedBytes   = 8 // random bytes of the seed of random draws
+	senderNameBytes = 6 // random bytes of the sender's name in request stats
+	seedBytes       = 8 // random bytes of the seed of random draws
 )
 
 // Client holds a proxy's routing tables and updates them. Use [New] to create one and [Client.Run] to start it. It is
@@ -88,7 +90,7 @@
 	tables    appliedTables
 	newestTag string // tag of the tables that were last received
 	current   int    // index of the controller that is polled
-	joined    bool   // the current controller answered the last poll
+	connected bool   // the current controller answered the last poll
 	draws     uint64 // number of random draws so far
 	ejections map[string]*ejection
 	stats     requestStats
@@ -101,15 +103,15 @@
 	}
 	ownsHTTP := o.HTTP == nil
 	setDefaults(&o)
-	var random [senderBytes + seedBytes]byte
+	var random [senderNameBytes + seedBytes]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, fmt.Errorf("drawing a name for request stats: %w", err)
 	}
 	client := &Client{
 		options:    o,
 		ownsHTTP:   ownsHTTP,
-		sender:     hex.EncodeToString(random[:senderBytes]),
-		seed:       binary.LittleEndian.Uint64(random[senderBytes:]),
+		sender:     hex.EncodeToString(random[:senderNameBytes]),
+		seed:       binary.LittleEndian.Uint64(random[senderNameBytes:]),
 		idempotent: map[string]bool{},
 		ejections:  map[string]*ejection{},
 	}
@@ -139,8 +141,8 @@
 
 // setDefaults replaces zero values by the defaults.
 func setDefaults(o *Options) {
-	setDefault(&o.PollTimeout, defaultWait)
-	setDefault(&o.ReportInterval, defaultPeriod)
+	setDefault(&o.PollTimeout, defaultPollTimeout)
+	setDefault(&o.ReportInterval, defaultReportInterval)
 	setDefault(&o.MinBackoff, defaultMinBackoff)
 	setDefault(&o.MaxBackoff, defaultMaxBackoff)
 	setDefault(&o.EjectionTime, DefaultEjectionTime)
@@ -195,7 +197,7 @@
 func (c *Client) Controller() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.joined {
+	if !c.connected {
 		return ""
 	}
 	return strings.TrimRight(c.options.Controllers[c.current], "/")
--- a/client/picker.go
+++ b/client/picker.go
@@ -29,13 +29,13 @@
 
 // Pick returns a random host for a request class, by weight and without the excluded hosts. Ejected hosts are picked
 // only if no others remain; ok is false if there is no host at all.
-func (c *Client) Pick(class string, not ...string) (host string, ok bool) {
+func (c *Client) Pick(class string, excluded ...string) (host string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	table := c.table(class)
 	now := c.options.Now()
 	draw := c.random()
-	isExcluded := func(address string) bool { return slices.Contains(not, address) }
+	isExcluded := func(address string) bool { return slices.Contains(excluded, address) }
 	host, ok = table.pick(draw, func(address string) bool {
 		return isExcluded(address) || c.isEjected(address, now)
 	})
--- a/client/poll.go
+++ b/client/poll.go
@@ -51,10 +51,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	controllers := c.options.Controllers
-	if c.joined || failures == 0 {
+	if c.connected || failures == 0 {
 		c.options.Log(fmt.Sprintf("controller %s lost, continuing with the last tables: %v", controllers[c.current], cause))
 	}
-	c.joined = false
+	c.connected = false
 	c.current = (c.current + 1) % len(controllers)
 	backoff = c.options.MinBackoff << min(failures/len(controllers), maxBackoffShift)
 	backoff = min(backoff, c.options.MaxBackoff)
@@ -171,8 +171,8 @@
 	if c.options.OnTablesApplied != nil && c.tables.tag != poll.tag {
 		c.options.OnTablesApplied(c.newestTag)
 	}
-	if !c.joined {
-		c.joined = true
+	if !c.connected {
+		c.connected = true
 		c.options.Log("joined controller " + poll.controller)
 	}
 	return nil
--- a/client/request.go
+++ b/client/request.go
@@ -11,11 +11,11 @@
 type Result int
 
 const (
-	// Fulfilled is the result of an attempt with a good answer.
+	// Fulfilled is the result of a successful attempt.
 	Fulfilled Result = iota
 	// Failed is the result of an attempt that failed and may have been executed.
 	Failed
-	// NeverRan is the result of an attempt that provably was not executed: the connection was refused, or the answer
+	// NeverRan is the result of an attempt that provably was not executed: the connection was refused, or the response
 	// says so.
 	NeverRan
 )
@@ -58,13 +58,13 @@
 	// ErrNoHost is returned for a request if no host remains for it.
 	ErrNoHost = errors.New("no host to pick")
 
-	errNoAnswer = errors.New("no good answer") // the cause of an attempt that failed without an error
+	errAttemptFailed = errors.New("no good answer") // for an attempt that failed without Outcome.Err
 )
 
-// Do executes a request of a class: it admits it by the table's admission ratio, calls try with a picked host, and
+// Do executes a request of a class: it admits it by the table's admission ratio, calls attempt with a picked host, and
 // retries at other hosts by the table's retry policy, until the context ends. It returns ErrNotAdmitted, ErrNoHost, or
 // an error that wraps that of the last attempt.
-func (c *Client) Do(ctx context.Context, class string, try func(ctx context.Context, host string) Outcome) error {
+func (c *Client) Do(ctx context.Context, class string, attempt func(ctx context.Context, host string) Outcome) error {
 	c.mu.Lock()
 	table := c.table(class)
 	admitted := table.AdmissionRatio >= 1 || c.random() < table.AdmissionRatio
@@ -74,7 +74,7 @@
 	request := Request{Class: class, ArrivedAt: c.options.Now(), Admitted: admitted}
 	err := ErrNotAdmitted
 	if admitted {
-		err = c.attempt(ctx, &request, table.RetryPolicy, try)
+		err = c.makeAttempts(ctx, &request, table.RetryPolicy, attempt)
 	}
 	request.Fulfilled = err == nil
 	if c.options.OnRequestEnd != nil {
@@ -83,9 +83,9 @@
 	return err
 }
 
-// attempt makes the attempts of an admitted request and appends them to the request.
-func (c *Client) attempt(ctx context.Context, request *Request, retryPolicy int,
-	try func(ctx context.Context, host string) Outcome) error {
+// makeAttempts makes the attempts of an admitted request and appends them to the request.
+func (c *Client) makeAttempts(ctx context.Context, request *Request, retryPolicy int,
+	attempt func(ctx context.Context, host string) Outcome) error {
 	class := request.Class
 	var tried []string
 	for {
@@ -94,12 +94,12 @@
 			c.countUnanswered(class)
 			return ErrNoHost
 		}
-		began := c.options.Now()
-		outcome := try(ctx, host)
-		took := c.options.Now().Sub(began)
-		attempt := Attempt{Host: host, StartedAt: began, Duration: took, Result: outcome.Result}
-		request.Attempts = append(request.Attempts, attempt)
-		c.observeAttempt(host, outcome, took)
+		startedAt := c.options.Now()
+		outcome := attempt(ctx, host)
+		duration := c.options.Now().Sub(startedAt)
+		record := Attempt{Host: host, StartedAt: startedAt, Duration: duration, Result: outcome.Result}
+		request.Attempts = append(request.Attempts, record)
+		c.observeAttempt(host, outcome, duration)
 		if outcome.Result == Fulfilled {
 			return nil
 		}
@@ -107,7 +107,7 @@
 		if ctx.Err() != nil || !c.mayRetry(class, retryPolicy, len(tried), outcome.Result) {
 			c.countUnanswered(class)
 			if outcome.Err == nil {
-				outcome.Err = errNoAnswer
+				outcome.Err = errAttemptFailed
 			}
 			return fmt.Errorf("try %d at %s: %w", len(tried), host, outcome.Err)
 		}
@@ -135,10 +135,10 @@
 }
 
 // observeAttempt counts an attempt in the request stats, and ejects a host after too many failures in a row.
-func (c *Client) observeAttempt(host string, outcome Outcome, took time.Duration) {
+func (c *Client) observeAttempt(host string, outcome Outcome, duration time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stats.countAttempt(host, outcome, took)
+	c.stats.countAttempt(host, outcome, duration)
 	if c.options.EjectAfterFailures != 0 {
 		c.updateEjection(host, outcome.Result)
 	}
--- a/client/request_stats.go
+++ b/client/request_stats.go
@@ -41,7 +41,7 @@
 // classDemand is the demand for one request class, and its wire format.
 type classDemand struct {
 	Came       int     `json:"came"`       // requests that arrived
-	Unanswered int     `json:"unanswered"` // requests without a good answer
+	Unanswered int     `json:"unanswered"` // requests that were not fulfilled
 	Span       float64 `json:"span"`       // length of the window, ms
 }
 
@@ -90,7 +90,7 @@
 
 func (s *requestStats) countArrival(class string) { s.classDemand(class).Came++ }
 
-// countUnanswered counts a request without a good answer. A request that arrived in an earlier window counts in the
+// countUnanswered counts a request that was not fulfilled. A request that arrived in an earlier window counts in the
 // current one, unless there would be more unanswered requests than arrivals.
 func (s *requestStats) countUnanswered(class string) {
 	demand := s.classDemand(class)
--- a/client/request_test.go
+++ b/client/request_test.go
@@ -39,7 +39,7 @@
 				hosts[host] = true
 				return Outcome{Result: test.result}
 			})
-			if len(hosts) != test.want || !errors.Is(err, errNoAnswer) {
+			if len(hosts) != test.want || !errors.Is(err, errAttemptFailed) {
 				t.Errorf("%d hosts, want %d, and the error %v", len(hosts), test.want, err)
 			}
 		})
--- a/client/run.go
+++ b/client/run.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// leaveTimeout bounds the request that notifies the controller of the proxy's shutdown.
-const leaveTimeout = time.Second
+// shutdownTimeout bounds the request that notifies the controller of the proxy's shutdown.
+const shutdownTimeout = time.Second
 
 // errNoController is returned by Run without controllers in the options.
 var errNoController = errors.New("running a client: it has no controller")
@@ -33,7 +33,7 @@
 		c.sendStats(ctx)
 	}()
 	workers.Wait()
-	c.leave()
+	c.notifyShutdown()
 	if c.ownsHTTP {
 		c.options.HTTP.CloseIdleConnections()
 	}
@@ -46,17 +46,17 @@
 	return controllerURL + "/v1/proxies/" + url.PathEscape(c.options.Proxy)
 }
 
-// leave notifies the controller of the proxy's shutdown. A failure is ignored: the controller then disconnects the
-// proxy later, when it no longer polls.
-func (c *Client) leave() {
+// notifyShutdown notifies the controller of the proxy's shutdown. A failure is ignored: the controller then disconnects
+// the proxy later, when it no longer polls.
+func (c *Client) notifyShutdown() {
 	c.mu.Lock()
 	target := c.proxyURL()
-	joined := c.joined
+	connected := c.connected
 	c.mu.Unlock()
-	if !joined {
+	if !connected {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodDelete, target, nil)
 	if err != nil {
--- a/client/stats_sender.go
+++ b/client/stats_sender.go
@@ -69,7 +69,7 @@
 	c := s.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.joined {
+	if !c.connected {
 		c.stats.reset(c.options.Now())
 		s.pending = nil
 		return "", false
