--- a/client/client.go
+++ b/client/client.go
@@ -133,7 +133,7 @@
 		parsed, err := url.Parse(controllerURL)
 		isHTTP := err == nil && (parsed.Scheme == "http" || parsed.Scheme == "https")
 		if !isHTTP || parsed.Host == "" {
-			return fmt.Errorf("%q is no URL of a controller", controllerURL)
+			return fmt.Errorf("%q is not the URL of a controller", controllerURL)
 		}
 	}
 	return nil
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -44,20 +44,20 @@
 		{"no zone", Options{Proxy: "p"}, "its zone"},
 		{"no scheme", Options{Proxy: "p", Zone: "a", Controllers: []string{"controller:1"}}, "controller:1"},
 		{"no host", Options{Proxy: "p", Zone: "a", Controllers: []string{"http://"}}, "http://"},
-		{"no URL", Options{Proxy: "p", Zone: "a", Controllers: []string{"http://%"}}, "no URL"},
+		{"no URL", Options{Proxy: "p", Zone: "a", Controllers: []string{"http://%"}}, "not the URL"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := New(test.options)
 			isExpected := err == nil && test.want == "" ||
 				err != nil && test.want != "" && strings.Contains(err.Error(), test.want)
 			if !isExpected {
-				t.Errorf("the error is %v, want %q", err, test.want)
+				t.Errorf("error of New: got %v, want %q", err, test.want)
 			}
 		})
 	}
 }
 
-// Tables may come by another way than polls, and the caller gets a copy.
+// Load applies tables that did not come by polls, and Tables returns a copy.
 func TestLoad(t *testing.T) {
 	client := newTestClient(t, Options{}, "")
 	if err := client.Load("1", []byte(testDocument)); err != nil {
@@ -65,16 +65,16 @@
 	}
 	tables := client.Tables()
 	if len(tables) != 2 || len(tables["sheet"].Hosts) != 2 {
-		t.Errorf("%+v", tables)
+		t.Errorf("tables: got %+v, want two, that of sheet with two hosts", tables)
 	}
 	delete(tables, "sheet")
 	if len(client.Tables()) != 2 {
 		t.Error("Tables returned the client's own map")
 	}
 	if controller := client.Controller(); controller != "" {
-		t.Errorf("%q answered no poll", controller)
+		t.Errorf("controller before the first poll: got %q, want none", controller)
 	}
 	if err := client.Load("2", []byte(`{}`)); err == nil {
-		t.Error("a document without tables was taken")
+		t.Error("Load of a document without tables: got no error")
 	}
 }
--- a/client/picker_test.go
+++ b/client/picker_test.go
@@ -21,7 +21,7 @@
 	client := newTestClient(t, Options{}, testDocument)
 	counts := countPicks(client, "sheet", 4000)
 	if math.Abs(float64(counts["b:1"])-3000) > 120 || len(counts) != 2 {
-		t.Errorf("picked %v", counts)
+		t.Errorf("picks by host: got %v, want 1000 of a:1 and 3000 of b:1, each ± 120", counts)
 	}
 	if _, ok := client.Pick("finish", "a:1"); ok {
 		t.Error("an excluded host was picked")
@@ -43,15 +43,15 @@
 	}
 	for range 50 {
 		if host, ok := client.Pick("sheet"); !ok || host != "y:1" {
-			t.Fatalf("%q picked while x:1 is ejected", host)
+			t.Fatalf("host picked while x:1 is ejected: got %q, want y:1", host)
 		}
 	}
 	if host, ok := client.Pick("sheet", "y:1"); !ok || host != "x:1" {
-		t.Errorf("%q picked where only an ejected host is left", host)
+		t.Errorf("host picked if only the ejected x:1 remains: got %q, want x:1", host)
 	}
 	now = now.Add(2 * time.Second)
 	if counts := countPicks(client, "sheet", 100); len(counts) != 2 {
-		t.Errorf("still ejected: %v", counts)
+		t.Errorf("hosts picked after the ejection: got %v, want both", counts)
 	}
 }
 
@@ -62,6 +62,6 @@
 		client.observeAttempt("x:1", Outcome{Result: result}, 0)
 	}
 	if counts := countPicks(client, "sheet", 100); len(counts) != 2 {
-		t.Errorf("ejected: %v", counts)
+		t.Errorf("hosts picked: got %v, want both", counts)
 	}
 }
--- a/client/poll.go
+++ b/client/poll.go
@@ -188,7 +188,7 @@
 	}
 	manipulation := header.Get("IM")
 	if response.StatusCode == http.StatusIMUsed && !strings.EqualFold(manipulation, deltaFormat) {
-		return fmt.Errorf("the manipulation %q is not known", manipulation)
+		return fmt.Errorf("unknown instance manipulation %q", manipulation)
 	}
 	if poll.offer != nil {
 		// The controller continues from the offered tables; if it does not, the delta's base does not match.
@@ -210,7 +210,7 @@
 		version := unquoted(tag)
 		isNewer, sameIncarnation := tablesig.Newer(version, c.newestTag)
 		if sameIncarnation && !isNewer && version != c.newestTag {
-			return fmt.Errorf("the table %s is older than %s", version, c.newestTag)
+			return fmt.Errorf("the tables %s are older than %s", version, c.newestTag)
 		}
 		return tablesig.Verify(signature, c.options.Proxy, version, document, c.options.Now(), c.options.VerifySigner)
 	}
--- a/client/request.go
+++ b/client/request.go
@@ -54,11 +54,11 @@
 
 var (
 	// ErrNotAdmitted is returned for a request that the admission ratio (Table.AdmissionRatio) did not admit.
-	ErrNotAdmitted = errors.New("not let in")
+	ErrNotAdmitted = errors.New("the request is not admitted")
 	// ErrNoHost is returned for a request if no host remains for it.
-	ErrNoHost = errors.New("no host to pick")
+	ErrNoHost = errors.New("no host is available")
 
-	errAttemptFailed = errors.New("no good answer") // for an attempt that failed without Outcome.Err
+	errAttemptFailed = errors.New("the attempt failed") // for an attempt that failed without Outcome.Err
 )
 
 // Do executes a request of a class: it admits it by the table's admission ratio, calls attempt with a picked host, and
@@ -109,7 +109,7 @@
 			if outcome.Err == nil {
 				outcome.Err = errAttemptFailed
 			}
-			return fmt.Errorf("try %d at %s: %w", len(tried), host, outcome.Err)
+			return fmt.Errorf("attempt %d at host %s: %w", len(tried), host, outcome.Err)
 		}
 	}
 }
--- a/client/request_stats_test.go
+++ b/client/request_stats_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// The share of a table rejects what is above it. Request stats count all arrivals, and what the hosts answered.
+// The admission ratio of a table rejects a part of the requests. Request stats count all arrivals, and the attempts of
+// the admitted ones.
 func TestAdmissionAndRequestStats(t *testing.T) {
 	now := time.Unix(0, 0)
 	client := newTestClient(t, Options{Now: func() time.Time { return now }}, testDocument)
@@ -27,7 +28,7 @@
 		}
 	}
 	if rejected < 430 || rejected > 570 {
-		t.Errorf("%d of 1000 were rejected at a share of 0.5", rejected)
+		t.Errorf("rejected at an admission ratio of 0.5: got %d of 1000 requests, want 430 to 570", rejected)
 	}
 
 	isKnownHost := func(string) bool { return true }
@@ -35,14 +36,15 @@
 	stats := hosts["a:1"]
 	finish := demand["finish"]
 	if stats.Tries != 1000-rejected || stats.Failed != finish.Unanswered || finish.Came != 1000 {
-		t.Errorf("%s, %+v", toJSON(t, hosts), finish)
+		t.Errorf("stats: got %s, %+v, want %d attempts, as many failed as unanswered, and 1000 arrivals",
+			toJSON(t, hosts), finish, 1000-rejected)
 	}
 	if math.Abs(stats.Mean-1) > 0.001 || *stats.Load.Queue != 3 || stats.Load.Rate != nil {
-		t.Errorf("%s", toJSON(t, hosts))
+		t.Errorf("stats: got %s, want a mean of 1 ms, a queue of 3 and no rate", toJSON(t, hosts))
 	}
 	hosts, demand = client.stats.take(now, isKnownHost)
 	if len(hosts)+len(demand) != 0 {
-		t.Errorf("counted again: %v %v", hosts, demand)
+		t.Errorf("stats of the next window: got %v and %v, want none", hosts, demand)
 	}
 }
 
@@ -63,11 +65,12 @@
 	stats.countAttempt("gone:1", Outcome{}, time.Millisecond)
 	hosts, _ := stats.take(now, func(string) bool { return false })
 	if len(hosts) != 0 || len(stats.spareHistograms) != 1 {
-		t.Errorf("%v, %d spare histograms", hosts, len(stats.spareHistograms))
+		t.Errorf("stats of an unknown host: got %v and %d spare histograms, want none and 1",
+			hosts, len(stats.spareHistograms))
 	}
 	stats.countAttempt("a:1", Outcome{}, time.Millisecond)
 	hosts, _ = stats.take(now, func(string) bool { return true })
 	if len(hosts["a:1"].Times) != 1 || hosts["a:1"].Tries != 1 {
-		t.Errorf("a reused histogram was not empty: %+v", hosts["a:1"])
+		t.Errorf("stats with a reused histogram: got %+v, want one attempt", hosts["a:1"])
 	}
 }
--- a/client/request_test.go
+++ b/client/request_test.go
@@ -40,14 +40,14 @@
 				return Outcome{Result: test.result}
 			})
 			if len(hosts) != test.want || !errors.Is(err, errAttemptFailed) {
-				t.Errorf("%d hosts, want %d, and the error %v", len(hosts), test.want, err)
+				t.Errorf("got %d attempted hosts and the error %v, want %d and %v", len(hosts), err, test.want, errAttemptFailed)
 			}
 		})
 	}
 }
 
 // The error of the last attempt is wrapped, and the recorded request has all attempts.
-func TestDoRecordsTransaction(t *testing.T) {
+func TestDoRecordsRequest(t *testing.T) {
 	var recorded Request
 	options := Options{
 		IdempotentClasses: []string{"safe"},
@@ -59,14 +59,14 @@
 		return Outcome{Result: Failed, Err: errBroken}
 	})
 	if !errors.Is(err, errBroken) {
-		t.Errorf("the error is %v", err)
+		t.Errorf("error of Do: got %v, want %v", err, errBroken)
 	}
 	if !recorded.Admitted || recorded.Fulfilled || len(recorded.Attempts) != 2 {
-		t.Errorf("recorded %+v", recorded)
+		t.Errorf("record of the failed request: got %+v, want two attempts", recorded)
 	}
 	err = client.Do(context.Background(), "safe", func(context.Context, string) Outcome { return Outcome{} })
 	if err != nil || !recorded.Fulfilled || len(recorded.Attempts) != 1 {
-		t.Errorf("the error is %v, recorded %+v", err, recorded)
+		t.Errorf("record of the successful request: got %+v, error %v, want one attempt", recorded, err)
 	}
 }
 
@@ -75,7 +75,7 @@
 	client := newTestClient(t, Options{}, "")
 	err := client.Do(context.Background(), "safe", func(context.Context, string) Outcome { return Outcome{} })
 	if !errors.Is(err, ErrNoHost) {
-		t.Errorf("the error is %v, want ErrNoHost", err)
+		t.Errorf("error of Do without hosts: got %v, want %v", err, ErrNoHost)
 	}
 
 	client = newTestClient(t, Options{IdempotentClasses: []string{"safe"}}, retryDocument(retryTwice))
@@ -87,6 +87,6 @@
 		return Outcome{Result: NeverRan}
 	})
 	if err == nil || attempts != 1 {
-		t.Errorf("%d attempts, the error is %v", attempts, err)
+		t.Errorf("after the context ended: got %d attempts and the error %v, want 1 and an error", attempts, err)
 	}
 }
--- a/client/run.go
+++ b/client/run.go
@@ -14,7 +14,7 @@
 const shutdownTimeout = time.Second
 
 // errNoController is returned by Run without controllers in the options.
-var errNoController = errors.New("running a client: it has no controller")
+var errNoController = errors.New("Options.Controllers is empty")
 
 // Run polls the controllers and sends request stats until the context ends, and then notifies the controller of the
 // proxy's shutdown. It returns the context's error, or an error if the options name no controller.
--- a/client/run_test.go
+++ b/client/run_test.go
@@ -15,13 +15,13 @@
 // testTimeout bounds a wait for the client, which takes milliseconds.
 const testTimeout = 10 * time.Second
 
-// fakeController answers a client's requests by functions and passes on what it got.
+// fakeController answers a client's requests by functions, and sends the requests to its channels.
 type fakeController struct {
 	*httptest.Server
-	polls  chan *http.Request
-	offers chan string
-	stats  chan statsReport
-	left   chan struct{}
+	polls     chan *http.Request
+	offers    chan string
+	stats     chan statsReport
+	shutdowns chan struct{} // receives a value when the client notifies it of the shutdown
 }
 
 // newFakeController starts a controller. answerPoll answers a poll, answerStats returns the status for a report.
@@ -30,10 +30,10 @@
 ) *fakeController {
 	t.Helper()
 	controller := &fakeController{
-		polls:  make(chan *http.Request, 100),
-		offers: make(chan string, 100),
-		stats:  make(chan statsReport, 1000),
-		left:   make(chan struct{}, 1),
+		polls:     make(chan *http.Request, 100),
+		offers:    make(chan string, 100),
+		stats:     make(chan statsReport, 1000),
+		shutdowns: make(chan struct{}, 1),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/proxies/p/tables", func(w http.ResponseWriter, r *http.Request) {
@@ -54,7 +54,7 @@
 		w.WriteHeader(answerStats())
 	})
 	mux.HandleFunc("DELETE /v1/proxies/p", func(http.ResponseWriter, *http.Request) {
-		controller.left <- struct{}{}
+		controller.shutdowns <- struct{}{}
 	})
 	controller.Server = httptest.NewServer(mux)
 	t.Cleanup(controller.Close)
@@ -70,12 +70,12 @@
 	case value := <-values:
 		return value
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came in time")
+		t.Fatalf("no value received within %v", testTimeout)
 		panic("unreachable")
 	}
 }
 
-// respond sends a snapshot, a delta or nothing new, with an entity tag.
+// respond sends a response with an entity tag: a snapshot, a delta or, with an empty body, 304 Not Modified.
 func respond(t *testing.T, w http.ResponseWriter, status int, tag, body string) {
 	w.Header().Set("ETag", tag)
 	w.WriteHeader(status)
@@ -87,7 +87,7 @@
 	}
 }
 
-// holdPoll holds a poll until the client gives it up.
+// holdPoll holds a poll until the client cancels it.
 func holdPoll(r *http.Request) { <-r.Context().Done() }
 
 // start runs a client and returns the tags of the tables that it applies, and a function that stops it.
@@ -110,13 +110,14 @@
 		t.Helper()
 		cancel()
 		if err := receive(t, ended); !errors.Is(err, context.Canceled) {
-			t.Errorf("Run returned %v", err)
+			t.Errorf("error of Run: got %v, want %v", err, context.Canceled)
 		}
 	}
 	return client, tags, stop
 }
 
-// A client takes a snapshot and deltas, sends request stats again until they are accepted, and leaves at its end.
+// A client applies a snapshot and deltas, sends request stats again until they are accepted, and notifies the
+// controller of its shutdown.
 func TestRun(t *testing.T) {
 	answerPoll := func(w http.ResponseWriter, r *http.Request) {
 		switch r.Header.Get("If-None-Match") {
@@ -148,26 +149,26 @@
 	})
 	poll := receive(t, controller.polls)
 	if query := poll.URL.RawQuery; query != "zone=a&rate=7.5" {
-		t.Errorf("the poll has the query %q", query)
+		t.Errorf("query of the poll: got %q, want %q", query, "zone=a&rate=7.5")
 	}
 	if prefer := poll.Header.Get("Prefer"); prefer != "wait=60" {
-		t.Errorf("the poll prefers %q", prefer)
+		t.Errorf("Prefer field of the poll: got %q, want %q", prefer, "wait=60")
 	}
 	for _, want := range []string{"1", "2"} {
 		if tag := receive(t, applied); tag != want {
-			t.Errorf("the tables %q were applied, want %q", tag, want)
+			t.Errorf("tag of the applied tables: got %q, want %q", tag, want)
 		}
 	}
 	if hosts := client.Tables()["sheet"].Hosts; len(hosts) != 1 || client.Controller() != controller.URL {
-		t.Errorf("hosts %v of %s", hosts, client.Controller())
+		t.Errorf("got the hosts %v of controller %s, want one of %s", hosts, client.Controller(), controller.URL)
 	}
 	for _, want := range []int64{1, 1, 1, 2} { // a 429, a 500, accepted, and the next one
 		if report := receive(t, controller.stats); report.Number != want || report.Sender != client.sender {
-			t.Errorf("report %d of %s, want %d", report.Number, report.Sender, want)
+			t.Errorf("got report %d of %s, want %d of %s", report.Number, report.Sender, want, client.sender)
 		}
 	}
 	stop()
-	receive(t, controller.left)
+	receive(t, controller.shutdowns)
 }
 
 // A client whose controller fails polls the next one, and offers it the tables so that it continues with deltas.
@@ -193,7 +194,7 @@
 		Log:         func(text string) { logs <- text },
 	})
 	if tag := receive(t, applied); tag != "1" {
-		t.Errorf("the tables %q were applied", tag)
+		t.Errorf("tag of the applied tables: got %q, want %q", tag, "1")
 	}
 	var offered struct {
 		Tag    string
@@ -203,16 +204,16 @@
 		t.Fatal(err)
 	}
 	if offered.Tag != "1" || len(offered.Tables) != 2 {
-		t.Errorf("offered %+v", offered)
+		t.Errorf("offered tables: got %+v, want two with the tag 1", offered)
 	}
 	receive(t, second.offers) // the next poll, after the response was taken
-	if client.Controller() != second.URL {
-		t.Errorf("%q is polled", client.Controller())
+	if got := client.Controller(); got != second.URL {
+		t.Errorf("controller after the failover: got %q, want %q", got, second.URL)
 	}
 	stop()
 	for _, want := range []string{"joined ", "going down", "joined "} {
 		if text := receive(t, logs); !strings.Contains(text, want) {
-			t.Errorf("logged %q, want %q", text, want)
+			t.Errorf("log line: got %q, want one with %q", text, want)
 		}
 	}
 }
@@ -230,7 +231,7 @@
 	_, applied, stop := start(t, Options{Controllers: []string{controller.URL}})
 	for range 2 {
 		if tag := receive(t, applied); tag != "1" {
-			t.Errorf("the tables %q were applied", tag)
+			t.Errorf("tag of the applied tables: got %q, want %q", tag, "1")
 		}
 	}
 	stop()
@@ -242,6 +243,6 @@
 		t.Fatal(err)
 	}
 	if err := client.Run(context.Background()); !errors.Is(err, errNoController) {
-		t.Errorf("Run returned %v", err)
+		t.Errorf("error of Run: got %v, want %v", err, errNoController)
 	}
 }
--- a/client/tables.go
+++ b/client/tables.go
@@ -57,7 +57,8 @@
 // that of an outdated response, is an error. On an error nothing changes.
 func (a *appliedTables) applyDelta(source, base, tag string, patch []byte, check documentCheck) error {
 	if a.document == nil || source != a.source || base != a.tag {
-		return fmt.Errorf("a delta onto %s came, held is %s", base, a.tag)
+		return fmt.Errorf("the delta is based on tables %q of %q, but tables %q of %q are applied",
+			unquoted(base), source, unquoted(a.tag), a.source)
 	}
 	document, err := jsonpatch.MergePatch(a.document, patch)
 	if err != nil {
@@ -120,7 +121,8 @@
 	}
 	isValid := table.AdmissionRatio >= 0 && table.RetryPolicy >= noRetry && table.RetryPolicy <= retryTwice
 	if !isValid {
-		return Table{}, fmt.Errorf("%s has the share %g and tries %d", class, table.AdmissionRatio, table.RetryPolicy)
+		return Table{}, fmt.Errorf("class %s: share %g or tries %d is out of range",
+			class, table.AdmissionRatio, table.RetryPolicy)
 	}
 	return table, nil
 }
@@ -131,7 +133,7 @@
 	for address, weight := range weights {
 		isValid := weight > 0 && !math.IsInf(weight, 0)
 		if !isValid {
-			return nil, fmt.Errorf("%s has the weight %g", address, weight)
+			return nil, fmt.Errorf("host %s: weight %g is not positive and finite", address, weight)
 		}
 		hosts = append(hosts, Host{Address: address, Weight: weight})
 	}
