--- a/client/request.go
+++ b/client/request.go
@@ -91,7 +91,7 @@
 	for {
 		host, ok := c.Pick(class, tried...)
 		if !ok {
-			c.countUnanswered(class)
+			c.countUnfulfilled(class)
 			return ErrNoHost
 		}
 		startedAt := c.options.Now()
@@ -105,7 +105,7 @@
 		}
 		tried = append(tried, host)
 		if ctx.Err() != nil || !c.mayRetry(class, retryPolicy, len(tried), outcome.Result) {
-			c.countUnanswered(class)
+			c.countUnfulfilled(class)
 			if outcome.Err == nil {
 				outcome.Err = errAttemptFailed
 			}
@@ -144,8 +144,8 @@
 	}
 }
 
-func (c *Client) countUnanswered(class string) {
+func (c *Client) countUnfulfilled(class string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stats.countUnanswered(class)
+	c.stats.countUnfulfilled(class)
 }
--- a/client/request_stats.go
+++ b/client/request_stats.go
@@ -16,15 +16,15 @@
 	spareHistograms []*intake.LatencyHistogram // empty histograms for reuse
 }
 
-// hostStats are the attempts at one host. The exported fields are the wire format; Mean, Span, Load and Times are set
-// when the report is made.
+// hostStats are the attempts at one host. The exported fields are the wire format; MeanLatencyMs, WindowMs, Load and
+// Buckets are set when the report is made.
 type hostStats struct {
-	Tries  int          `json:"tries"`
-	Failed int          `json:"failed"`
-	Mean   float64      `json:"mean"` // latency of the successful attempts, ms
-	Span   float64      `json:"span"` // length of the window, ms
-	Load   *loadStats   `json:"load,omitempty"`
-	Times  [][2]float64 `json:"times,omitempty"` // latency histogram: ms and count of each bucket
+	Attempts      int          `json:"tries"`
+	Failed        int          `json:"failed"`
+	MeanLatencyMs float64      `json:"mean"` // of the successful attempts
+	WindowMs      float64      `json:"span"` // length of the window
+	Load          *loadStats   `json:"load,omitempty"`
+	Buckets       [][2]float64 `json:"times,omitempty"` // latency histogram: ms and count of each bucket
 
 	latencySum time.Duration // of the successful attempts
 	histogram  *intake.LatencyHistogram
@@ -33,16 +33,16 @@
 
 // loadStats is the wire format of a host's load; a missing metric was not reported.
 type loadStats struct {
-	Util  *float64 `json:"util,omitempty"`  // utilization
-	Rate  *float64 `json:"rate,omitempty"`  // requests per second
-	Queue *float64 `json:"queue,omitempty"` // queued requests
+	Utilization *float64 `json:"util,omitempty"`
+	RequestRate *float64 `json:"rate,omitempty"` // requests per second
+	QueueLength *float64 `json:"queue,omitempty"`
 }
 
 // classDemand is the demand for one request class, and its wire format.
 type classDemand struct {
-	Came       int     `json:"came"`       // requests that arrived
-	Unanswered int     `json:"unanswered"` // requests that were not fulfilled
-	Span       float64 `json:"span"`       // length of the window, ms
+	Arrivals    int     `json:"came"`
+	Unfulfilled int     `json:"unanswered"` // admitted requests without a successful attempt
+	WindowMs    float64 `json:"span"`       // length of the window
 }
 
 const (
@@ -88,20 +88,20 @@
 	return spare
 }
 
-func (s *requestStats) countArrival(class string) { s.classDemand(class).Came++ }
+func (s *requestStats) countArrival(class string) { s.classDemand(class).Arrivals++ }
 
-// countUnanswered counts a request that was not fulfilled. A request that arrived in an earlier window counts in the
-// current one, unless there would be more unanswered requests than arrivals.
-func (s *requestStats) countUnanswered(class string) {
+// countUnfulfilled counts an admitted request without a successful attempt. A request that arrived in an earlier window
+// counts in the current one, unless there would be more unfulfilled requests than arrivals.
+func (s *requestStats) countUnfulfilled(class string) {
 	demand := s.classDemand(class)
-	if demand.Unanswered < demand.Came {
-		demand.Unanswered++
+	if demand.Unfulfilled < demand.Arrivals {
+		demand.Unfulfilled++
 	}
 }
 
 func (s *requestStats) countAttempt(host string, outcome Outcome, latency time.Duration) {
 	stats := s.hostStats(host)
-	stats.Tries++
+	stats.Attempts++
 	if outcome.Result == Fulfilled {
 		stats.latencySum += latency
 		stats.histogram.Observe(milliseconds(latency))
@@ -129,7 +129,7 @@
 	}
 	demand := s.demand
 	for _, class := range demand {
-		class.Span = windowMs
+		class.WindowMs = windowMs
 	}
 	s.reset(now)
 	return hosts, demand
@@ -137,18 +137,18 @@
 
 // finish sets the fields of the wire format that depend on the whole window.
 func (h *hostStats) finish(windowMs float64, buckets []intake.LatencyBucket) {
-	h.Span = windowMs
-	if succeeded := h.Tries - h.Failed; succeeded > 0 {
-		h.Mean = milliseconds(h.latencySum) / float64(succeeded)
+	h.WindowMs = windowMs
+	if succeeded := h.Attempts - h.Failed; succeeded > 0 {
+		h.MeanLatencyMs = milliseconds(h.latencySum) / float64(succeeded)
 	}
 	for _, bucket := range buckets {
-		h.Times = append(h.Times, [2]float64{bucket.Ms, float64(bucket.Count)})
+		h.Buckets = append(h.Buckets, [2]float64{bucket.Ms, float64(bucket.Count)})
 	}
 	if h.lastLoad != routing.UnknownLoad {
 		h.Load = &loadStats{
-			Util:  optionalMetric(h.lastLoad.Utilization),
-			Rate:  optionalMetric(h.lastLoad.RequestRate),
-			Queue: optionalMetric(h.lastLoad.QueueLength),
+			Utilization: optionalMetric(h.lastLoad.Utilization),
+			RequestRate: optionalMetric(h.lastLoad.RequestRate),
+			QueueLength: optionalMetric(h.lastLoad.QueueLength),
 		}
 	}
 }
--- a/client/request_stats_test.go
+++ b/client/request_stats_test.go
@@ -35,11 +35,11 @@
 	hosts, demand := client.stats.take(now, isKnownHost)
 	stats := hosts["a:1"]
 	finish := demand["finish"]
-	if stats.Tries != 1000-rejected || stats.Failed != finish.Unanswered || finish.Came != 1000 {
-		t.Errorf("stats: got %s, %+v, want %d attempts, as many failed as unanswered, and 1000 arrivals",
+	if stats.Attempts != 1000-rejected || stats.Failed != finish.Unfulfilled || finish.Arrivals != 1000 {
+		t.Errorf("stats: got %s, %+v, want %d attempts, as many failed as unfulfilled, and 1000 arrivals",
 			toJSON(t, hosts), finish, 1000-rejected)
 	}
-	if math.Abs(stats.Mean-1) > 0.001 || *stats.Load.Queue != 3 || stats.Load.Rate != nil {
+	if math.Abs(stats.MeanLatencyMs-1) > 0.001 || *stats.Load.QueueLength != 3 || stats.Load.RequestRate != nil {
 		t.Errorf("stats: got %s, want a mean of 1 ms, a queue of 3 and no rate", toJSON(t, hosts))
 	}
 	hosts, demand = client.stats.take(now, isKnownHost)
@@ -70,7 +70,7 @@
 	}
 	stats.countAttempt("a:1", Outcome{}, time.Millisecond)
 	hosts, _ = stats.take(now, func(string) bool { return true })
-	if len(hosts["a:1"].Times) != 1 || hosts["a:1"].Tries != 1 {
+	if len(hosts["a:1"].Buckets) != 1 || hosts["a:1"].Attempts != 1 {
 		t.Errorf("stats with a reused histogram: got %+v, want one attempt", hosts["a:1"])
 	}
 }
--- a/client/run_test.go
+++ b/client/run_test.go
@@ -163,8 +163,8 @@
 		t.Errorf("got the hosts %v of controller %s, want one of %s", hosts, client.Controller(), controller.URL)
 	}
 	for _, want := range []int64{1, 1, 1, 2} { // a 429, a 500, accepted, and the next one
-		if report := receive(t, controller.stats); report.Number != want || report.Sender != client.sender {
-			t.Errorf("got report %d of %s, want %d of %s", report.Number, report.Sender, want, client.sender)
+		if report := receive(t, controller.stats); report.Sequence != want || report.Sender != client.sender {
+			t.Errorf("got report %d of %s, want %d of %s", report.Sequence, report.Sender, want, client.sender)
 		}
 	}
 	stop()
--- a/client/stats_sender.go
+++ b/client/stats_sender.go
@@ -19,11 +19,11 @@
 // statsReport is the wire format of the request stats. By the sequence number the controller counts a report once
 // that arrives twice.
 type statsReport struct {
-	Sender string                  `json:"sender"`
-	Number int64                   `json:"number"`
-	At     float64                 `json:"at"` // instant in ms of the proxy's clock
-	Hosts  map[string]*hostStats   `json:"hosts"`
-	Usage  map[string]*classDemand `json:"usage"`
+	Sender   string                  `json:"sender"`
+	Sequence int64                   `json:"number"`
+	SentAtMs float64                 `json:"at"` // by the proxy's clock
+	Hosts    map[string]*hostStats   `json:"hosts"`
+	Demand   map[string]*classDemand `json:"usage"`
 }
 
 // statsSender sends the request stats of a client, one report at a time.
@@ -90,11 +90,11 @@
 	s.retries = 0
 	hosts, demand := c.stats.take(c.options.Now(), c.isKnownHost)
 	report := statsReport{
-		Sender: c.sender,
-		Number: s.sequence,
-		At:     float64(c.options.Now().UnixMicro()) / microsecondsPerMs,
-		Hosts:  hosts,
-		Usage:  demand,
+		Sender:   c.sender,
+		Sequence: s.sequence,
+		SentAtMs: float64(c.options.Now().UnixMicro()) / microsecondsPerMs,
+		Hosts:    hosts,
+		Demand:   demand,
 	}
 	var err error
 	s.pending, err = json.Marshal(report)
--- a/client/tables.go
+++ b/client/tables.go
@@ -40,9 +40,9 @@
 
 // classDocument is the wire format of one table. Without hosts, the applied ones are kept.
 type classDocument struct {
-	Hosts map[string]float64 `json:"hosts"`
-	Share *float64           `json:"share"`
-	Tries *int               `json:"tries"`
+	Hosts          map[string]float64 `json:"hosts"`
+	AdmissionRatio *float64           `json:"share"`
+	RetryPolicy    *int               `json:"tries"`
 }
 
 // documentCheck returns an error for a document that must not be applied.
@@ -105,11 +105,11 @@
 // table returns the new table of a class, given the applied one.
 func (d *classDocument) table(class string, applied Table) (Table, error) {
 	table := Table{Hosts: applied.Hosts, HasHosts: applied.HasHosts, AdmissionRatio: 1, RetryPolicy: retryNeverRan}
-	if d.Share != nil {
-		table.AdmissionRatio = *d.Share
+	if d.AdmissionRatio != nil {
+		table.AdmissionRatio = *d.AdmissionRatio
 	}
-	if d.Tries != nil {
-		table.RetryPolicy = *d.Tries
+	if d.RetryPolicy != nil {
+		table.RetryPolicy = *d.RetryPolicy
 	}
 	if d.Hosts != nil {
 		hosts, err := sortedHosts(d.Hosts)
