--- a/internal/daemon/request_headers.go
+++ b/internal/daemon/request_headers.go
@@ -81,11 +81,11 @@
 // boundWaitMs returns the wait of a long poll in ms, bounded by the time until the proxy's credentials expire and its
 // connection has to end. The proxy then polls again on a connection with its renewed credentials.
 func boundWaitMs(request *http1.Request, waitMs float64) float64 {
-	retiresAt, ok := request.ConnectionRetiresAt()
+	deadline, ok := request.HoldDeadline()
 	if !ok {
 		return waitMs
 	}
-	remainingMs := time.Until(retiresAt).Seconds() * msPerSecond
+	remainingMs := time.Until(deadline).Seconds() * msPerSecond
 	return math.Min(waitMs, math.Max(remainingMs, 0))
 }
 
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -48,7 +48,7 @@
 	Params       map[string]string // parameters of the route's path
 
 	// CredentialExpiresAt is set by a handler that authenticates the sender by a credential of the request, such as a
-	// token; zero: none. It can only bring the time of ConnectionRetiresAt forward.
+	// token; zero: none. HoldDeadline takes it into account.
 	CredentialExpiresAt time.Time
 
 	conn            *conn
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -242,7 +242,7 @@
 	id       int64
 	reader   *messageReader // nil while nothing is buffered
 	peer     Peer           // nil: plain connection
-	retireAt time.Time      // replies from then on end the connection; see retirementFraction
+	retireAt time.Time      // replies from then on end the connection: see retirementFraction
 }
 
 // handshake does the TLS handshake and authenticates the peer, once one of the slots is free: when all proxies
@@ -272,16 +272,16 @@
 	return nil
 }
 
-// ConnectionRetiresAt returns the time from which replies end the request's connection, so that a request is not held
-// beyond it. ok is false for a connection that does not retire, since it is plain.
-func (r *Request) ConnectionRetiresAt() (at time.Time, ok bool) {
+// HoldDeadline returns the time until which the request may be held: until its connection retires, or until its own
+// credential expires if that is earlier. ok is false on a plain connection, which has no such limit.
+func (r *Request) HoldDeadline() (deadline time.Time, ok bool) {
 	if r.conn == nil || r.conn.peer == nil {
 		return time.Time{}, false
 	}
-	if at = r.conn.retireAt; !r.CredentialExpiresAt.IsZero() && r.CredentialExpiresAt.Before(at) {
-		at = r.CredentialExpiresAt
+	if deadline = r.conn.retireAt; !r.CredentialExpiresAt.IsZero() && r.CredentialExpiresAt.Before(deadline) {
+		deadline = r.CredentialExpiresAt
 	}
-	return at, true
+	return deadline, true
 }
 
 // isTrusted reports whether the peer's credentials are still valid; it is true for a plain connection.
