--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -41,7 +41,12 @@
 		}
 		serverTLS = d.credentials.ServerTLSWithTokens()
 	}
-	return policy, &http1.TLSOptions{Config: serverTLS, MaxHandshakes: int(*settings.Handshakes), Authenticate: d.authenticatePeer}, nil
+	options := &http1.TLSOptions{
+		Config:        serverTLS,
+		Authenticate:  d.authenticatePeer,
+		MaxHandshakes: int(*settings.Handshakes),
+	}
+	return policy, options, nil
 }
 
 // logCredentials logs the credentials in use. sameKey says that the renewed credentials have the same key as before.
