--- a/client/poll.go
+++ b/client/poll.go
@@ -51,10 +51,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	controllers := c.options.Controllers
-	if c.joined || failures == 0 {
+	if c.connected || failures == 0 {
 		c.options.Log(fmt.Sprintf("controller %s lost, continuing with the last tables: %v", controllers[c.current], cause))
 	}
-	c.joined = false
+	c.connected = false
 	c.current = (c.current + 1) % len(controllers)
 	backoff = c.options.MinBackoff << min(failures/len(controllers), maxBackoffShift)
 	backoff = min(backoff, c.options.MaxBackoff)
@@ -171,8 +171,8 @@
 	if c.options.OnTablesApplied != nil && c.tables.tag != poll.tag {
 		c.options.OnTablesApplied(c.newestTag)
 	}
-	if !c.joined {
-		c.joined = true
+	if !c.connected {
+		c.connected = true
 		c.options.Log("joined controller " + poll.controller)
 	}
 	return nil
@@ -182,13 +182,13 @@
 func (c *Client) applyTables(poll *pollRequest, response *http.Response, body []byte) error {
 	header := response.Header
 	tag := header.Get("ETag")
-	check := c.signatureCheck(tag, header.Get(tablesig.Field))
+	check := c.signatureCheck(tag, header.Get(tablesig.HeaderName))
 	if response.StatusCode == http.StatusOK {
 		return c.tables.setSnapshot(poll.controller, tag, body, check)
 	}
 	manipulation := header.Get("IM")
 	if response.StatusCode == http.StatusIMUsed && !strings.EqualFold(manipulation, deltaFormat) {
-		return fmt.Errorf("the manipulation %q is not known", manipulation)
+		return fmt.Errorf("unknown instance manipulation %q", manipulation)
 	}
 	if poll.offer != nil {
 		// The controller continues from the offered tables; if it does not, the delta's base does not match.
@@ -210,8 +210,8 @@
 		version := unquoted(tag)
 		isNewer, sameIncarnation := tablesig.Newer(version, c.newestTag)
 		if sameIncarnation && !isNewer && version != c.newestTag {
-			return fmt.Errorf("the table %s is older than %s", version, c.newestTag)
+			return fmt.Errorf("the tables %s are older than %s", version, c.newestTag)
 		}
-		return tablesig.Check(signature, c.options.Proxy, version, document, c.options.Now(), c.options.VerifySigner)
+		return tablesig.Verify(signature, c.options.Proxy, version, document, c.options.Now(), c.options.VerifySigner)
 	}
 }
--- a/cmd/barleysail/compare.go
+++ b/cmd/barleysail/compare.go
@@ -168,7 +168,7 @@
 // to the recorded configuration of each controller.
 func (c *settingsComparison) setting(settings *configpb.Config, change configChange) replay.Settings {
 	setting := replay.Settings{
-		Limits:               config.Rules(settings, c.collapseMs),
+		Limits:               config.RuleLimits(settings, c.collapseMs),
 		HealthCheckTimeoutMs: *settings.Probes.TimeoutMs,
 		NewController: func(start *recordpb.Start) (*controller.Controller, error) {
 			recorded, err := config.Parse(recordedConfig, []byte(start.Config))
@@ -179,7 +179,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return config.NewController(config.Of(changed, start.Format), start.Life, start.Seed), nil
+			return config.NewController(config.ForRecordingFormat(changed, start.Format), start.Life, start.Seed), nil
 		},
 	}
 	for _, class := range settings.Classes {
--- a/internal/daemon/credentials.go
+++ b/internal/daemon/credentials.go
@@ -21,7 +21,7 @@
 // openCredentials gets the daemon's own SPIFFE credentials from the configured Workload API and applies their renewals
 // until the context ends. It returns the authorization policy and the TLS settings of the HTTP API, which are both nil
 // if no Workload API is configured.
-func (d *Daemon) openCredentials(ctx context.Context) (*auth.Policy, *http1.Secure, error) {
+func (d *Daemon) openCredentials(ctx context.Context) (*auth.Policy, *http1.TLSOptions, error) {
 	policy, err := config.Policy(d.config)
 	settings := d.config.Identity
 	if err != nil || settings.WorkloadApi == "" {
@@ -33,15 +33,20 @@
 		return nil, nil, err
 	}
 	d.logCredentials(false)
-	d.background.Go(func() { d.credentials.Follow(ctx, d.logCredentials) })
-	serverTLS := d.credentials.Server()
+	d.background.Go(func() { d.credentials.WatchUpdates(ctx, d.logCredentials) })
+	serverTLS := d.credentials.ServerTLS()
 	if settings.Tokens {
-		if d.tokens, err = identity.OpenTokens(firstCtx, settings.WorkloadApi); err != nil {
+		if d.tokens, err = identity.OpenTokenVerifier(firstCtx, settings.WorkloadApi); err != nil {
 			return nil, nil, err
 		}
-		serverTLS = d.credentials.ServerWithTokens()
+		serverTLS = d.credentials.ServerTLSWithTokens()
 	}
-	return policy, &http1.Secure{TLS: serverTLS, AtOnce: int(*settings.Handshakes), Peer: d.authenticatePeer}, nil
+	options := &http1.TLSOptions{
+		Config:        serverTLS,
+		Authenticate:  d.authenticatePeer,
+		MaxHandshakes: int(*settings.Handshakes),
+	}
+	return policy, options, nil
 }
 
 // logCredentials logs the credentials in use. sameKey says that the renewed credentials have the same key as before.
@@ -49,7 +54,7 @@
 	if sameKey {
 		d.log.Warn().Msg("renewed credentials have the same key as before: anyone with a copy of the key can use them")
 	}
-	id, expiry, err := d.credentials.Own()
+	id, expiry, err := d.credentials.Identity()
 	if err != nil {
 		d.log.Error().Err(err).Msg("reading the daemon's credentials failed")
 		return
@@ -61,9 +66,9 @@
 // anonymous: each of its requests has to carry a bearer token. A connection with an invalid certificate is rejected.
 func (d *Daemon) authenticatePeer(state tls.ConnectionState) (http1.Peer, error) {
 	if len(state.PeerCertificates) == 0 {
-		return d.credentials.Anonymous()
+		return d.credentials.AnonymousPeer()
 	}
-	peer, err := d.credentials.Peer(state)
+	peer, err := d.credentials.VerifyPeer(state)
 	if err != nil {
 		d.log.Warn().Err(err).Msg("connection rejected")
 		return nil, err // not peer, since an interface with a nil *identity.Peer is not nil
@@ -77,7 +82,7 @@
 	if d.credentials == nil {
 		return nil
 	}
-	return d.credentials.Client(func(id spiffeid.ID) error {
+	return d.credentials.ClientTLS(func(id spiffeid.ID) error {
 		if id.String() != expectedID {
 			return fmt.Errorf("it is %s, not %s", id, expectedID)
 		}
@@ -97,7 +102,7 @@
 	if credentials == nil {
 		return nil
 	}
-	id, expiry, err := credentials.Own()
+	id, expiry, err := credentials.Identity()
 	if err != nil {
 		return &IdentityReport{Error: err.Error()}
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,11 +47,11 @@
 	httpClients    []*http1.Client
 	runtimeSockets []runtimeSocket
 	healthChecker  *healthChecker
-	endpoints      *endpointService // nil: the list is a file
-	persister      *persister       // nil: no state is persisted
-	standby        *standbyReplica  // nil: this is no standby
-	credentials    *identity.Source // nil: connections are plain
-	tokens         *identity.Tokens // nil: bearer tokens are not accepted
+	endpoints      *endpointService        // nil: the list is a file
+	persister      *persister              // nil: no state is persisted
+	standby        *standbyReplica         // nil: this is no standby
+	credentials    *identity.Source        // nil: connections are plain
+	tokens         *identity.TokenVerifier // nil: bearer tokens are not accepted
 
 	closeOnce     sync.Once
 	servers       sync.WaitGroup // goroutines that accept connections; closing their listeners ends them
@@ -63,7 +63,7 @@
 // version is reported in the status. The error is the first one of opening a file, a socket, the credentials or the
 // state folder, or of reading the endpoint list; nothing is left running then.
 func Start(cfg *configpb.Config, version string, log zerolog.Logger) (*Daemon, error) {
-	if err := config.MayStart(cfg); err != nil {
+	if err := config.CheckPlaintext(cfg); err != nil {
 		return nil, err
 	}
 	incarnation, seed, err := newIncarnation(cfg.Seed)
@@ -210,16 +210,16 @@
 }
 
 // serveAPI serves the HTTP API on the listener.
-func (d *Daemon) serveAPI(policy *auth.Policy, secure *http1.Secure) {
+func (d *Daemon) serveAPI(policy *auth.Policy, secure *http1.TLSOptions) {
 	settings := d.config.Server
 	d.server = http1.NewServer(d.newAPI(policy).routes(), http1.Config{
-		Limits: http1.Limits{Body: int64(*settings.BodyBytes)},
-		Header: milliseconds(*settings.HeaderMs),
-		Body:   milliseconds(*settings.BodyMs),
-		Idle:   milliseconds(*settings.IdleMs),
-		Write:  milliseconds(*settings.WriteMs),
-		Conns:  int(*settings.Connections),
-		Secure: secure,
+		Limits:        http1.Limits{BodyBytes: int64(*settings.BodyBytes)},
+		HeaderTimeout: milliseconds(*settings.HeaderMs),
+		BodyTimeout:   milliseconds(*settings.BodyMs),
+		IdleTimeout:   milliseconds(*settings.IdleMs),
+		WriteTimeout:  milliseconds(*settings.WriteMs),
+		MaxConns:      int(*settings.Connections),
+		TLS:           secure,
 	})
 	d.servers.Go(func() {
 		if err := d.server.Serve(d.listener); err != nil {
@@ -283,7 +283,7 @@
 // on a second SIGTERM or SIGINT.
 func (d *Daemon) Kill() {
 	d.closeAndLog("listener", d.listener)
-	d.server.Cut()
+	d.server.Close()
 	d.loop.stop()
 	d.close()
 }
@@ -295,7 +295,7 @@
 func (d *Daemon) closeAll() {
 	d.cancel()
 	if d.server != nil {
-		d.server.Cut() // needed after a failed start: Stop and Kill have closed the connections before
+		d.server.Close() // needed after a failed start: Stop and Kill have closed the connections before
 	}
 	if d.loop != nil {
 		d.loop.stop()
--- a/internal/daemon/health_checker.go
+++ b/internal/daemon/health_checker.go
@@ -42,7 +42,7 @@
 	limits := clientLimits(healthCheckBodyBytes)
 	d.healthChecker = &healthChecker{
 		ctx:     ctx,
-		client:  &http1.Client{Limits: limits, Idle: healthCheckIdleConnections},
+		client:  &http1.Client{Limits: limits, MaxIdleConns: healthCheckIdleConnections},
 		path:    settings.Path,
 		timeout: milliseconds(*settings.TimeoutMs),
 		slots:   make(chan struct{}, *settings.AtOnce),
@@ -81,7 +81,7 @@
 	}
 	load := routing.UnknownLoad
 	if err == nil {
-		load = orca.Parse(response.Header.Get(orca.Field))
+		load = orca.Parse(response.Header.Get(orca.HeaderName))
 	}
 	c.report(host, classifyResult(response, err, timedOut), load)
 }
--- a/internal/platform/health_check_test.go
+++ b/internal/platform/health_check_test.go
@@ -93,7 +93,7 @@
 		if script != "" {
 			address = startHost(t, script)
 		}
-		client := &http1.Client{Idle: -1}
+		client := &http1.Client{MaxIdleConns: -1}
 		result, load, err := healthCheck(context.Background(), client, address, 2*lateResponseDelay-lateResponseDelay/10)
 		fmt.Fprintf(&trace, "%q: result %d, utilization %.2f, request rate %.0f, no error %v\n",
 			script, result, load.Utilization, load.RequestRate, err == nil)
--- a/internal/rehearse/day.go
+++ b/internal/rehearse/day.go
@@ -178,7 +178,7 @@
 
 // figures are the rules' figures by the configuration.
 func (d *day) figures() rules.Limits {
-	return config.Rules(d.config, d.script.FallMs)
+	return config.RuleLimits(d.config, d.script.FallMs)
 }
 
 func (d *day) begin() error {
@@ -294,7 +294,7 @@
 				if err != nil {
 					return fmt.Errorf("giving a forwarder its identity: %w", err)
 				}
-				set.TLS, set.Signed = secure, source.Signed(aSteward)
+				set.TLS, set.Signed = secure, source.SignerVerifier(aSteward)
 			}
 			for _, t := range d.script.Traffic {
 				k := classes[t.Class]
