--- a/cmd/barleysail/scenario.go
+++ b/cmd/barleysail/scenario.go
@@ -57,11 +57,11 @@
 		}
 		program = executable
 	}
-	result, err := rehearse.Play(ctx, script, version, flags.recordingsFolder, program, cmd.OutOrStdout(), log)
+	result, err := rehearse.Run(ctx, script, version, flags.recordingsFolder, program, cmd.OutOrStdout(), log)
 	if err != nil {
 		return err
 	}
-	if !result.Kept {
+	if !result.Passed {
 		return errInvariantBroken
 	}
 	return nil
--- a/internal/rehearse/apart.go
+++ b/internal/rehearse/controller_process.go
@@ -16,56 +16,56 @@
 )
 
 // running is a steward of the day.
-type running interface {
+type controllerInstance interface {
 	Addr() string
 	Stop(ctx context.Context) error
 	Kill()
 }
 
 // process is a steward in a process of its own.
-type process struct {
+type controllerProcess struct {
 	command *exec.Cmd
-	addr    string
-	ended   chan struct{}
+	address string
+	exited  chan struct{}
 }
 
 // apart starts a steward in a process of its own, so that what it needs can be told from what the stand-ins need.
-func (d *day) apart(c *configpb.Config, name string) (running, error) {
-	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(c)
+func (d *scenario) startControllerProcess(controllerConfig *configpb.Config, name string) (controllerInstance, error) {
+	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(controllerConfig)
 	if err != nil {
 		return nil, fmt.Errorf("writing a steward's configuration: %w", err)
 	}
-	file := filepath.Join(d.dir, name+".textproto")
+	file := filepath.Join(d.tempDir, name+".textproto")
 	if err := os.WriteFile(file, text, 0o644); err != nil {
 		return nil, fmt.Errorf("writing a steward's configuration: %w", err)
 	}
-	p := &process{command: exec.Command(d.program, "run", "--config", file, "--log-level", "warn"), ended: make(chan struct{})}
-	p.command.Stderr = os.Stderr
-	out, err := p.command.StdoutPipe()
+	process := &controllerProcess{command: exec.Command(d.controllerProgram, "run", "--config", file, "--log-level", "warn"), exited: make(chan struct{})}
+	process.command.Stderr = os.Stderr
+	out, err := process.command.StdoutPipe()
 	if err != nil {
 		return nil, fmt.Errorf("starting a steward: %w", err)
 	}
-	if err := p.command.Start(); err != nil {
+	if err := process.command.Start(); err != nil {
 		return nil, fmt.Errorf("starting a steward: %w", err)
 	}
 	line, err := bufio.NewReader(out).ReadString('\n')
-	_, addr, ok := strings.Cut(strings.TrimSpace(line), "http://")
+	_, address, ok := strings.Cut(strings.TrimSpace(line), "http://")
 	if err != nil || !ok {
-		p.Kill()
+		process.Kill()
 		return nil, fmt.Errorf("starting a steward: it says %q: %w", line, err)
 	}
-	p.addr = addr
-	go func() { p.command.Wait(); close(p.ended) }()
-	return p, nil
+	process.address = address
+	go func() { process.command.Wait(); close(process.exited) }()
+	return process, nil
 }
 
-func (p *process) Addr() string { return p.addr }
+func (p *controllerProcess) Addr() string { return p.address }
 
 // Stop lets the steward end, or ends it when the context does.
-func (p *process) Stop(ctx context.Context) error {
+func (p *controllerProcess) Stop(ctx context.Context) error {
 	p.command.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return nil
 	case <-ctx.Done():
 		p.Kill()
@@ -74,4 +74,4 @@
 }
 
 // Kill ends it at once.
-func (p *process) Kill() { p.command.Process.Kill() }
+func (p *controllerProcess) Kill() { p.command.Process.Kill() }
--- a/internal/rehearse/reports_test.go
+++ b/internal/rehearse/faults_test.go
@@ -15,32 +15,32 @@
 )
 
 // played plays a script, looks at the day before its stewards are ended, and gives it for a look at what it saw.
-func played(t *testing.T, text string, look ...func(*day)) (*Result, *day, string) {
+func runScenario(t *testing.T, text string, inspect ...func(*scenario)) (*Result, *scenario, string) {
 	t.Helper()
 	script := &daypb.Day{}
 	if err := prototext.Unmarshal([]byte(text), script); err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	var seen *day
-	r, err := playing(context.Background(), script, "test", "", "", &out, zerolog.New(io.Discard), func(*rules.Limits) {}, func(d *day) {
-		seen = d
-		for _, f := range look {
-			f(d)
+	var inspected *scenario
+	result, err := runAndInspect(context.Background(), script, "test", "", "", &out, zerolog.New(io.Discard), func(*rules.Limits) {}, func(d *scenario) {
+		inspected = d
+		for _, inspectOne := range inspect {
+			inspectOne(d)
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r, seen, out.String()
+	return result, inspected, out.String()
 }
 
 // Sixty hosts that report ten times a second and twenty forwarders: one host floods at a hundred times the rate, one stops,
 // one tells a tenth of its load, one has a clock an hour ahead, and a tenth of the forwarders return at once. All rules
 // hold, the flood is stopped at the door, what stops and what lies is told, and nothing else is dropped.
-func TestReports(t *testing.T) {
+func TestHostReportFaults(t *testing.T) {
 	t.Parallel()
-	r, d, out := played(t, `length_s: 12 seed: 5 stewards: 1 list_late_ms: 200
+	result, d, out := runScenario(t, `length_s: 12 seed: 5 stewards: 1 list_late_ms: 200
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
   classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } intake { source_lines_per_s: 50 silent_ms: 2000 } }
 hosts { zone: "a" count: 30 cores: 2 report_ms: 100 } hosts { zone: "b" count: 30 cores: 2 report_ms: 100 }
@@ -48,11 +48,11 @@
 traffic { class: "sheet" rate: 150 work_ms: 40 } traffic { class: "finish" rate: 150 work_ms: 20 effect: ONCE }
 steps { at_s: 1 for_s: 20 what: FLOOD zone: "a" first: 1 count: 1 size: 100 } steps { at_s: 2 for_s: 20 what: MUTE zone: "a" first: 2 count: 1 }
 steps { at_s: 1 for_s: 20 what: AHEAD zone: "b" first: 2 count: 1 size: 3600 } steps { at_s: 4 for_s: 1 what: CUT size: 0.1 }`)
-	last := d.taken.samples[len(d.taken.samples)-1]
-	if !r.Kept || r.Service < 0.5 {
+	last := d.ingest.samples[len(d.ingest.samples)-1]
+	if !result.Passed || result.ServiceLevel < 0.5 {
 		t.Error(out)
 	}
-	if d.taken.refused.Load() == 0 || last.Door.Rejected == 0 {
+	if d.ingest.rejectedReports.Load() == 0 || last.Door.Rejected == 0 {
 		t.Errorf("the flood was let in: %+v", last)
 	}
 	if last.Silent < 1 || last.Processed < 3000 || last.Queued > 5000 {
@@ -62,9 +62,9 @@
 
 // Hosts of different sizes weighed alike at a load that fills the small ones: the guard refuses, and all rules hold while
 // one hangs, one drains and some are lost.
-func TestGuardRefusing(t *testing.T) {
+func TestInvariantsHoldWhileGuardRejects(t *testing.T) {
 	t.Parallel()
-	r, d, out := played(t, `length_s: 12 seed: 6 stewards: 1 list_late_ms: 200
+	result, d, out := runScenario(t, `length_s: 12 seed: 6 stewards: 1 list_late_ms: 200
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
   classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } guard { cold_ms: 4000 grace_ms: 2500 }
   table_guard { on: true refuse: true over: 0.8 jump: 0.3 } }
@@ -73,10 +73,10 @@
 traffic { class: "sheet" rate: 120 work_ms: 80 } traffic { class: "finish" rate: 60 work_ms: 40 effect: ONCE }
 steps { at_s: 4 for_s: 2 what: HANG zone: "b" count: 1 } steps { at_s: 5 for_s: 3 what: DRAIN zone: "a" count: 1 }
 steps { at_s: 6 for_s: 1.5 what: LOSE zone: "b" first: 1 count: 1 }`)
-	if !r.Kept || r.Service < 0.5 {
+	if !result.Passed || result.ServiceLevel < 0.5 {
 		t.Error(out)
 	}
-	if last := d.taken.samples[len(d.taken.samples)-1]; last.GuardRefused == 0 {
+	if last := d.ingest.samples[len(d.ingest.samples)-1]; last.GuardRefused == 0 {
 		t.Errorf("nothing was refused:\n%s", out)
 	}
 }
@@ -84,45 +84,45 @@
 // A short bad day on which all prove who they are by identities that live four seconds and are renewed all at once, with a
 // false steward in every forwarder's list and programs that poll, post and set as others: they achieve nothing, and all
 // rules hold while a host hangs and a steward is killed.
-func TestImpostors(t *testing.T) {
+func TestUnauthorizedCallersAreRejected(t *testing.T) {
 	t.Parallel()
-	r, d, out := played(t, `length_s: 10 seed: 8 stewards: 1 list_late_ms: 200 identities: true identity_life_s: 4
+	result, d, out := runScenario(t, `length_s: 10 seed: 8 stewards: 1 list_late_ms: 200 identities: true identity_life_s: 4
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
   classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } guard { cold_ms: 4000 grace_ms: 2500 } }
 hosts { zone: "a" count: 3 report_ms: 200 } hosts { zone: "b" count: 3 } forwarders { zone: "a" count: 2 } forwarders { zone: "b" count: 2 }
 traffic { class: "sheet" rate: 30 work_ms: 30 } traffic { class: "finish" rate: 30 work_ms: 20 effect: ONCE }
 steps { at_s: 2 for_s: 2 what: HANG zone: "a" count: 1 } steps { at_s: 5 for_s: 1 what: KILL steward: 0 }`)
-	x := d.identities
-	if !r.Kept || r.Service < 0.5 || x.tries.Load() < 50 || x.done.Load() != 0 {
+	identities := d.identities
+	if !result.Passed || result.ServiceLevel < 0.5 || identities.attempts.Load() < 50 || identities.successes.Load() != 0 {
 		t.Error(out)
 	}
-	if last := d.taken.samples[len(d.taken.samples)-1]; last.Processed < 80 { // the hosts' own reports among it
+	if last := d.ingest.samples[len(d.ingest.samples)-1]; last.Processed < 80 { // the hosts' own reports among it
 		t.Errorf("few sums and reports came: %+v", last)
 	}
 }
 
 // All prove who they are. The first of two stewards is killed while a host hangs and another drains; the second stands by and takes over, and the
 // first comes back with its state. All rules hold throughout, counted from what passed.
-func TestStandbyDay(t *testing.T) {
+func TestStandbyTakesOver(t *testing.T) {
 	t.Parallel()
-	look := func(d *day) {
-		second := d.stewards[1].(*daemon.Daemon).Operators().Status()
+	inspect := func(d *scenario) {
+		second := d.controllers[1].(*daemon.Daemon).Operators().Status()
 		if m := second.Restored; m == nil || m.Hosts != 6 || m.Proxies != 4 {
 			t.Errorf("the standby: %+v, %+v", second, m)
 		}
-		first := d.stewards[0].(*daemon.Daemon).Operators().Status()
+		first := d.controllers[0].(*daemon.Daemon).Operators().Status()
 		if m := first.Restored; m == nil || m.Hosts != 6 || m.ElapsedMs < 3000 || m.ElapsedMs > 8000 {
 			t.Errorf("the first when it is back: %+v", m)
 		}
 	}
-	r, _, out := played(t, `length_s: 11 seed: 9 stewards: 2 standby: true state: true identities: true identity_life_s: 5 list_late_ms: 200
+	result, _, out := runScenario(t, `length_s: 11 seed: 9 stewards: 2 standby: true state: true identities: true identity_life_s: 5 list_late_ms: 200
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
   classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } guard { cold_ms: 4000 grace_ms: 2500 } standby { fresh_ms: 1500 } state { every_ms: 200 } }
 hosts { zone: "a" count: 3 } hosts { zone: "b" count: 3 } forwarders { zone: "a" count: 2 } forwarders { zone: "b" count: 2 }
 traffic { class: "sheet" rate: 40 work_ms: 30 } traffic { class: "finish" rate: 40 work_ms: 20 effect: ONCE }
 steps { at_s: 3 for_s: 4 what: HANG zone: "a" count: 1 } steps { at_s: 4.5 for_s: 4 what: DRAIN zone: "b" first: 2 count: 1 }
-steps { at_s: 5 for_s: 4 what: KILL steward: 0 }`, look)
-	if !r.Kept || r.Service < 0.5 {
+steps { at_s: 5 for_s: 4 what: KILL steward: 0 }`, inspect)
+	if !result.Passed || result.ServiceLevel < 0.5 {
 		t.Error(out)
 	}
 }
--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -23,78 +23,78 @@
 
 // identities of a day: an issuer with short lives that are renewed all day, and an impostor who tries what he can.
 type identities struct {
-	root    *issuer.Authority
-	life    time.Duration
-	folder  string
-	mu      sync.Mutex
-	given   []given
-	sources []*identity.Source
-	rogue   *daemon.Daemon // a steward by another root of the same name
-	tries   atomic.Int64   // of the impostors
-	done    atomic.Int64   // that achieved something
-	what    atomic.Pointer[string]
+	authority   *issuer.Authority
+	validity    time.Duration
+	folder      string
+	mu          sync.Mutex
+	workloads   []workload
+	sources     []*identity.Source
+	rogue       *daemon.Daemon // a steward by another root of the same name
+	attempts    atomic.Int64   // of the impostors
+	successes   atomic.Int64   // that achieved something
+	lastSuccess atomic.Pointer[string]
 }
 
-type given struct {
-	endpoint *issuer.Endpoint
-	id       string
-	root     *issuer.Authority
+type workload struct {
+	endpoint  *issuer.Endpoint
+	id        string
+	authority *issuer.Authority
 }
 
 const (
-	trustDomain = "spiffe://race.example"
-	usualLife   = 20.0 // s
+	trustDomain      = "spiffe://race.example"
+	defaultValidityS = 20.0 // s
 )
 
 // issue makes a workload with an identity.
-func (x *identities) issue(name, id string, root *issuer.Authority) (*issuer.Endpoint, error) {
-	e, err := issuer.NewEndpoint(x.folder, name)
+func (x *identities) addWorkload(name, id string, authority *issuer.Authority) (*issuer.Endpoint, error) {
+	endpoint, err := issuer.NewEndpoint(x.folder, name)
 	if err != nil {
 		return nil, err
 	}
-	g := given{e, trustDomain + id, root}
+	added := workload{endpoint, trustDomain + id, authority}
 	x.mu.Lock()
-	x.given = append(x.given, g)
+	x.workloads = append(x.workloads, added)
 	x.mu.Unlock()
-	return e, x.renew(g)
+	return endpoint, x.renew(added)
 }
 
-func (x *identities) renew(g given) error {
-	v, err := g.root.Sign(g.id, x.life, nil)
+func (x *identities) renew(w workload) error {
+	svid, err := w.authority.Sign(w.id, x.validity, nil)
 	if err != nil {
 		return err
 	}
-	g.endpoint.Give(v, []*issuer.Authority{g.root})
+	w.endpoint.Give(svid, []*issuer.Authority{w.authority})
 	return nil
 }
 
 // renewing renews all at a third of their life, all at once.
-func (x *identities) renewing(ctx context.Context) {
-	for wait(ctx, x.life/3) {
+func (x *identities) renewPeriodically(ctx context.Context) {
+	for sleep(ctx, x.validity/3) {
 		x.mu.Lock()
-		all := slices.Clone(x.given)
+		workloads := slices.Clone(x.workloads)
 		x.mu.Unlock()
-		for _, g := range all {
-			x.renew(g)
+		for _, w := range workloads {
+			x.renew(w)
 		}
 	}
 }
 
 // open takes up a workload's identity.
-func (x *identities) open(e *issuer.Endpoint) (*identity.Source, error) {
+func (x *identities) openSource(endpoint *issuer.Endpoint) (*identity.Source, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	s, err := identity.Open(ctx, e.Address)
+	source, err := identity.Open(ctx, endpoint.Address)
 	if err == nil {
 		x.mu.Lock()
-		x.sources = append(x.sources, s)
+		x.sources = append(x.sources, source)
 		x.mu.Unlock()
 	}
-	return s, err
+	return source, err
 }
 
 // steward tells whether an identity is one of the day's stewards.
-func aSteward(id spiffeid.ID) error {
+func verifyController(id spiffeid.ID) error {
 	if !strings.HasPrefix(id.String(), trustDomain+"/steward/") {
 		return fmt.Errorf("%s is no steward of ours", id)
 	}
@@ -102,61 +102,61 @@
 }
 
 // proving makes what a workload needs to call stewards.
-func (x *identities) proving(name, id string) (*identity.Source, *tls.Config, error) {
-	e, err := x.issue(name, id, x.root)
+func (x *identities) controllerTLS(name, id string) (*identity.Source, *tls.Config, error) {
+	endpoint, err := x.addWorkload(name, id, x.authority)
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err := x.open(e)
+	source, err := x.openSource(endpoint)
 	if err != nil {
 		return nil, nil, err
 	}
-	return s, s.Client(aSteward), nil
+	return source, source.Client(verifyController), nil
 }
 
 // identify begins the day's identities.
-func (d *day) identify() error {
+func (d *scenario) setUpIdentities() error {
 	if !d.script.Identities {
 		return nil
 	}
-	life := d.script.IdentityLifeS
-	if life == 0 {
-		life = usualLife
+	validityS := d.script.IdentityLifeS
+	if validityS == 0 {
+		validityS = defaultValidityS
 	}
-	root, err := issuer.NewAuthority("race.example")
+	authority, err := issuer.NewAuthority("race.example")
 	if err != nil {
 		return err
 	}
-	x := &identities{root: root, life: seconds(life), folder: d.dir}
-	d.identities = x
-	_, operator, err := x.proving("op", "/operator/day")
+	identities := &identities{authority: authority, validity: secondsToDuration(validityS), folder: d.tempDir}
+	d.identities = identities
+	_, operatorTLS, err := identities.controllerTLS("op", "/operator/day")
 	if err != nil {
 		return err
 	}
-	d.taken.client.Transport = &http.Transport{TLSClientConfig: operator}
+	d.ingest.client.Transport = &http.Transport{TLSClientConfig: operatorTLS}
 	return nil
 }
 
 // identified sets a steward's identity and the day's rules.
-func (d *day) identified(c *configpb.Config, i int) error {
-	x := d.identities
-	if x == nil {
+func (d *scenario) setControllerIdentity(controllerConfig *configpb.Config, index int) error {
+	identities := d.identities
+	if identities == nil {
 		return nil
 	}
 	d.mu.Lock()
-	name := fmt.Sprintf("s%d-%d", i, d.lives)
+	name := fmt.Sprintf("s%d-%d", index, d.incarnations)
 	d.mu.Unlock()
-	e, err := x.issue(name, fmt.Sprintf("/steward/%d", i), x.root)
+	endpoint, err := identities.addWorkload(name, fmt.Sprintf("/steward/%d", index), identities.authority)
 	if err != nil {
 		return err
 	}
-	c.Identity = allowed(e.Address)
-	c.Standby.Id = trustDomain + "/steward/0"
+	controllerConfig.Identity = identitySettings(endpoint.Address)
+	controllerConfig.Standby.Id = trustDomain + "/steward/0"
 	return nil
 }
 
-func allowed(api string) *configpb.Identity {
-	return &configpb.Identity{WorkloadApi: api, Handshakes: proto.Int32(32), Allow: []*configpb.Allow{
+func identitySettings(workloadAPI string) *configpb.Identity {
+	return &configpb.Identity{WorkloadApi: workloadAPI, Handshakes: proto.Int32(32), Allow: []*configpb.Allow{
 		{Id: trustDomain + "/forwarder/{zone}/{proxy}", Actions: []string{"poll", "sums"}},
 		{Id: trustDomain + "/host/{host}", Actions: []string{"report"}},
 		{Id: trustDomain + "/operator/*", Actions: []string{"see", "set"}},
@@ -164,7 +164,7 @@
 }
 
 // scheme of the stewards' URLs.
-func (d *day) scheme() string {
+func (d *scenario) scheme() string {
 	if d.identities != nil {
 		return "https://"
 	}
@@ -173,114 +173,114 @@
 
 // impostors begin: a steward by another root, which all forwarders have in their lists, and programs that poll, post, set and
 // follow as others.
-func (d *day) impostors(ctx context.Context) error {
-	x := d.identities
-	if x == nil {
+func (d *scenario) startUnauthorizedClients(ctx context.Context) error {
+	identities := d.identities
+	if identities == nil {
 		return nil
 	}
-	other, err := issuer.NewAuthority("race.example")
+	untrusted, err := issuer.NewAuthority("race.example")
 	if err != nil {
 		return err
 	}
-	victim := d.forwarders[0]
-	for _, i := range []struct {
-		name, id string
-		root     *issuer.Authority
-	}{{"rogue", fmt.Sprintf("/forwarder/%s/%s", victim.Zone(), victim.Name()), other}, {"other", "/forwarder/nowhere/other", x.root}} {
-		e, err := x.issue(i.name, i.id, i.root)
+	target := d.proxies[0]
+	for _, attacker := range []struct {
+		name, id  string
+		authority *issuer.Authority
+	}{{"rogue", fmt.Sprintf("/forwarder/%s/%s", target.Zone(), target.Name()), untrusted}, {"other", "/forwarder/nowhere/other", identities.authority}} {
+		endpoint, err := identities.addWorkload(attacker.name, attacker.id, attacker.authority)
 		if err != nil {
 			return err
 		}
-		v, err := x.open(e)
+		source, err := identities.openSource(endpoint)
 		if err != nil {
 			return err
 		}
-		c := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13,
+		client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13,
 			InsecureSkipVerify: true, // an impostor does not mind whom he calls
 			GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-				s, _ := v.Certificate()
-				return s, nil
+				certificate, _ := source.Certificate()
+				return certificate, nil
 			}}}}
-		go d.impostor(ctx, c, victim.Name(), victim.Zone())
+		go d.sendUnauthorizedRequests(ctx, client, target.Name(), target.Zone())
 	}
 	return nil
 }
 
 // impostor tries one thing after the other, all day.
-func (d *day) impostor(ctx context.Context, c *http.Client, victim, zone string) {
-	x := d.identities
+func (d *scenario) sendUnauthorizedRequests(ctx context.Context, client *http.Client, proxy, zone string) {
+	identities := d.identities
 	host := d.hosts[0].Address
-	for n := 0; wait(ctx, 100*time.Millisecond); n++ {
-		tries := []struct{ method, path, body string }{
-			{"GET", "/v1/proxies/" + victim + "/tables?zone=" + zone, ""},
-			{"POST", "/v1/proxies/" + victim + "/sums?zone=" + zone, fmt.Sprintf(`{"sender":"impostor","number":%d}`, n+1)},
-			{"DELETE", "/v1/proxies/" + victim, ""},
+	for n := 0; sleep(ctx, 100*time.Millisecond); n++ {
+		requests := []struct{ method, path, body string }{
+			{"GET", "/v1/proxies/" + proxy + "/tables?zone=" + zone, ""},
+			{"POST", "/v1/proxies/" + proxy + "/sums?zone=" + zone, fmt.Sprintf(`{"sender":"impostor","number":%d}`, n+1)},
+			{"DELETE", "/v1/proxies/" + proxy, ""},
 			{"POST", "/v1/hosts/" + host + "/operator", `{"state":"drain"}`},
 			{"POST", "/v1/hosts/" + host + "/load", `{"number":1,"load":{"util":0}}`},
 			{"GET", "/v1/state", ""}, {"GET", "/v1/hosts", ""}}
-		try := tries[n%len(tries)]
-		q, err := http.NewRequestWithContext(ctx, try.method, "https://"+d.addresses[0]+try.path, strings.NewReader(try.body))
+		attempt := requests[n%len(requests)]
+		request, err := http.NewRequestWithContext(ctx, attempt.method, "https://"+d.controllerAddresses[0]+attempt.path, strings.NewReader(attempt.body))
 		if err != nil {
 			return
 		}
-		q.Header.Set("Content-Type", "application/json")
-		x.tries.Add(1)
-		r, err := c.Do(q)
+		request.Header.Set("Content-Type", "application/json")
+		identities.attempts.Add(1)
+		response, err := client.Do(request)
 		if err != nil {
 			continue
 		}
-		io.Copy(io.Discard, r.Body)
-		r.Body.Close()
-		if r.StatusCode < 400 {
-			x.done.Add(1)
-			what := try.method + " " + try.path
-			x.what.Store(&what)
+		io.Copy(io.Discard, response.Body)
+		response.Body.Close()
+		if response.StatusCode < 400 {
+			identities.successes.Add(1)
+			success := attempt.method + " " + attempt.path
+			identities.lastSuccess.Store(&success)
 		}
 	}
 }
 
 // rogueSteward runs a steward by another root of the same name, and gives its address.
-func (d *day) rogueSteward() (string, error) {
-	x := d.identities
-	other, err := issuer.NewAuthority("race.example")
+func (d *scenario) startRogueController() (string, error) {
+	identities := d.identities
+	untrusted, err := issuer.NewAuthority("race.example")
 	if err != nil {
 		return "", err
 	}
-	e, err := x.issue("false", "/steward/0", other)
+	endpoint, err := identities.addWorkload("false", "/steward/0", untrusted)
 	if err != nil {
 		return "", err
 	}
-	c := proto.CloneOf(d.config)
-	c.Identity = allowed(e.Address)
-	c.Record, c.Sockets = "", nil
-	if x.rogue, err = daemon.Start(c, d.version, d.log); err != nil {
+	rogueConfig := proto.CloneOf(d.config)
+	rogueConfig.Identity = identitySettings(endpoint.Address)
+	rogueConfig.Record, rogueConfig.Sockets = "", nil
+	if identities.rogue, err = daemon.Start(rogueConfig, d.version, d.log); err != nil {
 		return "", fmt.Errorf("starting the impostor: %w", err)
 	}
-	return x.rogue.Addr(), nil
+	return identities.rogue.Addr(), nil
 }
 
 // print says what the impostors achieved.
 func (x *identities) print(out io.Writer) {
-	joined := x.rogue.Operators().Status().ConnectedProxies
-	fmt.Fprintf(out, "impostors: %d proxies joined the false steward; %d tries by false forwarders, %d achieved something\n", joined, x.tries.Load(), x.done.Load())
-	if what := x.what.Load(); what != nil {
-		fmt.Fprintln(out, "  the last:", *what)
+	connected := x.rogue.Operators().Status().ConnectedProxies
+	fmt.Fprintf(out, "impostors: %d proxies joined the false steward; %d tries by false forwarders, %d achieved something\n", connected, x.attempts.Load(), x.successes.Load())
+	if success := x.lastSuccess.Load(); success != nil {
+		fmt.Fprintln(out, "  the last:", *success)
 	}
 }
 
 // kept tells whether the impostors achieved nothing.
-func (x *identities) kept() bool {
-	return x.done.Load() == 0 && x.rogue.Operators().Status().ConnectedProxies == 0
+func (x *identities) allRejected() bool {
+	return x.successes.Load() == 0 && x.rogue.Operators().Status().ConnectedProxies == 0
 }
 
-func (x *identities) end() {
+func (x *identities) close() {
 	if x.rogue != nil {
 		x.rogue.Kill()
 	}
-	for _, s := range x.sources {
-		s.Close()
+	for _, source := range x.sources {
+		source.Close()
 	}
-	for _, g := range x.given {
-		g.endpoint.Close()
+	for _, w := range x.workloads {
+		w.endpoint.Close()
 	}
 }
--- /dev/null
+++ b/internal/rehearse/optimality_gap.go
@@ -0,0 +1,121 @@
+package rehearse
+
+import (
+	"fmt"
+	"io"
+	"math"
+
+	"barleysail/solver"
+)
+
+// gaps follows how far the forwarders' tables are from the best there is, sampled as the day goes on. The best knows
+// each host's true state, as no steward does, so a trouble shows as a gap until it is found out.
+type optimalityGaps struct {
+	count             int
+	sum, worst        float64
+	worstAtS          float64
+	worstClass        string
+	measureErr        error
+	overloadedSamples int
+	samples           []gapSample
+}
+
+type gapSample struct{ atS, gap float64 } // s from the day's start
+
+// sampleGap measures the tables as they stand.
+func (d *scenario) sampleGap(elapsedS float64) {
+	problem, tables := d.optimizationProblem(), d.zoneTables()
+	measured, err := problem.Measure(tables)
+	if err != nil {
+		d.optimality.measureErr = err
+		return
+	}
+	gap := measured.BestValue - measured.ObjectiveValue
+	d.optimality.count++
+	d.optimality.samples = append(d.optimality.samples, gapSample{elapsedS, gap})
+	d.optimality.sum += gap
+	if len(measured.Overloaded) > 0 {
+		d.optimality.overloadedSamples++
+	}
+	if gap > d.optimality.worst {
+		d.optimality.worst, d.optimality.worstAtS = gap, elapsedS
+		for class, best := range measured.BestServedShare {
+			if lost := best - measured.ServedShare[class]; d.optimality.worstClass == "" || lost > measured.BestServedShare[d.optimality.worstClass]-measured.ServedShare[d.optimality.worstClass] {
+				d.optimality.worstClass = class
+			}
+		}
+	}
+}
+
+// problem is the fleet as it truly is now: what hangs or is down has no capacity, what is slow or cold a part.
+func (d *scenario) optimizationProblem() *solver.Problem {
+	config := d.config
+	problem := &solver.Problem{Zones: config.Zones, Demand: map[string]map[string]float64{}, Objective: solver.Objective{TotalWeight: *config.Goal.Whole,
+		WorstClassWeight: *config.Goal.WorstClass}}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, host := range d.hosts {
+		cores, speed := host.Able()
+		problem.Hosts = append(problem.Hosts, solver.Host{Name: host.Address, Zone: host.zone, Cores: cores, Speed: speed, WarmFraction: 1,
+			Draining: host.draining || !host.listed})
+	}
+	proxiesByZone, total := map[string]float64{}, 0.0
+	for _, group := range d.script.Forwarders {
+		proxiesByZone[group.Zone] += float64(group.Count)
+		total += float64(group.Count)
+	}
+	for _, class := range config.Classes {
+		for _, traffic := range d.script.Traffic {
+			if traffic.Class != class.Name {
+				continue
+			}
+			problem.Classes = append(problem.Classes, solver.Class{Name: class.Name, Earnings: *class.Earnings, WorkMs: traffic.WorkMs, ZoneLocal: class.Local})
+			problem.Demand[class.Name] = map[string]float64{}
+			for zone, count := range proxiesByZone {
+				problem.Demand[class.Name][zone] = traffic.Rate * count / total
+			}
+		}
+	}
+	return problem
+}
+
+// tables are the forwarders' own, put together by zone: each forwarder gets the same traffic.
+func (d *scenario) zoneTables() solver.Tables {
+	aggregator := solver.NewTableAggregator()
+	for _, proxy := range d.proxies {
+		for class, table := range proxy.Client.Tables() {
+			aggregator.Add(class, proxy.Zone(), table.AdmissionRatio, func(yield func(string, float64) bool) {
+				for _, host := range table.Hosts {
+					if !yield(host.Address, host.Weight) {
+						return
+					}
+				}
+			})
+		}
+	}
+	return aggregator.Tables()
+}
+
+func (g *optimalityGaps) print(out io.Writer) {
+	switch {
+	case g.measureErr != nil:
+		fmt.Fprintf(out, "gap to the best tables: not measured: %v\n", g.measureErr)
+	case g.count > 0:
+		fmt.Fprintf(out, "gap to the best tables for the hosts' true state: mean %.4f; worst %.4f at %.0f s", g.sum/float64(g.count), g.worst,
+			g.worstAtS)
+		if g.worstClass != "" {
+			fmt.Fprintf(out, ", most of it in %s", g.worstClass)
+		}
+		fmt.Fprintf(out, "; hosts sent more than they can do in %d of %d samples\n", g.overloadedSamples, g.count)
+	}
+}
+
+// mean of the gaps from one time up to another, and how many there are.
+func (g *optimalityGaps) mean(fromS, toS float64) (mean float64, count int) {
+	for _, sample := range g.samples {
+		if sample.atS >= fromS && sample.atS < toS {
+			mean, count = mean+sample.gap, count+1
+		}
+	}
+	return mean / math.Max(float64(count), 1), count
+}
--- a/internal/rehearse/steps.go
+++ b/internal/rehearse/steps.go
@@ -8,12 +8,12 @@
 	"barleysail/internal/rehearse/daypb"
 )
 
-func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+func secondsToDuration(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
 // wait tells whether the time passed before the day ended.
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
-	case <-time.After(d):
+	case <-time.After(duration):
 		return true
 	case <-ctx.Done():
 		return false
@@ -21,180 +21,180 @@
 }
 
 // step waits for its time, does what it says, and undoes it.
-func (d *day) step(ctx context.Context, s *daypb.Step) {
-	if !wait(ctx, seconds(s.AtS)) {
+func (d *scenario) runStep(ctx context.Context, step *daypb.Step) {
+	if !sleep(ctx, secondsToDuration(step.AtS)) {
 		return
 	}
-	hosts := d.chosen(s)
-	switch s.What {
+	hosts := d.selectHosts(step)
+	switch step.What {
 	case daypb.What_HANG:
-		d.each(hosts, "hangs", func(h *member) { h.Hang(true) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "answers again", func(h *member) { h.Hang(false) })
+		d.applyFault(hosts, "hangs", func(host *scenarioHost) { host.Hang(true) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		d.applyFault(hosts, "answers again", func(host *scenarioHost) { host.Hang(false) })
 	case daypb.What_SLOW:
-		d.each(hosts, "is slow", func(h *member) { h.Slow(s.Size) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "is as fast as usual", func(h *member) { h.Slow(1) })
+		d.applyFault(hosts, "is slow", func(host *scenarioHost) { host.Slow(step.Size) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		d.applyFault(hosts, "is as fast as usual", func(host *scenarioHost) { host.Slow(1) })
 	case daypb.What_DRAIN:
-		d.listing(hosts, "drains", func(h *member) { h.draining = true })
-		wait(ctx, seconds(s.ForS))
-		d.listing(hosts, "is ready again", func(h *member) { h.draining = false })
+		d.changeEndpoints(hosts, "drains", func(host *scenarioHost) { host.draining = true })
+		sleep(ctx, secondsToDuration(step.ForS))
+		d.changeEndpoints(hosts, "is ready again", func(host *scenarioHost) { host.draining = false })
 	case daypb.What_LOSE:
-		d.lose(ctx, hosts, s)
+		d.crashHosts(ctx, hosts, step)
 	case daypb.What_KILL:
-		d.kill(ctx, int(s.Steward), s)
+		d.restartController(ctx, int(step.Steward), step)
 	case daypb.What_CUT:
-		n := int(s.Size*float64(len(d.forwarders)) + 0.5)
-		for _, f := range d.forwarders[:min(n, len(d.forwarders))] {
-			f.Cut(seconds(s.ForS))
+		count := int(step.Size*float64(len(d.proxies)) + 0.5)
+		for _, proxy := range d.proxies[:min(count, len(d.proxies))] {
+			proxy.Cut(secondsToDuration(step.ForS))
 		}
-		d.say("%d forwarders lose their steward for %.1f s", n, s.ForS)
+		d.addNote("%d forwarders lose their steward for %.1f s", count, step.ForS)
 	case daypb.What_RESTART:
-		all := d.withSockets(s.Size)
-		for _, f := range all {
-			f.SocketRestart()
+		proxies := d.socketProxies(step.Size)
+		for _, proxy := range proxies {
+			proxy.SocketRestart()
 		}
-		d.say("%d forwarders start anew with their old file", len(all))
+		d.addNote("%d forwarders start anew with their old file", len(proxies))
 	case daypb.What_SLOW_SOCKET, daypb.What_MUTE_SOCKET:
-		all := d.withSockets(s.Size)
-		for _, f := range all {
-			f.SocketSlow(slowSocket)
-			f.SocketMute(s.What == daypb.What_MUTE_SOCKET)
+		proxies := d.socketProxies(step.Size)
+		for _, proxy := range proxies {
+			proxy.SocketSlow(slowSocketDelay)
+			proxy.SocketMute(step.What == daypb.What_MUTE_SOCKET)
 		}
-		d.say("%d sockets answer late or not at all", len(all))
-		wait(ctx, seconds(s.ForS))
-		for _, f := range all {
-			f.SocketSlow(0)
-			f.SocketMute(false)
+		d.addNote("%d sockets answer late or not at all", len(proxies))
+		sleep(ctx, secondsToDuration(step.ForS))
+		for _, proxy := range proxies {
+			proxy.SocketSlow(0)
+			proxy.SocketMute(false)
 		}
-		d.say("and in time again")
+		d.addNote("and in time again")
 	case daypb.What_FLOOD:
-		d.each(hosts, "reports much too often", func(h *member) { h.Flood(s.Size) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "reports as usual", func(h *member) { h.Flood(0) })
+		d.applyFault(hosts, "reports much too often", func(host *scenarioHost) { host.Flood(step.Size) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		d.applyFault(hosts, "reports as usual", func(host *scenarioHost) { host.Flood(0) })
 	case daypb.What_MUTE:
-		d.each(hosts, "tells its load no more", func(h *member) { h.Mute(true) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "tells its load again", func(h *member) { h.Mute(false) })
+		d.applyFault(hosts, "tells its load no more", func(host *scenarioHost) { host.Mute(true) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		d.applyFault(hosts, "tells its load again", func(host *scenarioHost) { host.Mute(false) })
 	case daypb.What_LIE:
-		d.each(hosts, "tells a part of its load", func(h *member) { h.Lie(s.Size) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "tells the truth", func(h *member) { h.Lie(0) })
+		d.applyFault(hosts, "tells a part of its load", func(host *scenarioHost) { host.Lie(step.Size) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		d.applyFault(hosts, "tells the truth", func(host *scenarioHost) { host.Lie(0) })
 	case daypb.What_AHEAD:
-		d.each(hosts, "has a wrong clock", func(h *member) { h.Ahead(seconds(s.Size)) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "has the right time", func(h *member) { h.Ahead(0) })
+		d.applyFault(hosts, "has a wrong clock", func(host *scenarioHost) { host.Ahead(secondsToDuration(step.Size)) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		d.applyFault(hosts, "has the right time", func(host *scenarioHost) { host.Ahead(0) })
 	case daypb.What_LATE_SUMS:
-		d.late(seconds(s.Size))
-		d.say("sums come %.1f s late", s.Size)
-		wait(ctx, seconds(s.ForS))
-		d.late(0)
-		d.say("sums come in time")
+		d.delayRequestStats(secondsToDuration(step.Size))
+		d.addNote("sums come %.1f s late", step.Size)
+		sleep(ctx, secondsToDuration(step.ForS))
+		d.delayRequestStats(0)
+		d.addNote("sums come in time")
 	}
 }
 
 // slowSocket is how late a slow socket answers.
-const slowSocket = 300 * time.Millisecond
+const slowSocketDelay = 300 * time.Millisecond
 
 // withSockets gives a part of the forwarders that have one.
-func (d *day) withSockets(part float64) (all []*fake.Forwarder) {
-	for _, f := range d.forwarders {
-		if f.SocketAddress() != "" {
-			all = append(all, f)
+func (d *scenario) socketProxies(fraction float64) (proxies []*fake.Forwarder) {
+	for _, proxy := range d.proxies {
+		if proxy.SocketAddress() != "" {
+			proxies = append(proxies, proxy)
 		}
 	}
-	return all[:min(int(part*float64(len(all))+0.5), len(all))]
+	return proxies[:min(int(fraction*float64(len(proxies))+0.5), len(proxies))]
 }
 
-func (d *day) late(by time.Duration) {
-	for _, f := range d.forwarders {
-		f.LateSums(by)
+func (d *scenario) delayRequestStats(delay time.Duration) {
+	for _, proxy := range d.proxies {
+		proxy.LateSums(delay)
 	}
 }
 
 // chosen gives the hosts that a step is about.
-func (d *day) chosen(s *daypb.Step) []*member {
-	var of []*member
-	for _, h := range d.hosts {
-		if s.Zone == "" || h.zone == s.Zone {
-			of = append(of, h)
+func (d *scenario) selectHosts(step *daypb.Step) []*scenarioHost {
+	var selected []*scenarioHost
+	for _, host := range d.hosts {
+		if step.Zone == "" || host.zone == step.Zone {
+			selected = append(selected, host)
 		}
 	}
-	of = of[min(int(s.First), len(of)):]
-	if s.Count > 0 {
-		of = of[:min(int(s.Count), len(of))]
+	selected = selected[min(int(step.First), len(selected)):]
+	if step.Count > 0 {
+		selected = selected[:min(int(step.Count), len(selected))]
 	}
-	return of
+	return selected
 }
 
-func (d *day) each(hosts []*member, what string, do func(*member)) {
-	for _, h := range hosts {
-		do(h)
+func (d *scenario) applyFault(hosts []*scenarioHost, description string, apply func(*scenarioHost)) {
+	for _, host := range hosts {
+		apply(host)
 	}
-	d.tell(hosts, what)
+	d.addHostNote(hosts, description)
 }
 
-func (d *day) tell(hosts []*member, what string) {
+func (d *scenario) addHostNote(hosts []*scenarioHost, description string) {
 	if len(hosts) == 1 {
-		d.say("%s %s", hosts[0].Address, what)
+		d.addNote("%s %s", hosts[0].Address, description)
 	} else {
-		d.say("%d hosts: each %s", len(hosts), what)
+		d.addNote("%d hosts: each %s", len(hosts), description)
 	}
 }
 
 // listing changes what the list says of hosts.
-func (d *day) listing(hosts []*member, what string, change func(*member)) {
+func (d *scenario) changeEndpoints(hosts []*scenarioHost, description string, change func(*scenarioHost)) {
 	d.mu.Lock()
-	for _, h := range hosts {
-		change(h)
+	for _, host := range hosts {
+		change(host)
 	}
 	d.mu.Unlock()
-	if err := d.list(); err != nil {
+	if err := d.writeEndpointList(); err != nil {
 		d.log.Error().Err(err).Msg("the list could not be changed")
 	}
-	d.tell(hosts, what)
+	d.addHostNote(hosts, description)
 }
 
 // lose lets hosts die and come back cold; the list learns of either late.
-func (d *day) lose(ctx context.Context, hosts []*member, s *daypb.Step) {
-	late := time.Duration(d.script.ListLateMs * float64(time.Millisecond))
-	d.each(hosts, "dies", func(h *member) { h.Crash() })
-	wait(ctx, late)
-	d.listing(hosts, "is gone from the list", func(h *member) { h.listed = false })
-	wait(ctx, seconds(s.ForS)-late)
-	started := map[*member]float64{}
-	d.each(hosts, "starts", func(h *member) {
-		at, err := h.Restart()
+func (d *scenario) crashHosts(ctx context.Context, hosts []*scenarioHost, step *daypb.Step) {
+	listDelay := time.Duration(d.script.ListLateMs * float64(time.Millisecond))
+	d.applyFault(hosts, "dies", func(host *scenarioHost) { host.Crash() })
+	sleep(ctx, listDelay)
+	d.changeEndpoints(hosts, "is gone from the list", func(host *scenarioHost) { host.listed = false })
+	sleep(ctx, secondsToDuration(step.ForS)-listDelay)
+	started := map[*scenarioHost]float64{}
+	d.applyFault(hosts, "starts", func(host *scenarioHost) {
+		startedMs, err := host.Restart()
 		if err != nil {
 			d.log.Error().Err(err).Msg("a host could not start again")
 			return
 		}
-		started[h] = at
+		started[host] = startedMs
 	})
-	wait(ctx, late)
-	d.listing(hosts, "is listed again", func(h *member) {
-		if at, ok := started[h]; ok {
-			h.listed, h.started = true, at
+	sleep(ctx, listDelay)
+	d.changeEndpoints(hosts, "is listed again", func(host *scenarioHost) {
+		if startedMs, ok := started[host]; ok {
+			host.listed, host.startedMs = true, startedMs
 		}
 	})
 }
 
 // kill ends a steward as the end of its process would, and starts another at its address.
-func (d *day) kill(ctx context.Context, i int, s *daypb.Step) {
-	d.stewards[i].Kill()
-	lost := time.Since(d.start).Seconds()
-	d.say("steward %d is killed", i)
-	wait(ctx, seconds(s.ForS))
-	next, err := d.steward(i, d.addresses[i])
-	for n := 0; err != nil && n < 50; n++ { // the port may be held for a moment
+func (d *scenario) restartController(ctx context.Context, index int, step *daypb.Step) {
+	d.controllers[index].Kill()
+	killedAtS := time.Since(d.start).Seconds()
+	d.addNote("steward %d is killed", index)
+	sleep(ctx, secondsToDuration(step.ForS))
+	restarted, err := d.startController(index, d.controllerAddresses[index])
+	for attempt := 0; err != nil && attempt < 50; attempt++ { // the port may be held for a moment
 		time.Sleep(20 * time.Millisecond)
-		next, err = d.steward(i, d.addresses[i])
+		restarted, err = d.startController(index, d.controllerAddresses[index])
 	}
 	if err != nil {
-		d.say("steward %d cannot start: %v", i, err)
+		d.addNote("steward %d cannot start: %v", index, err)
 		return
 	}
-	d.stewards[i] = next
-	d.kills = append(d.kills, kill{i, lost, time.Since(d.start).Seconds()})
-	d.say("steward %d starts again", i)
+	d.controllers[index] = restarted
+	d.restarts = append(d.restarts, controllerRestart{index, killedAtS, time.Since(d.start).Seconds()})
+	d.addNote("steward %d starts again", index)
 }
