--- a/internal/rehearse/controller_process.go
+++ b/internal/rehearse/controller_process.go
@@ -30,16 +30,16 @@
 }
 
 // apart starts a steward in a process of its own, so that what it needs can be told from what the stand-ins need.
-func (d *scenario) startControllerProcess(controllerConfig *configpb.Config, name string) (controllerInstance, error) {
+func (s *scenario) startControllerProcess(controllerConfig *configpb.Config, name string) (controllerInstance, error) {
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(controllerConfig)
 	if err != nil {
 		return nil, fmt.Errorf("writing a steward's configuration: %w", err)
 	}
-	file := filepath.Join(d.tempDir, name+".textproto")
+	file := filepath.Join(s.tempDir, name+".textproto")
 	if err := os.WriteFile(file, text, 0o644); err != nil {
 		return nil, fmt.Errorf("writing a steward's configuration: %w", err)
 	}
-	process := &controllerProcess{command: exec.Command(d.controllerProgram, "run", "--config", file, "--log-level", "warn"), exited: make(chan struct{})}
+	process := &controllerProcess{command: exec.Command(s.controllerProgram, "run", "--config", file, "--log-level", "warn"), exited: make(chan struct{})}
 	process.command.Stderr = os.Stderr
 	out, err := process.command.StdoutPipe()
 	if err != nil {
--- a/internal/rehearse/controller_restarts.go
+++ b/internal/rehearse/controller_restarts.go
@@ -17,20 +17,20 @@
 
 // printRestarts says what each steward's loss cost: service from its loss until 30 s after its return, and when the tables
 // were as near to the best as before.
-func (d *scenario) printRestarts() {
-	for _, restart := range d.restarts {
+func (s *scenario) printRestarts() {
+	for _, restart := range s.restarts {
 		fromWindow := int(restart.killedAtS * 1000 / windowMs)
-		level, count := d.serviceLevel.fraction(fromWindow, int((restart.restartedAtS+afterRestartS)*1000/windowMs))
-		gapBefore, _ := d.optimality.mean(restart.killedAtS-5, restart.killedAtS)
-		gapAfter, _ := d.optimality.mean(restart.restartedAtS, restart.restartedAtS+afterRestartS)
+		level, count := s.serviceLevel.fraction(fromWindow, int((restart.restartedAtS+afterRestartS)*1000/windowMs))
+		gapBefore, _ := s.optimality.mean(restart.killedAtS-5, restart.killedAtS)
+		gapAfter, _ := s.optimality.mean(restart.restartedAtS, restart.restartedAtS+afterRestartS)
 		recoveredAfterS := -1.0
-		for _, sample := range d.optimality.samples {
+		for _, sample := range s.optimality.samples {
 			if sample.atS >= restart.restartedAtS+1 && sample.gap <= gapBefore+recoveredGap {
 				recoveredAfterS = sample.atS - restart.restartedAtS
 				break
 			}
 		}
-		fmt.Fprintf(d.out, "steward %d lost at %.0f s, back at %.1f s: service %.4f of %d until 30 s after, gap %.4f before, %.4f in the 30 s after, as before after %.0f s\n",
+		fmt.Fprintf(s.out, "steward %d lost at %.0f s, back at %.1f s: service %.4f of %d until 30 s after, gap %.4f before, %.4f in the 30 s after, as before after %.0f s\n",
 			restart.controller, restart.killedAtS, restart.restartedAtS, level, count, gapBefore, gapAfter, recoveredAfterS)
 	}
 }
--- a/internal/rehearse/faults_test.go
+++ b/internal/rehearse/faults_test.go
@@ -23,10 +23,10 @@
 	}
 	var out strings.Builder
 	var inspected *scenario
-	result, err := runAndInspect(context.Background(), script, "test", "", "", &out, zerolog.New(io.Discard), func(*rules.Limits) {}, func(d *scenario) {
-		inspected = d
-		for _, inspectOne := range inspect {
-			inspectOne(d)
+	result, err := runAndInspect(context.Background(), script, "test", "", "", &out, zerolog.New(io.Discard), func(*rules.Limits) {}, func(s *scenario) {
+		inspected = s
+		for _, check := range inspect {
+			check(s)
 		}
 	})
 	if err != nil {
@@ -40,7 +40,7 @@
 // hold, the flood is stopped at the door, what stops and what lies is told, and nothing else is dropped.
 func TestHostReportFaults(t *testing.T) {
 	t.Parallel()
-	result, d, out := runScenario(t, `length_s: 12 seed: 5 stewards: 1 list_late_ms: 200
+	result, s, out := runScenario(t, `length_s: 12 seed: 5 stewards: 1 list_late_ms: 200
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
   classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } intake { source_lines_per_s: 50 silent_ms: 2000 } }
 hosts { zone: "a" count: 30 cores: 2 report_ms: 100 } hosts { zone: "b" count: 30 cores: 2 report_ms: 100 }
@@ -48,11 +48,11 @@
 traffic { class: "sheet" rate: 150 work_ms: 40 } traffic { class: "finish" rate: 150 work_ms: 20 effect: ONCE }
 steps { at_s: 1 for_s: 20 what: FLOOD zone: "a" first: 1 count: 1 size: 100 } steps { at_s: 2 for_s: 20 what: MUTE zone: "a" first: 2 count: 1 }
 steps { at_s: 1 for_s: 20 what: AHEAD zone: "b" first: 2 count: 1 size: 3600 } steps { at_s: 4 for_s: 1 what: CUT size: 0.1 }`)
-	last := d.ingest.samples[len(d.ingest.samples)-1]
+	last := s.ingest.samples[len(s.ingest.samples)-1]
 	if !result.Passed || result.ServiceLevel < 0.5 {
 		t.Error(out)
 	}
-	if d.ingest.rejectedReports.Load() == 0 || last.Door.Rejected == 0 {
+	if s.ingest.rejectedReports.Load() == 0 || last.Door.Rejected == 0 {
 		t.Errorf("the flood was let in: %+v", last)
 	}
 	if last.Silent < 1 || last.Processed < 3000 || last.Queued > 5000 {
@@ -64,7 +64,7 @@
 // one hangs, one drains and some are lost.
 func TestInvariantsHoldWhileGuardRejects(t *testing.T) {
 	t.Parallel()
-	result, d, out := runScenario(t, `length_s: 12 seed: 6 stewards: 1 list_late_ms: 200
+	result, s, out := runScenario(t, `length_s: 12 seed: 6 stewards: 1 list_late_ms: 200
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
   classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } guard { cold_ms: 4000 grace_ms: 2500 }
   table_guard { on: true refuse: true over: 0.8 jump: 0.3 } }
@@ -76,7 +76,7 @@
 	if !result.Passed || result.ServiceLevel < 0.5 {
 		t.Error(out)
 	}
-	if last := d.ingest.samples[len(d.ingest.samples)-1]; last.GuardRefused == 0 {
+	if last := s.ingest.samples[len(s.ingest.samples)-1]; last.GuardRefused == 0 {
 		t.Errorf("nothing was refused:\n%s", out)
 	}
 }
@@ -86,17 +86,17 @@
 // rules hold while a host hangs and a steward is killed.
 func TestUnauthorizedCallersAreRejected(t *testing.T) {
 	t.Parallel()
-	result, d, out := runScenario(t, `length_s: 10 seed: 8 stewards: 1 list_late_ms: 200 identities: true identity_life_s: 4
+	result, s, out := runScenario(t, `length_s: 10 seed: 8 stewards: 1 list_late_ms: 200 identities: true identity_life_s: 4
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
   classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } guard { cold_ms: 4000 grace_ms: 2500 } }
 hosts { zone: "a" count: 3 report_ms: 200 } hosts { zone: "b" count: 3 } forwarders { zone: "a" count: 2 } forwarders { zone: "b" count: 2 }
 traffic { class: "sheet" rate: 30 work_ms: 30 } traffic { class: "finish" rate: 30 work_ms: 20 effect: ONCE }
 steps { at_s: 2 for_s: 2 what: HANG zone: "a" count: 1 } steps { at_s: 5 for_s: 1 what: KILL steward: 0 }`)
-	identities := d.identities
+	identities := s.identities
 	if !result.Passed || result.ServiceLevel < 0.5 || identities.attempts.Load() < 50 || identities.successes.Load() != 0 {
 		t.Error(out)
 	}
-	if last := d.ingest.samples[len(d.ingest.samples)-1]; last.Processed < 80 { // the hosts' own reports among it
+	if last := s.ingest.samples[len(s.ingest.samples)-1]; last.Processed < 80 { // the hosts' own reports among it
 		t.Errorf("few sums and reports came: %+v", last)
 	}
 }
@@ -105,12 +105,12 @@
 // first comes back with its state. All rules hold throughout, counted from what passed.
 func TestStandbyTakesOver(t *testing.T) {
 	t.Parallel()
-	inspect := func(d *scenario) {
-		second := d.controllers[1].(*daemon.Daemon).Operators().Status()
+	inspect := func(s *scenario) {
+		second := s.controllers[1].(*daemon.Daemon).Operators().Status()
 		if m := second.Restored; m == nil || m.Hosts != 6 || m.Proxies != 4 {
 			t.Errorf("the standby: %+v, %+v", second, m)
 		}
-		first := d.controllers[0].(*daemon.Daemon).Operators().Status()
+		first := s.controllers[0].(*daemon.Daemon).Operators().Status()
 		if m := first.Restored; m == nil || m.Hosts != 6 || m.ElapsedMs < 3000 || m.ElapsedMs > 8000 {
 			t.Errorf("the first when it is back: %+v", m)
 		}
--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -47,20 +47,20 @@
 )
 
 // issue makes a workload with an identity.
-func (x *identities) addWorkload(name, id string, authority *issuer.Authority) (*issuer.Endpoint, error) {
-	endpoint, err := issuer.NewEndpoint(x.folder, name)
+func (ids *identities) addWorkload(name, id string, authority *issuer.Authority) (*issuer.Endpoint, error) {
+	endpoint, err := issuer.NewEndpoint(ids.folder, name)
 	if err != nil {
 		return nil, err
 	}
 	added := workload{endpoint, trustDomain + id, authority}
-	x.mu.Lock()
-	x.workloads = append(x.workloads, added)
-	x.mu.Unlock()
-	return endpoint, x.renew(added)
+	ids.mu.Lock()
+	ids.workloads = append(ids.workloads, added)
+	ids.mu.Unlock()
+	return endpoint, ids.renew(added)
 }
 
-func (x *identities) renew(w workload) error {
-	svid, err := w.authority.Sign(w.id, x.validity, nil)
+func (ids *identities) renew(w workload) error {
+	svid, err := w.authority.Sign(w.id, ids.validity, nil)
 	if err != nil {
 		return err
 	}
@@ -69,26 +69,26 @@
 }
 
 // renewing renews all at a third of their life, all at once.
-func (x *identities) renewPeriodically(ctx context.Context) {
-	for sleep(ctx, x.validity/3) {
-		x.mu.Lock()
-		workloads := slices.Clone(x.workloads)
-		x.mu.Unlock()
+func (ids *identities) renewPeriodically(ctx context.Context) {
+	for sleep(ctx, ids.validity/3) {
+		ids.mu.Lock()
+		workloads := slices.Clone(ids.workloads)
+		ids.mu.Unlock()
 		for _, w := range workloads {
-			x.renew(w)
+			ids.renew(w)
 		}
 	}
 }
 
 // open takes up a workload's identity.
-func (x *identities) openSource(endpoint *issuer.Endpoint) (*identity.Source, error) {
+func (ids *identities) openSource(endpoint *issuer.Endpoint) (*identity.Source, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	source, err := identity.Open(ctx, endpoint.Address)
 	if err == nil {
-		x.mu.Lock()
-		x.sources = append(x.sources, source)
-		x.mu.Unlock()
+		ids.mu.Lock()
+		ids.sources = append(ids.sources, source)
+		ids.mu.Unlock()
 	}
 	return source, err
 }
@@ -102,12 +102,12 @@
 }
 
 // proving makes what a workload needs to call stewards.
-func (x *identities) controllerTLS(name, id string) (*identity.Source, *tls.Config, error) {
-	endpoint, err := x.addWorkload(name, id, x.authority)
+func (ids *identities) controllerTLS(name, id string) (*identity.Source, *tls.Config, error) {
+	endpoint, err := ids.addWorkload(name, id, ids.authority)
 	if err != nil {
 		return nil, nil, err
 	}
-	source, err := x.openSource(endpoint)
+	source, err := ids.openSource(endpoint)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -115,11 +115,11 @@
 }
 
 // identify begins the day's identities.
-func (d *scenario) setUpIdentities() error {
-	if !d.script.Identities {
+func (s *scenario) setUpIdentities() error {
+	if !s.script.Identities {
 		return nil
 	}
-	validityS := d.script.IdentityLifeS
+	validityS := s.script.IdentityLifeS
 	if validityS == 0 {
 		validityS = defaultValidityS
 	}
@@ -127,25 +127,25 @@
 	if err != nil {
 		return err
 	}
-	identities := &identities{authority: authority, validity: secondsToDuration(validityS), folder: d.tempDir}
-	d.identities = identities
+	identities := &identities{authority: authority, validity: secondsToDuration(validityS), folder: s.tempDir}
+	s.identities = identities
 	_, operatorTLS, err := identities.controllerTLS("op", "/operator/day")
 	if err != nil {
 		return err
 	}
-	d.ingest.client.Transport = &http.Transport{TLSClientConfig: operatorTLS}
+	s.ingest.client.Transport = &http.Transport{TLSClientConfig: operatorTLS}
 	return nil
 }
 
 // identified sets a steward's identity and the day's rules.
-func (d *scenario) setControllerIdentity(controllerConfig *configpb.Config, index int) error {
-	identities := d.identities
+func (s *scenario) setControllerIdentity(controllerConfig *configpb.Config, index int) error {
+	identities := s.identities
 	if identities == nil {
 		return nil
 	}
-	d.mu.Lock()
-	name := fmt.Sprintf("s%d-%d", index, d.incarnations)
-	d.mu.Unlock()
+	s.mu.Lock()
+	name := fmt.Sprintf("s%d-%d", index, s.incarnations)
+	s.mu.Unlock()
 	endpoint, err := identities.addWorkload(name, fmt.Sprintf("/steward/%d", index), identities.authority)
 	if err != nil {
 		return err
@@ -164,8 +164,8 @@
 }
 
 // scheme of the stewards' URLs.
-func (d *scenario) scheme() string {
-	if d.identities != nil {
+func (s *scenario) scheme() string {
+	if s.identities != nil {
 		return "https://"
 	}
 	return "http://"
@@ -173,8 +173,8 @@
 
 // impostors begin: a steward by another root, which all forwarders have in their lists, and programs that poll, post, set and
 // follow as others.
-func (d *scenario) startUnauthorizedClients(ctx context.Context) error {
-	identities := d.identities
+func (s *scenario) startUnauthorizedClients(ctx context.Context) error {
+	identities := s.identities
 	if identities == nil {
 		return nil
 	}
@@ -182,7 +182,7 @@
 	if err != nil {
 		return err
 	}
-	target := d.proxies[0]
+	target := s.proxies[0]
 	for _, attacker := range []struct {
 		name, id  string
 		authority *issuer.Authority
@@ -201,15 +201,15 @@
 				certificate, _ := source.Certificate()
 				return certificate, nil
 			}}}}
-		go d.sendUnauthorizedRequests(ctx, client, target.Name(), target.Zone())
+		go s.sendUnauthorizedRequests(ctx, client, target.Name(), target.Zone())
 	}
 	return nil
 }
 
 // impostor tries one thing after the other, all day.
-func (d *scenario) sendUnauthorizedRequests(ctx context.Context, client *http.Client, proxy, zone string) {
-	identities := d.identities
-	host := d.hosts[0].Address
+func (s *scenario) sendUnauthorizedRequests(ctx context.Context, client *http.Client, proxy, zone string) {
+	identities := s.identities
+	host := s.hosts[0].Address
 	for n := 0; sleep(ctx, 100*time.Millisecond); n++ {
 		requests := []struct{ method, path, body string }{
 			{"GET", "/v1/proxies/" + proxy + "/tables?zone=" + zone, ""},
@@ -219,7 +219,7 @@
 			{"POST", "/v1/hosts/" + host + "/load", `{"number":1,"load":{"util":0}}`},
 			{"GET", "/v1/state", ""}, {"GET", "/v1/hosts", ""}}
 		attempt := requests[n%len(requests)]
-		request, err := http.NewRequestWithContext(ctx, attempt.method, "https://"+d.controllerAddresses[0]+attempt.path, strings.NewReader(attempt.body))
+		request, err := http.NewRequestWithContext(ctx, attempt.method, "https://"+s.controllerAddresses[0]+attempt.path, strings.NewReader(attempt.body))
 		if err != nil {
 			return
 		}
@@ -240,8 +240,8 @@
 }
 
 // rogueSteward runs a steward by another root of the same name, and gives its address.
-func (d *scenario) startRogueController() (string, error) {
-	identities := d.identities
+func (s *scenario) startRogueController() (string, error) {
+	identities := s.identities
 	untrusted, err := issuer.NewAuthority("race.example")
 	if err != nil {
 		return "", err
@@ -250,37 +250,37 @@
 	if err != nil {
 		return "", err
 	}
-	rogueConfig := proto.CloneOf(d.config)
+	rogueConfig := proto.CloneOf(s.config)
 	rogueConfig.Identity = identitySettings(endpoint.Address)
 	rogueConfig.Record, rogueConfig.Sockets = "", nil
-	if identities.rogue, err = daemon.Start(rogueConfig, d.version, d.log); err != nil {
+	if identities.rogue, err = daemon.Start(rogueConfig, s.version, s.log); err != nil {
 		return "", fmt.Errorf("starting the impostor: %w", err)
 	}
 	return identities.rogue.Addr(), nil
 }
 
 // print says what the impostors achieved.
-func (x *identities) print(out io.Writer) {
-	connected := x.rogue.Operators().Status().ConnectedProxies
-	fmt.Fprintf(out, "impostors: %d proxies joined the false steward; %d tries by false forwarders, %d achieved something\n", connected, x.attempts.Load(), x.successes.Load())
-	if success := x.lastSuccess.Load(); success != nil {
+func (ids *identities) print(out io.Writer) {
+	connected := ids.rogue.Operators().Status().ConnectedProxies
+	fmt.Fprintf(out, "impostors: %d proxies joined the false steward; %d tries by false forwarders, %d achieved something\n", connected, ids.attempts.Load(), ids.successes.Load())
+	if success := ids.lastSuccess.Load(); success != nil {
 		fmt.Fprintln(out, "  the last:", *success)
 	}
 }
 
 // kept tells whether the impostors achieved nothing.
-func (x *identities) allRejected() bool {
-	return x.successes.Load() == 0 && x.rogue.Operators().Status().ConnectedProxies == 0
+func (ids *identities) allRejected() bool {
+	return ids.successes.Load() == 0 && ids.rogue.Operators().Status().ConnectedProxies == 0
 }
 
-func (x *identities) close() {
-	if x.rogue != nil {
-		x.rogue.Kill()
+func (ids *identities) close() {
+	if ids.rogue != nil {
+		ids.rogue.Kill()
 	}
-	for _, source := range x.sources {
+	for _, source := range ids.sources {
 		source.Close()
 	}
-	for _, w := range x.workloads {
+	for _, w := range ids.workloads {
 		w.endpoint.Close()
 	}
 }
--- a/internal/rehearse/ingest_stats.go
+++ b/internal/rehearse/ingest_stats.go
@@ -28,36 +28,36 @@
 }
 
 // hostReports has the hosts of groups that report by themselves do so.
-func (d *scenario) startLoadReports(ctx context.Context) {
+func (s *scenario) startLoadReports(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, MaxIdleConns: 1024}, Timeout: 2 * time.Second}
 	hostIndex, urls := 0, []string(nil)
-	for _, address := range d.controllerAddresses {
-		urls = append(urls, d.scheme()+address)
+	for _, address := range s.controllerAddresses {
+		urls = append(urls, s.scheme()+address)
 	}
-	for _, group := range d.script.Hosts {
+	for _, group := range s.script.Hosts {
 		for range group.Count {
-			host := d.hosts[hostIndex]
+			host := s.hosts[hostIndex]
 			if hostIndex++; group.ReportMs > 0 {
 				client := client
-				if identities := d.identities; identities != nil {
+				if identities := s.identities; identities != nil {
 					_, tlsConfig, err := identities.controllerTLS(fmt.Sprint("h", hostIndex), "/host/"+auth.HostSegment(host.Address))
 					if err != nil {
-						d.log.Error().Err(err).Msg("a host got no identity")
+						s.log.Error().Err(err).Msg("a host got no identity")
 						continue
 					}
 					client = &http.Client{Transport: &http.Transport{TLSClientConfig: tlsConfig}, Timeout: 2 * time.Second}
 				}
-				go host.Report(ctx, client, urls, time.Duration(group.ReportMs*float64(time.Millisecond)), &d.ingest.rejectedReports)
+				go host.Report(ctx, client, urls, time.Duration(group.ReportMs*float64(time.Millisecond)), &s.ingest.rejectedReports)
 			}
 		}
 	}
 }
 
 // sampleIntake asks each steward how its intake stands.
-func (d *scenario) sampleIngest() {
-	stats := &d.ingest
-	for i, address := range d.controllerAddresses {
-		response, err := stats.client.Get(d.scheme() + address + "/v1/intake")
+func (s *scenario) sampleIngest() {
+	stats := &s.ingest
+	for i, address := range s.controllerAddresses {
+		response, err := stats.client.Get(s.scheme() + address + "/v1/intake")
 		if err != nil {
 			continue
 		}
@@ -68,7 +68,7 @@
 			continue
 		}
 		stats.maxSheddingLevel, stats.maxLatenessMs, stats.maxWaitP99Ms = max(stats.maxSheddingLevel, sample.SheddingLevel), math.Max(stats.maxLatenessMs, sample.LatenessMs), math.Max(stats.maxWaitP99Ms, sample.WaitP99Ms)
-		d.eventLog.LogMaxBacklog(address, sample.LinesMost)
+		s.eventLog.LogMaxBacklog(address, sample.LinesMost)
 		if i == 0 {
 			stats.samples = append(stats.samples, sample)
 		}
@@ -76,26 +76,26 @@
 }
 
 // print says how the intake fared: the first steward's figures, and the worst of all.
-func (t *ingestStats) print(out io.Writer) {
-	if len(t.samples) == 0 {
+func (s *ingestStats) print(out io.Writer) {
+	if len(s.samples) == 0 {
 		return
 	}
-	last := t.samples[len(t.samples)-1]
+	last := s.samples[len(s.samples)-1]
 	var dropped []string
 	for _, reason := range slices.Sorted(maps.Keys(last.Dropped)) {
 		dropped = append(dropped, fmt.Sprintf("%d %s", last.Dropped[reason], reason))
 	}
-	fmt.Fprintf(out, "intake  %d lines, dropped: %s; %d of the hosts' reports were not let in\n", last.Processed, strings.Join(dropped, ", "), t.rejectedReports.Load())
+	fmt.Fprintf(out, "intake  %d lines, dropped: %s; %d of the hosts' reports were not let in\n", last.Processed, strings.Join(dropped, ", "), s.rejectedReports.Load())
 	fmt.Fprintf(out, "        from report to decision %.0f ms median, %.0f ms 99th percentile, worst %.0f ms; rounds %.1f ms late at worst, level %d\n",
-		last.WaitP50Ms, last.WaitP99Ms, t.maxWaitP99Ms, t.maxLatenessMs, t.maxSheddingLevel)
-	fmt.Fprintf(out, "        heap %.1f MiB early, %.1f MiB at the end; %d hosts doubted, %d silent\n", t.minHeapMiB(0.1, 0.35), t.minHeapMiB(0.75, 1), last.Distrusted, last.Silent)
+		last.WaitP50Ms, last.WaitP99Ms, s.maxWaitP99Ms, s.maxLatenessMs, s.maxSheddingLevel)
+	fmt.Fprintf(out, "        heap %.1f MiB early, %.1f MiB at the end; %d hosts doubted, %d silent\n", s.minHeapMiB(0.1, 0.35), s.minHeapMiB(0.75, 1), last.Distrusted, last.Silent)
 }
 
 // heap is the least of a part of the day, as it stands after a collection.
-func (t *ingestStats) minHeapMiB(from, to float64) float64 {
+func (s *ingestStats) minHeapMiB(from, to float64) float64 {
 	least := math.Inf(1)
-	count := float64(len(t.samples))
-	for _, sample := range t.samples[int(from*count):max(int(to*count), int(from*count)+1)] {
+	count := float64(len(s.samples))
+	for _, sample := range s.samples[int(from*count):max(int(to*count), int(from*count)+1)] {
 		least = math.Min(least, float64(sample.HeapBytes)/(1<<20))
 	}
 	return least
--- a/internal/rehearse/optimality_gap.go
+++ b/internal/rehearse/optimality_gap.go
@@ -23,49 +23,49 @@
 type gapSample struct{ atS, gap float64 } // s from the day's start
 
 // sampleGap measures the tables as they stand.
-func (d *scenario) sampleGap(elapsedS float64) {
-	problem, tables := d.optimizationProblem(), d.zoneTables()
+func (s *scenario) sampleGap(elapsedS float64) {
+	problem, tables := s.optimizationProblem(), s.zoneTables()
 	measured, err := problem.Measure(tables)
 	if err != nil {
-		d.optimality.measureErr = err
+		s.optimality.measureErr = err
 		return
 	}
 	gap := measured.BestValue - measured.ObjectiveValue
-	d.optimality.count++
-	d.optimality.samples = append(d.optimality.samples, gapSample{elapsedS, gap})
-	d.optimality.sum += gap
+	s.optimality.count++
+	s.optimality.samples = append(s.optimality.samples, gapSample{elapsedS, gap})
+	s.optimality.sum += gap
 	if len(measured.Overloaded) > 0 {
-		d.optimality.overloadedSamples++
+		s.optimality.overloadedSamples++
 	}
-	if gap > d.optimality.worst {
-		d.optimality.worst, d.optimality.worstAtS = gap, elapsedS
+	if gap > s.optimality.worst {
+		s.optimality.worst, s.optimality.worstAtS = gap, elapsedS
 		for class, best := range measured.BestServedShare {
-			if lost := best - measured.ServedShare[class]; d.optimality.worstClass == "" || lost > measured.BestServedShare[d.optimality.worstClass]-measured.ServedShare[d.optimality.worstClass] {
-				d.optimality.worstClass = class
+			if lost := best - measured.ServedShare[class]; s.optimality.worstClass == "" || lost > measured.BestServedShare[s.optimality.worstClass]-measured.ServedShare[s.optimality.worstClass] {
+				s.optimality.worstClass = class
 			}
 		}
 	}
 }
 
 // problem is the fleet as it truly is now: what hangs or is down has no capacity, what is slow or cold a part.
-func (d *scenario) optimizationProblem() *solver.Problem {
-	config := d.config
+func (s *scenario) optimizationProblem() *solver.Problem {
+	config := s.config
 	problem := &solver.Problem{Zones: config.Zones, Demand: map[string]map[string]float64{}, Objective: solver.Objective{TotalWeight: *config.Goal.Whole,
 		WorstClassWeight: *config.Goal.WorstClass}}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, host := range d.hosts {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, host := range s.hosts {
 		cores, speed := host.Able()
 		problem.Hosts = append(problem.Hosts, solver.Host{Name: host.Address, Zone: host.zone, Cores: cores, Speed: speed, WarmFraction: 1,
 			Draining: host.draining || !host.listed})
 	}
 	proxiesByZone, total := map[string]float64{}, 0.0
-	for _, group := range d.script.Forwarders {
+	for _, group := range s.script.Forwarders {
 		proxiesByZone[group.Zone] += float64(group.Count)
 		total += float64(group.Count)
 	}
 	for _, class := range config.Classes {
-		for _, traffic := range d.script.Traffic {
+		for _, traffic := range s.script.Traffic {
 			if traffic.Class != class.Name {
 				continue
 			}
@@ -80,9 +80,9 @@
 }
 
 // tables are the forwarders' own, put together by zone: each forwarder gets the same traffic.
-func (d *scenario) zoneTables() solver.Tables {
+func (s *scenario) zoneTables() solver.Tables {
 	aggregator := solver.NewTableAggregator()
-	for _, proxy := range d.proxies {
+	for _, proxy := range s.proxies {
 		for class, table := range proxy.Client.Tables() {
 			aggregator.Add(class, proxy.Zone(), table.AdmissionRatio, func(yield func(string, float64) bool) {
 				for _, host := range table.Hosts {
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -97,29 +97,29 @@
 // playing plays a script, and shows the day before it is taken down.
 func runAndInspect(ctx context.Context, script *daypb.Day, version, recordingsFolder, controllerProgram string, out io.Writer,
 	log zerolog.Logger, adjustLimits func(*rules.Limits), inspect func(*scenario)) (*Result, error) {
-	d := &scenario{script: script, version: version, recordingsFolder: recordingsFolder, controllerProgram: controllerProgram, out: out, log: log, eventLog: rules.NewEventLog(),
+	s := &scenario{script: script, version: version, recordingsFolder: recordingsFolder, controllerProgram: controllerProgram, out: out, log: log, eventLog: rules.NewEventLog(),
 		ingest: ingestStats{client: &http.Client{Timeout: time.Second}}}
-	if err := d.validate(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	var err error
-	if d.tempDir, err = os.MkdirTemp("", "barleysail-rehearsal"); err != nil {
+	if s.tempDir, err = os.MkdirTemp("", "barleysail-rehearsal"); err != nil {
 		return nil, fmt.Errorf("making a folder: %w", err)
 	}
-	defer os.RemoveAll(d.tempDir)
-	defer d.tearDown()
-	if err := d.setUp(); err != nil {
+	defer os.RemoveAll(s.tempDir)
+	defer s.tearDown()
+	if err := s.setUp(); err != nil {
 		return nil, err
 	}
-	d.run(ctx)
-	limits := d.limits()
+	s.run(ctx)
+	limits := s.limits()
 	adjustLimits(&limits)
-	inspect(d)
-	return d.report(limits), ctx.Err()
+	inspect(s)
+	return s.report(limits), ctx.Err()
 }
 
-func (d *scenario) validate() error {
-	script := d.script
+func (s *scenario) validate() error {
+	script := s.script
 	if script.Stewards == 0 {
 		script.Stewards = 1
 	}
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	if d.config, err = config.Parse("the script's steward", text); err != nil {
+	if s.config, err = config.Parse("the script's steward", text); err != nil {
 		return err
 	}
 	known := map[string]bool{}
@@ -177,13 +177,13 @@
 }
 
 // figures are the rules' figures by the configuration.
-func (d *scenario) limits() rules.Limits {
-	return config.Rules(d.config, d.script.FallMs)
+func (s *scenario) limits() rules.Limits {
+	return config.Rules(s.config, s.script.FallMs)
 }
 
-func (d *scenario) setUp() error {
-	limits := d.limits()
-	for _, group := range d.script.Hosts {
+func (s *scenario) setUp() error {
+	limits := s.limits()
+	for _, group := range s.script.Hosts {
 		settings := fake.HostSettings{Zone: group.Zone, Cores: max(int(group.Cores), 1), Speed: group.Speed, Queue: int(group.Queue),
 			ColdFrom: limits.SlowStartInitialFactor, Cold: limits.SlowStartMs, Multiple: limits.CollapseMultiple, Fall: limits.CollapseMs, Once: limits.NonIdempotentClasses, Rate: group.ReportMs > 0}
 		if group.Cores == 0 {
@@ -196,113 +196,113 @@
 			settings.Queue = 64
 		}
 		for range group.Count {
-			host, err := fake.NewHost(settings, d.eventLog)
+			host, err := fake.NewHost(settings, s.eventLog)
 			if err != nil {
 				return fmt.Errorf("starting a host: %w", err)
 			}
-			d.hosts = append(d.hosts, &scenarioHost{Host: host, zone: group.Zone, listed: true})
+			s.hosts = append(s.hosts, &scenarioHost{Host: host, zone: group.Zone, listed: true})
 		}
 	}
-	d.config.List.File = filepath.Join(d.tempDir, "hosts.textproto")
-	if err := d.writeEndpointList(); err != nil {
+	s.config.List.File = filepath.Join(s.tempDir, "hosts.textproto")
+	if err := s.writeEndpointList(); err != nil {
 		return err
 	}
-	d.start = time.Now()
-	d.serviceLevel = newServiceLevel(fake.Now())
-	for _, class := range d.config.Classes {
-		d.serviceLevel.addClass(class.Name, *class.Earnings, *class.DueMs)
+	s.start = time.Now()
+	s.serviceLevel = newServiceLevel(fake.Now())
+	for _, class := range s.config.Classes {
+		s.serviceLevel.addClass(class.Name, *class.Earnings, *class.DueMs)
 	}
-	if err := d.setUpIdentities(); err != nil {
+	if err := s.setUpIdentities(); err != nil {
 		return fmt.Errorf("giving out identities: %w", err)
 	}
-	if err := d.createProxies(daypb.Front_SOCKET); err != nil {
+	if err := s.createProxies(daypb.Front_SOCKET); err != nil {
 		return err
 	}
-	for i := range d.script.Stewards {
-		controller, err := d.startController(int(i), "127.0.0.1:0")
+	for i := range s.script.Stewards {
+		controller, err := s.startController(int(i), "127.0.0.1:0")
 		if err != nil {
 			return fmt.Errorf("starting a steward: %w", err)
 		}
-		d.controllers, d.controllerAddresses = append(d.controllers, controller), append(d.controllerAddresses, controller.Addr())
+		s.controllers, s.controllerAddresses = append(s.controllers, controller), append(s.controllerAddresses, controller.Addr())
 	}
-	if d.identities != nil {
+	if s.identities != nil {
 		var err error
-		if d.rogueAddress, err = d.startRogueController(); err != nil {
+		if s.rogueAddress, err = s.startRogueController(); err != nil {
 			return err
 		}
 	}
-	return d.createProxies(daypb.Front_POLLS)
+	return s.createProxies(daypb.Front_POLLS)
 }
 
 // steward starts one at an address.
-func (d *scenario) startController(index int, address string) (controllerInstance, error) {
-	controllerConfig := proto.Clone(d.config).(*configpb.Config)
+func (s *scenario) startController(index int, address string) (controllerInstance, error) {
+	controllerConfig := proto.Clone(s.config).(*configpb.Config)
 	controllerConfig.Listen = address
-	d.mu.Lock()
-	d.incarnations++
-	name := fmt.Sprintf("steward-%d-%d", index, d.incarnations)
-	d.mu.Unlock()
-	if d.recordingsFolder != "" {
-		controllerConfig.Record = filepath.Join(d.recordingsFolder, name+".day")
+	s.mu.Lock()
+	s.incarnations++
+	name := fmt.Sprintf("steward-%d-%d", index, s.incarnations)
+	s.mu.Unlock()
+	if s.recordingsFolder != "" {
+		controllerConfig.Record = filepath.Join(s.recordingsFolder, name+".day")
 	}
-	if d.script.State {
-		controllerConfig.State.Folder = filepath.Join(d.tempDir, fmt.Sprintf("state-%d", index))
+	if s.script.State {
+		controllerConfig.State.Folder = filepath.Join(s.tempDir, fmt.Sprintf("state-%d", index))
 	}
-	if last := int(d.script.Stewards) - 1; d.script.Standby && index == last && controllerConfig.Standby.Of == "" {
-		controllerConfig.Standby.Of = d.scheme() + d.controllerAddresses[0]
+	if last := int(s.script.Stewards) - 1; s.script.Standby && index == last && controllerConfig.Standby.Of == "" {
+		controllerConfig.Standby.Of = s.scheme() + s.controllerAddresses[0]
 	}
-	if err := d.setControllerIdentity(controllerConfig, index); err != nil {
+	if err := s.setControllerIdentity(controllerConfig, index); err != nil {
 		return nil, err
 	}
-	if d.controllerProgram != "" {
-		return d.startControllerProcess(controllerConfig, name)
+	if s.controllerProgram != "" {
+		return s.startControllerProcess(controllerConfig, name)
 	}
-	return daemon.Start(controllerConfig, d.version, d.log)
+	return daemon.Start(controllerConfig, s.version, s.log)
 }
 
 // forward makes the forwarders of a front, the stewards dealt out to them in turn, each with a few hosts of its zone.
 // All stewards are told of those with sockets, and settle among themselves who drives which.
-func (d *scenario) createProxies(front daypb.Front) error {
+func (s *scenario) createProxies(front daypb.Front) error {
 	proxyCount, index := 0, 0
-	for _, group := range d.script.Forwarders {
+	for _, group := range s.script.Forwarders {
 		proxyCount += int(group.Count)
 	}
 	classes := map[string]*configpb.Class{}
-	for _, class := range d.config.Classes {
+	for _, class := range s.config.Classes {
 		classes[class.Name] = class
 	}
-	for _, group := range d.script.Forwarders {
+	for _, group := range s.script.Forwarders {
 		if group.Front != front {
 			index += int(group.Count)
 			continue
 		}
 		var fallbackHosts []string
-		for _, host := range d.hosts {
+		for _, host := range s.hosts {
 			if host.zone == group.Zone && len(fallbackHosts) < 4 {
 				fallbackHosts = append(fallbackHosts, host.Address)
 			}
 		}
 		for range group.Count {
 			settings := fake.ForwarderSettings{Name: fmt.Sprintf("forwarder-%d", index), Zone: group.Zone, Of: proxyCount, Standing: fallbackHosts,
-				Seed: d.script.Seed + uint64(index), Wait: 10 * time.Second, Ejects: int(*d.config.Fleet.Ejects),
-				Period:  time.Duration(*d.config.Fleet.PeriodMs * float64(time.Millisecond)),
-				Journal: d.eventLog, Ended: d.serviceLevel.countRequest, Log: func(text string) { d.log.Debug().Msg(text) }}
+				Seed: s.script.Seed + uint64(index), Wait: 10 * time.Second, Ejects: int(*s.config.Fleet.Ejects),
+				Period:  time.Duration(*s.config.Fleet.PeriodMs * float64(time.Millisecond)),
+				Journal: s.eventLog, Ended: s.serviceLevel.countRequest, Log: func(text string) { s.log.Debug().Msg(text) }}
 			settings.Socket = front == daypb.Front_SOCKET
-			settings.Stewards = d.controllerURLs(index)
-			if identities := d.identities; identities != nil {
+			settings.Stewards = s.controllerURLs(index)
+			if identities := s.identities; identities != nil {
 				source, tlsConfig, err := identities.controllerTLS(fmt.Sprint("f", index), "/forwarder/"+settings.Zone+"/"+settings.Name)
 				if err != nil {
 					return fmt.Errorf("giving a forwarder its identity: %w", err)
 				}
 				settings.TLS, settings.Signed = tlsConfig, source.Signed(verifyController)
 			}
-			for _, traffic := range d.script.Traffic {
+			for _, traffic := range s.script.Traffic {
 				class := classes[traffic.Class]
 				settings.Traffic = append(settings.Traffic, fake.Traffic{Class: traffic.Class, Rate: traffic.Rate / float64(proxyCount),
 					Work: traffic.WorkMs, Due: *class.DueMs, Patience: *class.PatienceMs, Repeats: traffic.Effect == daypb.Effect_SAFE})
 			}
-			if d.recordingsFolder != "" {
-				if err := d.recordProxy(&settings); err != nil {
+			if s.recordingsFolder != "" {
+				if err := s.recordProxy(&settings); err != nil {
 					return err
 				}
 			}
@@ -310,9 +310,9 @@
 			if err != nil {
 				return fmt.Errorf("making a forwarder: %w", err)
 			}
-			d.proxies = append(d.proxies, proxy)
+			s.proxies = append(s.proxies, proxy)
 			if settings.Socket {
-				d.config.Sockets = append(d.config.Sockets, &configpb.SocketProxy{Proxy: settings.Name, Zone: settings.Zone, Address: proxy.SocketAddress(),
+				s.config.Sockets = append(s.config.Sockets, &configpb.SocketProxy{Proxy: settings.Name, Zone: settings.Zone, Address: proxy.SocketAddress(),
 					Rate: proto.Float64(settings.Options().RequestRate)})
 			}
 			index++
@@ -322,40 +322,40 @@
 }
 
 // stewardsOf are those that a forwarder turns to, in order: dealt out in turn, one that stands by at the end.
-func (d *scenario) controllerURLs(proxyIndex int) (urls []string) {
-	active := d.controllerAddresses
-	if d.script.Standby && len(active) > 1 {
+func (s *scenario) controllerURLs(proxyIndex int) (urls []string) {
+	active := s.controllerAddresses
+	if s.script.Standby && len(active) > 1 {
 		active = active[:len(active)-1]
 	}
 	for i := range active {
-		urls = append(urls, d.scheme()+active[(proxyIndex+i)%len(active)])
+		urls = append(urls, s.scheme()+active[(proxyIndex+i)%len(active)])
 	}
-	for _, standby := range d.controllerAddresses[len(active):] {
-		urls = append(urls, d.scheme()+standby)
+	for _, standby := range s.controllerAddresses[len(active):] {
+		urls = append(urls, s.scheme()+standby)
 	}
-	if d.rogueAddress != "" {
-		urls = append(urls, d.scheme()+d.rogueAddress)
+	if s.rogueAddress != "" {
+		urls = append(urls, s.scheme()+s.rogueAddress)
 	}
 	return urls
 }
 
 // recordProxy has a forwarder's transactions recorded.
-func (d *scenario) recordProxy(settings *fake.ForwarderSettings) error {
-	file, err := os.Create(filepath.Join(d.recordingsFolder, settings.Name+".day"))
+func (s *scenario) recordProxy(settings *fake.ForwarderSettings) error {
+	file, err := os.Create(filepath.Join(s.recordingsFolder, settings.Name+".day"))
 	if err != nil {
 		return fmt.Errorf("starting a recording: %w", err)
 	}
-	recording := record.NewProxy(file, d.version, settings.Options())
-	d.closeRecordings = append(d.closeRecordings, func() error { return errors.Join(recording.Close(), file.Close()) })
+	recording := record.NewProxy(file, s.version, settings.Options())
+	s.closeRecordings = append(s.closeRecordings, func() error { return errors.Join(recording.Close(), file.Close()) })
 	settings.Transacted, settings.Applied = recording.Ended, recording.Applied
 	return nil
 }
 
 // list writes the host list as it now stands, and notes it: stewards can know it from then on.
-func (d *scenario) writeEndpointList() error {
+func (s *scenario) writeEndpointList() error {
 	list, logged := &configpb.HostList{}, map[string]rules.Listed{}
-	d.mu.Lock()
-	for _, host := range d.hosts {
+	s.mu.Lock()
+	for _, host := range s.hosts {
 		if !host.listed {
 			continue
 		}
@@ -367,52 +367,52 @@
 		list.Hosts = append(list.Hosts, entry)
 		logged[host.Address] = rules.Listed{Ready: !host.draining, Started: host.startedMs}
 	}
-	d.mu.Unlock()
+	s.mu.Unlock()
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(list)
 	if err != nil {
 		return err
 	}
-	tempFile := d.config.List.File + ".next"
+	tempFile := s.config.List.File + ".next"
 	if err := os.WriteFile(tempFile, text, 0o644); err != nil {
 		return fmt.Errorf("writing the host list: %w", err)
 	}
-	d.eventLog.LogEndpoints(fake.Now(), logged)
-	return os.Rename(tempFile, d.config.List.File)
+	s.eventLog.LogEndpoints(fake.Now(), logged)
+	return os.Rename(tempFile, s.config.List.File)
 }
 
 // largeDay is a fleet, hosts by forwarders, whose gap is measured each ten seconds only, since that takes long.
 const largeFleet = 50000
 
 // run plays the day: traffic, steps and progress.
-func (d *scenario) run(ctx context.Context) {
+func (s *scenario) run(ctx context.Context) {
 	running, stop := context.WithCancel(ctx)
 	defer stop()
 	var workers sync.WaitGroup
-	for _, proxy := range d.proxies {
+	for _, proxy := range s.proxies {
 		workers.Add(1)
 		go func() { defer workers.Done(); proxy.Run(running) }()
 	}
-	d.startLoadReports(running)
-	if identities := d.identities; identities != nil {
+	s.startLoadReports(running)
+	if identities := s.identities; identities != nil {
 		go identities.renewPeriodically(running)
-		if err := d.startUnauthorizedClients(running); err != nil {
-			d.log.Error().Err(err).Msg("the impostors could not begin")
+		if err := s.startUnauthorizedClients(running); err != nil {
+			s.log.Error().Err(err).Msg("the impostors could not begin")
 		}
 	}
-	for _, step := range d.script.Steps {
+	for _, step := range s.script.Steps {
 		workers.Add(1)
-		go func() { defer workers.Done(); d.runStep(running, step) }()
+		go func() { defer workers.Done(); s.runStep(running, step) }()
 	}
-	end := time.After(time.Duration(d.script.LengthS * float64(time.Second)))
+	end := time.After(time.Duration(s.script.LengthS * float64(time.Second)))
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for done := false; !done; {
 		select {
 		case <-ticker.C:
-			d.printProgress()
-			d.sampleIngest()
-			if elapsedS := time.Since(d.start).Seconds(); len(d.hosts)*len(d.proxies) < largeFleet || int(elapsedS)%10 == 0 {
-				d.sampleGap(elapsedS)
+			s.printProgress()
+			s.sampleIngest()
+			if elapsedS := time.Since(s.start).Seconds(); len(s.hosts)*len(s.proxies) < largeFleet || int(elapsedS)%10 == 0 {
+				s.sampleGap(elapsedS)
 			}
 		case <-end:
 			done = true
@@ -424,42 +424,42 @@
 	workers.Wait()
 }
 
-func (d *scenario) printProgress() {
-	elapsedS := time.Since(d.start).Seconds()
+func (s *scenario) printProgress() {
+	elapsedS := time.Since(s.start).Seconds()
 	windowIndex := int(elapsedS * 1000 / windowMs)
-	level, count := d.serviceLevel.fraction(windowIndex, windowIndex+1)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	fmt.Fprintf(d.out, "%4.0f s  service %.3f of %4d  %s\n", elapsedS, level, count, d.progressNotes)
-	d.progressNotes = ""
+	level, count := s.serviceLevel.fraction(windowIndex, windowIndex+1)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	fmt.Fprintf(s.out, "%4.0f s  service %.3f of %4d  %s\n", elapsedS, level, count, s.progressNotes)
+	s.progressNotes = ""
 }
 
-func (d *scenario) addNote(format string, args ...any) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.progressNotes != "" {
-		d.progressNotes += "; "
+func (s *scenario) addNote(format string, args ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.progressNotes != "" {
+		s.progressNotes += "; "
 	}
-	d.progressNotes += fmt.Sprintf(format, args...)
+	s.progressNotes += fmt.Sprintf(format, args...)
 }
 
-func (d *scenario) report(limits rules.Limits) *Result {
-	result := &Result{Passed: true, Verdicts: d.eventLog.Check(limits, fake.Now())}
-	result.ServiceLevel, _ = d.serviceLevel.fraction(0, 1<<30)
-	for _, host := range d.hosts {
+func (s *scenario) report(limits rules.Limits) *Result {
+	result := &Result{Passed: true, Verdicts: s.eventLog.Check(limits, fake.Now())}
+	result.ServiceLevel, _ = s.serviceLevel.fraction(0, 1<<30)
+	for _, host := range s.hosts {
 		if host.Fallen() {
 			result.Verdicts = append(result.Verdicts, rules.Verdict{Rule: "hosts that fell over", Margin: -1, Seen: host.Address})
 		}
 	}
-	d.serviceLevel.print(d.out)
-	fmt.Fprintln(d.out)
-	d.optimality.print(d.out)
-	d.ingest.print(d.out)
-	d.printRestarts()
-	if identities := d.identities; identities != nil {
-		identities.print(d.out)
+	s.serviceLevel.print(s.out)
+	fmt.Fprintln(s.out)
+	s.optimality.print(s.out)
+	s.ingest.print(s.out)
+	s.printRestarts()
+	if identities := s.identities; identities != nil {
+		identities.print(s.out)
 		if result.Passed = identities.allRejected(); !result.Passed {
-			fmt.Fprintln(d.out, "BROKEN  an impostor achieved something")
+			fmt.Fprintln(s.out, "BROKEN  an impostor achieved something")
 		}
 	}
 	for _, verdict := range result.Verdicts {
@@ -467,31 +467,31 @@
 		if !verdict.Kept {
 			word, result.Passed = "BROKEN", false
 		}
-		fmt.Fprintf(d.out, "%-6s  %-28s margin %5.2f  %s\n", word, verdict.Rule, verdict.Margin, verdict.Seen)
+		fmt.Fprintf(s.out, "%-6s  %-28s margin %5.2f  %s\n", word, verdict.Rule, verdict.Margin, verdict.Seen)
 	}
 	return result
 }
 
-func (d *scenario) tearDown() {
-	if d.identities != nil {
-		defer d.identities.close()
+func (s *scenario) tearDown() {
+	if s.identities != nil {
+		defer s.identities.close()
 	}
-	for _, controller := range d.controllers {
+	for _, controller := range s.controllers {
 		if controller == nil {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		if err := controller.Stop(ctx); err != nil {
-			d.log.Warn().Err(err).Msg("a steward did not end in time")
+			s.log.Warn().Err(err).Msg("a steward did not end in time")
 		}
 		cancel()
 	}
-	for _, host := range d.hosts {
+	for _, host := range s.hosts {
 		host.Crash()
 	}
-	for _, closeRecording := range d.closeRecordings {
+	for _, closeRecording := range s.closeRecordings {
 		if err := closeRecording(); err != nil {
-			d.log.Error().Err(err).Msg("a recording could not be ended")
+			s.log.Error().Err(err).Msg("a recording could not be ended")
 		}
 	}
 }
--- a/internal/rehearse/steps.go
+++ b/internal/rehearse/steps.go
@@ -21,75 +21,75 @@
 }
 
 // step waits for its time, does what it says, and undoes it.
-func (d *scenario) runStep(ctx context.Context, step *daypb.Step) {
+func (s *scenario) runStep(ctx context.Context, step *daypb.Step) {
 	if !sleep(ctx, secondsToDuration(step.AtS)) {
 		return
 	}
-	hosts := d.selectHosts(step)
+	hosts := s.selectHosts(step)
 	switch step.What {
 	case daypb.What_HANG:
-		d.applyFault(hosts, "hangs", func(host *scenarioHost) { host.Hang(true) })
+		s.applyFault(hosts, "hangs", func(host *scenarioHost) { host.Hang(true) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		d.applyFault(hosts, "answers again", func(host *scenarioHost) { host.Hang(false) })
+		s.applyFault(hosts, "answers again", func(host *scenarioHost) { host.Hang(false) })
 	case daypb.What_SLOW:
-		d.applyFault(hosts, "is slow", func(host *scenarioHost) { host.Slow(step.Size) })
+		s.applyFault(hosts, "is slow", func(host *scenarioHost) { host.Slow(step.Size) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		d.applyFault(hosts, "is as fast as usual", func(host *scenarioHost) { host.Slow(1) })
+		s.applyFault(hosts, "is as fast as usual", func(host *scenarioHost) { host.Slow(1) })
 	case daypb.What_DRAIN:
-		d.changeEndpoints(hosts, "drains", func(host *scenarioHost) { host.draining = true })
+		s.changeEndpoints(hosts, "drains", func(host *scenarioHost) { host.draining = true })
 		sleep(ctx, secondsToDuration(step.ForS))
-		d.changeEndpoints(hosts, "is ready again", func(host *scenarioHost) { host.draining = false })
+		s.changeEndpoints(hosts, "is ready again", func(host *scenarioHost) { host.draining = false })
 	case daypb.What_LOSE:
-		d.crashHosts(ctx, hosts, step)
+		s.crashHosts(ctx, hosts, step)
 	case daypb.What_KILL:
-		d.restartController(ctx, int(step.Steward), step)
+		s.restartController(ctx, int(step.Steward), step)
 	case daypb.What_CUT:
-		count := int(step.Size*float64(len(d.proxies)) + 0.5)
-		for _, proxy := range d.proxies[:min(count, len(d.proxies))] {
+		count := int(step.Size*float64(len(s.proxies)) + 0.5)
+		for _, proxy := range s.proxies[:min(count, len(s.proxies))] {
 			proxy.Cut(secondsToDuration(step.ForS))
 		}
-		d.addNote("%d forwarders lose their steward for %.1f s", count, step.ForS)
+		s.addNote("%d forwarders lose their steward for %.1f s", count, step.ForS)
 	case daypb.What_RESTART:
-		proxies := d.socketProxies(step.Size)
+		proxies := s.socketProxies(step.Size)
 		for _, proxy := range proxies {
 			proxy.SocketRestart()
 		}
-		d.addNote("%d forwarders start anew with their old file", len(proxies))
+		s.addNote("%d forwarders start anew with their old file", len(proxies))
 	case daypb.What_SLOW_SOCKET, daypb.What_MUTE_SOCKET:
-		proxies := d.socketProxies(step.Size)
+		proxies := s.socketProxies(step.Size)
 		for _, proxy := range proxies {
 			proxy.SocketSlow(slowSocketDelay)
 			proxy.SocketMute(step.What == daypb.What_MUTE_SOCKET)
 		}
-		d.addNote("%d sockets answer late or not at all", len(proxies))
+		s.addNote("%d sockets answer late or not at all", len(proxies))
 		sleep(ctx, secondsToDuration(step.ForS))
 		for _, proxy := range proxies {
 			proxy.SocketSlow(0)
 			proxy.SocketMute(false)
 		}
-		d.addNote("and in time again")
+		s.addNote("and in time again")
 	case daypb.What_FLOOD:
-		d.applyFault(hosts, "reports much too often", func(host *scenarioHost) { host.Flood(step.Size) })
+		s.applyFault(hosts, "reports much too often", func(host *scenarioHost) { host.Flood(step.Size) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		d.applyFault(hosts, "reports as usual", func(host *scenarioHost) { host.Flood(0) })
+		s.applyFault(hosts, "reports as usual", func(host *scenarioHost) { host.Flood(0) })
 	case daypb.What_MUTE:
-		d.applyFault(hosts, "tells its load no more", func(host *scenarioHost) { host.Mute(true) })
+		s.applyFault(hosts, "tells its load no more", func(host *scenarioHost) { host.Mute(true) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		d.applyFault(hosts, "tells its load again", func(host *scenarioHost) { host.Mute(false) })
+		s.applyFault(hosts, "tells its load again", func(host *scenarioHost) { host.Mute(false) })
 	case daypb.What_LIE:
-		d.applyFault(hosts, "tells a part of its load", func(host *scenarioHost) { host.Lie(step.Size) })
+		s.applyFault(hosts, "tells a part of its load", func(host *scenarioHost) { host.Lie(step.Size) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		d.applyFault(hosts, "tells the truth", func(host *scenarioHost) { host.Lie(0) })
+		s.applyFault(hosts, "tells the truth", func(host *scenarioHost) { host.Lie(0) })
 	case daypb.What_AHEAD:
-		d.applyFault(hosts, "has a wrong clock", func(host *scenarioHost) { host.Ahead(secondsToDuration(step.Size)) })
+		s.applyFault(hosts, "has a wrong clock", func(host *scenarioHost) { host.Ahead(secondsToDuration(step.Size)) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		d.applyFault(hosts, "has the right time", func(host *scenarioHost) { host.Ahead(0) })
+		s.applyFault(hosts, "has the right time", func(host *scenarioHost) { host.Ahead(0) })
 	case daypb.What_LATE_SUMS:
-		d.delayRequestStats(secondsToDuration(step.Size))
-		d.addNote("sums come %.1f s late", step.Size)
+		s.delayRequestStats(secondsToDuration(step.Size))
+		s.addNote("sums come %.1f s late", step.Size)
 		sleep(ctx, secondsToDuration(step.ForS))
-		d.delayRequestStats(0)
-		d.addNote("sums come in time")
+		s.delayRequestStats(0)
+		s.addNote("sums come in time")
 	}
 }
 
@@ -97,8 +97,8 @@
 const slowSocketDelay = 300 * time.Millisecond
 
 // withSockets gives a part of the forwarders that have one.
-func (d *scenario) socketProxies(fraction float64) (proxies []*fake.Forwarder) {
-	for _, proxy := range d.proxies {
+func (s *scenario) socketProxies(fraction float64) (proxies []*fake.Forwarder) {
+	for _, proxy := range s.proxies {
 		if proxy.SocketAddress() != "" {
 			proxies = append(proxies, proxy)
 		}
@@ -106,16 +106,16 @@
 	return proxies[:min(int(fraction*float64(len(proxies))+0.5), len(proxies))]
 }
 
-func (d *scenario) delayRequestStats(delay time.Duration) {
-	for _, proxy := range d.proxies {
+func (s *scenario) delayRequestStats(delay time.Duration) {
+	for _, proxy := range s.proxies {
 		proxy.LateSums(delay)
 	}
 }
 
 // chosen gives the hosts that a step is about.
-func (d *scenario) selectHosts(step *daypb.Step) []*scenarioHost {
+func (s *scenario) selectHosts(step *daypb.Step) []*scenarioHost {
 	var selected []*scenarioHost
-	for _, host := range d.hosts {
+	for _, host := range s.hosts {
 		if step.Zone == "" || host.zone == step.Zone {
 			selected = append(selected, host)
 		}
@@ -127,52 +127,52 @@
 	return selected
 }
 
-func (d *scenario) applyFault(hosts []*scenarioHost, description string, apply func(*scenarioHost)) {
+func (s *scenario) applyFault(hosts []*scenarioHost, description string, apply func(*scenarioHost)) {
 	for _, host := range hosts {
 		apply(host)
 	}
-	d.addHostNote(hosts, description)
+	s.addHostNote(hosts, description)
 }
 
-func (d *scenario) addHostNote(hosts []*scenarioHost, description string) {
+func (s *scenario) addHostNote(hosts []*scenarioHost, description string) {
 	if len(hosts) == 1 {
-		d.addNote("%s %s", hosts[0].Address, description)
+		s.addNote("%s %s", hosts[0].Address, description)
 	} else {
-		d.addNote("%d hosts: each %s", len(hosts), description)
+		s.addNote("%d hosts: each %s", len(hosts), description)
 	}
 }
 
 // listing changes what the list says of hosts.
-func (d *scenario) changeEndpoints(hosts []*scenarioHost, description string, change func(*scenarioHost)) {
-	d.mu.Lock()
+func (s *scenario) changeEndpoints(hosts []*scenarioHost, description string, change func(*scenarioHost)) {
+	s.mu.Lock()
 	for _, host := range hosts {
 		change(host)
 	}
-	d.mu.Unlock()
-	if err := d.writeEndpointList(); err != nil {
-		d.log.Error().Err(err).Msg("the list could not be changed")
+	s.mu.Unlock()
+	if err := s.writeEndpointList(); err != nil {
+		s.log.Error().Err(err).Msg("the list could not be changed")
 	}
-	d.addHostNote(hosts, description)
+	s.addHostNote(hosts, description)
 }
 
 // lose lets hosts die and come back cold; the list learns of either late.
-func (d *scenario) crashHosts(ctx context.Context, hosts []*scenarioHost, step *daypb.Step) {
-	listDelay := time.Duration(d.script.ListLateMs * float64(time.Millisecond))
-	d.applyFault(hosts, "dies", func(host *scenarioHost) { host.Crash() })
+func (s *scenario) crashHosts(ctx context.Context, hosts []*scenarioHost, step *daypb.Step) {
+	listDelay := time.Duration(s.script.ListLateMs * float64(time.Millisecond))
+	s.applyFault(hosts, "dies", func(host *scenarioHost) { host.Crash() })
 	sleep(ctx, listDelay)
-	d.changeEndpoints(hosts, "is gone from the list", func(host *scenarioHost) { host.listed = false })
+	s.changeEndpoints(hosts, "is gone from the list", func(host *scenarioHost) { host.listed = false })
 	sleep(ctx, secondsToDuration(step.ForS)-listDelay)
 	started := map[*scenarioHost]float64{}
-	d.applyFault(hosts, "starts", func(host *scenarioHost) {
+	s.applyFault(hosts, "starts", func(host *scenarioHost) {
 		startedMs, err := host.Restart()
 		if err != nil {
-			d.log.Error().Err(err).Msg("a host could not start again")
+			s.log.Error().Err(err).Msg("a host could not start again")
 			return
 		}
 		started[host] = startedMs
 	})
 	sleep(ctx, listDelay)
-	d.changeEndpoints(hosts, "is listed again", func(host *scenarioHost) {
+	s.changeEndpoints(hosts, "is listed again", func(host *scenarioHost) {
 		if startedMs, ok := started[host]; ok {
 			host.listed, host.startedMs = true, startedMs
 		}
@@ -180,21 +180,21 @@
 }
 
 // kill ends a steward as the end of its process would, and starts another at its address.
-func (d *scenario) restartController(ctx context.Context, index int, step *daypb.Step) {
-	d.controllers[index].Kill()
-	killedAtS := time.Since(d.start).Seconds()
-	d.addNote("steward %d is killed", index)
+func (s *scenario) restartController(ctx context.Context, index int, step *daypb.Step) {
+	s.controllers[index].Kill()
+	killedAtS := time.Since(s.start).Seconds()
+	s.addNote("steward %d is killed", index)
 	sleep(ctx, secondsToDuration(step.ForS))
-	restarted, err := d.startController(index, d.controllerAddresses[index])
+	restarted, err := s.startController(index, s.controllerAddresses[index])
 	for attempt := 0; err != nil && attempt < 50; attempt++ { // the port may be held for a moment
 		time.Sleep(20 * time.Millisecond)
-		restarted, err = d.startController(index, d.controllerAddresses[index])
+		restarted, err = s.startController(index, s.controllerAddresses[index])
 	}
 	if err != nil {
-		d.addNote("steward %d cannot start: %v", index, err)
+		s.addNote("steward %d cannot start: %v", index, err)
 		return
 	}
-	d.controllers[index] = restarted
-	d.restarts = append(d.restarts, controllerRestart{index, killedAtS, time.Since(d.start).Seconds()})
-	d.addNote("steward %d starts again", index)
+	s.controllers[index] = restarted
+	s.restarts = append(s.restarts, controllerRestart{index, killedAtS, time.Since(s.start).Seconds()})
+	s.addNote("steward %d starts again", index)
 }
