--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -248,8 +248,8 @@
 }
 
 // activeServers counts the servers of a proxy that are not in maintenance.
-func activeServers(proxy *fake.Forwarder) (count int) {
-	for _, server := range proxy.SocketState() {
+func activeServers(proxy *fake.Proxy) (count int) {
+	for _, server := range proxy.ServerStates() {
 		if server.Admin&haproxy.ForcedMaint == 0 {
 			count++
 		}
@@ -288,7 +288,7 @@
 	defer cancel()
 	d.startSocketDrivers(ctx, socketConfig(b, drivers))
 	pollers := d.connectPollers(b, 1, nil)
-	eventually(b, "the tables", func() bool { return len(fakes[0].SocketState()) >= requestClasses*hosts })
+	eventually(b, "the tables", func() bool { return len(fakes[0].ServerStates()) >= requestClasses*hosts })
 	time.Sleep(2 * time.Second) // until the driver has acknowledged them
 	var byPollMs, bySocketMs float64
 	for range b.N {
@@ -320,8 +320,8 @@
 }
 
 // drainedServers counts the servers of a host that take no traffic at a proxy.
-func drainedServers(proxy *fake.Forwarder, host string) (count int) {
-	for _, server := range proxy.SocketState() {
+func drainedServers(proxy *fake.Proxy, host string) (count int) {
+	for _, server := range proxy.ServerStates() {
 		if server.Server == host && server.Admin != 0 {
 			count++
 		}
--- a/internal/daemon/socket_proxies_test.go
+++ b/internal/daemon/socket_proxies_test.go
@@ -19,7 +19,7 @@
 
 // startSocketProxies starts fake proxies that are configured by their runtime sockets and begin with an old server. It
 // gives the configuration of their drivers. The proxies end with the test.
-func startSocketProxies(t testing.TB, count int) (proxies []*fake.Forwarder, drivers string) {
+func startSocketProxies(t testing.TB, count int) (proxies []*fake.Proxy, drivers string) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -28,12 +28,15 @@
 		awaitGroup(t, "the end of the proxies", waitLimit, &running)
 	})
 	for i := range count {
-		proxy, err := fake.NewForwarder(fake.ForwarderSettings{
-			Name:     fmt.Sprint("s", i),
-			Zone:     "a",
-			Socket:   true,
-			Standing: []string{"10.9.9.9:80"},
-			Traffic:  []fake.Traffic{{Class: "sheet", Rate: idleRate}, {Class: "finish", Rate: idleRate}},
+		proxy, err := fake.NewProxy(fake.ProxySettings{
+			Name:          fmt.Sprint("s", i),
+			Zone:          "a",
+			RuntimeSocket: true,
+			FallbackHosts: []string{"10.9.9.9:80"},
+			Traffic: []fake.Traffic{
+				{Class: "sheet", RequestsPerSecond: idleRate},
+				{Class: "finish", RequestsPerSecond: idleRate},
+			},
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -50,9 +53,9 @@
 
 // hasWeights reports whether the servers of a proxy that take traffic are the ones wanted, with their weights, for both
 // request classes.
-func hasWeights(proxy *fake.Forwarder, want map[string]int) bool {
+func hasWeights(proxy *fake.Proxy, want map[string]int) bool {
 	count := 0
-	for _, server := range proxy.SocketState() {
+	for _, server := range proxy.ServerStates() {
 		if server.Admin != 0 {
 			continue
 		}
@@ -92,13 +95,13 @@
 		t.Error("nothing is logged of it")
 	}
 
-	proxy.SocketSlow(20 * time.Millisecond)
+	proxy.SetSocketDelay(20 * time.Millisecond)
 	d.writeHosts(`hosts { address: "10.0.0.1:80" zone: "a" } hosts { address: "10.0.0.2:80" zone: "b" weight: 0.5 }
 hosts { address: "10.0.0.3:80" zone: "b" started_unix_ms: 1 }
 hosts { address: "10.0.0.4:80" zone: "b" started_unix_ms: 1 }
 hosts { address: "10.0.0.5:80" zone: "b" started_unix_ms: 1 }`)
-	eventually(t, "the change to be under way", func() bool { return len(proxy.SocketState()) > 6 })
-	proxy.SocketRestart() // during the change
+	eventually(t, "the change to be under way", func() bool { return len(proxy.ServerStates()) > 6 })
+	proxy.RestartWithInitialConfig() // during the change
 	fiveHosts := map[string]int{
 		"10.0.0.1:80": 256, "10.0.0.2:80": 128, "10.0.0.3:80": 256, "10.0.0.4:80": 256, "10.0.0.5:80": 256}
 	eventually(t, "the tables after the restart", func() bool {
@@ -106,8 +109,8 @@
 	})
 }
 
-func hasServer(proxy *fake.Forwarder, name string) bool {
-	for _, server := range proxy.SocketState() {
+func hasServer(proxy *fake.Proxy, name string) bool {
+	for _, server := range proxy.ServerStates() {
 		if server.Server == name {
 			return true
 		}
@@ -116,7 +119,7 @@
 }
 
 // sendToProxy sends commands to a proxy's runtime socket and waits until they were carried out.
-func sendToProxy(t *testing.T, proxy *fake.Forwarder, commands string) {
+func sendToProxy(t *testing.T, proxy *fake.Proxy, commands string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", proxy.SocketAddress())
 	if err != nil {
@@ -212,8 +215,8 @@
 	}
 	eventually(t, "all to have their tables", ready)
 	for _, proxy := range proxies {
-		proxy.Cut(600 * time.Millisecond)
-		proxy.SocketRestart()
+		proxy.Disconnect(600 * time.Millisecond)
+		proxy.RestartWithInitialConfig()
 	}
 	eventually(t, "the loss", func() bool { return len(d.Operators().Proxies()) < count })
 	eventually(t, "all to be back", ready)
--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -22,65 +22,65 @@
 
 // HostSettings say what a host is.
 type HostSettings struct {
-	Zone           string
-	Cores          int
-	Speed          float64 // ms of work a ms and core
-	Queue          int     // transactions that may wait
-	ColdFrom, Cold float64
-	Multiple, Fall float64         // sent so many times its capacity for so long, a cold host falls over
-	Rate           bool            // it tells the rate of its transactions too
-	Once           map[string]bool // classes whose repeats are dropped by their key
+	Zone                                string
+	Cores                               int
+	Speed                               float64 // ms of work a ms and core
+	QueueLimit                          int     // transactions that may wait
+	SlowStartInitialFactor, SlowStartMs float64
+	CollapseMultiple, CollapseMs        float64         // sent so many times its capacity for so long, a cold host falls over
+	ReportsRequestRate                  bool            // it tells the rate of its transactions too
+	NonIdempotentClasses                map[string]bool // classes whose repeats are dropped by their key
 }
 
 // Host serves transactions: POST /t/CLASS?id=ID&work=MS, with the proxy's name in the field Proxy. GET /health
 // is answered beside the queue.
 type Host struct {
-	Address string
-	set     HostSettings
-	journal *rules.EventLog
+	Address  string
+	settings HostSettings
+	eventLog *rules.EventLog
 
-	mu      sync.Mutex
-	server  *http.Server
-	started float64 // 0: long ago
-	slow    float64
-	hangs   bool
-	life    int
-	busy    int
-	woken   *sync.Cond      // when a hang ends, or a caller of a hung host goes
-	line    []chan struct{} // who waits for a core, first come, first served; closed when it is theirs
-	seen    map[string]bool
-	recent  []burst // work that came lately, while cold
-	fallen  bool
-	tells   telling
+	mu          sync.Mutex
+	server      *http.Server
+	startedMs   float64 // 0: long ago
+	slowdown    float64
+	hanging     bool
+	incarnation int
+	busyCores   int
+	released    *sync.Cond      // when a hang ends, or a caller of a hung host goes
+	queue       []chan struct{} // who waits for a core, first come, first served; closed when it is theirs
+	seenIDs     map[string]bool
+	recentWork  []workArrival // work that came lately, while cold
+	collapsed   bool
+	reporting   loadReporting
 }
 
-type burst struct{ at, work float64 }
+type workArrival struct{ atMs, workMs float64 }
 
 // NewHost starts a host at a free port.
-func NewHost(set HostSettings, j *rules.EventLog) (*Host, error) {
-	h := &Host{set: set, journal: j, slow: 1, seen: map[string]bool{}}
-	h.woken = sync.NewCond(&h.mu)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func NewHost(settings HostSettings, log *rules.EventLog) (*Host, error) {
+	h := &Host{settings: settings, eventLog: log, slowdown: 1, seenIDs: map[string]bool{}}
+	h.released = sync.NewCond(&h.mu)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	h.Address = l.Addr().String()
-	if j != nil {
-		j.LogCapacity(h.Address, float64(set.Cores)*set.Speed)
+	h.Address = listener.Addr().String()
+	if log != nil {
+		log.LogCapacity(h.Address, float64(settings.Cores)*settings.Speed)
 	}
-	h.serve(l)
+	h.serve(listener)
 	return h, nil
 }
 
-func (h *Host) serve(l net.Listener) {
+func (h *Host) serve(listener net.Listener) {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /t/{class}", h.transaction)
-	mux.HandleFunc("GET /health", h.health)
+	mux.HandleFunc("POST /t/{class}", h.handleRequest)
+	mux.HandleFunc("GET /health", h.handleHealthCheck)
 	server := &http.Server{Handler: mux}
 	h.mu.Lock()
 	h.server = server
 	h.mu.Unlock()
-	go server.Serve(l)
+	go server.Serve(listener)
 }
 
 // Crash ends the process, as it were: connections break, work in hand is lost.
@@ -88,13 +88,13 @@
 	h.mu.Lock()
 	server := h.server
 	h.server = nil
-	h.life++
-	h.busy, h.hangs, h.slow = 0, false, 1
-	for _, next := range h.line {
-		close(next)
+	h.incarnation++
+	h.busyCores, h.hanging, h.slowdown = 0, false, 1
+	for _, waiting := range h.queue {
+		close(waiting)
 	}
-	h.line = nil
-	h.woken.Broadcast()
+	h.queue = nil
+	h.released.Broadcast()
 	h.mu.Unlock()
 	if server != nil {
 		server.Close()
@@ -103,10 +103,10 @@
 
 // Restart starts a crashed host at its address, cold. It tells when.
 func (h *Host) Restart() (float64, error) {
-	var l net.Listener
+	var listener net.Listener
 	var err error
 	for range 50 { // the port may be held for a moment by what is left of a connection
-		if l, err = net.Listen("tcp", h.Address); err == nil {
+		if listener, err = net.Listen("tcp", h.Address); err == nil {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -115,162 +115,164 @@
 		return 0, err
 	}
 	h.mu.Lock()
-	h.started, h.fallen, h.recent, h.seen = Now(), false, nil, map[string]bool{}
-	at := h.started
+	h.startedMs, h.collapsed, h.recentWork, h.seenIDs = Now(), false, nil, map[string]bool{}
+	startedMs := h.startedMs
 	h.mu.Unlock()
-	h.serve(l)
-	return at, nil
+	h.serve(listener)
+	return startedMs, nil
 }
 
 // Slow makes work take so many times as long; 1 is as usual.
-func (h *Host) Slow(times float64) { h.mu.Lock(); h.slow = times; h.mu.Unlock() }
+func (h *Host) SetSlowdown(factor float64) { h.mu.Lock(); h.slowdown = factor; h.mu.Unlock() }
 
 // Hang lets the host take transactions and answer none.
-func (h *Host) Hang(on bool) {
+func (h *Host) SetHanging(on bool) {
 	h.mu.Lock()
-	h.hangs = on
-	h.woken.Broadcast()
+	h.hanging = on
+	h.released.Broadcast()
 	h.mu.Unlock()
 }
 
 // Fallen tells whether the host was pushed over while it was cold.
-func (h *Host) Fallen() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.fallen }
+func (h *Host) Collapsed() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.collapsed }
 
 // Stated is what the host has when all is well.
-func (h *Host) Stated() (cores, speed float64) { return float64(h.set.Cores), h.set.Speed }
+func (h *Host) NominalCapacity() (cores, speed float64) {
+	return float64(h.settings.Cores), h.settings.Speed
+}
 
 // Able is what the host can truly do now: its cores, none while it hangs or is down, and the speed of each.
-func (h *Host) Able() (cores, speed float64) {
+func (h *Host) CurrentCapacity() (cores, speed float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.server == nil || h.hangs || h.fallen {
+	if h.server == nil || h.hanging || h.collapsed {
 		return 0, 0
 	}
-	return float64(h.set.Cores), h.set.Speed * h.part(Now()) / h.slow
+	return float64(h.settings.Cores), h.settings.Speed * h.slowStartFactor(Now()) / h.slowdown
 }
 
 // part is what of its capacity the host has now.
-func (h *Host) part(now float64) float64 {
-	if h.started == 0 || now >= h.started+h.set.Cold {
+func (h *Host) slowStartFactor(nowMs float64) float64 {
+	if h.startedMs == 0 || nowMs >= h.startedMs+h.settings.SlowStartMs {
 		return 1
 	}
-	return h.set.ColdFrom + (1-h.set.ColdFrom)*math.Max(now-h.started, 0)/h.set.Cold
+	return h.settings.SlowStartInitialFactor + (1-h.settings.SlowStartInitialFactor)*math.Max(nowMs-h.startedMs, 0)/h.settings.SlowStartMs
 }
 
 // push notes work that comes to a cold host, and lets it fall over where that is too much.
-func (h *Host) push(now, work float64) {
-	if h.part(now) >= 1 || h.set.Fall == 0 {
+func (h *Host) observeWork(nowMs, workMs float64) {
+	if h.slowStartFactor(nowMs) >= 1 || h.settings.CollapseMs == 0 {
 		return
 	}
-	h.recent = append(h.recent, burst{now, work})
-	sum := 0.0
-	for len(h.recent) > 0 && h.recent[0].at <= now-h.set.Fall {
-		h.recent = h.recent[1:]
+	h.recentWork = append(h.recentWork, workArrival{nowMs, workMs})
+	sumMs := 0.0
+	for len(h.recentWork) > 0 && h.recentWork[0].atMs <= nowMs-h.settings.CollapseMs {
+		h.recentWork = h.recentWork[1:]
 	}
-	for _, b := range h.recent {
-		sum += b.work
+	for _, arrival := range h.recentWork {
+		sumMs += arrival.workMs
 	}
-	budget := h.set.Multiple * h.part(h.recent[0].at) * float64(h.set.Cores) * h.set.Speed * h.set.Fall
-	h.fallen = h.fallen || sum > budget
+	limitMs := h.settings.CollapseMultiple * h.slowStartFactor(h.recentWork[0].atMs) * float64(h.settings.Cores) * h.settings.Speed * h.settings.CollapseMs
+	h.collapsed = h.collapsed || sumMs > limitMs
 }
 
-func (h *Host) health(w http.ResponseWriter, r *http.Request) {
+func (h *Host) handleHealthCheck(w http.ResponseWriter, r *http.Request) {
 	h.mu.Lock()
-	h.wait(r)
-	down := h.fallen
+	h.waitWhileHanging(r)
+	collapsed := h.collapsed
 	h.mu.Unlock()
-	h.load(w)
-	if down {
+	h.setLoadHeader(w)
+	if collapsed {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
 // wait holds a request while the host hangs, until the caller gives up. The lock is held.
-func (h *Host) wait(r *http.Request) {
-	if !h.hangs {
+func (h *Host) waitWhileHanging(r *http.Request) {
+	if !h.hanging {
 		return
 	}
-	stop := time.AfterFunc(time.Minute, h.woken.Broadcast)
+	stop := time.AfterFunc(time.Minute, h.released.Broadcast)
 	defer stop.Stop()
-	go func() { <-r.Context().Done(); h.woken.Broadcast() }()
-	for h.hangs && r.Context().Err() == nil {
-		h.woken.Wait()
+	go func() { <-r.Context().Done(); h.released.Broadcast() }()
+	for h.hanging && r.Context().Err() == nil {
+		h.released.Wait()
 	}
 }
 
 // release gives a core that is done to the first in the line. The lock is held.
-func (h *Host) release() {
-	if len(h.line) == 0 {
-		h.busy--
+func (h *Host) releaseCore() {
+	if len(h.queue) == 0 {
+		h.busyCores--
 		return
 	}
-	close(h.line[0])
-	h.line = h.line[1:]
+	close(h.queue[0])
+	h.queue = h.queue[1:]
 }
 
-func (h *Host) load(w http.ResponseWriter) {
+func (h *Host) setLoadHeader(w http.ResponseWriter) {
 	h.mu.Lock()
-	load := h.told()
+	load := h.reportedLoad()
 	h.mu.Unlock()
 	if load != routing.UnknownLoad {
 		w.Header().Set(orca.Field, orca.Format(load))
 	}
 }
 
-func (h *Host) transaction(w http.ResponseWriter, r *http.Request) {
-	now, class, id, proxy := Now(), r.PathValue("class"), r.FormValue("id"), r.Header.Get("Proxy")
-	work, err := strconv.ParseFloat(r.FormValue("work"), 64)
-	if err != nil || id == "" || work < 0 || work > 60000 {
+func (h *Host) handleRequest(w http.ResponseWriter, r *http.Request) {
+	nowMs, class, id, proxy := Now(), r.PathValue("class"), r.FormValue("id"), r.Header.Get("Proxy")
+	workMs, err := strconv.ParseFloat(r.FormValue("work"), 64)
+	if err != nil || id == "" || workMs < 0 || workMs > 60000 {
 		http.Error(w, "a transaction has an id and its work in ms", http.StatusBadRequest)
 		return
 	}
 	h.mu.Lock()
-	life := h.life
-	h.push(now, work)
-	h.tells.rate.n++
-	full := len(h.line) >= h.set.Queue || h.fallen
-	repeat := h.set.Once[class] && h.seen[id]
-	if !full && h.set.Once[class] {
-		h.seen[id] = true
+	incarnation := h.incarnation
+	h.observeWork(nowMs, workMs)
+	h.reporting.requestRate.count++
+	rejected := len(h.queue) >= h.settings.QueueLimit || h.collapsed
+	duplicate := h.settings.NonIdempotentClasses[class] && h.seenIDs[id]
+	if !rejected && h.settings.NonIdempotentClasses[class] {
+		h.seenIDs[id] = true
 	}
-	if h.journal != nil {
-		h.journal.LogAttempt(now, h.Address, proxy, class, id, work, !full && !repeat)
+	if h.eventLog != nil {
+		h.eventLog.LogAttempt(nowMs, h.Address, proxy, class, id, workMs, !rejected && !duplicate)
 	}
-	if full {
+	if rejected {
 		h.mu.Unlock()
-		h.load(w)
+		h.setLoadHeader(w)
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "never ran", http.StatusServiceUnavailable)
 		return
 	}
-	if repeat {
+	if duplicate {
 		h.mu.Unlock()
-		h.load(w)
+		h.setLoadHeader(w)
 		fmt.Fprintln(w, "a repeat, dropped")
 		return
 	}
-	if h.busy < h.set.Cores {
-		h.busy++
+	if h.busyCores < h.settings.Cores {
+		h.busyCores++
 	} else {
-		mine := make(chan struct{})
-		h.line = append(h.line, mine)
+		coreFree := make(chan struct{})
+		h.queue = append(h.queue, coreFree)
 		h.mu.Unlock()
-		<-mine
+		<-coreFree
 		h.mu.Lock()
 	}
-	if h.life != life {
+	if h.incarnation != incarnation {
 		h.mu.Unlock()
 		return
 	}
-	takes := work / h.set.Speed * h.slow / h.part(Now())
+	durationMs := workMs / h.settings.Speed * h.slowdown / h.slowStartFactor(Now())
 	h.mu.Unlock()
-	time.Sleep(time.Duration(takes * float64(time.Millisecond))) // the work; a cancel stops nothing
+	time.Sleep(time.Duration(durationMs * float64(time.Millisecond))) // the work; a cancel stops nothing
 	h.mu.Lock()
-	if h.life == life {
-		h.release()
+	if h.incarnation == incarnation {
+		h.releaseCore()
 	}
-	h.wait(r)
+	h.waitWhileHanging(r)
 	h.mu.Unlock()
-	h.load(w)
+	h.setLoadHeader(w)
 	fmt.Fprintln(w, "done")
 }
--- a/internal/rehearse/ingest_stats.go
+++ b/internal/rehearse/ingest_stats.go
@@ -47,7 +47,7 @@
 					}
 					client = &http.Client{Transport: &http.Transport{TLSClientConfig: tlsConfig}, Timeout: 2 * time.Second}
 				}
-				go host.Report(ctx, client, urls, time.Duration(group.ReportMs*float64(time.Millisecond)), &s.ingest.rejectedReports)
+				go host.SendLoadReports(ctx, client, urls, time.Duration(group.ReportMs*float64(time.Millisecond)), &s.ingest.rejectedReports)
 			}
 		}
 	}
--- a/internal/rehearse/optimality_gap.go
+++ b/internal/rehearse/optimality_gap.go
@@ -55,7 +55,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, host := range s.hosts {
-		cores, speed := host.Able()
+		cores, speed := host.CurrentCapacity()
 		problem.Hosts = append(problem.Hosts, solver.Host{Name: host.Address, Zone: host.zone, Cores: cores, Speed: speed, WarmFraction: 1,
 			Draining: host.draining || !host.listed})
 	}
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -57,7 +57,7 @@
 
 	mu                  sync.Mutex
 	hosts               []*scenarioHost
-	proxies             []*fake.Forwarder
+	proxies             []*fake.Proxy
 	controllers         []controllerInstance
 	controllerAddresses []string
 	progressNotes       string
@@ -184,8 +184,8 @@
 func (s *scenario) setUp() error {
 	limits := s.limits()
 	for _, group := range s.script.Hosts {
-		settings := fake.HostSettings{Zone: group.Zone, Cores: max(int(group.Cores), 1), Speed: group.Speed, Queue: int(group.Queue),
-			ColdFrom: limits.SlowStartInitialFactor, Cold: limits.SlowStartMs, Multiple: limits.CollapseMultiple, Fall: limits.CollapseMs, Once: limits.NonIdempotentClasses, Rate: group.ReportMs > 0}
+		settings := fake.HostSettings{Zone: group.Zone, Cores: max(int(group.Cores), 1), Speed: group.Speed, QueueLimit: int(group.Queue),
+			SlowStartInitialFactor: limits.SlowStartInitialFactor, SlowStartMs: limits.SlowStartMs, CollapseMultiple: limits.CollapseMultiple, CollapseMs: limits.CollapseMs, NonIdempotentClasses: limits.NonIdempotentClasses, ReportsRequestRate: group.ReportMs > 0}
 		if group.Cores == 0 {
 			settings.Cores = 4
 		}
@@ -193,7 +193,7 @@
 			settings.Speed = 1
 		}
 		if group.Queue == 0 {
-			settings.Queue = 64
+			settings.QueueLimit = 64
 		}
 		for range group.Count {
 			host, err := fake.NewHost(settings, s.eventLog)
@@ -283,37 +283,37 @@
 			}
 		}
 		for range group.Count {
-			settings := fake.ForwarderSettings{Name: fmt.Sprintf("forwarder-%d", index), Zone: group.Zone, Of: proxyCount, Standing: fallbackHosts,
-				Seed: s.script.Seed + uint64(index), Wait: 10 * time.Second, Ejects: int(*s.config.Fleet.Ejects),
-				Period:  time.Duration(*s.config.Fleet.PeriodMs * float64(time.Millisecond)),
-				Journal: s.eventLog, Ended: s.serviceLevel.countRequest, Log: func(text string) { s.log.Debug().Msg(text) }}
-			settings.Socket = front == daypb.Front_SOCKET
-			settings.Stewards = s.controllerURLs(index)
+			settings := fake.ProxySettings{Name: fmt.Sprintf("forwarder-%d", index), Zone: group.Zone, ProxyCount: proxyCount, FallbackHosts: fallbackHosts,
+				Seed: s.script.Seed + uint64(index), PollTimeout: 10 * time.Second, EjectAfterFailures: int(*s.config.Fleet.Ejects),
+				ReportInterval: time.Duration(*s.config.Fleet.PeriodMs * float64(time.Millisecond)),
+				EventLog:       s.eventLog, OnResult: s.serviceLevel.countRequest, Log: func(text string) { s.log.Debug().Msg(text) }}
+			settings.RuntimeSocket = front == daypb.Front_SOCKET
+			settings.Controllers = s.controllerURLs(index)
 			if identities := s.identities; identities != nil {
 				source, tlsConfig, err := identities.controllerTLS(fmt.Sprint("f", index), "/forwarder/"+settings.Zone+"/"+settings.Name)
 				if err != nil {
 					return fmt.Errorf("giving a forwarder its identity: %w", err)
 				}
-				settings.TLS, settings.Signed = tlsConfig, source.Signed(verifyController)
+				settings.TLS, settings.VerifySigner = tlsConfig, source.Signed(verifyController)
 			}
 			for _, traffic := range s.script.Traffic {
 				class := classes[traffic.Class]
-				settings.Traffic = append(settings.Traffic, fake.Traffic{Class: traffic.Class, Rate: traffic.Rate / float64(proxyCount),
-					Work: traffic.WorkMs, Due: *class.DueMs, Patience: *class.PatienceMs, Repeats: traffic.Effect == daypb.Effect_SAFE})
+				settings.Traffic = append(settings.Traffic, fake.Traffic{Class: traffic.Class, RequestsPerSecond: traffic.Rate / float64(proxyCount),
+					MeanWorkMs: traffic.WorkMs, LatencyObjectiveMs: *class.DueMs, DeadlineMs: *class.PatienceMs, Idempotent: traffic.Effect == daypb.Effect_SAFE})
 			}
 			if s.recordingsFolder != "" {
 				if err := s.recordProxy(&settings); err != nil {
 					return err
 				}
 			}
-			proxy, err := fake.NewForwarder(settings)
+			proxy, err := fake.NewProxy(settings)
 			if err != nil {
 				return fmt.Errorf("making a forwarder: %w", err)
 			}
 			s.proxies = append(s.proxies, proxy)
-			if settings.Socket {
+			if settings.RuntimeSocket {
 				s.config.Sockets = append(s.config.Sockets, &configpb.SocketProxy{Proxy: settings.Name, Zone: settings.Zone, Address: proxy.SocketAddress(),
-					Rate: proto.Float64(settings.Options().RequestRate)})
+					Rate: proto.Float64(settings.ClientOptions().RequestRate)})
 			}
 			index++
 		}
@@ -340,14 +340,14 @@
 }
 
 // recordProxy has a forwarder's transactions recorded.
-func (s *scenario) recordProxy(settings *fake.ForwarderSettings) error {
+func (s *scenario) recordProxy(settings *fake.ProxySettings) error {
 	file, err := os.Create(filepath.Join(s.recordingsFolder, settings.Name+".day"))
 	if err != nil {
 		return fmt.Errorf("starting a recording: %w", err)
 	}
-	recording := record.NewProxy(file, s.version, settings.Options())
+	recording := record.NewProxy(file, s.version, settings.ClientOptions())
 	s.closeRecordings = append(s.closeRecordings, func() error { return errors.Join(recording.Close(), file.Close()) })
-	settings.Transacted, settings.Applied = recording.Ended, recording.Applied
+	settings.OnRequestEnd, settings.OnTablesApplied = recording.Ended, recording.Applied
 	return nil
 }
 
@@ -359,7 +359,7 @@
 		if !host.listed {
 			continue
 		}
-		cores, speed := host.Stated()
+		cores, speed := host.NominalCapacity()
 		entry := &configpb.Host{Address: host.Address, Zone: host.zone, StartedUnixMs: host.startedMs, Cores: cores, Speed: &speed}
 		if host.draining {
 			entry.Phase = configpb.Phase_DRAINING
@@ -447,7 +447,7 @@
 	result := &Result{Passed: true, Verdicts: s.eventLog.Check(limits, fake.Now())}
 	result.ServiceLevel, _ = s.serviceLevel.fraction(0, 1<<30)
 	for _, host := range s.hosts {
-		if host.Fallen() {
+		if host.Collapsed() {
 			result.Verdicts = append(result.Verdicts, rules.Verdict{Rule: "hosts that fell over", Margin: -1, Seen: host.Address})
 		}
 	}
--- a/internal/rehearse/steps.go
+++ b/internal/rehearse/steps.go
@@ -28,13 +28,13 @@
 	hosts := s.selectHosts(step)
 	switch step.What {
 	case daypb.What_HANG:
-		s.applyFault(hosts, "hangs", func(host *scenarioHost) { host.Hang(true) })
+		s.applyFault(hosts, "hangs", func(host *scenarioHost) { host.SetHanging(true) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "answers again", func(host *scenarioHost) { host.Hang(false) })
+		s.applyFault(hosts, "answers again", func(host *scenarioHost) { host.SetHanging(false) })
 	case daypb.What_SLOW:
-		s.applyFault(hosts, "is slow", func(host *scenarioHost) { host.Slow(step.Size) })
+		s.applyFault(hosts, "is slow", func(host *scenarioHost) { host.SetSlowdown(step.Size) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "is as fast as usual", func(host *scenarioHost) { host.Slow(1) })
+		s.applyFault(hosts, "is as fast as usual", func(host *scenarioHost) { host.SetSlowdown(1) })
 	case daypb.What_DRAIN:
 		s.changeEndpoints(hosts, "drains", func(host *scenarioHost) { host.draining = true })
 		sleep(ctx, secondsToDuration(step.ForS))
@@ -46,44 +46,44 @@
 	case daypb.What_CUT:
 		count := int(step.Size*float64(len(s.proxies)) + 0.5)
 		for _, proxy := range s.proxies[:min(count, len(s.proxies))] {
-			proxy.Cut(secondsToDuration(step.ForS))
+			proxy.Disconnect(secondsToDuration(step.ForS))
 		}
 		s.addNote("%d forwarders lose their steward for %.1f s", count, step.ForS)
 	case daypb.What_RESTART:
 		proxies := s.socketProxies(step.Size)
 		for _, proxy := range proxies {
-			proxy.SocketRestart()
+			proxy.RestartWithInitialConfig()
 		}
 		s.addNote("%d forwarders start anew with their old file", len(proxies))
 	case daypb.What_SLOW_SOCKET, daypb.What_MUTE_SOCKET:
 		proxies := s.socketProxies(step.Size)
 		for _, proxy := range proxies {
-			proxy.SocketSlow(slowSocketDelay)
-			proxy.SocketMute(step.What == daypb.What_MUTE_SOCKET)
+			proxy.SetSocketDelay(slowSocketDelay)
+			proxy.SetSocketUnresponsive(step.What == daypb.What_MUTE_SOCKET)
 		}
 		s.addNote("%d sockets answer late or not at all", len(proxies))
 		sleep(ctx, secondsToDuration(step.ForS))
 		for _, proxy := range proxies {
-			proxy.SocketSlow(0)
-			proxy.SocketMute(false)
+			proxy.SetSocketDelay(0)
+			proxy.SetSocketUnresponsive(false)
 		}
 		s.addNote("and in time again")
 	case daypb.What_FLOOD:
-		s.applyFault(hosts, "reports much too often", func(host *scenarioHost) { host.Flood(step.Size) })
+		s.applyFault(hosts, "reports much too often", func(host *scenarioHost) { host.SetReportRateMultiple(step.Size) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "reports as usual", func(host *scenarioHost) { host.Flood(0) })
+		s.applyFault(hosts, "reports as usual", func(host *scenarioHost) { host.SetReportRateMultiple(0) })
 	case daypb.What_MUTE:
-		s.applyFault(hosts, "tells its load no more", func(host *scenarioHost) { host.Mute(true) })
+		s.applyFault(hosts, "tells its load no more", func(host *scenarioHost) { host.SetSilent(true) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "tells its load again", func(host *scenarioHost) { host.Mute(false) })
+		s.applyFault(hosts, "tells its load again", func(host *scenarioHost) { host.SetSilent(false) })
 	case daypb.What_LIE:
-		s.applyFault(hosts, "tells a part of its load", func(host *scenarioHost) { host.Lie(step.Size) })
+		s.applyFault(hosts, "tells a part of its load", func(host *scenarioHost) { host.SetReportedFraction(step.Size) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "tells the truth", func(host *scenarioHost) { host.Lie(0) })
+		s.applyFault(hosts, "tells the truth", func(host *scenarioHost) { host.SetReportedFraction(0) })
 	case daypb.What_AHEAD:
-		s.applyFault(hosts, "has a wrong clock", func(host *scenarioHost) { host.Ahead(secondsToDuration(step.Size)) })
+		s.applyFault(hosts, "has a wrong clock", func(host *scenarioHost) { host.SetClockOffset(secondsToDuration(step.Size)) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "has the right time", func(host *scenarioHost) { host.Ahead(0) })
+		s.applyFault(hosts, "has the right time", func(host *scenarioHost) { host.SetClockOffset(0) })
 	case daypb.What_LATE_SUMS:
 		s.delayRequestStats(secondsToDuration(step.Size))
 		s.addNote("sums come %.1f s late", step.Size)
@@ -97,7 +97,7 @@
 const slowSocketDelay = 300 * time.Millisecond
 
 // withSockets gives a part of the forwarders that have one.
-func (s *scenario) socketProxies(fraction float64) (proxies []*fake.Forwarder) {
+func (s *scenario) socketProxies(fraction float64) (proxies []*fake.Proxy) {
 	for _, proxy := range s.proxies {
 		if proxy.SocketAddress() != "" {
 			proxies = append(proxies, proxy)
@@ -108,7 +108,7 @@
 
 func (s *scenario) delayRequestStats(delay time.Duration) {
 	for _, proxy := range s.proxies {
-		proxy.LateSums(delay)
+		proxy.DelayRequestStats(delay)
 	}
 }
 
