--- a/cmd/barleysail/identity_transport_test.go
+++ b/cmd/barleysail/identity_transport_test.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	endpoint.Give(identity, []*issuer.Authority{i.authority})
+	endpoint.SetIdentity(identity, []*issuer.Authority{i.authority})
 	return endpoint.Address
 }
 
--- a/internal/daemon/authorization_test.go
+++ b/internal/daemon/authorization_test.go
@@ -132,7 +132,7 @@
 		t.Errorf("%d without its domain's roots", status)
 	}
 	own := d.sign(controllerID, time.Hour)
-	d.ownEndpoint.Give(own, []*issuer.Authority{d.authority}, club)
+	d.ownEndpoint.SetIdentity(own, []*issuer.Authority{d.authority}, club)
 	eventually(t, "the club's roots", func() bool { return poll() == 200 })
 	report := d.call(forwarder, http.MethodPost, "/v1/proxies/f9/sums", `{"number":1}`,
 		"Content-Type", "application/json")
@@ -144,7 +144,7 @@
 	if result := d.getAs(operator, "/v1/hosts"); result.status != 0 {
 		t.Errorf("our operator by the club's root: %d", result.status)
 	}
-	d.ownEndpoint.Give(own, []*issuer.Authority{d.authority})
+	d.ownEndpoint.SetIdentity(own, []*issuer.Authority{d.authority})
 	eventually(t, "the club's roots to be removed", func() bool { return poll() != 200 })
 }
 
@@ -156,7 +156,7 @@
 
 func (i tokenIssuer) token(id string, audience []string, validity time.Duration, change func(map[string]any)) string {
 	i.t.Helper()
-	text, err := i.authority.Token(id, audience, validity, change)
+	text, err := i.authority.SignToken(id, audience, validity, change)
 	if err != nil {
 		i.t.Fatal(err)
 	}
--- a/internal/daemon/bench_helpers_test.go
+++ b/internal/daemon/bench_helpers_test.go
@@ -197,7 +197,7 @@
 			b.Fatal(err)
 		}
 		b.Cleanup(endpoint.Close)
-		endpoint.Give(signBy(b, authority, id, time.Hour, nil), []*issuer.Authority{authority})
+		endpoint.SetIdentity(signBy(b, authority, id, time.Hour, nil), []*issuer.Authority{authority})
 		return endpoint
 	}
 	own := newEndpoint("steward", controllerID)
--- a/internal/daemon/credentials_test.go
+++ b/internal/daemon/credentials_test.go
@@ -62,12 +62,12 @@
 		t.Errorf("old %d, new %d", old, fresh)
 	}
 	own := d.sign(controllerID, time.Hour)
-	d.ownEndpoint.Give(own, []*issuer.Authority{d.authority, next})
+	d.ownEndpoint.SetIdentity(own, []*issuer.Authority{d.authority, next})
 	eventually(t, "the new root", func() bool { return poll(byNewRoot) == 200 })
 	if status := poll(byOldRoot); status != 200 {
 		t.Errorf("old %d while both are in the bundle", status)
 	}
-	d.ownEndpoint.Give(own, []*issuer.Authority{next})
+	d.ownEndpoint.SetIdentity(own, []*issuer.Authority{next})
 	eventually(t, "the old root to be removed", func() bool { return poll(byOldRoot) != 200 })
 	if status := poll(byNewRoot); status != 200 {
 		t.Errorf("new %d", status)
@@ -93,12 +93,12 @@
 	d := startWithIdentities(t, "", "")
 	svid := d.sign(controllerID, time.Hour)
 	logged := func(text string) int { return strings.Count(d.log.String(), text) }
-	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
+	d.ownEndpoint.SetIdentity(svid, []*issuer.Authority{d.authority})
 	eventually(t, "a new key", func() bool { return logged("credentials loaded") >= 2 })
 	if logged("the same key again") != 0 {
 		t.Error("a new key was taken for the same")
 	}
-	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
+	d.ownEndpoint.SetIdentity(svid, []*issuer.Authority{d.authority})
 	eventually(t, "the log line", func() bool { return logged("the same key again") > 0 })
 	if result := d.getAs(d.clientWithID(operatorID), "/v1/hosts"); result.status != 200 {
 		t.Errorf("%d", result.status)
@@ -121,7 +121,7 @@
 	d := startWithIdentities(t, "", "")
 	endpoint := d.newEndpoint("f1")
 	renew := func() { // the times of a certificate are whole seconds, so it is valid for one to two
-		endpoint.Give(d.sign(forwarderID, 2*time.Second), []*issuer.Authority{d.authority})
+		endpoint.SetIdentity(d.sign(forwarderID, 2*time.Second), []*issuer.Authority{d.authority})
 	}
 	renew()
 	var lost atomic.Int64
@@ -206,7 +206,7 @@
 	d := startWithIdentities(t, "",
 		fmt.Sprintf(` list { url: "https://%s/hosts" id: "%s" wait_ms: 1000 }`, listener.Addr(), serviceID))
 	endpoint := d.newEndpoint("list")
-	give := func(id string) { endpoint.Give(d.sign(id, time.Hour), []*issuer.Authority{d.authority}) }
+	give := func(id string) { endpoint.SetIdentity(d.sign(id, time.Hour), []*issuer.Authority{d.authority}) }
 	give(trustDomain + "/impostor")
 	source := openSource(t, endpoint)
 	followSource(t, source)
--- a/internal/daemon/identity_helpers_test.go
+++ b/internal/daemon/identity_helpers_test.go
@@ -50,8 +50,8 @@
 	})
 	d := &identityDaemon{testDaemon: newTestDaemon(t, folder), folder: folder, authority: newAuthority(t, "race.example")}
 	d.ownEndpoint = d.newEndpoint("steward")
-	d.ownEndpoint.Give(d.sign(controllerID, time.Hour), []*issuer.Authority{d.authority})
-	if err := d.ownEndpoint.GiveKeys(d.authority); err != nil {
+	d.ownEndpoint.SetIdentity(d.sign(controllerID, time.Hour), []*issuer.Authority{d.authority})
+	if err := d.ownEndpoint.SetJWTKeys(d.authority); err != nil {
 		t.Fatal(err)
 	}
 	if endpointList == "" {
@@ -121,11 +121,11 @@
 // clientAs makes an HTTP client that presents a certificate, valid or not.
 func clientAs(t *testing.T, svid *issuer.SVID) *http.Client {
 	t.Helper()
-	key, err := x509.ParsePKCS8PrivateKey(svid.Key)
+	key, err := x509.ParsePKCS8PrivateKey(svid.PrivateKeyPKCS8)
 	if err != nil {
 		t.Fatal(err)
 	}
-	certificate := &tls.Certificate{Certificate: [][]byte{svid.Cert}, PrivateKey: key}
+	certificate := &tls.Certificate{Certificate: [][]byte{svid.CertificateDER}, PrivateKey: key}
 	return newTLSClient(t, func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return certificate, nil })
 }
 
--- a/internal/daemon/table_signature_test.go
+++ b/internal/daemon/table_signature_test.go
@@ -106,7 +106,7 @@
 	t.Parallel()
 	d := startWithIdentities(t, "", "")
 	endpoint := d.newEndpoint("f1")
-	endpoint.Give(d.sign(forwarderID, time.Hour), []*issuer.Authority{d.authority})
+	endpoint.SetIdentity(d.sign(forwarderID, time.Hour), []*issuer.Authority{d.authority})
 	source := openSource(t, endpoint)
 	transport := &http.Transport{TLSClientConfig: source.Client(expectID(controllerID))}
 	t.Cleanup(transport.CloseIdleConnections)
--- a/internal/fake/issuer/issuer.go
+++ b/internal/fake/issuer/issuer.go
@@ -29,11 +29,11 @@
 
 // Authority is a root of a trust domain.
 type Authority struct {
-	Domain string
-	cert   *x509.Certificate
-	key    *ecdsa.PrivateKey
-	serial int64
-	mu     sync.Mutex
+	Domain      string
+	certificate *x509.Certificate
+	key         *ecdsa.PrivateKey
+	serial      int64
+	mu          sync.Mutex
 }
 
 // NewAuthority makes a root.
@@ -42,27 +42,27 @@
 	if err != nil {
 		return nil, fmt.Errorf("making a root: %w", err)
 	}
-	t := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "root of " + domain}, NotBefore: time.Now().Add(-time.Hour),
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "root of " + domain}, NotBefore: time.Now().Add(-time.Hour),
 		NotAfter: time.Now().Add(24 * time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
 		URIs: []*url.URL{{Scheme: "spiffe", Host: domain}}}
-	der, err := x509.CreateCertificate(rand.Reader, t, t, key.Public(), key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
 		return nil, fmt.Errorf("making a root: %w", err)
 	}
-	cert, err := x509.ParseCertificate(der)
-	return &Authority{Domain: domain, cert: cert, key: key, serial: 1}, err
+	certificate, err := x509.ParseCertificate(der)
+	return &Authority{Domain: domain, certificate: certificate, key: key, serial: 1}, err
 }
 
 // SVID that was signed.
 type SVID struct {
-	ID   string
-	Cert []byte // DER
-	Key  []byte // PKCS 8
+	ID              string
+	CertificateDER  []byte // DER
+	PrivateKeyPKCS8 []byte // PKCS 8
 }
 
 // Sign signs an identity for so long; change may make it one that must not be.
-func (a *Authority) Sign(id string, life time.Duration, change func(*x509.Certificate)) (*SVID, error) {
-	u, err := url.Parse(id)
+func (a *Authority) Sign(id string, validity time.Duration, change func(*x509.Certificate)) (*SVID, error) {
+	uri, err := url.Parse(id)
 	if err != nil {
 		return nil, fmt.Errorf("signing: %w", err)
 	}
@@ -74,18 +74,18 @@
 	a.serial++
 	serial := a.serial
 	a.mu.Unlock()
-	t := &x509.Certificate{SerialNumber: big.NewInt(serial), NotBefore: time.Now().Add(-time.Minute), NotAfter: time.Now().Add(life),
+	template := &x509.Certificate{SerialNumber: big.NewInt(serial), NotBefore: time.Now().Add(-time.Minute), NotAfter: time.Now().Add(validity),
 		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
-		BasicConstraintsValid: true, URIs: []*url.URL{u}}
+		BasicConstraintsValid: true, URIs: []*url.URL{uri}}
 	if change != nil {
-		change(t)
+		change(template)
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, a.cert, key.Public(), a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, key.Public(), a.key)
 	if err != nil {
 		return nil, fmt.Errorf("signing: %w", err)
 	}
-	text, err := x509.MarshalPKCS8PrivateKey(key)
-	return &SVID{id, der, text}, err
+	privateKey, err := x509.MarshalPKCS8PrivateKey(key)
+	return &SVID{id, der, privateKey}, err
 }
 
 // Endpoint serves the Workload API to one workload.
@@ -94,24 +94,24 @@
 	Address string // as unix:///…
 	server  *grpc.Server
 
-	mu      sync.Mutex
-	svid    *SVID
-	bundle  []byte            // roots of its own trust domain, DER one after the other
-	others  map[string][]byte // of federated ones, by trust domain
-	keys    map[string][]byte // JWK sets, by trust domain
-	changed chan struct{}
+	mu               sync.Mutex
+	svid             *SVID
+	bundle           []byte            // roots of its own trust domain, DER one after the other
+	federatedBundles map[string][]byte // of federated ones, by trust domain
+	jwtKeySets       map[string][]byte // JWK sets, by trust domain
+	changed          chan struct{}
 }
 
 // NewEndpoint listens in a folder.
 func NewEndpoint(folder, name string) (*Endpoint, error) {
 	path := filepath.Join(folder, name+".sock")
-	l, err := net.Listen("unix", path)
+	listener, err := net.Listen("unix", path)
 	if err != nil {
 		return nil, fmt.Errorf("opening the workload API: %w", err)
 	}
-	e := &Endpoint{Address: "unix://" + path, server: grpc.NewServer(), others: map[string][]byte{}, changed: make(chan struct{})}
+	e := &Endpoint{Address: "unix://" + path, server: grpc.NewServer(), federatedBundles: map[string][]byte{}, changed: make(chan struct{})}
 	workload.RegisterSpiffeWorkloadAPIServer(e.server, e)
-	go e.server.Serve(l)
+	go e.server.Serve(listener)
 	return e, nil
 }
 
@@ -119,41 +119,41 @@
 func (e *Endpoint) Close() { e.server.Stop() }
 
 // Give hands out an identity and the roots to judge others by: those of the own trust domain, and of federated ones.
-func (e *Endpoint) Give(v *SVID, own []*Authority, federated ...*Authority) {
+func (e *Endpoint) SetIdentity(svid *SVID, own []*Authority, federated ...*Authority) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.svid, e.bundle, e.others = v, nil, map[string][]byte{}
+	e.svid, e.bundle, e.federatedBundles = svid, nil, map[string][]byte{}
 	for _, a := range own {
-		e.bundle = append(e.bundle, a.cert.Raw...)
+		e.bundle = append(e.bundle, a.certificate.Raw...)
 	}
 	for _, a := range federated {
-		e.others["spiffe://"+a.Domain] = append(e.others["spiffe://"+a.Domain], a.cert.Raw...)
+		e.federatedBundles["spiffe://"+a.Domain] = append(e.federatedBundles["spiffe://"+a.Domain], a.certificate.Raw...)
 	}
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
 // FetchX509SVID streams what is handed out (SPIFFE Workload API, section 5.2).
-func (e *Endpoint) FetchX509SVID(_ *workload.X509SVIDRequest, out workload.SpiffeWorkloadAPI_FetchX509SVIDServer) error {
-	return e.stream(out.Context(), func() func() error {
-		r := &workload.X509SVIDResponse{FederatedBundles: e.others}
+func (e *Endpoint) FetchX509SVID(_ *workload.X509SVIDRequest, stream workload.SpiffeWorkloadAPI_FetchX509SVIDServer) error {
+	return e.streamUpdates(stream.Context(), func() func() error {
+		response := &workload.X509SVIDResponse{FederatedBundles: e.federatedBundles}
 		if e.svid == nil {
 			return nil
 		}
-		r.Svids = []*workload.X509SVID{{SpiffeId: e.svid.ID, X509Svid: e.svid.Cert, X509SvidKey: e.svid.Key, Bundle: e.bundle}}
-		return func() error { return out.Send(r) }
+		response.Svids = []*workload.X509SVID{{SpiffeId: e.svid.ID, X509Svid: e.svid.CertificateDER, X509SvidKey: e.svid.PrivateKeyPKCS8, Bundle: e.bundle}}
+		return func() error { return stream.Send(response) }
 	})
 }
 
 // stream sends what there is, and again after each change, until the caller goes. make is called under the lock and gives
 // what sends it; nil where there is nothing yet.
-func (e *Endpoint) stream(ctx context.Context, make func() func() error) error {
-	if err := secured(ctx); err != nil {
+func (e *Endpoint) streamUpdates(ctx context.Context, prepare func() func() error) error {
+	if err := checkSecurityHeader(ctx); err != nil {
 		return err
 	}
 	for {
 		e.mu.Lock()
-		send, changed := make(), e.changed
+		send, changed := prepare(), e.changed
 		e.mu.Unlock()
 		if send != nil {
 			if err := send(); err != nil {
@@ -169,9 +169,9 @@
 }
 
 // secured refuses callers that do not say that they are workloads (SPIFFE Workload Endpoint, section 6.1).
-func secured(ctx context.Context) error {
-	m, _ := metadata.FromIncomingContext(ctx)
-	if v := m.Get("workload.spiffe.io"); len(v) != 1 || v[0] != "true" {
+func checkSecurityHeader(ctx context.Context) error {
+	header, _ := metadata.FromIncomingContext(ctx)
+	if values := header.Get("workload.spiffe.io"); len(values) != 1 || values[0] != "true" {
 		return status.Error(codes.InvalidArgument, "the security header is missing")
 	}
 	return nil
@@ -181,51 +181,51 @@
 func (a *Authority) keyID() string { return "key-of-" + a.Domain }
 
 // Token signs a JWT-SVID for an audience; change may make it one that must not be.
-func (a *Authority) Token(id string, audience []string, life time.Duration, change func(map[string]any)) (string, error) {
-	claims := map[string]any{"sub": id, "aud": audience, "iat": time.Now().Unix(), "exp": time.Now().Add(life).Unix()}
+func (a *Authority) SignToken(id string, audience []string, validity time.Duration, change func(map[string]any)) (string, error) {
+	claims := map[string]any{"sub": id, "aud": audience, "iat": time.Now().Unix(), "exp": time.Now().Add(validity).Unix()}
 	if change != nil {
 		change(claims)
 	}
-	s, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.ES256, Key: jose.JSONWebKey{Key: a.key, KeyID: a.keyID()}}, (&jose.SignerOptions{}).WithType("JWT"))
+	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.ES256, Key: jose.JSONWebKey{Key: a.key, KeyID: a.keyID()}}, (&jose.SignerOptions{}).WithType("JWT"))
 	if err != nil {
 		return "", fmt.Errorf("signing a token: %w", err)
 	}
-	text, err := json.Marshal(claims)
+	payload, err := json.Marshal(claims)
 	if err != nil {
 		return "", fmt.Errorf("signing a token: %w", err)
 	}
-	j, err := s.Sign(text)
+	signed, err := signer.Sign(payload)
 	if err != nil {
 		return "", fmt.Errorf("signing a token: %w", err)
 	}
-	return j.CompactSerialize()
+	return signed.CompactSerialize()
 }
 
 // GiveKeys hands out the keys to judge tokens by.
-func (e *Endpoint) GiveKeys(all ...*Authority) error {
-	keys := map[string][]byte{}
-	for _, a := range all {
-		text, err := json.Marshal(jose.JSONWebKeySet{Keys: []jose.JSONWebKey{{Key: a.key.Public(), KeyID: a.keyID(), Use: "jwt-svid"}}})
+func (e *Endpoint) SetJWTKeys(authorities ...*Authority) error {
+	keySets := map[string][]byte{}
+	for _, a := range authorities {
+		keySet, err := json.Marshal(jose.JSONWebKeySet{Keys: []jose.JSONWebKey{{Key: a.key.Public(), KeyID: a.keyID(), Use: "jwt-svid"}}})
 		if err != nil {
 			return fmt.Errorf("writing keys: %w", err)
 		}
-		keys["spiffe://"+a.Domain] = text
+		keySets["spiffe://"+a.Domain] = keySet
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keys = keys
+	e.jwtKeySets = keySets
 	close(e.changed)
 	e.changed = make(chan struct{})
 	return nil
 }
 
 // FetchJWTBundles streams the keys (SPIFFE Workload API, section 6.2.3).
-func (e *Endpoint) FetchJWTBundles(_ *workload.JWTBundlesRequest, out workload.SpiffeWorkloadAPI_FetchJWTBundlesServer) error {
-	return e.stream(out.Context(), func() func() error {
-		keys := e.keys
-		if len(keys) == 0 {
+func (e *Endpoint) FetchJWTBundles(_ *workload.JWTBundlesRequest, stream workload.SpiffeWorkloadAPI_FetchJWTBundlesServer) error {
+	return e.streamUpdates(stream.Context(), func() func() error {
+		keySets := e.jwtKeySets
+		if len(keySets) == 0 {
 			return nil
 		}
-		return func() error { return out.Send(&workload.JWTBundlesResponse{Bundles: keys}) }
+		return func() error { return stream.Send(&workload.JWTBundlesResponse{Bundles: keySets}) }
 	})
 }
--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	w.endpoint.Give(svid, []*issuer.Authority{w.authority})
+	w.endpoint.SetIdentity(svid, []*issuer.Authority{w.authority})
 	return nil
 }
 
