--- a/internal/rehearse/controller_process.go
+++ b/internal/rehearse/controller_process.go
@@ -15,21 +15,22 @@
 	"barleysail/internal/config/configpb"
 )
 
-// running is a steward of the day.
+// controllerInstance is a running controller.
 type controllerInstance interface {
 	Addr() string
 	Stop(ctx context.Context) error
 	Kill()
 }
 
-// process is a steward in a process of its own.
+// controllerProcess is a controller in a process of its own.
 type controllerProcess struct {
 	command *exec.Cmd
 	address string
 	exited  chan struct{}
 }
 
-// apart starts a steward in a process of its own, so that what it needs can be told from what the stand-ins need.
+// startControllerProcess starts a controller in a process of its own, so that its resource usage can be told from that
+// of the fakes. It reads the controller's address from the first line of its output.
 func (s *scenario) startControllerProcess(controllerConfig *configpb.Config, name string) (controllerInstance, error) {
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(controllerConfig)
 	if err != nil {
@@ -59,9 +60,10 @@
 	return process, nil
 }
 
+// Addr returns the address of the HTTP API.
 func (p *controllerProcess) Addr() string { return p.address }
 
-// Stop lets the steward end, or ends it when the context does.
+// Stop asks the controller to shut down, and kills it when the context ends first.
 func (p *controllerProcess) Stop(ctx context.Context) error {
 	p.command.Process.Signal(syscall.SIGTERM)
 	select {
@@ -73,5 +75,5 @@
 	}
 }
 
-// Kill ends it at once.
+// Kill kills the process.
 func (p *controllerProcess) Kill() { p.command.Process.Kill() }
--- a/internal/rehearse/controller_restarts.go
+++ b/internal/rehearse/controller_restarts.go
@@ -2,21 +2,19 @@
 
 import "fmt"
 
-// kill is a steward that was killed and started again; times are s from the day's start.
+// controllerRestart is the restart of a killed controller. Times are in s since the start of the scenario.
 type controllerRestart struct {
 	controller              int
 	killedAtS, restartedAtS float64
 }
 
-// after is how long one looks at what a steward's loss costs, in s; agreed is how near the gap to the best tables has to
-// come to what it was before.
 const (
-	afterRestartS = 30.0
-	recoveredGap  = 0.01
+	afterRestartS = 30.0 // length of the time after a restart that is evaluated, in s
+	recoveredGap  = 0.01 // largest increase of the optimality gap that counts as recovered
 )
 
-// printRestarts says what each steward's loss cost: service from its loss until 30 s after its return, and when the tables
-// were as near to the best as before.
+// printRestarts prints for each restart the service level from the kill until afterRestartS after the restart, and the
+// time until the optimality gap had recovered.
 func (s *scenario) printRestarts() {
 	for _, restart := range s.restarts {
 		fromWindow := int(restart.killedAtS * 1000 / windowMs)
--- a/internal/rehearse/faults_test.go
+++ b/internal/rehearse/faults_test.go
@@ -14,7 +14,8 @@
 	"barleysail/internal/rules"
 )
 
-// played plays a script, looks at the day before its stewards are ended, and gives it for a look at what it saw.
+// runScenario runs a script and calls the functions of inspect before the controllers are stopped. It returns the result,
+// the scenario with its samples, and the output.
 func runScenario(t *testing.T, text string, inspect ...func(*scenario)) (*Result, *scenario, string) {
 	t.Helper()
 	script := &daypb.Day{}
@@ -35,9 +36,9 @@
 	return result, inspected, out.String()
 }
 
-// Sixty hosts that report ten times a second and twenty forwarders: one host floods at a hundred times the rate, one stops,
-// one tells a tenth of its load, one has a clock an hour ahead, and a tenth of the forwarders return at once. All rules
-// hold, the flood is stopped at the door, what stops and what lies is told, and nothing else is dropped.
+// Faults in the load reports of 60 hosts: one host reports at 100 times the usual rate, one stops reporting, and one has a
+// clock that is an hour ahead, while a tenth of the proxies reconnect at once. All invariants hold, the excess reports are
+// rejected, the silent host is detected, and the other reports are still processed.
 func TestHostReportFaults(t *testing.T) {
 	t.Parallel()
 	result, s, out := runScenario(t, `length_s: 12 seed: 5 stewards: 1 list_late_ms: 200
@@ -60,8 +61,8 @@
 	}
 }
 
-// Hosts of different sizes weighed alike at a load that fills the small ones: the guard refuses, and all rules hold while
-// one hangs, one drains and some are lost.
+// The table guard rejects tables, since hosts of different sizes have equal weights at a load that saturates the small
+// ones. All invariants hold while a host hangs, one drains and one crashes.
 func TestInvariantsHoldWhileGuardRejects(t *testing.T) {
 	t.Parallel()
 	result, s, out := runScenario(t, `length_s: 12 seed: 6 stewards: 1 list_late_ms: 200
@@ -81,9 +82,9 @@
 	}
 }
 
-// A short bad day on which all prove who they are by identities that live four seconds and are renewed all at once, with a
-// false steward in every forwarder's list and programs that poll, post and set as others: they achieve nothing, and all
-// rules hold while a host hangs and a steward is killed.
+// Callers are authenticated by certificates that are valid for 4 s and all renewed at the same time. A controller with an
+// untrusted certificate is on every proxy's list, and unauthorized clients send requests in the name of a proxy and an
+// operator. None of them is accepted, and all invariants hold while a host hangs and a controller restarts.
 func TestUnauthorizedCallersAreRejected(t *testing.T) {
 	t.Parallel()
 	result, s, out := runScenario(t, `length_s: 10 seed: 8 stewards: 1 list_late_ms: 200 identities: true identity_life_s: 4
@@ -96,13 +97,13 @@
 	if !result.Passed || result.ServiceLevel < 0.5 || identities.attempts.Load() < 50 || identities.successes.Load() != 0 {
 		t.Error(out)
 	}
-	if last := s.ingest.samples[len(s.ingest.samples)-1]; last.Processed < 80 { // the hosts' own reports among it
+	if last := s.ingest.samples[len(s.ingest.samples)-1]; last.Processed < 80 { // includes load reports of hosts
 		t.Errorf("few sums and reports came: %+v", last)
 	}
 }
 
-// All prove who they are. The first of two stewards is killed while a host hangs and another drains; the second stands by and takes over, and the
-// first comes back with its state. All rules hold throughout, counted from what passed.
+// The leader is killed while a host hangs and another drains. The standby takes over with the leader's state, and the
+// leader restores its state when it returns. All invariants hold. All peers are authenticated by certificates.
 func TestStandbyTakesOver(t *testing.T) {
 	t.Parallel()
 	inspect := func(s *scenario) {
--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -21,7 +21,8 @@
 	"barleysail/internal/identity"
 )
 
-// identities of a day: an issuer with short lives that are renewed all day, and an impostor who tries what he can.
+// identities holds the SPIFFE identities of a scenario, which are short-lived and renewed throughout. It also counts the
+// attempts of unauthorized clients, and holds a controller whose certificate is signed by an untrusted authority.
 type identities struct {
 	authority   *issuer.Authority
 	validity    time.Duration
@@ -29,12 +30,13 @@
 	mu          sync.Mutex
 	workloads   []workload
 	sources     []*identity.Source
-	rogue       *daemon.Daemon // a steward by another root of the same name
-	attempts    atomic.Int64   // of the impostors
-	successes   atomic.Int64   // that achieved something
-	lastSuccess atomic.Pointer[string]
+	rogue       *daemon.Daemon         // its authority has the same trust domain, but is not in the bundle
+	attempts    atomic.Int64           // requests sent by unauthorized clients
+	successes   atomic.Int64           // requests of theirs that were accepted
+	lastSuccess atomic.Pointer[string] // method and path of the last accepted one
 }
 
+// workload is a workload with an identity, and the authority that signs it.
 type workload struct {
 	endpoint  *issuer.Endpoint
 	id        string
@@ -46,7 +48,7 @@
 	defaultValidityS = 20.0 // s
 )
 
-// issue makes a workload with an identity.
+// addWorkload serves an identity to a new workload, and renews it from then on.
 func (ids *identities) addWorkload(name, id string, authority *issuer.Authority) (*issuer.Endpoint, error) {
 	endpoint, err := issuer.NewEndpoint(ids.folder, name)
 	if err != nil {
@@ -59,6 +61,7 @@
 	return endpoint, ids.renew(added)
 }
 
+// renew issues a new certificate to a workload.
 func (ids *identities) renew(w workload) error {
 	svid, err := w.authority.Sign(w.id, ids.validity, nil)
 	if err != nil {
@@ -68,7 +71,7 @@
 	return nil
 }
 
-// renewing renews all at a third of their life, all at once.
+// renewPeriodically renews all identities at the same time, each time a third of their validity has passed.
 func (ids *identities) renewPeriodically(ctx context.Context) {
 	for sleep(ctx, ids.validity/3) {
 		ids.mu.Lock()
@@ -80,7 +83,7 @@
 	}
 }
 
-// open takes up a workload's identity.
+// openSource fetches a workload's identity and follows its renewals.
 func (ids *identities) openSource(endpoint *issuer.Endpoint) (*identity.Source, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -93,7 +96,7 @@
 	return source, err
 }
 
-// steward tells whether an identity is one of the day's stewards.
+// verifyController accepts the identities of controllers.
 func verifyController(id spiffeid.ID) error {
 	if !strings.HasPrefix(id.String(), trustDomain+"/steward/") {
 		return fmt.Errorf("%s is no steward of ours", id)
@@ -101,7 +104,7 @@
 	return nil
 }
 
-// proving makes what a workload needs to call stewards.
+// controllerTLS adds a workload, and returns its identity and the TLS settings for its calls to controllers.
 func (ids *identities) controllerTLS(name, id string) (*identity.Source, *tls.Config, error) {
 	endpoint, err := ids.addWorkload(name, id, ids.authority)
 	if err != nil {
@@ -114,7 +117,7 @@
 	return source, source.Client(verifyController), nil
 }
 
-// identify begins the day's identities.
+// setUpIdentities creates the certificate authority and the operator's identity if the script wants identities.
 func (s *scenario) setUpIdentities() error {
 	if !s.script.Identities {
 		return nil
@@ -137,7 +140,7 @@
 	return nil
 }
 
-// identified sets a steward's identity and the day's rules.
+// setControllerIdentity sets a controller's identity and the authorization rules.
 func (s *scenario) setControllerIdentity(controllerConfig *configpb.Config, index int) error {
 	identities := s.identities
 	if identities == nil {
@@ -155,6 +158,7 @@
 	return nil
 }
 
+// identitySettings returns identity settings with the authorization rules that all controllers have.
 func identitySettings(workloadAPI string) *configpb.Identity {
 	return &configpb.Identity{WorkloadApi: workloadAPI, Handshakes: proto.Int32(32), Allow: []*configpb.Allow{
 		{Id: trustDomain + "/forwarder/{zone}/{proxy}", Actions: []string{"poll", "sums"}},
@@ -163,7 +167,7 @@
 		{Id: trustDomain + "/steward/*", Actions: []string{"follow"}}}}
 }
 
-// scheme of the stewards' URLs.
+// scheme returns the scheme of the controllers' URLs.
 func (s *scenario) scheme() string {
 	if s.identities != nil {
 		return "https://"
@@ -171,8 +175,8 @@
 	return "http://"
 }
 
-// impostors begin: a steward by another root, which all forwarders have in their lists, and programs that poll, post, set and
-// follow as others.
+// startUnauthorizedClients starts two clients that send requests in the name of the first proxy: one with that proxy's
+// SPIFFE ID, but signed by an untrusted authority, and one with a valid identity of another proxy.
 func (s *scenario) startUnauthorizedClients(ctx context.Context) error {
 	identities := s.identities
 	if identities == nil {
@@ -196,7 +200,7 @@
 			return err
 		}
 		client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13,
-			InsecureSkipVerify: true, // an impostor does not mind whom he calls
+			InsecureSkipVerify: true, // an attacker accepts any controller
 			GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 				certificate, _ := source.Certificate()
 				return certificate, nil
@@ -206,7 +210,8 @@
 	return nil
 }
 
-// impostor tries one thing after the other, all day.
+// sendUnauthorizedRequests sends requests for which the client has no permission until the scenario ends, and counts
+// those that are accepted.
 func (s *scenario) sendUnauthorizedRequests(ctx context.Context, client *http.Client, proxy, zone string) {
 	identities := s.identities
 	host := s.hosts[0].Address
@@ -239,7 +244,8 @@
 	}
 }
 
-// rogueSteward runs a steward by another root of the same name, and gives its address.
+// startRogueController starts a controller whose certificate is signed by an untrusted authority with the name of the
+// trust domain, and returns its address.
 func (s *scenario) startRogueController() (string, error) {
 	identities := s.identities
 	untrusted, err := issuer.NewAuthority("race.example")
@@ -259,7 +265,7 @@
 	return identities.rogue.Addr(), nil
 }
 
-// print says what the impostors achieved.
+// print prints how many unauthorized connections and requests were accepted.
 func (ids *identities) print(out io.Writer) {
 	connected := ids.rogue.Operators().Status().ConnectedProxies
 	fmt.Fprintf(out, "impostors: %d proxies joined the false steward; %d tries by false forwarders, %d achieved something\n", connected, ids.attempts.Load(), ids.successes.Load())
@@ -268,11 +274,12 @@
 	}
 }
 
-// kept tells whether the impostors achieved nothing.
+// allRejected reports whether no proxy joined the rogue controller and no unauthorized request was accepted.
 func (ids *identities) allRejected() bool {
 	return ids.successes.Load() == 0 && ids.rogue.Operators().Status().ConnectedProxies == 0
 }
 
+// close stops the rogue controller and the issuer.
 func (ids *identities) close() {
 	if ids.rogue != nil {
 		ids.rogue.Kill()
--- a/internal/rehearse/ingest_stats.go
+++ b/internal/rehearse/ingest_stats.go
@@ -17,17 +17,17 @@
 	"barleysail/internal/daemon"
 )
 
-// taken follows what the stewards take in, sampled each second.
+// ingestStats collects the controllers' ingest reports, which are sampled each second.
 type ingestStats struct {
 	client           *http.Client
-	samples          []daemon.IngestReport // of the first steward
-	rejectedReports  atomic.Int64          // hosts' reports that were not let in
+	samples          []daemon.IngestReport // of the first controller
+	rejectedReports  atomic.Int64          // load reports of hosts that were answered with status 429
 	maxSheddingLevel int
 	maxLatenessMs    float64
 	maxWaitP99Ms     float64
 }
 
-// hostReports has the hosts of groups that report by themselves do so.
+// startLoadReports starts the load reports of the host groups that send them.
 func (s *scenario) startLoadReports(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, MaxIdleConns: 1024}, Timeout: 2 * time.Second}
 	hostIndex, urls := 0, []string(nil)
@@ -53,7 +53,7 @@
 	}
 }
 
-// sampleIntake asks each steward how its intake stands.
+// sampleIngest fetches the ingest report of each controller.
 func (s *scenario) sampleIngest() {
 	stats := &s.ingest
 	for i, address := range s.controllerAddresses {
@@ -75,7 +75,7 @@
 	}
 }
 
-// print says how the intake fared: the first steward's figures, and the worst of all.
+// print prints the figures of the first controller, and the worst ones of all controllers.
 func (s *ingestStats) print(out io.Writer) {
 	if len(s.samples) == 0 {
 		return
@@ -91,7 +91,8 @@
 	fmt.Fprintf(out, "        heap %.1f MiB early, %.1f MiB at the end; %d hosts doubted, %d silent\n", s.minHeapMiB(0.1, 0.35), s.minHeapMiB(0.75, 1), last.Distrusted, last.Silent)
 }
 
-// heap is the least of a part of the day, as it stands after a collection.
+// minHeapMiB returns the smallest heap size in a part of the scenario, given as fractions of its length. The minimum
+// approximates the size after a garbage collection.
 func (s *ingestStats) minHeapMiB(from, to float64) float64 {
 	least := math.Inf(1)
 	count := float64(len(s.samples))
--- a/internal/rehearse/optimality_gap.go
+++ b/internal/rehearse/optimality_gap.go
@@ -8,8 +8,8 @@
 	"barleysail/solver"
 )
 
-// gaps follows how far the forwarders' tables are from the best there is, sampled as the day goes on. The best knows
-// each host's true state, as no steward does, so a trouble shows as a gap until it is found out.
+// optimalityGaps samples how much worse the proxies' tables are than optimal ones. The optimum is solved with the true
+// state of each host, which no controller knows, so that a fault shows as a gap until it is detected.
 type optimalityGaps struct {
 	count             int
 	sum, worst        float64
@@ -20,9 +20,9 @@
 	samples           []gapSample
 }
 
-type gapSample struct{ atS, gap float64 } // s from the day's start
+type gapSample struct{ atS, gap float64 } // atS: s since the start of the scenario
 
-// sampleGap measures the tables as they stand.
+// sampleGap measures the gap of the current tables.
 func (s *scenario) sampleGap(elapsedS float64) {
 	problem, tables := s.optimizationProblem(), s.zoneTables()
 	measured, err := problem.Measure(tables)
@@ -47,7 +47,8 @@
 	}
 }
 
-// problem is the fleet as it truly is now: what hangs or is down has no capacity, what is slow or cold a part.
+// optimizationProblem describes the true state of the fleet: a host that hangs or is down has no capacity, and one that
+// is slow or in slow start a fraction of it.
 func (s *scenario) optimizationProblem() *solver.Problem {
 	config := s.config
 	problem := &solver.Problem{Zones: config.Zones, Demand: map[string]map[string]float64{}, Objective: solver.Objective{TotalWeight: *config.Goal.Whole,
@@ -79,7 +80,7 @@
 	return problem
 }
 
-// tables are the forwarders' own, put together by zone: each forwarder gets the same traffic.
+// zoneTables returns the proxies' tables, averaged by zone with equal weights since all proxies get the same traffic.
 func (s *scenario) zoneTables() solver.Tables {
 	aggregator := solver.NewTableAggregator()
 	for _, proxy := range s.proxies {
@@ -96,6 +97,7 @@
 	return aggregator.Tables()
 }
 
+// print prints the mean and the worst gap.
 func (g *optimalityGaps) print(out io.Writer) {
 	switch {
 	case g.measureErr != nil:
@@ -110,7 +112,7 @@
 	}
 }
 
-// mean of the gaps from one time up to another, and how many there are.
+// mean returns the mean and the number of the samples from fromS until before toS.
 func (g *optimalityGaps) mean(fromS, toS float64) (mean float64, count int) {
 	for _, sample := range g.samples {
 		if sample.atS >= fromS && sample.atS < toS {
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -1,5 +1,6 @@
-// Package rehearse plays a scripted day on loopback: real stewards on sockets, stand-in hosts and forwarders,
-// and troubles at stated times. Service is counted and the rules are reckoned from what passed on the sockets.
+// Package rehearse runs scripted fault scenarios on loopback: real controllers with fake hosts and proxies, and faults
+// that are injected at stated times. It measures the service level, and checks the invariants of package rules against
+// the traffic that was observed on the sockets.
 package rehearse
 
 import (
@@ -26,21 +27,21 @@
 	"barleysail/internal/rules"
 )
 
-// Result of a day.
+// Result is the result of a scenario.
 type Result struct {
-	ServiceLevel float64
+	ServiceLevel float64 // fraction of the requests that met their latency objective, by priority weight
 	Verdicts     []rules.Verdict
-	Passed       bool
+	Passed       bool // all invariants held, and no unauthorized request was accepted
 }
 
-// day is one that is being played.
+// scenario is a scenario that is being run.
 type scenario struct {
 	script           *daypb.Day
 	config           *configpb.Config
 	version          string
-	recordingsFolder string // folder for recordings, empty: none
-	incarnations     int
-	closeRecordings  []func() error // to be ended
+	recordingsFolder string // empty: nothing is recorded
+	incarnations     int    // of all controllers
+	closeRecordings  []func() error
 	tempDir          string
 	out              io.Writer
 	log              zerolog.Logger
@@ -51,31 +52,30 @@
 	optimality        optimalityGaps
 	ingest            ingestStats
 	restarts          []controllerRestart
-	identities        *identities // nil: all is plain
-	rogueAddress      string      // address of an impostor steward; empty: none
-	controllerProgram string      // that stewards are started with; empty: they run in this process
+	identities        *identities // nil: plain HTTP
+	rogueAddress      string      // controller with an untrusted certificate; empty: none
+	controllerProgram string      // started for each controller; empty: they run in this process
 
 	mu                  sync.Mutex
 	hosts               []*scenarioHost
 	proxies             []*fake.Proxy
 	controllers         []controllerInstance
 	controllerAddresses []string
-	progressNotes       string
+	progressNotes       string // printed on the next line of progress
 }
 
-// member is a host with what the list says of it.
+// scenarioHost is a host with its state on the endpoint list.
 type scenarioHost struct {
 	*fake.Host
 	zone      string
 	listed    bool
 	draining  bool
-	startedMs float64
+	startedMs float64 // 0: at the start of the scenario
 }
 
-// Play plays the day of a script file, with progress and the report on out. With a folder for records each life
-// of a steward is recorded there.
-//
-// With a program, stewards are processes of their own.
+// Run runs the scenario of a script file, and prints its progress and a report to out. If recordingsFolder is not
+// empty, each proxy and each incarnation of a controller is recorded there. If controllerProgram is not empty, each
+// controller is a process of that program.
 func Run(ctx context.Context, file, version, recordingsFolder, controllerProgram string, out io.Writer, log zerolog.Logger) (*Result, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -88,13 +88,13 @@
 	return runScript(ctx, script, version, recordingsFolder, controllerProgram, out, log, func(*rules.Limits) {})
 }
 
-// playDay plays a script; judge may change the figures that the rules are reckoned by.
+// runScript runs a script. adjustLimits may change the limits that the invariants are checked against.
 func runScript(ctx context.Context, script *daypb.Day, version, recordingsFolder, controllerProgram string, out io.Writer,
 	log zerolog.Logger, adjustLimits func(*rules.Limits)) (*Result, error) {
 	return runAndInspect(ctx, script, version, recordingsFolder, controllerProgram, out, log, adjustLimits, func(*scenario) {})
 }
 
-// playing plays a script, and shows the day before it is taken down.
+// runAndInspect runs a script like runScript, and calls inspect before the controllers are stopped.
 func runAndInspect(ctx context.Context, script *daypb.Day, version, recordingsFolder, controllerProgram string, out io.Writer,
 	log zerolog.Logger, adjustLimits func(*rules.Limits), inspect func(*scenario)) (*Result, error) {
 	s := &scenario{script: script, version: version, recordingsFolder: recordingsFolder, controllerProgram: controllerProgram, out: out, log: log, eventLog: rules.NewEventLog(),
@@ -118,6 +118,7 @@
 	return s.report(limits), ctx.Err()
 }
 
+// validate sets the defaults of the script, checks it, and derives the controllers' configuration from it.
 func (s *scenario) validate() error {
 	script := s.script
 	if script.Stewards == 0 {
@@ -143,7 +144,7 @@
 			}
 		}
 	}
-	if controllerConfig.Identity == nil { // stand-ins on this machine alone
+	if controllerConfig.Identity == nil { // all peers are on loopback
 		controllerConfig.Identity = &configpb.Identity{PlainLoopback: true}
 	}
 	controllerConfig.Listen, controllerConfig.Record, controllerConfig.Fleet.Stewards = "127.0.0.1:0", "", &script.Stewards
@@ -176,11 +177,13 @@
 	return nil
 }
 
-// figures are the rules' figures by the configuration.
+// limits returns the limits of the invariants that follow from the controllers' configuration.
 func (s *scenario) limits() rules.Limits {
 	return config.Rules(s.config, s.script.FallMs)
 }
 
+// setUp starts the hosts, the controllers and the proxies. Proxies with a runtime socket are created before the
+// controllers, whose configuration lists their sockets; the others after them, since they need their addresses.
 func (s *scenario) setUp() error {
 	limits := s.limits()
 	for _, group := range s.script.Hosts {
@@ -234,7 +237,7 @@
 	return s.createProxies(daypb.Front_POLLS)
 }
 
-// steward starts one at an address.
+// startController starts the next incarnation of a controller.
 func (s *scenario) startController(index int, address string) (controllerInstance, error) {
 	controllerConfig := proto.Clone(s.config).(*configpb.Config)
 	controllerConfig.Listen = address
@@ -260,8 +263,9 @@
 	return daemon.Start(controllerConfig, s.version, s.log)
 }
 
-// forward makes the forwarders of a front, the stewards dealt out to them in turn, each with a few hosts of its zone.
-// All stewards are told of those with sockets, and settle among themselves who drives which.
+// createProxies creates the proxies of one kind. Those that poll are assigned to the controllers in turn. The runtime
+// sockets of the others are listed in the configuration of every controller; the controllers agree on which of them
+// drives which socket.
 func (s *scenario) createProxies(front daypb.Front) error {
 	proxyCount, index := 0, 0
 	for _, group := range s.script.Forwarders {
@@ -321,7 +325,8 @@
 	return nil
 }
 
-// stewardsOf are those that a forwarder turns to, in order: dealt out in turn, one that stands by at the end.
+// controllerURLs returns the controllers that a proxy polls, in order of preference: beginning with a different one for
+// each proxy, then a standby, then the rogue controller.
 func (s *scenario) controllerURLs(proxyIndex int) (urls []string) {
 	active := s.controllerAddresses
 	if s.script.Standby && len(active) > 1 {
@@ -339,7 +344,7 @@
 	return urls
 }
 
-// recordProxy has a forwarder's transactions recorded.
+// recordProxy sets up the recording of a proxy's requests.
 func (s *scenario) recordProxy(settings *fake.ProxySettings) error {
 	file, err := os.Create(filepath.Join(s.recordingsFolder, settings.Name+".day"))
 	if err != nil {
@@ -351,7 +356,7 @@
 	return nil
 }
 
-// list writes the host list as it now stands, and notes it: stewards can know it from then on.
+// writeEndpointList replaces the endpoint list file, and logs the list as known to controllers from then on.
 func (s *scenario) writeEndpointList() error {
 	list, logged := &configpb.HostList{}, map[string]rules.Listed{}
 	s.mu.Lock()
@@ -380,10 +385,11 @@
 	return os.Rename(tempFile, s.config.List.File)
 }
 
-// largeDay is a fleet, hosts by forwarders, whose gap is measured each ten seconds only, since that takes long.
+// largeFleet is the number of hosts times proxies from which the optimality gap is sampled only every 10 s instead of
+// every second, since a measurement takes long.
 const largeFleet = 50000
 
-// run plays the day: traffic, steps and progress.
+// run generates the traffic, runs the steps, and samples and prints the progress until the scenario ends.
 func (s *scenario) run(ctx context.Context) {
 	running, stop := context.WithCancel(ctx)
 	defer stop()
@@ -434,6 +440,7 @@
 	s.progressNotes = ""
 }
 
+// addNote adds an event to the next line of progress.
 func (s *scenario) addNote(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -443,6 +450,7 @@
 	s.progressNotes += fmt.Sprintf(format, args...)
 }
 
+// report checks the invariants and prints the results.
 func (s *scenario) report(limits rules.Limits) *Result {
 	result := &Result{Passed: true, Verdicts: s.eventLog.Check(limits, fake.Now())}
 	result.ServiceLevel, _ = s.serviceLevel.fraction(0, 1<<30)
@@ -472,6 +480,7 @@
 	return result
 }
 
+// tearDown stops the controllers and hosts, and closes the recordings.
 func (s *scenario) tearDown() {
 	if s.identities != nil {
 		defer s.identities.close()
--- a/internal/rehearse/scenario_test.go
+++ b/internal/rehearse/scenario_test.go
@@ -45,7 +45,7 @@
 	return result, out.String()
 }
 
-// A short bad day through real sockets keeps all rules, though one steward is killed and hosts hang and die.
+// All invariants hold, checked by the traffic on real sockets, while hosts hang, drain and crash and a controller restarts.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	if result, out := runShortScenario(t, func(*rules.Limits) {}); !result.Passed || result.ServiceLevel < 0.5 {
@@ -53,7 +53,8 @@
 	}
 }
 
-// Judged by figures stricter than the stewards were told, the same day breaks them: the checks look.
+// The same scenario violates an invariant when it is checked against stricter limits than the controllers keep to. This
+// guards against checks that never fail.
 func TestViolationsAreDetected(t *testing.T) {
 	t.Parallel()
 	result, out := runShortScenario(t, func(limits *rules.Limits) { limits.MaxMessages, limits.DrainGraceMs = 1, 0.001 })
@@ -66,8 +67,8 @@
 	}
 }
 
-// A recorded day replays as it was: each steward's answers byte for byte, and about the service that was recorded. How
-// near is measured in docs/replay.md; here a busy machine must not decide the verdict.
+// A recording is replayed as it was: the answers of each controller are the same byte for byte, and the service level is
+// about the recorded one. The tolerance allows for a busy machine; docs/replay.md has the accuracy of replays.
 func TestRecordingReplays(t *testing.T) {
 	t.Parallel()
 	script, dir := &daypb.Day{}, t.TempDir()
@@ -127,7 +128,7 @@
 	if sources := replay.Compare(outcome, outcome, 1).All; math.Abs(sources.Recorded-sources.One) > 0.15 || sources.Difference.Value != 0 || outcome.Tries < 300 {
 		t.Errorf("recorded %.3f, replayed %.3f, %d tries", sources.Recorded, sources.One, outcome.Tries)
 	}
-	for name, offsets := range outcome.Offsets { // one machine, one clock
+	for name, offsets := range outcome.Offsets { // all processes share one clock
 		if len(offsets) != 1 || math.Abs(offsets[0].By) > 20 {
 			t.Errorf("%s is taken to be off: %+v", name, offsets)
 		}
--- a/internal/rehearse/service_level.go
+++ b/internal/rehearse/service_level.go
@@ -10,10 +10,10 @@
 	"barleysail/client"
 )
 
-// window is the length of the spans by which service is told.
+// windowMs is the length of the windows in which requests are counted, in ms.
 const windowMs = 5000.0
 
-// service counts what was earned and asked for, by class and window of arrival.
+// serviceLevel counts the outcomes of requests by class and by the window in which they were received.
 type serviceLevel struct {
 	mu                 sync.Mutex
 	startMs            float64
@@ -23,18 +23,20 @@
 	counts             map[string][]requestCounts
 }
 
+// requestCounts counts the requests of a window by outcome.
 type requestCounts struct{ received, inTime, late, notAdmitted, failed int }
 
 func newServiceLevel(startMs float64) *serviceLevel {
 	return &serviceLevel{startMs: startMs, priorityWeight: map[string]float64{}, latencyObjectiveMs: map[string]float64{}, counts: map[string][]requestCounts{}}
 }
 
-// class adds a class; the order stays.
+// addClass adds a request class. Classes are printed in the order in which they were added.
 func (s *serviceLevel) addClass(name string, priorityWeight, latencyObjectiveMs float64) {
 	s.classes = append(s.classes, name)
 	s.priorityWeight[name], s.latencyObjectiveMs[name] = priorityWeight, latencyObjectiveMs
 }
 
+// countRequest counts a request that ended.
 func (s *serviceLevel) countRequest(class string, receivedMs, durationMs float64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +58,8 @@
 	}
 }
 
-// share is the part of the earnings that was answered in time, over windows from one up to another.
+// fraction returns the fraction of the requests received in the windows from from until before to that met their latency
+// objective, by priority weight, and the number of requests.
 func (s *serviceLevel) fraction(from, to int) (float64, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,6 +78,7 @@
 	return achieved / total, requests
 }
 
+// print prints the service level, and a table with a row for each window.
 func (s *serviceLevel) print(out io.Writer) {
 	level, requests := s.fraction(0, 1<<30)
 	fmt.Fprintf(out, "\nservice %.3f of the earnings asked for, %d transactions\n", level, requests)
--- a/internal/rehearse/steps.go
+++ b/internal/rehearse/steps.go
@@ -8,9 +8,10 @@
 	"barleysail/internal/rehearse/daypb"
 )
 
+// secondsToDuration converts a time in s.
 func secondsToDuration(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-// wait tells whether the time passed before the day ended.
+// sleep waits for a duration. It returns false if the context ended before.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
@@ -20,7 +21,7 @@
 	}
 }
 
-// step waits for its time, does what it says, and undoes it.
+// runStep waits for the time of a step, injects its fault, and ends the fault after the duration of the step.
 func (s *scenario) runStep(ctx context.Context, step *daypb.Step) {
 	if !sleep(ctx, secondsToDuration(step.AtS)) {
 		return
@@ -93,10 +94,10 @@
 	}
 }
 
-// slowSocket is how late a slow socket answers.
+// slowSocketDelay is the response time of a runtime socket during a SLOW_SOCKET step.
 const slowSocketDelay = 300 * time.Millisecond
 
-// withSockets gives a part of the forwarders that have one.
+// socketProxies returns a fraction of the proxies that have a runtime socket.
 func (s *scenario) socketProxies(fraction float64) (proxies []*fake.Proxy) {
 	for _, proxy := range s.proxies {
 		if proxy.SocketAddress() != "" {
@@ -106,13 +107,14 @@
 	return proxies[:min(int(fraction*float64(len(proxies))+0.5), len(proxies))]
 }
 
+// delayRequestStats sets the delay of all request stats.
 func (s *scenario) delayRequestStats(delay time.Duration) {
 	for _, proxy := range s.proxies {
 		proxy.DelayRequestStats(delay)
 	}
 }
 
-// chosen gives the hosts that a step is about.
+// selectHosts returns the hosts that a step applies to.
 func (s *scenario) selectHosts(step *daypb.Step) []*scenarioHost {
 	var selected []*scenarioHost
 	for _, host := range s.hosts {
@@ -127,6 +129,7 @@
 	return selected
 }
 
+// applyFault starts or ends a fault of hosts, and adds a note with its description.
 func (s *scenario) applyFault(hosts []*scenarioHost, description string, apply func(*scenarioHost)) {
 	for _, host := range hosts {
 		apply(host)
@@ -142,7 +145,7 @@
 	}
 }
 
-// listing changes what the list says of hosts.
+// changeEndpoints changes the state of hosts on the endpoint list.
 func (s *scenario) changeEndpoints(hosts []*scenarioHost, description string, change func(*scenarioHost)) {
 	s.mu.Lock()
 	for _, host := range hosts {
@@ -155,7 +158,8 @@
 	s.addHostNote(hosts, description)
 }
 
-// lose lets hosts die and come back cold; the list learns of either late.
+// crashHosts crashes hosts and restarts them in slow start. The endpoint list follows each change after the delay of the
+// script.
 func (s *scenario) crashHosts(ctx context.Context, hosts []*scenarioHost, step *daypb.Step) {
 	listDelay := time.Duration(s.script.ListLateMs * float64(time.Millisecond))
 	s.applyFault(hosts, "dies", func(host *scenarioHost) { host.Crash() })
@@ -179,14 +183,14 @@
 	})
 }
 
-// kill ends a steward as the end of its process would, and starts another at its address.
+// restartController kills a controller, and starts its next incarnation at the same address after the step's duration.
 func (s *scenario) restartController(ctx context.Context, index int, step *daypb.Step) {
 	s.controllers[index].Kill()
 	killedAtS := time.Since(s.start).Seconds()
 	s.addNote("steward %d is killed", index)
 	sleep(ctx, secondsToDuration(step.ForS))
 	restarted, err := s.startController(index, s.controllerAddresses[index])
-	for attempt := 0; err != nil && attempt < 50; attempt++ { // the port may be held for a moment
+	for attempt := 0; err != nil && attempt < 50; attempt++ { // the port may not be free yet
 		time.Sleep(20 * time.Millisecond)
 		restarted, err = s.startController(index, s.controllerAddresses[index])
 	}
