--- a/internal/rehearse/controller_process.go
+++ b/internal/rehearse/controller_process.go
@@ -40,7 +40,10 @@
 	if err := os.WriteFile(file, text, 0o644); err != nil {
 		return nil, fmt.Errorf("writing a steward's configuration: %w", err)
 	}
-	process := &controllerProcess{command: exec.Command(s.controllerProgram, "run", "--config", file, "--log-level", "warn"), exited: make(chan struct{})}
+	process := &controllerProcess{
+		command: exec.Command(s.controllerProgram, "run", "--config", file, "--log-level", "warn"),
+		exited:  make(chan struct{}),
+	}
 	process.command.Stderr = os.Stderr
 	out, err := process.command.StdoutPipe()
 	if err != nil {
--- a/internal/rehearse/controller_restarts.go
+++ b/internal/rehearse/controller_restarts.go
@@ -28,7 +28,9 @@
 				break
 			}
 		}
-		fmt.Fprintf(s.out, "steward %d lost at %.0f s, back at %.1f s: service %.4f of %d until 30 s after, gap %.4f before, %.4f in the 30 s after, as before after %.0f s\n",
+		fmt.Fprintf(s.out,
+			"steward %d lost at %.0f s, back at %.1f s: service %.4f of %d until 30 s after, "+
+				"gap %.4f before, %.4f in the 30 s after, as before after %.0f s\n",
 			restart.controller, restart.killedAtS, restart.restartedAtS, level, count, gapBefore, gapAfter, recoveredAfterS)
 	}
 }
--- a/internal/rehearse/faults_test.go
+++ b/internal/rehearse/faults_test.go
@@ -14,8 +14,8 @@
 	"barleysail/internal/rules"
 )
 
-// runScenario runs a script and calls the functions of inspect before the controllers are stopped. It returns the result,
-// the scenario with its samples, and the output.
+// runScenario runs a script and calls the functions of inspect before the controllers are stopped. It returns the
+// result, the scenario with its samples, and the output.
 func runScenario(t *testing.T, text string, inspect ...func(*scenario)) (*Result, *scenario, string) {
 	t.Helper()
 	script := &daypb.Day{}
@@ -24,7 +24,9 @@
 	}
 	var out strings.Builder
 	var inspected *scenario
-	result, err := runAndInspect(context.Background(), script, "test", "", "", &out, zerolog.New(io.Discard), func(*rules.Limits) {}, func(s *scenario) {
+	keepLimits := func(*rules.Limits) {}
+	log := zerolog.New(io.Discard)
+	result, err := runAndInspect(context.Background(), script, "test", "", "", &out, log, keepLimits, func(s *scenario) {
 		inspected = s
 		for _, check := range inspect {
 			check(s)
@@ -36,19 +38,22 @@
 	return result, inspected, out.String()
 }
 
-// Faults in the load reports of 60 hosts: one host reports at 100 times the usual rate, one stops reporting, and one has a
-// clock that is an hour ahead, while a tenth of the proxies reconnect at once. All invariants hold, the excess reports are
-// rejected, the silent host is detected, and the other reports are still processed.
+// Faults in the load reports of 60 hosts: one host reports at 100 times the usual rate, one stops reporting, and one
+// has a clock that is an hour ahead, while a tenth of the proxies reconnect at once. All invariants hold, the excess
+// reports are rejected, the silent host is detected, and the other reports are still processed.
 func TestHostReportFaults(t *testing.T) {
 	t.Parallel()
 	result, s, out := runScenario(t, `length_s: 12 seed: 5 stewards: 1 list_late_ms: 200
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
-  classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } intake { source_lines_per_s: 50 silent_ms: 2000 } }
+  classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 }
+  intake { source_lines_per_s: 50 silent_ms: 2000 } }
 hosts { zone: "a" count: 30 cores: 2 report_ms: 100 } hosts { zone: "b" count: 30 cores: 2 report_ms: 100 }
 forwarders { zone: "a" count: 10 } forwarders { zone: "b" count: 10 }
 traffic { class: "sheet" rate: 150 work_ms: 40 } traffic { class: "finish" rate: 150 work_ms: 20 effect: ONCE }
-steps { at_s: 1 for_s: 20 what: FLOOD zone: "a" first: 1 count: 1 size: 100 } steps { at_s: 2 for_s: 20 what: MUTE zone: "a" first: 2 count: 1 }
-steps { at_s: 1 for_s: 20 what: AHEAD zone: "b" first: 2 count: 1 size: 3600 } steps { at_s: 4 for_s: 1 what: CUT size: 0.1 }`)
+steps { at_s: 1 for_s: 20 what: FLOOD zone: "a" first: 1 count: 1 size: 100 }
+steps { at_s: 2 for_s: 20 what: MUTE zone: "a" first: 2 count: 1 }
+steps { at_s: 1 for_s: 20 what: AHEAD zone: "b" first: 2 count: 1 size: 3600 }
+steps { at_s: 4 for_s: 1 what: CUT size: 0.1 }`)
 	last := s.ingest.samples[len(s.ingest.samples)-1]
 	if !result.Passed || result.ServiceLevel < 0.5 {
 		t.Error(out)
@@ -82,15 +87,17 @@
 	}
 }
 
-// Callers are authenticated by certificates that are valid for 4 s and all renewed at the same time. A controller with an
-// untrusted certificate is on every proxy's list, and unauthorized clients send requests in the name of a proxy and an
-// operator. None of them is accepted, and all invariants hold while a host hangs and a controller restarts.
+// Callers are authenticated by certificates that are valid for 4 s and all renewed at the same time. A controller with
+// an untrusted certificate is on every proxy's list, and unauthorized clients send requests in the name of a proxy and
+// an operator. None of them is accepted, and all invariants hold while a host hangs and a controller restarts.
 func TestUnauthorizedCallersAreRejected(t *testing.T) {
 	t.Parallel()
-	result, s, out := runScenario(t, `length_s: 10 seed: 8 stewards: 1 list_late_ms: 200 identities: true identity_life_s: 4
+	result, s, out := runScenario(t, `length_s: 10 seed: 8 stewards: 1 list_late_ms: 200
+identities: true identity_life_s: 4
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
   classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } guard { cold_ms: 4000 grace_ms: 2500 } }
-hosts { zone: "a" count: 3 report_ms: 200 } hosts { zone: "b" count: 3 } forwarders { zone: "a" count: 2 } forwarders { zone: "b" count: 2 }
+hosts { zone: "a" count: 3 report_ms: 200 } hosts { zone: "b" count: 3 }
+forwarders { zone: "a" count: 2 } forwarders { zone: "b" count: 2 }
 traffic { class: "sheet" rate: 30 work_ms: 30 } traffic { class: "finish" rate: 30 work_ms: 20 effect: ONCE }
 steps { at_s: 2 for_s: 2 what: HANG zone: "a" count: 1 } steps { at_s: 5 for_s: 1 what: KILL steward: 0 }`)
 	identities := s.identities
@@ -116,12 +123,16 @@
 			t.Errorf("the first when it is back: %+v", m)
 		}
 	}
-	result, _, out := runScenario(t, `length_s: 11 seed: 9 stewards: 2 standby: true state: true identities: true identity_life_s: 5 list_late_ms: 200
+	result, _, out := runScenario(t, `length_s: 11 seed: 9 stewards: 2 standby: true state: true list_late_ms: 200
+identities: true identity_life_s: 5
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
-  classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } guard { cold_ms: 4000 grace_ms: 2500 } standby { fresh_ms: 1500 } state { every_ms: 200 } }
-hosts { zone: "a" count: 3 } hosts { zone: "b" count: 3 } forwarders { zone: "a" count: 2 } forwarders { zone: "b" count: 2 }
+  classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 }
+  guard { cold_ms: 4000 grace_ms: 2500 } standby { fresh_ms: 1500 } state { every_ms: 200 } }
+hosts { zone: "a" count: 3 } hosts { zone: "b" count: 3 }
+forwarders { zone: "a" count: 2 } forwarders { zone: "b" count: 2 }
 traffic { class: "sheet" rate: 40 work_ms: 30 } traffic { class: "finish" rate: 40 work_ms: 20 effect: ONCE }
-steps { at_s: 3 for_s: 4 what: HANG zone: "a" count: 1 } steps { at_s: 4.5 for_s: 4 what: DRAIN zone: "b" first: 2 count: 1 }
+steps { at_s: 3 for_s: 4 what: HANG zone: "a" count: 1 }
+steps { at_s: 4.5 for_s: 4 what: DRAIN zone: "b" first: 2 count: 1 }
 steps { at_s: 5 for_s: 4 what: KILL steward: 0 }`, inspect)
 	if !result.Passed || result.ServiceLevel < 0.5 {
 		t.Error(out)
--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -21,8 +21,8 @@
 	"barleysail/internal/identity"
 )
 
-// identities holds the SPIFFE identities of a scenario, which are short-lived and renewed throughout. It also counts the
-// attempts of unauthorized clients, and holds a controller whose certificate is signed by an untrusted authority.
+// identities holds the SPIFFE identities of a scenario, which are short-lived and renewed throughout. It also counts
+// the attempts of unauthorized clients, and holds a controller whose certificate is signed by an untrusted authority.
 type identities struct {
 	authority   *issuer.Authority
 	validity    time.Duration
@@ -190,7 +190,10 @@
 	for _, attacker := range []struct {
 		name, id  string
 		authority *issuer.Authority
-	}{{"rogue", fmt.Sprintf("/forwarder/%s/%s", target.Zone(), target.Name()), untrusted}, {"other", "/forwarder/nowhere/other", identities.authority}} {
+	}{
+		{"rogue", fmt.Sprintf("/forwarder/%s/%s", target.Zone(), target.Name()), untrusted},
+		{"other", "/forwarder/nowhere/other", identities.authority},
+	} {
 		endpoint, err := identities.addWorkload(attacker.name, attacker.id, attacker.authority)
 		if err != nil {
 			return err
@@ -199,12 +202,20 @@
 		if err != nil {
 			return err
 		}
-		client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13,
-			InsecureSkipVerify: true, // an attacker accepts any controller
-			GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-				certificate, _ := source.Certificate()
-				return certificate, nil
-			}}}}
+		client := &http.Client{
+			Timeout: 2 * time.Second,
+			Transport: &http.Transport{
+				DisableKeepAlives: true,
+				TLSClientConfig: &tls.Config{
+					MinVersion:         tls.VersionTLS13,
+					InsecureSkipVerify: true, // an attacker accepts any controller
+					GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+						certificate, _ := source.Certificate()
+						return certificate, nil
+					},
+				},
+			},
+		}
 		go s.sendUnauthorizedRequests(ctx, client, target.Name(), target.Zone())
 	}
 	return nil
@@ -218,13 +229,15 @@
 	for n := 0; sleep(ctx, 100*time.Millisecond); n++ {
 		requests := []struct{ method, path, body string }{
 			{"GET", "/v1/proxies/" + proxy + "/tables?zone=" + zone, ""},
-			{"POST", "/v1/proxies/" + proxy + "/sums?zone=" + zone, fmt.Sprintf(`{"sender":"impostor","number":%d}`, n+1)},
+			{"POST", "/v1/proxies/" + proxy + "/sums?zone=" + zone,
+				fmt.Sprintf(`{"sender":"impostor","number":%d}`, n+1)},
 			{"DELETE", "/v1/proxies/" + proxy, ""},
 			{"POST", "/v1/hosts/" + host + "/operator", `{"state":"drain"}`},
 			{"POST", "/v1/hosts/" + host + "/load", `{"number":1,"load":{"util":0}}`},
 			{"GET", "/v1/state", ""}, {"GET", "/v1/hosts", ""}}
 		attempt := requests[n%len(requests)]
-		request, err := http.NewRequestWithContext(ctx, attempt.method, "https://"+s.controllerAddresses[0]+attempt.path, strings.NewReader(attempt.body))
+		request, err := http.NewRequestWithContext(ctx, attempt.method,
+			"https://"+s.controllerAddresses[0]+attempt.path, strings.NewReader(attempt.body))
 		if err != nil {
 			return
 		}
--- a/internal/rehearse/ingest_stats.go
+++ b/internal/rehearse/ingest_stats.go
@@ -29,7 +29,10 @@
 
 // startLoadReports starts the load reports of the host groups that send them.
 func (s *scenario) startLoadReports(ctx context.Context) {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, MaxIdleConns: 1024}, Timeout: 2 * time.Second}
+	client := &http.Client{
+		Transport: &http.Transport{MaxIdleConnsPerHost: 256, MaxIdleConns: 1024},
+		Timeout:   2 * time.Second,
+	}
 	hostIndex, urls := 0, []string(nil)
 	for _, address := range s.controllerAddresses {
 		urls = append(urls, s.scheme()+address)
@@ -40,14 +43,19 @@
 			if hostIndex++; group.ReportMs > 0 {
 				client := client
 				if identities := s.identities; identities != nil {
-					_, tlsConfig, err := identities.controllerTLS(fmt.Sprint("h", hostIndex), "/host/"+auth.HostSegment(host.Address))
+					_, tlsConfig, err := identities.controllerTLS(
+						fmt.Sprint("h", hostIndex), "/host/"+auth.HostSegment(host.Address))
 					if err != nil {
 						s.log.Error().Err(err).Msg("a host got no identity")
 						continue
 					}
-					client = &http.Client{Transport: &http.Transport{TLSClientConfig: tlsConfig}, Timeout: 2 * time.Second}
+					client = &http.Client{
+						Transport: &http.Transport{TLSClientConfig: tlsConfig},
+						Timeout:   2 * time.Second,
+					}
 				}
-				go host.SendLoadReports(ctx, client, urls, time.Duration(group.ReportMs*float64(time.Millisecond)), &s.ingest.rejectedReports)
+				go host.SendLoadReports(ctx, client, urls,
+					time.Duration(group.ReportMs*float64(time.Millisecond)), &s.ingest.rejectedReports)
 			}
 		}
 	}
@@ -67,7 +75,9 @@
 		if err != nil || json.Unmarshal(body, &sample) != nil {
 			continue
 		}
-		stats.maxSheddingLevel, stats.maxLatenessMs, stats.maxWaitP99Ms = max(stats.maxSheddingLevel, sample.SheddingLevel), math.Max(stats.maxLatenessMs, sample.LatenessMs), math.Max(stats.maxWaitP99Ms, sample.WaitP99Ms)
+		stats.maxSheddingLevel = max(stats.maxSheddingLevel, sample.SheddingLevel)
+		stats.maxLatenessMs = math.Max(stats.maxLatenessMs, sample.LatenessMs)
+		stats.maxWaitP99Ms = math.Max(stats.maxWaitP99Ms, sample.WaitP99Ms)
 		s.eventLog.LogMaxBacklog(address, sample.LinesMost)
 		if i == 0 {
 			stats.samples = append(stats.samples, sample)
@@ -85,10 +95,14 @@
 	for _, reason := range slices.Sorted(maps.Keys(last.Dropped)) {
 		dropped = append(dropped, fmt.Sprintf("%d %s", last.Dropped[reason], reason))
 	}
-	fmt.Fprintf(out, "intake  %d lines, dropped: %s; %d of the hosts' reports were not let in\n", last.Processed, strings.Join(dropped, ", "), s.rejectedReports.Load())
-	fmt.Fprintf(out, "        from report to decision %.0f ms median, %.0f ms 99th percentile, worst %.0f ms; rounds %.1f ms late at worst, level %d\n",
+	fmt.Fprintf(out, "intake  %d lines, dropped: %s; %d of the hosts' reports were not let in\n",
+		last.Processed, strings.Join(dropped, ", "), s.rejectedReports.Load())
+	fmt.Fprintf(out,
+		"        from report to decision %.0f ms median, %.0f ms 99th percentile, worst %.0f ms; "+
+			"rounds %.1f ms late at worst, level %d\n",
 		last.WaitP50Ms, last.WaitP99Ms, s.maxWaitP99Ms, s.maxLatenessMs, s.maxSheddingLevel)
-	fmt.Fprintf(out, "        heap %.1f MiB early, %.1f MiB at the end; %d hosts doubted, %d silent\n", s.minHeapMiB(0.1, 0.35), s.minHeapMiB(0.75, 1), last.Distrusted, last.Silent)
+	fmt.Fprintf(out, "        heap %.1f MiB early, %.1f MiB at the end; %d hosts doubted, %d silent\n",
+		s.minHeapMiB(0.1, 0.35), s.minHeapMiB(0.75, 1), last.Distrusted, last.Silent)
 }
 
 // minHeapMiB returns the smallest heap size in a part of the scenario, given as fractions of its length. The minimum
--- a/internal/rehearse/optimality_gap.go
+++ b/internal/rehearse/optimality_gap.go
@@ -40,7 +40,8 @@
 	if gap > s.optimality.worst {
 		s.optimality.worst, s.optimality.worstAtS = gap, elapsedS
 		for class, best := range measured.BestServedShare {
-			if lost := best - measured.ServedShare[class]; s.optimality.worstClass == "" || lost > measured.BestServedShare[s.optimality.worstClass]-measured.ServedShare[s.optimality.worstClass] {
+			if lost := best - measured.ServedShare[class]; s.optimality.worstClass == "" ||
+				lost > measured.BestServedShare[s.optimality.worstClass]-measured.ServedShare[s.optimality.worstClass] {
 				s.optimality.worstClass = class
 			}
 		}
@@ -51,14 +52,22 @@
 // is slow or in slow start a fraction of it.
 func (s *scenario) optimizationProblem() *solver.Problem {
 	config := s.config
-	problem := &solver.Problem{Zones: config.Zones, Demand: map[string]map[string]float64{}, Objective: solver.Objective{TotalWeight: *config.Goal.Whole,
-		WorstClassWeight: *config.Goal.WorstClass}}
+	problem := &solver.Problem{
+		Zones:  config.Zones,
+		Demand: map[string]map[string]float64{},
+		Objective: solver.Objective{
+			TotalWeight:      *config.Goal.Whole,
+			WorstClassWeight: *config.Goal.WorstClass,
+		},
+	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, host := range s.hosts {
 		cores, speed := host.CurrentCapacity()
-		problem.Hosts = append(problem.Hosts, solver.Host{Name: host.Address, Zone: host.zone, Cores: cores, Speed: speed, WarmFraction: 1,
-			Draining: host.draining || !host.listed})
+		problem.Hosts = append(problem.Hosts, solver.Host{
+			Name: host.Address, Zone: host.zone, Cores: cores, Speed: speed, WarmFraction: 1,
+			Draining: host.draining || !host.listed,
+		})
 	}
 	proxiesByZone, total := map[string]float64{}, 0.0
 	for _, group := range s.script.Forwarders {
@@ -70,7 +79,9 @@
 			if traffic.Class != class.Name {
 				continue
 			}
-			problem.Classes = append(problem.Classes, solver.Class{Name: class.Name, Earnings: *class.Earnings, WorkMs: traffic.WorkMs, ZoneLocal: class.Local})
+			problem.Classes = append(problem.Classes, solver.Class{
+				Name: class.Name, Earnings: *class.Earnings, WorkMs: traffic.WorkMs, ZoneLocal: class.Local,
+			})
 			problem.Demand[class.Name] = map[string]float64{}
 			for zone, count := range proxiesByZone {
 				problem.Demand[class.Name][zone] = traffic.Rate * count / total
@@ -103,8 +114,8 @@
 	case g.measureErr != nil:
 		fmt.Fprintf(out, "gap to the best tables: not measured: %v\n", g.measureErr)
 	case g.count > 0:
-		fmt.Fprintf(out, "gap to the best tables for the hosts' true state: mean %.4f; worst %.4f at %.0f s", g.sum/float64(g.count), g.worst,
-			g.worstAtS)
+		fmt.Fprintf(out, "gap to the best tables for the hosts' true state: mean %.4f; worst %.4f at %.0f s",
+			g.sum/float64(g.count), g.worst, g.worstAtS)
 		if g.worstClass != "" {
 			fmt.Fprintf(out, ", most of it in %s", g.worstClass)
 		}
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -76,7 +76,9 @@
 // Run runs the scenario of a script file, and prints its progress and a report to out. If recordingsFolder is not
 // empty, each proxy and each incarnation of a controller is recorded there. If controllerProgram is not empty, each
 // controller is a process of that program.
-func Run(ctx context.Context, file, version, recordingsFolder, controllerProgram string, out io.Writer, log zerolog.Logger) (*Result, error) {
+func Run(
+	ctx context.Context, file, version, recordingsFolder, controllerProgram string, out io.Writer, log zerolog.Logger,
+) (*Result, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("reading the script: %w", err)
@@ -89,16 +91,29 @@
 }
 
 // runScript runs a script. adjustLimits may change the limits that the invariants are checked against.
-func runScript(ctx context.Context, script *daypb.Day, version, recordingsFolder, controllerProgram string, out io.Writer,
-	log zerolog.Logger, adjustLimits func(*rules.Limits)) (*Result, error) {
-	return runAndInspect(ctx, script, version, recordingsFolder, controllerProgram, out, log, adjustLimits, func(*scenario) {})
+func runScript(
+	ctx context.Context, script *daypb.Day, version, recordingsFolder, controllerProgram string, out io.Writer,
+	log zerolog.Logger, adjustLimits func(*rules.Limits),
+) (*Result, error) {
+	return runAndInspect(ctx, script, version, recordingsFolder, controllerProgram, out, log, adjustLimits,
+		func(*scenario) {})
 }
 
 // runAndInspect runs a script like runScript, and calls inspect before the controllers are stopped.
-func runAndInspect(ctx context.Context, script *daypb.Day, version, recordingsFolder, controllerProgram string, out io.Writer,
-	log zerolog.Logger, adjustLimits func(*rules.Limits), inspect func(*scenario)) (*Result, error) {
-	s := &scenario{script: script, version: version, recordingsFolder: recordingsFolder, controllerProgram: controllerProgram, out: out, log: log, eventLog: rules.NewEventLog(),
-		ingest: ingestStats{client: &http.Client{Timeout: time.Second}}}
+func runAndInspect(
+	ctx context.Context, script *daypb.Day, version, recordingsFolder, controllerProgram string, out io.Writer,
+	log zerolog.Logger, adjustLimits func(*rules.Limits), inspect func(*scenario),
+) (*Result, error) {
+	s := &scenario{
+		script:            script,
+		version:           version,
+		recordingsFolder:  recordingsFolder,
+		controllerProgram: controllerProgram,
+		out:               out,
+		log:               log,
+		eventLog:          rules.NewEventLog(),
+		ingest:            ingestStats{client: &http.Client{Timeout: time.Second}},
+	}
 	if err := s.validate(); err != nil {
 		return nil, err
 	}
@@ -127,8 +142,10 @@
 	if script.FallMs == 0 {
 		script.FallMs = 3000
 	}
-	if script.LengthS <= 0 || script.LengthS > 3600 || script.Stewards < 0 || script.Stewards > 16 || script.Steward == nil ||
-		script.Standby && script.Stewards < 2 || len(script.Hosts) == 0 || len(script.Forwarders) == 0 || len(script.Traffic) == 0 {
+	if script.LengthS <= 0 || script.LengthS > 3600 ||
+		script.Stewards < 0 || script.Stewards > 16 || script.Steward == nil ||
+		script.Standby && script.Stewards < 2 ||
+		len(script.Hosts) == 0 || len(script.Forwarders) == 0 || len(script.Traffic) == 0 {
 		return fmt.Errorf("the script: a day needs length_s (to 3600), stewards (to 16; two for a standby), steward, hosts, forwarders and traffic")
 	}
 	controllerConfig := proto.Clone(script.Steward).(*configpb.Config)
@@ -166,11 +183,13 @@
 	}
 	for _, traffic := range script.Traffic {
 		if !known[traffic.Class] || traffic.Rate <= 0 || traffic.Rate > 5000 || traffic.WorkMs <= 0 {
-			return fmt.Errorf("the script's traffic: class %q, %g a second of %g ms, does not do", traffic.Class, traffic.Rate, traffic.WorkMs)
+			return fmt.Errorf("the script's traffic: class %q, %g a second of %g ms, does not do",
+				traffic.Class, traffic.Rate, traffic.WorkMs)
 		}
 	}
 	for i, step := range script.Steps {
-		if step.What == daypb.What_NONE || step.AtS < 0 || step.ForS < 0 || step.What == daypb.What_KILL && (step.Steward < 0 || step.Steward >= script.Stewards) {
+		if step.What == daypb.What_NONE || step.AtS < 0 || step.ForS < 0 ||
+			step.What == daypb.What_KILL && (step.Steward < 0 || step.Steward >= script.Stewards) {
 			return fmt.Errorf("the script's steps[%d] names nothing that can be done", i)
 		}
 	}
@@ -187,8 +206,12 @@
 func (s *scenario) setUp() error {
 	limits := s.limits()
 	for _, group := range s.script.Hosts {
-		settings := fake.HostSettings{Zone: group.Zone, Cores: max(int(group.Cores), 1), Speed: group.Speed, QueueLimit: int(group.Queue),
-			SlowStartInitialFactor: limits.SlowStartInitialFactor, SlowStartMs: limits.SlowStartMs, CollapseMultiple: limits.CollapseMultiple, CollapseMs: limits.CollapseMs, NonIdempotentClasses: limits.NonIdempotentClasses, ReportsRequestRate: group.ReportMs > 0}
+		settings := fake.HostSettings{
+			Zone: group.Zone, Cores: max(int(group.Cores), 1), Speed: group.Speed, QueueLimit: int(group.Queue),
+			SlowStartInitialFactor: limits.SlowStartInitialFactor, SlowStartMs: limits.SlowStartMs,
+			CollapseMultiple: limits.CollapseMultiple, CollapseMs: limits.CollapseMs,
+			NonIdempotentClasses: limits.NonIdempotentClasses, ReportsRequestRate: group.ReportMs > 0,
+		}
 		if group.Cores == 0 {
 			settings.Cores = 4
 		}
@@ -226,7 +249,8 @@
 		if err != nil {
 			return fmt.Errorf("starting a steward: %w", err)
 		}
-		s.controllers, s.controllerAddresses = append(s.controllers, controller), append(s.controllerAddresses, controller.Addr())
+		s.controllers = append(s.controllers, controller)
+		s.controllerAddresses = append(s.controllerAddresses, controller.Addr())
 	}
 	if s.identities != nil {
 		var err error
@@ -287,14 +311,24 @@
 			}
 		}
 		for range group.Count {
-			settings := fake.ProxySettings{Name: fmt.Sprintf("forwarder-%d", index), Zone: group.Zone, ProxyCount: proxyCount, FallbackHosts: fallbackHosts,
-				Seed: s.script.Seed + uint64(index), PollTimeout: 10 * time.Second, EjectAfterFailures: int(*s.config.Fleet.Ejects),
-				ReportInterval: time.Duration(*s.config.Fleet.PeriodMs * float64(time.Millisecond)),
-				EventLog:       s.eventLog, OnResult: s.serviceLevel.countRequest, Log: func(text string) { s.log.Debug().Msg(text) }}
+			settings := fake.ProxySettings{
+				Name:               fmt.Sprintf("forwarder-%d", index),
+				Zone:               group.Zone,
+				ProxyCount:         proxyCount,
+				FallbackHosts:      fallbackHosts,
+				Seed:               s.script.Seed + uint64(index),
+				PollTimeout:        10 * time.Second,
+				EjectAfterFailures: int(*s.config.Fleet.Ejects),
+				ReportInterval:     time.Duration(*s.config.Fleet.PeriodMs * float64(time.Millisecond)),
+				EventLog:           s.eventLog,
+				OnResult:           s.serviceLevel.countRequest,
+				Log:                func(text string) { s.log.Debug().Msg(text) },
+			}
 			settings.RuntimeSocket = front == daypb.Front_SOCKET
 			settings.Controllers = s.controllerURLs(index)
 			if identities := s.identities; identities != nil {
-				source, tlsConfig, err := identities.controllerTLS(fmt.Sprint("f", index), "/forwarder/"+settings.Zone+"/"+settings.Name)
+				source, tlsConfig, err := identities.controllerTLS(
+					fmt.Sprint("f", index), "/forwarder/"+settings.Zone+"/"+settings.Name)
 				if err != nil {
 					return fmt.Errorf("giving a forwarder its identity: %w", err)
 				}
@@ -302,8 +336,14 @@
 			}
 			for _, traffic := range s.script.Traffic {
 				class := classes[traffic.Class]
-				settings.Traffic = append(settings.Traffic, fake.Traffic{Class: traffic.Class, RequestsPerSecond: traffic.Rate / float64(proxyCount),
-					MeanWorkMs: traffic.WorkMs, LatencyObjectiveMs: *class.DueMs, DeadlineMs: *class.PatienceMs, Idempotent: traffic.Effect == daypb.Effect_SAFE})
+				settings.Traffic = append(settings.Traffic, fake.Traffic{
+					Class:              traffic.Class,
+					RequestsPerSecond:  traffic.Rate / float64(proxyCount),
+					MeanWorkMs:         traffic.WorkMs,
+					LatencyObjectiveMs: *class.DueMs,
+					DeadlineMs:         *class.PatienceMs,
+					Idempotent:         traffic.Effect == daypb.Effect_SAFE,
+				})
 			}
 			if s.recordingsFolder != "" {
 				if err := s.recordProxy(&settings); err != nil {
@@ -316,8 +356,12 @@
 			}
 			s.proxies = append(s.proxies, proxy)
 			if settings.RuntimeSocket {
-				s.config.Sockets = append(s.config.Sockets, &configpb.SocketProxy{Proxy: settings.Name, Zone: settings.Zone, Address: proxy.SocketAddress(),
-					Rate: proto.Float64(settings.ClientOptions().RequestRate)})
+				s.config.Sockets = append(s.config.Sockets, &configpb.SocketProxy{
+					Proxy:   settings.Name,
+					Zone:    settings.Zone,
+					Address: proxy.SocketAddress(),
+					Rate:    proto.Float64(settings.ClientOptions().RequestRate),
+				})
 			}
 			index++
 		}
@@ -365,7 +409,9 @@
 			continue
 		}
 		cores, speed := host.NominalCapacity()
-		entry := &configpb.Host{Address: host.Address, Zone: host.zone, StartedUnixMs: host.startedMs, Cores: cores, Speed: &speed}
+		entry := &configpb.Host{
+			Address: host.Address, Zone: host.zone, StartedUnixMs: host.startedMs, Cores: cores, Speed: &speed,
+		}
 		if host.draining {
 			entry.Phase = configpb.Phase_DRAINING
 		}
@@ -417,7 +463,8 @@
 		case <-ticker.C:
 			s.printProgress()
 			s.sampleIngest()
-			if elapsedS := time.Since(s.start).Seconds(); len(s.hosts)*len(s.proxies) < largeFleet || int(elapsedS)%10 == 0 {
+			elapsedS := time.Since(s.start).Seconds()
+			if len(s.hosts)*len(s.proxies) < largeFleet || int(elapsedS)%10 == 0 {
 				s.sampleGap(elapsedS)
 			}
 		case <-end:
@@ -456,7 +503,8 @@
 	result.ServiceLevel, _ = s.serviceLevel.fraction(0, 1<<30)
 	for _, host := range s.hosts {
 		if host.Collapsed() {
-			result.Verdicts = append(result.Verdicts, rules.Verdict{Rule: "hosts that fell over", Margin: -1, Seen: host.Address})
+			result.Verdicts = append(result.Verdicts,
+				rules.Verdict{Rule: "hosts that fell over", Margin: -1, Seen: host.Address})
 		}
 	}
 	s.serviceLevel.print(s.out)
--- a/internal/rehearse/scenario_test.go
+++ b/internal/rehearse/scenario_test.go
@@ -26,9 +26,11 @@
 const shortScenario = `length_s: 9 seed: 3 stewards: 2 list_late_ms: 200
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
   classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } guard { cold_ms: 4000 grace_ms: 2500 } }
-hosts { zone: "a" count: 3 } hosts { zone: "b" count: 3 } forwarders { zone: "a" count: 2 } forwarders { zone: "b" count: 2 }
+hosts { zone: "a" count: 3 } hosts { zone: "b" count: 3 }
+forwarders { zone: "a" count: 2 } forwarders { zone: "b" count: 2 }
 traffic { class: "sheet" rate: 40 work_ms: 40 } traffic { class: "finish" rate: 40 work_ms: 20 effect: ONCE }
-steps { at_s: 1 for_s: 3 what: HANG zone: "a" count: 1 } steps { at_s: 2 for_s: 2 what: DRAIN zone: "b" first: 2 count: 1 }
+steps { at_s: 1 for_s: 3 what: HANG zone: "a" count: 1 }
+steps { at_s: 2 for_s: 2 what: DRAIN zone: "b" first: 2 count: 1 }
 steps { at_s: 4.5 for_s: 1.5 what: LOSE zone: "b" count: 2 } steps { at_s: 6 for_s: 1 what: KILL steward: 1 }`
 
 func runShortScenario(t *testing.T, adjustLimits func(*rules.Limits)) (*Result, string) {
@@ -45,7 +47,8 @@
 	return result, out.String()
 }
 
-// All invariants hold, checked by the traffic on real sockets, while hosts hang, drain and crash and a controller restarts.
+// All invariants hold, checked by the traffic on real sockets, while hosts hang, drain and crash and a controller
+// restarts.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
 	if result, out := runShortScenario(t, func(*rules.Limits) {}); !result.Passed || result.ServiceLevel < 0.5 {
@@ -67,15 +70,16 @@
 	}
 }
 
-// A recording is replayed as it was: the answers of each controller are the same byte for byte, and the service level is
-// about the recorded one. The tolerance allows for a busy machine; docs/replay.md has the accuracy of replays.
+// A recording is replayed as it was: the answers of each controller are the same byte for byte, and the service level
+// is about the recorded one. The tolerance allows for a busy machine; docs/replay.md has the accuracy of replays.
 func TestRecordingReplays(t *testing.T) {
 	t.Parallel()
 	script, dir := &daypb.Day{}, t.TempDir()
 	if err := prototext.Unmarshal([]byte(shortScenario), script); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := runScript(context.Background(), script, "test", dir, "", io.Discard, zerolog.Nop(), func(*rules.Limits) {}); err != nil {
+	_, err := runScript(context.Background(), script, "test", dir, "", io.Discard, zerolog.Nop(), func(*rules.Limits) {})
+	if err != nil {
 		t.Fatal(err)
 	}
 	names, _ := filepath.Glob(filepath.Join(dir, "*.day"))
@@ -86,7 +90,8 @@
 			if err != nil {
 				return nil, err
 			}
-			sources = append(sources, replay.Source{Name: filepath.Base(name), Next: record.NewReader(bytes.NewReader(text)).Next})
+			reader := record.NewReader(bytes.NewReader(text))
+			sources = append(sources, replay.Source{Name: filepath.Base(name), Next: reader.Next})
 		}
 		return sources, nil
 	}
@@ -113,20 +118,24 @@
 	if incarnations != 3 || answers < 10 {
 		t.Errorf("%d lives of stewards, %d answers", incarnations, answers)
 	}
-	c, err := config.Parse("script", []byte(`zones: ["a","b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
+	c, err := config.Parse("script", []byte(`zones: ["a","b"]
+		classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
 		classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 once: true } list { file: "x" }`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings := replay.Setting{Make: build, Figures: config.Rules(c, 3000), Probes: 250, Classes: []controller.RequestClass{
+	classes := []controller.RequestClass{
 		{Name: "sheet", RequestClass: routing.RequestClass{LatencyObjectiveMs: 1000, DeadlineMs: 2500, PriorityWeight: 3}},
-		{Name: "finish", RequestClass: routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1200, PriorityWeight: 9}}}}
+		{Name: "finish", RequestClass: routing.RequestClass{LatencyObjectiveMs: 500, DeadlineMs: 1200, PriorityWeight: 9}},
+	}
+	settings := replay.Setting{Make: build, Figures: config.Rules(c, 3000), Probes: 250, Classes: classes}
 	outcome, err := replay.Replay(open, settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if sources := replay.Compare(outcome, outcome, 1).All; math.Abs(sources.Recorded-sources.One) > 0.15 || sources.Difference.Value != 0 || outcome.Tries < 300 {
-		t.Errorf("recorded %.3f, replayed %.3f, %d tries", sources.Recorded, sources.One, outcome.Tries)
+	all := replay.Compare(outcome, outcome, 1).All
+	if math.Abs(all.Recorded-all.One) > 0.15 || all.Difference.Value != 0 || outcome.Tries < 300 {
+		t.Errorf("recorded %.3f, replayed %.3f, %d tries", all.Recorded, all.One, outcome.Tries)
 	}
 	for name, offsets := range outcome.Offsets { // all processes share one clock
 		if len(offsets) != 1 || math.Abs(offsets[0].By) > 20 {
--- a/internal/rehearse/service_level.go
+++ b/internal/rehearse/service_level.go
@@ -27,7 +27,12 @@
 type requestCounts struct{ received, inTime, late, notAdmitted, failed int }
 
 func newServiceLevel(startMs float64) *serviceLevel {
-	return &serviceLevel{startMs: startMs, priorityWeight: map[string]float64{}, latencyObjectiveMs: map[string]float64{}, counts: map[string][]requestCounts{}}
+	return &serviceLevel{
+		startMs:            startMs,
+		priorityWeight:     map[string]float64{},
+		latencyObjectiveMs: map[string]float64{},
+		counts:             map[string][]requestCounts{},
+	}
 }
 
 // addClass adds a request class. Classes are printed in the order in which they were added.
@@ -58,14 +63,14 @@
 	}
 }
 
-// fraction returns the fraction of the requests received in the windows from from until before to that met their latency
-// objective, by priority weight, and the number of requests.
-func (s *serviceLevel) fraction(from, to int) (float64, int) {
+// fraction returns the fraction of the requests that met their latency objective, by priority weight, and the number of
+// requests. It covers the requests received in the windows from first until before end.
+func (s *serviceLevel) fraction(first, end int) (float64, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	achieved, total, requests := 0.0, 0.0, 0
 	for class, counts := range s.counts {
-		for i := max(from, 0); i < min(to, len(counts)); i++ {
+		for i := max(first, 0); i < min(end, len(counts)); i++ {
 			windowCounts := counts[i]
 			achieved += float64(windowCounts.inTime) * s.priorityWeight[class]
 			total += float64(windowCounts.received) * s.priorityWeight[class]
@@ -99,7 +104,8 @@
 			if i < len(s.counts[class]) {
 				windowCounts = s.counts[class][i]
 			}
-			fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%d\t", windowCounts.received, windowCounts.inTime, windowCounts.late, windowCounts.notAdmitted, windowCounts.failed)
+			fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%d\t", windowCounts.received, windowCounts.inTime, windowCounts.late,
+				windowCounts.notAdmitted, windowCounts.failed)
 		}
 		windowLevel, _ := s.fraction(i, i+1)
 		fmt.Fprintf(table, "%.3f\t\n", windowLevel)
--- a/internal/rehearse/steps.go
+++ b/internal/rehearse/steps.go
@@ -82,7 +82,8 @@
 		sleep(ctx, secondsToDuration(step.ForS))
 		s.applyFault(hosts, "tells the truth", func(host *scenarioHost) { host.SetReportedFraction(0) })
 	case daypb.What_AHEAD:
-		s.applyFault(hosts, "has a wrong clock", func(host *scenarioHost) { host.SetClockOffset(secondsToDuration(step.Size)) })
+		offset := secondsToDuration(step.Size)
+		s.applyFault(hosts, "has a wrong clock", func(host *scenarioHost) { host.SetClockOffset(offset) })
 		sleep(ctx, secondsToDuration(step.ForS))
 		s.applyFault(hosts, "has the right time", func(host *scenarioHost) { host.SetClockOffset(0) })
 	case daypb.What_LATE_SUMS:
@@ -158,8 +159,8 @@
 	s.addHostNote(hosts, description)
 }
 
-// crashHosts crashes hosts and restarts them in slow start. The endpoint list follows each change after the delay of the
-// script.
+// crashHosts crashes hosts and restarts them in slow start. The endpoint list follows each change after the script's
+// delay.
 func (s *scenario) crashHosts(ctx context.Context, hosts []*scenarioHost, step *daypb.Step) {
 	listDelay := time.Duration(s.script.ListLateMs * float64(time.Millisecond))
 	s.applyFault(hosts, "dies", func(host *scenarioHost) { host.Crash() })
