--- a/internal/rehearse/controller_process.go
+++ b/internal/rehearse/controller_process.go
@@ -34,11 +34,11 @@
 func (s *scenario) startControllerProcess(controllerConfig *configpb.Config, name string) (controllerInstance, error) {
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(controllerConfig)
 	if err != nil {
-		return nil, fmt.Errorf("writing a steward's configuration: %w", err)
+		return nil, fmt.Errorf("writing a controller's configuration: %w", err)
 	}
 	file := filepath.Join(s.tempDir, name+".textproto")
 	if err := os.WriteFile(file, text, 0o644); err != nil {
-		return nil, fmt.Errorf("writing a steward's configuration: %w", err)
+		return nil, fmt.Errorf("writing a controller's configuration: %w", err)
 	}
 	process := &controllerProcess{
 		command: exec.Command(s.controllerProgram, "run", "--config", file, "--log-level", "warn"),
@@ -47,16 +47,16 @@
 	process.command.Stderr = os.Stderr
 	out, err := process.command.StdoutPipe()
 	if err != nil {
-		return nil, fmt.Errorf("starting a steward: %w", err)
+		return nil, fmt.Errorf("starting a controller: %w", err)
 	}
 	if err := process.command.Start(); err != nil {
-		return nil, fmt.Errorf("starting a steward: %w", err)
+		return nil, fmt.Errorf("starting a controller: %w", err)
 	}
 	line, err := bufio.NewReader(out).ReadString('\n')
 	_, address, ok := strings.Cut(strings.TrimSpace(line), "http://")
 	if err != nil || !ok {
 		process.Kill()
-		return nil, fmt.Errorf("starting a steward: it says %q: %w", line, err)
+		return nil, fmt.Errorf("starting a controller: no address in its output %q: %w", line, err)
 	}
 	process.address = address
 	go func() { process.command.Wait(); close(process.exited) }()
--- a/internal/rehearse/controller_restarts.go
+++ b/internal/rehearse/controller_restarts.go
@@ -29,8 +29,8 @@
 			}
 		}
 		fmt.Fprintf(s.out,
-			"steward %d lost at %.0f s, back at %.1f s: service %.4f of %d until 30 s after, "+
-				"gap %.4f before, %.4f in the 30 s after, as before after %.0f s\n",
+			"controller %d killed at %.0f s, restarted at %.1f s: service level %.4f of %d requests until 30 s after, "+
+				"gap %.4f before, %.4f in the 30 s after, recovered after %.0f s\n",
 			restart.controller, restart.killedAtS, restart.restartedAtS, level, count, gapBefore, gapAfter, recoveredAfterS)
 	}
 }
--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -99,7 +99,7 @@
 // verifyController accepts the identities of controllers.
 func verifyController(id spiffeid.ID) error {
 	if !strings.HasPrefix(id.String(), trustDomain+"/steward/") {
-		return fmt.Errorf("%s is no steward of ours", id)
+		return fmt.Errorf("%s is not the identity of a controller", id)
 	}
 	return nil
 }
@@ -273,7 +273,7 @@
 	rogueConfig.Identity = identitySettings(endpoint.Address)
 	rogueConfig.Record, rogueConfig.Sockets = "", nil
 	if identities.rogue, err = daemon.Start(rogueConfig, s.version, s.log); err != nil {
-		return "", fmt.Errorf("starting the impostor: %w", err)
+		return "", fmt.Errorf("starting the rogue controller: %w", err)
 	}
 	return identities.rogue.Addr(), nil
 }
@@ -281,9 +281,10 @@
 // print prints how many unauthorized connections and requests were accepted.
 func (ids *identities) print(out io.Writer) {
 	connected := ids.rogue.Operators().Status().ConnectedProxies
-	fmt.Fprintf(out, "impostors: %d proxies joined the false steward; %d tries by false forwarders, %d achieved something\n", connected, ids.attempts.Load(), ids.successes.Load())
+	fmt.Fprintf(out, "security: %d proxies joined the rogue controller; %d unauthorized requests, %d accepted\n",
+		connected, ids.attempts.Load(), ids.successes.Load())
 	if success := ids.lastSuccess.Load(); success != nil {
-		fmt.Fprintln(out, "  the last:", *success)
+		fmt.Fprintln(out, "  the last accepted:", *success)
 	}
 }
 
--- a/internal/rehearse/ingest_stats.go
+++ b/internal/rehearse/ingest_stats.go
@@ -46,7 +46,7 @@
 					_, tlsConfig, err := identities.controllerTLS(
 						fmt.Sprint("h", hostIndex), "/host/"+auth.HostSegment(host.Address))
 					if err != nil {
-						s.log.Error().Err(err).Msg("a host got no identity")
+						s.log.Error().Err(err).Msg("cannot create a host's identity")
 						continue
 					}
 					client = &http.Client{
@@ -95,13 +95,13 @@
 	for _, reason := range slices.Sorted(maps.Keys(last.Dropped)) {
 		dropped = append(dropped, fmt.Sprintf("%d %s", last.Dropped[reason], reason))
 	}
-	fmt.Fprintf(out, "intake  %d lines, dropped: %s; %d of the hosts' reports were not let in\n",
+	fmt.Fprintf(out, "intake  %d lines, dropped: %s; %d load reports of hosts rejected\n",
 		last.Processed, strings.Join(dropped, ", "), s.rejectedReports.Load())
 	fmt.Fprintf(out,
 		"        from report to decision %.0f ms median, %.0f ms 99th percentile, worst %.0f ms; "+
-			"rounds %.1f ms late at worst, level %d\n",
+			"control rounds %.1f ms late at worst, shedding level up to %d\n",
 		last.WaitP50Ms, last.WaitP99Ms, s.maxWaitP99Ms, s.maxLatenessMs, s.maxSheddingLevel)
-	fmt.Fprintf(out, "        heap %.1f MiB early, %.1f MiB at the end; %d hosts doubted, %d silent\n",
+	fmt.Fprintf(out, "        heap %.1f MiB early, %.1f MiB at the end; %d hosts distrusted, %d silent\n",
 		s.minHeapMiB(0.1, 0.35), s.minHeapMiB(0.75, 1), last.Distrusted, last.Silent)
 }
 
--- a/internal/rehearse/optimality_gap.go
+++ b/internal/rehearse/optimality_gap.go
@@ -112,14 +112,14 @@
 func (g *optimalityGaps) print(out io.Writer) {
 	switch {
 	case g.measureErr != nil:
-		fmt.Fprintf(out, "gap to the best tables: not measured: %v\n", g.measureErr)
+		fmt.Fprintf(out, "optimality gap of the tables: not measured: %v\n", g.measureErr)
 	case g.count > 0:
-		fmt.Fprintf(out, "gap to the best tables for the hosts' true state: mean %.4f; worst %.4f at %.0f s",
+		fmt.Fprintf(out, "optimality gap of the tables by the hosts' true state: mean %.4f; worst %.4f at %.0f s",
 			g.sum/float64(g.count), g.worst, g.worstAtS)
 		if g.worstClass != "" {
-			fmt.Fprintf(out, ", most of it in %s", g.worstClass)
+			fmt.Fprintf(out, ", most of it in class %s", g.worstClass)
 		}
-		fmt.Fprintf(out, "; hosts sent more than they can do in %d of %d samples\n", g.overloadedSamples, g.count)
+		fmt.Fprintf(out, "; hosts overloaded in %d of %d samples\n", g.overloadedSamples, g.count)
 	}
 }
 
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -119,7 +119,7 @@
 	}
 	var err error
 	if s.tempDir, err = os.MkdirTemp("", "barleysail-rehearsal"); err != nil {
-		return nil, fmt.Errorf("making a folder: %w", err)
+		return nil, fmt.Errorf("creating a temporary folder: %w", err)
 	}
 	defer os.RemoveAll(s.tempDir)
 	defer s.tearDown()
@@ -146,7 +146,8 @@
 		script.Stewards < 0 || script.Stewards > 16 || script.Steward == nil ||
 		script.Standby && script.Stewards < 2 ||
 		len(script.Hosts) == 0 || len(script.Forwarders) == 0 || len(script.Traffic) == 0 {
-		return fmt.Errorf("the script: a day needs length_s (to 3600), stewards (to 16; two for a standby), steward, hosts, forwarders and traffic")
+		return fmt.Errorf("the script needs length_s (at most 3600), stewards (at most 16; at least 2 with standby), " +
+			"steward, hosts, forwarders and traffic")
 	}
 	controllerConfig := proto.Clone(script.Steward).(*configpb.Config)
 	controllerConfig.List = &configpb.List{File: "hosts.textproto"}
@@ -174,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	if s.config, err = config.Parse("the script's steward", text); err != nil {
+	if s.config, err = config.Parse("the script's field steward", text); err != nil {
 		return err
 	}
 	known := map[string]bool{}
@@ -183,14 +184,14 @@
 	}
 	for _, traffic := range script.Traffic {
 		if !known[traffic.Class] || traffic.Rate <= 0 || traffic.Rate > 5000 || traffic.WorkMs <= 0 {
-			return fmt.Errorf("the script's traffic: class %q, %g a second of %g ms, does not do",
-				traffic.Class, traffic.Rate, traffic.WorkMs)
+			return fmt.Errorf("the script's traffic of class %q, rate %g, work_ms %g: the class must be one of steward, "+
+				"rate above 0 and at most 5000, and work_ms above 0", traffic.Class, traffic.Rate, traffic.WorkMs)
 		}
 	}
 	for i, step := range script.Steps {
 		if step.What == daypb.What_NONE || step.AtS < 0 || step.ForS < 0 ||
 			step.What == daypb.What_KILL && (step.Steward < 0 || step.Steward >= script.Stewards) {
-			return fmt.Errorf("the script's steps[%d] names nothing that can be done", i)
+			return fmt.Errorf("the script's steps[%d]: what is missing, a time is negative, or steward is out of range", i)
 		}
 	}
 	return nil
@@ -239,7 +240,7 @@
 		s.serviceLevel.addClass(class.Name, *class.Earnings, *class.DueMs)
 	}
 	if err := s.setUpIdentities(); err != nil {
-		return fmt.Errorf("giving out identities: %w", err)
+		return fmt.Errorf("creating the identities: %w", err)
 	}
 	if err := s.createProxies(daypb.Front_SOCKET); err != nil {
 		return err
@@ -247,7 +248,7 @@
 	for i := range s.script.Stewards {
 		controller, err := s.startController(int(i), "127.0.0.1:0")
 		if err != nil {
-			return fmt.Errorf("starting a steward: %w", err)
+			return fmt.Errorf("starting a controller: %w", err)
 		}
 		s.controllers = append(s.controllers, controller)
 		s.controllerAddresses = append(s.controllerAddresses, controller.Addr())
@@ -330,7 +331,7 @@
 				source, tlsConfig, err := identities.controllerTLS(
 					fmt.Sprint("f", index), "/forwarder/"+settings.Zone+"/"+settings.Name)
 				if err != nil {
-					return fmt.Errorf("giving a forwarder its identity: %w", err)
+					return fmt.Errorf("creating a proxy's identity: %w", err)
 				}
 				settings.TLS, settings.VerifySigner = tlsConfig, source.Signed(verifyController)
 			}
@@ -352,7 +353,7 @@
 			}
 			proxy, err := fake.NewProxy(settings)
 			if err != nil {
-				return fmt.Errorf("making a forwarder: %w", err)
+				return fmt.Errorf("creating a proxy: %w", err)
 			}
 			s.proxies = append(s.proxies, proxy)
 			if settings.RuntimeSocket {
@@ -425,7 +426,7 @@
 	}
 	tempFile := s.config.List.File + ".next"
 	if err := os.WriteFile(tempFile, text, 0o644); err != nil {
-		return fmt.Errorf("writing the host list: %w", err)
+		return fmt.Errorf("writing the endpoint list: %w", err)
 	}
 	s.eventLog.LogEndpoints(fake.Now(), logged)
 	return os.Rename(tempFile, s.config.List.File)
@@ -448,7 +449,7 @@
 	if identities := s.identities; identities != nil {
 		go identities.renewPeriodically(running)
 		if err := s.startUnauthorizedClients(running); err != nil {
-			s.log.Error().Err(err).Msg("the impostors could not begin")
+			s.log.Error().Err(err).Msg("cannot start the unauthorized clients")
 		}
 	}
 	for _, step := range s.script.Steps {
@@ -515,7 +516,7 @@
 	if identities := s.identities; identities != nil {
 		identities.print(s.out)
 		if result.Passed = identities.allRejected(); !result.Passed {
-			fmt.Fprintln(s.out, "BROKEN  an impostor achieved something")
+			fmt.Fprintln(s.out, "BROKEN  an unauthorized request or connection was accepted")
 		}
 	}
 	for _, verdict := range result.Verdicts {
@@ -539,7 +540,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		if err := controller.Stop(ctx); err != nil {
-			s.log.Warn().Err(err).Msg("a steward did not end in time")
+			s.log.Warn().Err(err).Msg("a controller did not shut down in time")
 		}
 		cancel()
 	}
@@ -548,7 +549,7 @@
 	}
 	for _, closeRecording := range s.closeRecordings {
 		if err := closeRecording(); err != nil {
-			s.log.Error().Err(err).Msg("a recording could not be ended")
+			s.log.Error().Err(err).Msg("cannot close a recording")
 		}
 	}
 }
--- a/internal/rehearse/service_level.go
+++ b/internal/rehearse/service_level.go
@@ -86,7 +86,7 @@
 // print prints the service level, and a table with a row for each window.
 func (s *serviceLevel) print(out io.Writer) {
 	level, requests := s.fraction(0, 1<<30)
-	fmt.Fprintf(out, "\nservice %.3f of the earnings asked for, %d transactions\n", level, requests)
+	fmt.Fprintf(out, "\nservice level %.3f by priority weight, %d requests\n", level, requests)
 	table := tabwriter.NewWriter(out, 2, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(table, "from s\t")
 	for _, class := range s.classes {
--- a/internal/rehearse/steps.go
+++ b/internal/rehearse/steps.go
@@ -35,7 +35,7 @@
 	case daypb.What_SLOW:
 		s.applyFault(hosts, "is slow", func(host *scenarioHost) { host.SetSlowdown(step.Size) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "is as fast as usual", func(host *scenarioHost) { host.SetSlowdown(1) })
+		s.applyFault(hosts, "is as fast as before", func(host *scenarioHost) { host.SetSlowdown(1) })
 	case daypb.What_DRAIN:
 		s.changeEndpoints(hosts, "drains", func(host *scenarioHost) { host.draining = true })
 		sleep(ctx, secondsToDuration(step.ForS))
@@ -49,49 +49,49 @@
 		for _, proxy := range s.proxies[:min(count, len(s.proxies))] {
 			proxy.Disconnect(secondsToDuration(step.ForS))
 		}
-		s.addNote("%d forwarders lose their steward for %.1f s", count, step.ForS)
+		s.addNote("%d proxies are disconnected from the controllers for %.1f s", count, step.ForS)
 	case daypb.What_RESTART:
 		proxies := s.socketProxies(step.Size)
 		for _, proxy := range proxies {
 			proxy.RestartWithInitialConfig()
 		}
-		s.addNote("%d forwarders start anew with their old file", len(proxies))
+		s.addNote("%d proxies restart with their initial configuration", len(proxies))
 	case daypb.What_SLOW_SOCKET, daypb.What_MUTE_SOCKET:
 		proxies := s.socketProxies(step.Size)
 		for _, proxy := range proxies {
 			proxy.SetSocketDelay(slowSocketDelay)
 			proxy.SetSocketUnresponsive(step.What == daypb.What_MUTE_SOCKET)
 		}
-		s.addNote("%d sockets answer late or not at all", len(proxies))
+		s.addNote("%d runtime sockets respond late or not at all", len(proxies))
 		sleep(ctx, secondsToDuration(step.ForS))
 		for _, proxy := range proxies {
 			proxy.SetSocketDelay(0)
 			proxy.SetSocketUnresponsive(false)
 		}
-		s.addNote("and in time again")
+		s.addNote("runtime sockets respond in time again")
 	case daypb.What_FLOOD:
-		s.applyFault(hosts, "reports much too often", func(host *scenarioHost) { host.SetReportRateMultiple(step.Size) })
+		s.applyFault(hosts, "sends too many load reports", func(host *scenarioHost) { host.SetReportRateMultiple(step.Size) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "reports as usual", func(host *scenarioHost) { host.SetReportRateMultiple(0) })
+		s.applyFault(hosts, "sends load reports at the usual rate", func(host *scenarioHost) { host.SetReportRateMultiple(0) })
 	case daypb.What_MUTE:
-		s.applyFault(hosts, "tells its load no more", func(host *scenarioHost) { host.SetSilent(true) })
+		s.applyFault(hosts, "stops reporting its load", func(host *scenarioHost) { host.SetSilent(true) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "tells its load again", func(host *scenarioHost) { host.SetSilent(false) })
+		s.applyFault(hosts, "reports its load again", func(host *scenarioHost) { host.SetSilent(false) })
 	case daypb.What_LIE:
-		s.applyFault(hosts, "tells a part of its load", func(host *scenarioHost) { host.SetReportedFraction(step.Size) })
+		s.applyFault(hosts, "reports a fraction of its load", func(host *scenarioHost) { host.SetReportedFraction(step.Size) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "tells the truth", func(host *scenarioHost) { host.SetReportedFraction(0) })
+		s.applyFault(hosts, "reports its true load", func(host *scenarioHost) { host.SetReportedFraction(0) })
 	case daypb.What_AHEAD:
 		offset := secondsToDuration(step.Size)
 		s.applyFault(hosts, "has a wrong clock", func(host *scenarioHost) { host.SetClockOffset(offset) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "has the right time", func(host *scenarioHost) { host.SetClockOffset(0) })
+		s.applyFault(hosts, "has the right clock", func(host *scenarioHost) { host.SetClockOffset(0) })
 	case daypb.What_LATE_SUMS:
 		s.delayRequestStats(secondsToDuration(step.Size))
-		s.addNote("sums come %.1f s late", step.Size)
+		s.addNote("request stats arrive %.1f s late", step.Size)
 		sleep(ctx, secondsToDuration(step.ForS))
 		s.delayRequestStats(0)
-		s.addNote("sums come in time")
+		s.addNote("request stats arrive in time")
 	}
 }
 
@@ -154,7 +154,7 @@
 	}
 	s.mu.Unlock()
 	if err := s.writeEndpointList(); err != nil {
-		s.log.Error().Err(err).Msg("the list could not be changed")
+		s.log.Error().Err(err).Msg("cannot write the endpoint list")
 	}
 	s.addHostNote(hosts, description)
 }
@@ -163,15 +163,15 @@
 // delay.
 func (s *scenario) crashHosts(ctx context.Context, hosts []*scenarioHost, step *daypb.Step) {
 	listDelay := time.Duration(s.script.ListLateMs * float64(time.Millisecond))
-	s.applyFault(hosts, "dies", func(host *scenarioHost) { host.Crash() })
+	s.applyFault(hosts, "crashes", func(host *scenarioHost) { host.Crash() })
 	sleep(ctx, listDelay)
-	s.changeEndpoints(hosts, "is gone from the list", func(host *scenarioHost) { host.listed = false })
+	s.changeEndpoints(hosts, "is removed from the list", func(host *scenarioHost) { host.listed = false })
 	sleep(ctx, secondsToDuration(step.ForS)-listDelay)
 	started := map[*scenarioHost]float64{}
-	s.applyFault(hosts, "starts", func(host *scenarioHost) {
+	s.applyFault(hosts, "restarts", func(host *scenarioHost) {
 		startedMs, err := host.Restart()
 		if err != nil {
-			s.log.Error().Err(err).Msg("a host could not start again")
+			s.log.Error().Err(err).Msg("cannot restart a host")
 			return
 		}
 		started[host] = startedMs
@@ -188,7 +188,7 @@
 func (s *scenario) restartController(ctx context.Context, index int, step *daypb.Step) {
 	s.controllers[index].Kill()
 	killedAtS := time.Since(s.start).Seconds()
-	s.addNote("steward %d is killed", index)
+	s.addNote("controller %d is killed", index)
 	sleep(ctx, secondsToDuration(step.ForS))
 	restarted, err := s.startController(index, s.controllerAddresses[index])
 	for attempt := 0; err != nil && attempt < 50; attempt++ { // the port may not be free yet
@@ -196,10 +196,10 @@
 		restarted, err = s.startController(index, s.controllerAddresses[index])
 	}
 	if err != nil {
-		s.addNote("steward %d cannot start: %v", index, err)
+		s.addNote("controller %d cannot restart: %v", index, err)
 		return
 	}
 	s.controllers[index] = restarted
 	s.restarts = append(s.restarts, controllerRestart{index, killedAtS, time.Since(s.start).Seconds()})
-	s.addNote("steward %d starts again", index)
+	s.addNote("controller %d restarts", index)
 }
