--- a/internal/rehearse/faults_test.go
+++ b/internal/rehearse/faults_test.go
@@ -59,10 +59,10 @@
 		t.Error(out)
 	}
 	if s.ingest.rejectedReports.Load() == 0 || last.Door.Rejected == 0 {
-		t.Errorf("the flood was let in: %+v", last)
+		t.Errorf("no excess report was rejected: %+v", last)
 	}
 	if last.Silent < 1 || last.Processed < 3000 || last.Queued > 5000 {
-		t.Errorf("%+v", last)
+		t.Errorf("got %+v, want a silent host, 3000 processed lines or more, and at most 5000 queued", last)
 	}
 }
 
@@ -83,7 +83,7 @@
 		t.Error(out)
 	}
 	if last := s.ingest.samples[len(s.ingest.samples)-1]; last.GuardRefused == 0 {
-		t.Errorf("nothing was refused:\n%s", out)
+		t.Errorf("the guard rejected no tables:\n%s", out)
 	}
 }
 
@@ -105,7 +105,7 @@
 		t.Error(out)
 	}
 	if last := s.ingest.samples[len(s.ingest.samples)-1]; last.Processed < 80 { // includes load reports of hosts
-		t.Errorf("few sums and reports came: %+v", last)
+		t.Errorf("got %+v, want 80 processed request stats and load reports or more", last)
 	}
 }
 
@@ -116,11 +116,11 @@
 	inspect := func(s *scenario) {
 		second := s.controllers[1].(*daemon.Daemon).Operators().Status()
 		if m := second.Restored; m == nil || m.Hosts != 6 || m.Proxies != 4 {
-			t.Errorf("the standby: %+v, %+v", second, m)
+			t.Errorf("standby: status %+v, restored %+v, want 6 hosts and 4 proxies", second, m)
 		}
 		first := s.controllers[0].(*daemon.Daemon).Operators().Status()
 		if m := first.Restored; m == nil || m.Hosts != 6 || m.ElapsedMs < 3000 || m.ElapsedMs > 8000 {
-			t.Errorf("the first when it is back: %+v", m)
+			t.Errorf("restarted leader: restored %+v, want 6 hosts and 3000 to 8000 ms", m)
 		}
 	}
 	result, _, out := runScenario(t, `length_s: 11 seed: 9 stewards: 2 standby: true state: true list_late_ms: 200
--- a/internal/rehearse/scenario_test.go
+++ b/internal/rehearse/scenario_test.go
@@ -23,6 +23,7 @@
 	"barleysail/routing"
 )
 
+// shortScenario is a script in which hosts hang, drain and crash and a controller is killed.
 const shortScenario = `length_s: 9 seed: 3 stewards: 2 list_late_ms: 200
 steward { zones: ["a", "b"] classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
   classes { name: "finish" due_ms: 500 patience_ms: 1200 earnings: 9 } guard { cold_ms: 4000 grace_ms: 2500 } }
@@ -33,6 +34,7 @@
 steps { at_s: 2 for_s: 2 what: DRAIN zone: "b" first: 2 count: 1 }
 steps { at_s: 4.5 for_s: 1.5 what: LOSE zone: "b" count: 2 } steps { at_s: 6 for_s: 1 what: KILL steward: 1 }`
 
+// runShortScenario runs shortScenario, and returns its result and output.
 func runShortScenario(t *testing.T, adjustLimits func(*rules.Limits)) (*Result, string) {
 	t.Helper()
 	script := &daypb.Day{}
@@ -116,7 +118,7 @@
 		answers += result.Answers
 	}
 	if incarnations != 3 || answers < 10 {
-		t.Errorf("%d lives of stewards, %d answers", incarnations, answers)
+		t.Errorf("%d recorded controllers with %d answers, want 3 with 10 or more", incarnations, answers)
 	}
 	c, err := config.Parse("script", []byte(`zones: ["a","b"]
 		classes { name: "sheet" due_ms: 1000 patience_ms: 2500 earnings: 3 }
@@ -135,11 +137,12 @@
 	}
 	all := replay.Compare(outcome, outcome, 1).All
 	if math.Abs(all.Recorded-all.One) > 0.15 || all.Difference.Value != 0 || outcome.Tries < 300 {
-		t.Errorf("recorded %.3f, replayed %.3f, %d tries", all.Recorded, all.One, outcome.Tries)
+		t.Errorf("service level: recorded %.3f, replayed %.3f, want them within 0.15; %d attempts, want 300 or more",
+			all.Recorded, all.One, outcome.Tries)
 	}
 	for name, offsets := range outcome.Offsets { // all processes share one clock
 		if len(offsets) != 1 || math.Abs(offsets[0].By) > 20 {
-			t.Errorf("%s is taken to be off: %+v", name, offsets)
+			t.Errorf("%s: estimated clock offsets %+v, want one of at most 20 ms", name, offsets)
 		}
 	}
 }
--- a/internal/rehearse/steps.go
+++ b/internal/rehearse/steps.go
@@ -72,13 +72,15 @@
 	case daypb.What_FLOOD:
 		s.applyFault(hosts, "sends too many load reports", func(host *scenarioHost) { host.SetReportRateMultiple(step.Size) })
 		sleep(ctx, secondsToDuration(step.ForS))
-		s.applyFault(hosts, "sends load reports at the usual rate", func(host *scenarioHost) { host.SetReportRateMultiple(0) })
+		s.applyFault(hosts, "sends load reports at the usual rate",
+			func(host *scenarioHost) { host.SetReportRateMultiple(0) })
 	case daypb.What_MUTE:
 		s.applyFault(hosts, "stops reporting its load", func(host *scenarioHost) { host.SetSilent(true) })
 		sleep(ctx, secondsToDuration(step.ForS))
 		s.applyFault(hosts, "reports its load again", func(host *scenarioHost) { host.SetSilent(false) })
 	case daypb.What_LIE:
-		s.applyFault(hosts, "reports a fraction of its load", func(host *scenarioHost) { host.SetReportedFraction(step.Size) })
+		s.applyFault(hosts, "reports a fraction of its load",
+			func(host *scenarioHost) { host.SetReportedFraction(step.Size) })
 		sleep(ctx, secondsToDuration(step.ForS))
 		s.applyFault(hosts, "reports its true load", func(host *scenarioHost) { host.SetReportedFraction(0) })
 	case daypb.What_AHEAD:
