--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins on loopback: hosts with cores and queues that can be slow, hang, crash
-// and start cold, forwarders built on package client, and a list service. They serve rehearsals and tests, and
-// are written from the public specifications.
+// Package fake has test doubles that serve on loopback: hosts with cores and queues that can be slow, hang, crash and
+// restart in slow start, and proxies built on package client, with or without a HAProxy runtime socket. Fault scenarios
+// and tests inject faults into them. They are written from the public specifications of the protocols.
 package fake
 
 import (
@@ -17,23 +17,26 @@
 	"barleysail/routing"
 )
 
-// Now is the time in ms since 1970, as all stand-ins note it.
+// Now returns the time in ms since 1970, the clock of all events that the doubles log.
 func Now() float64 { return float64(time.Now().UnixMicro()) / 1000 }
 
-// HostSettings say what a host is.
+// HostSettings are the settings of a fake host.
 type HostSettings struct {
-	Zone                                string
-	Cores                               int
-	Speed                               float64 // ms of work a ms and core
-	QueueLimit                          int     // transactions that may wait
+	Zone       string
+	Cores      int
+	Speed      float64 // ms of work per ms and core
+	QueueLimit int     // requests that may wait for a core; more are rejected
+	// SlowStartInitialFactor is the fraction of its capacity that a restarted host has, which grows to 1 in SlowStartMs.
 	SlowStartInitialFactor, SlowStartMs float64
-	CollapseMultiple, CollapseMs        float64         // sent so many times its capacity for so long, a cold host falls over
-	ReportsRequestRate                  bool            // it tells the rate of its transactions too
-	NonIdempotentClasses                map[string]bool // classes whose repeats are dropped by their key
+	// A host in slow start collapses if it receives CollapseMultiple times its capacity during CollapseMs. If CollapseMs
+	// is 0 it never does.
+	CollapseMultiple, CollapseMs float64
+	ReportsRequestRate           bool            // its load reports include the request rate
+	NonIdempotentClasses         map[string]bool // classes whose duplicate requests are dropped by their id
 }
 
-// Host serves transactions: POST /t/CLASS?id=ID&work=MS, with the proxy's name in the field Proxy. GET /health
-// is answered beside the queue.
+// Host is a fake host. It serves requests POST /t/CLASS?id=ID&work=MS, with the proxy's name in the header Proxy. GET
+// /health is a health check that needs no core.
 type Host struct {
 	Address  string
 	settings HostSettings
@@ -41,22 +44,23 @@
 
 	mu          sync.Mutex
 	server      *http.Server
-	startedMs   float64 // 0: long ago
-	slowdown    float64
+	startedMs   float64 // time of the last restart; 0: none, no slow start
+	slowdown    float64 // multiple of the usual duration of requests
 	hanging     bool
-	incarnation int
+	incarnation int // number of crashes
 	busyCores   int
-	released    *sync.Cond      // when a hang ends, or a caller of a hung host goes
-	queue       []chan struct{} // who waits for a core, first come, first served; closed when it is theirs
-	seenIDs     map[string]bool
-	recentWork  []workArrival // work that came lately, while cold
+	released    *sync.Cond      // signaled when the host stops hanging or a caller of a hanging host gives up
+	queue       []chan struct{} // requests waiting for a core, in order of arrival; closed when they get one
+	seenIDs     map[string]bool // of requests of non-idempotent classes
+	recentWork  []workArrival   // received during slow start, within the last CollapseMs
 	collapsed   bool
 	reporting   loadReporting
 }
 
+// workArrival is the work of a request that a host received.
 type workArrival struct{ atMs, workMs float64 }
 
-// NewHost starts a host at a free port.
+// NewHost starts a host on a free port. It logs the requests that the host receives; log may be nil.
 func NewHost(settings HostSettings, log *rules.EventLog) (*Host, error) {
 	h := &Host{settings: settings, eventLog: log, slowdown: 1, seenIDs: map[string]bool{}}
 	h.released = sync.NewCond(&h.mu)
@@ -72,6 +76,7 @@
 	return h, nil
 }
 
+// serve serves HTTP until the host crashes.
 func (h *Host) serve(listener net.Listener) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /t/{class}", h.handleRequest)
@@ -83,7 +88,7 @@
 	go server.Serve(listener)
 }
 
-// Crash ends the process, as it were: connections break, work in hand is lost.
+// Crash simulates the end of the process: connections break, and requests in progress are lost.
 func (h *Host) Crash() {
 	h.mu.Lock()
 	server := h.server
@@ -101,11 +106,11 @@
 	}
 }
 
-// Restart starts a crashed host at its address, cold. It tells when.
+// Restart restarts a crashed host at its address, in slow start. It returns the time of the start in ms.
 func (h *Host) Restart() (float64, error) {
 	var listener net.Listener
 	var err error
-	for range 50 { // the port may be held for a moment by what is left of a connection
+	for range 50 { // the port may not be free yet
 		if listener, err = net.Listen("tcp", h.Address); err == nil {
 			break
 		}
@@ -122,10 +127,10 @@
 	return startedMs, nil
 }
 
-// Slow makes work take so many times as long; 1 is as usual.
+// SetSlowdown multiplies the duration of requests by a factor; 1 is the usual duration.
 func (h *Host) SetSlowdown(factor float64) { h.mu.Lock(); h.slowdown = factor; h.mu.Unlock() }
 
-// Hang lets the host take transactions and answer none.
+// SetHanging makes the host accept requests without answering them.
 func (h *Host) SetHanging(on bool) {
 	h.mu.Lock()
 	h.hanging = on
@@ -133,15 +138,15 @@
 	h.mu.Unlock()
 }
 
-// Fallen tells whether the host was pushed over while it was cold.
+// Collapsed reports whether the host has collapsed under load in slow start.
 func (h *Host) Collapsed() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.collapsed }
 
-// Stated is what the host has when all is well.
+// NominalCapacity returns the capacity without faults and slow start.
 func (h *Host) NominalCapacity() (cores, speed float64) {
 	return float64(h.settings.Cores), h.settings.Speed
 }
 
-// Able is what the host can truly do now: its cores, none while it hangs or is down, and the speed of each.
+// CurrentCapacity returns the true capacity: the cores, 0 while the host hangs or is down, and the speed of each.
 func (h *Host) CurrentCapacity() (cores, speed float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -151,7 +156,7 @@
 	return float64(h.settings.Cores), h.settings.Speed * h.slowStartFactor(Now()) / h.slowdown
 }
 
-// part is what of its capacity the host has now.
+// slowStartFactor returns the fraction of its capacity that the host has at a time.
 func (h *Host) slowStartFactor(nowMs float64) float64 {
 	if h.startedMs == 0 || nowMs >= h.startedMs+h.settings.SlowStartMs {
 		return 1
@@ -159,7 +164,7 @@
 	return h.settings.SlowStartInitialFactor + (1-h.settings.SlowStartInitialFactor)*math.Max(nowMs-h.startedMs, 0)/h.settings.SlowStartMs
 }
 
-// push notes work that comes to a cold host, and lets it fall over where that is too much.
+// observeWork records the work of a request, and lets the host collapse if it is too much for its slow start.
 func (h *Host) observeWork(nowMs, workMs float64) {
 	if h.slowStartFactor(nowMs) >= 1 || h.settings.CollapseMs == 0 {
 		return
@@ -176,6 +181,7 @@
 	h.collapsed = h.collapsed || sumMs > limitMs
 }
 
+// handleHealthCheck answers a health check.
 func (h *Host) handleHealthCheck(w http.ResponseWriter, r *http.Request) {
 	h.mu.Lock()
 	h.waitWhileHanging(r)
@@ -187,7 +193,7 @@
 	}
 }
 
-// wait holds a request while the host hangs, until the caller gives up. The lock is held.
+// waitWhileHanging holds a request while the host hangs and the caller waits. h.mu must be held.
 func (h *Host) waitWhileHanging(r *http.Request) {
 	if !h.hanging {
 		return
@@ -200,7 +206,7 @@
 	}
 }
 
-// release gives a core that is done to the first in the line. The lock is held.
+// releaseCore hands a core over to the first request in the queue. h.mu must be held.
 func (h *Host) releaseCore() {
 	if len(h.queue) == 0 {
 		h.busyCores--
@@ -210,6 +216,7 @@
 	h.queue = h.queue[1:]
 }
 
+// setLoadHeader adds the load report to a response, unless the load is not reported.
 func (h *Host) setLoadHeader(w http.ResponseWriter) {
 	h.mu.Lock()
 	load := h.reportedLoad()
@@ -219,6 +226,8 @@
 	}
 }
 
+// handleRequest executes a request: it waits for a core, takes the time of its work, and holds the answer while the host
+// hangs. A request is rejected if the queue is full or the host has collapsed.
 func (h *Host) handleRequest(w http.ResponseWriter, r *http.Request) {
 	nowMs, class, id, proxy := Now(), r.PathValue("class"), r.FormValue("id"), r.Header.Get("Proxy")
 	workMs, err := strconv.ParseFloat(r.FormValue("work"), 64)
@@ -266,7 +275,7 @@
 	}
 	durationMs := workMs / h.settings.Speed * h.slowdown / h.slowStartFactor(Now())
 	h.mu.Unlock()
-	time.Sleep(time.Duration(durationMs * float64(time.Millisecond))) // the work; a cancel stops nothing
+	time.Sleep(time.Duration(durationMs * float64(time.Millisecond))) // the work, which is not canceled with the request
 	h.mu.Lock()
 	if h.incarnation == incarnation {
 		h.releaseCore()
--- a/internal/fake/issuer/issuer.go
+++ b/internal/fake/issuer/issuer.go
@@ -1,6 +1,6 @@
-// Package issuer is a stand-in for an issuer of SPIFFE identities: it serves the Workload API over a unix socket, one
-// socket for each workload, signs X.509-SVIDs of any length of life, and can do what an issuer must not: sign for other
-// names, stand still, take roots away, hand out odd certificates. It serves tests and rehearsals.
+// Package issuer is a test double of an issuer of SPIFFE identities. It serves the Workload API on a Unix socket for each
+// workload, and signs X.509-SVIDs of any validity. It can also do what an issuer must not: sign any identity, stop
+// renewing, withdraw trusted authorities, and issue malformed certificates.
 package issuer
 
 import (
@@ -27,7 +27,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// Authority is a root of a trust domain.
+// Authority is the certificate authority of a trust domain.
 type Authority struct {
 	Domain      string
 	certificate *x509.Certificate
@@ -36,7 +36,7 @@
 	mu          sync.Mutex
 }
 
-// NewAuthority makes a root.
+// NewAuthority creates an authority with a self-signed root certificate.
 func NewAuthority(domain string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -53,14 +53,15 @@
 	return &Authority{Domain: domain, certificate: certificate, key: key, serial: 1}, err
 }
 
-// SVID that was signed.
+// SVID is an X.509-SVID with its private key.
 type SVID struct {
 	ID              string
-	CertificateDER  []byte // DER
-	PrivateKeyPKCS8 []byte // PKCS 8
+	CertificateDER  []byte
+	PrivateKeyPKCS8 []byte
 }
 
-// Sign signs an identity for so long; change may make it one that must not be.
+// Sign signs a certificate for a SPIFFE ID. change may alter the certificate before it is signed, also to a malformed
+// one; nil changes nothing.
 func (a *Authority) Sign(id string, validity time.Duration, change func(*x509.Certificate)) (*SVID, error) {
 	uri, err := url.Parse(id)
 	if err != nil {
@@ -91,18 +92,18 @@
 // Endpoint serves the Workload API to one workload.
 type Endpoint struct {
 	workload.UnimplementedSpiffeWorkloadAPIServer
-	Address string // as unix:///…
+	Address string // unix:///PATH
 	server  *grpc.Server
 
 	mu               sync.Mutex
 	svid             *SVID
-	bundle           []byte            // roots of its own trust domain, DER one after the other
-	federatedBundles map[string][]byte // of federated ones, by trust domain
-	jwtKeySets       map[string][]byte // JWK sets, by trust domain
-	changed          chan struct{}
+	bundle           []byte            // authorities of its own trust domain, as concatenated DER
+	federatedBundles map[string][]byte // of federated trust domains, by trust domain
+	jwtKeySets       map[string][]byte // by trust domain
+	changed          chan struct{}     // closed and replaced after each change
 }
 
-// NewEndpoint listens in a folder.
+// NewEndpoint serves the Workload API on the socket NAME.sock in a folder.
 func NewEndpoint(folder, name string) (*Endpoint, error) {
 	path := filepath.Join(folder, name+".sock")
 	listener, err := net.Listen("unix", path)
@@ -115,10 +116,11 @@
 	return e, nil
 }
 
-// Close ends it at once.
+// Close stops serving and closes all connections.
 func (e *Endpoint) Close() { e.server.Stop() }
 
-// Give hands out an identity and the roots to judge others by: those of the own trust domain, and of federated ones.
+// SetIdentity replaces the workload's identity and the authorities that it trusts, of its own and of federated trust
+// domains.
 func (e *Endpoint) SetIdentity(svid *SVID, own []*Authority, federated ...*Authority) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -133,7 +135,7 @@
 	e.changed = make(chan struct{})
 }
 
-// FetchX509SVID streams what is handed out (SPIFFE Workload API, section 5.2).
+// FetchX509SVID streams the identity and the trusted authorities (SPIFFE Workload API, section 5.2).
 func (e *Endpoint) FetchX509SVID(_ *workload.X509SVIDRequest, stream workload.SpiffeWorkloadAPI_FetchX509SVIDServer) error {
 	return e.streamUpdates(stream.Context(), func() func() error {
 		response := &workload.X509SVIDResponse{FederatedBundles: e.federatedBundles}
@@ -145,8 +147,8 @@
 	})
 }
 
-// stream sends what there is, and again after each change, until the caller goes. make is called under the lock and gives
-// what sends it; nil where there is nothing yet.
+// streamUpdates sends the current state, and again after each change, until the caller disconnects. prepare is called
+// with e.mu held and returns the function that sends, or nil if there is nothing to send yet.
 func (e *Endpoint) streamUpdates(ctx context.Context, prepare func() func() error) error {
 	if err := checkSecurityHeader(ctx); err != nil {
 		return err
@@ -168,7 +170,7 @@
 	}
 }
 
-// secured refuses callers that do not say that they are workloads (SPIFFE Workload Endpoint, section 6.1).
+// checkSecurityHeader rejects calls without the security header (SPIFFE Workload Endpoint, section 6.1).
 func checkSecurityHeader(ctx context.Context) error {
 	header, _ := metadata.FromIncomingContext(ctx)
 	if values := header.Get("workload.spiffe.io"); len(values) != 1 || values[0] != "true" {
@@ -177,10 +179,10 @@
 	return nil
 }
 
-// keyID names an authority's key in tokens.
+// keyID returns the ID of the authority's key in tokens.
 func (a *Authority) keyID() string { return "key-of-" + a.Domain }
 
-// Token signs a JWT-SVID for an audience; change may make it one that must not be.
+// SignToken signs a JWT-SVID for an audience. change may alter the claims before they are signed; nil changes nothing.
 func (a *Authority) SignToken(id string, audience []string, validity time.Duration, change func(map[string]any)) (string, error) {
 	claims := map[string]any{"sub": id, "aud": audience, "iat": time.Now().Unix(), "exp": time.Now().Add(validity).Unix()}
 	if change != nil {
@@ -201,7 +203,7 @@
 	return signed.CompactSerialize()
 }
 
-// GiveKeys hands out the keys to judge tokens by.
+// SetJWTKeys replaces the authorities whose tokens the workload trusts.
 func (e *Endpoint) SetJWTKeys(authorities ...*Authority) error {
 	keySets := map[string][]byte{}
 	for _, a := range authorities {
@@ -219,7 +221,7 @@
 	return nil
 }
 
-// FetchJWTBundles streams the keys (SPIFFE Workload API, section 6.2.3).
+// FetchJWTBundles streams the authorities' keys (SPIFFE Workload API, section 6.2.3).
 func (e *Endpoint) FetchJWTBundles(_ *workload.JWTBundlesRequest, stream workload.SpiffeWorkloadAPI_FetchJWTBundlesServer) error {
 	return e.streamUpdates(stream.Context(), func() func() error {
 		keySets := e.jwtKeySets
--- a/internal/fake/load_reports.go
+++ b/internal/fake/load_reports.go
@@ -13,47 +13,47 @@
 	"barleysail/routing"
 )
 
-// telling is how a host reports its load: what it tells may be false, stand still, stop or flood.
+// loadReporting holds the faults of a host's load reports, and the request rate that it reports.
 type loadReporting struct {
-	reportedFraction float64 // of its true load that it tells; 0: all
+	reportedFraction float64 // of its true load; 0: all of it
 	silent           bool
-	rateMultiple     float64 // as often as usual; 0: once
-	clockOffset      time.Duration
+	rateMultiple     float64       // of the usual rate of reports; 0: the usual rate
+	clockOffset      time.Duration // added to the times in its reports
 	requestRate      rateCounter
 }
 
-// rate counts transactions for the figure that a host tells.
+// rateCounter measures the request rate over windows of 1 s.
 type rateCounter struct {
 	windowStartMs float64
-	count         int
-	perSecond     float64
+	count         int     // requests in the current window
+	perSecond     float64 // rate in the last window
 }
 
-// Lie lets the host tell a part of its load only; 1 is the truth.
+// SetReportedFraction makes the host report only a fraction of its load; 1 is its true load.
 func (h *Host) SetReportedFraction(fraction float64) {
 	h.mu.Lock()
 	h.reporting.reportedFraction = fraction
 	h.mu.Unlock()
 }
 
-// Mute stops the host's own reports, and what it tells in its answers.
+// SetSilent stops the load reports and those in the headers of responses.
 func (h *Host) SetSilent(on bool) { h.mu.Lock(); h.reporting.silent = on; h.mu.Unlock() }
 
-// Flood lets the host report so many times as often as usual.
+// SetReportRateMultiple multiplies the rate of load reports; 0 is the usual rate.
 func (h *Host) SetReportRateMultiple(multiple float64) {
 	h.mu.Lock()
 	h.reporting.rateMultiple = multiple
 	h.mu.Unlock()
 }
 
-// Ahead sets the host's clock.
+// SetClockOffset sets the host's clock ahead, or back if the offset is negative.
 func (h *Host) SetClockOffset(offset time.Duration) {
 	h.mu.Lock()
 	h.reporting.clockOffset = offset
 	h.mu.Unlock()
 }
 
-// told is the load as the host tells it. The lock is held.
+// reportedLoad returns the load that the host reports. h.mu must be held.
 func (h *Host) reportedLoad() routing.HostLoad {
 	reporting := &h.reporting
 	if reporting.silent {
@@ -75,8 +75,8 @@
 	return load
 }
 
-// Report sends the host's load to stewards, by their URLs, at a period, until the context ends. While the host is down or mute it sends
-// nothing. refused counts what the stewards did not let in.
+// SendLoadReports sends a load report to each controller once a period until the context ends, except while the host is
+// down, hangs or is silent. controllers are the base URLs. rejected counts the reports answered with status 429.
 func (h *Host) SendLoadReports(ctx context.Context, client *http.Client, controllers []string, period time.Duration, rejected *atomic.Int64) {
 	for number := 1; ; number++ {
 		h.mu.Lock()
--- a/internal/fake/proxy.go
+++ b/internal/fake/proxy.go
@@ -21,50 +21,50 @@
 	"barleysail/internal/rules"
 )
 
-// Traffic of a class that comes to a forwarder.
+// Traffic is the traffic of a request class that arrives at a proxy.
 type Traffic struct {
 	Class                          string
-	RequestsPerSecond              float64 // a second
-	MeanWorkMs                     float64 // mean, ms
-	LatencyObjectiveMs, DeadlineMs float64 // ms
-	Idempotent                     bool    // may run twice
+	RequestsPerSecond              float64
+	MeanWorkMs                     float64
+	LatencyObjectiveMs, DeadlineMs float64
+	Idempotent                     bool // may run twice
 }
 
-// ForwarderSettings say what a forwarder is.
+// ProxySettings are the settings of a fake proxy.
 type ProxySettings struct {
 	Name, Zone         string
-	ProxyCount         int // forwarders of the day
-	Controllers        []string
-	FallbackHosts      []string
+	ProxyCount         int      // proxies in the process, which share the limit of idle connections
+	Controllers        []string // base URLs, in order of preference
+	FallbackHosts      []string // hosts to use until the first tables arrive
 	Traffic            []Traffic
-	Seed               uint64
+	Seed               uint64 // of the arrival times and the work of requests
 	PollTimeout        time.Duration
 	ReportInterval     time.Duration
 	EjectAfterFailures int
-	EventLog           *rules.EventLog
-	OnResult           func(class string, came, took float64, err error) // of each transaction
+	EventLog           *rules.EventLog                                   // nil: nothing is logged
+	OnResult           func(class string, came, took float64, err error) // called with the outcome of each request; nil: not called
 	Log                func(string)
-	OnRequestEnd       func(client.Request) // told to the client, for a recording; nil: none
+	OnRequestEnd       func(client.Request) // see client.Options, as are the next one and Log
 	OnTablesApplied    func(tag string)
-	TLS                *tls.Config                     // to stewards; nil: plain
-	VerifySigner       func([]*x509.Certificate) error // judges who signed tables; nil: they need no signature
-	RuntimeSocket      bool                            // tables come by a runtime socket, and it polls nobody
+	TLS                *tls.Config                     // for connections to controllers; nil: plain HTTP
+	VerifySigner       func([]*x509.Certificate) error // verifies the signer of tables; nil: they need no signature
+	RuntimeSocket      bool                            // tables are set by a runtime socket, and no controller is polled
 }
 
-// Forwarder is a proxy: transactions come to it at random times, and it sends them where its tables say.
+// Proxy is a forwarding proxy: requests arrive at random times, and it sends them to hosts by its routing tables.
 type Proxy struct {
 	Client     *client.Client
 	settings   ProxySettings
 	hostClient *http.Client
 
 	mu                sync.Mutex
-	disconnectedUntil time.Time // no way to a steward until then
-	statsDelay        time.Duration
+	disconnectedUntil time.Time     // new connections to controllers fail until then
+	statsDelay        time.Duration // of reports of request stats
 	controllerConns   map[net.Conn]bool
-	socket            *runtimeSocket // nil: it polls
+	socket            *runtimeSocket // nil: it polls controllers
 }
 
-// Options are those of the client that a forwarder is built on.
+// ClientOptions returns the options of the client that the proxy is built on.
 func (settings ProxySettings) ClientOptions() client.Options {
 	options := client.Options{Controllers: settings.Controllers, Proxy: settings.Name, Zone: settings.Zone, FallbackHosts: settings.FallbackHosts, PollTimeout: settings.PollTimeout,
 		ReportInterval: settings.ReportInterval, EjectAfterFailures: settings.EjectAfterFailures, VerifySigner: settings.VerifySigner}
@@ -77,7 +77,7 @@
 	return options
 }
 
-// NewForwarder makes one; Run starts it.
+// NewProxy creates a proxy. Its runtime socket, if any, is served at once; Run starts its traffic.
 func NewProxy(settings ProxySettings) (*Proxy, error) {
 	p := &Proxy{settings: settings, controllerConns: map[net.Conn]bool{},
 		hostClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxIdleConns: settings.maxIdleConns()}}}
@@ -104,13 +104,13 @@
 	return p, err
 }
 
-// Name is what its steward knows it by.
+// Name returns the name by which controllers know the proxy.
 func (p *Proxy) Name() string { return p.settings.Name }
 
-// Zone is where it stands.
+// Zone returns the zone of the proxy.
 func (p *Proxy) Zone() string { return p.settings.Zone }
 
-// Cut breaks the streams to stewards, and keeps them broken for a time.
+// Disconnect closes the connections to controllers, and lets new ones fail for a time.
 func (p *Proxy) Disconnect(duration time.Duration) {
 	if p.socket != nil {
 		p.socket.disconnect(duration)
@@ -125,13 +125,14 @@
 	clear(p.controllerConns)
 }
 
-// LateSums holds sums back for so long.
+// DelayRequestStats delays each report of request stats.
 func (p *Proxy) DelayRequestStats(delay time.Duration) {
 	p.mu.Lock()
 	p.statsDelay = delay
 	p.mu.Unlock()
 }
 
+// dialController connects to a controller unless the proxy is disconnected.
 func (p *Proxy) dialController(ctx context.Context, network, address string) (net.Conn, error) {
 	p.mu.Lock()
 	disconnected := time.Now().Before(p.disconnectedUntil)
@@ -149,12 +150,13 @@
 	return conn, err
 }
 
-// tap notes in the journal what passes between a forwarder and its steward.
+// loggingTransport logs the responses to polls, and delays request stats.
 type loggingTransport struct {
 	proxy *Proxy
 	next  http.RoundTripper
 }
 
+// RoundTrip implements http.RoundTripper.
 func (t *loggingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	log := t.proxy.settings.EventLog
 	if strings.HasSuffix(request.URL.Path, "/sums") {
@@ -188,7 +190,7 @@
 	return nil, err
 }
 
-// Run polls the stewards and sends traffic until the context ends; what came is carried to its end.
+// Run polls the controllers and generates traffic until the context ends. It returns when all requests have ended.
 func (p *Proxy) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	if p.socket == nil {
@@ -205,8 +207,10 @@
 	p.hostClient.CloseIdleConnections()
 }
 
-func (p *Proxy) generateTraffic(ctx context.Context, traffic Traffic, class uint64, running *sync.WaitGroup) {
-	random := rand.New(rand.NewPCG(p.settings.Seed, class))
+// generateTraffic sends the requests of a class at exponentially distributed intervals. classIndex selects the class's own
+// stream of random numbers.
+func (p *Proxy) generateTraffic(ctx context.Context, traffic Traffic, classIndex uint64, running *sync.WaitGroup) {
+	random := rand.New(rand.NewPCG(p.settings.Seed, classIndex))
 	next := time.Now()
 	for n := 0; ; n++ {
 		next = next.Add(time.Duration(random.ExpFloat64() / traffic.RequestsPerSecond * float64(time.Second)))
@@ -222,7 +226,7 @@
 	}
 }
 
-// send carries a transaction to its end; its client waits for so long as it has patience.
+// sendRequest sends a request and waits for its end, at most until its deadline.
 func (p *Proxy) sendRequest(traffic Traffic, id string, workMs float64) {
 	receivedMs := Now()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(traffic.DeadlineMs*float64(time.Millisecond)))
@@ -235,8 +239,9 @@
 	}
 }
 
+// attempt sends one attempt of a request to a host.
 func (p *Proxy) attempt(ctx context.Context, host string, traffic Traffic, id string, workMs float64) client.Outcome {
-	// POST, since net/http repeats a GET by itself when a connection breaks: the effect might come twice.
+	// POST, since net/http retries a GET on its own when a connection breaks, and the request could be executed twice.
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost,
 		fmt.Sprintf("http://%s/t/%s?id=%s&work=%.3f", host, traffic.Class, id, workMs), nil)
 	if err != nil {
@@ -260,10 +265,11 @@
 	return outcome
 }
 
-// mostConns are the idle connections that all forwarders of a day may keep to hosts: each takes two descriptors.
+// maxIdleConnsTotal limits the idle connections of all proxies to hosts, since each takes two file descriptors of the
+// process.
 const maxIdleConnsTotal = 6000
 
-// conns is how many of them one forwarder may keep.
+// maxIdleConns returns the share of maxIdleConnsTotal of one proxy.
 func (settings ProxySettings) maxIdleConns() int {
 	return min(4096, maxIdleConnsTotal/max(settings.ProxyCount, 1))
 }
--- a/internal/fake/runtime_socket.go
+++ b/internal/fake/runtime_socket.go
@@ -18,46 +18,47 @@
 	"barleysail/publisher"
 )
 
-// socket is a proxy's runtime socket, by the published management guide as far as a steward needs it. What is set by
-// it are the proxy's tables.
+// runtimeSocket is a HAProxy runtime socket with the commands that controllers use, as in HAProxy's management guide. The
+// proxy's tables follow from the servers and variables that are set by it.
 type runtimeSocket struct {
 	proxy    *Proxy
 	listener net.Listener
 
 	mu            sync.Mutex
 	classes       []string
-	servers       map[string][]*backendServer // by class, in the order in which they were added
-	backends      map[string]*backendServer   // counters of the classes
+	servers       map[string][]*backendServer // by class, in the order of their addition
+	backends      map[string]*backendServer   // counters by class
 	vars          map[string]string
 	conns         map[net.Conn]bool
 	responseDelay time.Duration
 	unresponsive  bool
-	refuseUntil   time.Time // no connections before
-	version       int
-	reloadPending bool    // its tables are made anew in a moment
-	changed       bool    // by the last command
-	lastChangeMs  float64 // when the last command that changed something was answered
+	refuseUntil   time.Time // connections are closed at once until then
+	version       int       // of the tables
+	reloadPending bool      // applyTables will run after reloadDelay
+	changed       bool      // a command has changed the state since the last response
+	lastChangeMs  float64   // time of the last response to a command that changed the state
 }
 
-// oneMessage ms: commands that follow each other so soon are one message of the steward's.
+// messageGapMs is the time in ms within which successive commands count as one message of a controller.
 const messageGapMs = 50.0
 
-// socketServer is a server of a backend.
+// backendServer is a server of a backend.
 type backendServer struct {
 	address                                    string
 	weight, initialWeight                      int
 	adminState                                 int
 	requests, connectionErrors, responseErrors int
-	durationsMs                                [averagedRequests]float64 // of the last good tries, ms
+	durationsMs                                [averagedRequests]float64 // of the last fulfilled attempts, a ring buffer
 	timedRequests                              int
 }
 
-// loadEvery is how long what the socket is told is gathered before the proxy goes by it.
+// reloadDelay is the time for which changes are collected before the proxy applies them.
 const reloadDelay = 10 * time.Millisecond
 
-// socketTimes are averaged, as the guide has it of its last 1024 requests.
+// averagedRequests is the number of requests over which durations are averaged. HAProxy averages over the last 1024.
 const averagedRequests = 256
 
+// newRuntimeSocket listens on a free port.
 func newRuntimeSocket(proxy *Proxy) (*runtimeSocket, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -70,7 +71,7 @@
 	return s, nil
 }
 
-// SocketAddress is where its runtime socket listens, "" where it has none.
+// SocketAddress returns the address of the runtime socket, or "" without one.
 func (p *Proxy) SocketAddress() string {
 	if p.socket == nil {
 		return ""
@@ -78,31 +79,35 @@
 	return p.socket.listener.Addr().String()
 }
 
-// SocketSlow makes each answer of the socket late; SocketMute lets it take commands and answer none.
+// SetSocketDelay delays the responses of the runtime socket.
 func (p *Proxy) SetSocketDelay(delay time.Duration) {
 	p.socket.mu.Lock()
 	p.socket.responseDelay = delay
 	p.socket.mu.Unlock()
 }
+
+// SetSocketUnresponsive makes the runtime socket read commands without carrying them out or answering.
 func (p *Proxy) SetSocketUnresponsive(on bool) {
 	p.socket.mu.Lock()
 	p.socket.unresponsive = on
 	p.socket.mu.Unlock()
 }
 
-// SocketRestart starts the proxy anew with its old file: the standing hosts, all counters from 0.
+// RestartWithInitialConfig simulates a restart of the proxy with its initial configuration file: the servers are the
+// fallback hosts, and all counters are 0.
 func (p *Proxy) RestartWithInitialConfig() {
 	p.socket.closeConns()
 	p.socket.reset()
 }
 
-// SocketState is what the proxy holds.
+// ServerStates returns the states of all servers.
 func (p *Proxy) ServerStates() []haproxy.ServerState {
 	p.socket.mu.Lock()
 	defer p.socket.mu.Unlock()
 	return p.socket.serverStates()
 }
 
+// start accepts connections until close.
 func (s *runtimeSocket) start() {
 	s.reset()
 	go func() {
@@ -126,6 +131,7 @@
 
 func (s *runtimeSocket) close() { s.listener.Close(); s.closeConns() }
 
+// closeConns closes all connections.
 func (s *runtimeSocket) closeConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +140,7 @@
 	}
 }
 
-// cut breaks all connections for a time.
+// disconnect closes all connections, and refuses new ones for a time.
 func (s *runtimeSocket) disconnect(duration time.Duration) {
 	s.mu.Lock()
 	s.refuseUntil = time.Now().Add(duration)
@@ -142,7 +148,7 @@
 	s.closeConns()
 }
 
-// reset is the proxy with its old file.
+// reset sets the state of the initial configuration file.
 func (s *runtimeSocket) reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +162,7 @@
 	s.applyTables()
 }
 
-// taking are the servers of a class that take traffic. The lock is held.
+// activeServers returns the servers of a class that take traffic. s.mu must be held.
 func (s *runtimeSocket) activeServers(class string) (active []*backendServer) {
 	for _, server := range s.servers[class] {
 		if server.adminState == 0 && server.weight > 0 {
@@ -166,7 +172,7 @@
 	return active
 }
 
-// load makes what the socket holds the proxy's tables. The lock is held.
+// applyTables loads the tables that follow from the current state into the client. s.mu must be held.
 func (s *runtimeSocket) applyTables() {
 	type table struct {
 		Hosts map[string]float64 `json:"hosts"`
@@ -189,7 +195,7 @@
 	s.proxy.Client.Load(strconv.Itoa(s.version), text)
 }
 
-// note tells the journal what the proxy now holds. The lock is held.
+// logState logs the state after a command, or a lost connection. s.mu must be held.
 func (s *runtimeSocket) logState(entries int, continued, connected bool) {
 	log := s.proxy.settings.EventLog
 	if log == nil {
@@ -206,7 +212,7 @@
 	log.LogProxyState(Now(), s.proxy.settings.Name, controller, entries, continued, hosts, connected)
 }
 
-// count takes a transaction into the counters.
+// countRequest adds a request that ended to the counters.
 func (s *runtimeSocket) countRequest(request client.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,6 +243,7 @@
 	}
 }
 
+// serve reads commands from a connection and carries them out until it is closed.
 func (s *runtimeSocket) serve(conn net.Conn) {
 	changedTables := false
 	defer func() {
@@ -299,7 +306,8 @@
 	}
 }
 
-// run carries out a command. The lock is held.
+// execute carries out a command, and returns the answer and whether the proxy's tables may have changed. s.mu must be
+// held.
 func (s *runtimeSocket) execute(words []string) (answer string, changed bool) {
 	command := strings.Join(words[:min(len(words), 2)], " ")
 	if command == "show servers" && len(words) > 2 && words[2] == "state" {
@@ -355,7 +363,7 @@
 	return "", true
 }
 
-// state is that of all servers. The lock is held.
+// serverStates returns the states of all servers. s.mu must be held.
 func (s *runtimeSocket) serverStates() (states []haproxy.ServerState) {
 	for backendIndex, class := range s.classes {
 		for serverIndex, server := range s.servers[class] {
@@ -366,6 +374,7 @@
 	return states
 }
 
+// statRows returns the rows of the statistics of all servers and backends. s.mu must be held.
 func (s *runtimeSocket) statRows() (rows []haproxy.Row) {
 	row := func(class, name string, kind, id int, server *backendServer) haproxy.Row {
 		meanMs := 0.0
