--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -161,7 +161,8 @@
 	if h.startedMs == 0 || nowMs >= h.startedMs+h.settings.SlowStartMs {
 		return 1
 	}
-	return h.settings.SlowStartInitialFactor + (1-h.settings.SlowStartInitialFactor)*math.Max(nowMs-h.startedMs, 0)/h.settings.SlowStartMs
+	return h.settings.SlowStartInitialFactor +
+		(1-h.settings.SlowStartInitialFactor)*math.Max(nowMs-h.startedMs, 0)/h.settings.SlowStartMs
 }
 
 // observeWork records the work of a request, and lets the host collapse if it is too much for its slow start.
@@ -177,7 +178,8 @@
 	for _, arrival := range h.recentWork {
 		sumMs += arrival.workMs
 	}
-	limitMs := h.settings.CollapseMultiple * h.slowStartFactor(h.recentWork[0].atMs) * float64(h.settings.Cores) * h.settings.Speed * h.settings.CollapseMs
+	limitMs := h.settings.CollapseMultiple * h.slowStartFactor(h.recentWork[0].atMs) *
+		float64(h.settings.Cores) * h.settings.Speed * h.settings.CollapseMs
 	h.collapsed = h.collapsed || sumMs > limitMs
 }
 
@@ -226,8 +228,8 @@
 	}
 }
 
-// handleRequest executes a request: it waits for a core, takes the time of its work, and holds the answer while the host
-// hangs. A request is rejected if the queue is full or the host has collapsed.
+// handleRequest executes a request: it waits for a core, takes the time of its work, and holds the answer while the
+// host hangs. A request is rejected if the queue is full or the host has collapsed.
 func (h *Host) handleRequest(w http.ResponseWriter, r *http.Request) {
 	nowMs, class, id, proxy := Now(), r.PathValue("class"), r.FormValue("id"), r.Header.Get("Proxy")
 	workMs, err := strconv.ParseFloat(r.FormValue("work"), 64)
--- a/internal/fake/issuer/issuer.go
+++ b/internal/fake/issuer/issuer.go
@@ -1,5 +1,5 @@
-// Package issuer is a test double of an issuer of SPIFFE identities. It serves the Workload API on a Unix socket for each
-// workload, and signs X.509-SVIDs of any validity. It can also do what an issuer must not: sign any identity, stop
+// Package issuer is a test double of an issuer of SPIFFE identities. It serves the Workload API on a Unix socket for
+// each workload, and signs X.509-SVIDs of any validity. It can also do what an issuer must not: sign any identity, stop
 // renewing, withdraw trusted authorities, and issue malformed certificates.
 package issuer
 
@@ -42,9 +42,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("making a root: %w", err)
 	}
-	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "root of " + domain}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(24 * time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign,
-		URIs: []*url.URL{{Scheme: "spiffe", Host: domain}}}
+	template := &x509.Certificate{
+		SerialNumber:          big.NewInt(1),
+		Subject:               pkix.Name{CommonName: "root of " + domain},
+		NotBefore:             time.Now().Add(-time.Hour),
+		NotAfter:              time.Now().Add(24 * time.Hour),
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageCertSign,
+		URIs:                  []*url.URL{{Scheme: "spiffe", Host: domain}},
+	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
 		return nil, fmt.Errorf("making a root: %w", err)
@@ -75,9 +82,15 @@
 	a.serial++
 	serial := a.serial
 	a.mu.Unlock()
-	template := &x509.Certificate{SerialNumber: big.NewInt(serial), NotBefore: time.Now().Add(-time.Minute), NotAfter: time.Now().Add(validity),
-		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
-		BasicConstraintsValid: true, URIs: []*url.URL{uri}}
+	template := &x509.Certificate{
+		SerialNumber:          big.NewInt(serial),
+		NotBefore:             time.Now().Add(-time.Minute),
+		NotAfter:              time.Now().Add(validity),
+		KeyUsage:              x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:           []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
+		BasicConstraintsValid: true,
+		URIs:                  []*url.URL{uri},
+	}
 	if change != nil {
 		change(template)
 	}
@@ -110,7 +123,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("opening the workload API: %w", err)
 	}
-	e := &Endpoint{Address: "unix://" + path, server: grpc.NewServer(), federatedBundles: map[string][]byte{}, changed: make(chan struct{})}
+	e := &Endpoint{
+		Address:          "unix://" + path,
+		server:           grpc.NewServer(),
+		federatedBundles: map[string][]byte{},
+		changed:          make(chan struct{}),
+	}
 	workload.RegisterSpiffeWorkloadAPIServer(e.server, e)
 	go e.server.Serve(listener)
 	return e, nil
@@ -136,13 +154,20 @@
 }
 
 // FetchX509SVID streams the identity and the trusted authorities (SPIFFE Workload API, section 5.2).
-func (e *Endpoint) FetchX509SVID(_ *workload.X509SVIDRequest, stream workload.SpiffeWorkloadAPI_FetchX509SVIDServer) error {
+func (e *Endpoint) FetchX509SVID(
+	_ *workload.X509SVIDRequest, stream workload.SpiffeWorkloadAPI_FetchX509SVIDServer,
+) error {
 	return e.streamUpdates(stream.Context(), func() func() error {
 		response := &workload.X509SVIDResponse{FederatedBundles: e.federatedBundles}
 		if e.svid == nil {
 			return nil
 		}
-		response.Svids = []*workload.X509SVID{{SpiffeId: e.svid.ID, X509Svid: e.svid.CertificateDER, X509SvidKey: e.svid.PrivateKeyPKCS8, Bundle: e.bundle}}
+		response.Svids = []*workload.X509SVID{{
+			SpiffeId:    e.svid.ID,
+			X509Svid:    e.svid.CertificateDER,
+			X509SvidKey: e.svid.PrivateKeyPKCS8,
+			Bundle:      e.bundle,
+		}}
 		return func() error { return stream.Send(response) }
 	})
 }
@@ -183,12 +208,16 @@
 func (a *Authority) keyID() string { return "key-of-" + a.Domain }
 
 // SignToken signs a JWT-SVID for an audience. change may alter the claims before they are signed; nil changes nothing.
-func (a *Authority) SignToken(id string, audience []string, validity time.Duration, change func(map[string]any)) (string, error) {
+func (a *Authority) SignToken(
+	id string, audience []string, validity time.Duration, change func(map[string]any),
+) (string, error) {
 	claims := map[string]any{"sub": id, "aud": audience, "iat": time.Now().Unix(), "exp": time.Now().Add(validity).Unix()}
 	if change != nil {
 		change(claims)
 	}
-	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.ES256, Key: jose.JSONWebKey{Key: a.key, KeyID: a.keyID()}}, (&jose.SignerOptions{}).WithType("JWT"))
+	key := jose.JSONWebKey{Key: a.key, KeyID: a.keyID()}
+	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.ES256, Key: key},
+		(&jose.SignerOptions{}).WithType("JWT"))
 	if err != nil {
 		return "", fmt.Errorf("signing a token: %w", err)
 	}
@@ -207,7 +236,8 @@
 func (e *Endpoint) SetJWTKeys(authorities ...*Authority) error {
 	keySets := map[string][]byte{}
 	for _, a := range authorities {
-		keySet, err := json.Marshal(jose.JSONWebKeySet{Keys: []jose.JSONWebKey{{Key: a.key.Public(), KeyID: a.keyID(), Use: "jwt-svid"}}})
+		key := jose.JSONWebKey{Key: a.key.Public(), KeyID: a.keyID(), Use: "jwt-svid"}
+		keySet, err := json.Marshal(jose.JSONWebKeySet{Keys: []jose.JSONWebKey{key}})
 		if err != nil {
 			return fmt.Errorf("writing keys: %w", err)
 		}
@@ -222,7 +252,9 @@
 }
 
 // FetchJWTBundles streams the authorities' keys (SPIFFE Workload API, section 6.2.3).
-func (e *Endpoint) FetchJWTBundles(_ *workload.JWTBundlesRequest, stream workload.SpiffeWorkloadAPI_FetchJWTBundlesServer) error {
+func (e *Endpoint) FetchJWTBundles(
+	_ *workload.JWTBundlesRequest, stream workload.SpiffeWorkloadAPI_FetchJWTBundlesServer,
+) error {
 	return e.streamUpdates(stream.Context(), func() func() error {
 		keySets := e.jwtKeySets
 		if len(keySets) == 0 {
--- a/internal/fake/load_reports.go
+++ b/internal/fake/load_reports.go
@@ -59,15 +59,23 @@
 	if reporting.silent {
 		return routing.UnknownLoad
 	}
-	load := routing.HostLoad{Utilization: float64(h.busyCores) / float64(h.settings.Cores), RequestRate: -1, QueueLength: float64(len(h.queue))}
+	load := routing.HostLoad{
+		Utilization: float64(h.busyCores) / float64(h.settings.Cores),
+		RequestRate: -1,
+		QueueLength: float64(len(h.queue)),
+	}
 	if nowMs := Now(); h.settings.ReportsRequestRate {
 		if nowMs >= reporting.requestRate.windowStartMs+1000 {
-			reporting.requestRate.perSecond, reporting.requestRate.count, reporting.requestRate.windowStartMs = float64(reporting.requestRate.count)/(nowMs-reporting.requestRate.windowStartMs)*1000, 0, nowMs
+			rate := &reporting.requestRate
+			rate.perSecond = float64(rate.count) / (nowMs - rate.windowStartMs) * 1000
+			rate.count = 0
+			rate.windowStartMs = nowMs
 		}
 		load.RequestRate = reporting.requestRate.perSecond
 	}
 	if reporting.reportedFraction > 0 {
-		load.Utilization, load.QueueLength = load.Utilization*reporting.reportedFraction, load.QueueLength*reporting.reportedFraction
+		load.Utilization *= reporting.reportedFraction
+		load.QueueLength *= reporting.reportedFraction
 		if load.RequestRate > 0 {
 			load.RequestRate *= reporting.reportedFraction
 		}
@@ -77,7 +85,9 @@
 
 // SendLoadReports sends a load report to each controller once a period until the context ends, except while the host is
 // down, hangs or is silent. controllers are the base URLs. rejected counts the reports answered with status 429.
-func (h *Host) SendLoadReports(ctx context.Context, client *http.Client, controllers []string, period time.Duration, rejected *atomic.Int64) {
+func (h *Host) SendLoadReports(
+	ctx context.Context, client *http.Client, controllers []string, period time.Duration, rejected *atomic.Int64,
+) {
 	for number := 1; ; number++ {
 		h.mu.Lock()
 		reporting, load, down := h.reporting, h.reportedLoad(), h.server == nil || h.hanging
@@ -99,10 +109,15 @@
 		if load.RequestRate >= 0 {
 			metrics["rate"] = load.RequestRate
 		}
-		body, _ := json.Marshal(map[string]any{"sender": fmt.Sprint("life-", incarnation), "number": number, "load": metrics,
-			"at": float64(time.Now().Add(reporting.clockOffset).UnixMicro()) / 1000})
+		body, _ := json.Marshal(map[string]any{
+			"sender": fmt.Sprint("life-", incarnation),
+			"number": number,
+			"load":   metrics,
+			"at":     float64(time.Now().Add(reporting.clockOffset).UnixMicro()) / 1000,
+		})
 		for _, controller := range controllers {
-			request, err := http.NewRequestWithContext(ctx, http.MethodPost, controller+"/v1/hosts/"+h.Address+"/load", bytes.NewReader(body))
+			request, err := http.NewRequestWithContext(ctx, http.MethodPost,
+				controller+"/v1/hosts/"+h.Address+"/load", bytes.NewReader(body))
 			if err != nil {
 				return
 			}
--- a/internal/fake/proxy.go
+++ b/internal/fake/proxy.go
@@ -23,11 +23,12 @@
 
 // Traffic is the traffic of a request class that arrives at a proxy.
 type Traffic struct {
-	Class                          string
-	RequestsPerSecond              float64
-	MeanWorkMs                     float64
-	LatencyObjectiveMs, DeadlineMs float64
-	Idempotent                     bool // may run twice
+	Class              string
+	RequestsPerSecond  float64
+	MeanWorkMs         float64 // of a request; its work is uniformly distributed from 0.5 to 1.5 times the mean
+	LatencyObjectiveMs float64
+	DeadlineMs         float64 // client timeout
+	Idempotent         bool    // may be executed twice
 }
 
 // ProxySettings are the settings of a fake proxy.
@@ -41,14 +42,18 @@
 	PollTimeout        time.Duration
 	ReportInterval     time.Duration
 	EjectAfterFailures int
-	EventLog           *rules.EventLog                                   // nil: nothing is logged
-	OnResult           func(class string, came, took float64, err error) // called with the outcome of each request; nil: not called
-	Log                func(string)
-	OnRequestEnd       func(client.Request) // see client.Options, as are the next one and Log
-	OnTablesApplied    func(tag string)
-	TLS                *tls.Config                     // for connections to controllers; nil: plain HTTP
-	VerifySigner       func([]*x509.Certificate) error // verifies the signer of tables; nil: they need no signature
-	RuntimeSocket      bool                            // tables are set by a runtime socket, and no controller is polled
+	EventLog           *rules.EventLog // nil: nothing is logged
+
+	// OnResult is called with the outcome of each request, and the time of its arrival and its duration in ms.
+	OnResult func(class string, receivedMs, durationMs float64, err error) // nil: not called
+
+	Log             func(string)         // see client.Options
+	OnRequestEnd    func(client.Request) // see client.Options
+	OnTablesApplied func(tag string)     // see client.Options
+
+	TLS           *tls.Config                     // for connections to controllers; nil: plain HTTP
+	VerifySigner  func([]*x509.Certificate) error // verifies the signer of tables; nil: they need no signature
+	RuntimeSocket bool                            // tables are set by a runtime socket, and no controller is polled
 }
 
 // Proxy is a forwarding proxy: requests arrive at random times, and it sends them to hosts by its routing tables.
@@ -66,8 +71,16 @@
 
 // ClientOptions returns the options of the client that the proxy is built on.
 func (settings ProxySettings) ClientOptions() client.Options {
-	options := client.Options{Controllers: settings.Controllers, Proxy: settings.Name, Zone: settings.Zone, FallbackHosts: settings.FallbackHosts, PollTimeout: settings.PollTimeout,
-		ReportInterval: settings.ReportInterval, EjectAfterFailures: settings.EjectAfterFailures, VerifySigner: settings.VerifySigner}
+	options := client.Options{
+		Controllers:        settings.Controllers,
+		Proxy:              settings.Name,
+		Zone:               settings.Zone,
+		FallbackHosts:      settings.FallbackHosts,
+		PollTimeout:        settings.PollTimeout,
+		ReportInterval:     settings.ReportInterval,
+		EjectAfterFailures: settings.EjectAfterFailures,
+		VerifySigner:       settings.VerifySigner,
+	}
 	for _, traffic := range settings.Traffic {
 		options.RequestRate += traffic.RequestsPerSecond
 		if traffic.Idempotent {
@@ -79,9 +92,16 @@
 
 // NewProxy creates a proxy. Its runtime socket, if any, is served at once; Run starts its traffic.
 func NewProxy(settings ProxySettings) (*Proxy, error) {
-	p := &Proxy{settings: settings, controllerConns: map[net.Conn]bool{},
-		hostClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxIdleConns: settings.maxIdleConns()}}}
-	controllerClient := &http.Client{Transport: &loggingTransport{p, &http.Transport{DialContext: p.dialController, TLSClientConfig: settings.TLS, MaxIdleConnsPerHost: 4}}}
+	p := &Proxy{
+		settings:        settings,
+		controllerConns: map[net.Conn]bool{},
+		hostClient: &http.Client{
+			Transport: &http.Transport{MaxIdleConnsPerHost: 64, MaxIdleConns: settings.maxIdleConns()},
+		},
+	}
+	controllerClient := &http.Client{Transport: &loggingTransport{p, &http.Transport{
+		DialContext: p.dialController, TLSClientConfig: settings.TLS, MaxIdleConnsPerHost: 4,
+	}}}
 	var err error
 	options := settings.ClientOptions()
 	if settings.RuntimeSocket {
@@ -97,7 +117,10 @@
 			}
 		}
 	}
-	options.HTTP, options.Log, options.OnRequestEnd, options.OnTablesApplied = controllerClient, settings.Log, settings.OnRequestEnd, settings.OnTablesApplied
+	options.HTTP = controllerClient
+	options.Log = settings.Log
+	options.OnRequestEnd = settings.OnRequestEnd
+	options.OnTablesApplied = settings.OnTablesApplied
 	if p.Client, err = client.New(options); err == nil && settings.RuntimeSocket {
 		p.socket.start()
 	}
@@ -181,8 +204,8 @@
 		response.Body.Close()
 		response.Body = io.NopCloser(bytes.NewReader(body))
 		if err == nil {
-			log.LogPollResponse(Now(), t.proxy.settings.Name, controller, response.StatusCode, response.Header.Get("ETag"), response.Header.Get("Delta-Base"),
-				request.Header.Get("If-None-Match"), body)
+			log.LogPollResponse(Now(), t.proxy.settings.Name, controller, response.StatusCode,
+				response.Header.Get("ETag"), response.Header.Get("Delta-Base"), request.Header.Get("If-None-Match"), body)
 			return response, nil
 		}
 	}
@@ -207,8 +230,8 @@
 	p.hostClient.CloseIdleConnections()
 }
 
-// generateTraffic sends the requests of a class at exponentially distributed intervals. classIndex selects the class's own
-// stream of random numbers.
+// generateTraffic sends the requests of a class at exponentially distributed intervals. classIndex selects the class's
+// own stream of random numbers.
 func (p *Proxy) generateTraffic(ctx context.Context, traffic Traffic, classIndex uint64, running *sync.WaitGroup) {
 	random := rand.New(rand.NewPCG(p.settings.Seed, classIndex))
 	next := time.Now()
@@ -240,7 +263,9 @@
 }
 
 // attempt sends one attempt of a request to a host.
-func (p *Proxy) attempt(ctx context.Context, host string, traffic Traffic, id string, workMs float64) client.Outcome {
+func (p *Proxy) attempt(
+	ctx context.Context, host string, traffic Traffic, id string, workMs float64,
+) client.Outcome {
 	// POST, since net/http retries a GET on its own when a connection breaks, and the request could be executed twice.
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost,
 		fmt.Sprintf("http://%s/t/%s?id=%s&work=%.3f", host, traffic.Class, id, workMs), nil)
--- a/internal/fake/runtime_socket.go
+++ b/internal/fake/runtime_socket.go
@@ -18,8 +18,8 @@
 	"barleysail/publisher"
 )
 
-// runtimeSocket is a HAProxy runtime socket with the commands that controllers use, as in HAProxy's management guide. The
-// proxy's tables follow from the servers and variables that are set by it.
+// runtimeSocket is a HAProxy runtime socket with the commands that controllers use, as in HAProxy's management guide.
+// The proxy's tables follow from the servers and variables that are set by it.
 type runtimeSocket struct {
 	proxy    *Proxy
 	listener net.Listener
@@ -284,7 +284,12 @@
 			if changed {
 				if !s.reloadPending {
 					s.reloadPending = true
-					time.AfterFunc(reloadDelay, func() { s.mu.Lock(); s.reloadPending = false; s.applyTables(); s.mu.Unlock() })
+					time.AfterFunc(reloadDelay, func() {
+						s.mu.Lock()
+						s.reloadPending = false
+						s.applyTables()
+						s.mu.Unlock()
+					})
 				}
 				changedTables, s.changed = true, true
 				s.logState(1, continued, true)
@@ -329,7 +334,8 @@
 		return "", oldValue != value && strings.Contains(words[2], publisher.AdmissionRatioVariablePrefix)
 	}
 	nameIndex := 2
-	if command != "add server" && command != "del server" && command != "set server" && command != "set weight" || len(words) < 3 {
+	if command != "add server" && command != "del server" && command != "set server" && command != "set weight" ||
+		len(words) < 3 {
 		return "Unknown command.\n", false
 	}
 	class, name, _ := strings.Cut(words[nameIndex], "/")
@@ -342,7 +348,9 @@
 			return "Already exists a server with the same name in backend.\n", false
 		}
 		weight, _ := strconv.Atoi(words[5])
-		s.servers[class] = append(s.servers[class], &backendServer{address: words[3], weight: weight, initialWeight: weight, adminState: haproxy.ForcedMaint})
+		s.servers[class] = append(s.servers[class], &backendServer{
+			address: words[3], weight: weight, initialWeight: weight, adminState: haproxy.ForcedMaint,
+		})
 		return "New server registered.\n", true
 	}
 	if index < 0 {
@@ -367,8 +375,12 @@
 func (s *runtimeSocket) serverStates() (states []haproxy.ServerState) {
 	for backendIndex, class := range s.classes {
 		for serverIndex, server := range s.servers[class] {
-			states = append(states, haproxy.ServerState{BackendID: backendIndex + 2, ServerID: serverIndex + 1, Backend: class, Server: server.address, Address: server.address, Op: haproxy.Running,
-				Admin: server.adminState, Weight: server.weight, Initial: server.initialWeight})
+			states = append(states, haproxy.ServerState{
+				BackendID: backendIndex + 2, ServerID: serverIndex + 1,
+				Backend: class, Server: server.address, Address: server.address,
+				Op: haproxy.Running, Admin: server.adminState,
+				Weight: server.weight, Initial: server.initialWeight,
+			})
 		}
 	}
 	return states
@@ -381,8 +393,18 @@
 		for _, durationMs := range server.durationsMs[:min(server.timedRequests, averagedRequests)] {
 			meanMs += durationMs / float64(min(server.timedRequests, averagedRequests))
 		}
-		return haproxy.Row{"pxname": class, "svname": name, "type": strconv.Itoa(kind), "sid": strconv.Itoa(id), "stot": strconv.Itoa(server.requests),
-			"econ": strconv.Itoa(server.connectionErrors), "eresp": strconv.Itoa(server.responseErrors), "ttime": strconv.Itoa(int(math.Round(meanMs))), "weight": strconv.Itoa(server.weight), "status": "UP"}
+		return haproxy.Row{
+			"pxname": class,
+			"svname": name,
+			"type":   strconv.Itoa(kind),
+			"sid":    strconv.Itoa(id),
+			"stot":   strconv.Itoa(server.requests),
+			"econ":   strconv.Itoa(server.connectionErrors),
+			"eresp":  strconv.Itoa(server.responseErrors),
+			"ttime":  strconv.Itoa(int(math.Round(meanMs))),
+			"weight": strconv.Itoa(server.weight),
+			"status": "UP",
+		}
 	}
 	for _, class := range s.classes {
 		for index, server := range s.servers[class] {
