--- a/internal/fake/issuer/issuer.go
+++ b/internal/fake/issuer/issuer.go
@@ -40,7 +40,7 @@
 func NewAuthority(domain string) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, fmt.Errorf("making a root: %w", err)
+		return nil, fmt.Errorf("creating a root certificate: %w", err)
 	}
 	template := &x509.Certificate{
 		SerialNumber:          big.NewInt(1),
@@ -54,7 +54,7 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
-		return nil, fmt.Errorf("making a root: %w", err)
+		return nil, fmt.Errorf("creating a root certificate: %w", err)
 	}
 	certificate, err := x509.ParseCertificate(der)
 	return &Authority{Domain: domain, certificate: certificate, key: key, serial: 1}, err
@@ -72,11 +72,11 @@
 func (a *Authority) Sign(id string, validity time.Duration, change func(*x509.Certificate)) (*SVID, error) {
 	uri, err := url.Parse(id)
 	if err != nil {
-		return nil, fmt.Errorf("signing: %w", err)
+		return nil, fmt.Errorf("signing an X.509-SVID: %w", err)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, fmt.Errorf("signing: %w", err)
+		return nil, fmt.Errorf("signing an X.509-SVID: %w", err)
 	}
 	a.mu.Lock()
 	a.serial++
@@ -96,7 +96,7 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, a.certificate, key.Public(), a.key)
 	if err != nil {
-		return nil, fmt.Errorf("signing: %w", err)
+		return nil, fmt.Errorf("signing an X.509-SVID: %w", err)
 	}
 	privateKey, err := x509.MarshalPKCS8PrivateKey(key)
 	return &SVID{id, der, privateKey}, err
@@ -121,7 +121,7 @@
 	path := filepath.Join(folder, name+".sock")
 	listener, err := net.Listen("unix", path)
 	if err != nil {
-		return nil, fmt.Errorf("opening the workload API: %w", err)
+		return nil, fmt.Errorf("listening on the Workload API's socket: %w", err)
 	}
 	e := &Endpoint{
 		Address:          "unix://" + path,
@@ -130,7 +130,7 @@
 		changed:          make(chan struct{}),
 	}
 	workload.RegisterSpiffeWorkloadAPIServer(e.server, e)
-	go e.server.Serve(listener)
+	go func() { _ = e.server.Serve(listener) }() // ends with Close
 	return e, nil
 }
 
@@ -219,15 +219,15 @@
 	signer, err := jose.NewSigner(jose.SigningKey{Algorithm: jose.ES256, Key: key},
 		(&jose.SignerOptions{}).WithType("JWT"))
 	if err != nil {
-		return "", fmt.Errorf("signing a token: %w", err)
+		return "", fmt.Errorf("signing a JWT-SVID: %w", err)
 	}
 	payload, err := json.Marshal(claims)
 	if err != nil {
-		return "", fmt.Errorf("signing a token: %w", err)
+		return "", fmt.Errorf("signing a JWT-SVID: %w", err)
 	}
 	signed, err := signer.Sign(payload)
 	if err != nil {
-		return "", fmt.Errorf("signing a token: %w", err)
+		return "", fmt.Errorf("signing a JWT-SVID: %w", err)
 	}
 	return signed.CompactSerialize()
 }
@@ -239,7 +239,7 @@
 		key := jose.JSONWebKey{Key: a.key.Public(), KeyID: a.keyID(), Use: "jwt-svid"}
 		keySet, err := json.Marshal(jose.JSONWebKeySet{Keys: []jose.JSONWebKey{key}})
 		if err != nil {
-			return fmt.Errorf("writing keys: %w", err)
+			return fmt.Errorf("encoding a JWK set: %w", err)
 		}
 		keySets["spiffe://"+a.Domain] = keySet
 	}
--- a/internal/fake/proxy.go
+++ b/internal/fake/proxy.go
@@ -161,7 +161,7 @@
 	disconnected := time.Now().Before(p.disconnectedUntil)
 	p.mu.Unlock()
 	if disconnected {
-		return nil, errors.New("the way to the steward is broken")
+		return nil, errors.New("disconnected from the controllers by an injected fault")
 	}
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
--- a/internal/fake/runtime_socket.go
+++ b/internal/fake/runtime_socket.go
@@ -62,7 +62,7 @@
 func newRuntimeSocket(proxy *Proxy) (*runtimeSocket, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("opening a proxy's socket: %w", err)
+		return nil, fmt.Errorf("listening on a proxy's runtime socket: %w", err)
 	}
 	s := &runtimeSocket{proxy: proxy, listener: listener, conns: map[net.Conn]bool{}}
 	for _, traffic := range proxy.settings.Traffic {
