--- a/internal/rules/check_test.go
+++ b/internal/rules/check_test.go
@@ -19,7 +19,7 @@
 // twoHosts is a full document of one class with the hosts x and y.
 const twoHosts = `{"tables":{"finish":{"hosts":{"x":1,"y":1}}}}`
 
-// newTestLog is a log without a fault: hosts x and y, a proxy that has both, and a request to each.
+// newTestLog returns a log without a fault: hosts x and y, a proxy that has both, and a request to each.
 func newTestLog() *EventLog {
 	log := NewEventLog()
 	log.LogCapacity("x", 4)
@@ -45,44 +45,44 @@
 	}
 }
 
-// startOfY is a list by which y started at 900 ms.
+// startOfY is an endpoint list on which y started at 900 ms.
 var startOfY = map[string]Listed{"x": {Ready: true}, "y": {Ready: true, Started: 900}}
 
 var faultCases = []struct {
 	name  string
 	cause func(log *EventLog)
 }{
-	{"a good day", func(*EventLog) {}},
+	{"no fault", func(*EventLog) {}},
 	{"an empty table for 6 s", func(log *EventLog) {
 		log.LogPollResponse(1000, "p", "s", 226, "2", "1", "1",
 			[]byte(`{"tables":{"finish":{"hosts":{"x":null,"y":null}}}}`))
 		log.LogPollResponse(7000, "p", "s", 200, "3", "", "2", []byte(twoHosts))
 	}},
-	{"the same while the way to the steward was broken", func(log *EventLog) {
+	{"the same while the proxy was disconnected", func(log *EventLog) {
 		log.LogPollResponse(1000, "p", "s", 200, "2", "", "1", []byte(`{"tables":{"finish":{"hosts":{}}}}`))
 		log.LogPollResponse(1100, "p", "s", 0, "", "", "", nil)
 		log.LogPollResponse(9000, "p", "s", 200, "3", "", "2", []byte(twoHosts))
 	}},
-	{"an effect twice", func(log *EventLog) {
+	{"a duplicate execution", func(log *EventLog) {
 		log.LogAttempt(400, "y", "p", "finish", "t1", 50, true)
 	}},
-	{"a repeat that the host dropped", func(log *EventLog) {
+	{"a duplicate that the host dropped", func(log *EventLog) {
 		log.LogAttempt(400, "x", "p", "finish", "t1", 50, false)
 	}},
-	{"a drain not kept", func(log *EventLog) {
+	{"a request to a draining host after the drain grace", func(log *EventLog) {
 		log.LogEndpoints(1000, map[string]Listed{"x": {Ready: true}, "y": {}})
 		log.LogAttempt(4500, "y", "p", "sheet", "t3", 50, true)
 	}},
-	{"a removal kept just in time", func(log *EventLog) {
+	{"a request to a removed host within the drain grace", func(log *EventLog) {
 		log.LogEndpoints(1000, map[string]Listed{"x": {Ready: true}})
 		log.LogAttempt(3900, "y", "p", "sheet", "t3", 50, true)
 	}},
-	{"a cold host pushed over", func(log *EventLog) {
+	{"an overloaded host in slow start", func(log *EventLog) {
 		log.LogEndpoints(1000, startOfY)
 		log.LogPollResponse(1100, "p", "s", 226, "2", "1", "1", []byte(`{"tables":{"finish":{"hosts":{"y":2}}}}`))
 		sendRequests(log)
 	}},
-	{"the same by a proxy that could not know", func(log *EventLog) {
+	{"the same by a proxy that could not know of the start", func(log *EventLog) {
 		log.LogEndpoints(1000, startOfY)
 		sendRequests(log)
 	}},
@@ -91,28 +91,28 @@
 			log.LogPollResponse(1000+float64(i)*1000, "p", "s", 200, fmt.Sprint(i+2), "", "", []byte(twoHosts))
 		}
 	}},
-	{"too many lines in one stretch", sendToManyProxies},
-	{"the same where the steward says that few waited", func(log *EventLog) {
+	{"too many entries in one burst", sendToManyProxies},
+	{"the same while the controller reports a short queue", func(log *EventLog) {
 		sendToManyProxies(log)
 		log.LogMaxBacklog("s", 40)
 	}},
-	{"the same where it says that many did", func(log *EventLog) {
+	{"the same while the controller reports a long queue", func(log *EventLog) {
 		sendToManyProxies(log)
 		log.LogMaxBacklog("s", 1e6)
 	}},
-	{"a delta onto another base", func(log *EventLog) {
+	{"a delta on another base", func(log *EventLog) {
 		log.LogPollResponse(1000, "p", "s", 226, "3", "2", "1", []byte(`{}`))
 	}},
 }
 
 // The violation of an invariant by a controller is detected by the traffic on its sockets, and by the check of that
 // invariant alone.
-func TestFaultsAreFound(t *testing.T) {
+func TestViolationsAreDetected(t *testing.T) {
 	var report strings.Builder
-	for _, c := range faultCases {
+	for _, faultCase := range faultCases {
 		log := newTestLog()
-		c.cause(log)
-		fmt.Fprintln(&report, c.name)
+		faultCase.cause(log)
+		fmt.Fprintln(&report, faultCase.name)
 		for _, verdict := range log.Check(testLimits, 10000) {
 			if !verdict.Kept || verdict.Margin < 0.1 {
 				fmt.Fprintf(&report, "    kept %v: %s, margin %.2f: %s\n", verdict.Kept, verdict.Rule, verdict.Margin,
--- a/internal/rules/compact_test.go
+++ b/internal/rules/compact_test.go
@@ -9,22 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// journalPair logs random events in two logs, one of which is compacted now and then.
-type journalPair struct {
+// eventLogPair logs random events in two logs, one of which is compacted at random times.
+type eventLogPair struct {
 	whole     *EventLog
 	compacted *EventLog
-	hosts     map[string]Listed // the present list
+	hosts     map[string]Listed // the current endpoint list
 	nowMs     float64
 }
 
-// both logs an event in both.
-func (p *journalPair) both(add func(log *EventLog)) {
+// logBoth logs an event in both logs.
+func (p *eventLogPair) logBoth(add func(log *EventLog)) {
 	add(p.whole)
 	add(p.compacted)
 }
 
 // step logs a random event.
-func (p *journalPair) step(t *rapid.T, number int) {
+func (p *eventLogPair) step(t *rapid.T, number int) {
 	p.nowMs += rapid.SampledFrom([]float64{1, 1, 5, 40, 300, 1500, 9000}).Draw(t, "pause")
 	proxy := rapid.SampledFrom([]string{"p", "q", "r"}).Draw(t, "proxy")
 	host := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "host")
@@ -33,27 +33,27 @@
 	case what == 0 || number == 0:
 		p.changeList(t, host)
 	case what == 1:
-		p.both(func(log *EventLog) { log.LogPollResponse(p.nowMs, proxy, "s", 0, "", "", "", nil) })
+		p.logBoth(func(log *EventLog) { log.LogPollResponse(p.nowMs, proxy, "s", 0, "", "", "", nil) })
 	case what == 2:
 		empty := []byte(`{"tables":{"finish":{"hosts":{}}}}`)
-		p.both(func(log *EventLog) { log.LogPollResponse(p.nowMs, proxy, "s", 200, "1", "", "", empty) })
+		p.logBoth(func(log *EventLog) { log.LogPollResponse(p.nowMs, proxy, "s", 200, "1", "", "", empty) })
 	case what <= 4:
 		controller := rapid.SampledFrom([]string{"s", "t"}).Draw(t, "steward")
-		p.both(func(log *EventLog) {
+		p.logBoth(func(log *EventLog) {
 			log.LogPollResponse(p.nowMs, proxy, controller, 200, "1", "", "", []byte(twoHosts))
 		})
 	case what == 5:
 		p.compacted.Compact(testLimits, p.nowMs)
 	default:
 		work := rapid.SampledFrom([]float64{50, 4000}).Draw(t, "work")
-		p.both(func(log *EventLog) {
+		p.logBoth(func(log *EventLog) {
 			log.LogAttempt(p.nowMs, host, proxy, "sheet", fmt.Sprint("t", number), work, true)
 		})
 	}
 }
 
 // changeList removes, drains, restarts or readies a host on the list.
-func (p *journalPair) changeList(t *rapid.T, host string) {
+func (p *eventLogPair) changeList(t *rapid.T, host string) {
 	next := maps.Clone(p.hosts)
 	switch rapid.IntRange(0, 3).Draw(t, "change") {
 	case 0:
@@ -66,15 +66,15 @@
 		next[host] = Listed{Ready: true, Started: next[host].Started}
 	}
 	p.hosts = next
-	p.both(func(log *EventLog) { log.LogEndpoints(p.nowMs, next) })
+	p.logBoth(func(log *EventLog) { log.LogEndpoints(p.nowMs, next) })
 }
 
-// Checks of a log that is compacted again and again come to the same as those of one that keeps all.
+// The checks of a log that is compacted repeatedly give the same verdicts as those of a log that keeps all events.
 func TestCompact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pair := &journalPair{whole: NewEventLog(), compacted: NewEventLog(), hosts: map[string]Listed{}, nowMs: 1000}
+		pair := &eventLogPair{whole: NewEventLog(), compacted: NewEventLog(), hosts: map[string]Listed{}, nowMs: 1000}
 		for _, host := range []string{"x", "y", "z"} {
-			pair.both(func(log *EventLog) { log.LogCapacity(host, 4) })
+			pair.logBoth(func(log *EventLog) { log.LogCapacity(host, 4) })
 		}
 		for number := range rapid.IntRange(20, 400).Draw(t, "steps") {
 			pair.step(t, number)
@@ -87,7 +87,7 @@
 		for _, want := range pair.whole.Check(testLimits, pair.nowMs+10) {
 			verdict, found := got[want.Rule]
 			if !found {
-				t.Fatalf("no verdict on %s", want.Rule)
+				t.Fatalf("no verdict on %s from the compacted log", want.Rule)
 			}
 			if math.Abs(want.Margin-verdict.Margin) > 1e-9 {
 				t.Fatalf("%s: margin %g of a whole log (%s), %g of a compacted one (%s)", want.Rule, want.Margin,
@@ -97,7 +97,7 @@
 	})
 }
 
-// What a compacted log keeps does not grow with time.
+// A log that is compacted regularly keeps a bounded number of events.
 func TestCompactedStaysSmall(t *testing.T) {
 	log := newTestLog()
 	for i := range 100000 {
@@ -109,6 +109,6 @@
 		}
 	}
 	if len(log.updates) > 2000 || len(log.requests) > 2000 {
-		t.Errorf("%d updates and %d requests are kept", len(log.updates), len(log.requests))
+		t.Errorf("%d updates and %d requests are kept, want at most 2000 of each", len(log.updates), len(log.requests))
 	}
 }
