--- a/internal/rehearse/controller_restarts.go
+++ b/internal/rehearse/controller_restarts.go
@@ -9,17 +9,18 @@
 }
 
 const (
+	beforeKillS   = 5.0  // length of the time before a kill over which the gap is averaged, in s
 	afterRestartS = 30.0 // length of the time after a restart that is evaluated, in s
 	recoveredGap  = 0.01 // largest increase of the optimality gap that counts as recovered
 )
 
 // printRestarts prints for each restart the service level from the kill until afterRestartS after the restart, and the
-// time until the optimality gap had recovered.
+// time until the optimality gap had recovered, -1 if it did not.
 func (s *scenario) printRestarts() {
 	for _, restart := range s.restarts {
 		fromWindow := int(restart.killedAtS * 1000 / windowMs)
 		level, count := s.serviceLevel.fraction(fromWindow, int((restart.restartedAtS+afterRestartS)*1000/windowMs))
-		gapBefore, _ := s.optimality.mean(restart.killedAtS-5, restart.killedAtS)
+		gapBefore, _ := s.optimality.mean(restart.killedAtS-beforeKillS, restart.killedAtS)
 		gapAfter, _ := s.optimality.mean(restart.restartedAtS, restart.restartedAtS+afterRestartS)
 		recoveredAfterS := -1.0
 		for _, sample := range s.optimality.samples {
--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -45,7 +45,9 @@
 
 const (
 	trustDomain      = "spiffe://race.example"
-	defaultValidityS = 20.0 // s
+	defaultValidityS = 20.0 // of certificates, in s
+
+	unauthorizedRequestInterval = 100 * time.Millisecond
 )
 
 // addWorkload serves an identity to a new workload, and renews it from then on.
@@ -226,7 +228,7 @@
 func (s *scenario) sendUnauthorizedRequests(ctx context.Context, client *http.Client, proxy, zone string) {
 	identities := s.identities
 	host := s.hosts[0].Address
-	for n := 0; sleep(ctx, 100*time.Millisecond); n++ {
+	for n := 0; sleep(ctx, unauthorizedRequestInterval); n++ {
 		requests := []struct{ method, path, body string }{
 			{"GET", "/v1/proxies/" + proxy + "/tables?zone=" + zone, ""},
 			{"POST", "/v1/proxies/" + proxy + "/sums?zone=" + zone,
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -27,6 +27,23 @@
 	"barleysail/internal/rules"
 )
 
+// Limits of a script.
+const (
+	maxLengthS     = 3600.0 // in s
+	maxControllers = 16
+	maxClassRate   = 5000.0 // requests of a class per second
+)
+
+// Defaults of a script.
+const (
+	defaultCollapseMs = 3000.0 // in ms
+	defaultCores      = 4
+	defaultSpeed      = 1.0
+	defaultQueueLimit = 64
+)
+
+const fallbackHostsPerProxy = 4
+
 // Result is the result of a scenario.
 type Result struct {
 	ServiceLevel float64 // fraction of the requests that met their latency objective, by priority weight
@@ -140,14 +157,14 @@
 		script.Stewards = 1
 	}
 	if script.FallMs == 0 {
-		script.FallMs = 3000
+		script.FallMs = defaultCollapseMs
 	}
-	if script.LengthS <= 0 || script.LengthS > 3600 ||
-		script.Stewards < 0 || script.Stewards > 16 || script.Steward == nil ||
+	if script.LengthS <= 0 || script.LengthS > maxLengthS ||
+		script.Stewards < 0 || script.Stewards > maxControllers || script.Steward == nil ||
 		script.Standby && script.Stewards < 2 ||
 		len(script.Hosts) == 0 || len(script.Forwarders) == 0 || len(script.Traffic) == 0 {
-		return fmt.Errorf("the script needs length_s (at most 3600), stewards (at most 16; at least 2 with standby), " +
-			"steward, hosts, forwarders and traffic")
+		return fmt.Errorf("the script needs length_s (at most %g), stewards (at most %d; at least 2 with standby), "+
+			"steward, hosts, forwarders and traffic", maxLengthS, maxControllers)
 	}
 	controllerConfig := proto.Clone(script.Steward).(*configpb.Config)
 	controllerConfig.List = &configpb.List{File: "hosts.textproto"}
@@ -183,9 +200,10 @@
 		known[class.Name] = true
 	}
 	for _, traffic := range script.Traffic {
-		if !known[traffic.Class] || traffic.Rate <= 0 || traffic.Rate > 5000 || traffic.WorkMs <= 0 {
+		if !known[traffic.Class] || traffic.Rate <= 0 || traffic.Rate > maxClassRate || traffic.WorkMs <= 0 {
 			return fmt.Errorf("the script's traffic of class %q, rate %g, work_ms %g: the class must be one of steward, "+
-				"rate above 0 and at most 5000, and work_ms above 0", traffic.Class, traffic.Rate, traffic.WorkMs)
+				"rate above 0 and at most %g, and work_ms above 0",
+				traffic.Class, traffic.Rate, traffic.WorkMs, maxClassRate)
 		}
 	}
 	for i, step := range script.Steps {
@@ -214,13 +232,13 @@
 			NonIdempotentClasses: limits.NonIdempotentClasses, ReportsRequestRate: group.ReportMs > 0,
 		}
 		if group.Cores == 0 {
-			settings.Cores = 4
+			settings.Cores = defaultCores
 		}
 		if group.Speed == 0 {
-			settings.Speed = 1
+			settings.Speed = defaultSpeed
 		}
 		if group.Queue == 0 {
-			settings.QueueLimit = 64
+			settings.QueueLimit = defaultQueueLimit
 		}
 		for range group.Count {
 			host, err := fake.NewHost(settings, s.eventLog)
@@ -307,7 +325,7 @@
 		}
 		var fallbackHosts []string
 		for _, host := range s.hosts {
-			if host.zone == group.Zone && len(fallbackHosts) < 4 {
+			if host.zone == group.Zone && len(fallbackHosts) < fallbackHostsPerProxy {
 				fallbackHosts = append(fallbackHosts, host.Address)
 			}
 		}
@@ -501,7 +519,7 @@
 // report checks the invariants and prints the results.
 func (s *scenario) report(limits rules.Limits) *Result {
 	result := &Result{Passed: true, Verdicts: s.eventLog.Check(limits, fake.Now())}
-	result.ServiceLevel, _ = s.serviceLevel.fraction(0, 1<<30)
+	result.ServiceLevel, _ = s.serviceLevel.fraction(0, allWindows)
 	for _, host := range s.hosts {
 		if host.Collapsed() {
 			result.Verdicts = append(result.Verdicts,
--- a/internal/rehearse/service_level.go
+++ b/internal/rehearse/service_level.go
@@ -13,6 +13,9 @@
 // windowMs is the length of the windows in which requests are counted, in ms.
 const windowMs = 5000.0
 
+// allWindows is the end of a range that covers all windows.
+const allWindows = 1 << 30
+
 // serviceLevel counts the outcomes of requests by class and by the window in which they were received.
 type serviceLevel struct {
 	mu                 sync.Mutex
@@ -85,7 +88,7 @@
 
 // print prints the service level, and a table with a row for each window.
 func (s *serviceLevel) print(out io.Writer) {
-	level, requests := s.fraction(0, 1<<30)
+	level, requests := s.fraction(0, allWindows)
 	fmt.Fprintf(out, "\nservice level %.3f by priority weight, %d requests\n", level, requests)
 	table := tabwriter.NewWriter(out, 2, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(table, "from s\t")
--- a/internal/rehearse/steps.go
+++ b/internal/rehearse/steps.go
@@ -97,6 +97,11 @@
 	}
 }
 
+const (
+	maxStartRetries    = 50 // to restart a controller at its address
+	startRetryInterval = 20 * time.Millisecond
+)
+
 // slowSocketDelay is the response time of a runtime socket during a SLOW_SOCKET step.
 const slowSocketDelay = 300 * time.Millisecond
 
@@ -193,8 +198,8 @@
 	s.addNote("controller %d is killed", index)
 	sleep(ctx, secondsToDuration(step.ForS))
 	restarted, err := s.startController(index, s.controllerAddresses[index])
-	for attempt := 0; err != nil && attempt < 50; attempt++ { // the port may not be free yet
-		time.Sleep(20 * time.Millisecond)
+	for attempt := 0; err != nil && attempt < maxStartRetries; attempt++ { // the port may not be free yet
+		time.Sleep(startRetryInterval)
 		restarted, err = s.startController(index, s.controllerAddresses[index])
 	}
 	if err != nil {
