--- a/internal/fake/load_reports.go
+++ b/internal/fake/load_reports.go
@@ -29,7 +29,7 @@
 	perSecond     float64 // rate in the last window
 }
 
-// SetReportedFraction makes the host report only a fraction of its load; 1 is its true load.
+// SetReportedFraction makes the host report only a fraction of its load; 0 and 1 stand for its true load.
 func (h *Host) SetReportedFraction(fraction float64) {
 	h.mu.Lock()
 	h.reporting.reportedFraction = fraction
