--- a/internal/daemon/credentials_test.go
+++ b/internal/daemon/credentials_test.go
@@ -62,12 +62,12 @@
 		t.Errorf("before the rotation: status %d by the old root and %d by the new one, want 200 and 0", old, fresh)
 	}
 	own := d.sign(controllerID, time.Hour)
-	d.ownEndpoint.Give(own, []*issuer.Authority{d.authority, next})
+	d.ownEndpoint.SetIdentity(own, []*issuer.Authority{d.authority, next})
 	eventually(t, "the new root to be accepted", func() bool { return poll(byNewRoot) == 200 })
 	if status := poll(byOldRoot); status != 200 {
 		t.Errorf("old root while both are in the bundle: status %d, want 200", status)
 	}
-	d.ownEndpoint.Give(own, []*issuer.Authority{next})
+	d.ownEndpoint.SetIdentity(own, []*issuer.Authority{next})
 	eventually(t, "the old root to be removed", func() bool { return poll(byOldRoot) != 200 })
 	if status := poll(byNewRoot); status != 200 {
 		t.Errorf("new root after the rotation: status %d, want 200", status)
@@ -93,12 +93,12 @@
 	d := startWithIdentities(t, "", "")
 	svid := d.sign(controllerID, time.Hour)
 	logged := func(text string) int { return strings.Count(d.log.String(), text) }
-	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
+	d.ownEndpoint.SetIdentity(svid, []*issuer.Authority{d.authority})
 	eventually(t, "the renewed credentials", func() bool { return logged("credentials loaded") >= 2 })
 	if logged("the same key as before") != 0 {
 		t.Error("a new key was logged as the same key")
 	}
-	d.ownEndpoint.Give(svid, []*issuer.Authority{d.authority})
+	d.ownEndpoint.SetIdentity(svid, []*issuer.Authority{d.authority})
 	eventually(t, "the reissued key to be logged", func() bool { return logged("the same key as before") > 0 })
 	if result := d.getAs(d.clientWithID(operatorID), "/v1/hosts"); result.status != 200 {
 		t.Errorf("GET /v1/hosts with the reissued key: status %d, want 200", result.status)
@@ -122,7 +122,7 @@
 	d := startWithIdentities(t, "", "")
 	endpoint := d.newEndpoint("f1")
 	renew := func() { // valid for 1 s to 2 s, since the times in a certificate are whole seconds
-		endpoint.Give(d.sign(forwarderID, 2*time.Second), []*issuer.Authority{d.authority})
+		endpoint.SetIdentity(d.sign(forwarderID, 2*time.Second), []*issuer.Authority{d.authority})
 	}
 	renew()
 	var lost atomic.Int64
@@ -206,7 +206,7 @@
 	d := startWithIdentities(t, "",
 		fmt.Sprintf(` list { url: "https://%s/hosts" id: "%s" wait_ms: 1000 }`, listener.Addr(), serviceID))
 	endpoint := d.newEndpoint("list")
-	give := func(id string) { endpoint.Give(d.sign(id, time.Hour), []*issuer.Authority{d.authority}) }
+	give := func(id string) { endpoint.SetIdentity(d.sign(id, time.Hour), []*issuer.Authority{d.authority}) }
 	give(trustDomain + "/impostor")
 	source := openSource(t, endpoint)
 	followSource(t, source)
--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -21,266 +21,289 @@
 	"barleysail/internal/identity"
 )
 
-// identities of a day: an issuer with short lives that are renewed all day, and an impostor who tries what he can.
+// identities holds the SPIFFE identities of a scenario, which are short-lived and renewed throughout. It also counts
+// the attempts of unauthorized clients, and holds a controller whose certificate is signed by an untrusted authority.
 type identities struct {
-	root    *issuer.Authority
-	life    time.Duration
-	folder  string
-	mu      sync.Mutex
-	given   []given
-	sources []*identity.Source
-	rogue   *daemon.Daemon // a steward by another root of the same name
-	tries   atomic.Int64   // of the impostors
-	done    atomic.Int64   // that achieved something
-	what    atomic.Pointer[string]
+	authority   *issuer.Authority
+	validity    time.Duration
+	folder      string
+	mu          sync.Mutex
+	workloads   []workload
+	sources     []*identity.Source
+	rogue       *daemon.Daemon         // its authority has the same trust domain, but is not in the bundle
+	attempts    atomic.Int64           // requests sent by unauthorized clients
+	successes   atomic.Int64           // requests of theirs that were accepted
+	lastSuccess atomic.Pointer[string] // method and path of the last accepted one
 }
 
-type given struct {
-	endpoint *issuer.Endpoint
-	id       string
-	root     *issuer.Authority
+// workload is a workload with an identity, and the authority that signs it.
+type workload struct {
+	endpoint  *issuer.Endpoint
+	id        string
+	authority *issuer.Authority
 }
 
 const (
-	trustDomain = "spiffe://race.example"
-	usualLife   = 20.0 // s
+	trustDomain      = "spiffe://race.example"
+	defaultValidityS = 20.0 // of certificates, in s
+
+	unauthorizedRequestInterval = 100 * time.Millisecond
 )
 
-// issue makes a workload with an identity.
-func (x *identities) issue(name, id string, root *issuer.Authority) (*issuer.Endpoint, error) {
-	e, err := issuer.NewEndpoint(x.folder, name)
+// addWorkload serves an identity to a new workload, and renews it from then on.
+func (ids *identities) addWorkload(name, id string, authority *issuer.Authority) (*issuer.Endpoint, error) {
+	endpoint, err := issuer.NewEndpoint(ids.folder, name)
 	if err != nil {
 		return nil, err
 	}
-	g := given{e, trustDomain + id, root}
-	x.mu.Lock()
-	x.given = append(x.given, g)
-	x.mu.Unlock()
-	return e, x.renew(g)
+	added := workload{endpoint, trustDomain + id, authority}
+	ids.mu.Lock()
+	ids.workloads = append(ids.workloads, added)
+	ids.mu.Unlock()
+	return endpoint, ids.renew(added)
 }
 
-func (x *identities) renew(g given) error {
-	v, err := g.root.Sign(g.id, x.life, nil)
+// renew issues a new certificate to a workload.
+func (ids *identities) renew(w workload) error {
+	svid, err := w.authority.Sign(w.id, ids.validity, nil)
 	if err != nil {
 		return err
 	}
-	g.endpoint.Give(v, []*issuer.Authority{g.root})
+	w.endpoint.SetIdentity(svid, []*issuer.Authority{w.authority})
 	return nil
 }
 
-// renewing renews all at a third of their life, all at once.
-func (x *identities) renewing(ctx context.Context) {
-	for wait(ctx, x.life/3) {
-		x.mu.Lock()
-		all := slices.Clone(x.given)
-		x.mu.Unlock()
-		for _, g := range all {
-			x.renew(g)
+// renewPeriodically renews all identities at the same time, each time a third of their validity has passed.
+func (ids *identities) renewPeriodically(ctx context.Context) {
+	for sleep(ctx, ids.validity/3) {
+		ids.mu.Lock()
+		workloads := slices.Clone(ids.workloads)
+		ids.mu.Unlock()
+		for _, w := range workloads {
+			ids.renew(w)
 		}
 	}
 }
 
-// open takes up a workload's identity.
-func (x *identities) open(e *issuer.Endpoint) (*identity.Source, error) {
+// openSource fetches a workload's identity and follows its renewals.
+func (ids *identities) openSource(endpoint *issuer.Endpoint) (*identity.Source, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	s, err := identity.Open(ctx, e.Address)
+	source, err := identity.Open(ctx, endpoint.Address)
 	if err == nil {
-		x.mu.Lock()
-		x.sources = append(x.sources, s)
-		x.mu.Unlock()
+		ids.mu.Lock()
+		ids.sources = append(ids.sources, source)
+		ids.mu.Unlock()
 	}
-	return s, err
+	return source, err
 }
 
-// steward tells whether an identity is one of the day's stewards.
-func aSteward(id spiffeid.ID) error {
+// verifyController accepts the identities of controllers.
+func verifyController(id spiffeid.ID) error {
 	if !strings.HasPrefix(id.String(), trustDomain+"/steward/") {
-		return fmt.Errorf("%s is no steward of ours", id)
+		return fmt.Errorf("%s is not the identity of a controller", id)
 	}
 	return nil
 }
 
-// proving makes what a workload needs to call stewards.
-func (x *identities) proving(name, id string) (*identity.Source, *tls.Config, error) {
-	e, err := x.issue(name, id, x.root)
+// controllerTLS adds a workload, and returns its identity and the TLS settings for its calls to controllers.
+func (ids *identities) controllerTLS(name, id string) (*identity.Source, *tls.Config, error) {
+	endpoint, err := ids.addWorkload(name, id, ids.authority)
 	if err != nil {
 		return nil, nil, err
 	}
-	s, err := x.open(e)
+	source, err := ids.openSource(endpoint)
 	if err != nil {
 		return nil, nil, err
 	}
-	return s, s.ClientTLS(aSteward), nil
+	return source, source.ClientTLS(verifyController), nil
 }
 
-// identify begins the day's identities.
-func (d *day) identify() error {
-	if !d.script.Identities {
+// setUpIdentities creates the certificate authority and the operator's identity if the script wants identities.
+func (s *scenario) setUpIdentities() error {
+	if !s.script.Identities {
 		return nil
 	}
-	life := d.script.IdentityLifeS
-	if life == 0 {
-		life = usualLife
+	validityS := s.script.IdentityLifeS
+	if validityS == 0 {
+		validityS = defaultValidityS
 	}
-	root, err := issuer.NewAuthority("race.example")
+	authority, err := issuer.NewAuthority("race.example")
 	if err != nil {
 		return err
 	}
-	x := &identities{root: root, life: seconds(life), folder: d.dir}
-	d.identities = x
-	_, operator, err := x.proving("op", "/operator/day")
+	identities := &identities{authority: authority, validity: secondsToDuration(validityS), folder: s.tempDir}
+	s.identities = identities
+	_, operatorTLS, err := identities.controllerTLS("op", "/operator/day")
 	if err != nil {
 		return err
 	}
-	d.taken.client.Transport = &http.Transport{TLSClientConfig: operator}
+	s.ingest.client.Transport = &http.Transport{TLSClientConfig: operatorTLS}
 	return nil
 }
 
-// identified sets a steward's identity and the day's rules.
-func (d *day) identified(c *configpb.Config, i int) error {
-	x := d.identities
-	if x == nil {
+// setControllerIdentity sets a controller's identity and the authorization rules.
+func (s *scenario) setControllerIdentity(controllerConfig *configpb.Config, index int) error {
+	identities := s.identities
+	if identities == nil {
 		return nil
 	}
-	d.mu.Lock()
-	name := fmt.Sprintf("s%d-%d", i, d.lives)
-	d.mu.Unlock()
-	e, err := x.issue(name, fmt.Sprintf("/steward/%d", i), x.root)
+	s.mu.Lock()
+	name := fmt.Sprintf("s%d-%d", index, s.incarnations)
+	s.mu.Unlock()
+	endpoint, err := identities.addWorkload(name, fmt.Sprintf("/steward/%d", index), identities.authority)
 	if err != nil {
 		return err
 	}
-	c.Identity = allowed(e.Address)
-	c.Standby.Id = trustDomain + "/steward/0"
+	controllerConfig.Identity = identitySettings(endpoint.Address)
+	controllerConfig.Standby.Id = trustDomain + "/steward/0"
 	return nil
 }
 
-func allowed(api string) *configpb.Identity {
-	return &configpb.Identity{WorkloadApi: api, Handshakes: proto.Int32(32), Allow: []*configpb.Allow{
+// identitySettings returns identity settings with the authorization rules that all controllers have.
+func identitySettings(workloadAPI string) *configpb.Identity {
+	return &configpb.Identity{WorkloadApi: workloadAPI, Handshakes: proto.Int32(32), Allow: []*configpb.Allow{
 		{Id: trustDomain + "/forwarder/{zone}/{proxy}", Actions: []string{"poll", "sums"}},
 		{Id: trustDomain + "/host/{host}", Actions: []string{"report"}},
 		{Id: trustDomain + "/operator/*", Actions: []string{"see", "set"}},
 		{Id: trustDomain + "/steward/*", Actions: []string{"follow"}}}}
 }
 
-// scheme of the stewards' URLs.
-func (d *day) scheme() string {
-	if d.identities != nil {
+// scheme returns the scheme of the controllers' URLs.
+func (s *scenario) scheme() string {
+	if s.identities != nil {
 		return "https://"
 	}
 	return "http://"
 }
 
-// impostors begin: a steward by another root, which all forwarders have in their lists, and programs that poll, post, set and
-// follow as others.
-func (d *day) impostors(ctx context.Context) error {
-	x := d.identities
-	if x == nil {
+// startUnauthorizedClients starts two clients that send requests in the name of the first proxy: one with that proxy's
+// SPIFFE ID, but signed by an untrusted authority, and one with a valid identity of another proxy.
+func (s *scenario) startUnauthorizedClients(ctx context.Context) error {
+	identities := s.identities
+	if identities == nil {
 		return nil
 	}
-	other, err := issuer.NewAuthority("race.example")
+	untrusted, err := issuer.NewAuthority("race.example")
 	if err != nil {
 		return err
 	}
-	victim := d.forwarders[0]
-	for _, i := range []struct {
-		name, id string
-		root     *issuer.Authority
-	}{{"rogue", fmt.Sprintf("/forwarder/%s/%s", victim.Zone(), victim.Name()), other}, {"other", "/forwarder/nowhere/other", x.root}} {
-		e, err := x.issue(i.name, i.id, i.root)
+	target := s.proxies[0]
+	for _, attacker := range []struct {
+		name, id  string
+		authority *issuer.Authority
+	}{
+		{"rogue", fmt.Sprintf("/forwarder/%s/%s", target.Zone(), target.Name()), untrusted},
+		{"other", "/forwarder/nowhere/other", identities.authority},
+	} {
+		endpoint, err := identities.addWorkload(attacker.name, attacker.id, attacker.authority)
 		if err != nil {
 			return err
 		}
-		v, err := x.open(e)
+		source, err := identities.openSource(endpoint)
 		if err != nil {
 			return err
 		}
-		c := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13,
-			InsecureSkipVerify: true, // an impostor does not mind whom he calls
-			GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-				s, _ := v.TLSCertificate()
-				return s, nil
-			}}}}
-		go d.impostor(ctx, c, victim.Name(), victim.Zone())
+		client := &http.Client{
+			Timeout: 2 * time.Second,
+			Transport: &http.Transport{
+				DisableKeepAlives: true,
+				TLSClientConfig: &tls.Config{
+					MinVersion:         tls.VersionTLS13,
+					InsecureSkipVerify: true, // an attacker accepts any controller
+					GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+						certificate, _ := source.TLSCertificate()
+						return certificate, nil
+					},
+				},
+			},
+		}
+		go s.sendUnauthorizedRequests(ctx, client, target.Name(), target.Zone())
 	}
 	return nil
 }
 
-// impostor tries one thing after the other, all day.
-func (d *day) impostor(ctx context.Context, c *http.Client, victim, zone string) {
-	x := d.identities
-	host := d.hosts[0].Address
-	for n := 0; wait(ctx, 100*time.Millisecond); n++ {
-		tries := []struct{ method, path, body string }{
-			{"GET", "/v1/proxies/" + victim + "/tables?zone=" + zone, ""},
-			{"POST", "/v1/proxies/" + victim + "/sums?zone=" + zone, fmt.Sprintf(`{"sender":"impostor","number":%d}`, n+1)},
-			{"DELETE", "/v1/proxies/" + victim, ""},
+// sendUnauthorizedRequests sends requests for which the client has no permission until the scenario ends, and counts
+// those that are accepted.
+func (s *scenario) sendUnauthorizedRequests(ctx context.Context, client *http.Client, proxy, zone string) {
+	identities := s.identities
+	host := s.hosts[0].Address
+	for n := 0; sleep(ctx, unauthorizedRequestInterval); n++ {
+		requests := []struct{ method, path, body string }{
+			{"GET", "/v1/proxies/" + proxy + "/tables?zone=" + zone, ""},
+			{"POST", "/v1/proxies/" + proxy + "/sums?zone=" + zone,
+				fmt.Sprintf(`{"sender":"impostor","number":%d}`, n+1)},
+			{"DELETE", "/v1/proxies/" + proxy, ""},
 			{"POST", "/v1/hosts/" + host + "/operator", `{"state":"drain"}`},
 			{"POST", "/v1/hosts/" + host + "/load", `{"number":1,"load":{"util":0}}`},
 			{"GET", "/v1/state", ""}, {"GET", "/v1/hosts", ""}}
-		try := tries[n%len(tries)]
-		q, err := http.NewRequestWithContext(ctx, try.method, "https://"+d.addresses[0]+try.path, strings.NewReader(try.body))
+		attempt := requests[n%len(requests)]
+		request, err := http.NewRequestWithContext(ctx, attempt.method,
+			"https://"+s.controllerAddresses[0]+attempt.path, strings.NewReader(attempt.body))
 		if err != nil {
 			return
 		}
-		q.Header.Set("Content-Type", "application/json")
-		x.tries.Add(1)
-		r, err := c.Do(q)
+		request.Header.Set("Content-Type", "application/json")
+		identities.attempts.Add(1)
+		response, err := client.Do(request)
 		if err != nil {
 			continue
 		}
-		io.Copy(io.Discard, r.Body)
-		r.Body.Close()
-		if r.StatusCode < 400 {
-			x.done.Add(1)
-			what := try.method + " " + try.path
-			x.what.Store(&what)
+		io.Copy(io.Discard, response.Body)
+		response.Body.Close()
+		if response.StatusCode < 400 {
+			identities.successes.Add(1)
+			success := attempt.method + " " + attempt.path
+			identities.lastSuccess.Store(&success)
 		}
 	}
 }
 
-// rogueSteward runs a steward by another root of the same name, and gives its address.
-func (d *day) rogueSteward() (string, error) {
-	x := d.identities
-	other, err := issuer.NewAuthority("race.example")
+// startRogueController starts a controller whose certificate is signed by an untrusted authority with the name of the
+// trust domain, and returns its address.
+func (s *scenario) startRogueController() (string, error) {
+	identities := s.identities
+	untrusted, err := issuer.NewAuthority("race.example")
 	if err != nil {
 		return "", err
 	}
-	e, err := x.issue("false", "/steward/0", other)
+	endpoint, err := identities.addWorkload("false", "/steward/0", untrusted)
 	if err != nil {
 		return "", err
 	}
-	c := proto.CloneOf(d.config)
-	c.Identity = allowed(e.Address)
-	c.Record, c.Sockets = "", nil
-	if x.rogue, err = daemon.Start(c, d.version, d.log); err != nil {
-		return "", fmt.Errorf("starting the impostor: %w", err)
+	rogueConfig := proto.CloneOf(s.config)
+	rogueConfig.Identity = identitySettings(endpoint.Address)
+	rogueConfig.Record, rogueConfig.Sockets = "", nil
+	if identities.rogue, err = daemon.Start(rogueConfig, s.version, s.log); err != nil {
+		return "", fmt.Errorf("starting the rogue controller: %w", err)
 	}
-	return x.rogue.Addr(), nil
+	return identities.rogue.Addr(), nil
 }
 
-// print says what the impostors achieved.
-func (x *identities) print(out io.Writer) {
-	joined := x.rogue.Operators().Status().ConnectedProxies
-	fmt.Fprintf(out, "impostors: %d proxies joined the false steward; %d tries by false forwarders, %d achieved something\n", joined, x.tries.Load(), x.done.Load())
-	if what := x.what.Load(); what != nil {
-		fmt.Fprintln(out, "  the last:", *what)
+// print prints how many unauthorized connections and requests were accepted.
+func (ids *identities) print(out io.Writer) {
+	connected := ids.rogue.Operators().Status().ConnectedProxies
+	fmt.Fprintf(out, "security: %d proxies joined the rogue controller; %d unauthorized requests, %d accepted\n",
+		connected, ids.attempts.Load(), ids.successes.Load())
+	if success := ids.lastSuccess.Load(); success != nil {
+		fmt.Fprintln(out, "  the last accepted:", *success)
 	}
 }
 
-// kept tells whether the impostors achieved nothing.
-func (x *identities) kept() bool {
-	return x.done.Load() == 0 && x.rogue.Operators().Status().ConnectedProxies == 0
+// allRejected reports whether no proxy joined the rogue controller and no unauthorized request was accepted.
+func (ids *identities) allRejected() bool {
+	return ids.successes.Load() == 0 && ids.rogue.Operators().Status().ConnectedProxies == 0
 }
 
-func (x *identities) end() {
-	if x.rogue != nil {
-		x.rogue.Kill()
+// close stops the rogue controller and the issuer.
+func (ids *identities) close() {
+	if ids.rogue != nil {
+		ids.rogue.Kill()
 	}
-	for _, s := range x.sources {
-		s.Close()
+	for _, source := range ids.sources {
+		source.Close()
 	}
-	for _, g := range x.given {
-		g.endpoint.Close()
+	for _, w := range ids.workloads {
+		w.endpoint.Close()
 	}
 }
--- a/internal/rehearse/steps.go
+++ b/internal/rehearse/steps.go
@@ -8,193 +8,205 @@
 	"barleysail/internal/rehearse/daypb"
 )
 
-func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+// secondsToDuration converts a time in s.
+func secondsToDuration(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 
-// wait tells whether the time passed before the day ended.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for a duration. It returns false if the context ended before.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
-	case <-time.After(d):
+	case <-time.After(duration):
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// step waits for its time, does what it says, and undoes it.
-func (d *day) step(ctx context.Context, s *daypb.Step) {
-	if !wait(ctx, seconds(s.AtS)) {
+// runStep waits for the time of a step, injects its fault, and ends the fault after the duration of the step.
+func (s *scenario) runStep(ctx context.Context, step *daypb.Step) {
+	if !sleep(ctx, secondsToDuration(step.AtS)) {
 		return
 	}
-	hosts := d.chosen(s)
-	switch s.What {
+	hosts := s.selectHosts(step)
+	switch step.What {
 	case daypb.What_HANG:
-		d.each(hosts, "hangs", func(h *member) { h.Hang(true) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "answers again", func(h *member) { h.Hang(false) })
+		s.applyFault(hosts, "hangs", func(host *scenarioHost) { host.SetHanging(true) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		s.applyFault(hosts, "answers again", func(host *scenarioHost) { host.SetHanging(false) })
 	case daypb.What_SLOW:
-		d.each(hosts, "is slow", func(h *member) { h.Slow(s.Size) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "is as fast as usual", func(h *member) { h.Slow(1) })
+		s.applyFault(hosts, "is slow", func(host *scenarioHost) { host.SetSlowdown(step.Size) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		s.applyFault(hosts, "is as fast as before", func(host *scenarioHost) { host.SetSlowdown(1) })
 	case daypb.What_DRAIN:
-		d.listing(hosts, "drains", func(h *member) { h.draining = true })
-		wait(ctx, seconds(s.ForS))
-		d.listing(hosts, "is ready again", func(h *member) { h.draining = false })
+		s.changeEndpoints(hosts, "drains", func(host *scenarioHost) { host.draining = true })
+		sleep(ctx, secondsToDuration(step.ForS))
+		s.changeEndpoints(hosts, "is ready again", func(host *scenarioHost) { host.draining = false })
 	case daypb.What_LOSE:
-		d.lose(ctx, hosts, s)
+		s.crashHosts(ctx, hosts, step)
 	case daypb.What_KILL:
-		d.kill(ctx, int(s.Steward), s)
+		s.restartController(ctx, int(step.Steward), step)
 	case daypb.What_CUT:
-		n := int(s.Size*float64(len(d.forwarders)) + 0.5)
-		for _, f := range d.forwarders[:min(n, len(d.forwarders))] {
-			f.Cut(seconds(s.ForS))
+		count := int(step.Size*float64(len(s.proxies)) + 0.5)
+		for _, proxy := range s.proxies[:min(count, len(s.proxies))] {
+			proxy.Disconnect(secondsToDuration(step.ForS))
 		}
-		d.say("%d forwarders lose their steward for %.1f s", n, s.ForS)
+		s.addNote("%d proxies are disconnected from the controllers for %.1f s", count, step.ForS)
 	case daypb.What_RESTART:
-		all := d.withSockets(s.Size)
-		for _, f := range all {
-			f.SocketRestart()
+		proxies := s.socketProxies(step.Size)
+		for _, proxy := range proxies {
+			proxy.RestartWithInitialConfig()
 		}
-		d.say("%d forwarders start anew with their old file", len(all))
+		s.addNote("%d proxies restart with their initial configuration", len(proxies))
 	case daypb.What_SLOW_SOCKET, daypb.What_MUTE_SOCKET:
-		all := d.withSockets(s.Size)
-		for _, f := range all {
-			f.SocketSlow(slowSocket)
-			f.SocketMute(s.What == daypb.What_MUTE_SOCKET)
+		proxies := s.socketProxies(step.Size)
+		for _, proxy := range proxies {
+			proxy.SetSocketDelay(slowSocketDelay)
+			proxy.SetSocketUnresponsive(step.What == daypb.What_MUTE_SOCKET)
 		}
-		d.say("%d sockets answer late or not at all", len(all))
-		wait(ctx, seconds(s.ForS))
-		for _, f := range all {
-			f.SocketSlow(0)
-			f.SocketMute(false)
+		s.addNote("%d runtime sockets respond late or not at all", len(proxies))
+		sleep(ctx, secondsToDuration(step.ForS))
+		for _, proxy := range proxies {
+			proxy.SetSocketDelay(0)
+			proxy.SetSocketUnresponsive(false)
 		}
-		d.say("and in time again")
+		s.addNote("runtime sockets respond in time again")
 	case daypb.What_FLOOD:
-		d.each(hosts, "reports much too often", func(h *member) { h.Flood(s.Size) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "reports as usual", func(h *member) { h.Flood(0) })
+		s.applyFault(hosts, "sends too many load reports", func(host *scenarioHost) { host.SetReportRateMultiple(step.Size) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		s.applyFault(hosts, "sends load reports at the usual rate",
+			func(host *scenarioHost) { host.SetReportRateMultiple(0) })
 	case daypb.What_MUTE:
-		d.each(hosts, "tells its load no more", func(h *member) { h.Mute(true) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "tells its load again", func(h *member) { h.Mute(false) })
+		s.applyFault(hosts, "stops reporting its load", func(host *scenarioHost) { host.SetSilent(true) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		s.applyFault(hosts, "reports its load again", func(host *scenarioHost) { host.SetSilent(false) })
 	case daypb.What_LIE:
-		d.each(hosts, "tells a part of its load", func(h *member) { h.Lie(s.Size) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "tells the truth", func(h *member) { h.Lie(0) })
+		s.applyFault(hosts, "reports a fraction of its load",
+			func(host *scenarioHost) { host.SetReportedFraction(step.Size) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		s.applyFault(hosts, "reports its true load", func(host *scenarioHost) { host.SetReportedFraction(0) })
 	case daypb.What_AHEAD:
-		d.each(hosts, "has a wrong clock", func(h *member) { h.Ahead(seconds(s.Size)) })
-		wait(ctx, seconds(s.ForS))
-		d.each(hosts, "has the right time", func(h *member) { h.Ahead(0) })
+		offset := secondsToDuration(step.Size)
+		s.applyFault(hosts, "has a wrong clock", func(host *scenarioHost) { host.SetClockOffset(offset) })
+		sleep(ctx, secondsToDuration(step.ForS))
+		s.applyFault(hosts, "has the right clock", func(host *scenarioHost) { host.SetClockOffset(0) })
 	case daypb.What_LATE_SUMS:
-		d.late(seconds(s.Size))
-		d.say("sums come %.1f s late", s.Size)
-		wait(ctx, seconds(s.ForS))
-		d.late(0)
-		d.say("sums come in time")
+		s.delayRequestStats(secondsToDuration(step.Size))
+		s.addNote("request stats arrive %.1f s late", step.Size)
+		sleep(ctx, secondsToDuration(step.ForS))
+		s.delayRequestStats(0)
+		s.addNote("request stats arrive in time")
 	}
 }
 
-// slowSocket is how late a slow socket answers.
-const slowSocket = 300 * time.Millisecond
+const (
+	maxStartRetries    = 50 // to restart a controller at its address
+	startRetryInterval = 20 * time.Millisecond
+)
+
+// slowSocketDelay is the response time of a runtime socket during a SLOW_SOCKET step.
+const slowSocketDelay = 300 * time.Millisecond
 
-// withSockets gives a part of the forwarders that have one.
-func (d *day) withSockets(part float64) (all []*fake.Forwarder) {
-	for _, f := range d.forwarders {
-		if f.SocketAddress() != "" {
-			all = append(all, f)
+// socketProxies returns a fraction of the proxies that have a runtime socket.
+func (s *scenario) socketProxies(fraction float64) (proxies []*fake.Proxy) {
+	for _, proxy := range s.proxies {
+		if proxy.SocketAddress() != "" {
+			proxies = append(proxies, proxy)
 		}
 	}
-	return all[:min(int(part*float64(len(all))+0.5), len(all))]
+	return proxies[:min(int(fraction*float64(len(proxies))+0.5), len(proxies))]
 }
 
-func (d *day) late(by time.Duration) {
-	for _, f := range d.forwarders {
-		f.LateSums(by)
+// delayRequestStats sets the delay of all request stats.
+func (s *scenario) delayRequestStats(delay time.Duration) {
+	for _, proxy := range s.proxies {
+		proxy.DelayRequestStats(delay)
 	}
 }
 
-// chosen gives the hosts that a step is about.
-func (d *day) chosen(s *daypb.Step) []*member {
-	var of []*member
-	for _, h := range d.hosts {
-		if s.Zone == "" || h.zone == s.Zone {
-			of = append(of, h)
+// selectHosts returns the hosts that a step applies to.
+func (s *scenario) selectHosts(step *daypb.Step) []*scenarioHost {
+	var selected []*scenarioHost
+	for _, host := range s.hosts {
+		if step.Zone == "" || host.zone == step.Zone {
+			selected = append(selected, host)
 		}
 	}
-	of = of[min(int(s.First), len(of)):]
-	if s.Count > 0 {
-		of = of[:min(int(s.Count), len(of))]
+	selected = selected[min(int(step.First), len(selected)):]
+	if step.Count > 0 {
+		selected = selected[:min(int(step.Count), len(selected))]
 	}
-	return of
+	return selected
 }
 
-func (d *day) each(hosts []*member, what string, do func(*member)) {
-	for _, h := range hosts {
-		do(h)
+// applyFault starts or ends a fault of hosts, and adds a note with its description.
+func (s *scenario) applyFault(hosts []*scenarioHost, description string, apply func(*scenarioHost)) {
+	for _, host := range hosts {
+		apply(host)
 	}
-	d.tell(hosts, what)
+	s.addHostNote(hosts, description)
 }
 
-func (d *day) tell(hosts []*member, what string) {
+func (s *scenario) addHostNote(hosts []*scenarioHost, description string) {
 	if len(hosts) == 1 {
-		d.say("%s %s", hosts[0].Address, what)
+		s.addNote("%s %s", hosts[0].Address, description)
 	} else {
-		d.say("%d hosts: each %s", len(hosts), what)
+		s.addNote("%d hosts: each %s", len(hosts), description)
 	}
 }
 
-// listing changes what the list says of hosts.
-func (d *day) listing(hosts []*member, what string, change func(*member)) {
-	d.mu.Lock()
-	for _, h := range hosts {
-		change(h)
+// changeEndpoints changes the state of hosts on the endpoint list.
+func (s *scenario) changeEndpoints(hosts []*scenarioHost, description string, change func(*scenarioHost)) {
+	s.mu.Lock()
+	for _, host := range hosts {
+		change(host)
 	}
-	d.mu.Unlock()
-	if err := d.list(); err != nil {
-		d.log.Error().Err(err).Msg("the list could not be changed")
+	s.mu.Unlock()
+	if err := s.writeEndpointList(); err != nil {
+		s.log.Error().Err(err).Msg("cannot write the endpoint list")
 	}
-	d.tell(hosts, what)
+	s.addHostNote(hosts, description)
 }
 
-// lose lets hosts die and come back cold; the list learns of either late.
-func (d *day) lose(ctx context.Context, hosts []*member, s *daypb.Step) {
-	late := time.Duration(d.script.ListLateMs * float64(time.Millisecond))
-	d.each(hosts, "dies", func(h *member) { h.Crash() })
-	wait(ctx, late)
-	d.listing(hosts, "is gone from the list", func(h *member) { h.listed = false })
-	wait(ctx, seconds(s.ForS)-late)
-	started := map[*member]float64{}
-	d.each(hosts, "starts", func(h *member) {
-		at, err := h.Restart()
+// crashHosts crashes hosts and restarts them in slow start. The endpoint list follows each change after the script's
+// delay.
+func (s *scenario) crashHosts(ctx context.Context, hosts []*scenarioHost, step *daypb.Step) {
+	listDelay := time.Duration(s.script.ListLateMs * float64(time.Millisecond))
+	s.applyFault(hosts, "crashes", func(host *scenarioHost) { host.Crash() })
+	sleep(ctx, listDelay)
+	s.changeEndpoints(hosts, "is removed from the list", func(host *scenarioHost) { host.listed = false })
+	sleep(ctx, secondsToDuration(step.ForS)-listDelay)
+	started := map[*scenarioHost]float64{}
+	s.applyFault(hosts, "restarts", func(host *scenarioHost) {
+		startedMs, err := host.Restart()
 		if err != nil {
-			d.log.Error().Err(err).Msg("a host could not start again")
+			s.log.Error().Err(err).Msg("cannot restart a host")
 			return
 		}
-		started[h] = at
+		started[host] = startedMs
 	})
-	wait(ctx, late)
-	d.listing(hosts, "is listed again", func(h *member) {
-		if at, ok := started[h]; ok {
-			h.listed, h.started = true, at
+	sleep(ctx, listDelay)
+	s.changeEndpoints(hosts, "is listed again", func(host *scenarioHost) {
+		if startedMs, ok := started[host]; ok {
+			host.listed, host.startedMs = true, startedMs
 		}
 	})
 }
 
-// kill ends a steward as the end of its process would, and starts another at its address.
-func (d *day) kill(ctx context.Context, i int, s *daypb.Step) {
-	d.stewards[i].Kill()
-	lost := time.Since(d.start).Seconds()
-	d.say("steward %d is killed", i)
-	wait(ctx, seconds(s.ForS))
-	next, err := d.steward(i, d.addresses[i])
-	for n := 0; err != nil && n < 50; n++ { // the port may be held for a moment
-		time.Sleep(20 * time.Millisecond)
-		next, err = d.steward(i, d.addresses[i])
+// restartController kills a controller, and starts its next incarnation at the same address after the step's duration.
+func (s *scenario) restartController(ctx context.Context, index int, step *daypb.Step) {
+	s.controllers[index].Kill()
+	killedAtS := time.Since(s.start).Seconds()
+	s.addNote("controller %d is killed", index)
+	sleep(ctx, secondsToDuration(step.ForS))
+	restarted, err := s.startController(index, s.controllerAddresses[index])
+	for attempt := 0; err != nil && attempt < maxStartRetries; attempt++ { // the port may not be free yet
+		time.Sleep(startRetryInterval)
+		restarted, err = s.startController(index, s.controllerAddresses[index])
 	}
 	if err != nil {
-		d.say("steward %d cannot start: %v", i, err)
+		s.addNote("controller %d cannot restart: %v", index, err)
 		return
 	}
-	d.stewards[i] = next
-	d.kills = append(d.kills, kill{i, lost, time.Since(d.start).Seconds()})
-	d.say("steward %d starts again", i)
+	s.controllers[index] = restarted
+	s.restarts = append(s.restarts, controllerRestart{index, killedAtS, time.Since(s.start).Seconds()})
+	s.addNote("controller %d restarts", index)
 }
