--- a/routing/assignment_test.go
+++ b/routing/assignment_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A proxy that connects is assigned its table in the next round. One that connects and disconnects between two rounds
-// is not assigned a table.
+// A proxy that disconnects and connects again between two rounds is assigned its table in the next one. A proxy that
+// connects and disconnects between two rounds is not assigned a table.
 func TestProxyConnects(t *testing.T) {
 	h := newHarness(defaultSettings(), 2)
 	h.quiet = false
--- a/routing/explain.go
+++ b/routing/explain.go
@@ -15,8 +15,8 @@
 	BaseWeight float64   `json:"Listed"`  // as discovered
 
 	Weight          float64 `json:"Weight"` // the weight after rebalancing
-	TargetWeight    float64 `json:"Want"`   // what the published tables should hold
-	PublishedWeight float64 `json:"Told"`   // what they hold
+	TargetWeight    float64 `json:"Want"`   // the weight that it should have in the published tables
+	PublishedWeight float64 `json:"Told"`   // the weight that it has in them
 
 	ArrivalRate     float64 `json:"Rate"`   // lambda
 	MeanLatencyMs   float64 `json:"R"`      // of an attempt
@@ -27,8 +27,8 @@
 
 	SlowStartFactor float64 `json:"Warmth"`  // fraction of its capacity that it has after its start
 	RecoveryFactor  float64 `json:"Trial"`   // fraction of its weight on the recovery ramp after an ejection
-	CooldownUntilMs float64 `json:"Hold"`    // no weight transfer before
-	StartedAtMs     float64 `json:"Started"` // -1: not seen to start
+	CooldownUntilMs float64 `json:"Hold"`    // no weight transfer before this instant
+	StartedAtMs     float64 `json:"Started"` // -1: its start was not observed
 
 	ConsecutiveFailures  int  `json:"Strikes"` // health checks in a row without an answer
 	Unreachable          bool `json:"Absent"`  // the last of them found nothing listening
@@ -44,7 +44,7 @@
 	return b.admission.ratio, slices.Clone(b.admission.quotas), b.fleet.medianLatencyMs
 }
 
-// Explain returns why a host's weight is what it is. It returns false for an unknown host.
+// Explain returns the inputs and intermediate results of a host's weight. It returns false for an unknown host.
 func (b *Balancer) Explain(host int) (Explanation, bool) {
 	record := b.discoveredHost(host)
 	if record == nil {
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -28,8 +28,8 @@
 	// hosts it is scaled down.
 	maxSuspectShare = 0.25
 
-	// hostsPerSuspect is the number of hosts for each unresponsive one: more unresponsive hosts than that mean that the
-	// fleet is overloaded, or that this controller's own network has a fault.
+	// hostsPerSuspect limits the unresponsive hosts to one for each hostsPerSuspect hosts, rounded up: more of them
+	// mean that the fleet is overloaded, or that this controller's own network has a fault.
 	hostsPerSuspect = 4
 
 	// minFleetSuccessRatio is the fleet's success ratio up to which an unanswered health check does not count against
--- a/routing/report.go
+++ b/routing/report.go
@@ -80,7 +80,7 @@
 	successRatio    float64 // successes per attempt
 }
 
-// processReports runs a report round: it updates the estimates by the reports since the last one, rebalances and sets
+// processReports runs a report round: it updates the estimates from the reports since the last one, rebalances and sets
 // admission. It only runs after reports, so that without them the published tables stay unchanged.
 func (b *Balancer) processReports(writer UpdateWriter) {
 	intervalMs := b.deployment.ReportIntervalMs
@@ -102,7 +102,7 @@
 	}
 }
 
-// updateProxyRates updates each proxy's request rate by the demand that it reported.
+// updateProxyRates updates each proxy's request rate from the demand that it reported.
 func (b *Balancer) updateProxyRates() {
 	for i := range b.proxies {
 		proxy := &b.proxies[i]
@@ -124,7 +124,7 @@
 	windowKept := math.Pow(windowDecay, cycles)
 	recentKept := math.Pow(recentDecay, cycles)
 	connectedShare := b.connectedShare()
-	successes := 1.0
+	successes := 1.0 // with one success added, the success ratio is 1 if there were no attempts
 	attempts := 1.0
 	var latenciesMs []float64
 	for _, index := range b.hostOrder {
