--- a/routing/outlier_test.go
+++ b/routing/outlier_test.go
@@ -47,6 +47,33 @@
 	h.checkTrace(t)
 }
 
+// A zone is unreachable: all of its hosts leave health checks unanswered and serve no attempt, while the hosts of the
+// other zone answer. It counts as partitioned, so that all of its hosts are ejected: without that, too many hosts
+// would be unresponsive to eject more than the first one.
+func TestPartitionedZoneEjected(t *testing.T) {
+	const hosts, zones = 6, 2
+	inZone1 := func(host int) bool { return host%zones == 1 }
+	h := newHarness(defaultSettings(), hosts)
+	reports := uniformReports(hosts, healthyReport)
+	h.runWithHealthChecks(3000, reports, allHosts(Healthy))
+	for host := range hosts {
+		if inZone1(host) {
+			delete(reports, host)
+		}
+	}
+	h.runWithHealthChecks(4000, reports, func(host int) HealthCheckResult {
+		if inZone1(host) {
+			return TimedOut
+		}
+		return Healthy
+	})
+	for host := range hosts {
+		if got := h.hosts[host].outlier.ejected; got != inZone1(host) {
+			t.Errorf("host %d is ejected: %v, want %v", host, got, inZone1(host))
+		}
+	}
+}
+
 // Unreachable hosts are ejected only while minServingShare of the base weight stays in service: here one of three
 // hosts.
 func TestMinServingShare(t *testing.T) {
