--- a/controller/harness_test.go
+++ b/controller/harness_test.go
@@ -333,7 +333,7 @@
 	h.t.Helper()
 	info, ok := h.HostInfo(host)
 	if !ok {
-		h.t.Fatalf("%s is not known", host)
+		h.t.Fatalf("HostInfo does not know %s, want its state", host)
 	}
 	return info
 }
--- a/controller/ingest_test.go
+++ b/controller/ingest_test.go
@@ -119,7 +119,7 @@
 		h.flood(list, sequence, nil, nil)
 		h.advance(1)
 		if h.nowMs > beganMs+1000 {
-			t.Fatal("the drain is not published after a second")
+			t.Fatalf("the drain is not published after %.0f ms, want it within 1000 ms", h.nowMs-beganMs)
 		}
 	}
 	report := h.Status(h.nowMs).Ingest
@@ -127,7 +127,7 @@
 		t.Errorf("the report is %+v, want at most 50 queued, some dropped as %s and some processed", report, intake.QueueFull)
 	}
 	if explanation, _ := h.balancer.Explain(0); explanation.Successes == 0 {
-		t.Error("the request stats of the other proxy did not reach the balancer")
+		t.Error("the first host has no successes, want those that the other proxy reported")
 	}
 }
 
--- a/controller/longpoll_test.go
+++ b/controller/longpoll_test.go
@@ -140,7 +140,8 @@
 	h.ReleasePolls(h.nowMs, h)
 	for _, poll := range polls {
 		if response, ok := h.responses[poll]; !ok || response.Kind != NotModified {
-			t.Errorf("the response to poll %d is of the kind %d (given: %v), want NotModified", poll, response.Kind, ok)
+			t.Errorf("the response to poll %d is of the kind %d (given: %v), want %d, NotModified",
+				poll, response.Kind, ok, NotModified)
 		}
 	}
 	if pending := h.Status(h.nowMs).PendingPolls; pending != 0 {
--- a/controller/restore_test.go
+++ b/controller/restore_test.go
@@ -174,7 +174,8 @@
 	next.advance(config.safety.DrainGraceMs - 1000)
 	response, ok := next.responses[poll]
 	if !ok || !strings.Contains(string(response.Body()), `"10.0.0.1:80":null`) {
-		t.Errorf("the removal was not sent within the drain grace: %v", next.trace.String())
+		t.Errorf("poll %d got a response: %v, want the removal of 10.0.0.1:80 within the drain grace; trace:\n%s",
+			poll, ok, next.trace.String())
 	}
 	if snapshot := next.Snapshot(next.nowMs); snapshot.Hosts[1].Drains != drainingSinceMs {
 		t.Errorf("the host is draining since %g ms, want %g ms", snapshot.Hosts[1].Drains, drainingSinceMs)
@@ -373,7 +374,7 @@
 	for _, session := range next.sessions.byProxy {
 		response, ok := next.PublishedTables(session.proxy)
 		if !ok || len(response.Tables()[0].Hosts) == 0 {
-			t.Fatalf("%s has no hosts in its published table", session.proxy)
+			t.Fatalf("%s has published tables: %v, want them with at least one host", session.proxy, ok)
 		}
 	}
 	bytes := map[ResponseKind]int{}
--- a/controller/tableset_test.go
+++ b/controller/tableset_test.go
@@ -76,7 +76,7 @@
 	h.advance(100)
 	response, ok := h.PublishedTables("p")
 	if !ok {
-		t.Fatal("p has no tables")
+		t.Fatal("p has no published tables, want those of its session")
 	}
 	const want = `{"finish":{"hosts":{"10.0.0.0:80":1,"10.0.0.1:80":1},"share":1,"tries":1},` +
 		`"sheet":{"hosts":{"10.0.0.0:80":1,"10.0.0.1:80":1},"share":1,"tries":1}}`
