--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -39,7 +39,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			text := strings.Replace(goodSettings, c.part, c.replacement, 1)
 			if text == goodSettings {
-				t.Fatalf("the settings have no %s", c.part)
+				t.Fatalf("the settings are unchanged, want %s replaced by %s", c.part, c.replacement)
 			}
 			_, err := ReadSettings([]byte(text))
 			if err == nil || err.Error() != c.want {
