--- a/internal/statefile/crashfs_test.go
+++ b/internal/statefile/crashfs_test.go
@@ -30,8 +30,8 @@
 	pendingNameChanges []nameChange
 }
 
-// nameChange is a change of names that is not durable yet: the file gets the new name if it is not empty, and the old
-// name is removed if it is not empty.
+// nameChange is a change of names that is not durable yet. A new name that is not empty is given to the file, and an
+// old name that is not empty is removed.
 type nameChange struct {
 	oldName, newName string
 	file             *crashFile
