--- a/controller/rounds_test.go
+++ b/controller/rounds_test.go
@@ -16,8 +16,8 @@
 		enable func(*Controller)
 	}{
 		{"off", func(*Controller) {}},
-		{"tells", func(c *Controller) { enableValidation(c, false) }},
-		{"refuses", func(c *Controller) { enableValidation(c, true) }},
+		{"reports", func(c *Controller) { enableValidation(c, false) }},
+		{"repairs", func(c *Controller) { enableValidation(c, true) }},
 	}
 	for _, changeEvery := range []int{0, 5, 1} { // rounds until a host drains and another one is back; 0: never
 		for _, validation := range validations {
