--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -281,7 +281,7 @@
 	return body.Bytes(), nil
 }
 
-// knownMethods are the standard knownMethods; others get 501 Not Implemented (RFC 9110, section 9.1).
+// knownMethods are the standard methods; others get 501 Not Implemented (RFC 9110, section 9.1).
 var knownMethods = map[string]bool{"GET": true, "HEAD": true, "POST": true, "PUT": true, "PATCH": true, "DELETE": true,
 	"OPTIONS": true, "TRACE": true, "CONNECT": true}
 
