--- a/client/stats_sender.go
+++ b/client/stats_sender.go
@@ -16,8 +16,8 @@
 	maxRejectionBytes = 4096            // of the response to a rejected report, which is logged
 )
 
-// statsReport is the wire format of the request stats. By the sequence number the controller counts a report once
-// that arrives twice.
+// statsReport is the wire format of the request stats. By its sequence number the controller recognizes a report that
+// arrives twice, and counts it once.
 type statsReport struct {
 	Sender   string                  `json:"sender"`
 	Sequence int64                   `json:"number"`
