--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -50,7 +50,7 @@
 //
 // keyReused reports that the new X.509-SVID has the key of the previous one. An issuer should create a new key for each
 // SVID, since whoever has copied a key that is reused can impersonate the next identity too. The SVID is used all the
-// same.
+// same, also by TableSigner.
 func (s *Source) WatchUpdates(ctx context.Context, onUpdate func(keyReused bool)) {
 	lastKey := s.publicKey()
 	for {
