--- a/internal/tablesig/tablesig.go
+++ b/internal/tablesig/tablesig.go
@@ -171,7 +171,8 @@
 	return nil
 }
 
-// certificateChain returns the certificates in the header x5c of a JWS. It does not verify them.
+// certificateChain returns the certificates in the header x5c of a JWS. It does not verify them: the
+// caller does, by its own roots.
 func certificateChain(jws *jose.JSONWebSignature) ([]*x509.Certificate, error) {
 	if len(jws.Signatures) != 1 {
 		return nil, fmt.Errorf("the table signature has %d JWS signatures, want 1", len(jws.Signatures))
