--- a/internal/tablesig/tablesig_test.go
+++ b/internal/tablesig/tablesig_test.go
@@ -103,7 +103,7 @@
 			{"unsigned", "", "p", "L-7", testDocument, now, certificate, "not signed"},
 			{"truncated", value[:len(value)-5], "p", "L-7", testDocument, now, certificate, " "},
 			{"invalid JWS", "exp=2000; jws=x", "p", "L-7", testDocument, now, certificate, "reading"},
-			{"no expiry", "jws=x", "p", "L-7", testDocument, now, certificate, "malformed"},
+			{"no expiry", "jws=x", "p", "L-7", testDocument, now, certificate, "malformed table signature"},
 			{"algorithm none", "exp=1060; jws=eyJhbGciOiJub25lIn0..", "p", "L-7", testDocument, now, certificate, "reading"},
 			{"truncated document", value, "p", "L-7", "{", now, certificate, "reading"},
 		} {
