--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -213,7 +213,7 @@
 	v.checkRange("polls.forget_after_ms", *c.Polls.ForgetAfterMs, 1, 1000*hourMs)
 	v.checkIntRange("polls.history", *c.Polls.History, 1, 1000)
 	if (c.List.File == "") == (c.List.Url == "") {
-		v.fail("list", "either a file or a url is needed")
+		v.fail("list", "a file or a url is needed, but not both")
 	}
 	for i, socket := range c.Runtime {
 		path := fmt.Sprintf("runtime[%d]", i)
@@ -335,7 +335,7 @@
 }
 
 // CheckPlaintext returns an error for a configuration without identities, unless it says identity.plain_loopback and
-// listens on a loopback address.
+// listens on a loopback address: without identities any client may do everything.
 func CheckPlaintext(c *configpb.Config) error {
 	if c.Identity.WorkloadApi != "" {
 		return nil
