--- a/internal/daemon/table_polls.go
+++ b/internal/daemon/table_polls.go
@@ -94,8 +94,8 @@
 // tableBody is the table of one request class, as in the documents that proxies get.
 type tableBody struct {
 	Weights        map[string]float64 `json:"hosts"` // by host
-	AdmissionRatio *float64           `json:"share"` // admission ratio; absent: 1
-	MaxAttempts    *int               `json:"tries"` // maximum number of attempts; absent: 1
+	AdmissionRatio *float64           `json:"share"` // absent: 1
+	RetryPolicy    *int               `json:"tries"` // 0 to 3, see fleet.usual_tries in config.proto; absent: 1
 }
 
 // readCachedTables decodes a cachedTablesBody. It returns classes and hosts in the order of their names. The error is
@@ -121,8 +121,8 @@
 	if b.AdmissionRatio != nil {
 		table.AdmissionRatio = *b.AdmissionRatio
 	}
-	if b.MaxAttempts != nil {
-		table.RetryPolicy = *b.MaxAttempts
+	if b.RetryPolicy != nil {
+		table.RetryPolicy = *b.RetryPolicy
 	}
 	return table
 }
