--- a/internal/daemon/endpoint_service.go
+++ b/internal/daemon/endpoint_service.go
@@ -170,7 +170,8 @@
 func (s *endpointService) applyDelta(response *http1.Response) ([]byte, error) {
 	baseTag := response.Header.Get("Delta-Base")
 	if s.tag == "" || baseTag != s.tag || !strings.EqualFold(response.Header.Get("Im"), mergePatch) {
-		return nil, fmt.Errorf("the delta is no merge patch of the cached version; its base is %s", baseTag)
+		return nil, fmt.Errorf("the delta has the format %q and the base %s, want %q and %s",
+			response.Header.Get("Im"), baseTag, mergePatch, s.tag)
 	}
 	document, err := jsonpatch.MergePatch(s.document, response.Body)
 	if err != nil {
