--- a/internal/daemon/persister.go
+++ b/internal/daemon/persister.go
@@ -45,7 +45,7 @@
 	SavedAtMs   float64 `json:"saved_ms"`   // time of the last save that succeeded, ms since 1970; 0: none did
 	Saves       int64   `json:"saves"`      // number of saves that succeeded
 	DurationMs  float64 `json:"took_ms"`    // duration of the last save, including its sync to the disk
-	LockedMs    float64 `json:"locked_ms"`  // time to take its snapshot, including the wait for the loop's mutex
+	LockedMs    float64 `json:"locked_ms"`  // part of it for the snapshot, including the wait for the loop's mutex
 	ShrinkSteps int     `json:"dropped"`    // how often entries were dropped to meet the size limit
 	Warnings    string  `json:"found_note"` // warnings about the state that was found at the start
 }
--- a/internal/daemon/units.go
+++ b/internal/daemon/units.go
@@ -15,6 +15,6 @@
 	return float64(duration.Microseconds()) / microsecondsPerMs
 }
 
-// wallClockMs returns the time of the wall clock in ms since 1970. Persisted times use this clock, since the
-// controller's clock starts at 0 in each process.
+// wallClockMs returns the time of the wall clock in ms since 1970. Persisted times use this clock, since a
+// controller's clock does not follow adjustments of the wall clock and may differ between two processes.
 func wallClockMs() float64 { return float64(time.Now().UnixMicro()) / microsecondsPerMs }
