--- a/internal/daemon/authorization_test.go
+++ b/internal/daemon/authorization_test.go
@@ -73,7 +73,7 @@
 func TestInvalidCertificates(t *testing.T) {
 	d := startWithIdentities(t, "", "")
 	other := newAuthority(t, "other.example")
-	impostor := newAuthority(t, "race.example") // the same name, another root
+	sameName := newAuthority(t, "race.example") // the trust domain's name, but another root
 	notYet := func(certificate *x509.Certificate) { certificate.NotBefore = time.Now().Add(5 * time.Minute) }
 	asCA := func(certificate *x509.Certificate) {
 		certificate.IsCA = true
@@ -88,8 +88,8 @@
 	}{
 		{"valid", d.authority, time.Hour, nil, 200},
 		{"another trust domain", other, time.Hour, withURIs(t, "spiffe://other.example/forwarder/a/f1"), 0},
-		{"an impostor's root", impostor, time.Hour, nil, 0},
-		{"another's root for our name", other, time.Hour, nil, 0},
+		{"another root with the name of this domain", sameName, time.Hour, nil, 0},
+		{"another domain's root for a name of this domain", other, time.Hour, nil, 0},
 		{"expired", d.authority, -time.Second, nil, 0},
 		{"not yet valid: the issuer's clock is five minutes ahead", d.authority, time.Hour, notYet, 0},
 		{"a CA certificate as leaf", d.authority, time.Hour, asCA, 0},
@@ -228,14 +228,14 @@
 // checkTokenBoundToConnection checks that a token is accepted on the connection of its first use only.
 func checkTokenBoundToConnection(t *testing.T, d *identityDaemon, token string) {
 	t.Helper()
-	owner, thief := anonymousClient(t), anonymousClient(t)
+	first, second := anonymousClient(t), anonymousClient(t)
 	uses := []struct {
 		client *http.Client
 		want   int
-	}{{owner, 200}, {thief, 401}, {owner, 200}}
+	}{{first, 200}, {second, 401}, {first, 200}}
 	for i, use := range uses {
 		if result := d.getWithToken(use.client, "/v1/hosts", token); result.status != use.want {
-			t.Errorf("use %d of the token: status %d, want %d", i, result.status, use.want)
+			t.Errorf("use %d of the token: status %d, want %d", i+1, result.status, use.want)
 		}
 	}
 }
@@ -255,7 +255,7 @@
 // pending before is notified of a draining host in time.
 func TestHandshakeLimit(t *testing.T) {
 	const proxies = 300
-	const notificationLimit = 3 * time.Second // how long a draining host still serves
+	const notificationLimit = 3 * time.Second // the default of guard.grace_ms, after which a draining host must get no requests
 	d := startWithIdentities(t, "handshakes: 4", "")
 	forwarder := d.clientWithID(forwarderID)
 	tag := d.pollAsUntilBothHosts(forwarder).tag()
--- a/internal/daemon/daemon_helpers_test.go
+++ b/internal/daemon/daemon_helpers_test.go
@@ -354,7 +354,7 @@
 func closeOrFail(t testing.TB, resource io.Closer) {
 	t.Helper()
 	if err := resource.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		t.Errorf("closing: %v", err)
+		t.Errorf("closing a %T: %v", resource, err)
 	}
 }
 
--- a/internal/daemon/recording_test.go
+++ b/internal/daemon/recording_test.go
@@ -19,8 +19,8 @@
 	"barleysail/internal/record/recordpb"
 )
 
-// A replay of the daemon's recording by a controller alone yields the same responses, byte for byte. The reader of a
-// recording that breaks off reports that.
+// A replay of the daemon's recording by a controller alone yields the same responses, byte for byte. The replay of a
+// recording that is cut off ends with record.ErrTruncated.
 func TestRecordingReplaysIdentically(t *testing.T) {
 	const proxies = 8
 	file := filepath.Join(t.TempDir(), "day.rec")
@@ -95,7 +95,7 @@
 			err = record.Apply(instance, entry, collector)
 		}
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("replaying a record of type %T: %v", entry.What, err)
 		}
 	}
 }
