--- a/internal/daemon/authorization_test.go
+++ b/internal/daemon/authorization_test.go
@@ -255,7 +255,7 @@
 // pending before is notified of a draining host in time.
 func TestHandshakeLimit(t *testing.T) {
 	const proxies = 300
-	const notificationLimit = 3 * time.Second // the default of guard.grace_ms, after which a draining host must get no requests
+	const notificationLimit = 3 * time.Second // the default of guard.grace_ms
 	d := startWithIdentities(t, "handshakes: 4", "")
 	forwarder := d.clientWithID(forwarderID)
 	tag := d.pollAsUntilBothHosts(forwarder).tag()
--- a/internal/daemon/request_headers.go
+++ b/internal/daemon/request_headers.go
@@ -79,7 +79,8 @@
 }
 
 // boundWaitMs returns the wait of a long poll in ms, bounded by the time until its connection retires, shortly before
-// a certificate expires, or until its bearer token expires. The proxy then polls again on a connection with its renewed credentials.
+// a certificate expires, or until its bearer token expires. The proxy then polls again on a connection with its renewed
+// credentials.
 func boundWaitMs(request *http1.Request, waitMs float64) float64 {
 	deadline, ok := request.HoldDeadline()
 	if !ok {
