--- a/cmd/barleysail/config_test.go
+++ b/cmd/barleysail/config_test.go
@@ -29,7 +29,7 @@
 		{"no identities", []string{"auth", "explain", operator, "see", "--config", plain}, 0,
 			[]string{"anybody on this machine"}},
 		{"an unknown action",
-			[]string{"auth", "explain", operator, "odd", "--config", plain}, 1, []string{`unknown action "odd"`}},
+			[]string{"auth", "explain", operator, "odd", "--config", plain}, 1, []string{`unknown action "odd", want one of [`}},
 		{"no SPIFFE ID", []string{"auth", "explain", "ann", "see", "--config", plain}, 1, []string{`"ann": `}},
 		{"a log level", []string{"run", "--config", plain, "--log-level", "odd"}, 1, []string{"--log-level: "}},
 		{"version", []string{"version"}, 0, []string{"barleysail " + version + "\n"}},
