--- a/cmd/barleysail/override.go
+++ b/cmd/barleysail/override.go
@@ -29,10 +29,10 @@
 	By     string   `json:"by"`
 	Clear  bool     `json:"clear,omitempty"`  // remove the override of the weight
 	ForMs  float64  `json:"for_ms"`           // ms after which the override expires; 0: never
-	Part   *float64 `json:"part,omitempty"`   // factor of the base weight
+	Part   *float64 `json:"part,omitempty"`   // factor of the listed weight
 	State  string   `json:"state,omitempty"`  // empty: unchanged
 	Wait   bool     `json:"wait"`             // queue the override where it cannot be applied at once
-	Weight *float64 `json:"weight,omitempty"` // replaces the base weight
+	Weight *float64 `json:"weight,omitempty"` // replaces the listed weight
 }
 
 // overrideResponse is the controller's response to an overrideRequest.
@@ -115,7 +115,7 @@
 	return cmd
 }
 
-// setWeight parses a weight. With a percent sign it is a factor of the base weight.
+// setWeight parses a weight. With a percent sign it is a factor of the listed weight.
 func (r *overrideRequest) setWeight(text string) error {
 	digits, percent := strings.CutSuffix(text, "%")
 	number, err := strconv.ParseFloat(digits, 64)
