--- a/internal/runtimeapi/weight.go
+++ b/internal/runtimeapi/weight.go
@@ -22,7 +22,7 @@
 	return int(math.Min(math.Max(scaled, 1), maxWeight))
 }
 
-// parseWeight parses a weight of the API. One in percent is relative to the base weight. The result is on the
+// parseWeight parses a weight of the API. One in percent is relative to the listed weight. The result is on the
 // controller's scale.
 func parseWeight(text string) (weight float64, relative, ok bool) {
 	number, relative := strings.CutSuffix(text, "%")
