--- a/operator/rules.go
+++ b/operator/rules.go
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// checkLastWarmHost rejects the drain of the last warm host that is ready, or of the last one in its zone where a
-// request class may not leave the zone.
+// checkLastWarmHost rejects a command that takes the traffic from the last warm host that is ready, or from the last
+// one in its zone where a request class may not leave the zone.
 func checkLastWarmHost(view *View, host Host) error {
 	if !host.Ready || !host.isWarm() {
 		return nil
