--- a/publisher/weights_test.go
+++ b/publisher/weights_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The error of a host's share by quantized weights is less than 1 divided by their sum, and no positive weight becomes
-// 0.
+// No positive weight becomes 0, and where no weight is raised to 1, the error of a host's share is within the bound that
+// quantizeWeights documents.
 func TestQuantizeWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.Float64Range(1e-6, 1e6), 1, 500).Draw(t, "weights")
