--- a/intake/consistency.go
+++ b/intake/consistency.go
@@ -11,13 +11,13 @@
 	minObservationMs     = 3000.0 // time for which a host is observed before its reports are checked
 	minSuccesses         = 20.0   // decayed number of successful attempts at a host before its reports are checked
 	minRateRatio         = 0.8    // a reported rate below this fraction of the observed one is inconsistent
-	rateTolerance        = 1      // added to the reported rate before that, in requests per second
+	rateTolerance        = 1      // added to the reported rate for this comparison, in requests per second
 	minUtilizationRatio  = 0.5    // a reported utilization below this fraction of the observed one is inconsistent
-	utilizationTolerance = 0.1    // added to the reported utilization before that
+	utilizationTolerance = 0.1    // added to the reported utilization for this comparison
 	idleUtilization      = 0.5    // a host that reports less utilization than this, and an empty queue, is idle
 	maxIdleLatencyRatio  = 2.5    // multiple of the fleet's mean latency above which an idle host's report is inconsistent
 	minStuckRepeats      = 5      // equal reports in a row from which a host's reports may count as stuck
-	repeatSmoothing      = 0.999  // decay of the fleet's counts of reports, per report
+	repeatSmoothing      = 0.999  // factor by which each report decays the fleet's counts in repeatStats
 )
 
 // repeatStats counts the fleet's load reports, and those of them that were equal to the one before, with decay.
