--- a/internal/haproxy/stat.go
+++ b/internal/haproxy/stat.go
@@ -99,7 +99,7 @@
 }
 
 // fieldTags returns the origin, nature and scope of a field. letters is their form in "show stat typed": the first
-// letter of each, and P for process.
+// letter of each, followed by P.
 func fieldTags(field string) (letters, origin, nature, scope string) {
 	switch {
 	case field == "pxname" || field == "svname" || field == "iid" || field == "sid" || field == "type" || field == "pid":
