--- a/cmd/barleysail/compare.go
+++ b/cmd/barleysail/compare.go
@@ -73,26 +73,26 @@
 		outcome *replay.Outcome
 		err     error
 	}
-	replayWith := func(setting replay.Settings) result {
+	replayWith := func(settings replay.Settings) result {
 		recordings := &recordingSet{names: names}
 		defer recordings.close()
-		outcome, err := replay.Simulate(recordings.sources, setting)
+		outcome, err := replay.Simulate(recordings.sources, settings)
 		return result{outcome, err}
 	}
 	changedResult := make(chan result, 1)
-	go func() { changedResult <- replayWith(c.setting(changed, c.change)) }() // its result is received below
-	one := replayWith(c.setting(recorded, unchanged))
-	other := <-changedResult
-	if one.err != nil {
-		return nil, one.err
+	go func() { changedResult <- replayWith(c.replaySettings(changed, c.change)) }() // its result is received below
+	baseline := replayWith(c.replaySettings(recorded, unchanged))
+	variant := <-changedResult
+	if baseline.err != nil {
+		return nil, baseline.err
 	}
-	if other.err != nil {
-		return nil, other.err
+	if variant.err != nil {
+		return nil, variant.err
 	}
 	return &comparisonReport{
-		Comparison: replay.Compare(one.outcome, other.outcome, comparisonSeed),
-		Recorded:   one.outcome,
-		Changed:    other.outcome,
+		Comparison: replay.Compare(baseline.outcome, variant.outcome, comparisonSeed),
+		Recorded:   baseline.outcome,
+		Changed:    variant.outcome,
 	}, nil
 }
 
@@ -164,10 +164,10 @@
 	return nil
 }
 
-// setting returns the parameters of a replay. settings is the configuration of the replay as a whole; change is applied
-// to the recorded configuration of each controller.
-func (c *settingsComparison) setting(settings *configpb.Config, change configChange) replay.Settings {
-	setting := replay.Settings{
+// replaySettings returns the parameters of a replay. settings is the configuration of the replay as a whole; change is
+// applied to the recorded configuration of each controller.
+func (c *settingsComparison) replaySettings(settings *configpb.Config, change configChange) replay.Settings {
+	replaySettings := replay.Settings{
 		Limits:               config.Rules(settings, c.collapseMs),
 		HealthCheckTimeoutMs: *settings.Probes.TimeoutMs,
 		NewController: func(start *recordpb.Start) (*controller.Controller, error) {
@@ -183,7 +183,7 @@
 		},
 	}
 	for _, class := range settings.Classes {
-		setting.Classes = append(setting.Classes, controller.RequestClass{
+		replaySettings.Classes = append(replaySettings.Classes, controller.RequestClass{
 			Name: class.Name,
 			RequestClass: routing.RequestClass{
 				LatencyObjectiveMs: *class.DueMs,
@@ -192,5 +192,5 @@
 			},
 		})
 	}
-	return setting
+	return replaySettings
 }
