--- a/cmd/barleysail/identity_transport_test.go
+++ b/cmd/barleysail/identity_transport_test.go
@@ -17,6 +17,7 @@
 	authority *issuer.Authority
 }
 
+// newIdentityIssuer returns an issuer whose sockets are in a folder of their own, which the end of the test removes.
 func newIdentityIssuer(t *testing.T) *identityIssuer {
 	t.Helper()
 	folder, err := os.MkdirTemp("", "id") // not t.TempDir, whose path is too long for a socket
@@ -62,20 +63,21 @@
 		classes { name: "sheet" due_ms: 1000 patience_ms: 2500 } list { file: "`+list+`" }
 		identity { workload_api: "`+identities.issue(t, "s", "/steward/one")+`" `+allow+` }`))
 	defer controller.Kill()
-	operator := identities.issue(t, "a", "/operator/ann")
-	host := identities.issue(t, "h", "/host/10.0.0.1_80")
-	one := trustDomain + "/steward/one"
-	two := trustDomain + "/steward/two"
+	operatorSocket := identities.issue(t, "a", "/operator/ann")
+	hostSocket := identities.issue(t, "h", "/host/10.0.0.1_80")
+	controllerID := trustDomain + "/steward/one"
+	otherControllerID := trustDomain + "/steward/two"
 	getHosts := []string{"get", "hosts"}
 	setWeight := []string{"weight", "10.0.0.1:80", "2"}
 	for _, c := range []struct {
 		workloadAPI, controllerID string
 		commandCase
 	}{
-		{operator, one, commandCase{"operator reads", getHosts, 0, []string{"10.0.0.1:80"}}},
-		{operator, one, commandCase{"operator changes a weight", setWeight, 0, []string{"done"}}},
-		{operator, two, commandCase{"another controller is named", getHosts, exitUnreachable, []string{"not " + two}}},
-		{host, one, commandCase{"a host's identity", getHosts, 1, []string{"may not see here"}}},
+		{operatorSocket, controllerID, commandCase{"operator reads", getHosts, 0, []string{"10.0.0.1:80"}}},
+		{operatorSocket, controllerID, commandCase{"operator changes a weight", setWeight, 0, []string{"done"}}},
+		{operatorSocket, otherControllerID, commandCase{"another controller is named", getHosts, exitUnreachable,
+			[]string{"not " + otherControllerID}}},
+		{hostSocket, controllerID, commandCase{"a host's identity", getHosts, 1, []string{"may not see here"}}},
 		{"", "", commandCase{"no identity", getHosts, exitUnreachable, []string{"BARLEYSAIL_WORKLOAD_API"}}},
 	} {
 		t.Setenv("BARLEYSAIL_WORKLOAD_API", c.workloadAPI)
