--- a/cmd/barleysail/compare.go
+++ b/cmd/barleysail/compare.go
@@ -127,7 +127,7 @@
 			return nil, err
 		}
 		if !slices.Equal(other.Zones, recorded.Zones) || len(other.Classes) != len(recorded.Classes) {
-			return nil, fmt.Errorf("%s: zones and classes differ from those of the recording", c.configFile)
+			return nil, fmt.Errorf("%s: the zones or the number of classes differ from those of the recording", c.configFile)
 		}
 		other.List = recorded.List
 		settings = other
--- a/cmd/barleysail/recordings_test.go
+++ b/cmd/barleysail/recordings_test.go
@@ -91,7 +91,7 @@
 			[]string{"unknown field: odd"}},
 		{"replay with a malformed setting", []string{"replay", dir, "--set", "guard"}, 1, []string{"guard.grace_ms=2000"}},
 		{"replay with settings of other zones", []string{"replay", dir, "--config", "../../examples/steward.textproto"}, 1,
-			[]string{"zones and classes differ from those"}},
+			[]string{"steward.textproto: the zones or the number of classes differ from those of the recording"}},
 		{"guard", []string{"guard", "replay", dir}, 0, []string{"day ", "looks", "controller.day"}},
 		{"guard without a controller's", []string{"guard", "replay", proxy}, 1,
 			[]string{"none of the recordings is a controller's"}},
