--- a/cmd/barleysail/plan.go
+++ b/cmd/barleysail/plan.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"strconv"
@@ -18,7 +17,8 @@
 	maxFullHosts  = 5       // limit of the hosts at capacity that are printed
 )
 
-var errAddForm = errors.New("want HOST:ZONE:COUNT with a host or kind of host of the fleet, as in full:addis:5")
+var errAddForm = fmt.Errorf("want HOST:ZONE:COUNT with a host or kind of host of the fleet and a count from 1 to %d, "+
+	"as in full:addis:5", maxAddedHosts)
 
 func planCommand() *cobra.Command {
 	var change solver.Change
