--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -101,8 +101,8 @@
 func (e endpointEntry) validate(zoneIndex func(string) (int, bool)) error {
 	state, known := lifecycleStates[e.Lifecycle]
 	if e.Name == "" || !known || e.Weight < 0 || e.StartedAtMs < 0 {
-		problem := fmt.Sprintf("invalid name, lifecycle %.20q, weight %g or start time %g",
-			e.Lifecycle, e.Weight, e.StartedAtMs)
+		problem := fmt.Sprintf("got lifecycle %.20q, weight %g, start time %g; want a name, a known lifecycle, and a weight "+
+			"and a start time of at least 0", e.Lifecycle, e.Weight, e.StartedAtMs)
 		return &endpointError{e.Name, problem}
 	}
 	if state == routing.Removed {
