--- a/internal/platform/session_test.go
+++ b/internal/platform/session_test.go
@@ -113,10 +113,11 @@
 	}
 	message := demandReport{proxy: 2, attemptCounts: attemptCounts{intervalMs: 1000, attempts: 1}}
 	if err := node.handleMessage(session, message, nil); err != nil {
-		t.Error(err)
+		t.Errorf("message of the unresponsive session: got error %v, want none", err)
 	}
-	if node.sessions.active[2] != session || len(node.sessions.unresponsive) != 0 {
-		t.Error("session is not connected again after a message")
+	connected, unresponsive := node.sessions.active[2] == session, len(node.sessions.unresponsive)
+	if !connected || unresponsive != 0 {
+		t.Errorf("after a message: got connected %v, %d unresponsive sessions, want true, 0", connected, unresponsive)
 	}
 }
 
