--- a/publisher/weights.go
+++ b/publisher/weights.go
@@ -28,7 +28,8 @@
 	return quantized, scale
 }
 
-// quantizeWeight rounds a scaled weight, a positive one to at least 1, since a server with the weight 0 gets no traffic.
+// quantizeWeight rounds a scaled weight. A positive one becomes at least 1, since a server with the weight 0 gets no
+// traffic.
 func quantizeWeight(weight, scale float64) int {
 	if weight > 0 {
 		return min(max(int(math.Round(weight*scale)), 1), maxWeight)
--- a/publisher/weights_test.go
+++ b/publisher/weights_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// No positive weight becomes 0, and where no weight is raised to 1, the error of a host's share is within the bound that
+// No positive weight becomes 0. Where no weight is raised to 1, the error of a host's share is within the bound that
 // quantizeWeights documents.
 func TestQuantizeWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
