--- a/cmd/barleysail/helpers_test.go
+++ b/cmd/barleysail/helpers_test.go
@@ -16,8 +16,8 @@
 	"barleysail/internal/daemon"
 )
 
-// command runs a command line, against the controller at a URL unless that is empty. It returns what the command
-// printed, followed by its error, and the exit code.
+// command runs a command line, against the controller at a URL unless that is empty; diff takes its controllers as
+// arguments instead. It returns what the command printed, followed by its error, and the exit code.
 func command(t *testing.T, url string, args ...string) (output string, code int) {
 	t.Helper()
 	root := newRootCommand()
