--- a/solver/greedy.go
+++ b/solver/greedy.go
@@ -7,10 +7,10 @@
 	"gonum.org/v1/gonum/floats"
 )
 
-// greedySolution returns a basis to start the simplex method from. In the order of earnings for the work, each demand
-// fills the groups where it earns most for the capacity that it uses. That is a vertex of the program near the
-// optimal one, so that few pivots are left. If it is infeasible, as it may be with minimum admission ratios, the
-// simplex method starts from the slacks.
+// greedySolution returns a basis to start the simplex method from. It takes the demands in the order of their earnings
+// for the capacity that they use, from the highest, and lets each fill the groups where it earns most for that
+// capacity. The result is a vertex of the program near the optimal one, so that few pivots are left. If it is
+// infeasible, as it may be with minimum admission ratios, the simplex method starts from the slacks.
 func (l *linearProgram) greedySolution() *Solution {
 	columnsOf := map[[2]int][]int{} // by class and zone
 	for j, column := range l.columns {
--- a/solver/plan.go
+++ b/solver/plan.go
@@ -75,8 +75,8 @@
 // warmUpIntervals is the number of equal parts into which the stages divide the longest warm-up.
 const warmUpIntervals = 4
 
-// WarmUpStages solves the problem at equal intervals from now until all hosts are warm. It returns a single stage if no
-// host is warming up.
+// WarmUpStages solves the problem at equal intervals from now until all hosts are warm, each time starting from the
+// solution of the stage before. It returns a single stage if no host is warming up.
 func (p *Problem) WarmUpStages() ([]WarmUpStage, error) {
 	longestMs := 0.0
 	for _, host := range p.Hosts {
--- a/solver/problem.go
+++ b/solver/problem.go
@@ -77,8 +77,8 @@
 	Demand    map[string]map[string]float64 `json:"Demand"`
 	Proxies   map[string]int                `json:"Proxies"` // by zone; for the costs of connections and updates
 	Objective Objective                     `json:"Goal"`
-	// DeadlineMeans is the deadline of a request as a multiple of its mean time on one core. At 0 there is no
-	// deadline, and hosts may use their full capacity.
+	// DeadlineMeans is the deadline of a request as a multiple of its mean time on one core. The controller sets 3.2,
+	// its deadlineLatencyMultiple. At 0 there is no deadline, and hosts may use their full capacity.
 	DeadlineMeans float64     `json:"Deadline"`
 	Uncertainty   Uncertainty `json:"Doubt"`
 }
--- a/solver/solve.go
+++ b/solver/solve.go
@@ -110,7 +110,7 @@
 }
 
 // variableName returns the name of a variable, which is the same in all programs with the same classes, zones and
-// groups.
+// groups: y for a column, more for the worst class's admission ratio, theta and the pi, and slack for a slack.
 func (l *linearProgram) variableName(j int) string {
 	variables := len(l.objective)
 	switch {
