--- a/replay/response/fit.go
+++ b/replay/response/fit.go
@@ -10,7 +10,7 @@
 type hostSummary struct {
 	ratios                  sample
 	lowLoad                 boundedSample[lowLoadWindow] // windows with reported utilization
-	maxLoad                 float64                      // largest base time of a window's attempts per time
+	maxLoad                 float64                      // largest sum of the base times of a window's attempts, per ms
 	unqueuedAttempts        int                          // attempts that did not wait
 	queueLengthsAtRejection sample                       // queue lengths when the host, while healthy, rejected an attempt
 }
@@ -122,8 +122,8 @@
 	}
 }
 
-// listedServiceTimeFactor returns a quantile, over the hosts that are not excluded, of the service time factor scaled to a
-// listed speed of 1; 0 if no host has one.
+// listedServiceTimeFactor returns a quantile, over the hosts that are not excluded, of the service time factor scaled
+// to a listed speed of 1; 0 if no host has one.
 func (m *Model) listedServiceTimeFactor(quantile float64, excluded map[string]bool) float64 {
 	var factors []float64
 	for host, capacity := range m.listed {
--- a/replay/response/hosts.go
+++ b/replay/response/hosts.go
@@ -21,8 +21,8 @@
 }
 
 // Respond returns when an attempt that reaches a host at a time ends, and its result. relativeWork is the work of the
-// request relative to the mean of its class; the client gives up after timeoutMs. A host that is down rejects the
-// attempt at once, and an unresponsive host never responds. Service that has begun is not stopped.
+// request relative to the usual work of its class; the client gives up after timeoutMs. A host that is down rejects
+// the attempt at once, and an unresponsive host never responds. Service that has begun is not stopped.
 func (h *SimulatedHosts) Respond(
 	class, host string, atMs, relativeWork, timeoutMs float64,
 ) (endMs float64, result Result) {
--- a/replay/response/model.go
+++ b/replay/response/model.go
@@ -85,7 +85,8 @@
 	m.pass, m.windows = next, map[string]*hostWindows{}
 }
 
-// ObserveLatency adds the latency of an attempt that succeeded, for the base time of its class.
+// ObserveLatency adds the latency of an attempt that succeeded, for the base time of its class. All latencies must be
+// added before the first call of ObserveAttempt, which fixes the base time.
 func (m *Model) ObserveLatency(class string, latencyMs float64) {
 	latencies := m.latencies[class]
 	if latencies == nil {
@@ -223,6 +224,7 @@
 		if j == i && state == healthy {
 			state = windows.stateWithin(i, atMs)
 		}
+		// The slowdown of a window that is still open is not known; the last known one holds for it.
 		isClosed := j < windows.closed
 		if m.pass == queryPass && !isClosed && windows.lastSlowdown > 0 &&
 			i-windows.lastSlowdownIndex < maxStateAgeWindows {
@@ -239,14 +241,14 @@
 	return state == healthy, state != down
 }
 
-// ServiceTime returns the service time of an attempt of average work at a host at a time.
+// ServiceTime returns the service time of an attempt at a host at a time, for a request of its class's usual work.
 func (m *Model) ServiceTime(class, host string, atMs float64) float64 {
 	_, slowdown, _ := m.stateAt(host, atMs)
 	return m.BaseServiceTime(class) * m.Parameters(host).ServiceTimeFactor * slowdown
 }
 
-// RelativeWork returns the work of a request relative to the mean of its class, from the service time of an attempt
-// that succeeded.
+// RelativeWork returns the work of a request relative to the usual work of its class, which takes the base time, from
+// the service time of an attempt that succeeded.
 func (m *Model) RelativeWork(class, host string, startMs, serviceMs float64) float64 {
 	return serviceMs / m.ServiceTime(class, host, startMs)
 }
--- a/replay/response/queue.go
+++ b/replay/response/queue.go
@@ -95,7 +95,7 @@
 			queue.AdvanceEstimates(startMs - estimatedStartMs)
 			startMs = estimatedStartMs
 		} else if queue.waitUnknown && endMs-startMs > maxUnqueuedRatio*baseMs*queue.serviceRatio {
-			startMs = estimatedStartMs // it rather waited longer than estimated than took unusually long
+			startMs = estimatedStartMs // a longer wait is likelier than a service of unusual length
 		}
 	} else {
 		queue.waitUnknown = true
--- a/replay/response/response_test.go
+++ b/replay/response/response_test.go
@@ -305,7 +305,6 @@
 		t.Errorf("got the service time factor %v, want 1", parameters.ServiceTimeFactor)
 	}
 	if alive, _ := model.Liveness("x", 20e6-100); !alive {
-		t.Error("got the state of a host that does not respond at the end of the day, want a healthy host")
-
+		t.Error("at the end of the day: got a host that is not alive, want one that is")
 	}
 }
