--- a/replay/analyze.go
+++ b/replay/analyze.go
@@ -32,7 +32,7 @@
 type ClockOffset struct {
 	FromVersion string  `json:"Version"`
 	OffsetMs    float64 `json:"By"`
-	ErrorMs     float64 `json:"Within"`
+	ErrorMs     float64 `json:"Within"` // largest error of OffsetMs, in either direction
 }
 
 // clockCorrector converts the times of a proxy's records to the controllers' clock, in the order in which the records
@@ -356,7 +356,7 @@
 	}
 }
 
-// isDuplicate reports whether the same request was recorded before, within the reorder time.
+// isDuplicate reports whether the same request was recorded before, at least within the reorder time.
 func (m *recordMerger) isDuplicate(timed timedRecord) bool {
 	if timed.record.GetTransaction() == nil {
 		return false
--- a/replay/lookahead.go
+++ b/replay/lookahead.go
@@ -38,6 +38,7 @@
 // extraLookaheadMs is how far the lookahead extends beyond the reorder time.
 const extraLookaheadMs = 3000.0
 
+// newLookahead opens a day and returns its records from the first on. The records have service times if queues is set.
 func (a *analysis) newLookahead(open OpenFunc, reorderMs float64, queues bool) (*lookahead, error) {
 	records, err := mergeRecords(open, a.clockOffsets, reorderMs)
 	if err != nil {
@@ -50,6 +51,7 @@
 	return l, nil
 }
 
+// next returns the next record in order of time, and io.EOF after the last.
 func (l *lookahead) next() (*analyzedRecord, error) {
 	for !l.ended && (len(l.output) == 0 || l.output[0].atMs > l.readMs-l.lookaheadMs) {
 		record, err := l.records.next()
@@ -125,6 +127,7 @@
 	}
 }
 
+// addAttempt adds an attempt to the queue of its host, and passes its service time to the record and the model.
 func (l *lookahead) addAttempt(record *analyzedRecord, class string, i int, attempt *recordpb.Try) {
 	result := response.Result(attempt.Result)
 	startMs, serviceMs := l.queues.AddAttempt(class, attempt.Host, attempt.At, attempt.Took, result)
--- a/replay/requests.go
+++ b/replay/requests.go
@@ -85,7 +85,7 @@
 	return r.recordedAttempts[n].Host
 }
 
-// relativeWork returns the work of a recorded request relative to the mean of its class, 1 if it is not known.
+// relativeWork returns the work of a recorded request relative to the usual work of its class, 1 if it is not known.
 func (s *simulation) relativeWork(request *recordpb.Transaction, services []attemptService) float64 {
 	for i, attempt := range request.Tries {
 		if response.Result(attempt.Result) == response.Fulfilled {
--- a/replay/verify.go
+++ b/replay/verify.go
@@ -26,14 +26,13 @@
 	Proxy           string
 	Description     string // the host and class, with both values
 	LastAgreementMs float64
-	Inputs          []string // since the last response that agreed, the last ones in order of time
-	OmittedInputs   int      // number of inputs before those
+	Inputs          []string // the last maxInputs inputs since the last response that agreed, in order of time
+	OmittedInputs   int      // number of inputs since that response that are not among Inputs
 }
 
 func (d *Difference) String() string {
 	text := fmt.Sprintf("at %.3f s, proxy %s: %s\nthe last identical response is from %.3f s; inputs since then",
-		d.AtMs/1000, d.Proxy,
-		d.Description, d.LastAgreementMs/1000)
+		d.AtMs/1000, d.Proxy, d.Description, d.LastAgreementMs/1000)
 	if d.OmittedInputs > 0 {
 		text += fmt.Sprintf(" (%d earlier ones omitted)", d.OmittedInputs)
 	}
@@ -170,8 +169,7 @@
 	body := response.Body()
 	if response.pollID == recorded.Poll && response.Proxy == recorded.Proxy &&
 		response.Kind == controller.ResponseKind(recorded.Kind) && response.Tag == recorded.Tag &&
-		response.BaseTag == recorded.Base &&
-		record.Checksum(body) == recorded.Sum {
+		response.BaseTag == recorded.Base && record.Checksum(body) == recorded.Sum {
 		v.result.Responses++
 		v.lastAgreementMs, v.inputs, v.omittedInputs = atMs, v.inputs[:0], 0
 		return
