--- a/internal/record/former_test.go
+++ b/internal/record/former_test.go
@@ -74,6 +74,5 @@
 	if result.FirstDifference != nil || result.Responses == 0 || result.ReadErr != nil {
 		t.Errorf("got %d identical responses, the first difference %v and the error %v, want identical responses only",
 			result.Responses, result.FirstDifference, result.ReadErr)
-
 	}
 }
--- a/internal/record/inputs.go
+++ b/internal/record/inputs.go
@@ -147,9 +147,9 @@
 }
 
 // Restore returns the record of the restored state of an earlier process, as it was stored, with the wall-clock time.
-// coldMs is the time until a host is warm.
-func Restore(atMs float64, storedState []byte, wallClockMs, coldMs float64) *recordpb.Record {
-	restored := &recordpb.Recall{State: storedState, Now: wallClockMs, Cold: coldMs}
+// slowStartMs is the slow start time of a host.
+func Restore(atMs float64, storedState []byte, wallClockMs, slowStartMs float64) *recordpb.Record {
+	restored := &recordpb.Recall{State: storedState, Now: wallClockMs, Cold: slowStartMs}
 	return &recordpb.Record{At: atMs, What: &recordpb.Record_Recall{Recall: restored}}
 }
 
--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -18,7 +18,7 @@
 type Reader struct {
 	in            *bufio.Reader
 	offset        int64
-	format        int
+	format        int // 0: not known yet; 1; or 2, which stands for all formats with blocks
 	block         []byte
 	lastErr       error
 	DamagedRanges []DamagedRange // skipped parts, from format 2 on
@@ -28,7 +28,7 @@
 // DamagedRange is a part of a recording that cannot be read.
 type DamagedRange struct {
 	FromByte, ToByte int64
-	AfterMs          float64
+	AfterMs          float64 // time of the damaged block's first record; 0 if its header is damaged
 	Reason           string
 }
 
@@ -179,7 +179,7 @@
 		return nil, truncated(err)
 	}
 	if size > maxRecordBytes {
-		return nil, fmt.Errorf("record at byte %d: the length %d exceeds the limit", r.offset, size)
+		return nil, fmt.Errorf("record at byte %d: the length %d exceeds the limit %d", r.offset, size, maxRecordBytes)
 	}
 	body := make([]byte, 4+size)
 	if _, err := io.ReadFull(r.in, body); err != nil {
@@ -191,7 +191,6 @@
 	record := &recordpb.Record{}
 	if err := proto.Unmarshal(body[4:], record); err != nil {
 		return nil, fmt.Errorf("decoding the record at byte %d: %w", r.offset, err)
-
 	}
 	r.offset += int64(len(binary.AppendUvarint(nil, size))) + 4 + int64(size)
 	return record, nil
