--- a/replay/lookahead.go
+++ b/replay/lookahead.go
@@ -101,10 +101,10 @@
 }
 
 // add passes a record to the model.
-func (l *lookahead) add(record timedRecord) {
-	analyzed := &analyzedRecord{timedRecord: record}
+func (l *lookahead) add(read timedRecord) {
+	analyzed := &analyzedRecord{timedRecord: read}
 	l.output = append(l.output, analyzed)
-	switch what := record.record.What.(type) {
+	switch what := read.record.What.(type) {
 	case *recordpb.Record_Transaction:
 		request := what.Transaction
 		analyzed.services = make([]attemptService, len(request.Tries))
@@ -116,12 +116,12 @@
 		}
 	case *recordpb.Record_Probed:
 		outcome := routing.HealthCheckResult(what.Probed.Outcome)
-		l.model.ObserveHealthCheck(what.Probed.Host, record.atMs, outcome == routing.Healthy,
+		l.model.ObserveHealthCheck(what.Probed.Host, read.atMs, outcome == routing.Healthy,
 			outcome == routing.Unreachable)
 	case *recordpb.Record_Sums:
 		for _, host := range what.Sums.Hosts {
 			if host.Load != nil {
-				l.model.ObserveUtilization(host.Host, record.atMs, host.Load.Util)
+				l.model.ObserveUtilization(host.Host, read.atMs, host.Load.Util)
 			}
 		}
 	}
--- a/replay/requests.go
+++ b/replay/requests.go
@@ -196,13 +196,15 @@
 	untilMs  float64
 }
 
-// shouldRetry reports whether a proxy retries by its table's retry policy after a number of attempts.
+// shouldRetry reports whether a proxy retries by its table's retry policy after a number of attempts, as package client
+// does. Policy 0 allows no retry, 1 one retry after NeverRan, 2 and 3 one and two retries after any failure. A request
+// that is not idempotent is only retried after NeverRan.
 func shouldRetry(retryPolicy, attempts int, last response.Result, idempotent bool) bool {
-	maxAttempts := retryPolicy
+	maxRetries := retryPolicy
 	if retryPolicy > 1 {
-		maxAttempts = retryPolicy - 1
+		maxRetries = retryPolicy - 1
 	}
-	return attempts <= maxAttempts && (last == response.NeverRan || retryPolicy > 1 && idempotent)
+	return attempts <= maxRetries && (last == response.NeverRan || retryPolicy > 1 && idempotent)
 }
 
 func (s *simulation) countNoResponse(proxy *simulatedProxy, request *simulatedRequest) {
--- a/replay/simulate.go
+++ b/replay/simulate.go
@@ -358,18 +358,18 @@
 // sendStats reports the proxy's stats since the last report to its controller.
 func (p *simulatedProxy) sendStats() {
 	s, stats := p.controller.simulation, p.stats
-	windowMs := math.Max(s.nowMs-p.statsSinceMs, 1)
+	statsWindowMs := math.Max(s.nowMs-p.statsSinceMs, 1)
 	p.sequence++
 	stats.Sequence = p.sequence
 	for host, hostStats := range stats.Hosts {
 		if succeeded := hostStats.Attempts - hostStats.Failed; succeeded > 0 {
 			hostStats.MeanLatencyMs /= float64(succeeded)
 		}
-		hostStats.WindowMs = windowMs
+		hostStats.WindowMs = statsWindowMs
 		stats.Hosts[host] = hostStats
 	}
 	for class, demand := range stats.Demand {
-		demand.WindowMs = windowMs
+		demand.WindowMs = statsWindowMs
 		stats.Demand[class] = demand
 	}
 	p.resetStats()
