--- a/replay/compare_test.go
+++ b/replay/compare_test.go
@@ -25,13 +25,13 @@
 	baseline := randomOutcome(60, 0.9, 0.02, 1)
 	comparison := Compare(baseline, randomOutcome(60, 0.9, 0.02, 5), 1)
 	if comparison.Overall.Difference.Significant() {
-		t.Errorf("equal mean service: got a significant difference %+v", comparison.Overall)
+		t.Errorf("equal mean service: got %+v, want no significant difference", comparison.Overall)
 	}
 	comparison = Compare(baseline, randomOutcome(60, 0.8, 0.02, 2), 1)
 	difference := comparison.Overall.Difference
 	if !difference.Significant() || difference.Value > -0.08 || difference.Low > difference.Value ||
 		difference.High < difference.Value {
-		t.Errorf("service that is lower by 0.1: got the difference %+v, want a significant one below -0.08", difference)
+		t.Errorf("service that is lower by 0.1: got the difference %+v, want a significant one of at most -0.08", difference)
 	}
 	if len(comparison.Classes) != 2 || len(comparison.DifferingWindows) < 50 {
 		t.Errorf("got %d classes and %d differing windows, want 2 and at least 50",
@@ -39,7 +39,7 @@
 	}
 	comparison = Compare(randomOutcome(4, 0.9, 0, 1), randomOutcome(4, 0.5, 0, 1), 1)
 	if comparison.Overall.Difference.Significant() {
-		t.Errorf("four windows: got a significant difference %+v", comparison.Overall.Difference)
+		t.Errorf("four windows: got the difference %+v, want no significant one", comparison.Overall.Difference)
 	}
 	// About five of a hundred pairs of equal mean service are expected to differ significantly.
 	falsePositives := 0
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -290,7 +290,7 @@
 	b.ResetTimer()
 	for range b.N {
 		if result, err := Verify(readerOf(recording), newTestController); err != nil || result.FirstDifference != nil {
-			b.Fatal(result, err)
+			b.Fatalf("got %+v and the error %v, want neither a difference nor an error", result, err)
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Seconds())/float64(b.N)*60, "s/hour-of-day")
