--- a/internal/record/reader.go
+++ b/internal/record/reader.go
@@ -101,7 +101,7 @@
 		size := int(binary.LittleEndian.Uint32(header[4:]))
 		if !bytes.Equal(header[:len(blockMagic)], []byte(blockMagic)) ||
 			header[len(blockMagic)] != recordsKind && header[len(blockMagic)] != indexKind || size > maxRecordBytes {
-			if err := r.skipToBlock(afterMs, "there is no block"); err != nil {
+			if err := r.skipToBlock(afterMs, "no valid block header"); err != nil {
 				return err
 			}
 			continue
