--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -55,6 +55,7 @@
 // Log implements controller.Effects.
 func (r *dayRecorder) Log(string) {}
 
+// feed emits an input, passes it to the controller, and runs what is due.
 func (r *dayRecorder) feed(input *recordpb.Record) {
 	r.emit(proto.Clone(input).(*recordpb.Record))
 	if err := record.Apply(r.controller, input, r); err != nil {
@@ -147,6 +148,7 @@
 	}
 }
 
+// readerOf returns a function that reads records from a slice.
 func readerOf(records []*recordpb.Record) NextFunc {
 	i := 0
 	return func() (*recordpb.Record, error) {
