--- a/replay/lookahead.go
+++ b/replay/lookahead.go
@@ -38,6 +38,7 @@
 // extraLookaheadMs is how far the lookahead extends beyond the reorder time.
 const extraLookaheadMs = 3000.0
 
+// newLookahead opens a day and returns its records from the first on. The records have service times if queues is set.
 func (a *analysis) newLookahead(open OpenFunc, reorderMs float64, queues bool) (*lookahead, error) {
 	records, err := mergeRecords(open, a.clockOffsets, reorderMs)
 	if err != nil {
@@ -50,6 +51,7 @@
 	return l, nil
 }
 
+// next returns the next record in order of time, and io.EOF after the last.
 func (l *lookahead) next() (*analyzedRecord, error) {
 	for !l.ended && (len(l.output) == 0 || l.output[0].atMs > l.readMs-l.lookaheadMs) {
 		record, err := l.records.next()
@@ -99,10 +101,10 @@
 }
 
 // add passes a record to the model.
-func (l *lookahead) add(record timedRecord) {
-	analyzed := &analyzedRecord{timedRecord: record}
+func (l *lookahead) add(read timedRecord) {
+	analyzed := &analyzedRecord{timedRecord: read}
 	l.output = append(l.output, analyzed)
-	switch what := record.record.What.(type) {
+	switch what := read.record.What.(type) {
 	case *recordpb.Record_Transaction:
 		request := what.Transaction
 		analyzed.services = make([]attemptService, len(request.Tries))
@@ -114,17 +116,18 @@
 		}
 	case *recordpb.Record_Probed:
 		outcome := routing.HealthCheckResult(what.Probed.Outcome)
-		l.model.ObserveHealthCheck(what.Probed.Host, record.atMs, outcome == routing.Healthy,
+		l.model.ObserveHealthCheck(what.Probed.Host, read.atMs, outcome == routing.Healthy,
 			outcome == routing.Unreachable)
 	case *recordpb.Record_Sums:
 		for _, host := range what.Sums.Hosts {
 			if host.Load != nil {
-				l.model.ObserveUtilization(host.Host, record.atMs, host.Load.Util)
+				l.model.ObserveUtilization(host.Host, read.atMs, host.Load.Util)
 			}
 		}
 	}
 }
 
+// addAttempt adds an attempt to the queue of its host, and passes its service time to the record and the model.
 func (l *lookahead) addAttempt(record *analyzedRecord, class string, i int, attempt *recordpb.Try) {
 	result := response.Result(attempt.Result)
 	startMs, serviceMs := l.queues.AddAttempt(class, attempt.Host, attempt.At, attempt.Took, result)
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -55,6 +55,7 @@
 // Log implements controller.Effects.
 func (r *dayRecorder) Log(string) {}
 
+// feed emits an input, passes it to the controller, and runs what is due.
 func (r *dayRecorder) feed(input *recordpb.Record) {
 	r.emit(proto.Clone(input).(*recordpb.Record))
 	if err := record.Apply(r.controller, input, r); err != nil {
@@ -147,6 +148,7 @@
 	}
 }
 
+// readerOf returns a function that reads records from a slice.
 func readerOf(records []*recordpb.Record) NextFunc {
 	i := 0
 	return func() (*recordpb.Record, error) {
@@ -290,7 +292,7 @@
 	b.ResetTimer()
 	for range b.N {
 		if result, err := Verify(readerOf(recording), newTestController); err != nil || result.FirstDifference != nil {
-			b.Fatal(result, err)
+			b.Fatalf("got %+v and the error %v, want neither a difference nor an error", result, err)
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Seconds())/float64(b.N)*60, "s/hour-of-day")
