--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -76,7 +76,12 @@
 	if v.err == nil {
 		v.checkSolvable(problem)
 	}
-	pace := solver.DrainPace{Proxies: proxies, EntriesPerS: *c.LinesPerS, MessageOverhead: *c.HeadLines, GraceMs: *c.GraceMs}
+	pace := solver.DrainPace{
+		Proxies:         proxies,
+		EntriesPerS:     *c.LinesPerS,
+		MessageOverhead: *c.HeadLines,
+		GraceMs:         *c.GraceMs,
+	}
 	return problem, pace, v.err
 }
 
