--- a/internal/rehearse/identities.go
+++ b/internal/rehearse/identities.go
@@ -106,8 +106,9 @@
 	return nil
 }
 
-// controllerTLS adds a workload, and returns its identity and the TLS settings for its calls to controllers.
-func (ids *identities) controllerTLS(name, id string) (*identity.Source, *tls.Config, error) {
+// addClientWorkload adds a workload that calls controllers, with a certificate of the scenario's authority. It returns
+// the workload's identity and the TLS settings for these calls.
+func (ids *identities) addClientWorkload(name, id string) (*identity.Source, *tls.Config, error) {
 	endpoint, err := ids.addWorkload(name, id, ids.authority)
 	if err != nil {
 		return nil, nil, err
@@ -134,7 +135,7 @@
 	}
 	identities := &identities{authority: authority, validity: secondsToDuration(validityS), folder: s.tempDir}
 	s.identities = identities
-	_, operatorTLS, err := identities.controllerTLS("op", "/operator/day")
+	_, operatorTLS, err := identities.addClientWorkload("op", "/operator/day")
 	if err != nil {
 		return err
 	}
--- a/internal/rehearse/ingest_stats.go
+++ b/internal/rehearse/ingest_stats.go
@@ -43,7 +43,7 @@
 			if hostIndex++; group.ReportMs > 0 {
 				client := client
 				if identities := s.identities; identities != nil {
-					_, tlsConfig, err := identities.controllerTLS(
+					_, tlsConfig, err := identities.addClientWorkload(
 						fmt.Sprint("h", hostIndex), "/host/"+auth.HostSegment(host.Address))
 					if err != nil {
 						s.log.Error().Err(err).Msg("cannot create a host's identity")
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -346,7 +346,7 @@
 			settings.RuntimeSocket = front == daypb.Front_SOCKET
 			settings.Controllers = s.controllerURLs(index)
 			if identities := s.identities; identities != nil {
-				source, tlsConfig, err := identities.controllerTLS(
+				source, tlsConfig, err := identities.addClientWorkload(
 					fmt.Sprint("f", index), "/forwarder/"+settings.Zone+"/"+settings.Name)
 				if err != nil {
 					return fmt.Errorf("creating a proxy's identity: %w", err)
