--- a/internal/rehearse/controller_restarts.go
+++ b/internal/rehearse/controller_restarts.go
@@ -12,6 +12,7 @@
 	beforeKillS   = 5.0  // length of the time before a kill over which the gap is averaged, in s
 	afterRestartS = 30.0 // length of the time after a restart that is evaluated, in s
 	recoveredGap  = 0.01 // largest increase of the optimality gap that counts as recovered
+	ignoredStartS = 1.0  // length of the time after a restart in which the gap cannot count as recovered, in s
 )
 
 // printRestarts prints for each restart the service level from the kill until afterRestartS after the restart, and the
@@ -24,7 +25,7 @@
 		gapAfter, _ := s.optimality.mean(restart.restartedAtS, restart.restartedAtS+afterRestartS)
 		recoveredAfterS := -1.0
 		for _, sample := range s.optimality.samples {
-			if sample.atS >= restart.restartedAtS+1 && sample.gap <= gapBefore+recoveredGap {
+			if sample.atS >= restart.restartedAtS+ignoredStartS && sample.gap <= gapBefore+recoveredGap {
 				recoveredAfterS = sample.atS - restart.restartedAtS
 				break
 			}
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -87,7 +87,7 @@
 	zone      string
 	listed    bool
 	draining  bool
-	startedMs float64 // 0: at the start of the scenario
+	startedMs float64 // time of the last restart, ms since 1970; 0: it has not restarted
 }
 
 // Run runs the scenario of a script file, and prints its progress and a report to out. If recordingsFolder is not
@@ -388,8 +388,8 @@
 	return nil
 }
 
-// controllerURLs returns the controllers that a proxy polls, in order of preference: beginning with a different one for
-// each proxy, then a standby, then the rogue controller.
+// controllerURLs returns the controllers that a proxy polls, in order of preference: the active controllers, beginning
+// with the next one for each proxy in turn, then a standby, then the rogue controller.
 func (s *scenario) controllerURLs(proxyIndex int) (urls []string) {
 	active := s.controllerAddresses
 	if s.script.Standby && len(active) > 1 {
--- a/internal/rehearse/steps.go
+++ b/internal/rehearse/steps.go
@@ -98,7 +98,8 @@
 }
 
 const (
-	maxStartRetries    = 50 // to restart a controller at its address
+	// A controller restarts at its address, whose port may still be held for a moment after the kill.
+	maxStartRetries    = 50
 	startRetryInterval = 20 * time.Millisecond
 )
 
@@ -198,7 +199,7 @@
 	s.addNote("controller %d is killed", index)
 	sleep(ctx, secondsToDuration(step.ForS))
 	restarted, err := s.startController(index, s.controllerAddresses[index])
-	for attempt := 0; err != nil && attempt < maxStartRetries; attempt++ { // the port may not be free yet
+	for attempt := 0; err != nil && attempt < maxStartRetries; attempt++ {
 		time.Sleep(startRetryInterval)
 		restarted, err = s.startController(index, s.controllerAddresses[index])
 	}
