--- a/internal/fake/host.go
+++ b/internal/fake/host.go
@@ -110,7 +110,7 @@
 func (h *Host) Restart() (float64, error) {
 	var listener net.Listener
 	var err error
-	for range 50 { // the port may not be free yet
+	for range 50 { // connections of the crashed host may still hold the port for a moment
 		if listener, err = net.Listen("tcp", h.Address); err == nil {
 			break
 		}
