--- a/internal/rehearse/controller_process.go
+++ b/internal/rehearse/controller_process.go
@@ -54,9 +54,13 @@
 	}
 	line, err := bufio.NewReader(out).ReadString('\n')
 	_, address, ok := strings.Cut(strings.TrimSpace(line), "http://")
-	if err != nil || !ok {
+	if err != nil {
+		process.Kill()
+		return nil, fmt.Errorf("starting a controller: reading its address from its output %q: %w", line, err)
+	}
+	if !ok {
 		process.Kill()
-		return nil, fmt.Errorf("starting a controller: no address in its output %q: %w", line, err)
+		return nil, fmt.Errorf("starting a controller: its first line of output %q has no address http://HOST:PORT", line)
 	}
 	process.address = address
 	go func() { process.command.Wait(); close(process.exited) }()
