--- a/internal/rehearse/faults_test.go
+++ b/internal/rehearse/faults_test.go
@@ -55,11 +55,10 @@
 steps { at_s: 1 for_s: 20 what: AHEAD zone: "b" first: 2 count: 1 size: 3600 }
 steps { at_s: 4 for_s: 1 what: CUT size: 0.1 }`)
 	last := s.ingest.samples[len(s.ingest.samples)-1]
-	if !result.Passed || result.ServiceLevel < 0.5 {
-		t.Error(out)
-	}
+	checkPassed(t, result, out)
 	if s.ingest.rejectedReports.Load() == 0 || last.RateLimiter.Rejected == 0 {
-		t.Errorf("no excess report was rejected: %+v", last)
+		t.Errorf("%d responses with status 429, rate limiter %+v, want some reports to be rejected in both",
+			s.ingest.rejectedReports.Load(), last.RateLimiter)
 	}
 	if last.Silent < 1 || last.Processed < 3000 || last.Queued > 5000 {
 		t.Errorf("got %+v, want a silent host, 3000 processed lines or more, and at most 5000 queued", last)
@@ -79,9 +78,7 @@
 traffic { class: "sheet" rate: 120 work_ms: 80 } traffic { class: "finish" rate: 60 work_ms: 40 effect: ONCE }
 steps { at_s: 4 for_s: 2 what: HANG zone: "b" count: 1 } steps { at_s: 5 for_s: 3 what: DRAIN zone: "a" count: 1 }
 steps { at_s: 6 for_s: 1.5 what: LOSE zone: "b" first: 1 count: 1 }`)
-	if !result.Passed || result.ServiceLevel < 0.5 {
-		t.Error(out)
-	}
+	checkPassed(t, result, out)
 	if last := s.ingest.samples[len(s.ingest.samples)-1]; last.Repairs == 0 {
 		t.Errorf("the guard rejected no tables:\n%s", out)
 	}
@@ -101,8 +98,9 @@
 traffic { class: "sheet" rate: 30 work_ms: 30 } traffic { class: "finish" rate: 30 work_ms: 20 effect: ONCE }
 steps { at_s: 2 for_s: 2 what: HANG zone: "a" count: 1 } steps { at_s: 5 for_s: 1 what: KILL steward: 0 }`)
 	identities := s.identities
-	if !result.Passed || result.ServiceLevel < 0.5 || identities.attempts.Load() < 50 || identities.successes.Load() != 0 {
-		t.Error(out)
+	checkPassed(t, result, out)
+	if attempts, successes := identities.attempts.Load(), identities.successes.Load(); attempts < 50 || successes != 0 {
+		t.Errorf("%d unauthorized requests, %d accepted, want 50 or more and none accepted:\n%s", attempts, successes, out)
 	}
 	if last := s.ingest.samples[len(s.ingest.samples)-1]; last.Processed < 80 { // includes load reports of hosts
 		t.Errorf("got %+v, want 80 processed request stats and load reports or more", last)
@@ -134,7 +132,5 @@
 steps { at_s: 3 for_s: 4 what: HANG zone: "a" count: 1 }
 steps { at_s: 4.5 for_s: 4 what: DRAIN zone: "b" first: 2 count: 1 }
 steps { at_s: 5 for_s: 4 what: KILL steward: 0 }`, inspect)
-	if !result.Passed || result.ServiceLevel < 0.5 {
-		t.Error(out)
-	}
+	checkPassed(t, result, out)
 }
--- a/internal/rehearse/scenario_test.go
+++ b/internal/rehearse/scenario_test.go
@@ -49,13 +49,21 @@
 	return result, out.String()
 }
 
+// checkPassed checks that a scenario passed with a service level of 0.5 or more.
+func checkPassed(t *testing.T, result *Result, out string) {
+	t.Helper()
+	if !result.Passed || result.ServiceLevel < 0.5 {
+		t.Errorf("passed %v with service level %.3f, want true with 0.5 or more:\n%s",
+			result.Passed, result.ServiceLevel, out)
+	}
+}
+
 // All invariants hold, checked by the traffic on real sockets, while hosts hang, drain and crash and a controller
 // restarts.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	t.Parallel()
-	if result, out := runShortScenario(t, func(*rules.Limits) {}); !result.Passed || result.ServiceLevel < 0.5 {
-		t.Error(out)
-	}
+	result, out := runShortScenario(t, func(*rules.Limits) {})
+	checkPassed(t, result, out)
 }
 
 // The same scenario violates an invariant when it is checked against stricter limits than the controllers keep to. This
@@ -68,7 +76,8 @@
 		broken[verdict.Rule] = !verdict.Kept
 	}
 	if !broken["short queue, few messages"] || result.Passed {
-		t.Error(out)
+		t.Errorf("passed %v, verdicts %+v, want a failure with a violation of \"short queue, few messages\":\n%s",
+			result.Passed, result.Verdicts, out)
 	}
 }
 
@@ -104,7 +113,10 @@
 		}
 		return config.NewController(c, start.Life, start.Seed), nil
 	}
-	sources, _ := open()
+	sources, err := open()
+	if err != nil {
+		t.Fatal(err)
+	}
 	incarnations, answers := 0, 0
 	for _, source := range sources {
 		if !strings.HasPrefix(source.Name, "steward") {
