--- a/internal/rules/slow_start.go
+++ b/internal/rules/slow_start.go
@@ -36,7 +36,7 @@
 }
 
 // slowStartLoad returns the largest fraction of its collapse load that a host got during its slow start.
-func (l *EventLog) slowStartLoad(limits Limits, host string, startMs, noticeMs float64) (maxPart float64) {
+func (l *EventLog) slowStartLoad(limits Limits, host string, startMs, noticeMs float64) (maxFraction float64) {
 	requests := l.requestsDuring(host, startMs, startMs+limits.SlowStartMs)
 	first := 0 // first request of the sliding window
 	sum := 0.0
@@ -57,10 +57,10 @@
 		slowStartFactor := limits.SlowStartInitialFactor + (1-limits.SlowStartInitialFactor)*sinceStartMs/limits.SlowStartMs
 		limit := limits.CollapseMultiple * slowStartFactor * l.capacity[host] * limits.CollapseMs
 		if limit > 0 && isMostlyInformed(informed, sum) {
-			maxPart = math.Max(maxPart, sum/limit)
+			maxFraction = math.Max(maxFraction, sum/limit)
 		}
 	}
-	return maxPart
+	return maxFraction
 }
 
 // isMostlyInformed reports whether at least two thirds of a load came from proxies that could know of the start.
