--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -42,6 +42,7 @@
 	defaultQueueLimit = 64
 )
 
+// fallbackHostsPerProxy is the number of hosts of its zone that a proxy uses until its first tables arrive.
 const fallbackHostsPerProxy = 4
 
 // Result is the result of a scenario.
