--- a/internal/rehearse/controller_process.go
+++ b/internal/rehearse/controller_process.go
@@ -30,7 +30,7 @@
 }
 
 // startControllerProcess starts a controller in a process of its own, so that its resource usage can be told from that
-// of the fakes. It reads the controller's address from the first line of its output.
+// of the fake hosts and proxies. It reads the controller's address from the first line of its output.
 func (s *scenario) startControllerProcess(controllerConfig *configpb.Config, name string) (controllerInstance, error) {
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(controllerConfig)
 	if err != nil {
@@ -54,9 +54,13 @@
 	}
 	line, err := bufio.NewReader(out).ReadString('\n')
 	_, address, ok := strings.Cut(strings.TrimSpace(line), "http://")
-	if err != nil || !ok {
+	if err != nil {
+		process.Kill()
+		return nil, fmt.Errorf("starting a controller: reading its address from its output %q: %w", line, err)
+	}
+	if !ok {
 		process.Kill()
-		return nil, fmt.Errorf("starting a controller: no address in its output %q: %w", line, err)
+		return nil, fmt.Errorf("starting a controller: its first line of output %q has no address http://HOST:PORT", line)
 	}
 	process.address = address
 	go func() { process.command.Wait(); close(process.exited) }()
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -42,6 +42,7 @@
 	defaultQueueLimit = 64
 )
 
+// fallbackHostsPerProxy is the number of hosts of its zone that a proxy uses until its first tables arrive.
 const fallbackHostsPerProxy = 4
 
 // Result is the result of a scenario.
@@ -87,7 +88,7 @@
 	zone      string
 	listed    bool
 	draining  bool
-	startedMs float64 // 0: at the start of the scenario
+	startedMs float64 // time of the last restart, ms since 1970; 0: it has not restarted
 }
 
 // Run runs the scenario of a script file, and prints its progress and a report to out. If recordingsFolder is not
@@ -346,7 +347,7 @@
 			settings.RuntimeSocket = front == daypb.Front_SOCKET
 			settings.Controllers = s.controllerURLs(index)
 			if identities := s.identities; identities != nil {
-				source, tlsConfig, err := identities.controllerTLS(
+				source, tlsConfig, err := identities.addClientWorkload(
 					fmt.Sprint("f", index), "/forwarder/"+settings.Zone+"/"+settings.Name)
 				if err != nil {
 					return fmt.Errorf("creating a proxy's identity: %w", err)
@@ -388,8 +389,8 @@
 	return nil
 }
 
-// controllerURLs returns the controllers that a proxy polls, in order of preference: beginning with a different one for
-// each proxy, then a standby, then the rogue controller.
+// controllerURLs returns the controllers that a proxy polls, in order of preference: the active controllers, beginning
+// with the next one for each proxy in turn, then a standby, then the rogue controller.
 func (s *scenario) controllerURLs(proxyIndex int) (urls []string) {
 	active := s.controllerAddresses
 	if s.script.Standby && len(active) > 1 {
