--- a/internal/rules/channel.go
+++ b/internal/rules/channel.go
@@ -90,11 +90,11 @@
 	used := burst / limits.MaxBacklog
 	waited, known := l.maxWaiting[controller]
 	if !known || used <= 1 {
-		worst.observe(used, "a burst of %.0f entries, %.0f may be queued", burst, limits.MaxBacklog)
+		worst.observe(used, "%.0f lines in one stretch, %.0f may wait", burst, limits.MaxBacklog)
 		return
 	}
 	worst.observe(waited/limits.MaxBacklog,
-		"the controller reports a queue of %.0f entries, %.0f are allowed; its burst of %.0f never paused", waited,
+		"%.0f lines waited by the steward's own word, %.0f may: in a stretch of %.0f it never paused", waited,
 		limits.MaxBacklog, burst)
 }
 
--- a/internal/rules/check.go
+++ b/internal/rules/check.go
@@ -16,7 +16,7 @@
 	ruleDelta      = "deltas fit their base"
 )
 
-// Verdict is the result of the check of one invariant.
+// Verdict is the result of the check of one invariant. Its fields and texts are part of the JSON output of replays.
 type Verdict struct {
 	Rule   string  // the invariant
 	Kept   bool    // whether the invariant held
--- a/internal/rules/drain.go
+++ b/internal/rules/drain.go
@@ -23,10 +23,10 @@
 			afterNotice++
 		}
 		lateMs := r.atMs - math.Max(noticeMs, sessionMs)
-		worst.observe(lateMs, "; the latest from %s to %s after %.0f ms, %.0f ms are allowed", r.proxy, r.host, lateMs,
+		worst.observe(lateMs, "; the last by %s at %s, %.0f ms of %.0f", r.proxy, r.host, lateMs,
 			limits.DrainGraceMs)
 	}
-	seen := fmt.Sprintf("%d requests to draining or removed hosts%s", afterNotice, worst.seen)
+	seen := fmt.Sprintf("%d transactions after the word%s", afterNotice, worst.seen)
 	return newVerdict(ruleDrain, worst.size/limits.DrainGraceMs, seen), afterNotice
 }
 
--- a/internal/rules/empty_table.go
+++ b/internal/rules/empty_table.go
@@ -7,7 +7,7 @@
 
 // checkEmptyTables checks for how long connected proxies had no host for a class while a warm host was ready.
 func (l *EventLog) checkEmptyTables(limits Limits, endMs float64) Verdict {
-	worst := worstCase{seen: "every connected proxy always had a host"}
+	worst := worstCase{seen: "no joined proxy was ever without a line"}
 	for proxy, updates := range l.updatesByProxy() {
 		empty := emptyTables{log: l, limits: limits, proxy: proxy, sinceMs: map[string]float64{}}
 		for i := range updates {
@@ -60,7 +60,7 @@
 	}
 	lastMs := e.log.warmHostUntil(e.limits, update.atMs, untilMs)
 	lengthMs := lastMs - e.sinceMs[class]
-	worst.observe(lengthMs, "%s had no host for %s for %.0f ms, %.0f ms are allowed", e.proxy, class, lengthMs,
+	worst.observe(lengthMs, "%s had no line for %s for %.0f ms of %.0f", e.proxy, class, lengthMs,
 		e.limits.EmptyTableMs)
 	if lastMs < untilMs {
 		delete(e.sinceMs, class)
--- a/internal/rules/event_log.go
+++ b/internal/rules/event_log.go
@@ -164,12 +164,12 @@
 	}
 	update := proxyUpdate{atMs: atMs, proxy: proxy, controller: controller, status: status}
 	if status == statusDelta && base != held {
-		l.addDeltaFault("%s received a delta on base %s, but held %s", proxy, base, held)
+		l.addDeltaFault("%s got a delta onto %s, it held %s", proxy, base, held)
 	}
 	if status == statusFull || status == statusDelta {
 		entries, err := tables.merge(body, status == statusFull)
 		if err != nil {
-			l.addDeltaFault("%s received a document that is not valid JSON: %v", proxy, err)
+			l.addDeltaFault("%s got a document that is no JSON: %v", proxy, err)
 		}
 		update.entries = entries
 	}
--- a/internal/rules/slow_start.go
+++ b/internal/rules/slow_start.go
@@ -19,7 +19,7 @@
 			used := l.slowStartLoad(limits, host, state.Started, list.atMs)
 			if used >= worst.size { // also 0, which shows that a host started
 				worst.size = used
-				worst.seen = fmt.Sprintf("%s received %.2f times the load at which it collapses, in %.0f ms",
+				worst.seen = fmt.Sprintf("%s got %.2f of what it may get in %.0f ms",
 					host, used, limits.CollapseMs)
 			}
 		}
