--- a/replay/response/model.go
+++ b/replay/response/model.go
@@ -1,7 +1,7 @@
-// Package response models the response times of hosts, to estimate the response to attempts that were not made when a
-// day was recorded. The model is fitted to the recorded attempts: the service times and cores of each host, and when it
-// was slow, unresponsive or down. Queueing is first come, first served over the cores. Responses at times without
-// observations are extrapolated, and counted as such. The package does no I/O; times are in ms.
+// Package response models the response times of hosts. A replay uses it to estimate the response to attempts that are
+// not in the recordings. The model is fitted to the recorded attempts: the service times and cores of each host, and
+// when it was slow, unresponsive or down. Queueing is first come, first served over the cores. Responses at times
+// without observations are extrapolated, and counted as such. The package does no I/O; times are in ms.
 package response
 
 import "math"
@@ -11,29 +11,29 @@
 
 // The results of attempts have the values of those of package client.
 const (
-	Fulfilled Result = iota // a good answer
-	Failed
-	NeverRan // the attempt was not executed
+	Fulfilled Result = iota // a successful response
+	Failed                  // an error, a timeout or no response
+	NeverRan                // the attempt was not executed
 )
 
 // HostParameters are the fitted parameters of a host.
 type HostParameters struct {
-	ServiceTimeFactor float64 // service time relative to the base time of the class
+	ServiceTimeFactor float64 // service time relative to the base service time of the class
 	Cores             int
 	QueueLimit        int  // queue length from which attempts are rejected; 0: not observed
-	Observed          bool // whether there are attempts that succeeded
+	Observed          bool // whether any recorded attempt at the host succeeded
 }
 
-// Model is a response-time model of hosts. It is fitted in passes over a day, each in the order of time, and keeps only
-// windows about the current time:
+// Model is a response-time model of hosts. It is fitted in passes over the recordings, each in the order of time, and
+// keeps only windows about the current time:
 //
 //   - the first pass calls ObserveLatency and SetListedCapacity,
 //   - the second calls ObserveAttempt, ObserveHealthCheck and ObserveUtilization, and FitCores at its end,
 //   - the third calls the same and ObserveServiceTime, and FitServiceTimes at its end,
 //   - the last calls the same as the third, and queries the model for times that lie somewhat before its observations.
 //
-// In each pass but the first CloseWindows tells up to which time all observations were made, and DiscardBefore which
-// windows are not queried any more.
+// In each pass but the first, the caller states with CloseWindows up to which time all observations were made, and with
+// DiscardBefore which windows are not queried any more.
 type Model struct {
 	windows       map[string]*hostWindows
 	startMs       float64
@@ -45,7 +45,7 @@
 	summaries     map[string]*hostSummary // of the current pass, by host
 }
 
-// pass is a pass over the day.
+// pass is one of the passes over the recordings that observe windows: all but the first.
 type pass int
 
 const (
@@ -54,7 +54,7 @@
 	queryPass
 )
 
-// New returns an empty model of a day that begins at a time.
+// New returns an empty model for recordings that begin at a time.
 func New(startMs float64) *Model {
 	return &Model{
 		windows:       map[string]*hostWindows{},
@@ -67,7 +67,7 @@
 	}
 }
 
-// SetStart sets the time at which the day begins. It must be called before the observations of windows.
+// SetStart sets the time at which the recordings begin. It must be called before the observations of windows.
 func (m *Model) SetStart(startMs float64) { m.startMs = startMs }
 
 func (m *Model) summary(host string) *hostSummary {
@@ -85,8 +85,8 @@
 	m.pass, m.windows = next, map[string]*hostWindows{}
 }
 
-// ObserveLatency adds the latency of an attempt that succeeded, for the base time of its class. All latencies must be
-// added before the first call of ObserveAttempt, which fixes the base time.
+// ObserveLatency adds the latency of an attempt that succeeded, for the base service time of its class. All latencies must be
+// added before the first call of ObserveAttempt, which fixes the base service time.
 func (m *Model) ObserveLatency(class string, latencyMs float64) {
 	latencies := m.latencies[class]
 	if latencies == nil {
@@ -96,13 +96,14 @@
 	latencies.add(latencyMs)
 }
 
-// baseServiceQuantile is the quantile of the latencies of a class that is its base time: most attempts below it did not
-// wait.
+// baseServiceQuantile is the quantile of the latencies of a class that is its base service time: most attempts below it
+// did not wait in a queue.
 const baseServiceQuantile = 0.35
 
+// minBaseServiceMs keeps ratios to the base service time finite.
 const minBaseServiceMs = 0.1
 
-// BaseServiceTime returns the base time of a class: the usual service time of an attempt.
+// BaseServiceTime returns the base service time of a class: the usual service time of an attempt.
 func (m *Model) BaseServiceTime(class string) float64 {
 	baseMs, ok := m.baseServiceMs[class]
 	if !ok {
@@ -125,7 +126,8 @@
 			window.firstSuccessMs = atMs
 		}
 		baseMs := m.BaseServiceTime(class)
-		window.baseTimeSum, window.latencySum = window.baseTimeSum+baseMs, window.latencySum+latencyMs
+		window.baseTimeSum += baseMs
+		window.latencySum += latencyMs
 		window.latencyRatioSum += latencyMs / baseMs
 	default:
 		window := m.window(host, atMs)
@@ -140,7 +142,7 @@
 	}
 }
 
-// ObserveHealthCheck adds a health check: healthy, unreachable, or failed in another way.
+// ObserveHealthCheck adds the result of a health check: healthy, unreachable, or failed in another way.
 func (m *Model) ObserveHealthCheck(host string, atMs float64, isHealthy, unreachable bool) {
 	window := m.window(host, atMs)
 	switch {
@@ -181,7 +183,7 @@
 		return
 	case Failed:
 		if state, _, _ := m.stateAt(host, atMs+latencyMs); state != healthy {
-			return // it was no longer served
+			return // the host was no longer serving it when it failed
 		}
 	}
 	if serviceMs == 0 {
@@ -192,7 +194,8 @@
 		if stats == &window.unqueued && startMs > atMs {
 			continue
 		}
-		if stats.serviceRatioSum += serviceMs / m.BaseServiceTime(class); result == Fulfilled {
+		stats.serviceRatioSum += serviceMs / m.BaseServiceTime(class)
+		if result == Fulfilled {
 			stats.completed++
 		}
 	}
@@ -241,13 +244,14 @@
 	return state == healthy, state != down
 }
 
-// ServiceTime returns the service time of an attempt at a host at a time, for a request of its class's usual work.
+// ServiceTime returns the service time that an attempt at a host has at a time, for a request with the usual work of
+// its class.
 func (m *Model) ServiceTime(class, host string, atMs float64) float64 {
 	_, slowdown, _ := m.stateAt(host, atMs)
 	return m.BaseServiceTime(class) * m.Parameters(host).ServiceTimeFactor * slowdown
 }
 
-// RelativeWork returns the work of a request relative to the usual work of its class, which takes the base time, from
+// RelativeWork returns the work of a request relative to the usual work of its class. It derives it from the start and
 // the service time of an attempt that succeeded.
 func (m *Model) RelativeWork(class, host string, startMs, serviceMs float64) float64 {
 	return serviceMs / m.ServiceTime(class, host, startMs)
--- a/replay/response/queue.go
+++ b/replay/response/queue.go
@@ -15,7 +15,7 @@
 	cores        int
 	completions  []completion // of the attempts that are not completed yet, in order of time
 	waitUnknown  bool         // since an attempt was given up: no later one was fast enough to show an empty queue
-	serviceRatio float64      // moving average of the service times relative to the base time of the class
+	serviceRatio float64      // moving average of the service times relative to the base service time of the class
 }
 
 // completion is the end of an attempt's service. It is estimated for an attempt that was given up.
@@ -117,6 +117,6 @@
 // serviceRatioSmoothing is the weight of the latest attempt in the moving average of the service times.
 const serviceRatioSmoothing = 0.2
 
-// minServiceRatio is the smallest service time relative to the base time of the class. Attempts that overtook others in
+// minServiceRatio is the smallest service time relative to the base service time of the class. Attempts that overtook others in
 // the queue appear to have taken less.
 const minServiceRatio = 0.05
--- a/replay/response/response_test.go
+++ b/replay/response/response_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// generateAttempts generates the attempts and health checks of a day at the test hosts.
+// generateAttempts generates the attempts and health checks at the test hosts that the model is fitted to.
 func generateAttempts(
 	model *Model,
 	addAttempt func(class, host string, atMs, latencyMs float64, result Result),
@@ -69,8 +69,8 @@
 	{2, 1, 26, ""}, // overloaded
 }
 
-// observeDay makes a pass over the day, and adds service times if withQueues is set.
-func observeDay(model *Model, withQueues bool) {
+// observeAll passes all generated observations to the model once, and adds service times if withQueues is set.
+func observeAll(model *Model, withQueues bool) {
 	generateAttempts(model, model.ObserveAttempt, model.ObserveHealthCheck)
 	if !withQueues {
 		return
@@ -89,11 +89,11 @@
 			model.ObserveLatency(class, latencyMs)
 		}
 	}, nil)
-	observeDay(model, false)
+	observeAll(model, false)
 	model.FitCores()
-	observeDay(model, true)
+	observeAll(model, true)
 	model.FitServiceTimes()
-	observeDay(model, true)
+	observeAll(model, true)
 	model.CloseWindows(70000)
 }
 
@@ -305,6 +305,6 @@
 		t.Errorf("got the service time factor %v, want 1", parameters.ServiceTimeFactor)
 	}
 	if alive, _ := model.Liveness("x", 20e6-100); !alive {
-		t.Error("at the end of the day: got a host that is not alive, want one that is")
+		t.Error("at the end of the recording: got a host that is not alive, want one that is")
 	}
 }
--- a/replay/response/windows.go
+++ b/replay/response/windows.go
@@ -20,7 +20,7 @@
 	succeeded, failed, rejected int
 	firstSuccessMs              float64 // start of the first attempt that succeeded; -1: none
 	firstFailureMs              float64 // start of the first attempt that did not succeed; -1: none
-	latencyRatioSum             float64 // of the latency to the base time of the class, of attempts that succeeded
+	latencyRatioSum             float64 // of the latency to the base service time of the class, of attempts that succeeded
 	baseTimeSum, latencySum     float64 // of attempts that succeeded
 	healthyChecks, failedChecks int
 	unreachableChecks           int
@@ -30,7 +30,7 @@
 	slowdown                    float64      // service time relative to the usual one of the host; 0: not known
 }
 
-// serviceStats sums the service times of attempts, relative to the base time of their class, and counts the completed
+// serviceStats sums the service times of attempts, relative to the base service time of their class, and counts the completed
 // ones.
 type serviceStats struct {
 	completed       int
