--- a/replay/analyze.go
+++ b/replay/analyze.go
@@ -18,17 +18,17 @@
 	"barleysail/replay/response"
 )
 
-// Source is one recording of a day: that of a controller's process, or that of a proxy.
+// Source is one recording of a replay: that of a controller's process, or that of a proxy.
 type Source struct {
 	Name string
 	Next NextFunc
 }
 
-// OpenFunc opens all recordings of a day at their beginnings. It is called once for each pass over the day.
+// OpenFunc opens all recordings of a replay at their beginnings. It is called once for each pass over them.
 type OpenFunc func() ([]Source, error)
 
 // ClockOffset is the difference that is added to the times of a proxy's clock to get those of the controllers' clock.
-// A clock that was adjusted during the day has several offsets, each valid from a table version on.
+// A clock that was adjusted during the recording has several offsets, each valid from a table version on.
 type ClockOffset struct {
 	FromVersion string  `json:"Version"`
 	OffsetMs    float64 `json:"By"`
@@ -60,7 +60,7 @@
 	}
 }
 
-// analysis is the result of the first passes over a day.
+// analysis is the result of the first passes over the recordings.
 type analysis struct {
 	starts       map[string]*recordpb.Start // by source
 	proxyStarts  map[string]*recordpb.ProxyStart
@@ -72,7 +72,7 @@
 	reportsLoad  bool // whether hosts reported their load
 }
 
-// forEachRecord visits all records of a day, one recording after the other.
+// forEachRecord visits all records, one recording after the other.
 func forEachRecord(open OpenFunc, visit func(name string, record *recordpb.Record) error) error {
 	sources, err := open()
 	if err != nil {
--- a/replay/compare.go
+++ b/replay/compare.go
@@ -18,8 +18,8 @@
 // Significant reports whether the confidence interval excludes 0.
 func (e Estimate) Significant() bool { return e.Low > 0 || e.High < 0 }
 
-// ClassDifference is the service of a request class as recorded and in two replays of a day: the share of the offered
-// priority weight that was served.
+// ClassDifference is the service of a request class as recorded and in two replays of the same recordings: the share
+// of the offered priority weight that was served.
 type ClassDifference struct {
 	Class      string   `json:"Class"`
 	Recorded   float64  `json:"Recorded"`
@@ -28,7 +28,7 @@
 	Difference Estimate `json:"Difference"` // variant minus baseline
 }
 
-// Comparison is the comparison of two replays of a day.
+// Comparison is the comparison of two replays of the same recordings.
 type Comparison struct {
 	Overall          ClassDifference   `json:"All"`
 	Classes          []ClassDifference `json:"Classes"`
@@ -100,8 +100,8 @@
 	return estimate
 }
 
-// Compare compares two replays of one day. The seed determines the samples of the bootstrap, which is the only use of
-// random numbers.
+// Compare compares two replays of the same recordings. The seed determines the samples of the bootstrap, which is the
+// only use of random numbers.
 func Compare(baseline, variant *Outcome, seed uint64) *Comparison {
 	comparison := &Comparison{Messages: [2]int{baseline.Messages, variant.Messages}}
 	var overall, model windowSeries
--- a/replay/coupling.go
+++ b/replay/coupling.go
@@ -15,7 +15,7 @@
 // coupling of two distributions (Lindvall, "Lectures on the Coupling Method", 1992). The draws of each replay are
 // distributed by its own tables, and two replays use common random numbers: they differ by their tables, not by chance.
 
-// recordedTables are the tables that a proxy used when the day was recorded: weights by class and host, and admission
+// recordedTables are the tables that a proxy used during the recording: weights by class and host, and admission
 // ratios.
 type recordedTables struct {
 	known   bool // false until the first snapshot
--- a/replay/lookahead.go
+++ b/replay/lookahead.go
@@ -38,7 +38,8 @@
 // extraLookaheadMs is how far the lookahead extends beyond the reorder time.
 const extraLookaheadMs = 3000.0
 
-// newLookahead opens a day and returns its records from the first on. The records have service times if queues is set.
+// newLookahead opens the recordings and returns their records from the first on. The records have service times if
+// queues is set.
 func (a *analysis) newLookahead(open OpenFunc, reorderMs float64, queues bool) (*lookahead, error) {
 	records, err := mergeRecords(open, a.clockOffsets, reorderMs)
 	if err != nil {
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// generateRecording emits the records of a day: proxies poll and send stats each second, one in five hosts is slow for
+// generateRecording emits the records of a fleet: proxies poll and send stats each second, one in five hosts is slow for
 // a while, one host drains, and one is removed and added again.
 func generateRecording(seconds, hosts, proxies int, emit func(*recordpb.Record)) {
 	start := &recordpb.Start{
@@ -459,7 +459,7 @@
 	held := map[int][]*recordpb.Record{}
 	shuffled := simulate(noClockOffset, func(p, n int, entry *recordpb.Record) []*recordpb.Record {
 		if n == 1 {
-			delete(held, p) // begins another pass over the day
+			delete(held, p) // begins another pass over the recordings
 		}
 		waiting := append(held[p], entry)
 		if held[p] = waiting; len(waiting) < 5 {
--- a/replay/simulate.go
+++ b/replay/simulate.go
@@ -34,7 +34,7 @@
 	Replayed []float64 `json:"Replayed"`
 }
 
-// Outcome is the service of a day as it was recorded and as it was replayed.
+// Outcome is the service as it was recorded and as it was replayed.
 type Outcome struct {
 	FromMs               float64                  `json:"From"`
 	Classes              []string                 `json:"Classes"`
@@ -43,7 +43,7 @@
 	Messages             int                      `json:"Messages"` // snapshots and deltas sent
 	Events               []Event                  `json:"Moments"`
 	Attempts             int                      `json:"Tries"`
-	ExtrapolatedAttempts int                      `json:"Beyond"`  // nothing was recorded of the host then
+	ExtrapolatedAttempts int                      `json:"Beyond"`  // the model had no observation of the host at that time
 	UnroutedRequests     int                      `json:"AsSeen"`  // of proxies without tables; they count as recorded
 	OptimalityGaps       []float64                `json:"Gaps"`    // by window that had requests
 	ClockOffsets         map[string][]ClockOffset `json:"Offsets"` // by proxy
@@ -60,7 +60,7 @@
 	stopDelayMs          = 0.001 // a controller stops after the last record of its recording
 )
 
-// Simulate replays a day's arrivals with the tables that its controllers publish with other settings. Endpoint lists,
+// Simulate replays the recorded arrivals with the tables that controllers publish with other settings. Endpoint lists,
 // connects, disconnects, canceled polls and the times of the stats are as recorded; the responses of the hosts come
 // from a response-time model that is fitted to the recording.
 func Simulate(open OpenFunc, settings Settings) (*Outcome, error) {
@@ -500,7 +500,7 @@
 }
 
 // compactIntervalMs is the interval at which the invariants are checked and the event log is compacted, so that its
-// size does not grow with the day.
+// size does not grow with the length of the recordings.
 const compactIntervalMs = 60000.0
 
 func (s *simulation) compactEventLog() {
--- a/replay/summary.go
+++ b/replay/summary.go
@@ -12,13 +12,13 @@
 	"barleysail/routing"
 )
 
-// Event is a notable event of a day: a change of mode or of the endpoint list.
+// Event is a notable event of a recording: a change of mode or of the endpoint list.
 type Event struct {
 	AtMs float64 `json:"At"`
 	Text string  `json:"Text"`
 }
 
-// Interval holds the counts of an interval of a day.
+// Interval holds the counts of an interval of a recording.
 type Interval struct {
 	FromMs          float64 `json:"From"`
 	Arrivals        int64   `json:"Came"`       // as reported by the proxies
@@ -32,7 +32,7 @@
 	UnhealthyChecks int     `json:"ProbesOther"`
 }
 
-// Summary is a summary of a day.
+// Summary is a summary of a recording.
 type Summary struct {
 	Start         *recordpb.Start `json:"Start"`
 	FromMs        float64         `json:"From"`
--- a/replay/verify.go
+++ b/replay/verify.go
@@ -1,7 +1,7 @@
 // Package replay replays recordings of controllers. With the recorded settings it verifies that the responses are the
-// recorded ones, and reports where they first differ. With other settings it simulates the day with a model of the
+// recorded ones, and reports where they first differ. With other settings it simulates the fleet with a model of the
 // hosts' response times. It also summarizes recordings and extracts parts of them. It does no I/O: records come from a
-// function, and no state grows with the length of the day.
+// function, and no state grows with the length of the recordings.
 package replay
 
 import (
