--- a/replay/response/fit.go
+++ b/replay/response/fit.go
@@ -5,18 +5,18 @@
 	"sort"
 )
 
-// hostSummary is what a pass collects from the windows of a host. The ratios are those of the windows to the base service time:
-// of the mean latency in the pass before FitCores, of the mean unqueued service time in that before FitServiceTimes.
+// hostSummary is what a pass collects from the windows of a host. The ratios are those of the windows to the base service
+// time: of the mean latency in the pass before FitCores, of the mean unqueued service time in that before FitServiceTimes.
 type hostSummary struct {
 	ratios                  sample
 	lowLoad                 boundedSample[lowLoadWindow] // windows with reported utilization
-	maxLoad                 float64                      // largest sum of the base service times of a window's attempts, per ms
+	maxLoad                 float64                      // largest sum of a window's base service times, per ms
 	unqueuedAttempts        int                          // attempts that did not wait
 	queueLengthsAtRejection sample                       // queue lengths when the host, while healthy, rejected an attempt
 }
 
-// lowLoadWindow is a window's mean latency relative to the base service time, the mean number of attempts in progress, and the
-// reported utilization.
+// lowLoadWindow is a window's mean latency relative to the base service time, the mean number of attempts in progress,
+// and the reported utilization.
 type lowLoadWindow struct{ latencyRatio, concurrency, utilization float64 }
 
 // boundedSample keeps a bounded part of a stream: every nth value, where n doubles whenever the sample is full.
--- a/replay/response/queue.go
+++ b/replay/response/queue.go
@@ -117,6 +117,6 @@
 // serviceRatioSmoothing is the weight of the latest attempt in the moving average of the service times.
 const serviceRatioSmoothing = 0.2
 
-// minServiceRatio is the smallest service time relative to the base service time of the class. Attempts that overtook others in
-// the queue appear to have taken less.
+// minServiceRatio is the smallest service time relative to the base service time of the class. Attempts that overtook
+// others in the queue appear to have taken less.
 const minServiceRatio = 0.05
--- a/replay/response/windows.go
+++ b/replay/response/windows.go
@@ -30,8 +30,8 @@
 	slowdown                    float64      // service time relative to the usual one of the host; 0: not known
 }
 
-// serviceStats sums the service times of attempts, relative to the base service time of their class, and counts the completed
-// ones.
+// serviceStats sums the service times of attempts, relative to the base service time of their class, and counts the
+// completed ones.
 type serviceStats struct {
 	completed       int
 	serviceRatioSum float64
