--- a/cmd/barleysail/compare_output.go
+++ b/cmd/barleysail/compare_output.go
@@ -79,10 +79,11 @@
 	one := r.Recorded
 	other := r.Changed
 	p.printf("\nthe model, replayed less recorded: %s\n", formatEstimate(r.Comparison.ModelError))
-	p.printf("answers extrapolated, where nothing was seen of the host: %.1f%% and %.1f%%; taken as recorded: %d and %d\n",
+	p.printf("responses extrapolated, without an observation of the host: %.1f%% and %.1f%%; "+
+		"taken as recorded: %d and %d\n",
 		percentage(one.ExtrapolatedAttempts, one.Attempts), percentage(other.ExtrapolatedAttempts, other.Attempts),
 		one.UnroutedRequests, other.UnroutedRequests)
-	p.printf("messages to proxies: %d and %d; mean gap to the best tables: %.4f and %.4f\n\n",
+	p.printf("messages to proxies: %d and %d; mean optimality gap of the tables: %.4f and %.4f\n\n",
 		r.Comparison.Messages[0], r.Comparison.Messages[1], one.MeanOptimalityGap(), other.MeanOptimalityGap())
 }
 
@@ -105,8 +106,8 @@
 // printDifferingWindows prints the windows in which the service of the two replays differs.
 func (r *comparisonReport) printDifferingWindows(p *printer) {
 	for _, window := range r.Comparison.DifferingWindows {
-		p.printf("parted at %.0f s: service %.3f, with the other %.3f\n", seconds(window.FromMs-r.Recorded.FromMs),
-			window.Baseline, window.Variant)
+		p.printf("service level differs at %.0f s: %.3f, with the other setting %.3f\n",
+			seconds(window.FromMs-r.Recorded.FromMs), window.Baseline, window.Variant)
 	}
 }
 
--- a/cmd/barleysail/compare_plot.go
+++ b/cmd/barleysail/compare_plot.go
@@ -108,7 +108,7 @@
 func newChart(title string, lines ...plotLine) (*plot.Plot, error) {
 	chart := plot.New()
 	chart.Title.Text = title
-	chart.Y.Label.Text = "share of the earnings asked for"
+	chart.Y.Label.Text = "service level by priority weight"
 	for _, line := range lines {
 		drawn, err := plotter.NewLine(line.points())
 		if err != nil {
