--- a/cmd/barleysail/recording_find.go
+++ b/cmd/barleysail/recording_find.go
@@ -76,7 +76,7 @@
 	return err == nil && first.GetProxyStart() != nil, nil
 }
 
-// recordingSet opens all recordings of a replay, anew for each of its passes.
+// recordingSet opens all recordings of a replay, once for each of its passes.
 type recordingSet struct {
 	names []string
 	open  []*recordingFile // opened for the current pass
