--- a/cmd/barleysail/config.go
+++ b/cmd/barleysail/config.go
@@ -15,7 +15,7 @@
 	cmd := &cobra.Command{Use: "config", Short: "Check configurations"}
 	cmd.AddCommand(&cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a configuration and its host list, and print its access rules",
+		Short: "Check a configuration and its endpoint list, and print its access rules",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			settings, err := config.Load(args[0])
@@ -45,7 +45,7 @@
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return "", fmt.Errorf("reading the host list: %w", err)
+		return "", fmt.Errorf("reading the endpoint list: %w", err)
 	}
 	endpoints, err := config.ParseHosts(file, text)
 	if err != nil {
--- a/cmd/barleysail/config_test.go
+++ b/cmd/barleysail/config_test.go
@@ -22,7 +22,7 @@
 	runCases(t, "", []commandCase{
 		{"check", []string{"config", "check", plain}, 0, []string{"good: 1 zones, 1 classes, 1 hosts\nno identities"}},
 		{"check with identities", []string{"config", "check", secured}, 0, []string{"1 hosts\n", "operator/* may [see]"}},
-		{"check a wrong host list", []string{"config", "check", wrong}, 1, []string{"wrong.textproto:1"}},
+		{"check a wrong endpoint list", []string{"config", "check", wrong}, 1, []string{"wrong.textproto:1"}},
 		{"check a missing file", []string{"config", "check", plain + "x"}, 1, []string{"no such file"}},
 		{"allowed", []string{"auth", "explain", operator, "see", "--config", secured}, 0, []string{"operator/*"}},
 		{"denied", []string{"auth", "explain", operator, "set", "--config", secured}, exitRefused, []string{"denied"}},
