--- a/replay/response/model.go
+++ b/replay/response/model.go
@@ -85,8 +85,8 @@
 	m.pass, m.windows = next, map[string]*hostWindows{}
 }
 
-// ObserveLatency adds the latency of an attempt that succeeded, for the base service time of its class. All latencies must
-// be added before the first call of ObserveAttempt, which fixes the base service time.
+// ObserveLatency adds the latency of an attempt that succeeded, for the base service time of its class. All latencies
+// must be added before the first call of ObserveAttempt, which fixes the base service time.
 func (m *Model) ObserveLatency(class string, latencyMs float64) {
 	latencies := m.latencies[class]
 	if latencies == nil {
