--- a/routing/publish.go
+++ b/routing/publish.go
@@ -1,12 +1,12 @@
 package routing
 
-// maxVersion is the last version stamp before they start again at 1.
+// maxVersion is the largest version stamp; the stamp after it is 1.
 const maxVersion = 60000
 
 // publicationRecord describes a host in the published tables.
 type publicationRecord struct {
 	weight     float64
-	holders    int     // proxies whose table must be sent a change of the weight
+	holders    int     // connected proxies whose table has the host; each needs a message for a change of its weight
 	subsetRate float64 // requests a second that proxies with their own tables send there
 }
 
@@ -19,12 +19,12 @@
 	budget         float64 // update budget: tokens, in entries, for weights and reassignments
 
 	costs  []float64          // reused in each round to avoid an allocation
-	tables []sharedTableState // reused too
+	tables []sharedTableState // reused in each round likewise
 }
 
 // sharedTableState describes a shared table within one round.
 type sharedTableState struct {
-	proxies           int  // number of proxies that route by it
+	proxies           int  // connected proxies that route by it
 	entries           int  // number of hosts that it should hold
 	withoutWarmTarget bool // no warm host of it has a target weight above 0: ejections are ignored
 	withoutWarmEntry  bool // it holds no warm host: additions are as urgent as removals
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -23,12 +23,12 @@
 
 // slowStartState limits the traffic of hosts that are warming up.
 type slowStartState struct {
-	allowed bool    // hosts that are warming up may get traffic at all
-	share   float64 // published weight of the warm hosts, as a fraction of the current capacity of all ready hosts
+	allowed        bool    // hosts that are warming up may get traffic at all
+	publishedShare float64 // published weight of the warm hosts, as a fraction of the current capacity of all ready hosts
 }
 
-// warmCapacity holds the fleet's capacity, in units of weight.
-type warmCapacity struct {
+// fleetCapacity holds sums over the fleet's hosts, in units of weight.
+type fleetCapacity struct {
 	total     float64 // base weights of all hosts
 	ready     float64 // base weights of the ready hosts, times their slow-start factors
 	published float64 // published weights of the warm hosts, or their weights after rebalancing where larger
@@ -51,22 +51,22 @@
 // stay below the load at which such a host collapses.
 func (b *Balancer) slowStartLoadFactor() float64 {
 	loadShare := math.Min(1, b.limits.CollapseMultiple*slowStartLoadShare)
-	return b.fleet.successRatio * b.slowStart.share * loadShare
+	return b.fleet.successRatio * b.slowStart.publishedShare * loadShare
 }
 
-// updateSlowStart decides whether hosts that are warming up may get traffic, and updates the share in
-// slowStartLoadFactor. While a ready host is warm they get none until reports show the effect of this instance's own
-// first weights, nor while proxies that eject hosts by themselves may eject most of them and leave only a host that
-// has just started. Where no ready host is warm, those that are warming up get traffic once they can take all of it
+// updateSlowStart decides whether hosts that are warming up may get traffic, and updates the published share of the
+// warm hosts. While a ready host is warm they get none until reports show the effect of this instance's own first
+// weights, nor while proxies that eject hosts by themselves may eject most of them and leave only a host that has just
+// started. Where no ready host is warm, those that are warming up get traffic once they can take all of it
 // together.
 func (b *Balancer) updateSlowStart(writer UpdateWriter) {
-	capacity := b.measureWarmCapacity()
+	capacity := b.measureFleetCapacity()
 	var allowed bool
 	if capacity.anyWarm {
-		b.slowStart.share = math.Min(1, capacity.published/math.Max(capacity.ready, minDivisor))
+		b.slowStart.publishedShare = math.Min(1, capacity.published/math.Max(capacity.ready, minDivisor))
 		allowed = b.reports.lastAtMs >= b.reports.observableAtMs && !b.proxiesMayEjectMost()
 	} else {
-		b.slowStart.share = 1
+		b.slowStart.publishedShare = 1
 		allowed = capacity.ready*b.limits.CollapseMultiple >= slowStartOnlyMargin*capacity.total
 	}
 	if allowed == b.slowStart.allowed {
@@ -79,9 +79,9 @@
 	}})
 }
 
-// measureWarmCapacity sums the capacity over all hosts; those that are not ready count only in the total.
-func (b *Balancer) measureWarmCapacity() warmCapacity {
-	var capacity warmCapacity
+// measureFleetCapacity sums the capacity over all hosts; those that are not ready count only in the total.
+func (b *Balancer) measureFleetCapacity() fleetCapacity {
+	var capacity fleetCapacity
 	for _, index := range b.hostOrder {
 		host := &b.hosts[index]
 		capacity.total += host.endpoint.baseWeight
