--- a/replay/response/fit.go
+++ b/replay/response/fit.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// hostSummary is what a pass collects from the windows of a host. The ratios are those of the windows to the base service
-// time: of the mean latency in the pass before FitCores, of the mean unqueued service time in that before
+// hostSummary is what a pass collects from the windows of a host. The ratios are those of the windows to the base
+// service time: of the mean latency in the pass before FitCores, of the mean unqueued service time in that before
 // FitServiceTimes.
 type hostSummary struct {
 	ratios                  sample
