--- a/controller/cached_test.go
+++ b/controller/cached_test.go
@@ -26,7 +26,7 @@
 	h.advance(500)
 	response, ok := h.responses[poll]
 	if !ok || response.Kind != Delta || response.BaseTag != "K-5" {
-		t.Fatalf("the response is %+v (given: %v), want a delta onto K-5", response, ok)
+		t.Fatalf("the response is %+v (received: %v), want a delta onto K-5", response, ok)
 	}
 	body := string(response.Body())
 	if strings.Count(body, `"10.0.0.1:80":null`) != 2 || strings.Contains(body, hostName(0)) {
--- a/controller/endpoint_loss.go
+++ b/controller/endpoint_loss.go
@@ -8,9 +8,10 @@
 	"barleysail/routing"
 )
 
-// holdsEndpoints reports whether a new endpoint list is held back because it loses too many hosts at once. It stores
-// the list that is held back, and records an event when a hold begins and when it ends.
-func (c *Controller) holdsEndpoints(entries []Endpoint) bool {
+// updateEndpointHold decides whether a new endpoint list is held back because it loses too many hosts at once, and
+// returns true if it is. It stores the list that is held back, and records an event when a hold begins and when it
+// ends.
+func (c *Controller) updateEndpointHold(entries []Endpoint) bool {
 	validation := &c.validation
 	if !validation.enabled || !c.endpoints.known {
 		return false
@@ -32,7 +33,7 @@
 	return true
 }
 
-// recordLoss records an event with the numbers of lost, ready and confirmed hosts.
+// recordLoss records an event. The format gets the numbers of lost, ready and confirmed hosts, in this order.
 func (c *Controller) recordLoss(format string, loss endpointLoss) {
 	c.recordEvent(eventValidation, fmt.Sprintf(format, loss.lost, loss.ready, loss.confirmed))
 }
@@ -44,7 +45,7 @@
 	confirmed int // of the lost hosts, those with an override of an operator or with failed health checks
 }
 
-// endpointLoss returns what a new list loses.
+// endpointLoss counts what a new list loses against the endpoint list in effect.
 func (c *Controller) endpointLoss(entries []Endpoint) endpointLoss {
 	staysReady := map[string]bool{}
 	for _, endpoint := range entries {
@@ -77,10 +78,10 @@
 	return ok && explanation.ConsecutiveFailures > 0
 }
 
-// recheckHeldEndpoints puts a list that was held back into effect when the hold is over or the loss is confirmed.
+// recheckHeldEndpoints puts the list that is held back into effect once the hold is over or the loss is confirmed.
 func (c *Controller) recheckHeldEndpoints() {
 	held := c.validation.heldEndpoints
-	if held != nil && !c.holdsEndpoints(held) {
+	if held != nil && !c.updateEndpointHold(held) {
 		c.acceptEndpoints(held)
 	}
 }
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -69,7 +69,7 @@
 	}
 	c.endpoints.receivedMs = nowMs
 	c.endpoints.watchFailed = false
-	if c.holdsEndpoints(entries) {
+	if c.updateEndpointHold(entries) {
 		return nil
 	}
 	c.acceptEndpoints(entries)
--- a/controller/restore.go
+++ b/controller/restore.go
@@ -16,7 +16,7 @@
 	*state.Restored                    // nil: nothing was restored
 	hostCount       int                // hosts restored so far
 	proxyCount      int                // proxies restored so far
-	versionCount    int                // versions of proxies carried over so far
+	versionCount    int                // proxies so far that continued from the tables they held
 	drainingSinceMs map[string]float64 // by host
 }
 
@@ -115,7 +115,8 @@
 	index := c.hostIndex.Index(endpoint.Host)
 	c.balancer.RestoreHost(index, host.Weight, host.MeanLatencyMs, host.Successes, host.Failures)
 	if host.Ejected && endpoint.State == routing.Ready {
-		// After one failed health check the next one is due soon. Two more failures eject the host again.
+		// The host starts with one failed health check and not ejected: the next check is due soon, and two more
+		// failures eject it again.
 		result := routing.TimedOut
 		if host.Unreachable {
 			result = routing.Unreachable
