--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -8,11 +8,11 @@
 // holds a recordpb.Index, the offset of that block (uint64) and "BSAILEND". If a block is damaged, the reader reports
 // it and continues after it.
 //
-// Format 3 has the same blocks. From it on the start record of a proxy tells its ejection settings and idempotent
+// Format 3 has the same blocks. From it on the start record of a proxy has its ejection settings and idempotent
 // classes.
 //
 // In format 4 the stats of a proxy may have the sender's time and latency buckets, and the load reports of hosts are
-// inputs. Controllers of earlier formats applied load reports as they came, and so do their replays.
+// inputs. Controllers of earlier formats applied load reports in the order of arrival, and so do their replays.
 //
 // Format 1 can still be read. It has no magic and no blocks: each record consists of its length, its CRC-32C and its
 // protobuf bytes.
