--- a/internal/rehearse/controller_process.go
+++ b/internal/rehearse/controller_process.go
@@ -29,8 +29,8 @@
 	exited  chan struct{}
 }
 
-// startControllerProcess starts a controller in a process of its own, so that its resource usage can be told from that
-// of the fake hosts and proxies. It reads the controller's address from the first line of its output.
+// startControllerProcess starts a controller in a process of its own, so that its resource usage can be measured apart
+// from that of the fake hosts and proxies. It reads the controller's address from the first line of its output.
 func (s *scenario) startControllerProcess(controllerConfig *configpb.Config, name string) (controllerInstance, error) {
 	text, err := prototext.MarshalOptions{Multiline: true}.Marshal(controllerConfig)
 	if err != nil {
