--- a/internal/platform/rate_limited_log.go
+++ b/internal/platform/rate_limited_log.go
@@ -31,8 +31,8 @@
 	return &rateLimitedLog{log: log, now: now, warnings: map[string]*warningCount{}}
 }
 
-// warn counts a warning, and logs it with its cause, which may be nil, and the count so far, unless the same text was
-// logged less than minLogInterval ago.
+// warn counts a warning. Unless the same text was logged less than minLogInterval ago, it logs the text with the cause,
+// which may be nil, and the count so far.
 func (l *rateLimitedLog) warn(text string, cause error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
