--- a/solver/solve.go
+++ b/solver/solve.go
@@ -273,7 +273,7 @@
 	}
 }
 
-// uncertain tells whether the capacities are uncertain.
+// uncertain reports whether the capacities are uncertain.
 func (p *Problem) uncertain() bool {
 	return p.Uncertainty.Spread > 0 && p.Uncertainty.DegradedHosts > 0
 }
--- a/solver/table_updates.go
+++ b/solver/table_updates.go
@@ -1,6 +1,6 @@
 package solver
 
-// UpdateChoice tells in which zones new tables are worth their update messages.
+// UpdateChoice holds the zones in which new tables are worth their update messages.
 type UpdateChoice struct {
 	Zones          []string // whose proxies get the solution's tables; the others keep the published ones
 	Messages       int
