--- a/cmd/barleysail/recordings_cut.go
+++ b/cmd/barleysail/recordings_cut.go
@@ -59,7 +59,7 @@
 	}
 	file, err := os.OpenFile(output, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
-		return 0, fmt.Errorf("creating the part: %w", err)
+		return 0, fmt.Errorf("creating the output file: %w", err)
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
 	writer := record.NewWriter(file)
--- a/cmd/barleysail/state_show.go
+++ b/cmd/barleysail/state_show.go
@@ -21,7 +21,7 @@
 	var slowStartMs float64
 	cmd := &cobra.Command{
 		Use:   "show FOLDER",
-		Short: "Print a state, and what of it a controller would restore now",
+		Short: "Print a stored state, and what a controller would restore of it now",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return showState(cmd.OutOrStdout(), args[0], slowStartMs)
@@ -56,17 +56,17 @@
 
 // printStateHead prints the origin, age and damage of a state, and the values that concern the whole fleet.
 func printStateHead(p *printer, loaded *statefile.LoadResult, restored *state.Restored, nowMs float64) {
-	kept := loaded.State
-	p.printf("incarnation %s of program %s, format %d.%d, generation %d and %d changes, %d bytes\n", kept.Life,
-		kept.Program, kept.Major, kept.Minor, loaded.Generation, loaded.Changes, proto.Size(kept))
-	p.printf("stored at %s, %.1f s ago\n", formatTime(kept.At), seconds(nowMs-kept.At))
+	stored := loaded.State
+	p.printf("incarnation %s of program %s, format %d.%d, generation %d and %d changes, %d bytes\n", stored.Life,
+		stored.Program, stored.Major, stored.Minor, loaded.Generation, loaded.Changes, proto.Size(stored))
+	p.printf("stored at %s, %.1f s ago\n", formatTime(stored.At), seconds(nowMs-stored.At))
 	for _, warning := range loaded.Warnings {
 		p.println("ignored:", warning)
 	}
 	if restored.Reason != "" {
 		p.println("not everything can be restored:", restored.Reason)
 	}
-	if fleet := kept.GetFleet(); fleet != nil {
+	if fleet := stored.GetFleet(); fleet != nil {
 		p.printf("admission ratio %.2f, now %.2f; median of the hosts' mean latencies %.1f ms\n", fleet.Level,
 			restored.AdmissionRatio, restored.MedianLatencyMs)
 	}
@@ -75,14 +75,14 @@
 // printStateHosts prints each host as stored and, in the columns "now", as it would be restored.
 func printStateHosts(columns *printer, hosts []*statepb.Host, restored *state.Restored, nowMs float64) {
 	columns.println("host\tzone\tweight\tnow\tr ms\tnow\tlost\tnow\twithdrawn\tnow\ttrust\tnow\tstarted\tdrains since")
-	for _, kept := range hosts {
-		now := restored.Hosts[kept.Name]
+	for _, stored := range hosts {
+		now := restored.Hosts[stored.Name]
 		if now == nil {
 			now = &state.Host{Weight: 1, ReportConfidence: 1}
 		}
-		columns.printf("%s\t%s\t%.3g\t%.3g\t%.4g\t%.4g\t%.3g\t%.3g\t%v\t%v\t%.2f\t%.2f\t%s\t%s\n", kept.Name, kept.Zone,
-			kept.Weight, now.Weight, kept.R, now.MeanLatencyMs, kept.Lost, now.Failures, kept.Out, now.Ejected,
-			kept.Trust, now.ReportConfidence, formatAge(kept.Started, nowMs), formatAge(kept.Drains, nowMs))
+		columns.printf("%s\t%s\t%.3g\t%.3g\t%.4g\t%.4g\t%.3g\t%.3g\t%v\t%v\t%.2f\t%.2f\t%s\t%s\n", stored.Name, stored.Zone,
+			stored.Weight, now.Weight, stored.R, now.MeanLatencyMs, stored.Lost, now.Failures, stored.Out, now.Ejected,
+			stored.Trust, now.ReportConfidence, formatAge(stored.Started, nowMs), formatAge(stored.Drains, nowMs))
 	}
 }
 
@@ -91,7 +91,7 @@
 	return operator.State(min(max(override.State, 0), int32(operator.Maintenance)))
 }
 
-// countProxiesWithTables counts the proxies whose tables would be restored.
+// countProxiesWithTables counts the proxies whose tables are restored.
 func countProxiesWithTables(restored *state.Restored) int {
 	count := 0
 	for _, proxy := range restored.Proxies {
