--- a/standby/takeover_model_test.go
+++ b/standby/takeover_model_test.go
@@ -63,7 +63,7 @@
 
 var events = []event{
 	{"tick", (*model).tick},
-	{"leader dies", (*model).killLeader},
+	{"leader crashes", (*model).killLeader},
 	{"leader returns", func(m *model) { m.leaderUp = true }},
 	{"replication breaks", func(m *model) { m.replicationUp = false }},
 	{"replication recovers", func(m *model) { m.replicationUp = true }},
