--- a/cmd/barleysail/controller_api.go
+++ b/cmd/barleysail/controller_api.go
@@ -51,7 +51,7 @@
 type routingTable struct {
 	Hosts       map[string]float64 `json:"hosts"` // weights by host
 	Share       float64            `json:"share"` // admission ratio
-	MaxAttempts int                `json:"tries"`
+	RetryPolicy int                `json:"tries"` // number of the retry policy, 0 to 3
 }
 
 // proxyTables holds the tables of a proxy, by request class.
--- a/cmd/barleysail/get.go
+++ b/cmd/barleysail/get.go
@@ -166,7 +166,7 @@
 	for _, host := range slices.Sorted(maps.Keys(table.Hosts)) {
 		weight := formatNumber(table.Hosts[host])
 		share := formatNumber(table.Share)
-		rows = append(rows, []string{proxy, class, host, weight, share, strconv.Itoa(table.MaxAttempts)})
+		rows = append(rows, []string{proxy, class, host, weight, share, strconv.Itoa(table.RetryPolicy)})
 	}
 	return rows
 }
