--- a/cmd/barleysail/describe.go
+++ b/cmd/barleysail/describe.go
@@ -41,8 +41,9 @@
 	describeWeight(p, host)
 	describeHealth(p, host)
 	for _, change := range host.WeightChanges {
-		p.printf("%s  weight %s to %s; rate %s, R %s ms, cap %s\n", formatTime(change.AtMs), formatNumber(change.From),
-			formatNumber(change.To), formatNumber(change.ArrivalRate), formatNumber(change.MeanLatencyMs),
+		p.printf("%s  weight %s to %s; arrival rate %s/s, mean latency %s ms, capacity %s/s\n",
+			formatTime(change.AtMs), formatNumber(change.From), formatNumber(change.To),
+			formatNumber(change.ArrivalRate), formatNumber(change.MeanLatencyMs),
 			formatNumber(change.Capacity))
 	}
 	return p.flush()
@@ -53,30 +54,31 @@
 	why := host.Explanation
 	p.printf("weight        %s published, target %s; rebalanced to %s, listed %s\n",
 		formatNumber(host.Weight), formatNumber(why.TargetWeight), formatNumber(why.Weight), formatNumber(host.BaseWeight))
-	p.printf("load          rate %s a second, R %s ms (median of all %s ms)\n",
+	p.printf("load          arrival rate %s/s, mean latency %s ms (median of all hosts %s ms)\n",
 		formatNumber(why.ArrivalRate), formatNumber(why.MeanLatencyMs), formatNumber(why.MedianLatencyMs))
 	headroom := why.Capacity - why.ArrivalRate
-	word := "room"
+	label := "headroom"
 	if headroom < 0 {
-		word = "excess"
+		label = "overload"
 		headroom = -headroom
 	}
-	p.printf("cap           mu %s - K %s = %s a second; %s %s\n", formatNumber(why.ServiceRate),
-		formatNumber(why.LatencyMargin), formatNumber(why.Capacity), word, formatNumber(headroom))
+	p.printf("capacity      mu %s/s - K %s/s = %s/s; %s %s/s\n", formatNumber(why.ServiceRate),
+		formatNumber(why.LatencyMargin), formatNumber(why.Capacity), label, formatNumber(headroom))
 }
 
 // describeHealth prints the load report, attempts and health checks of a host, and its slow start and recovery ramp.
 func describeHealth(p *printer, host controller.HostInfo) {
 	why := host.Explanation
-	p.printf("reported      busy %s, queue %s\n", formatNumber(why.Load.Utilization), formatNumber(why.Load.QueueLength))
-	p.printf("tries lately  %s fulfilled, %s failed\n", formatNumber(why.Successes), formatNumber(why.Failures))
-	p.printf("probes        %d in a row answered, %d not; withdrawn: %v\n",
+	p.printf("reported      utilization %s, queue length %s\n",
+		formatNumber(why.Load.Utilization), formatNumber(why.Load.QueueLength))
+	p.printf("attempts      %s fulfilled, %s failed recently\n", formatNumber(why.Successes), formatNumber(why.Failures))
+	p.printf("health checks %d successes in a row, %d failures in a row; ejected: %v\n",
 		why.ConsecutiveSuccesses, why.ConsecutiveFailures, why.Ejected)
 	if why.SlowStartFactor < 1 {
-		p.printf("cold          %.0f%% of its capacity now\n", 100*why.SlowStartFactor)
+		p.printf("slow start    %.0f%% of its capacity now\n", 100*why.SlowStartFactor)
 	}
 	if why.RecoveryFactor < 1 {
-		p.printf("on trial      %.0f%% of its weight\n", 100*why.RecoveryFactor)
+		p.printf("recovery ramp %.0f%% of its weight\n", 100*why.RecoveryFactor)
 	}
 	if !why.Balanced {
 		p.println("excluded from rebalancing now")
